--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cottonplank/decide"
-	"cottonplank/internal/wire"
+	"cottonplank/internal/simwire"
 )
 
 func main() {
@@ -22,8 +22,8 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	h := &host{enc: wire.NewEncoder(out), balancers: map[int]*decide.Balancer{}}
+	dec := simwire.NewDecoder(in)
+	h := &host{enc: simwire.NewEncoder(out), balancers: map[int]*decide.Balancer{}}
 	for {
 		seq, err := dec.Batch(h)
 		if errors.Is(err, io.EOF) {
@@ -40,7 +40,7 @@
 
 // host keeps one Balancer an instance; nothing is shared between them.
 type host struct {
-	enc       *wire.Encoder
+	enc       *simwire.Encoder
 	balancers map[int]*decide.Balancer
 	actions   []decide.Action
 }
--- a/cmd/cottonplank-lab/main.go
+++ b/cmd/cottonplank-lab/main.go
@@ -14,8 +14,8 @@
 	"strings"
 	"syscall"
 
-	"cottonplank/internal/lab"
-	"cottonplank/internal/scale"
+	"cottonplank/internal/testbench/experiment"
+	"cottonplank/internal/testbench/hollow"
 
 	"github.com/spf13/cobra"
 )
@@ -55,32 +55,32 @@
 		Long: "Play an experiment. The exit status is 0 if all rules and invariants were kept, 1 if one broke or the run failed,\n" +
 			"and 2 for a bad file. Progress goes to standard error.",
 		RunE: func(c *cobra.Command, args []string) error {
-			kind, err := lab.Kind(args[0])
+			kind, err := experiment.Kind(args[0])
 			if err != nil {
 				return status{bad, err}
 			}
 			if kind != "" {
 				return membersRun(c, program, args[0], asJSON, out, say)
 			}
-			e, err := lab.Load(args[0])
+			e, err := experiment.Load(args[0])
 			if err != nil {
 				return status{bad, err}
 			}
 			if c.Flags().Changed("seed") {
 				e.Seed, _ = c.Flags().GetUint64("seed")
 			}
-			return experiment(c.Context(), program, e, asJSON, out, say)
+			return runExperiment(c.Context(), program, e, asJSON, out, say)
 		}}
 	play.Flags().Uint64("seed", 0, "in place of the file's")
 	play.Flags().BoolVar(&asJSON, "json", false, "print one JSON object and nothing else on standard output")
 	demo := &cobra.Command{Use: "demo", Short: "Run a small fleet for some seconds and tell what happens", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			say(demoText)
-			e, err := lab.Parse([]byte(demoExperiment))
+			e, err := experiment.Parse([]byte(demoExperiment))
 			if err != nil {
 				return status{bad, err}
 			}
-			return experiment(c.Context(), program, e, false, out, say)
+			return runExperiment(c.Context(), program, e, false, out, say)
 		}}
 	var balancers, rooms []int
 	var sessions int
@@ -93,19 +93,19 @@
 			if err != nil {
 				return err
 			}
-			all, err := lab.Sizes(c.Context(), path, balancers, rooms, sessions, seconds, say)
+			all, err := experiment.Sizes(c.Context(), path, balancers, rooms, sessions, seconds, say)
 			if err != nil {
 				return status{broken, err}
 			}
 			if asJSON {
 				err = json.NewEncoder(out).Encode(all)
 			} else {
-				err = lab.SizeTable(out, all)
+				err = experiment.SizeTable(out, all)
 			}
 			if err != nil {
 				return status{broken, err}
 			}
-			if slices.ContainsFunc(all, func(s lab.Size) bool { return !s.Sound }) {
+			if slices.ContainsFunc(all, func(s experiment.Size) bool { return !s.Sound }) {
 				return status{broken, errors.New("a rule or an invariant broke")}
 			}
 			return nil
@@ -118,7 +118,7 @@
 	var seed uint64
 	grow := &cobra.Command{Use: "scale FILE", Short: "Play a scale run: hollow balancers beside real ones", Args: cobra.ExactArgs(1),
 		Long: scaleText, RunE: func(c *cobra.Command, args []string) error {
-			e, err := lab.LoadScale(args[0])
+			e, err := experiment.LoadScale(args[0])
 			if err != nil {
 				return status{bad, err}
 			}
@@ -144,7 +144,7 @@
 			if err != nil {
 				return status{broken, err}
 			}
-			r, err := lab.Compare(c.Context(), lab.Programs{Balancer: path, Lab: own}, servers, each, measured, say)
+			r, err := experiment.Compare(c.Context(), experiment.Programs{Balancer: path, Lab: own}, servers, each, measured, say)
 			if err != nil {
 				return status{broken, err}
 			}
@@ -164,7 +164,7 @@
 	compare.Flags().BoolVar(&asJSON, "json", false, "print one JSON object and nothing else on standard output")
 	work := &cobra.Command{Use: "scale-worker", Hidden: true, Args: cobra.NoArgs, Short: "Run hollow balancers for scale",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := scale.Work(c.Context(), os.Stdin, out); err != nil {
+			if err := hollow.Work(c.Context(), os.Stdin, out); err != nil {
 				return status{broken, err}
 			}
 			return nil
@@ -216,20 +216,20 @@
 	return program, nil
 }
 
-// experiment plays e, and once more without tokens where it asks for that.
-func experiment(ctx context.Context, program string, e lab.Experiment, asJSON bool, out io.Writer, say func(string)) error {
+// runExperiment runs e, and once more without tokens where it asks for that.
+func runExperiment(ctx context.Context, program string, e experiment.Experiment, asJSON bool, out io.Writer, say func(string)) error {
 	program, err := balancerAt(program)
 	if err != nil {
 		return err
 	}
-	result, err := lab.Run(ctx, program, e, say)
+	result, err := experiment.Run(ctx, program, e, say)
 	if err != nil {
 		return status{broken, err}
 	}
 	if e.Beside {
 		e.Tokens = false
 		say("the same without tokens")
-		without, err := lab.Run(ctx, program, e, say)
+		without, err := experiment.Run(ctx, program, e, say)
 		if err != nil {
 			return status{broken, err}
 		}
@@ -251,7 +251,7 @@
 
 // membersRun plays a run of members, whose faults are drawn from the seed.
 func membersRun(c *cobra.Command, program, path string, asJSON bool, out io.Writer, say func(string)) error {
-	e, err := lab.LoadMembers(path)
+	e, err := experiment.LoadMembers(path)
 	if err != nil {
 		return status{bad, err}
 	}
@@ -261,7 +261,7 @@
 	if program, err = balancerAt(program); err != nil {
 		return err
 	}
-	result, err := lab.Members(c.Context(), program, e, say)
+	result, err := experiment.Members(c.Context(), program, e, say)
 	if err != nil {
 		return status{broken, err}
 	}
@@ -280,7 +280,7 @@
 }
 
 // scaleRun plays a scale run; this program is its processes of hollow balancers too.
-func scaleRun(ctx context.Context, program string, e lab.ScaleExperiment, asJSON bool, out io.Writer, say func(string)) error {
+func scaleRun(ctx context.Context, program string, e experiment.ScaleExperiment, asJSON bool, out io.Writer, say func(string)) error {
 	program, err := balancerAt(program)
 	if err != nil {
 		return err
@@ -289,8 +289,8 @@
 	if err != nil {
 		return status{broken, err}
 	}
-	result, err := lab.Scale(ctx, lab.Programs{Balancer: program, Lab: own}, e, say)
-	if large := (lab.TooLarge{}); errors.As(err, &large) {
+	result, err := experiment.Scale(ctx, experiment.Programs{Balancer: program, Lab: own}, e, say)
+	if large := (experiment.TooLarge{}); errors.As(err, &large) {
 		return status{bad, err}
 	}
 	if err != nil {
--- a/cmd/cottonplank-lab/main_test.go
+++ b/cmd/cottonplank-lab/main_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"cottonplank/internal/lab"
+	"cottonplank/internal/testbench/experiment"
 )
 
 func call(t *testing.T, args ...string) (status int, out, errs string) {
@@ -50,7 +50,7 @@
 
 // The demo's experiment is sound, and --json prints one object and nothing else on standard output.
 func TestJSON(t *testing.T) {
-	if _, err := lab.Parse([]byte(demoExperiment)); err != nil {
+	if _, err := experiment.Parse([]byte(demoExperiment)); err != nil {
 		t.Error(err)
 	}
 	dir := t.TempDir()
--- a/cmd/cottonplank-lab/slope.go
+++ b/cmd/cottonplank-lab/slope.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 
-	"cottonplank/internal/lab"
+	"cottonplank/internal/testbench/experiment"
 
 	"github.com/spf13/cobra"
 )
@@ -33,9 +33,9 @@
 			if err != nil {
 				return err
 			}
-			all, err := lab.ListSlopes(c.Context(), path, servers, seconds, changes, say)
+			all, err := experiment.ListSlopes(c.Context(), path, servers, seconds, changes, say)
 			if err == nil {
-				err = print(all, func() error { return lab.ListSlopeTable(out, all) })
+				err = print(all, func() error { return experiment.ListSlopeTable(out, all) })
 			}
 			if err != nil {
 				return status{broken, err}
@@ -51,9 +51,9 @@
 			if err != nil {
 				return err
 			}
-			all, err := lab.Deliveries(c.Context(), path, connections, rates, seconds, say)
+			all, err := experiment.Deliveries(c.Context(), path, connections, rates, seconds, say)
 			if err == nil {
-				err = print(all, func() error { return lab.DeliveryTable(out, all) })
+				err = print(all, func() error { return experiment.DeliveryTable(out, all) })
 			}
 			if err != nil {
 				return status{broken, err}
--- a/cmd/cottonplank/control.go
+++ b/cmd/cottonplank/control.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"cottonplank/internal/config"
-	"cottonplank/internal/control"
+	"cottonplank/internal/controlplane"
+	"cottonplank/internal/controlplane/replica"
 	"cottonplank/internal/core"
-	"cottonplank/internal/replica"
-	"cottonplank/internal/resolver"
+	"cottonplank/internal/discovery/httpsource"
 
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
@@ -26,8 +26,8 @@
 type following struct {
 	cfg   *config.Config
 	whom  config.Control
-	keys  *control.Keyring
-	store *control.Store
+	keys  *controlplane.Keyring
+	store *controlplane.Store
 	saved replica.State
 	log   *logrus.Logger
 }
@@ -37,18 +37,18 @@
 	if len(whom.Machines) == 0 {
 		return nil, nil
 	}
-	keys, err := control.NewKeyring(whom.Ring)
+	keys, err := controlplane.NewKeyring(whom.Ring)
 	if err != nil {
 		return nil, err
 	}
-	f := &following{cfg: cfg, whom: whom, keys: keys, store: control.NewStore(whom.State, whom.Site, log), log: log}
+	f := &following{cfg: cfg, whom: whom, keys: keys, store: controlplane.NewStore(whom.State, whom.Site, log), log: log}
 	f.saved = f.store.Load()
 	if d := f.saved.Document; f.saved.Version != (replica.Version{}) {
 		if d.Discovery != "" {
 			cfg.Discovery = d.Discovery
 		}
 		if len(d.Rooms) > 0 {
-			cfg.Known = control.Instances(d)
+			cfg.Known = controlplane.Instances(d)
 		}
 		log.WithFields(logrus.Fields{"version": f.saved.Version.String(), "rooms": len(d.Rooms), "discovery": d.Discovery}).
 			Info("control: starting with the saved version")
@@ -56,11 +56,11 @@
 	return f, nil
 }
 
-func (f *following) source(module *core.Module) *control.Source {
-	inner := func(sink control.Sink) control.Inner {
-		return resolver.New(f.cfg.Discovery, f.cfg.Generation, sink, f.log)
+func (f *following) source(module *core.Module) *controlplane.Source {
+	inner := func(sink controlplane.Sink) controlplane.Inner {
+		return httpsource.New(f.cfg.Discovery, f.cfg.Generation, sink, f.log)
 	}
-	return control.NewSource(control.Following{Machines: f.whom.Machines, Region: f.whom.Region, Site: f.whom.Site, Seed: seedOf(f.cfg.Name)},
+	return controlplane.NewSource(controlplane.Following{Machines: f.whom.Machines, Region: f.whom.Region, Site: f.whom.Site, Seed: seedOf(f.cfg.Name)},
 		f.keys, f.store, f.saved, inner, module.Rediscover, module, f.log)
 }
 
@@ -93,7 +93,7 @@
 	if m.File == "" {
 		return nil
 	}
-	d, err := control.ReadDocument(m.File)
+	d, err := controlplane.ReadDocument(m.File)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	keys, err := control.NewKeyring(m.Ring)
+	keys, err := controlplane.NewKeyring(m.Ring)
 	if err != nil {
 		return fmt.Errorf("control: %s: %w", file, err)
 	}
@@ -129,20 +129,20 @@
 	if err != nil {
 		return err
 	}
-	store := control.NewStore(m.State, m.Site, log)
+	store := controlplane.NewStore(m.State, m.Site, log)
 	saved := store.Load()
-	hub := control.NewHub(saved, true)
+	hub := controlplane.NewHub(saved, true)
 	var running sync.WaitGroup
 	if m.File != "" {
-		writer := control.NewWriter(m.File, m.Term, hub, store, log)
+		writer := controlplane.NewWriter(m.File, m.Term, hub, store, log)
 		running.Go(func() { writer.Run(ctx, hangup) })
 	} else {
-		saver := control.NewSaver(store)
-		follower := control.NewFollower(hub, m.Machines, m.Region, seedOf(m.Listen), keys, m.Site, saver.Put, log)
+		saver := controlplane.NewSaver(store)
+		follower := controlplane.NewFollower(hub, m.Machines, m.Region, seedOf(m.Listen), keys, m.Site, saver.Put, log)
 		running.Go(func() { saver.Run(ctx) })
 		running.Go(func() { follower.Run(ctx) })
 	}
-	running.Go(func() { control.NewServer(hub, keys, m.Site, log).Serve(ctx, listener) })
+	running.Go(func() { controlplane.NewServer(hub, keys, m.Site, log).Serve(ctx, listener) })
 	log.WithFields(logrus.Fields{"listen": m.Listen, "region": m.Region, "writes": m.File, "version": saved.Version.String()}).Info("control: serving")
 	running.Wait()
 	return nil
--- a/cmd/cottonplank/cost_test.go
+++ b/cmd/cottonplank/cost_test.go
@@ -15,22 +15,22 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/management"
-	"cottonplank/internal/rules"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
 )
 
 // programVariable names another program whose costs are to be measured, one of an older state say.
 const programVariable = "COTTONPLANK_TEST_PROGRAM"
 
 // entries are room servers of two zones that do not run. No two names share a derived number: such a list is refused.
-func entries(n int) (all []standin.Entry) {
+func entries(n int) (all []emulator.Entry) {
 	used := map[decide.ServerID]bool{}
 	for i := 0; len(all) < n; i++ {
 		name := fmt.Sprintf("s-%08x", uint32(i)*2654435761)
 		if id := core.ServerID(name); !used[id] {
 			used[id] = true
-			all = append(all, standin.Entry{Instance: name, Zone: []string{"a", "b"}[i%2], Lifecycle: "active", Weight: 1,
+			all = append(all, emulator.Entry{Instance: name, Zone: []string{"a", "b"}[i%2], Lifecycle: "active", Weight: 1,
 				Started: 1_700_000_000_000, Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255)})
 		}
 	}
@@ -131,7 +131,7 @@
 // A list of 20,000 room servers is taken whole from discovery, which is not asked again and again for it.
 func TestLongListIsTaken(t *testing.T) {
 	const n = 20_000
-	d := standin.NewDiscovery(rules.NewRecorder(rules.Figures{}))
+	d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	defer d.Stop()
 	d.Put(entries(n)...)
 	address, err := d.For("n3")
@@ -153,7 +153,7 @@
 	for _, n := range []int{600, 5000, 8000, 20_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			const over = 20 * time.Second
-			d := standin.NewDiscovery(rules.NewRecorder(rules.Figures{}))
+			d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 			defer d.Stop()
 			all := entries(n)
 			d.Put(all...)
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cottonplank/internal/config"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
--- a/cmd/cottonplank/main.go
+++ b/cmd/cottonplank/main.go
@@ -14,15 +14,15 @@
 
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
-	"cottonplank/internal/line"
-	"cottonplank/internal/management"
-	"cottonplank/internal/quic"
-	"cottonplank/internal/resolver"
-	"cottonplank/internal/roomfile"
-	"cottonplank/internal/roomlist"
-	"cottonplank/internal/snmp"
-	"cottonplank/internal/supervise"
+	"cottonplank/internal/discovery/endpoint"
+	"cottonplank/internal/discovery/filesource"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/frontend/quic"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/operations/sdnotify"
+	"cottonplank/internal/operations/snmp"
 
 	"github.com/sirupsen/logrus"
 )
@@ -66,7 +66,7 @@
 		fmt.Fprintf(out, "resumption: site %q, key %s seals, %d keys\n", fronts.Resume.Site, ring.Sealing(time.Now()), len(ring.Keys()))
 	}
 	if fronts.Rooms != "" {
-		rooms, err := roomfile.Read(fronts.Rooms)
+		rooms, err := filesource.Read(fronts.Rooms)
 		if err != nil {
 			return fmt.Errorf("fronts: %w", err)
 		}
@@ -103,12 +103,12 @@
 	if err != nil {
 		return fmt.Errorf("fronts: resume.%w", err)
 	}
-	var first roomlist.List
+	var first endpoint.List
 	if fronts.Rooms != "" {
-		if first, err = roomfile.Read(fronts.Rooms); err != nil {
+		if first, err = filesource.Read(fronts.Rooms); err != nil {
 			return fmt.Errorf("fronts: %w", err)
 		}
-		cfg.Known = roomfile.Instances(first)
+		cfg.Known = filesource.Instances(first)
 	}
 	cfg.Apply()
 	log := logrus.New()
@@ -117,10 +117,10 @@
 	if err != nil {
 		return fmt.Errorf("fronts: control.%w", err)
 	}
-	path := handover.Path(os.TempDir(), cfg.Listen)
-	sockets, predecessor := handover.Take(path, log)
-	sockets.Offer(supervise.Sockets())
-	marks := &supervise.Marks{}
+	path := hotrestart.Path(os.TempDir(), cfg.Listen)
+	sockets, predecessor := hotrestart.Take(path, log)
+	sockets.Offer(sdnotify.Sockets())
+	marks := &sdnotify.Marks{}
 	cfg.Share(predecessor != nil).Apply()
 	module, err := core.New(core.Config{Settings: cfg.Settings, Known: cfg.Known, MaxChannels: cfg.MaxChannels,
 		AwaitList: predecessor != nil, Pushed: cfg.Pushed, StateWait: stateWait(fronts.Resume), Turns: marks.New("module"), Learned: learned(predecessor, core.Customer(cfg.Settings), log), Log: func(text string) { log.Info(text) }})
@@ -135,10 +135,10 @@
 	if err != nil {
 		return err
 	}
-	clients := handover.NewPause(listener.SetDeadline)
-	var datagrams []*handover.Pause
-	pauseUDP := func(conn *net.UDPConn) *handover.Pause {
-		p := handover.NewPause(conn.SetReadDeadline)
+	clients := hotrestart.NewPause(listener.SetDeadline)
+	var datagrams []*hotrestart.Pause
+	pauseUDP := func(conn *net.UDPConn) *hotrestart.Pause {
+		p := hotrestart.NewPause(conn.SetReadDeadline)
 		datagrams = append(datagrams, p)
 		return p
 	}
@@ -150,7 +150,7 @@
 	}
 
 	var connectionIDs *quic.Front
-	var connectionIDsPause, agentPause *handover.Pause
+	var connectionIDsPause, agentPause *hotrestart.Pause
 	if fronts.QUIC.Listen != "" {
 		conn, err := sockets.ListenUDP("quic", fronts.QUIC.Listen)
 		if err != nil {
@@ -180,31 +180,31 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	supervisor, err := supervise.NewNotifier(marks, func() string { return status(module.Snapshot()) }, log)
+	supervisor, err := sdnotify.NewNotifier(marks, func() string { return status(module.Snapshot()) }, log)
 	if err != nil {
 		return err
 	}
-	prober := line.NewProber(ctx, module, cfg.Probes)
+	prober := platform.NewProber(ctx, module, cfg.Probes)
 	var list source
-	var rooms *roomfile.Source
+	var rooms *filesource.Source
 	rediscover := module.Rediscover
 	switch {
 	case following != nil:
 		controlled := following.source(module)
 		rediscover, list = controlled.Rediscover, controlled
 	case fronts.Rooms != "":
-		rooms = roomfile.New(fronts.Rooms, first, module, log)
+		rooms = filesource.New(fronts.Rooms, first, module, log)
 		list = rooms
 	default:
-		list = resolver.New(cfg.Discovery, cfg.Generation, module, log)
+		list = httpsource.New(cfg.Discovery, cfg.Generation, module, log)
 	}
 	list.Watch(marks.New("list"))
-	front := line.New(module, names(cfg), line.Budget{Descriptors: cfg.Descriptors, DialSpare: cfg.DialSpare}, log)
+	front := platform.New(module, names(cfg), platform.Budget{Descriptors: cfg.Descriptors, DialSpare: cfg.DialSpare}, log)
 	front.Watch(marks.New("clients' front"))
-	var resuming *line.Resuming
+	var resuming *platform.Resuming
 	if ring != nil {
 		r := fronts.Resume
-		resuming = line.NewResuming(line.ResumeLimits{Site: r.Site, Life: r.Life, MaxState: r.MaxState, MaxBytes: r.MaxBytes,
+		resuming = platform.NewResuming(platform.ResumeLimits{Site: r.Site, Life: r.Life, MaxState: r.MaxState, MaxBytes: r.MaxBytes,
 			MaxMoves: r.MaxMoves}, ring)
 		front.Resume(resuming)
 	}
@@ -213,7 +213,7 @@
 	running.Go(func() { module.Run(ctx, prober, list); prober.Wait() })
 	next := newSuccession(cfg, module, front, cluster, clients, datagrams, predecessor)
 	tell := func() []string { return module.Learned(learnedWait) }
-	offer := handover.NewOffer(path, sockets, tell, next.successors, log)
+	offer := hotrestart.NewOffer(path, sockets, tell, next.successors, log)
 	running.Go(func() { next.run(ctx) })
 	running.Go(func() { next.begin(ctx, predecessor, func() { offer.Serve(ctx) }) })
 	running.Go(func() { front.Serve(ctx, listener, clients) })
@@ -284,7 +284,7 @@
 
 // announce tells the supervisor when this process serves. One that takes over from another is the service's main process
 // from then on: the other one is about to be stopped.
-func announce(ctx context.Context, module *core.Module, supervisor *supervise.Notifier, takesOver bool) {
+func announce(ctx context.Context, module *core.Module, supervisor *sdnotify.Notifier, takesOver bool) {
 	select {
 	case <-module.Ready():
 		if takesOver {
@@ -325,8 +325,8 @@
 	return all
 }
 
-func names(cfg *config.Config) line.Names {
-	n := line.Names{Classes: map[string]int{}, Tenants: map[string]bool{}}
+func names(cfg *config.Config) platform.Names {
+	n := platform.Names{Classes: map[string]int{}, Tenants: map[string]bool{}}
 	for i, c := range cfg.Settings.Classes {
 		n.Classes[c.Name] = i
 	}
--- a/cmd/cottonplank/main_test.go
+++ b/cmd/cottonplank/main_test.go
@@ -18,9 +18,9 @@
 
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
-	"cottonplank/internal/line"
-	"cottonplank/internal/roomfile"
-	"cottonplank/internal/supervise"
+	"cottonplank/internal/discovery/filesource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/operations/sdnotify"
 
 	"github.com/sirupsen/logrus"
 )
@@ -114,18 +114,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resuming := line.NewResuming(line.ResumeLimits{Site: "armor", Life: time.Hour, MaxBytes: 1, MaxMoves: 1}, ring)
+	resuming := platform.NewResuming(platform.ResumeLimits{Site: "armor", Life: time.Hour, MaxBytes: 1, MaxMoves: 1}, ring)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	t.Setenv("NOTIFY_SOCKET", "")
-	supervisor, err := supervise.NewNotifier(&supervise.Marks{}, func() string { return "" }, log)
+	supervisor, err := sdnotify.NewNotifier(&sdnotify.Marks{}, func() string { return "" }, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	hangup, taken, generations := make(chan os.Signal), make(chan string, 10), make(chan uint64, 10)
 	rooms := filepath.Join(dir, "rooms.json")
 	replace(t, rooms, `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"}]}`)
-	first, err := roomfile.Read(rooms)
+	first, err := filesource.Read(rooms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		t.Fatal(out.String())
 	}
 	got := make(chan core.Result, 10)
-	r.rooms = roomfile.New(rooms, first, results(got), log)
+	r.rooms = filesource.New(rooms, first, results(got), log)
 	go r.rooms.Run(t.Context())
 	replace(t, rooms, `{"rooms":[]}`)
 	if err := r.reload(t.Context()); err == nil || !strings.Contains(err.Error(), "rooms: 0") {
--- a/cmd/cottonplank/membership.go
+++ b/cmd/cottonplank/membership.go
@@ -12,7 +12,7 @@
 	"cottonplank/internal/cluster/membership"
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
-	"cottonplank/internal/management"
+	"cottonplank/internal/operations/management"
 
 	"github.com/sirupsen/logrus"
 )
--- a/cmd/cottonplank/membership_test.go
+++ b/cmd/cottonplank/membership_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/management"
+	"cottonplank/internal/operations/management"
 )
 
 // memberFleet is processes that are members of one cluster.
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -8,11 +8,11 @@
 
 	"cottonplank/internal/cluster/gossip"
 	"cottonplank/internal/config"
-	"cottonplank/internal/line"
-	"cottonplank/internal/roomfile"
-	"cottonplank/internal/roomlist"
-	"cottonplank/internal/supervise"
-	"cottonplank/internal/token"
+	"cottonplank/internal/discovery/endpoint"
+	"cottonplank/internal/discovery/filesource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/operations/sdnotify"
+	"cottonplank/internal/session/token"
 
 	"github.com/sirupsen/logrus"
 )
@@ -23,10 +23,10 @@
 	fronts     config.Fronts
 	cluster    *gossip.Cluster // nil: this instance is no member
 	rediscover func(address string)
-	resuming   *line.Resuming   // nil: sessions are not resumed
-	rooms      *roomfile.Source // nil: the list is discovery's
-	generation func(uint64)     // tells how many have been taken over, the start as the first
-	supervisor *supervise.Notifier
+	resuming   *platform.Resuming // nil: sessions are not resumed
+	rooms      *filesource.Source // nil: the list is discovery's
+	generation func(uint64)       // tells how many have been taken over, the start as the first
+	supervisor *sdnotify.Notifier
 	log        *logrus.Logger
 }
 
@@ -40,7 +40,7 @@
 			return
 		case <-hangup:
 		}
-		r.supervisor.Reloading(supervise.Monotonic())
+		r.supervisor.Reloading(sdnotify.Monotonic())
 		if err := r.reload(ctx); err != nil {
 			r.log.WithError(err).Error("configuration is faulty, the one in force stays")
 		} else {
@@ -64,9 +64,9 @@
 			return err
 		}
 	}
-	var rooms roomlist.List
+	var rooms endpoint.List
 	if r.rooms != nil {
-		if rooms, err = roomfile.Read(r.fronts.Rooms); err != nil {
+		if rooms, err = filesource.Read(r.fronts.Rooms); err != nil {
 			return err
 		}
 	}
--- a/cmd/cottonplank/return_test.go
+++ b/cmd/cottonplank/return_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/rules"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
 
 	"golang.org/x/sys/unix"
 )
@@ -24,12 +24,12 @@
 const toldAfter = 6 * time.Second
 
 // withDoor is a deployment whose discovery can go down.
-func withDoor(t *testing.T) (*deployment, *standin.Discovery, *standin.Door) {
+func withDoor(t *testing.T) (*deployment, *emulator.Discovery, *emulator.Door) {
 	t.Helper()
-	d, discovery := newDeployment(t), standin.NewDiscovery(rules.NewRecorder(rules.Figures{}))
+	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	d.listen = ownAddress(t)
 	discovery.Tell("s-1", d.server, "a", "active")
-	door, err := standin.NewDoor(discovery.Handler("any"))
+	door, err := emulator.NewDoor(discovery.Handler("any"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 }
 
 // startOf starts one of a fleet of 300, with so many descriptors.
-func (d *deployment) startOf(door *standin.Door, name, listen, mode string, sockets uint64) *process {
+func (d *deployment) startOf(door *emulator.Door, name, listen, mode string, sockets uint64) *process {
 	d.t.Helper()
 	dir := filepath.Join(d.dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -90,7 +90,7 @@
 	return time.Since(start)
 }
 
-func turn(t *testing.T, door *standin.Door, to standin.Outage) {
+func turn(t *testing.T, door *emulator.Door, to emulator.Outage) {
 	t.Helper()
 	if err := door.Turn(to); err != nil {
 		t.Fatal(err)
@@ -111,10 +111,10 @@
 		p.hears(1)
 	}
 	waitForCalls(t, door, 12)
-	turn(t, door, standin.Resets)
+	turn(t, door, emulator.Resets)
 	discovery.Tell("s-2", "127.0.0.1:9", "a", "active")
 	time.Sleep(12 * time.Second)
-	turn(t, door, standin.Open)
+	turn(t, door, emulator.Open)
 	took := make([]time.Duration, len(all))
 	var waiting sync.WaitGroup
 	for i, p := range all {
@@ -130,7 +130,7 @@
 }
 
 // waitForCalls waits until discovery has had so many: each process's first poll may be seconds away.
-func waitForCalls(t *testing.T, door *standin.Door, n uint64) {
+func waitForCalls(t *testing.T, door *emulator.Door, n uint64) {
 	t.Helper()
 	for end := time.Now().Add(soon); door.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -184,7 +184,7 @@
 			waitForCalls(t, door, 1)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			turn(t, door, standin.Resets)
+			turn(t, door, emulator.Resets)
 			discovery.Tell("s-2", "127.0.0.1:9", "a", "leaving")
 			d.idle(ctx, 2*sockets)
 			most := 0
@@ -205,7 +205,7 @@
 			if dials < 5 {
 				t.Errorf("only %d connections came to discovery", dials)
 			}
-			turn(t, door, standin.Open)
+			turn(t, door, emulator.Open)
 			took := p.hears(2)
 			t.Logf("%d of %d descriptors were open at most, %d connections came while it was down, heard after %v", most, sockets,
 				dials, took)
--- a/cmd/cottonplank/status.go
+++ b/cmd/cottonplank/status.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cottonplank/internal/management"
+	"cottonplank/internal/operations/management"
 
 	"github.com/spf13/cobra"
 )
--- a/cmd/cottonplank/succession.go
+++ b/cmd/cottonplank/succession.go
@@ -9,8 +9,8 @@
 	"cottonplank/internal/cluster/gossip"
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
-	"cottonplank/internal/line"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/sirupsen/logrus"
 )
@@ -20,17 +20,17 @@
 type succession struct {
 	cfg       *config.Config
 	module    *core.Module
-	front     *line.Front
+	front     *platform.Front
 	cluster   *gossip.Cluster // nil: this instance is no member
-	clients   *handover.Pause
-	datagrams []*handover.Pause
+	clients   *hotrestart.Pause
+	datagrams []*hotrestart.Pause
 	turns     chan func()
 	done      chan struct{}
 
 	// Owned by run's goroutine.
 	before   bool // a predecessor lives
 	waiting  bool // it serves while this process gets ready
-	after    handover.Successors
+	after    hotrestart.Successors
 	stopping bool
 	accepts  bool
 	reads    bool
@@ -38,8 +38,8 @@
 }
 
 // newSuccession returns the actor of a process that accepts nothing yet where it has a predecessor.
-func newSuccession(cfg *config.Config, module *core.Module, front *line.Front, cluster *gossip.Cluster, clients *handover.Pause,
-	datagrams []*handover.Pause, predecessor *handover.Predecessor) *succession {
+func newSuccession(cfg *config.Config, module *core.Module, front *platform.Front, cluster *gossip.Cluster, clients *hotrestart.Pause,
+	datagrams []*hotrestart.Pause, predecessor *hotrestart.Predecessor) *succession {
 	s := &succession{cfg: cfg, module: module, front: front, cluster: cluster, clients: clients, datagrams: datagrams,
 		turns: make(chan func()), done: make(chan struct{}), accepts: true, reads: true}
 	if predecessor != nil {
@@ -76,7 +76,7 @@
 }
 
 // begin waits until this process serves, and then offers its sockets in its turn.
-func (s *succession) begin(ctx context.Context, predecessor *handover.Predecessor, offer func()) {
+func (s *succession) begin(ctx context.Context, predecessor *hotrestart.Predecessor, offer func()) {
 	if predecessor == nil {
 		offer()
 		return
@@ -101,7 +101,7 @@
 const learnedWait = 400 * time.Millisecond
 
 // learned reads what a predecessor has learned of the room servers. A line that cannot be read is left out.
-func learned(predecessor *handover.Predecessor, customer string, log *logrus.Logger) (all []decide.Learned) {
+func learned(predecessor *hotrestart.Predecessor, customer string, log *logrus.Logger) (all []decide.Learned) {
 	if predecessor == nil {
 		return nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // successors tells who has taken the sockets.
-func (s *succession) successors(n handover.Successors) { s.turn(func() { s.after = n }) }
+func (s *succession) successors(n hotrestart.Successors) { s.turn(func() { s.after = n }) }
 
 // stop begins a planned stop: where another process accepts from the same queue, this one accepts nothing more.
 func (s *succession) stop() { s.turn(func() { s.stopping = true }) }
@@ -159,7 +159,7 @@
 	}
 }
 
-func set(on bool, pauses ...*handover.Pause) {
+func set(on bool, pauses ...*hotrestart.Pause) {
 	for _, p := range pauses {
 		if on {
 			p.Resume()
--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -18,7 +18,7 @@
 	"cottonplank/decide"
 	"cottonplank/internal/cluster/membership"
 	"cottonplank/internal/config"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -15,7 +15,7 @@
 	"cottonplank/decide"
 	"cottonplank/internal/cluster/membership"
 	"cottonplank/internal/config"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 
 	"github.com/sirupsen/logrus"
 )
--- a/internal/cluster/gossip/cost_test.go
+++ b/internal/cluster/gossip/cost_test.go
@@ -13,7 +13,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/config"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 
 	"github.com/sirupsen/logrus"
 )
--- a/internal/cluster/gossip/cuts_test.go
+++ b/internal/cluster/gossip/cuts_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"cottonplank/internal/cluster/membership"
-	"cottonplank/internal/relay"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
+	"cottonplank/internal/testbench/faultproxy"
 )
 
 // network joins members by a relay for each ordered pair.
 type network struct {
 	addresses []netip.AddrPort
-	paths     [][]*relay.Path
+	paths     [][]*faultproxy.Path
 	via       []map[netip.AddrPort]netip.AddrPort
 }
 
@@ -26,7 +26,7 @@
 		w.paths = append(w.paths, nil)
 		w.via = append(w.via, map[netip.AddrPort]netip.AddrPort{})
 		for j := range n {
-			w.paths[i] = append(w.paths[i], relay.NewPath(uint64(i*n+j)))
+			w.paths[i] = append(w.paths[i], faultproxy.NewPath(uint64(i*n+j)))
 		}
 	}
 	for i := range n {
@@ -43,12 +43,12 @@
 func (w *network) open(t *testing.T, i, j int) netip.AddrPort {
 	t.Helper()
 	address, to := freeAddress(t), w.addresses[j].String()
-	datagrams, err := relay.NewDatagrams(address, w.addresses[j], w.paths[i][j])
+	datagrams, err := faultproxy.NewDatagrams(address, w.addresses[j], w.paths[i][j])
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(datagrams.Close)
-	streams, err := relay.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*relay.Port) string { return to }).PortAt(i, address.String())
+	streams, err := faultproxy.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to }).PortAt(i, address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 }
 
 // set gives all paths that are chosen their conditions.
-func (w *network) set(c relay.Conditions, chosen func(from, to int) bool) {
+func (w *network) set(c faultproxy.Conditions, chosen func(from, to int) bool) {
 	for i := range w.paths {
 		for j := range w.paths {
 			if i != j && chosen(i, j) {
@@ -87,7 +87,7 @@
 func TestStartUnderLoss(t *testing.T) {
 	t.Parallel()
 	w := newNetwork(t, 5)
-	w.set(relay.Conditions{Loss: 0.4}, func(int, int) bool { return true })
+	w.set(faultproxy.Conditions{Loss: 0.4}, func(int, int) bool { return true })
 	all := w.start(t, newRing(t, newKey(t)))
 	waitAlive(t, all, testWait)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -115,7 +115,7 @@
 			next.NotBefore = old.NotBefore.Add(time.Second)
 			all := w.start(t, newRing(t, old))
 			waitAlive(t, all, testWait)
-			w.set(relay.Conditions{Cut: true}, cuts)
+			w.set(faultproxy.Conditions{Cut: true}, cuts)
 			waitFor(t, "it knows that it is isolated", testWait, func() bool { return all[cutOff].View().Isolated })
 			for _, r := range all {
 				r.Use(newRing(t, old, next))
@@ -130,7 +130,7 @@
 					}
 				}
 			}
-			w.set(relay.Conditions{}, cuts)
+			w.set(faultproxy.Conditions{}, cuts)
 			waitAlive(t, all, testWait)
 		})
 	}
@@ -143,7 +143,7 @@
 	w := newNetwork(t, 5)
 	all := w.start(t, newRing(t, newKey(t)))
 	waitAlive(t, all, testWait)
-	w.set(relay.Conditions{Cut: true}, func(from, to int) bool { return from == 1 && to == 2 })
+	w.set(faultproxy.Conditions{Cut: true}, func(from, to int) bool { return from == 1 && to == 2 })
 	for end := time.Now().Add(25 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, r := range all {
 			if v := r.View(); v.Failed > 0 || v.Isolated {
--- a/internal/cluster/gossip/keys.go
+++ b/internal/cluster/gossip/keys.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 
 	"github.com/hashicorp/memberlist"
 )
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resolver"
+	"cottonplank/internal/discovery/httpsource"
 )
 
 // Defaults where the configuration is silent.
@@ -184,7 +184,7 @@
 		return nil, err
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		known, err := resolver.Decode(f.Known)
+		known, err := httpsource.Decode(f.Known)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"time"
 
-	"cottonplank/internal/replica"
-	"cottonplank/internal/token"
+	"cottonplank/internal/controlplane/replica"
+	"cottonplank/internal/session/token"
 )
 
 // Control lets a balancer follow the control machines. No machines: off.
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -4,12 +4,12 @@
 	"testing"
 
 	"cottonplank/decide"
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 // What is taken has what the program cannot do without.
 func FuzzParse(f *testing.F) {
-	seedcorpus.Add(f, []byte(good))
+	fuzzcorpus.Add(f, []byte(good))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Parse(raw, noEnv)
 		if err == nil && (len(c.Settings.Classes) == 0 || c.MaxChannels <= 0 || c.Listen == "") {
@@ -19,7 +19,7 @@
 }
 
 func FuzzParseFronts(f *testing.F) {
-	seedcorpus.Add(f, []byte(goodFronts))
+	fuzzcorpus.Add(f, []byte(goodFronts))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		q, err := ParseFronts(raw, []decide.Class{{Name: "solo-play"}}, "/etc")
 		if err == nil && q.QUIC.Listen != "" && (len(q.QUIC.ResetKey) < minResetKey || q.QUIC.Idle <= 0) {
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -7,7 +7,7 @@
 	"time"
 	"unicode"
 
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 )
 
 // Membership lets an instance be a member of the balancers' cluster. An empty Listen is off.
--- a/internal/config/resume.go
+++ b/internal/config/resume.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"time"
 
-	"cottonplank/internal/resumeline"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/session/token"
 )
 
 // Resume lets sessions go on at another room server with a token. An empty KeysFile is off.
@@ -69,8 +69,8 @@
 	if r.MaxState == 0 {
 		r.MaxState = defaultMaxState
 	}
-	if r.MaxState < 1 || r.MaxState > resumeline.MaxState {
-		return r, fmt.Errorf("max_state_bytes: %d is not within 1 to %d", r.MaxState, resumeline.MaxState)
+	if r.MaxState < 1 || r.MaxState > protocol.MaxState {
+		return r, fmt.Errorf("max_state_bytes: %d is not within 1 to %d", r.MaxState, protocol.MaxState)
 	}
 	if r.MaxBytes == 0 {
 		r.MaxBytes = max(defaultMaxBytes, int64(r.MaxState))
--- a/internal/control/control_test.go
+++ b/internal/controlplane/control_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
+	"cottonplank/internal/controlplane/replica"
 	"cottonplank/internal/core"
-	"cottonplank/internal/replica"
-	"cottonplank/internal/roomlist"
-	"cottonplank/internal/token"
+	"cottonplank/internal/discovery/endpoint"
+	"cottonplank/internal/session/token"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
@@ -67,7 +67,7 @@
 
 func rooms(n, weight int) (d replica.Document) {
 	for i := range n {
-		d.Rooms = append(d.Rooms, roomlist.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a",
+		d.Rooms = append(d.Rooms, endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a",
 			Weight: float64(weight)})
 	}
 	return d
--- a/internal/control/frame.go
+++ b/internal/controlplane/frame.go
@@ -1,6 +1,6 @@
-// Package control carries the operator's document over TCP: a control machine serves it, a balancer and another control
+// Package controlplane carries the operator's document over TCP: a control machine serves it, a balancer and another control
 // machine follow. internal/replica decides what is sent, what is taken, and where a follower asks.
-package control
+package controlplane
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"cottonplank/internal/replica"
-	"cottonplank/internal/token"
+	"cottonplank/internal/controlplane/replica"
+	"cottonplank/internal/session/token"
 
 	"github.com/fxamacker/cbor/v2"
 )
--- a/internal/replica/changed_test.go
+++ b/internal/controlplane/replica/changed_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 )
 
 // What changes do to a document is judged by what they touch alone, and comes out as a check of the whole document does: sound ones
@@ -14,8 +14,8 @@
 func TestChangesAreJudgedAsTheWhole(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		pick := func(i int) roomlist.Room { // some share an address
-			return roomlist.Room{Name: fmt.Sprintf("s-%02d", i), Zone: "a", Address: fmt.Sprintf("127.0.0.1:%d", 1+(i+rng.IntN(3)/2)%30)}
+		pick := func(i int) endpoint.Room { // some share an address
+			return endpoint.Room{Name: fmt.Sprintf("s-%02d", i), Zone: "a", Address: fmt.Sprintf("127.0.0.1:%d", 1+(i+rng.IntN(3)/2)%30)}
 		}
 		var d Document
 		for i := range 12 {
@@ -52,7 +52,7 @@
 				twice[room.Name] = true
 			}
 			next := c.apply(before.Document)
-			whole, err := Document{Discovery: next.Discovery, Rooms: append([]roomlist.Room{}, next.Rooms...)}.check()
+			whole, err := Document{Discovery: next.Discovery, Rooms: append([]endpoint.Room{}, next.Rooms...)}.check()
 			if err != nil {
 				wanted = ErrFaulty
 			}
@@ -83,7 +83,7 @@
 	each := func(n int) float64 {
 		var d Document
 		for i := range n {
-			d.Rooms = append(d.Rooms, roomlist.Room{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
+			d.Rooms = append(d.Rooms, endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
 				Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255)})
 		}
 		r := New(State{Version{Term: 1, Number: 1}, d}, false)
@@ -92,7 +92,7 @@
 			weight++
 			room, from := d.Rooms[n/2], r.State().Version
 			room.Weight = weight
-			if _, err := r.TakeChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Put: []roomlist.Room{room}}}); err != nil {
+			if _, err := r.TakeChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Put: []endpoint.Room{room}}}); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/internal/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -10,7 +10,7 @@
 	"net/netip"
 	"slices"
 
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 )
 
 // Bounds of a document.
@@ -37,7 +37,7 @@
 // Document is what an operator sets for all balancers. It is not changed after it was checked.
 type Document struct {
 	Discovery string          `json:"discovery,omitempty"` // its address; empty: each balancer's own configuration says it
-	Rooms     []roomlist.Room `json:"rooms,omitempty"`     // in place of discovery, ordered by name; none: discovery lists them
+	Rooms     []endpoint.Room `json:"rooms,omitempty"`     // in place of discovery, ordered by name; none: discovery lists them
 }
 
 // State is a document with its version.
@@ -51,7 +51,7 @@
 	if len(raw) > MaxFile {
 		return d, fmt.Errorf("document: is longer than %d bytes", MaxFile)
 	}
-	if err := roomlist.Decode(raw, &d, "document"); err != nil {
+	if err := endpoint.Decode(raw, &d, "document"); err != nil {
 		return Document{}, err
 	}
 	if d.Rooms != nil && len(d.Rooms) == 0 {
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(d.Rooms) > 0 {
-		if _, err := roomlist.Check(d.Rooms); err != nil {
+		if _, err := endpoint.Check(d.Rooms); err != nil {
 			return d, err
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // fits tells which text of a room server is too long for a frame.
-func fits(r roomlist.Room) error {
+func fits(r endpoint.Room) error {
 	for _, t := range [...]struct{ key, text string }{{"name", r.Name}, {"address", r.Address}, {"zone", r.Zone}} {
 		if len(t.text) > maxText {
 			return fmt.Errorf("%s: is longer than %d bytes", t.key, maxText)
@@ -94,10 +94,10 @@
 }
 
 // at finds a room server by its name.
-func (d Document) at(name string) (roomlist.Room, bool) {
+func (d Document) at(name string) (endpoint.Room, bool) {
 	i, found := slices.BinarySearchFunc(d.Rooms, name, byName)
 	if !found {
-		return roomlist.Room{}, false
+		return endpoint.Room{}, false
 	}
 	return d.Rooms[i], true
 }
@@ -115,7 +115,7 @@
 	From      Version         `cbor:"1,keyasint"`
 	To        Version         `cbor:"2,keyasint"`
 	Discovery *string         `cbor:"3,keyasint,omitempty"` // nil: as it was
-	Put       []roomlist.Room `cbor:"4,keyasint,omitempty"`
+	Put       []endpoint.Room `cbor:"4,keyasint,omitempty"`
 	Removed   []string        `cbor:"5,keyasint,omitempty"`
 }
 
@@ -125,7 +125,7 @@
 	if before.Document.Discovery != after.Document.Discovery {
 		c.Discovery = &after.Document.Discovery
 	}
-	old := make(map[string]roomlist.Room, len(before.Document.Rooms))
+	old := make(map[string]endpoint.Room, len(before.Document.Rooms))
 	for _, r := range before.Document.Rooms {
 		old[r.Name] = r
 	}
@@ -151,14 +151,14 @@
 	if len(c.Put)+len(c.Removed) == 0 {
 		return d
 	}
-	put := make(map[string]roomlist.Room, len(c.Put))
+	put := make(map[string]endpoint.Room, len(c.Put))
 	names := slices.Clone(c.Removed)
 	for _, r := range c.Put {
 		put[r.Name] = r
 		names = append(names, r.Name)
 	}
 	slices.Sort(names)
-	rooms, rest := make([]roomlist.Room, 0, len(d.Rooms)+len(c.Put)), d.Rooms
+	rooms, rest := make([]endpoint.Room, 0, len(d.Rooms)+len(c.Put)), d.Rooms
 	for _, name := range slices.Compact(names) {
 		i, found := slices.BinarySearchFunc(rest, name, byName)
 		rooms, rest = append(rooms, rest[:i]...), rest[i:]
@@ -173,10 +173,10 @@
 	return d
 }
 
-func byName(r roomlist.Room, name string) int { return cmp.Compare(r.Name, name) }
+func byName(r endpoint.Room, name string) int { return cmp.Compare(r.Name, name) }
 
 // roomBytes is what a room server takes in a frame, at most.
-func roomBytes(r roomlist.Room) int { return len(r.Name) + len(r.Address) + len(r.Zone) + 64 }
+func roomBytes(r endpoint.Room) int { return len(r.Name) + len(r.Address) + len(r.Zone) + 64 }
 
 func (c Change) bytes() int {
 	n := 64
--- a/internal/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 )
 
 const (
@@ -29,7 +29,7 @@
 	Index     int             `cbor:"2,keyasint"`
 	Last      bool            `cbor:"3,keyasint,omitempty"`
 	Discovery string          `cbor:"4,keyasint,omitempty"`
-	Rooms     []roomlist.Room `cbor:"5,keyasint,omitempty"`
+	Rooms     []endpoint.Room `cbor:"5,keyasint,omitempty"`
 }
 
 // Replica is one machine's or balancer's copy of the document. A control machine also keeps the changes that led to it.
@@ -201,8 +201,8 @@
 	if err := d.follows(before); err != nil {
 		return err
 	}
-	if len(d.Rooms) > roomlist.MaxRooms {
-		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(d.Rooms), roomlist.MaxRooms)
+	if len(d.Rooms) > endpoint.MaxRooms {
+		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(d.Rooms), endpoint.MaxRooms)
 	}
 	touched := map[string]bool{}
 	for _, c := range led {
@@ -251,15 +251,15 @@
 		r.Forget()
 		return false, fmt.Errorf("%w: piece %d of %s", ErrGap, p.Index, p.Version)
 	}
-	if r.count += len(p.Rooms); r.count > roomlist.MaxRooms || p.Index > roomlist.MaxRooms {
+	if r.count += len(p.Rooms); r.count > endpoint.MaxRooms || p.Index > endpoint.MaxRooms {
 		r.Forget()
-		return false, fmt.Errorf("%w: over %d room servers", ErrFaulty, roomlist.MaxRooms)
+		return false, fmt.Errorf("%w: over %d room servers", ErrFaulty, endpoint.MaxRooms)
 	}
 	r.whole = append(r.whole, p)
 	if !p.Last {
 		return false, nil
 	}
-	d := Document{Discovery: p.Discovery, Rooms: make([]roomlist.Room, 0, r.count)}
+	d := Document{Discovery: p.Discovery, Rooms: make([]endpoint.Room, 0, r.count)}
 	for _, part := range r.whole {
 		d.Rooms = append(d.Rooms, part.Rooms...)
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -9,13 +9,13 @@
 	"strings"
 	"testing"
 
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 
 	"pgregory.net/rapid"
 )
 
-func room(i, weight int) roomlist.Room {
-	return roomlist.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a", Weight: float64(weight)}
+func room(i, weight int) endpoint.Room {
+	return endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a", Weight: float64(weight)}
 }
 
 func document(n, weight int) Document {
@@ -233,9 +233,9 @@
 		change Change
 		want   error
 	}{
-		{Change{From: v(2), To: v(3), Put: []roomlist.Room{room(1, 5)}}, ErrGap},
-		{Change{From: v(1), To: v(2), Put: []roomlist.Room{{Name: "x", Address: "nowhere", Zone: "a"}}}, ErrFaulty},
-		{Change{From: v(1), To: v(2), Put: []roomlist.Room{{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}}}, ErrFaulty},
+		{Change{From: v(2), To: v(3), Put: []endpoint.Room{room(1, 5)}}, ErrGap},
+		{Change{From: v(1), To: v(2), Put: []endpoint.Room{{Name: "x", Address: "nowhere", Zone: "a"}}}, ErrFaulty},
+		{Change{From: v(1), To: v(2), Put: []endpoint.Room{{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}}}, ErrFaulty},
 		{Change{From: v(1), To: v(2), Removed: func() (all []string) {
 			for _, r := range writer.State().Document.Rooms {
 				all = append(all, r.Name)
--- a/internal/control/server.go
+++ b/internal/controlplane/server.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cottonplank/internal/replica"
+	"cottonplank/internal/controlplane/replica"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/time/rate"
--- a/internal/control/source.go
+++ b/internal/controlplane/source.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"time"
 
 	"cottonplank/decide"
+	"cottonplank/internal/controlplane/replica"
 	"cottonplank/internal/core"
-	"cottonplank/internal/replica"
-	"cottonplank/internal/roomfile"
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
+	"cottonplank/internal/discovery/filesource"
 
 	"github.com/sirupsen/logrus"
 )
@@ -78,7 +78,7 @@
 
 	// Owned by Run's goroutine.
 	listed    bool            // the document lists room servers,
-	rooms     []roomlist.Room // these
+	rooms     []endpoint.Room // these
 	discovery string          // the document's, that the balancer was turned to
 	watch     order           // the latest
 	inside    context.Context // of the inner actor's watches: it ends when the document's list takes over
@@ -116,7 +116,7 @@
 
 // Instances are a document's room servers as the core has them; none: discovery lists them.
 func Instances(d replica.Document) []core.Instance {
-	return roomfile.Instances(roomlist.List{Rooms: d.Rooms})
+	return filesource.Instances(endpoint.List{Rooms: d.Rooms})
 }
 
 // Watch lets a watchdog hear of the actor's turns; it is called before Run.
@@ -241,8 +241,8 @@
 }
 
 // changed is what differs from one list to the next, both by name. Guards the module against a whole list for each change.
-func changed(before, after []roomlist.Room) (all []core.Instance) {
-	var put, gone []roomlist.Room
+func changed(before, after []endpoint.Room) (all []core.Instance) {
+	var put, gone []endpoint.Room
 	i := 0
 	for _, r := range after {
 		for ; i < len(before) && before[i].Name < r.Name; i++ {
@@ -256,9 +256,9 @@
 		put = append(put, r)
 	}
 	gone = append(gone, before[i:]...)
-	all = roomfile.Instances(roomlist.List{Rooms: gone})
+	all = filesource.Instances(endpoint.List{Rooms: gone})
 	for i := range all {
 		all[i].State = decide.Gone
 	}
-	return append(all, roomfile.Instances(roomlist.List{Rooms: put})...)
+	return append(all, filesource.Instances(endpoint.List{Rooms: put})...)
 }
--- a/internal/control/store.go
+++ b/internal/controlplane/store.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"time"
 
-	"cottonplank/internal/replica"
+	"cottonplank/internal/controlplane/replica"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
--- a/internal/control/writer.go
+++ b/internal/controlplane/writer.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"cottonplank/internal/replica"
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/controlplane/replica"
+	"cottonplank/internal/discovery/endpoint"
 
 	"github.com/sirupsen/logrus"
 )
@@ -45,7 +45,7 @@
 	log   *logrus.Logger
 
 	// Owned by Run's goroutine.
-	keeper *roomlist.Keeper // nil: no room servers are in force
+	keeper *endpoint.Keeper // nil: no room servers are in force
 	read   os.FileInfo      // the file when it was read last; nil: it is to be read
 	said   string
 }
@@ -99,9 +99,9 @@
 	before := w.hub.State()
 	if rooms := before.Document.Rooms; len(rooms) > 0 && len(d.Rooms) > 0 {
 		if w.keeper == nil {
-			w.keeper = roomlist.NewKeeper(roomlist.List{Rooms: rooms})
+			w.keeper = endpoint.NewKeeper(endpoint.List{Rooms: rooms})
 		}
-		if verdict, c := w.keeper.Offer(roomlist.List{Rooms: d.Rooms}, asked); verdict == roomlist.Hold {
+		if verdict, c := w.keeper.Offer(endpoint.List{Rooms: d.Rooms}, asked); verdict == endpoint.Hold {
 			return fmt.Errorf("rooms: held, over half of the room servers go; taken when SIGHUP asks for it: %s", c)
 		}
 	}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cottonplank/decide"
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 // Whatever another process tells as learned, the decision module stays sound: loads are none below 0, and no server is
@@ -16,7 +16,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	seedcorpus.Add(f, line)
+	fuzzcorpus.Add(f, line)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := DecodeLearned(string(raw), "c1")
 		if err != nil {
--- a/internal/roomlist/roomlist.go
+++ b/internal/discovery/endpoint/roomlist.go
@@ -1,6 +1,6 @@
-// Package roomlist is the operator's list of room servers, for installations without discovery: its form, what one list
+// Package endpoint is the operator's list of room servers, for installations without discovery: its form, what one list
 // changes in another, and which changes are taken over. Pure: no I/O and no clock.
-package roomlist
+package endpoint
 
 import (
 	"bytes"
--- a/internal/roomlist/roomlist_test.go
+++ b/internal/discovery/endpoint/roomlist_test.go
@@ -1,4 +1,4 @@
-package roomlist
+package endpoint
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 func list(rooms ...string) List {
@@ -44,7 +44,7 @@
 
 // The example of the repository is sound.
 func TestExample(t *testing.T) {
-	raw, err := os.ReadFile("../../deploy/rooms.json")
+	raw, err := os.ReadFile("../../../deploy/rooms.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 
 // Whatever is taken is a list that can be used.
 func FuzzParse(f *testing.F) {
-	seedcorpus.Add(f, []byte(`{"rooms":[{"name":"s-1","address":"127.0.0.1:9000","zone":"a","weight":1.5,"drain":true}]}`))
+	fuzzcorpus.Add(f, []byte(`{"rooms":[{"name":"s-1","address":"127.0.0.1:9000","zone":"a","weight":1.5,"drain":true}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := Parse(raw)
 		if err == nil && (len(l.Rooms) == 0 || l.Rooms[0].Name == "" || l.Rooms[0].Zone == "") {
--- a/internal/roomfile/roomfile.go
+++ b/internal/discovery/filesource/roomfile.go
@@ -1,6 +1,6 @@
-// Package roomfile is the list's actor where an operator's file takes the place of discovery. It reads the file when that is
+// Package filesource is the list's actor where an operator's file takes the place of discovery. It reads the file when that is
 // replaced, and answers the core's calls from the list in force. internal/roomlist decides what is taken over.
-package roomfile
+package filesource
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 
 	"github.com/fsnotify/fsnotify"
 	"github.com/sirupsen/logrus"
@@ -40,30 +40,30 @@
 	log    *logrus.Logger
 	turns  core.Turns // nil: nobody hears
 	orders chan order
-	offers chan roomlist.List
+	offers chan endpoint.List
 
 	// Owned by Run's goroutine.
-	keeper *roomlist.Keeper
+	keeper *endpoint.Keeper
 	watch  order       // the latest
 	failed string      // what was said of the file last
 	read   os.FileInfo // the file when it was read last; nil: it is to be read
 }
 
 // Read reads the file; errors name it and what is wrong in it.
-func Read(path string) (roomlist.List, error) {
+func Read(path string) (endpoint.List, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return roomlist.List{}, fmt.Errorf("rooms: %w", err)
+		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
 	defer f.Close()
 	raw, err := io.ReadAll(io.LimitReader(f, maxFile+1))
 	if err != nil {
-		return roomlist.List{}, fmt.Errorf("rooms: %w", err)
+		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
 	if len(raw) > maxFile {
-		return roomlist.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFile)
+		return endpoint.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFile)
 	}
-	l, err := roomlist.Parse(raw)
+	l, err := endpoint.Parse(raw)
 	if err != nil {
 		return l, fmt.Errorf("rooms: %s: %w", path, err)
 	}
@@ -71,7 +71,7 @@
 }
 
 // Instances are a list's room servers as the core has them.
-func Instances(l roomlist.List) (all []core.Instance) {
+func Instances(l endpoint.List) (all []core.Instance) {
 	for _, r := range l.Rooms {
 		state := decide.Ready
 		if r.Drain {
@@ -84,9 +84,9 @@
 }
 
 // New returns the actor of a file, with the list that was read from it.
-func New(path string, first roomlist.List, sink Sink, log *logrus.Logger) *Source {
-	return &Source{path: path, sink: sink, log: log, keeper: roomlist.NewKeeper(first), orders: make(chan order, orderSize),
-		offers: make(chan roomlist.List)}
+func New(path string, first endpoint.List, sink Sink, log *logrus.Logger) *Source {
+	return &Source{path: path, sink: sink, log: log, keeper: endpoint.NewKeeper(first), orders: make(chan order, orderSize),
+		offers: make(chan endpoint.List)}
 }
 
 // Watch lets a watchdog hear of the actor's turns; it is called before Run.
@@ -115,7 +115,7 @@
 }
 
 // Offer brings a list that the operator asked to take over by a signal, and was read from the file.
-func (s *Source) Offer(ctx context.Context, l roomlist.List) {
+func (s *Source) Offer(ctx context.Context, l endpoint.List) {
 	select {
 	case s.offers <- l:
 	case <-ctx.Done():
@@ -206,18 +206,18 @@
 	s.found(l, false)
 }
 
-func (s *Source) found(l roomlist.List, asked bool) {
+func (s *Source) found(l endpoint.List, asked bool) {
 	verdict, change := s.keeper.Offer(l, asked)
 	switch verdict {
-	case roomlist.Same:
+	case endpoint.Same:
 		s.failed = ""
-	case roomlist.Hold:
+	case endpoint.Hold:
 		text := "rooms: held: " + change.String()
 		if text != s.failed || asked {
 			s.log.WithField("change", change.String()).Error("rooms: the list takes over half of the room servers away; it is taken when SIGHUP asks for it once more")
 		}
 		s.failed = text
-	case roomlist.Take:
+	case endpoint.Take:
 		s.failed = ""
 		s.log.WithField("change", change.String()).Info("rooms: list taken over")
 		s.sink.Resolved(core.Result{Kind: decide.ListFull, Instances: Instances(l)})
--- a/internal/roomfile/roomfile_test.go
+++ b/internal/discovery/filesource/roomfile_test.go
@@ -1,4 +1,4 @@
-package roomfile
+package filesource
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/roomlist"
+	"cottonplank/internal/discovery/endpoint"
 
 	"github.com/sirupsen/logrus"
 )
@@ -209,7 +209,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "rooms.json")
 	put(t, path, strings.Replace(text(names...), `"zone":"a"`, `"zone": "a"`, 1))
-	s := New(path, roomlist.List{}, &sink{}, logrus.New())
+	s := New(path, endpoint.List{}, &sink{}, logrus.New())
 	s.log.SetOutput(io.Discard)
 	if s.look(); len(s.keeper.Current().Rooms) != 20_000 || s.read != nil {
 		t.Fatalf("%d room servers, and a file that was just written passes for read", len(s.keeper.Current().Rooms))
--- a/internal/resolver/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -1,6 +1,6 @@
-// Package resolver asks discovery, over HTTP/1.1, for the list of room servers and watches its changes. Its
+// Package httpsource asks discovery, over HTTP/1.1, for the list of room servers and watches its changes. Its
 // actor owns the list's version; what comes goes to the core as resolver results.
-package resolver
+package httpsource
 
 import (
 	"bytes"
--- a/internal/resolver/fuzz_test.go
+++ b/internal/discovery/httpsource/fuzz_test.go
@@ -1,14 +1,14 @@
-package resolver
+package httpsource
 
 import (
 	"testing"
 
 	"cottonplank/decide"
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 func FuzzDecode(f *testing.F) {
-	seedcorpus.Add(f, []byte(list), []byte(`{"generation":0,"instances":null}`))
+	fuzzcorpus.Add(f, []byte(list), []byte(`{"generation":0,"instances":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := Decode(raw)
 		for _, in := range l.Instances {
--- a/internal/resolver/resolver.go
+++ b/internal/discovery/httpsource/resolver.go
@@ -1,4 +1,4 @@
-package resolver
+package httpsource
 
 import (
 	"context"
--- a/internal/resolver/return_test.go
+++ b/internal/discovery/httpsource/return_test.go
@@ -1,4 +1,4 @@
-package resolver_test
+package httpsource_test
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resolver"
-	"cottonplank/internal/rules"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
 
 	"github.com/sirupsen/logrus"
 )
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := resolver.New(address, 0, m, log)
+		r := httpsource.New(address, 0, m, log)
 		running.Go(func() { r.Run(ctx) })
 		running.Go(func() { m.Run(ctx, noProbes{}, r) })
 		all = append(all, m)
@@ -74,35 +74,35 @@
 	const balancers, down = 12, 9 * time.Second
 	for _, c := range []struct {
 		name   string
-		outage standin.Outage
+		outage emulator.Outage
 		each   time.Duration // what a call takes of its turn; 0: none
 		cfg    core.Config
 		within time.Duration
 	}{
-		{"refused", standin.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"reset", standin.Resets, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"503", standin.Unavailable, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"hung", standin.Hangs, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"cut off", standin.CutOff, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"in turn", standin.Refuses, 250 * time.Millisecond,
+		{"refused", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"reset", emulator.Resets, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"503", emulator.Unavailable, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"hung", emulator.Hangs, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"cut off", emulator.CutOff, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"in turn", emulator.Refuses, 250 * time.Millisecond,
 			core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"2300", standin.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 2300}}, toldAfter},
-		{"polled", standin.Refuses, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, toldAfter},
+		{"2300", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 2300}}, toldAfter},
+		{"polled", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, toldAfter},
 		// Pushed: what discovery has counts at once, and nothing new is sent after the grace.
-		{"pushed", standin.Refuses, 0, core.Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Balancers: 300}},
+		{"pushed", emulator.Refuses, 0, core.Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Balancers: 300}},
 			500 * time.Millisecond},
-		{"pushed, 503", standin.Unavailable, 0,
+		{"pushed, 503", emulator.Unavailable, 0,
 			core.Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Balancers: 300}}, 500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := standin.NewDiscovery(rules.NewRecorder(rules.Figures{}))
+			d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 			d.Tell("s-1", "127.0.0.1:9", "a", "active")
 			handler := d.Handler("any")
 			if c.each > 0 {
-				handler = standin.InTurn(handler, c.each, time.Second)
+				handler = emulator.InTurn(handler, c.each, time.Second)
 			}
-			door, err := standin.NewDoor(handler)
+			door, err := emulator.NewDoor(handler)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 			d.Tell("s-2", "127.0.0.1:9", "a", "active")
 			time.Sleep(down)
 			dials, calls := door.Dials.Load(), door.Calls.Load()
-			if err := door.Turn(standin.Open); err != nil {
+			if err := door.Turn(emulator.Open); err != nil {
 				t.Fatal(err)
 			}
 			last := heard(t, all, 2)
@@ -130,11 +130,11 @@
 // The address changes while discovery is down: what the new one has counts from when it could be reached.
 func TestMovesWhileDown(t *testing.T) {
 	t.Parallel()
-	d := standin.NewDiscovery(rules.NewRecorder(rules.Figures{}))
+	d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	d.Tell("s-1", "127.0.0.1:9", "a", "active")
-	var doors []*standin.Door
+	var doors []*emulator.Door
 	for range 2 {
-		door, err := standin.NewDoor(d.Handler("any"))
+		door, err := emulator.NewDoor(d.Handler("any"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,7 +144,7 @@
 	all := fleet(t, 12, doors[0].Address(), core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}})
 	heard(t, all, 1)
 	for _, door := range doors {
-		if err := door.Turn(standin.Refuses); err != nil {
+		if err := door.Turn(emulator.Refuses); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -156,7 +156,7 @@
 	for i := range 4 {
 		d.Tell(fmt.Sprint("t-", i), "127.0.0.1:9", "a", "active")
 	}
-	if err := doors[1].Turn(standin.Open); err != nil {
+	if err := doors[1].Turn(emulator.Open); err != nil {
 		t.Fatal(err)
 	}
 	if last := heard(t, all, 5); last > toldAfter {
--- a/internal/line/channel_client.go
+++ b/internal/frontend/platform/channel_client.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 // What is read from a client before its connection stands.
 
--- a/internal/line/channel_commands.go
+++ b/internal/frontend/platform/channel_commands.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 // The core's commands to a channel, which its actor executes in the order in which they were given.
 
@@ -9,7 +9,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resumeline"
+	"cottonplank/internal/session/protocol"
 )
 
 // command is what the core wants of a channel. It is executed by the channel's actor; false ends the actor.
@@ -97,7 +97,7 @@
 func (failCommand) execute(_ context.Context, c *channel) bool { return c.answer("ERR") }
 
 func (cmd startOverCommand) execute(_ context.Context, c *channel) bool {
-	return c.answer(resumeline.Anew(string(cmd.why)))
+	return c.answer(protocol.Anew(string(cmd.why)))
 }
 
 func (cmd holderCommand) execute(ctx context.Context, c *channel) bool { return c.located(ctx, cmd) }
--- a/internal/line/channel_relay.go
+++ b/internal/frontend/platform/channel_relay.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 // What is passed on between a client and its room server once the connection stands, and how either end is passed on.
 
--- a/internal/line/channel_upstream.go
+++ b/internal/frontend/platform/channel_upstream.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 // The connection of one call attempt: its dial, its first line, its answer and its end.
 
--- a/internal/line/first.go
+++ b/internal/frontend/platform/first.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"cottonplank/internal/resumeline"
+	"cottonplank/internal/session/protocol"
 )
 
 // maxLine is the longest line of the protocol, its end included.
@@ -42,13 +42,13 @@
 
 // forwardSession is the line as it goes on for a session: what the client says of it gives way to what the room server
 // is to do.
-func (f *firstLine) forwardSession(wait time.Duration, open resumeline.Open) string {
+func (f *firstLine) forwardSession(wait time.Duration, open protocol.Open) string {
 	line := f.forward(wait)
 	list := strings.LastIndexByte(line, ' ') + 1
 	pairs := strings.Split(line[list:], ",")
 	for i, pair := range pairs {
 		if strings.HasPrefix(pair, "resume=") {
-			pairs[i] = resumeline.FieldName + "=" + open.String()
+			pairs[i] = protocol.FieldName + "=" + open.String()
 		}
 	}
 	return line[:list] + strings.Join(pairs, ",")
@@ -129,7 +129,7 @@
 		f.load = us
 	case "resume":
 		f.resume = value
-	case resumeline.FieldName:
+	case protocol.FieldName:
 		f.session = true
 	case "again":
 		f.returning = value == "1"
--- a/internal/line/front.go
+++ b/internal/frontend/platform/front.go
@@ -1,6 +1,6 @@
-// Package line is the platform's front: clients and room servers over TCP, in lines of text. It is thin: it
+// Package platform is the platform's front: clients and room servers over TCP, in lines of text. It is thin: it
 // parses, relays and passes on what it sees; the core decides and holds every deadline.
-package line
+package platform
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"time"
 
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
@@ -165,7 +165,7 @@
 
 // Serve accepts until ctx ends, then waits for the channels' actors. While pause holds it, it serves what it has
 // accepted and accepts nothing more.
-func (f *Front) Serve(ctx context.Context, l *net.TCPListener, pause *handover.Pause) {
+func (f *Front) Serve(ctx context.Context, l *net.TCPListener, pause *hotrestart.Pause) {
 	f.actors.Go(func() { f.keep(ctx) })
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
--- a/internal/line/fuzz_test.go
+++ b/internal/frontend/platform/fuzz_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"bufio"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 	"cottonplank/internal/textline"
 )
 
 // A first line that is taken goes on in a form that is taken again, with nothing but d changed.
 func FuzzFirstLine(f *testing.F) {
-	seedcorpus.Add(f, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,t=familles,d=2000,g=5c0f,h=12.5,again=1"),
+	fuzzcorpus.Add(f, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,t=familles,d=2000,g=5c0f,h=12.5,again=1"),
 		[]byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 d=9,c=solo-play,at=s-5be2a07c"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		first, err := parseFirst(string(raw), testNames)
@@ -28,7 +28,7 @@
 
 // A line is at most 4 KiB, and what is not a room server's UP never counts as one.
 func FuzzReplies(f *testing.F) {
-	seedcorpus.Add(f, []byte("UP receipt\r\n"), []byte("BUSY inflight=7,queue=2,x0=0.61\r\n"), []byte("PONG x0=1e3\r\n"))
+	fuzzcorpus.Add(f, []byte("UP receipt\r\n"), []byte("BUSY inflight=7,queue=2,x0=0.61\r\n"), []byte("PONG x0=1e3\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		line, err := textline.Read(bufio.NewReaderSize(bytes.NewReader(raw), maxLine))
 		if err != nil {
--- a/internal/line/gone_test.go
+++ b/internal/frontend/platform/gone_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"cottonplank/decide"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"golang.org/x/sys/unix"
 )
@@ -293,7 +293,7 @@
 	}
 
 	// These lie in a backlog, with their lines, as they go; a front of the same module accepts them later.
-	l, err := (&handover.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
+	l, err := (&hotrestart.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 	front := New(b.module, testNames, Budget{Descriptors: 600, DialSpare: 200}, b.front.log)
 	serving, end := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { front.Serve(serving, l, handover.NewPause(l.SetDeadline)) })
+	running.Go(func() { front.Serve(serving, l, hotrestart.NewPause(l.SetDeadline)) })
 	t.Cleanup(func() { end(); running.Wait() })
 	last := dial(t, l.Addr().String()) // accepted after all others
 	last.send("PING\r\n")
--- a/internal/line/idle_bench_test.go
+++ b/internal/frontend/platform/idle_bench_test.go
@@ -1,17 +1,17 @@
-package line
+package platform
 
 import (
 	"testing"
 	"time"
 
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
 )
 
 // BenchmarkIdleSecond is a second in which a balancer of 90 room servers does nothing but watch over 20 connections
 // that stand there and say nothing. ns/op is the second itself; what it costs is in a profile, or in process time.
 func BenchmarkIdleSecond(b *testing.B) {
-	cfg := standin.RoomConfig{State: 8, Capacity: 1000}
-	all := make([]standin.RoomConfig, 90)
+	cfg := emulator.RoomConfig{State: 8, Capacity: 1000}
+	all := make([]emulator.RoomConfig, 90)
 	for i := range all {
 		all[i] = cfg
 	}
--- a/internal/line/line_test.go
+++ b/internal/frontend/platform/line_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/sirupsen/logrus"
 )
@@ -117,7 +117,7 @@
 type balancer struct {
 	module *core.Module
 	front  *Front
-	pause  *handover.Pause
+	pause  *hotrestart.Pause
 	l      *net.TCPListener
 	addr   string
 	stop   func()
@@ -151,11 +151,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := (&handover.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
+	l, err := (&hotrestart.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, pause := New(module, testNames, budget, log), handover.NewPause(l.SetDeadline)
+	front, pause := New(module, testNames, budget, log), hotrestart.NewPause(l.SetDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, noProbes{}, noList{}) })
--- a/internal/line/probe_test.go
+++ b/internal/frontend/platform/probe_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"bufio"
--- a/internal/line/resume.go
+++ b/internal/frontend/platform/resume.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"time"
 
 	"cottonplank/internal/core"
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/resume"
-	"cottonplank/internal/resumeline"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/migration"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/session/token"
 	"cottonplank/internal/textline"
-	"cottonplank/internal/token"
 
 	"golang.org/x/sync/semaphore"
 )
@@ -57,8 +57,8 @@
 
 // session is a channel's part in a session. The channel's actor owns it.
 type session struct {
-	open   resumeline.Open // of a session that begins
-	flow   *resume.Flow    // of one that goes on; nil: it begins
+	open   protocol.Open   // of a session that begins
+	flow   *migration.Flow // of one that goes on; nil: it begins
 	token  token.Token
 	holder *holder
 	at     core.Subchannel // of the attempt
@@ -80,7 +80,7 @@
 type (
 	newsHolder struct {
 		h      *holder
-		answer ledger.Answer
+		answer arbiter.Answer
 		err    error
 	}
 	newsCommit struct {
@@ -116,24 +116,24 @@
 	if set == nil || asked == "" || c.first.at != "" || len(c.first.head)+len(c.first.tail) > maxLine-sessionRoom {
 		return true // as any field that the program does not know
 	}
-	if asked == resumeline.NewToken {
+	if asked == protocol.NewToken {
 		var id token.SessionID
 		rand.Read(id[:])
 		ref := token.Ref{Session: id, Epoch: 1, Fence: randomNumber()}
-		c.session = &session{open: resumeline.Open{Mode: resumeline.Begin, Ref: ref}}
+		c.session = &session{open: protocol.Open{Mode: protocol.Begin, Ref: ref}}
 		return true
 	}
 	r.Resume = c
 	opened, err := set.ring.Load().Open(asked, set.limits.Site, at)
 	if err == nil && opened.Room != c.first.group {
-		c.front.module.RefuseToken(c.call, *r, core.Reason(resume.Room.String()))
+		c.front.module.RefuseToken(c.call, *r, core.Reason(migration.Room.String()))
 		return false
 	}
 	if err != nil {
-		c.front.module.RefuseToken(c.call, *r, core.Reason(resume.Refusal(err).String()))
+		c.front.module.RefuseToken(c.call, *r, core.Reason(migration.Refusal(err).String()))
 		return false
 	}
-	c.session = &session{flow: resume.New(opened, randomNumber()), token: opened}
+	c.session = &session{flow: migration.New(opened, randomNumber()), token: opened}
 	return true
 }
 
@@ -152,44 +152,44 @@
 }
 
 // step makes the flow's next step; false ends the actor.
-func (c *channel) step(s resume.Step) bool {
+func (c *channel) step(s migration.Step) bool {
 	f, m := c.session.flow, c.front.module
 	// Guards clients that left while their state travelled: no second line, claim or commit follows for them.
 	if yes, stays := c.awaited(); !yes {
 		return stays
 	}
 	switch s {
-	case resume.Locate:
+	case migration.Locate:
 		m.Locate(c.call, c.up.n, f.Holder)
-	case resume.OpenBack, resume.OpenMove:
-		c.session.open = resumeline.Open{Mode: resumeline.Back, Ref: f.Ref, Next: f.Claim, Via: f.Via}
-		if s == resume.OpenMove {
-			c.session.open = resumeline.Open{Mode: resumeline.Move, Ref: f.Next, Position: f.Pos, Size: len(f.State)}
+	case migration.OpenBack, migration.OpenMove:
+		c.session.open = protocol.Open{Mode: protocol.Back, Ref: f.Ref, Next: f.Claim, Via: f.Via}
+		if s == migration.OpenMove {
+			c.session.open = protocol.Open{Mode: protocol.Move, Ref: f.Next, Position: f.Pos, Size: len(f.State)}
 		}
 		if c.up.sent {
 			c.say(c.firstLine(c.up.wait))
 			return true
 		}
 		return c.sendFirst()
-	case resume.SendState:
+	case migration.SendState:
 		// The room server may take its time to read; the actor does not wait, and what fails shows at the reader.
 		up, state := c.up, f.State
 		c.front.readers.Go(func() { up.conn.Write(state) })
-	case resume.Commit:
-		call := resumeline.Commit{Session: f.Ref.Session, Claim: f.Claim, To: c.session.at.Instance}
+	case migration.Commit:
+		call := protocol.Commit{Session: f.Ref.Session, Claim: f.Claim, To: c.session.at.Instance}
 		h := c.session.holder
 		c.ask(h, func() any {
 			line, err := h.say(call.String())
-			return newsCommit{h, line == resumeline.Done, err}
+			return newsCommit{h, line == protocol.Done, err}
 		})
-	case resume.Go:
+	case migration.Go:
 		c.closeHolder()
-		c.say(resumeline.Go)
-	case resume.Stand:
+		c.say(protocol.Go)
+	case migration.Stand:
 		c.isUp()
-	case resume.StartOver:
+	case migration.StartOver:
 		m.StartOver(c.call, c.up.n, core.Reason(f.Why.String()))
-	case resume.Later:
+	case migration.Later:
 		m.Later(c.call, c.up.n, f.After)
 	}
 	return true
@@ -204,7 +204,7 @@
 		return true
 	}
 	f := c.session.flow
-	if s := f.Located(o.known); s != resume.Export {
+	if s := f.Located(o.known); s != migration.Export {
 		return c.step(s)
 	}
 	c.closeHolder()
@@ -212,7 +212,7 @@
 	h := &holder{ctx: ctx, cancel: cancel}
 	c.session.holder = h
 	set := c.front.resuming
-	call := resumeline.Export{Ref: f.Ref, Claim: f.Claim, Most: set.limits.MaxState, Via: f.Via,
+	call := protocol.Export{Ref: f.Ref, Claim: f.Claim, Most: set.limits.MaxState, Via: f.Via,
 		For: (c.up.wait + claimSpare).Truncate(time.Millisecond)}
 	c.ask(h, func() any {
 		answer, err := c.export(ctx, h, o.server.Address, call)
@@ -235,7 +235,7 @@
 }
 
 // export fetches a state; it runs beside the actor, which gets h back with the news.
-func (c *channel) export(ctx context.Context, h *holder, address string, call resumeline.Export) (a ledger.Answer, err error) {
+func (c *channel) export(ctx context.Context, h *holder, address string, call protocol.Export) (a arbiter.Answer, err error) {
 	set := c.front.resuming
 	if err := set.moves.Acquire(ctx, 1); err != nil {
 		return a, err
@@ -250,17 +250,17 @@
 	if err != nil {
 		return a, err
 	}
-	a, size, ok := resumeline.ParseAnswer(line, call.Ref.Session)
+	a, size, ok := protocol.ParseAnswer(line, call.Ref.Session)
 	if !ok {
-		return ledger.Answer{Verdict: ledger.Unknown}, nil // it does not know the extension
+		return arbiter.Answer{Verdict: arbiter.Unknown}, nil // it does not know the extension
 	}
 	if size > call.Most {
-		return ledger.Answer{Verdict: ledger.Large}, nil
+		return arbiter.Answer{Verdict: arbiter.Large}, nil
 	}
-	if a.Verdict == ledger.Granted {
+	if a.Verdict == arbiter.Granted {
 		// Past the bound the client comes again: the state stays where it is, and the claim ends with the connection.
 		if !set.bytes.TryAcquire(int64(size)) {
-			return ledger.Answer{Verdict: ledger.InUse}, nil
+			return arbiter.Answer{Verdict: arbiter.InUse}, nil
 		}
 		h.held = int64(size)
 		a.State = make([]byte, size)
@@ -301,7 +301,7 @@
 		c.closeHolder()
 		return c.step(c.session.flow.HolderLost())
 	}
-	if n.answer.Verdict == ledger.Granted {
+	if n.answer.Verdict == arbiter.Granted {
 		c.front.module.Fetched(c.call, c.up.n)
 	} else {
 		c.closeHolder()
@@ -365,14 +365,14 @@
 func (c *channel) said(line string) (known, more bool) {
 	f := c.session.flow
 	var epoch, position uint64
-	if line == resumeline.Ready {
+	if line == protocol.Ready {
 		return true, c.step(f.Ready())
 	}
-	if resumeline.Parse(line, "HELD", &epoch, &position) {
+	if protocol.Parse(line, "HELD", &epoch, &position) {
 		return true, c.step(f.Held(epoch, position))
 	}
-	a, _, ok := resumeline.ParseAnswer(line, f.Ref.Session)
-	if !ok || a.Verdict == ledger.Granted || c.session.open.Mode != resumeline.Back {
+	a, _, ok := protocol.ParseAnswer(line, f.Ref.Session)
+	if !ok || a.Verdict == arbiter.Granted || c.session.open.Mode != protocol.Back {
 		return false, true
 	}
 	return true, c.step(f.HolderSaid(a))
@@ -394,11 +394,11 @@
 	line := strings.TrimRight(string(raw), "\r\n")
 	var epoch, position uint64
 	switch {
-	case !k.on && resumeline.Parse(line, "KEPT", &epoch, &position):
+	case !k.on && protocol.Parse(line, "KEPT", &epoch, &position):
 		// One of another epoch keeps something else; the client gets no token for it.
 		k.on, k.position = epoch == k.token.Epoch, position
 		return k.line(), false
-	case resumeline.Parse(line, "POS", &position):
+	case protocol.Parse(line, "POS", &position):
 		k.position = position
 	case line == "MOVE":
 		return k.line(), true
@@ -422,5 +422,5 @@
 	if err != nil {
 		return "" // no key seals: the client starts over when it must
 	}
-	return resumeline.Token(sealed) + "\r\n"
+	return protocol.Token(sealed) + "\r\n"
 }
--- a/internal/line/resume_bench_test.go
+++ b/internal/frontend/platform/resume_bench_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"cottonplank/decide"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
 )
 
 // setUp makes one request and waits for its answer and, where it asked for one, its token.
@@ -37,7 +37,7 @@
 		moves  bool
 	}{{"off", true, false, false}, {"on", false, false, false}, {"token", false, true, false}, {"move", false, true, true}} {
 		b.Run(v.name, func(b *testing.B) {
-			cfg := standin.RoomConfig{Keeps: true, State: 2048, Capacity: 1000} // so much that the load of what is booked holds none back
+			cfg := emulator.RoomConfig{Keeps: true, State: 2048, Capacity: 1000} // so much that the load of what is booked holds none back
 			s := newSite(b, 1, cfg, cfg)
 			at := s.balancers[0]
 			stand(b, s)
@@ -91,8 +91,8 @@
 	for _, state := range []int{0, 2048, 65536} {
 		b.Run(fmt.Sprintf("state=%d", state), func(b *testing.B) {
 			const sessions = 100
-			s := newSite(b, 0, standin.RoomConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
-				standin.RoomConfig{Keeps: true, Capacity: 1000})
+			s := newSite(b, 0, emulator.RoomConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
+				emulator.RoomConfig{Keeps: true, Capacity: 1000})
 			s.limits.MaxState, s.limits.MaxBytes, s.limits.MaxMoves = 65536, 64<<20, sessions
 			s.balancers = append(s.balancers, s.balancer())
 			at := s.balancers[0]
@@ -110,7 +110,7 @@
 				if state > 0 {
 					s.set(1, decide.Ready)
 					s.only(1)
-					s.rooms[0].Misbehave(standin.Faults{StallCommit: true})
+					s.rooms[0].Misbehave(emulator.Faults{StallCommit: true})
 				}
 				var all []*client
 				for _, tok := range tokens {
@@ -129,7 +129,7 @@
 				for _, c := range all {
 					c.conn.Close()
 				}
-				s.rooms[0].Misbehave(standin.Faults{})
+				s.rooms[0].Misbehave(emulator.Faults{})
 			}
 		})
 	}
--- a/internal/line/resume_test.go
+++ b/internal/frontend/platform/resume_test.go
@@ -1,4 +1,4 @@
-package line
+package platform
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
-	"cottonplank/internal/resumeline"
-	"cottonplank/internal/standin"
-	"cottonplank/internal/token"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/session/token"
+	"cottonplank/internal/testbench/emulator"
 
 	"github.com/sirupsen/logrus"
 )
@@ -26,13 +26,13 @@
 // site is some balancers before some room servers that keep sessions, with one ring of keys.
 type site struct {
 	t         testing.TB
-	rooms     []*standin.Room
+	rooms     []*emulator.Room
 	balancers []*balancer
 	key       token.Key
 	limits    ResumeLimits
 }
 
-func newSite(t testing.TB, balancers int, rooms ...standin.RoomConfig) *site {
+func newSite(t testing.TB, balancers int, rooms ...emulator.RoomConfig) *site {
 	t.Helper()
 	key, err := token.NewKey(time.Now().Add(-time.Hour), time.Now().Add(time.Hour), zeros{})
 	if err != nil {
@@ -41,7 +41,7 @@
 	s := &site{t: t, key: key, limits: ResumeLimits{Site: "armor", Life: time.Hour, MaxState: 4096, MaxBytes: 1 << 20, MaxMoves: 64}}
 	for i, cfg := range rooms {
 		cfg.Name = fmt.Sprintf("s-%d", i+1)
-		r, err := standin.NewRoom(cfg)
+		r, err := emulator.NewRoom(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	return s
 }
 
-var keeps = standin.RoomConfig{Keeps: true, State: 100}
+var keeps = emulator.RoomConfig{Keeps: true, State: 100}
 
 type zeros struct{}
 
@@ -76,11 +76,11 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	l, err := (&handover.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
+	l, err := (&hotrestart.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	front, pause := New(module, testNames, Budget{Descriptors: 600, DialSpare: 200}, log), handover.NewPause(l.SetDeadline)
+	front, pause := New(module, testNames, Budget{Descriptors: 600, DialSpare: 200}, log), hotrestart.NewPause(l.SetDeadline)
 	ring, err := token.NewRing([]token.Key{s.key}, s.limits.Life)
 	if err != nil {
 		s.t.Fatal(err)
@@ -295,7 +295,7 @@
 // With the first attach under way, cut off before the client heard of it, the token is good again: no move is lost.
 func TestAttachCutOff(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]standin.Faults{"at GO": {LoseGo: true}, "at COMMIT, done": {LoseCommit: true},
+	for name, fault := range map[string]emulator.Faults{"at GO": {LoseGo: true}, "at COMMIT, done": {LoseCommit: true},
 		"at COMMIT, stalled": {StallCommit: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -309,7 +309,7 @@
 			time.Sleep(100 * time.Millisecond) // well into it
 			s.balancers[0].stop()              // killed between export and attach
 			for _, r := range s.rooms {
-				r.Misbehave(standin.Faults{})
+				r.Misbehave(emulator.Faults{})
 			}
 			s.only(2)
 			for range 20 { // while the first attach's end is not seen yet, the answer is to come again
@@ -331,7 +331,7 @@
 	c, _ := s.begin(s.balancers[0], 0, 3)
 	tok := s.move(c, 0, 1)
 	s.set(2, decide.Ready)
-	s.rooms[1].Misbehave(standin.Faults{LoseGo: true})
+	s.rooms[1].Misbehave(emulator.Faults{LoseGo: true})
 	s.present(s.balancers[0], tok).hasBoard(3, 1)
 }
 
@@ -343,15 +343,15 @@
 	for name, v := range map[string]struct {
 		why    string
 		breaks func(s *site)
-		rooms  [2]standin.RoomConfig
+		rooms  [2]emulator.RoomConfig
 	}{
-		"no state":              {"gone", func(s *site) { s.rooms[0].Misbehave(standin.Faults{Forget: true}) }, [2]standin.RoomConfig{keeps, keeps}},
-		"dead":                  {"gone", stop, [2]standin.RoomConfig{keeps, keeps}},
-		"stalls":                {"late", func(s *site) { s.rooms[0].Misbehave(standin.Faults{StallExport: true}) }, [2]standin.RoomConfig{keeps, keeps}},
-		"dies half-way":         {"gone", func(s *site) { s.rooms[0].Misbehave(standin.Faults{HalfExport: true}) }, [2]standin.RoomConfig{keeps, keeps}},
-		"lies about size":       {"gone", func(s *site) { s.rooms[0].Misbehave(standin.Faults{SmallState: true}) }, [2]standin.RoomConfig{keeps, keeps}},
-		"one byte over":         {"large", func(*site) {}, [2]standin.RoomConfig{{Keeps: true, State: 4097}, keeps}},
-		"new one knows nothing": {"unsupported", func(*site) {}, [2]standin.RoomConfig{keeps, {}}},
+		"no state":              {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{Forget: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
+		"dead":                  {"gone", stop, [2]emulator.RoomConfig{keeps, keeps}},
+		"stalls":                {"late", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{StallExport: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
+		"dies half-way":         {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{HalfExport: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
+		"lies about size":       {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{SmallState: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
+		"one byte over":         {"large", func(*site) {}, [2]emulator.RoomConfig{{Keeps: true, State: 4097}, keeps}},
+		"new one knows nothing": {"unsupported", func(*site) {}, [2]emulator.RoomConfig{keeps, {}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -374,7 +374,7 @@
 // A state of exactly the limit goes on.
 func TestLargestState(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 1, standin.RoomConfig{Keeps: true, State: 4096}, keeps)
+	s := newSite(t, 1, emulator.RoomConfig{Keeps: true, State: 4096}, keeps)
 	c, _ := s.begin(s.balancers[0], 0, 3)
 	s.present(s.balancers[0], s.move(c, 0, 1)).hasBoard(3, 1)
 }
@@ -423,7 +423,7 @@
 	forged.Secret = other.key.Secret
 	nothing := func(*token.Token) {}
 	spoof := s.balancers[0].client(t)
-	spoof.send(strings.Replace(opening(), "\r\n", ",session="+resumeline.Open{Mode: resumeline.Back}.String()+"\r\n", 1))
+	spoof.send(strings.Replace(opening(), "\r\n", ",session="+protocol.Open{Mode: protocol.Back}.String()+"\r\n", 1))
 	spoof.want("ERR\r\n")
 	for text, why := range map[string]string{
 		tok[:40]: "malformed", "7" + tok[1:]: "version", seal(other.key, nothing): "unknown-key",
@@ -463,7 +463,7 @@
 // With it on, a client that asks for nothing and a room server that knows nothing go on as before.
 func TestOldClientsAndServers(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 1, keeps, standin.RoomConfig{})
+	s := newSite(t, 1, keeps, emulator.RoomConfig{})
 	s.only(0)
 	c := s.balancers[0].client(t)
 	c.send(opening())
@@ -488,12 +488,12 @@
 	s := newSite(t, 1, keeps, keeps)
 	c, _ := s.begin(s.balancers[0], 0, 3)
 	tok := s.move(c, 0, 1)
-	s.rooms[0].Misbehave(standin.Faults{StallCommit: true})
+	s.rooms[0].Misbehave(emulator.Faults{StallCommit: true})
 	c = s.present(s.balancers[0], tok)
 	time.Sleep(50 * time.Millisecond)
 	c.conn.SetLinger(0)
 	c.conn.Close()
-	s.rooms[0].Misbehave(standin.Faults{})
+	s.rooms[0].Misbehave(emulator.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	s.present(s.balancers[0], tok).hasBoard(3, 1)
 	if set := s.balancers[0].front.resuming; !set.moves.TryAcquire(63) {
@@ -522,7 +522,7 @@
 	s := newSite(t, 1, keeps, keeps, keeps)
 	c, _ := s.begin(s.balancers[0], 0, 3)
 	tok := s.move(c, 0, 1)
-	s.rooms[0].Misbehave(standin.Faults{StallCommit: true})
+	s.rooms[0].Misbehave(emulator.Faults{StallCommit: true})
 	c = s.present(s.balancers[0], tok)
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if s.rooms[0].StalledCommits() == 1 {
@@ -531,7 +531,7 @@
 			t.Fatal("the commit did not come")
 		}
 	}
-	s.rooms[0].Misbehave(standin.Faults{})
+	s.rooms[0].Misbehave(emulator.Faults{})
 	s.only(2)
 	s.rooms[1].Stop()
 	c.hasBoard(3, 1)
@@ -558,7 +558,7 @@
 func TestWholeRoom(t *testing.T) {
 	t.Parallel()
 	const players = 60
-	large := standin.RoomConfig{Keeps: true, State: 100, Capacity: 400}
+	large := emulator.RoomConfig{Keeps: true, State: 100, Capacity: 400}
 	s := newSite(t, 2, large, large, large)
 	var clients []*client
 	for i := range players {
@@ -619,7 +619,7 @@
 	if err != nil || f.resume != "new" {
 		t.Fatal(f, err)
 	}
-	o := resumeline.Open{Mode: resumeline.Begin, Ref: token.Ref{Epoch: 1, Fence: 0xab}}
+	o := protocol.Open{Mode: protocol.Begin, Ref: token.Ref{Epoch: 1, Fence: 0xab}}
 	want := "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,session=" + o.String() + ",t=familles,d=1500,g=5c0f"
 	if got := f.forwardSession(1500*time.Millisecond, o); got != want {
 		t.Errorf("%q, want %q", got, want)
--- a/internal/quic/front.go
+++ b/internal/frontend/quic/front.go
@@ -16,7 +16,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/time/rate"
@@ -80,7 +80,7 @@
 
 // Serve routes until ctx ends, then waits for the flows' actors. While pause holds it, it reads no datagram; what its
 // room servers send still reaches the clients.
-func (f *Front) Serve(ctx context.Context, pause *handover.Pause) {
+func (f *Front) Serve(ctx context.Context, pause *hotrestart.Pause) {
 	defer f.actors.Wait()
 	defer close(f.closed)
 	// Closed here and not by context.AfterFunc: stopping that one can come before its call, and the reader
@@ -102,7 +102,7 @@
 // Watch lets a watchdog hear of the router's turns; it is called before Serve.
 func (f *Front) Watch(turns core.Turns) { f.watch = turns }
 
-func (f *Front) read(ctx context.Context, pause *handover.Pause) {
+func (f *Front) read(ctx context.Context, pause *hotrestart.Pause) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := f.conn.ReadFromUDPAddrPort(buf)
--- a/internal/quic/fuzz_test.go
+++ b/internal/frontend/quic/fuzz_test.go
@@ -4,7 +4,7 @@
 	"encoding/hex"
 	"testing"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 // What is read of a packet lies within it.
@@ -13,7 +13,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	seedcorpus.Add(f, initial, append([]byte{fixedBit}, make([]byte, 40)...))
+	fuzzcorpus.Add(f, initial, append([]byte{fixedBit}, make([]byte, 40)...))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := parsePacket(raw, 13)
 		if err != nil {
@@ -33,7 +33,7 @@
 }
 
 func FuzzFindClose(f *testing.F) {
-	seedcorpus.Add(f, []byte{frameClose, 2, 0, 4, 'f', 'u', 'l', 'l'}, []byte{frameAckECN, 9, 0, 1, 0, 1, 1, 1, 1, 1, frameCrypto, 0, 2, 7, 7})
+	fuzzcorpus.Add(f, []byte{frameClose, 2, 0, 4, 'f', 'u', 'l', 'l'}, []byte{frameAckECN, 9, 0, 1, 0, 1, 1, 1, 1, 1, frameCrypto, 0, 2, 7, 7})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if c, err := findClose(raw); c != nil && (err != nil || len(c.reason) > len(raw)) {
 			t.Errorf("%x gives %+v, %v", raw, c, err)
--- a/internal/quic/standin_test.go
+++ b/internal/frontend/quic/standin_test.go
@@ -17,7 +17,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/sirupsen/logrus"
 )
@@ -295,7 +295,7 @@
 
 // balancer is a front on a module of its own.
 type balancer struct {
-	pause  *handover.Pause
+	pause  *hotrestart.Pause
 	front  *Front
 	module *core.Module
 	stop   func()
@@ -328,7 +328,7 @@
 	if change != nil {
 		change(&cfg)
 	}
-	front, pause := New(cfg, module, log), handover.NewPause(conn.SetReadDeadline)
+	front, pause := New(cfg, module, log), hotrestart.NewPause(conn.SetReadDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, noProbes{}, noList{}) })
--- a/internal/handover/handover.go
+++ b/internal/operations/hotrestart/handover.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
--- a/internal/handover/handover_test.go
+++ b/internal/operations/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 
 	"github.com/sirupsen/logrus"
 )
@@ -251,7 +251,7 @@
 
 // What names sockets is a whole line with each name once.
 func FuzzParseSockets(f *testing.F) {
-	seedcorpus.Add(f, []byte("SOCKETS clients quic snmp\r\n"), []byte("SOCKETS clients\r\n"))
+	fuzzcorpus.Add(f, []byte("SOCKETS clients quic snmp\r\n"), []byte("SOCKETS clients\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		names, err := parseSockets(string(raw))
 		if err != nil {
--- a/internal/handover/sockets.go
+++ b/internal/operations/hotrestart/sockets.go
@@ -1,7 +1,7 @@
-// Package handover passes the sockets of a running process to the version that is started beside it, so that one accept
+// Package hotrestart passes the sockets of a running process to the version that is started beside it, so that one accept
 // queue outlives the old process. It knows no front and no wire but its own: a Unix socket, a line each way, and the
 // descriptors with it.
-package handover
+package hotrestart
 
 import (
 	"context"
--- a/internal/management/management.go
+++ b/internal/operations/management/management.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cottonplank/internal/core"
-	"cottonplank/internal/resume"
+	"cottonplank/internal/session/migration"
 	"cottonplank/internal/textline"
 
 	"github.com/sirupsen/logrus"
@@ -200,7 +200,7 @@
 	if snapshot.Resumes {
 		fmt.Fprintf(&b, "svc.tokens_given=%d\r\nsvc.tokens_unsealed=%d\r\nsvc.resumed=%d\r\n", snapshot.Given, snapshot.Unsealed,
 			snapshot.Resumed)
-		for r := range resume.Reasons {
+		for r := range migration.Reasons {
 			name := "started_over"
 			if r.Refused() {
 				name = "token_refused"
--- a/internal/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -12,7 +12,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 
 	"github.com/sirupsen/logrus"
 )
@@ -141,7 +141,7 @@
 
 // What is taken as a call is one of the four, to the letter.
 func FuzzParseCall(f *testing.F) {
-	seedcorpus.Add(f, []byte("PING"), []byte("INFO"), []byte("LAMEDUCK"), []byte("REJOIN"))
+	fuzzcorpus.Add(f, []byte("PING"), []byte("INFO"), []byte("LAMEDUCK"), []byte("REJOIN"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := parseCall(string(raw))
 		if known := strings.Contains(" PING INFO LAMEDUCK REJOIN ", " "+string(raw)+" ") && !strings.Contains(string(raw), " ") &&
--- a/internal/supervise/actors_test.go
+++ b/internal/operations/sdnotify/actors_test.go
@@ -1,4 +1,4 @@
-package supervise_test
+package sdnotify_test
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
-	"cottonplank/internal/line"
-	"cottonplank/internal/resolver"
-	"cottonplank/internal/supervise"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/operations/sdnotify"
 
 	"github.com/sirupsen/logrus"
 )
@@ -43,7 +43,7 @@
 const limit = 100 * time.Millisecond
 
 // stuck waits until exactly these actors are stuck.
-func stuck(t *testing.T, marks *supervise.Marks, want ...string) {
+func stuck(t *testing.T, marks *sdnotify.Marks, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -59,24 +59,24 @@
 func TestModuleAndFrontStuck(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	marks := &supervise.Marks{}
+	marks := &sdnotify.Marks{}
 	module, err := core.New(core.Config{MaxChannels: 10, Log: func(string) {}, Turns: marks.New("module"),
 		Settings: decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "solo-play", Aim: time.Second}}},
 		Known:    []core.Instance{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := (&handover.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
+	l, err := (&hotrestart.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := line.New(module, line.Names{}, line.Budget{Descriptors: 9000, DialSpare: 10}, log)
+	front := platform.New(module, platform.Names{}, platform.Budget{Descriptors: 9000, DialSpare: 10}, log)
 	front.Watch(marks.New("front"))
 	prober := blocks{released: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, prober, nothing{}) })
-	running.Go(func() { front.Serve(ctx, l, handover.NewPause(l.SetDeadline)) })
+	running.Go(func() { front.Serve(ctx, l, hotrestart.NewPause(l.SetDeadline)) })
 	defer func() { cancel(); running.Wait() }()
 	time.Sleep(2 * limit)
 	stuck(t, marks)
@@ -106,9 +106,9 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	marks := &supervise.Marks{}
+	marks := &sdnotify.Marks{}
 	sink := blocks{released: make(chan struct{})}
-	list := resolver.New(strings.TrimPrefix(server.URL, "http://"), 0, sink, log)
+	list := httpsource.New(strings.TrimPrefix(server.URL, "http://"), 0, sink, log)
 	list.Watch(marks.New("list"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/supervise/bench_test.go
+++ b/internal/operations/sdnotify/bench_test.go
@@ -1,4 +1,4 @@
-package supervise
+package sdnotify
 
 import "testing"
 
--- a/internal/supervise/mark.go
+++ b/internal/operations/sdnotify/mark.go
@@ -1,7 +1,7 @@
-// Package supervise is the daemon's side of a service supervisor: it tells how the process is (the sd_notify protocol,
+// Package sdnotify is the daemon's side of a service supervisor: it tells how the process is (the sd_notify protocol,
 // sd_notify(3)), takes sockets that the supervisor has opened (sd_listen_fds(3)), and gives the watchdog its sign of life
 // only while every actor turns. Without a supervisor it does nothing.
-package supervise
+package sdnotify
 
 import (
 	"slices"
--- a/internal/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -8,7 +8,7 @@
 	"net"
 
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
+	"cottonplank/internal/operations/hotrestart"
 
 	"github.com/gosnmp/gosnmp"
 	"github.com/sirupsen/logrus"
@@ -42,7 +42,7 @@
 func (a *Agent) Addr() *net.UDPAddr { return a.conn.LocalAddr().(*net.UDPAddr) }
 
 // Serve answers until ctx ends, but not while pause holds it.
-func (a *Agent) Serve(ctx context.Context, pause *handover.Pause) {
+func (a *Agent) Serve(ctx context.Context, pause *hotrestart.Pause) {
 	defer a.conn.Close()
 	defer context.AfterFunc(ctx, func() { a.conn.Close() })()
 	buf := make([]byte, maxRequest)
--- a/internal/snmp/agent_test.go
+++ b/internal/operations/snmp/agent_test.go
@@ -17,8 +17,8 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/handover"
-	"cottonplank/internal/resume"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/session/migration"
 
 	"github.com/gosnmp/gosnmp"
 	"github.com/sirupsen/logrus"
@@ -54,7 +54,7 @@
 	a := New(conn, "secret", "n3", classes, get, get, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { a.Serve(ctx, handover.NewPause(conn.SetReadDeadline)) })
+	running.Go(func() { a.Serve(ctx, hotrestart.NewPause(conn.SetReadDeadline)) })
 	t.Cleanup(func() { cancel(); running.Wait() })
 	client := &gosnmp.GoSNMP{Target: "127.0.0.1", Port: uint16(a.Addr().Port), Community: community,
 		Version: gosnmp.Version2c, Timeout: 2 * time.Second, Retries: 2, MaxOids: 60}
@@ -68,7 +68,7 @@
 // mibObjects reads names, identifiers and syntaxes of the objects that the MIB lets be read.
 func mibObjects(t *testing.T) map[string]gosnmp.Asn1BER {
 	t.Helper()
-	raw, err := os.ReadFile("../../mibs/COTTONPLANK-MIB.txt")
+	raw, err := os.ReadFile("../../../mibs/COTTONPLANK-MIB.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := len(scalars) + 14*len(columns) + len(classes)*len(classColumns) + len(resume.Words())*len(whyColumns); len(all) != n {
+		if n := len(scalars) + 14*len(columns) + len(classes)*len(classColumns) + len(migration.Words())*len(whyColumns); len(all) != n {
 			t.Errorf("%s: %d values, want %d", name, len(all), n)
 		}
 		if !slices.IsSortedFunc(all, func(a, b gosnmp.SnmpPDU) int { return slices.Compare(parseOID(a.Name), parseOID(b.Name)) }) {
@@ -135,7 +135,7 @@
 		}
 		for oid, want := range map[string]any{objects + ".1.0": uint64(5), objects + ".9.0": uint(6),
 			objects + ".8.0": uint(3), objects + ".11.0": uint(8), objects + ".14.0": 3, objects + ".16.0": uint64(11), objects + ".18.0": uint64(12),
-			byWhy + ".3." + fmt.Sprint(int(resume.Gone)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
+			byWhy + ".3." + fmt.Sprint(int(migration.Gone)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
 			entry + ".8." + fmt.Sprint(core.ServerID("s-3")): 500} {
 			if values[oid] != want {
 				t.Errorf("%s: %s is %v (%T), want %v", name, oid, values[oid], values[oid], want)
--- a/internal/snmp/fuzz_test.go
+++ b/internal/operations/snmp/fuzz_test.go
@@ -4,7 +4,7 @@
 	"io"
 	"testing"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 
 	"github.com/gosnmp/gosnmp"
 	"github.com/sirupsen/logrus"
@@ -24,7 +24,7 @@
 		}
 		valid = append(valid, raw)
 	}
-	seedcorpus.Add(f, valid...)
+	fuzzcorpus.Add(f, valid...)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if out := a.respond(raw); len(out) > maxResponse {
 			t.Errorf("%x is answered with %d bytes", raw, len(out))
--- a/internal/snmp/tree.go
+++ b/internal/operations/snmp/tree.go
@@ -10,7 +10,7 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resume"
+	"cottonplank/internal/session/migration"
 
 	"github.com/gosnmp/gosnmp"
 )
@@ -155,7 +155,7 @@
 	for i := range min(len(classes), len(s.Classes)) {
 		addRow(t, classColumns, uint64(i+1), &classRow{s.Classes[i], classes[i]})
 	}
-	for i, word := range resume.Words() {
+	for i, word := range migration.Words() {
 		addRow(t, whyColumns, uint64(i+1), &whyRow{word, s.StartedOver[core.Reason(word)]})
 	}
 	slices.SortFunc(t.bindings, func(a, b binding) int { return slices.Compare(a.oid, b.oid) })
--- a/internal/ledger/ledger.go
+++ b/internal/session/arbiter/ledger.go
@@ -1,14 +1,14 @@
-// Package ledger is the arbiter of sessions at a room server: who holds which session, at which epoch, and to where
+// Package arbiter is the arbiter of sessions at a room server: who holds which session, at which epoch, and to where
 // one went. Balancers share nothing, so that a session attaches at most once is decided here, where its state lies.
 // It is the reference for what docs/resume-protocol.md asks of a room server, and what the stand-ins run. Pure: no I/O
 // and no clock; the caller gives it the time and the numbers of its connections.
-package ledger
+package arbiter
 
 import (
 	"slices"
 	"time"
 
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 )
 
 // Conn numbers a connection of the room server; 0 is none.
--- a/internal/ledger/ledger_test.go
+++ b/internal/session/arbiter/ledger_test.go
@@ -1,10 +1,10 @@
-package ledger
+package arbiter
 
 import (
 	"testing"
 	"time"
 
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 )
 
 var (
--- a/internal/resume/flow.go
+++ b/internal/session/migration/flow.go
@@ -1,13 +1,13 @@
-// Package resume decides how a session goes on at another room server: what a balancer asks whom, in which order, and
+// Package migration decides how a session goes on at another room server: what a balancer asks whom, in which order, and
 // when the client has to start over. It is pure; a front makes the calls and tells what came of them, the decision
 // module has chosen the room server before. docs/resume.md gives the reasons for this order.
-package resume
+package migration
 
 import (
 	"time"
 
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/token"
 )
 
 // Reason says why a client has to start over, a word of its own on the wire.
@@ -130,33 +130,33 @@
 }
 
 // HolderSaid takes the answer to Export, or what the room server says in its place to OpenBack.
-func (f *Flow) HolderSaid(a ledger.Answer) Step {
+func (f *Flow) HolderSaid(a arbiter.Answer) Step {
 	switch a.Verdict {
-	case ledger.Granted:
+	case arbiter.Granted:
 		if a.Position < f.known {
 			return f.over(Stale)
 		}
 		f.fetched, f.State, f.Pos = true, a.State, a.Position
 		f.Next = token.Ref{Session: f.Ref.Session, Epoch: a.Ref.Epoch + 1, Fence: f.Claim}
 		return OpenMove
-	case ledger.Moved:
+	case arbiter.Moved:
 		// Epochs only rise along the traces; what breaks that is no trace.
 		if f.hops++; f.hops > mostHops || a.Ref.Epoch <= f.Ref.Epoch {
 			return f.over(Late)
 		}
 		f.Holder, f.Ref, f.Via = a.To, a.Ref, true
 		return f.route()
-	case ledger.InUse:
+	case arbiter.InUse:
 		f.After = busyWait
 		if a.Wait > 0 {
 			f.After = min(a.Wait, busyWait) // a claim ends with its move, mostly long before it runs out
 		}
 		return Later
-	case ledger.Used:
+	case arbiter.Used:
 		return f.over(Used)
-	case ledger.Over:
+	case arbiter.Over:
 		return f.over(Over)
-	case ledger.Large:
+	case arbiter.Large:
 		return f.over(Large)
 	}
 	return f.over(Gone)
--- a/internal/resume/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -1,4 +1,4 @@
-package resume
+package migration
 
 import (
 	"flag"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/token"
 
 	"pgregory.net/rapid"
 )
@@ -19,7 +19,7 @@
 	now     time.Time
 	servers map[string]*room
 	flows   []*run
-	conns   ledger.Conn
+	conns   arbiter.Conn
 	claims  uint64
 
 	held     token.Token   // the newest token that the client has
@@ -35,7 +35,7 @@
 
 type room struct {
 	name string
-	l    *ledger.Ledger
+	l    *arbiter.Ledger
 }
 
 // run is one request of a client at one balancer.
@@ -44,8 +44,8 @@
 	flow     *Flow
 	step     Step
 	at       string // the room server of the attempt
-	conn     ledger.Conn
-	export   ledger.Conn // the connection on which the claim stands
+	conn     arbiter.Conn
+	export   arbiter.Conn // the connection on which the claim stands
 	exportAt string
 	true_    bool // the true client's, not a replay
 	up       bool
@@ -59,7 +59,7 @@
 func newWorld() *world {
 	w := &world{now: time.Unix(1e9, 0), servers: map[string]*room{}}
 	for _, name := range []string{"a", "b", "c"} {
-		w.servers[name] = &room{name: name, l: ledger.New(ledger.Config{Keep: time.Hour, Limit: 10})}
+		w.servers[name] = &room{name: name, l: arbiter.New(arbiter.Config{Keep: time.Hour, Limit: 10})}
 	}
 	w.held = token.Token{Ref: token.Ref{Session: session, Epoch: 1, Fence: 77}, Server: "a"}
 	w.had = []token.Token{w.held}
@@ -69,7 +69,7 @@
 	return w
 }
 
-func (w *world) conn() ledger.Conn { w.conns++; return w.conns }
+func (w *world) conn() arbiter.Conn { w.conns++; return w.conns }
 
 // present begins a request with a token.
 func (w *world) present(balancer int, t token.Token, true_ bool, at string) *run {
@@ -98,7 +98,7 @@
 }
 
 // cut closes the connection that lost the session at a room server.
-func (w *world) cut(by *run, conn ledger.Conn) {
+func (w *world) cut(by *run, conn arbiter.Conn) {
 	for _, r := range w.flows {
 		if conn != 0 && r.conn == conn {
 			if r.true_ && !by.true_ {
@@ -111,8 +111,8 @@
 }
 
 // proves notes that a room server has seen the client's token of a hold: those before it have done their work.
-func (w *world) proves(r *run, a ledger.Answer) {
-	if r.true_ && a.Verdict == ledger.Granted && !r.flow.Via {
+func (w *world) proves(r *run, a arbiter.Answer) {
+	if r.true_ && a.Verdict == arbiter.Granted && !r.flow.Via {
 		w.proven = max(w.proven, r.began)
 	}
 }
@@ -131,7 +131,7 @@
 			w.servers[r.exportAt].l.Left(w.now, r.export, session)
 		}
 		r.export, r.exportAt = w.conn(), f.Holder
-		var a ledger.Answer
+		var a arbiter.Answer
 		if lost != 1 {
 			a = holder.l.Export(w.now, f.Ref, f.Claim, w.now.Add(2*time.Second), 100, f.Via, r.export)
 			w.cut(r, a.Cut)
@@ -155,7 +155,7 @@
 			w.drop(r)
 			return
 		}
-		if a.Verdict == ledger.Granted {
+		if a.Verdict == arbiter.Granted {
 			next = f.Held(a.Ref.Epoch, a.Position)
 		} else {
 			next = f.HolderSaid(a)
@@ -359,7 +359,7 @@
 					w.drop(r)
 				}
 			}
-			s.l = ledger.New(ledger.Config{Keep: time.Hour, Limit: 10})
+			s.l = arbiter.New(arbiter.Config{Keep: time.Hour, Limit: 10})
 		},
 	})
 	// The troubles end: the client comes with its newest token until it has its answer.
--- a/internal/resume/reason.go
+++ b/internal/session/migration/reason.go
@@ -1,9 +1,9 @@
-package resume
+package migration
 
 import (
 	"errors"
 
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/token"
 )
 
 // Refusal is the reason that belongs to an error of token.Ring.Open.
--- a/internal/resumeline/resumeline.go
+++ b/internal/session/protocol/resumeline.go
@@ -1,7 +1,7 @@
-// Package resumeline is the text of the resumption between balancers, room servers and clients, as
+// Package protocol is the text of the resumption between balancers, room servers and clients, as
 // docs/resume-protocol.md writes it down: what is said in which words, nothing of what follows from it. Lines are
 // without their ends.
-package resumeline
+package protocol
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/token"
 )
 
 // The words between a balancer and a room server.
@@ -132,39 +132,39 @@
 
 // Answer is the line with which a room server answers EXPORT, or a first line whose session it does not attach. After
 // STATE, the bytes of the state follow.
-func Answer(a ledger.Answer) string {
+func Answer(a arbiter.Answer) string {
 	switch a.Verdict {
-	case ledger.Granted:
+	case arbiter.Granted:
 		return fmt.Sprintf("STATE %d %d %d", a.Ref.Epoch, a.Position, len(a.State))
-	case ledger.Moved:
+	case arbiter.Moved:
 		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.To), a.Ref.Epoch, a.Ref.Fence)
-	case ledger.InUse:
+	case arbiter.InUse:
 		return fmt.Sprintf("INUSE %d", a.Wait.Milliseconds())
 	}
-	return map[ledger.Verdict]string{ledger.Used: "USED", ledger.Over: "OVER", ledger.Large: "LARGE",
-		ledger.Unknown: "UNKNOWN"}[a.Verdict]
+	return map[arbiter.Verdict]string{arbiter.Used: "USED", arbiter.Over: "OVER", arbiter.Large: "LARGE",
+		arbiter.Unknown: "UNKNOWN"}[a.Verdict]
 }
 
 // ParseAnswer reads such a line; size bytes of state follow it. ok is false where the line is none of them.
-func ParseAnswer(line string, session token.SessionID) (a ledger.Answer, size int, ok bool) {
+func ParseAnswer(line string, session token.SessionID) (a arbiter.Answer, size int, ok bool) {
 	parts := strings.Split(line, " ")
 	f := fields{parts[1:], nil}
 	a.Ref.Session = session
 	switch parts[0] {
 	case "STATE":
-		a.Verdict, a.Ref.Epoch, a.Position, size = ledger.Granted, f.number(), f.number(), f.size()
+		a.Verdict, a.Ref.Epoch, a.Position, size = arbiter.Granted, f.number(), f.number(), f.size()
 	case "MOVED":
-		a.Verdict, a.To, a.Ref.Epoch, a.Ref.Fence = ledger.Moved, f.name(), f.number(), f.hex()
+		a.Verdict, a.To, a.Ref.Epoch, a.Ref.Fence = arbiter.Moved, f.name(), f.number(), f.hex()
 	case "INUSE":
-		a.Verdict, a.Wait = ledger.InUse, time.Duration(f.small())*time.Millisecond
+		a.Verdict, a.Wait = arbiter.InUse, time.Duration(f.small())*time.Millisecond
 	case "USED":
-		a.Verdict = ledger.Used
+		a.Verdict = arbiter.Used
 	case "OVER":
-		a.Verdict = ledger.Over
+		a.Verdict = arbiter.Over
 	case "LARGE":
-		a.Verdict = ledger.Large
+		a.Verdict = arbiter.Large
 	case "UNKNOWN":
-		a.Verdict = ledger.Unknown
+		a.Verdict = arbiter.Unknown
 	default:
 		return a, 0, false
 	}
--- a/internal/resumeline/resumeline_test.go
+++ b/internal/session/protocol/resumeline_test.go
@@ -1,13 +1,13 @@
-package resumeline
+package protocol
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/seedcorpus"
-	"cottonplank/internal/token"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/token"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 var ref = token.Ref{Session: token.SessionID{1, 0xff}, Epoch: 3, Fence: 0xabc}
@@ -28,9 +28,9 @@
 	if got, err := ParseCommit(c.String()); err != nil || got != c {
 		t.Errorf("%s is read as %+v, %v", c, got, err)
 	}
-	for _, a := range []ledger.Answer{{Verdict: ledger.Granted, Position: 4, State: []byte("abc"), Ref: ref},
-		{Verdict: ledger.Moved, To: "s 1", Ref: ref}, {Verdict: ledger.InUse, Wait: time.Second}, {Verdict: ledger.Used},
-		{Verdict: ledger.Over}, {Verdict: ledger.Large}, {Verdict: ledger.Unknown}} {
+	for _, a := range []arbiter.Answer{{Verdict: arbiter.Granted, Position: 4, State: []byte("abc"), Ref: ref},
+		{Verdict: arbiter.Moved, To: "s 1", Ref: ref}, {Verdict: arbiter.InUse, Wait: time.Second}, {Verdict: arbiter.Used},
+		{Verdict: arbiter.Over}, {Verdict: arbiter.Large}, {Verdict: arbiter.Unknown}} {
 		got, size, ok := ParseAnswer(Answer(a), ref.Session)
 		if !ok || got.Verdict != a.Verdict || size != len(a.State) || got.Position != a.Position || got.To != a.To ||
 			got.Wait != a.Wait || got.Ref.Epoch != a.Ref.Epoch {
@@ -45,7 +45,7 @@
 
 // Whatever is taken is in the one form that is written; guards against two readings of one line.
 func FuzzParse(f *testing.F) {
-	seedcorpus.Add(f, []byte(Open{Mode: Back, Ref: ref, Next: 9}.String()), []byte(Open{Mode: Move, Ref: ref, Size: 9}.String()),
+	fuzzcorpus.Add(f, []byte(Open{Mode: Back, Ref: ref, Next: 9}.String()), []byte(Open{Mode: Move, Ref: ref, Size: 9}.String()),
 		[]byte(Export{Ref: ref, Claim: 5, Most: 9}.String()), []byte(Commit{Session: ref.Session, Claim: 5, To: "s%201"}.String()),
 		[]byte("STATE 3 4 5"), []byte("MOVED s-1 3 ab"), []byte("INUSE 50"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/token/token_test.go
+++ b/internal/session/token/token_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 var (
@@ -190,7 +190,7 @@
 	r := testRing(f, testKey(f, -time.Hour, time.Hour))
 	tok := testToken()
 	text := seal(f, r, tok, noon)
-	seedcorpus.Add(f, []byte(text))
+	fuzzcorpus.Add(f, []byte(text))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		got, err := r.Open(string(raw), "armor", noon)
 		if err == nil && got.Ref != tok.Ref {
@@ -201,7 +201,7 @@
 
 func FuzzParseKeys(f *testing.F) {
 	raw, _ := FormatKeys([]Key{testKey(f, 0, time.Hour)})
-	seedcorpus.Add(f, raw)
+	fuzzcorpus.Add(f, raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if keys, err := ParseKeys(raw); err == nil {
 			_, _ = NewRing(keys, time.Hour)
--- a/internal/wire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/wire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,6 +1,6 @@
-// Package wire turns the simulator's text frames into events and actions into
+// Package simwire turns the simulator's text frames into events and actions into
 // reply lines. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/wire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -1,14 +1,14 @@
-package wire
+package simwire
 
 import (
 	"bytes"
 	"testing"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 func FuzzBatch(f *testing.F) {
-	seedcorpus.Add(f, []byte("FRAME\tt_s=1.5\tn=1\n"+createLine+"\nDEMAND\twho=3\tid=a\tservice=feed\tremaining_s=0.2\nCOMMIT\n"))
+	fuzzcorpus.Add(f, []byte("FRAME\tt_s=1.5\tn=1\n"+createLine+"\nDEMAND\twho=3\tid=a\tservice=feed\tremaining_s=0.2\nCOMMIT\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d := NewDecoder(bytes.NewReader(raw))
 		for range 10 {
--- a/internal/standin/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"cottonplank/internal/rules"
+	"cottonplank/internal/testbench/invariants"
 )
 
 // Entry is one line of the list, in the platform's form.
@@ -32,7 +32,7 @@
 
 // Discovery is a service with a scripted list.
 type Discovery struct {
-	recorder *rules.Recorder
+	recorder *invariants.Recorder
 
 	mu      sync.Mutex
 	servers []*http.Server
@@ -47,7 +47,7 @@
 func (d *Discovery) Calls() uint64 { return d.calls.Load() }
 
 // NewDiscovery returns one with an empty list.
-func NewDiscovery(recorder *rules.Recorder) *Discovery {
+func NewDiscovery(recorder *invariants.Recorder) *Discovery {
 	return &Discovery{recorder: recorder, changed: make(chan struct{})}
 }
 
@@ -77,11 +77,11 @@
 // tells writes a list and notes what a balancer knows by it.
 func (d *Discovery) tells(balancer string, out *json.Encoder, l listing) bool {
 	for _, e := range l.Instances {
-		kind := rules.Told
+		kind := invariants.Told
 		if e.Lifecycle == "active" {
-			kind = rules.Ready
+			kind = invariants.Ready
 		}
-		d.recorder.Add(rules.Event{Kind: kind, Balancer: balancer, Server: e.Instance})
+		d.recorder.Add(invariants.Event{Kind: kind, Balancer: balancer, Server: e.Instance})
 	}
 	return out.Encode(l) == nil
 }
--- a/internal/standin/player.go
+++ b/internal/testbench/emulator/player.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"cottonplank/internal/resumeline"
-	"cottonplank/internal/rules"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/testbench/invariants"
 	"cottonplank/internal/textline"
 )
 
@@ -68,7 +68,7 @@
 // PlayerConfig is what all players of a run have in common.
 type PlayerConfig struct {
 	Front    *Front
-	Recorder *rules.Recorder
+	Recorder *invariants.Recorder
 	Class    string
 	Tenant   string
 	Patience time.Duration // for one request
@@ -140,7 +140,7 @@
 // Finish tells the recorder of a player that ended without a board; it is called after Play.
 func (p *Player) Finish() {
 	if !p.away.IsZero() && time.Since(p.away) > 3*time.Second {
-		p.cfg.Recorder.Add(rules.Event{Kind: rules.Stranded, Session: p.name()})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Stranded, Session: p.name()})
 	}
 }
 
@@ -168,23 +168,23 @@
 		race.Go(func() { p.present(asked, again, &t.Raced, &t.RacedUp) })
 		defer race.Wait()
 	}
-	cfg.Recorder.Add(rules.Event{Kind: rules.Taken, Request: id, Balancer: name, Until: cfg.Recorder.Now() + cfg.Patience})
+	cfg.Recorder.Add(invariants.Event{Kind: invariants.Taken, Request: id, Balancer: name, Until: cfg.Recorder.Now() + cfg.Patience})
 	if err := p.ask(conn, id, asked, p.moved); err != nil {
-		cfg.Recorder.Add(rules.Event{Kind: rules.Left, Request: id}) // it was not taken
+		cfg.Recorder.Add(invariants.Event{Kind: invariants.Left, Request: id}) // it was not taken
 		return p.jitter(20*time.Millisecond, 100*time.Millisecond)
 	}
 	readBy(ctx, conn, time.Now().Add(cfg.Patience+goneFor))
 	line, err := textline.Read(r)
 	if err != nil {
-		kind := rules.Cut
+		kind := invariants.Cut
 		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			kind = rules.Left
+			kind = invariants.Left
 		}
-		cfg.Recorder.Add(rules.Event{Kind: kind, Request: id})
+		cfg.Recorder.Add(invariants.Event{Kind: kind, Request: id})
 		return p.jitter(20*time.Millisecond, 100*time.Millisecond)
 	}
 	readBy(ctx, conn, time.Time{})
-	cfg.Recorder.Add(rules.Event{Kind: rules.Answered, Request: id, Text: line})
+	cfg.Recorder.Add(invariants.Event{Kind: invariants.Answered, Request: id, Text: line})
 	t.Answers.Add(1)
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
@@ -215,7 +215,7 @@
 	line := fmt.Sprintf("OPEN %s %s c=%s,t=%s,d=%d,g=%s", id, p.key, p.cfg.Class, p.cfg.Tenant, p.cfg.Patience.Milliseconds(), p.room)
 	if p.cfg.Tokens {
 		if token == "" {
-			token = resumeline.NewToken
+			token = protocol.NewToken
 		}
 		line += ",resume=" + token
 	}
@@ -232,7 +232,7 @@
 	if p.cfg.Tally.Why != nil {
 		p.cfg.Tally.Why(why)
 	}
-	p.cfg.Recorder.Add(rules.Event{Kind: rules.Anew, Session: p.name()})
+	p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Anew, Session: p.name()})
 	p.token, p.used, p.acked = "", "", 0
 	p.session++
 }
@@ -321,17 +321,17 @@
 		return false
 	}
 	p.token, p.used = fresh, asked
-	if _, err := io.WriteString(conn, resumeline.Have+"\r\n"); err != nil {
+	if _, err := io.WriteString(conn, protocol.Have+"\r\n"); err != nil {
 		return false
 	}
 	line, err = textline.Read(r)
 	var position uint64
-	if err != nil || !resumeline.Parse(line, "POS", &position) {
+	if err != nil || !protocol.Parse(line, "POS", &position) {
 		return false
 	}
 	if asked != "" {
 		p.cfg.Tally.Resumed.Add(1)
-		p.cfg.Recorder.Add(rules.Event{Kind: rules.Resumed, Session: p.name(), Position: position})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Resumed, Session: p.name(), Position: position})
 		p.acked = max(p.acked, position)
 	}
 	p.back(asked != "")
@@ -368,9 +368,9 @@
 	var position uint64
 	if fresh, ok := strings.CutPrefix(line, "TOKEN "); ok {
 		p.token = fresh
-	} else if resumeline.Parse(line, "POS", &position) {
+	} else if protocol.Parse(line, "POS", &position) {
 		p.acked = max(p.acked, position)
-		p.cfg.Recorder.Add(rules.Event{Kind: rules.Acked, Session: p.name(), Position: position})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Acked, Session: p.name(), Position: position})
 	}
 	return line == "MOVE"
 }
@@ -400,17 +400,17 @@
 	}
 	defer conn.Close()
 	id, recorder := fmt.Sprintf("%016x", requests.Add(1)), p.cfg.Recorder
-	recorder.Add(rules.Event{Kind: rules.Taken, Request: id, Balancer: name, Until: recorder.Now() + p.cfg.Patience})
+	recorder.Add(invariants.Event{Kind: invariants.Taken, Request: id, Balancer: name, Until: recorder.Now() + p.cfg.Patience})
 	if err := p.ask(conn, id, token, again); err != nil {
-		recorder.Add(rules.Event{Kind: rules.Left, Request: id})
+		recorder.Add(invariants.Event{Kind: invariants.Left, Request: id})
 		return ""
 	}
 	conn.SetReadDeadline(time.Now().Add(p.cfg.Patience + time.Second))
 	line, err := textline.Read(bufio.NewReader(conn))
 	if err != nil {
-		recorder.Add(rules.Event{Kind: rules.Cut, Request: id})
+		recorder.Add(invariants.Event{Kind: invariants.Cut, Request: id})
 		return ""
 	}
-	recorder.Add(rules.Event{Kind: rules.Answered, Request: id, Text: line})
+	recorder.Add(invariants.Event{Kind: invariants.Answered, Request: id, Text: line})
 	return line
 }
--- a/internal/standin/room.go
+++ b/internal/testbench/emulator/room.go
@@ -1,7 +1,7 @@
-// Package standin holds the parties of a run that are not balancers: room servers, discovery and clients, on loopback,
+// Package emulator holds the parties of a run that are not balancers: room servers, discovery and clients, on loopback,
 // scripted, and each with the faults that the program is there for. Tests and the lab share them. They tell a
 // rules.Recorder what they see.
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"cottonplank/internal/ledger"
-	"cottonplank/internal/resumeline"
-	"cottonplank/internal/rules"
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/testbench/invariants"
 	"cottonplank/internal/textline"
 )
 
@@ -28,7 +28,7 @@
 	Keeps    bool // it knows the resumption
 	State    int  // bytes of a session's state
 	Load     int  // of a connection, in microseconds of work a second, told by LOAD; 0: it tells none
-	Recorder *rules.Recorder
+	Recorder *invariants.Recorder
 
 	// A cold start: it sets up ColdShare of Setups connections a second at first, and all after ColdFor. Sent more than
 	// FallMultiple of that for a second, it falls. Setups 0: it never does.
@@ -59,9 +59,9 @@
 	all     sync.WaitGroup
 
 	mu       sync.Mutex
-	ledger   *ledger.Ledger
-	conns    map[ledger.Conn]*roomConn
-	last     ledger.Conn
+	ledger   *arbiter.Ledger
+	conns    map[arbiter.Conn]*roomConn
+	last     arbiter.Conn
 	open     int // connections that stand
 	draining bool
 	stopped  bool
@@ -88,13 +88,13 @@
 // roomConn is one connection of a Room's.
 type roomConn struct {
 	room    *Room
-	id      ledger.Conn
+	id      arbiter.Conn
 	conn    net.Conn
 	r       *bufio.Reader
 	request string // whose attempt is out here; empty: none
 	stands  bool
-	session *resumeline.Open // of the first line that came last
-	playing bool             // Attached was told of session
+	session *protocol.Open // of the first line that came last
+	playing bool           // Attached was told of session
 	epoch   uint64
 	pos     uint64
 	writes  sync.Mutex
@@ -109,14 +109,16 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = 1 << 20
 	}
-	s := &Room{cfg: cfg, l: l, started: time.Now(), conns: map[ledger.Conn]*roomConn{}}
+	s := &Room{cfg: cfg, l: l, started: time.Now(), conns: map[arbiter.Conn]*roomConn{}}
 	s.ledger = newLedger()
 	s.faults.Store(&Faults{})
 	s.all.Go(s.accept)
 	return s, nil
 }
 
-func newLedger() *ledger.Ledger { return ledger.New(ledger.Config{Keep: time.Minute, Limit: 1 << 16}) }
+func newLedger() *arbiter.Ledger {
+	return arbiter.New(arbiter.Config{Keep: time.Minute, Limit: 1 << 16})
+}
 
 // Name is its instance id.
 func (s *Room) Name() string { return s.cfg.Name }
@@ -255,7 +257,7 @@
 // attemptOver tells that the attempt is over, before what answers it is written.
 func (c *roomConn) attemptOver() {
 	if c.request != "" {
-		c.room.cfg.Recorder.Add(rules.Event{Kind: rules.Ended, Request: c.request, Server: c.room.cfg.Name})
+		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Ended, Request: c.request, Server: c.room.cfg.Name})
 		c.request = ""
 	}
 }
@@ -263,7 +265,7 @@
 func (c *roomConn) detached() {
 	if c.playing {
 		c.playing = false
-		c.room.cfg.Recorder.Add(rules.Event{Kind: rules.Detached, Session: c.session.Ref.Session.String(), Server: c.room.cfg.Name})
+		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Detached, Session: c.session.Ref.Session.String(), Server: c.room.cfg.Name})
 	}
 }
 
@@ -286,9 +288,9 @@
 		return c.room.cfg.Keeps && c.request == "" && c.export(line)
 	case "COMMIT":
 		return c.room.cfg.Keeps && c.request == "" && c.commit(line)
-	case resumeline.Go:
+	case protocol.Go:
 		return c.goes()
-	case resumeline.Have:
+	case protocol.Have:
 		return c.stands && c.confirm()
 	case "PLAY":
 		return c.stands && c.play(rest)
@@ -320,7 +322,7 @@
 	}
 	if c.request == "" {
 		c.request = parts[1]
-		s.cfg.Recorder.Add(rules.Event{Kind: rules.Began, Request: c.request, Server: s.cfg.Name})
+		s.cfg.Recorder.Add(invariants.Event{Kind: invariants.Began, Request: c.request, Server: s.cfg.Name})
 	}
 	if s.faults.Load().Fail {
 		c.attemptOver()
@@ -335,7 +337,7 @@
 	s.mu.Unlock()
 	if fallen {
 		if !lay { // it falls once, though more may have come before its listener is closed
-			s.cfg.Recorder.Add(rules.Event{Kind: rules.Fell, Server: s.cfg.Name})
+			s.cfg.Recorder.Add(invariants.Event{Kind: invariants.Fell, Server: s.cfg.Name})
 			go s.Stop()
 		}
 		return false
@@ -345,11 +347,11 @@
 		c.say("BUSY")
 		return false
 	}
-	asked := field(line, resumeline.FieldName)
+	asked := field(line, protocol.FieldName)
 	if !s.cfg.Keeps || asked == "" {
 		return c.stand("")
 	}
-	o, err := resumeline.ParseOpen(asked)
+	o, err := protocol.ParseOpen(asked)
 	if err != nil {
 		c.attemptOver()
 		c.say("SYNTAX")
@@ -358,11 +360,11 @@
 	return c.openSession(o)
 }
 
-func (c *roomConn) openSession(o resumeline.Open) bool {
+func (c *roomConn) openSession(o protocol.Open) bool {
 	s, now := c.room, time.Now()
 	c.session = &o
 	switch o.Mode {
-	case resumeline.Begin:
+	case protocol.Begin:
 		s.mu.Lock()
 		begun := s.ledger.Begin(now, o.Ref, c.id)
 		if begun {
@@ -374,21 +376,21 @@
 			c.session = nil
 			return c.stand("")
 		}
-		return c.stand(resumeline.Kept(o.Ref.Epoch, 0))
-	case resumeline.Back:
+		return c.stand(protocol.Kept(o.Ref.Epoch, 0))
+	case protocol.Back:
 		s.mu.Lock()
 		a := s.ledger.Back(now, o.Ref, o.Next, o.Via, c.id)
 		s.cut(a.Cut)
-		if a.Verdict == ledger.Granted {
+		if a.Verdict == arbiter.Granted {
 			c.epoch, c.pos = a.Ref.Epoch, a.Position
 		}
 		s.mu.Unlock()
-		if a.Verdict != ledger.Granted {
-			return c.say(resumeline.Answer(a)) // it may try another first line here
+		if a.Verdict != arbiter.Granted {
+			return c.say(protocol.Answer(a)) // it may try another first line here
 		}
-		return c.say(resumeline.Held(a.Ref.Epoch, a.Position))
+		return c.say(protocol.Held(a.Ref.Epoch, a.Position))
 	}
-	if !c.say(resumeline.Ready) {
+	if !c.say(protocol.Ready) {
 		return false
 	}
 	state := make([]byte, o.Size)
@@ -404,7 +406,7 @@
 		c.say("BUSY")
 		return false
 	}
-	return c.say(resumeline.Held(o.Ref.Epoch, o.Position))
+	return c.say(protocol.Held(o.Ref.Epoch, o.Position))
 }
 
 // goes attaches the session: the balancer lets it.
@@ -414,18 +416,18 @@
 		return false
 	}
 	s.mu.Lock()
-	ok := c.session.Mode == resumeline.Back || s.ledger.Go(time.Now(), c.id, c.session.Ref.Session)
+	ok := c.session.Mode == protocol.Back || s.ledger.Go(time.Now(), c.id, c.session.Ref.Session)
 	if ok {
 		c.attached(c.epoch, c.pos)
 	}
 	s.mu.Unlock()
-	return ok && c.stand(resumeline.Kept(c.epoch, c.pos))
+	return ok && c.stand(protocol.Kept(c.epoch, c.pos))
 }
 
 // attached notes that the client plays here. The room's lock is held, so that events come in the order of the ledger's.
 func (c *roomConn) attached(epoch, position uint64) {
 	c.epoch, c.pos, c.playing = epoch, position, true
-	c.room.cfg.Recorder.Add(rules.Event{Kind: rules.Attached, Session: c.session.Ref.Session.String(), Epoch: epoch,
+	c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Attached, Session: c.session.Ref.Session.String(), Epoch: epoch,
 		Server: c.room.cfg.Name})
 }
 
@@ -446,7 +448,7 @@
 }
 
 // cut closes a connection that lost its session. The room's lock is held.
-func (s *Room) cut(id ledger.Conn) {
+func (s *Room) cut(id arbiter.Conn) {
 	if c := s.conns[id]; c != nil {
 		c.detached()
 		c.conn.Close()
@@ -482,7 +484,7 @@
 	}
 	pos := c.pos
 	s.mu.Unlock()
-	return c.say(resumeline.Pos(pos))
+	return c.say(protocol.Pos(pos))
 }
 
 // play makes a move of the game: moves come one after the other.
@@ -503,7 +505,7 @@
 	}
 	pos := c.pos
 	s.mu.Unlock()
-	return c.say(resumeline.Pos(pos))
+	return c.say(protocol.Pos(pos))
 }
 
 func (c *roomConn) finish() {
@@ -518,7 +520,7 @@
 // export gives a state to a balancer.
 func (c *roomConn) export(line string) bool {
 	s, f := c.room, c.room.faults.Load()
-	e, err := resumeline.ParseExport(line)
+	e, err := protocol.ParseExport(line)
 	if err != nil {
 		c.say("SYNTAX")
 		return false
@@ -526,15 +528,15 @@
 	if f.StallExport {
 		return true
 	}
-	c.session = &resumeline.Open{Ref: e.Ref}
+	c.session = &protocol.Open{Ref: e.Ref}
 	now := time.Now()
 	s.mu.Lock()
 	a := s.ledger.Export(now, e.Ref, e.Claim, now.Add(e.For), e.Most, e.Via, c.id)
 	s.cut(a.Cut)
 	s.mu.Unlock()
-	answer := resumeline.Answer(a)
+	answer := protocol.Answer(a)
 	state := a.State
-	if a.Verdict != ledger.Granted {
+	if a.Verdict != arbiter.Granted {
 		return c.say(answer)
 	}
 	if f.HalfExport {
@@ -555,7 +557,7 @@
 // commit lets a session go.
 func (c *roomConn) commit(line string) bool {
 	s, f := c.room, c.room.faults.Load()
-	call, err := resumeline.ParseCommit(line)
+	call, err := protocol.ParseCommit(line)
 	if err != nil {
 		c.say("SYNTAX")
 		return false
@@ -571,7 +573,7 @@
 		return false
 	}
 	if done {
-		return c.say(resumeline.Done)
+		return c.say(protocol.Done)
 	}
-	return c.say(resumeline.No)
+	return c.say(protocol.No)
 }
--- a/internal/standin/room_test.go
+++ b/internal/testbench/emulator/room_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cottonplank/internal/rules"
+	"cottonplank/internal/testbench/invariants"
 )
 
 func opens(t *testing.T, r *Room, id int) (net.Conn, string) {
@@ -62,7 +62,7 @@
 		cold  time.Duration
 		falls int
 	}{{time.Hour, 1}, {time.Nanosecond, 0}} {
-		recorder := rules.NewRecorder(rules.Figures{})
+		recorder := invariants.NewRecorder(invariants.Figures{})
 		r, err := NewRoom(RoomConfig{Name: "s-1", Setups: 10, ColdShare: 0.3, ColdFor: v.cold, FallMultiple: 4, Recorder: recorder})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standin/source.go
+++ b/internal/testbench/emulator/source.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
--- a/internal/lab/delivery.go
+++ b/internal/testbench/experiment/delivery.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -56,13 +56,13 @@
 		return nil, err
 	}
 	defer source.close()
-	discovery := standin.NewDiscovery(nil)
+	discovery := emulator.NewDiscovery(nil)
 	defer discovery.Stop()
 	address, err := discovery.For("n0")
 	if err != nil {
 		return nil, err
 	}
-	discovery.Put(standin.Entry{Instance: "s-0", Address: source.l.Addr().String(), Zone: "a", Lifecycle: "active", Weight: 1})
+	discovery.Put(emulator.Entry{Instance: "s-0", Address: source.l.Addr().String(), Zone: "a", Lifecycle: "active", Weight: 1})
 	b, err := newBalancer(program, dir, "n0", Experiment{Balancers: 1, Seed: 1, MemoryMB: 4096, Patience: 5000,
 		Sockets: 4*connections + 4096}, onlyPlace, address, discovery.Known())
 	if err != nil {
--- a/internal/lab/experiment.go
+++ b/internal/testbench/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package lab plays experiments: real balancer processes on loopback before the stand-ins of internal/standin, with
+// Package experiment plays experiments: real balancer processes on loopback before the stand-ins of internal/standin, with
 // troubles at set times and the rules checked all along.
-package lab
+package experiment
 
 import (
 	"bytes"
--- a/internal/lab/fleet.go
+++ b/internal/testbench/experiment/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"cottonplank/internal/management"
-	"cottonplank/internal/token"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/session/token"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/lab/lab_test.go
+++ b/internal/testbench/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 func program(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cottonplank")
-	if out, err := exec.Command("go", "build", "-o", path, "../../cmd/cottonplank").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", path, "../../../cmd/cottonplank").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return path
@@ -110,7 +110,7 @@
 			t.Errorf("%s: %v, want it to say %q", text, err, says)
 		}
 	}
-	files, _ := filepath.Glob("../../experiments/*.json")
+	files, _ := filepath.Glob("../../../experiments/*.json")
 	scales, members := 0, 0
 	for _, path := range files { // each is of one of three kinds, and the other two refuse it by its name
 		_, err := Load(path)
@@ -154,7 +154,7 @@
 // beyond the bound are refused at once, and the limits are kept. Guards against clients that lie unanswered in the backlog
 // of a balancer that has used up its descriptors, and against probes' connections that use up the others'.
 func TestSmallLimits(t *testing.T) {
-	e, err := Load("../../experiments/small-limits.json")
+	e, err := Load("../../../experiments/small-limits.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/members.go
+++ b/internal/testbench/experiment/members.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"time"
 
 	"cottonplank/internal/cluster/membership"
-	"cottonplank/internal/management"
-	"cottonplank/internal/rules"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
 )
 
 //go:embed members.schema.json
@@ -254,7 +254,7 @@
 			m.network.paused[i] = false
 			m.base.balancers[i].process.Process.Signal(syscall.SIGCONT)
 			m.note(memberEvent{Kind: memberResumed, Member: i})
-			m.base.recorder.Add(rules.Event{Kind: rules.Fresh, Balancer: m.base.balancers[i].name})
+			m.base.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: m.base.balancers[i].name})
 			m.base.front.Add(m.base.balancers[i].name, m.base.balancers[i].address)
 		}
 	}
@@ -271,7 +271,7 @@
 	m.network.paused[i] = true
 	m.base.front.Remove(b.name)
 	time.Sleep(pauseNotice)
-	m.base.recorder.Add(rules.Event{Kind: rules.Killed, Balancer: b.name})
+	m.base.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
 	b.process.Process.Signal(syscall.SIGSTOP)
 	m.note(memberEvent{Kind: memberPaused, Member: i})
 }
@@ -376,7 +376,7 @@
 
 // addCold starts a room server that is cold.
 func (r *run) addCold(setups float64) error {
-	room, err := standin.NewRoom(standin.RoomConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
+	room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
 		Setups: setups, ColdShare: coldShare, ColdFor: coldFor, FallMultiple: fallMultiple})
 	if err != nil {
 		return err
--- a/internal/lab/members_check.go
+++ b/internal/testbench/experiment/members_check.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"slices"
--- a/internal/lab/members_network.go
+++ b/internal/testbench/experiment/members_network.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // The network between the members of a run: a relay for each ordered pair, and the faults that disturb it.
 
@@ -8,16 +8,16 @@
 	"net/netip"
 	"strings"
 
-	"cottonplank/internal/relay"
+	"cottonplank/internal/testbench/faultproxy"
 )
 
 // memberNetwork is a relay for each ordered pair of instances.
 type memberNetwork struct {
 	addresses []netip.AddrPort
-	paths     [][]*relay.Path
+	paths     [][]*faultproxy.Path
 	relays    [][]*memberRelay
 	cuts      [][]int // faults that cut a path now
-	noises    []relay.Conditions
+	noises    []faultproxy.Conditions
 	paused    []bool
 	chosen    map[netip.AddrPort]bool // addresses of the instances and the relays: an instance binds its own later
 }
@@ -25,16 +25,16 @@
 // memberRelay leads from one instance to another.
 type memberRelay struct {
 	address   netip.AddrPort
-	datagrams *relay.Datagrams
-	streams   *relay.Port
+	datagrams *faultproxy.Datagrams
+	streams   *faultproxy.Port
 }
 
 func newMemberNetwork(n int, seed uint64) *memberNetwork {
 	w := &memberNetwork{paused: make([]bool, n), chosen: map[netip.AddrPort]bool{}}
 	for i := range n {
-		w.paths, w.cuts, w.relays = append(w.paths, make([]*relay.Path, n)), append(w.cuts, make([]int, n)), append(w.relays, make([]*memberRelay, n))
+		w.paths, w.cuts, w.relays = append(w.paths, make([]*faultproxy.Path, n)), append(w.cuts, make([]int, n)), append(w.relays, make([]*memberRelay, n))
 		for j := range n {
-			w.paths[i][j] = relay.NewPath(seed*1_000_003 + uint64(i*n+j))
+			w.paths[i][j] = faultproxy.NewPath(seed*1_000_003 + uint64(i*n+j))
 		}
 	}
 	return w
@@ -71,10 +71,10 @@
 		return nil, err
 	}
 	r := &memberRelay{address: address}
-	if r.datagrams, err = relay.NewDatagrams(address, w.addresses[j], w.paths[i][j]); err != nil {
+	if r.datagrams, err = faultproxy.NewDatagrams(address, w.addresses[j], w.paths[i][j]); err != nil {
 		return nil, err
 	}
-	link := relay.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*relay.Port) string { return to })
+	link := faultproxy.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to })
 	if r.streams, err = link.PortAt(i, address.String()); err != nil {
 		r.datagrams.Close()
 		return nil, err
@@ -169,7 +169,7 @@
 	}
 }
 
-func (w *memberNetwork) noise(c relay.Conditions, begins bool) {
+func (w *memberNetwork) noise(c faultproxy.Conditions, begins bool) {
 	if begins {
 		w.noises = append(w.noises, c)
 		return
@@ -184,7 +184,7 @@
 
 // apply sets all paths as the faults of now want them; noises add up.
 func (w *memberNetwork) apply() {
-	var noise relay.Conditions
+	var noise faultproxy.Conditions
 	for _, c := range w.noises {
 		noise.Loss = max(noise.Loss, c.Loss)
 		noise.Duplicate = max(noise.Duplicate, c.Duplicate)
--- a/internal/lab/members_schedule.go
+++ b/internal/testbench/experiment/members_schedule.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"cottonplank/internal/relay"
+	"cottonplank/internal/testbench/faultproxy"
 )
 
 // memberFaultKind is a kind of fault between the members.
@@ -33,7 +33,7 @@
 	For     time.Duration // 0: it has no end
 	Kind    memberFaultKind
 	Members []int
-	Noise   relay.Conditions
+	Noise   faultproxy.Conditions
 }
 
 func (f memberFault) String() string {
@@ -83,7 +83,7 @@
 	}
 	s.add(memberFault{At: s.between(quietUntil, 24*time.Second), For: s.between(6*time.Second, 10*time.Second), Kind: faultPartition,
 		Members: s.some(n / partitionPart)})
-	for _, noise := range []relay.Conditions{{Loss: 0.4}, {Duplicate: 0.3, Reorder: 0.3, Jitter: 30 * time.Millisecond},
+	for _, noise := range []faultproxy.Conditions{{Loss: 0.4}, {Duplicate: 0.3, Reorder: 0.3, Jitter: 30 * time.Millisecond},
 		{Delay: 60 * time.Millisecond, Jitter: 40 * time.Millisecond}} {
 		s.add(memberFault{At: s.between(quietUntil, 26*time.Second), For: s.between(3*time.Second, 8*time.Second), Kind: faultNoise, Noise: noise})
 	}
--- a/internal/lab/members_test.go
+++ b/internal/testbench/experiment/members_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"reflect"
@@ -42,11 +42,11 @@
 }
 
 func TestMembersFile(t *testing.T) {
-	e, err := LoadMembers("../../experiments/membership-faults.json")
+	e, err := LoadMembers("../../../experiments/membership-faults.json")
 	if err != nil || e.Instances != 20 || time.Duration(e.Seconds)*time.Second > 58*time.Second {
 		t.Errorf("%+v, %v", e, err)
 	}
-	if kind, err := Kind("../../experiments/membership-faults.json"); err != nil || kind != MembersKind {
+	if kind, err := Kind("../../../experiments/membership-faults.json"); err != nil || kind != MembersKind {
 		t.Errorf("kind %q, %v", kind, err)
 	}
 	_, err = ParseMembers([]byte(`{"name":"x","kind":"membership-faults","instances":3,"rooms":1,"sessions":1,"seconds":50}`))
--- a/internal/lab/run.go
+++ b/internal/testbench/experiment/run.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"cottonplank/internal/rules"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -43,7 +43,7 @@
 // newRun returns an experiment that open starts.
 func newRun(program, dir string, e Experiment, say func(string)) *run {
 	return &run{e: e, program: program, dir: dir, say: say,
-		recorder: rules.NewRecorder(rules.Figures{DrainGrace: drainGrace, Slack: ruleSlack}), front: standin.NewFront(e.Seed),
+		recorder: invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: ruleSlack}), front: emulator.NewFront(e.Seed),
 		killed: map[string]bool{}, ended: map[string]bool{}, broke: map[string]int{}, keys: keys{path: filepath.Join(dir, "keys.json")},
 		result:  Result{Name: e.Name, Tokens: e.Tokens, Sessions: e.Sessions, Reasons: map[string]int{}, Balancers: map[string]uint64{}},
 		took:    hdrhistogram.New(1, 60_000_000, 3),
@@ -56,15 +56,15 @@
 	program   string
 	dir       string
 	say       func(string)
-	recorder  *rules.Recorder
-	front     *standin.Front
-	discovery *standin.Discovery
-	rooms     []*standin.Room
+	recorder  *invariants.Recorder
+	front     *emulator.Front
+	discovery *emulator.Discovery
+	rooms     []*emulator.Room
 	balancers []*balancer
 	alive     []bool
 	keys      keys
-	players   []*standin.Player
-	tally     standin.Tally
+	players   []*emulator.Player
+	tally     emulator.Tally
 	lagging   sync.WaitGroup
 	killed    map[string]bool // by kill -9
 	ended     map[string]bool // processes that did not live throughout
@@ -81,9 +81,9 @@
 
 // open starts the room servers, discovery and the balancers.
 func (r *run) open(ctx context.Context) (err error) {
-	r.discovery = standin.NewDiscovery(r.recorder)
+	r.discovery = emulator.NewDiscovery(r.recorder)
 	for i := range r.e.Rooms {
-		room, err := standin.NewRoom(standin.RoomConfig{Name: fmt.Sprintf("s-%d", i), Capacity: r.e.Capacity, Keeps: true,
+		room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", i), Capacity: r.e.Capacity, Keeps: true,
 			State: r.e.State, Recorder: r.recorder})
 		if err != nil {
 			return err
@@ -199,10 +199,10 @@
 	playing, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
-	cfg := standin.PlayerConfig{Front: r.front, Recorder: r.recorder, Class: "solo-play", Tenant: "lab", Tokens: r.e.Tokens,
+	cfg := emulator.PlayerConfig{Front: r.front, Recorder: r.recorder, Class: "solo-play", Tenant: "lab", Tokens: r.e.Tokens,
 		Patience: millis(r.e.Patience), Life: time.Duration(r.e.Life * float64(time.Second)), Every: millis(r.e.Every), Tally: &r.tally}
 	for i := range r.e.Sessions {
-		p := standin.NewPlayer(cfg, r.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/r.e.Group))
+		p := emulator.NewPlayer(cfg, r.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/r.e.Group))
 		r.players = append(r.players, p)
 		comes := time.Duration(float64(i) / float64(r.e.Sessions) * r.e.Fill * float64(time.Second))
 		all.Go(func() {
@@ -321,7 +321,7 @@
 	case "kill":
 		if r.alive[t.Balancer] {
 			b := r.balancers[t.Balancer]
-			r.recorder.Add(rules.Event{Kind: rules.Killed, Balancer: b.name})
+			r.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
 			r.alive[t.Balancer] = false
 			r.killed[b.name], r.ended[b.name] = true, true
 			r.result.Killed++
@@ -339,7 +339,7 @@
 				return err
 			}
 		}
-		r.recorder.Add(rules.Event{Kind: rules.Fresh, Balancer: b.name})
+		r.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: b.name})
 		r.started(t.Balancer)
 		if err := b.start(ctx); err != nil {
 			return err
--- a/internal/lab/scale.go
+++ b/internal/testbench/experiment/scale.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"cottonplank/internal/relay"
-	"cottonplank/internal/rules"
-	"cottonplank/internal/scale"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/faultproxy"
+	"cottonplank/internal/testbench/hollow"
+	"cottonplank/internal/testbench/invariants"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -68,17 +68,17 @@
 	say      func(string)
 	faults   *rand.Rand
 	changes  *rand.Rand
-	recorder *rules.Recorder
-	front    *standin.Front
-	tally    standin.Tally
+	recorder *invariants.Recorder
+	front    *emulator.Front
+	tally    emulator.Tally
 	result   ScaleResult
 
-	rooms   []*standin.Room // that exist
-	zoneOf  []int           // of each of them
-	roster  *standin.Roster
-	sources []*standin.Source
-	links   []*relay.Link
-	ports   []*relay.Port // of the hollow balancers, then of the real ones
+	rooms   []*emulator.Room // that exist
+	zoneOf  []int            // of each of them
+	roster  *emulator.Roster
+	sources []*emulator.Source
+	links   []*faultproxy.Link
+	ports   []*faultproxy.Port // of the hollow balancers, then of the real ones
 	workers []*worker
 	of      []*worker // of each hollow balancer
 
@@ -91,8 +91,8 @@
 	parted  []bool // regions that changes do not reach
 	down    []bool // hollow balancers that do not run
 	away    []bool // zones that are gone
-	events  []scale.Event
-	entries []standin.Entry
+	events  []hollow.Event
+	entries []emulator.Entry
 	drained []bool // of the rooms that exist
 	failed  error
 	reads   []uint64 // of the ports, at the last look
@@ -101,8 +101,8 @@
 }
 
 func newScaleRun(p Programs, dir string, e ScaleExperiment, say func(string)) *scaleRun {
-	s := &scaleRun{e: e, programs: p, dir: dir, say: say, faults: rand.New(rand.NewPCG(e.Seed, 7)), changes: rand.New(rand.NewPCG(e.Seed, 8)), front: standin.NewFront(e.Seed),
-		recorder: rules.NewRecorder(rules.Figures{DrainGrace: drainGrace, Slack: ruleSlack}),
+	s := &scaleRun{e: e, programs: p, dir: dir, say: say, faults: rand.New(rand.NewPCG(e.Seed, 7)), changes: rand.New(rand.NewPCG(e.Seed, 8)), front: emulator.NewFront(e.Seed),
+		recorder: invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: ruleSlack}),
 		led:      make([]bool, e.Sources), parted: make([]bool, e.Regions), down: make([]bool, e.Hollow), away: make([]bool, e.Zones)}
 	for i := range s.led {
 		s.led[i] = true
@@ -117,10 +117,10 @@
 	playing, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
-	cfg := standin.PlayerConfig{Front: s.front, Recorder: s.recorder, Class: "solo-play", Tenant: "lab", Patience: 2 * time.Second,
+	cfg := emulator.PlayerConfig{Front: s.front, Recorder: s.recorder, Class: "solo-play", Tenant: "lab", Patience: 2 * time.Second,
 		Every: 500 * time.Millisecond, Life: 3 * time.Second, Tally: &s.tally}
 	for i := range s.e.Sessions {
-		p := standin.NewPlayer(cfg, s.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/4))
+		p := emulator.NewPlayer(cfg, s.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/4))
 		all.Go(func() { p.Play(playing) })
 	}
 	start := time.Now()
@@ -177,7 +177,7 @@
 
 // look reads all counters: once a second. It returns how many hollow balancers watch.
 func (s *scaleRun) look() (begun int, err error) {
-	rss, err := scale.Resident(os.Getpid())
+	rss, err := hollow.Resident(os.Getpid())
 	if err != nil {
 		return 0, err
 	}
@@ -198,7 +198,7 @@
 		if !s.alive[i] {
 			continue
 		}
-		if mb, err := scale.Resident(b.process.Process.Pid); err == nil { // it may be on its way down
+		if mb, err := hollow.Resident(b.process.Process.Pid); err == nil { // it may be on its way down
 			rss += mb
 			s.result.RealMB = max(s.result.RealMB, mb)
 		}
@@ -221,7 +221,7 @@
 // finish asks all for what they have, and checks it.
 func (s *scaleRun) finish(ctx context.Context) error {
 	for _, w := range s.workers {
-		if err := w.orders.Encode(scale.Order{End: true}); err != nil {
+		if err := w.orders.Encode(hollow.Order{End: true}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
--- a/internal/lab/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // The changes of a scale run's list, and when they come.
 
@@ -6,7 +6,7 @@
 	"context"
 	"time"
 
-	"cottonplank/internal/scale"
+	"cottonplank/internal/testbench/hollow"
 )
 
 // change publishes one change.
@@ -29,7 +29,7 @@
 		}
 	}
 	s.mu.Lock()
-	s.events = append(s.events, scale.Event{At: scale.Now(), Kind: scale.Published, Version: s.roster.Publish(*e)})
+	s.events = append(s.events, hollow.Event{At: hollow.Now(), Kind: hollow.Published, Version: s.roster.Publish(*e)})
 	s.mu.Unlock()
 	s.result.Changes++
 	s.spread()
--- a/internal/lab/scale_compare.go
+++ b/internal/testbench/experiment/scale_compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 	"time"
 
-	"cottonplank/internal/relay"
-	"cottonplank/internal/scale"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/faultproxy"
+	"cottonplank/internal/testbench/hollow"
 
 	"golang.org/x/sys/unix"
 )
@@ -77,24 +77,24 @@
 		return c, err
 	}
 	defer os.RemoveAll(dir)
-	var entries []standin.Entry
+	var entries []emulator.Entry
 	for i := range servers {
-		entries = append(entries, standin.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: "a", Lifecycle: "active", Weight: 1})
+		entries = append(entries, emulator.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: "a", Lifecycle: "active", Weight: 1})
 	}
-	roster := standin.NewRoster(entries)
-	source := standin.NewSource(roster)
+	roster := emulator.NewRoster(entries)
+	source := emulator.NewSource(roster)
 	defer source.Stop()
 	address, err := source.Listen(nil)
 	if err != nil {
 		return c, err
 	}
-	link := relay.NewLink(func(*relay.Port) string { return address })
+	link := faultproxy.NewLink(func(*faultproxy.Port) string { return address })
 	at := onlyPlace
 	at.mode, at.quiet = "automatic", true
 	e := Experiment{Seed: 1, Balancers: 2 * each, Sessions: 1, Patience: 2000, MemoryMB: 512}
 	list := roster.Whole(known)
 	var reals []*balancer
-	var ports []*relay.Port // of the real ones, then of the hollow ones
+	var ports []*faultproxy.Port // of the real ones, then of the hollow ones
 	defer func() {
 		for _, b := range reals {
 			b.stop()
@@ -123,7 +123,7 @@
 		}
 		reals = append(reals, b)
 	}
-	setup := scale.Setup{Known: filepath.Join(dir, "known.json"), Settings: map[string]string{"a": filepath.Join(dir, "a.json")}, Full: true}
+	setup := hollow.Setup{Known: filepath.Join(dir, "known.json"), Settings: map[string]string{"a": filepath.Join(dir, "a.json")}, Full: true}
 	if err := os.WriteFile(setup.Known, list, 0o600); err != nil {
 		return c, err
 	}
@@ -135,9 +135,9 @@
 		return c, err
 	}
 	defer w.stop()
-	var order scale.Order
+	var order hollow.Order
 	for i := range each {
-		order.Start = append(order.Start, scale.Start{Balancer: i, Zone: "a", Address: ports[each+i].Address})
+		order.Start = append(order.Start, hollow.Start{Balancer: i, Zone: "a", Address: ports[each+i].Address})
 	}
 	if err := w.orders.Encode(order); err != nil {
 		return c, err
@@ -147,26 +147,26 @@
 		return c, ctx.Err()
 	case <-time.After(compareSettle):
 	}
-	read := func() (real, hollow Costs, err error) {
+	read := func() (realCosts, hollowCosts Costs, err error) {
 		for i, b := range reals {
 			cpu, err := processCPU(b.process.Process.Pid)
 			if err != nil {
-				return real, hollow, err
+				return realCosts, hollowCosts, err
 			}
-			mb, err := scale.Resident(b.process.Process.Pid)
+			mb, err := hollow.Resident(b.process.Process.Pid)
 			if err != nil {
-				return real, hollow, err
+				return realCosts, hollowCosts, err
 			}
 			n, _ := ports[i].Counts()
-			real.CPU, real.MB, real.KB = real.CPU+cpu, real.MB+mb, real.KB+float64(n)/kb
+			realCosts.CPU, realCosts.MB, realCosts.KB = realCosts.CPU+cpu, realCosts.MB+mb, realCosts.KB+float64(n)/kb
 			n, _ = ports[each+i].Counts()
-			hollow.KB += float64(n) / kb
+			hollowCosts.KB += float64(n) / kb
 		}
-		if hollow.CPU, err = processCPU(w.process.Process.Pid); err != nil {
-			return real, hollow, err
+		if hollowCosts.CPU, err = processCPU(w.process.Process.Pid); err != nil {
+			return realCosts, hollowCosts, err
 		}
-		_, hollow.MB, err = w.last()
-		return real, hollow, err
+		_, hollowCosts.MB, err = w.last()
+		return realCosts, hollowCosts, err
 	}
 	began := time.Now()
 	real, hollow, err := read()
--- a/internal/lab/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // The faults of a scale run, and how hollow balancers start and end.
 
@@ -7,16 +7,16 @@
 	"fmt"
 	"time"
 
-	"cottonplank/internal/rules"
-	"cottonplank/internal/scale"
+	"cottonplank/internal/testbench/hollow"
+	"cottonplank/internal/testbench/invariants"
 )
 
 // start starts hollow balancers.
 func (s *scaleRun) start(ids []int) error {
-	orders := map[*worker][]scale.Start{}
+	orders := map[*worker][]hollow.Start{}
 	for _, i := range ids {
 		z := s.e.hollowZone(i)
-		orders[s.of[i]] = append(orders[s.of[i]], scale.Start{Balancer: i, Zone: zoneName(z), Address: s.ports[i].Address, Cold: s.cold(i)})
+		orders[s.of[i]] = append(orders[s.of[i]], hollow.Start{Balancer: i, Zone: zoneName(z), Address: s.ports[i].Address, Cold: s.cold(i)})
 	}
 	s.mu.Lock()
 	for _, i := range ids {
@@ -25,7 +25,7 @@
 	s.reach(ids)
 	s.mu.Unlock()
 	for w, all := range orders {
-		if err := w.orders.Encode(scale.Order{Start: all}); err != nil {
+		if err := w.orders.Encode(hollow.Order{Start: all}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
@@ -42,7 +42,7 @@
 		orders[s.of[i]] = append(orders[s.of[i]], i)
 	}
 	for w, all := range orders {
-		if err := w.orders.Encode(scale.Order{Stop: all}); err != nil {
+		if err := w.orders.Encode(hollow.Order{Stop: all}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
@@ -57,14 +57,14 @@
 
 // reach notes which hollow balancers can be reached now. mu is held.
 func (s *scaleRun) reach(ids []int) {
-	now := scale.Now()
+	now := hollow.Now()
 	for _, i := range ids {
 		z := s.e.hollowZone(i)
-		kind := scale.Reachable
+		kind := hollow.Reachable
 		if s.down[i] || s.away[z] || s.parted[s.e.region(z)] {
-			kind = scale.Cut
+			kind = hollow.Cut
 		}
-		s.events = append(s.events, scale.Event{At: now, Kind: kind, Balancer: i})
+		s.events = append(s.events, hollow.Event{At: now, Kind: kind, Balancer: i})
 	}
 }
 
@@ -175,7 +175,7 @@
 	if !alive {
 		return
 	}
-	s.recorder.Add(rules.Event{Kind: rules.Killed, Balancer: b.name})
+	s.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
 	b.kill()
 	s.later.Go(func() {
 		time.Sleep(millis(s.e.NoticeMs))
@@ -191,7 +191,7 @@
 	if alive {
 		return nil
 	}
-	s.recorder.Add(rules.Event{Kind: rules.Fresh, Balancer: realName(i)})
+	s.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: realName(i)})
 	b, err := s.serve(ctx, i)
 	if err != nil {
 		return err
--- a/internal/lab/scale_open.go
+++ b/internal/testbench/experiment/scale_open.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // How a scale run is opened: its zones, list, sources, real balancers and hollow ones.
 
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"cottonplank/internal/relay"
-	"cottonplank/internal/rules"
-	"cottonplank/internal/scale"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/faultproxy"
+	"cottonplank/internal/testbench/hollow"
+	"cottonplank/internal/testbench/invariants"
 )
 
 func zoneName(z int) string { return fmt.Sprintf("z%d", z) }
@@ -36,7 +36,7 @@
 		return err
 	}
 	for z := range s.e.Zones {
-		s.links = append(s.links, relay.NewLink(func(p *relay.Port) string { return s.lead(z, p.Balancer) }))
+		s.links = append(s.links, faultproxy.NewLink(func(p *faultproxy.Port) string { return s.lead(z, p.Balancer) }))
 	}
 	for i := range s.e.Hollow + s.e.Real {
 		p, err := s.links[s.zone(i)].Port(i)
@@ -73,12 +73,12 @@
 		}
 		served[z] = true
 		for k := range s.e.Rooms {
-			room, err := standin.NewRoom(standin.RoomConfig{Name: fmt.Sprintf("s-%d-%d", z, k), Capacity: 2 * s.e.Sessions, Recorder: s.recorder})
+			room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d-%d", z, k), Capacity: 2 * s.e.Sessions, Recorder: s.recorder})
 			if err != nil {
 				return err
 			}
 			s.rooms, s.zoneOf = append(s.rooms, room), append(s.zoneOf, z)
-			s.entries = append(s.entries, standin.Entry{Instance: room.Name(), Address: room.Address(), Zone: zoneName(z), Lifecycle: "active", Weight: 1})
+			s.entries = append(s.entries, emulator.Entry{Instance: room.Name(), Address: room.Address(), Zone: zoneName(z), Lifecycle: "active", Weight: 1})
 		}
 	}
 	s.drained = make([]bool, len(s.rooms))
@@ -90,15 +90,15 @@
 		}
 	}
 	for i := len(s.rooms); i < s.e.Servers; i++ {
-		s.entries = append(s.entries, standin.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: zoneName(zones[i%len(zones)]),
+		s.entries = append(s.entries, emulator.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: zoneName(zones[i%len(zones)]),
 			Lifecycle: "active", Weight: 1})
 	}
-	s.roster = standin.NewRoster(s.entries)
+	s.roster = emulator.NewRoster(s.entries)
 	for i := range s.e.Sources {
-		source := standin.NewSource(s.roster)
+		source := emulator.NewSource(s.roster)
 		s.sources = append(s.sources, source)
 		for d := range 1 + s.e.Real { // for hollow ones, then for each real one
-			var hear func([]standin.Entry)
+			var hear func([]emulator.Entry)
 			if d > 0 {
 				hear = s.hear(realName(d - 1))
 			}
@@ -116,21 +116,21 @@
 func realName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // hear notes what a real balancer is told of the room servers that exist.
-func (s *scaleRun) hear(name string) func([]standin.Entry) {
+func (s *scaleRun) hear(name string) func([]emulator.Entry) {
 	exist := map[string]bool{}
 	for _, r := range s.rooms {
 		exist[r.Name()] = true
 	}
-	return func(all []standin.Entry) {
+	return func(all []emulator.Entry) {
 		for _, e := range all {
 			if !exist[e.Instance] {
 				continue
 			}
-			kind := rules.Told
+			kind := invariants.Told
 			if e.Lifecycle == "active" {
-				kind = rules.Ready
+				kind = invariants.Ready
 			}
-			s.recorder.Add(rules.Event{Kind: kind, Balancer: name, Server: e.Instance})
+			s.recorder.Add(invariants.Event{Kind: kind, Balancer: name, Server: e.Instance})
 		}
 	}
 }
@@ -195,7 +195,7 @@
 }
 
 func (s *scaleRun) openHollow(ctx context.Context, list []byte) error {
-	setup := scale.Setup{Known: filepath.Join(s.dir, "known.json"), Settings: map[string]string{}}
+	setup := hollow.Setup{Known: filepath.Join(s.dir, "known.json"), Settings: map[string]string{}}
 	if err := os.WriteFile(setup.Known, list, 0o600); err != nil {
 		return err
 	}
--- a/internal/lab/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 	"time"
 
-	"cottonplank/internal/scale"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/hollow"
 
 	"cottonplank/decide"
 
@@ -94,9 +94,9 @@
 var lifecycles = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining}
 
 // digest is that of a list.
-func digest(entries []standin.Entry) (d uint64) {
+func digest(entries []emulator.Entry) (d uint64) {
 	for _, e := range entries {
-		d ^= scale.Digest(e.Instance, e.Address, e.Zone, lifecycles[e.Lifecycle])
+		d ^= hollow.Digest(e.Instance, e.Address, e.Zone, lifecycles[e.Lifecycle])
 	}
 	return d
 }
@@ -106,7 +106,7 @@
 	r := &s.result
 	r.Name, r.Seed, r.Hollow, r.Modules, r.Cold, r.Real, r.Control, r.Servers = s.e.Name, s.e.Seed, s.e.Hollow, s.e.Modules, s.e.Cold,
 		s.e.Real, s.e.Sources, s.e.Servers
-	end := scale.Now()
+	end := hollow.Now()
 	events := slices.Clone(s.events)
 	var cpu [2]*hdrhistogram.Histogram
 	for i := range cpu {
@@ -131,7 +131,7 @@
 		w.mu.Unlock()
 	}
 	version := s.roster.Version()
-	f := scale.Check(events, version, digest(s.roster.At(version)), end, inForceWithin)
+	f := hollow.Check(events, version, digest(s.roster.At(version)), end, inForceWithin)
 	took := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	for _, d := range f.Took {
 		took.RecordValue(max(d.Microseconds(), 1))
@@ -154,7 +154,7 @@
 }
 
 // perSecond is the processor time that one hollow balancer takes a second, in nanoseconds.
-func perSecond(u scale.Usage) float64 {
+func perSecond(u hollow.Usage) float64 {
 	return float64(u.CPU) / float64(u.Hollow) / u.Over.Seconds()
 }
 
--- a/internal/lab/scale_test.go
+++ b/internal/testbench/experiment/scale_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 func labProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cottonplank-lab")
-	if out, err := exec.Command("go", "build", "-o", path, "../../cmd/cottonplank-lab").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", path, "../../../cmd/cottonplank-lab").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return path
--- a/internal/lab/scale_worker.go
+++ b/internal/testbench/experiment/scale_worker.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"cottonplank/internal/scale"
+	"cottonplank/internal/testbench/hollow"
 )
 
 const (
@@ -33,8 +33,8 @@
 	once    sync.Once
 
 	mu     sync.Mutex
-	events []scale.Event
-	usages []scale.Usage
+	events []hollow.Event
+	usages []hollow.Usage
 	start  int // of usages, those until all hollow balancers watched
 	broken error
 }
@@ -47,7 +47,7 @@
 }
 
 // startWorker runs the lab's program as one.
-func startWorker(program, dir, name string, setup scale.Setup) (*worker, error) {
+func startWorker(program, dir, name string, setup hollow.Setup) (*worker, error) {
 	w := &worker{full: setup.Full, ended: make(chan struct{}), done: make(chan struct{}), process: exec.Command(program, workerCommand)}
 	var err error
 	if w.log, err = os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600); err != nil {
@@ -82,7 +82,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, longReport)
 	for lines.Scan() {
-		var r scale.Report
+		var r hollow.Report
 		err := json.Unmarshal(lines.Bytes(), &r)
 		w.mu.Lock()
 		if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // last is its latest usage, and how much it has grown since it began.
-func (w *worker) last() (u scale.Usage, grown float64, err error) {
+func (w *worker) last() (u hollow.Usage, grown float64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n := len(w.usages); n > 0 {
--- a/internal/lab/slope.go
+++ b/internal/testbench/experiment/slope.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"cottonplank/internal/management"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/testbench/emulator"
 )
 
 // Bounds of a slope's measurement.
@@ -59,26 +59,26 @@
 	}
 	defer os.RemoveAll(dir)
 	s = ListSlope{Servers: n, InForce: -1}
-	var rooms []*standin.Room
+	var rooms []*emulator.Room
 	for i := range slopeRooms {
-		room, err := standin.NewRoom(standin.RoomConfig{Name: fmt.Sprintf("s-%d", i)})
+		room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", i)})
 		if err != nil {
 			return s, err
 		}
 		defer room.Stop()
 		rooms = append(rooms, room)
 	}
-	entry := func(i int, weight float64) standin.Entry {
-		return standin.Entry{Instance: fmt.Sprintf("s-%08x", i), Address: rooms[i%slopeRooms].Address(), Zone: []string{"a", "b", "c"}[i%3],
+	entry := func(i int, weight float64) emulator.Entry {
+		return emulator.Entry{Instance: fmt.Sprintf("s-%08x", i), Address: rooms[i%slopeRooms].Address(), Zone: []string{"a", "b", "c"}[i%3],
 			Lifecycle: "active", Weight: weight}
 	}
-	discovery := standin.NewDiscovery(nil)
+	discovery := emulator.NewDiscovery(nil)
 	defer discovery.Stop()
 	address, err := discovery.For("n0")
 	if err != nil {
 		return s, err
 	}
-	var all []standin.Entry
+	var all []emulator.Entry
 	for i := range n {
 		all = append(all, entry(i, 1))
 	}
--- a/internal/relay/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"io"
--- a/internal/relay/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -1,6 +1,6 @@
-// Package relay carries loopback connections and datagrams between the lab's processes, and disturbs them: it delays, loses,
+// Package faultproxy carries loopback connections and datagrams between the lab's processes, and disturbs them: it delays, loses,
 // duplicates, reorders, holds back or breaks what crosses it, each direction by itself.
-package relay
+package faultproxy
 
 import (
 	"math/rand/v2"
--- a/internal/seedcorpus/seedcorpus.go
+++ b/internal/testbench/fuzzcorpus/seedcorpus.go
@@ -1,6 +1,6 @@
-// Package seedcorpus makes the seed corpora of the parsers' fuzz tests: valid messages, random cuts and changes
+// Package fuzzcorpus makes the seed corpora of the parsers' fuzz tests: valid messages, random cuts and changes
 // of them, and random garbage, the same at each run.
-package seedcorpus
+package fuzzcorpus
 
 import (
 	"math/rand/v2"
--- a/internal/scale/check.go
+++ b/internal/testbench/hollow/check.go
@@ -1,6 +1,6 @@
-// Package scale holds the parts of a scale run: hollow balancers, which are the control code alone, many to a process;
+// Package hollow holds the parts of a scale run: hollow balancers, which are the control code alone, many to a process;
 // the links between them and their sources; and the checker of what they tell.
-package scale
+package hollow
 
 import (
 	"cmp"
--- a/internal/scale/check_test.go
+++ b/internal/testbench/hollow/check_test.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 import (
 	"testing"
--- a/internal/scale/hollow.go
+++ b/internal/testbench/hollow/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resolver"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/testbench/emulator"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
@@ -37,8 +37,8 @@
 }
 
 // newFollower returns the mechanism that the balancer itself uses: a watch over HTTP.
-func newFollower(address string, version int64, sink resolver.Sink, log *logrus.Logger) follower {
-	return resolver.New(address, version, sink, log)
+func newFollower(address string, version int64, sink httpsource.Sink, log *logrus.Logger) follower {
+	return httpsource.New(address, version, sink, log)
 }
 
 // shared is the one copy of the list that the followers of a process have: what each room server added to the digest at
@@ -56,7 +56,7 @@
 
 func digestOf(in core.Instance) uint64 { return Digest(in.Name, in.Address, in.Zone, in.State) }
 
-func versionOf(in core.Instance) int64 { return in.Started.UnixMilli() - standin.StartedAt }
+func versionOf(in core.Instance) int64 { return in.Started.UnixMilli() - emulator.StartedAt }
 
 func newShared(known []core.Instance, version int64) *shared {
 	s := &shared{of: make(map[string][]stamped, len(known))}
--- a/internal/scale/hollow_test.go
+++ b/internal/testbench/hollow/hollow_test.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 
 	"cottonplank/decide"
 	"cottonplank/internal/core"
-	"cottonplank/internal/relay"
-	"cottonplank/internal/resolver"
-	"cottonplank/internal/standin"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/faultproxy"
 )
 
-func entries(n int) (all []standin.Entry) {
+func entries(n int) (all []emulator.Entry) {
 	for i := range n {
-		all = append(all, standin.Entry{Instance: fmt.Sprintf("h-%d", i), Address: "127.1.0.1:1", Zone: "a", Lifecycle: "active", Weight: 1})
+		all = append(all, emulator.Entry{Instance: fmt.Sprintf("h-%d", i), Address: "127.1.0.1:1", Zone: "a", Lifecycle: "active", Weight: 1})
 	}
 	return all
 }
 
 func instance(name string, version int64, state decide.State) core.Instance {
 	return core.Instance{Name: name, Address: "127.1.0.1:1", Server: decide.Server{Zone: "a", State: state},
-		Started: time.UnixMilli(standin.StartedAt + version)}
+		Started: time.UnixMilli(emulator.StartedAt + version)}
 }
 
 // A follower's digest is that of the list that it would have, also where it is told a change again or skips one.
@@ -75,9 +75,9 @@
 
 // fleet is some hollow balancers before one source.
 type fleet struct {
-	roster *standin.Roster
-	source *standin.Source
-	ports  []*relay.Port
+	roster *emulator.Roster
+	source *emulator.Source
+	ports  []*faultproxy.Port
 	hollow []*hollow
 	shared *shared
 
@@ -94,15 +94,15 @@
 // begin starts them and waits for their watches.
 func begin(t *testing.T, full bool, hollows, servers int, known bool) *fleet {
 	t.Helper()
-	f := &fleet{roster: standin.NewRoster(entries(servers))}
-	f.source = standin.NewSource(f.roster)
+	f := &fleet{roster: emulator.NewRoster(entries(servers))}
+	f.source = emulator.NewSource(f.roster)
 	t.Cleanup(f.source.Stop)
 	address, err := f.source.Listen(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	link := relay.NewLink(func(*relay.Port) string { return address })
-	list, err := resolver.Decode(f.roster.Whole(1))
+	link := faultproxy.NewLink(func(*faultproxy.Port) string { return address })
+	list, err := httpsource.Decode(f.roster.Whole(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 		}
 		t.Cleanup(p.Close)
 		h := &hollow{id: i, full: full, shared: f.shared, tell: f.note}
-		own, err := resolver.Decode(f.roster.Whole(1))
+		own, err := httpsource.Decode(f.roster.Whole(1))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
-	"cottonplank/internal/resolver"
+	"cottonplank/internal/discovery/httpsource"
 
 	"golang.org/x/sys/unix"
 )
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	known, err := resolver.Decode(list)
+	known, err := httpsource.Decode(list)
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 		h := &hollow{id: s.Balancer, full: w.setup.Full, shared: w.shared, tell: w.note}
 		known, version := w.known, w.version
 		if w.setup.Full { // a copy of its own, as each process has one
-			own, err := resolver.Decode(w.raw)
+			own, err := httpsource.Decode(w.raw)
 			if err != nil {
 				return err
 			}
--- a/internal/rules/recorder.go
+++ b/internal/testbench/invariants/recorder.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"sync"
--- a/internal/rules/rules.go
+++ b/internal/testbench/invariants/rules.go
@@ -1,7 +1,7 @@
-// Package rules checks what a fleet of balancers did against the four rules and the invariants of sessions. It is fed
+// Package invariants checks what a fleet of balancers did against the four rules and the invariants of sessions. It is fed
 // with events that stand-ins see from outside and knows nothing of a balancer's inside; any world that makes the events
 // may be checked. Pure: events carry their times.
-package rules
+package invariants
 
 import (
 	"cmp"
--- a/internal/textline/fuzz_test.go
+++ b/internal/textline/fuzz_test.go
@@ -6,12 +6,12 @@
 	"errors"
 	"testing"
 
-	"cottonplank/internal/seedcorpus"
+	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
 // A line is at most 4 KiB and one line; with its end it is what was read.
 func FuzzRead(f *testing.F) {
-	seedcorpus.Add(f, []byte("PING\r\n"), []byte("LAMEDUCK\n"), bytes.Repeat([]byte("x"), 5000))
+	fuzzcorpus.Add(f, []byte("PING\r\n"), []byte("LAMEDUCK\n"), bytes.Repeat([]byte("x"), 5000))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		text, err := Read(bufio.NewReaderSize(bytes.NewReader(raw), 4096))
 		switch {
