--- a/cmd/cottonplank/control.go
+++ b/cmd/cottonplank/control.go
@@ -48,7 +48,7 @@
 			cfg.Discovery = d.Discovery
 		}
 		if len(d.Rooms) > 0 {
-			cfg.Known = controlplane.Instances(d)
+			cfg.Known = controlplane.Endpoints(d)
 		}
 		log.WithFields(logrus.Fields{"version": f.saved.Version.String(), "rooms": len(d.Rooms), "discovery": d.Discovery}).
 			Info("control: starting with the saved version")
@@ -56,12 +56,12 @@
 	return f, nil
 }
 
-func (f *following) source(module *core.Module) *controlplane.Source {
-	inner := func(sink controlplane.Sink) controlplane.Inner {
+func (f *following) source(module *core.Engine) *controlplane.Source {
+	inner := func(sink core.UpdateHandler) controlplane.DiscoverySource {
 		return httpsource.New(f.cfg.Discovery, f.cfg.Generation, sink, f.log)
 	}
-	return controlplane.NewSource(controlplane.Following{Machines: f.whom.Machines, Region: f.whom.Region, Site: f.whom.Site, Seed: seedOf(f.cfg.Name)},
-		f.keys, f.store, f.saved, inner, module.Rediscover, module, f.log)
+	return controlplane.NewSource(controlplane.FollowerConfig{Machines: f.whom.Machines, Region: f.whom.Region, Site: f.whom.Site, Seed: seedOf(f.cfg.Name)},
+		f.keys, f.store, f.saved, inner, module.SetDiscoveryAddress, module, f.log)
 }
 
 // seedOf spreads followers of different names over the machines.
@@ -131,14 +131,14 @@
 	}
 	store := controlplane.NewStore(m.State, m.Site, log)
 	saved := store.Load()
-	hub := controlplane.NewHub(saved, true)
+	hub := controlplane.NewBroadcaster(saved, true)
 	var running sync.WaitGroup
 	if m.File != "" {
-		writer := controlplane.NewWriter(m.File, m.Term, hub, store, log)
+		writer := controlplane.NewLeader(m.File, m.Term, hub, store, log)
 		running.Go(func() { writer.Run(ctx, hangup) })
 	} else {
-		saver := controlplane.NewSaver(store)
-		follower := controlplane.NewFollower(hub, m.Machines, m.Region, seedOf(m.Listen), keys, m.Site, saver.Put, log)
+		saver := controlplane.NewPersister(store)
+		follower := controlplane.NewFollower(hub, m.Machines, m.Region, seedOf(m.Listen), keys, m.Site, saver.Enqueue, log)
 		running.Go(func() { saver.Run(ctx) })
 		running.Go(func() { follower.Run(ctx) })
 	}
--- a/cmd/cottonplank/cost_test.go
+++ b/cmd/cottonplank/cost_test.go
@@ -96,7 +96,7 @@
 func (p *instanceProcess) listed(t testing.TB, want int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if figures, err := management.Figures(t.Context(), p.management); err == nil && figures["registry_entries"] == uint64(want) {
+		if figures, err := management.ParseMetrics(t.Context(), p.management); err == nil && figures["registry_entries"] == uint64(want) {
 			return true
 		}
 	}
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	all = append(all, key)
-	if _, err := token.NewRing(all, token.MaxLife); err != nil {
+	if _, err := token.NewRing(all, token.MaxLifetime); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	raw, err := token.FormatKeys(all)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	ring, err := token.NewRing(keys, token.MaxLife)
+	ring, err := token.NewRing(keys, token.MaxLifetime)
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
--- a/cmd/cottonplank/main.go
+++ b/cmd/cottonplank/main.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			return fmt.Errorf("fronts: %w", err)
 		}
-		fmt.Fprintf(out, "rooms: %d room servers from %s, in place of discovery\n", len(rooms.Rooms), fronts.Rooms)
+		fmt.Fprintf(out, "rooms: %d room servers from %s, in place of discovery\n", len(rooms.Entries), fronts.Rooms)
 	}
 	if len(fronts.Control.Machines) > 0 {
 		if err := checkFollowing(out, fronts.Control); err != nil {
@@ -84,7 +84,7 @@
 descriptors: %d for channels and dials, %d of them for dials alone; %d requests and connections at once; %d for probes
 SIGHUP takes over: discovery, from the file before PROXY_DISCOVERY, the keys of tokens and of the membership and the list of room servers; every other key takes a restart
 `, cfg.Name, len(cfg.Settings.Classes), len(cfg.Known), cfg.Management, fronts.QUIC.Listen, fronts.SNMP.Listen,
-		cfg.Descriptors, cfg.DialSpare, cfg.MaxChannels, cfg.Probes)
+		cfg.Descriptors, cfg.DialReserve, cfg.MaxClients, cfg.Probes)
 	return err
 }
 
@@ -108,7 +108,7 @@
 		if first, err = filesource.Read(fronts.Rooms); err != nil {
 			return fmt.Errorf("fronts: %w", err)
 		}
-		cfg.Known = filesource.Instances(first)
+		cfg.Known = filesource.Endpoints(first)
 	}
 	cfg.Apply()
 	log := logrus.New()
@@ -122,12 +122,12 @@
 	sockets.Offer(sdnotify.Sockets())
 	marks := &sdnotify.Marks{}
 	cfg.Share(predecessor != nil).Apply()
-	module, err := core.New(core.Config{Settings: cfg.Settings, Known: cfg.Known, MaxChannels: cfg.MaxChannels,
-		AwaitList: predecessor != nil, Pushed: cfg.Pushed, StateWait: stateWait(fronts.Resume), Turns: marks.New("module"), Learned: learned(predecessor, core.Customer(cfg.Settings), log), Log: func(text string) { log.Info(text) }})
+	module, err := core.New(core.Config{Settings: cfg.Settings, Known: cfg.Known, MaxClients: cfg.MaxClients,
+		AwaitList: predecessor != nil, ListPushed: cfg.ListPushed, StateTimeout: stateWait(fronts.Resume), Watchdog: marks.New("module"), Learned: learned(predecessor, core.DeploymentID(cfg.Settings), log), Log: func(text string) { log.Info(text) }})
 	if err != nil {
 		return err
 	}
-	cluster, err := newCluster(fronts.Membership, cfg.Settings, module.FleetSize, log)
+	cluster, err := newCluster(fronts.Membership, cfg.Settings, module.SetFleetSize, log)
 	if err != nil {
 		return err
 	}
@@ -135,10 +135,10 @@
 	if err != nil {
 		return err
 	}
-	clients := hotrestart.NewPause(listener.SetDeadline)
-	var datagrams []*hotrestart.Pause
-	pauseUDP := func(conn *net.UDPConn) *hotrestart.Pause {
-		p := hotrestart.NewPause(conn.SetReadDeadline)
+	clients := hotrestart.NewPauser(listener.SetDeadline)
+	var datagrams []*hotrestart.Pauser
+	pauseUDP := func(conn *net.UDPConn) *hotrestart.Pauser {
+		p := hotrestart.NewPauser(conn.SetReadDeadline)
 		datagrams = append(datagrams, p)
 		return p
 	}
@@ -149,8 +149,8 @@
 		}
 	}
 
-	var connectionIDs *quic.Front
-	var connectionIDsPause, agentPause *hotrestart.Pause
+	var connectionIDs *quic.Frontend
+	var connectionIDsPause, agentPause *hotrestart.Pauser
 	if fronts.QUIC.Listen != "" {
 		conn, err := sockets.ListenUDP("quic", fronts.QUIC.Listen)
 		if err != nil {
@@ -159,7 +159,7 @@
 		if connectionIDs, err = quicFront(cfg, fronts.QUIC, conn, module, log); err != nil {
 			return err
 		}
-		connectionIDs.Watch(marks.New("quic front"))
+		connectionIDs.SetWatchdog(marks.New("quic front"))
 		connectionIDsPause = pauseUDP(conn)
 	}
 	var agent *snmp.Agent
@@ -168,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		detailed := func() *core.Snapshot { return module.Detailed(rowsWait) }
+		detailed := func() *core.Snapshot { return module.DetailedSnapshot(rowsWait) }
 		agent = snmp.New(conn, fronts.SNMP.Community, cfg.Name, classNames(cfg), module.Snapshot, detailed, log)
 		agentPause = pauseUDP(conn)
 	}
@@ -187,32 +187,32 @@
 	prober := platform.NewProber(ctx, module, cfg.Probes)
 	var list source
 	var rooms *filesource.Source
-	rediscover := module.Rediscover
+	rediscover := module.SetDiscoveryAddress
 	switch {
 	case following != nil:
 		controlled := following.source(module)
-		rediscover, list = controlled.Rediscover, controlled
+		rediscover, list = controlled.SetFallbackAddress, controlled
 	case fronts.Rooms != "":
 		rooms = filesource.New(fronts.Rooms, first, module, log)
 		list = rooms
 	default:
 		list = httpsource.New(cfg.Discovery, cfg.Generation, module, log)
 	}
-	list.Watch(marks.New("list"))
-	front := platform.New(module, names(cfg), platform.Budget{Descriptors: cfg.Descriptors, DialSpare: cfg.DialSpare}, log)
-	front.Watch(marks.New("clients' front"))
-	var resuming *platform.Resuming
+	list.SetWatchdog(marks.New("list"))
+	front := platform.New(module, names(cfg), platform.DescriptorBudget{Total: cfg.Descriptors, DialReserve: cfg.DialReserve}, log)
+	front.SetWatchdog(marks.New("clients' front"))
+	var resuming *platform.SessionResumer
 	if ring != nil {
 		r := fronts.Resume
-		resuming = platform.NewResuming(platform.ResumeLimits{Site: r.Site, Life: r.Life, MaxState: r.MaxState, MaxBytes: r.MaxBytes,
-			MaxMoves: r.MaxMoves}, ring)
-		front.Resume(resuming)
+		resuming = platform.NewSessionResumer(platform.SessionLimits{Site: r.Site, TokenLifetime: r.Life, MaxState: r.MaxState, MaxBytes: r.MaxBytes,
+			MaxMigrations: r.MaxMoves}, ring)
+		front.EnableSessions(resuming)
 	}
 	var running sync.WaitGroup
 	running.Go(func() { list.Run(ctx) })
 	running.Go(func() { module.Run(ctx, prober, list); prober.Wait() })
 	next := newSuccession(cfg, module, front, cluster, clients, datagrams, predecessor)
-	tell := func() []string { return module.Learned(learnedWait) }
+	tell := func() []string { return module.ExportLearned(learnedWait) }
 	offer := hotrestart.NewOffer(path, sockets, tell, next.successors, log)
 	running.Go(func() { next.run(ctx) })
 	running.Go(func() { next.begin(ctx, predecessor, func() { offer.Serve(ctx) }) })
@@ -220,18 +220,18 @@
 	if managementListener != nil {
 		server := management.New(module, classNames(cfg), cfg.Callers, log)
 		if cluster != nil {
-			server.Show(func() []management.Figure { return clusterFigures(cluster) })
+			server.AddMetrics(func() []management.Metric { return clusterFigures(cluster) })
 		}
 		running.Go(func() { server.Serve(ctx, managementListener) })
 	}
 	if cluster != nil {
 		running.Go(func() { cluster.Run(ctx) })
-		running.Go(func() { followService(ctx, cluster, module.Service) })
+		running.Go(func() { followService(ctx, cluster, module.ServiceState) })
 	}
 	reload := &reloader{fronts: fronts, cluster: cluster, rediscover: rediscover, resuming: resuming, rooms: rooms,
 		generation: func(uint64) {}, supervisor: supervisor, log: log}
 	if frontsFile != "" { // INFO is as the platform knows it where there is none
-		reload.generation = module.Generation
+		reload.generation = module.SetConfigGeneration
 	}
 	running.Go(func() { reload.run(ctx, hangup) })
 	go supervisor.Run(ctx) // not waited for below: a supervisor's socket may hang
@@ -255,10 +255,10 @@
 			cluster.Leave()
 		}
 	}()
-	<-module.Drain(cfg.StopBudget, func() bool { return front.Waits(listener) })
+	<-module.Drain(cfg.StopBudget, func() bool { return front.ClientsWaiting(listener) })
 	s := module.Snapshot()
-	log.WithFields(logrus.Fields{"served": s.Served, "refused": s.Refused, "failed": s.Failed, "left": s.Left,
-		"moves": s.Moves, "silent": s.Silent, "probes": s.Probes, "attempts": s.Attempts}).Info("stopped")
+	log.WithFields(logrus.Fields{"served": s.Served, "refused": s.Rejected, "failed": s.Failed, "left": s.ClientsLeft,
+		"moves": s.Migrations, "silent": s.Unresponsive, "probes": s.Probes, "attempts": s.Attempts}).Info("stopped")
 	<-left
 	cancel()
 	ended := make(chan struct{})
@@ -277,14 +277,14 @@
 
 // source is where the list of room servers comes from, as an actor.
 type source interface {
-	core.Resolver
-	Watch(core.Turns)
+	core.Discovery
+	SetWatchdog(core.Watchdog)
 	Run(context.Context)
 }
 
 // announce tells the supervisor when this process serves. One that takes over from another is the service's main process
 // from then on: the other one is about to be stopped.
-func announce(ctx context.Context, module *core.Module, supervisor *sdnotify.Notifier, takesOver bool) {
+func announce(ctx context.Context, module *core.Engine, supervisor *sdnotify.Notifier, takesOver bool) {
 	select {
 	case <-module.Ready():
 		if takesOver {
@@ -298,7 +298,7 @@
 // status is the line that a supervisor shows.
 func status(s *core.Snapshot) string {
 	return fmt.Sprintf("%s: %d connections stand, %d requests wait, %d room servers listed, %d of them left out", s.Service,
-		s.Standing, s.Waiting, s.Listed, s.Avoided)
+		s.Established, s.Waiting, s.Listed, s.Ejected)
 }
 
 // stateWait is 0 where sessions are not resumed.
@@ -309,13 +309,13 @@
 	return r.StateWait
 }
 
-func quicFront(cfg *config.Config, q config.QUIC, conn *net.UDPConn, module *core.Module, log *logrus.Logger) (*quic.Front, error) {
+func quicFront(cfg *config.Config, q config.QUIC, conn *net.UDPConn, module *core.Engine, log *logrus.Logger) (*quic.Frontend, error) {
 	ids, err := quic.NewIDFormat(q.ConfigID, q.NonceLen, q.IDKey)
 	if err != nil {
 		return nil, fmt.Errorf("quic front: %w", err)
 	}
 	return quic.New(quic.Config{Conn: conn, IDs: ids, ResetKey: q.ResetKey, Class: q.Class,
-		Wait: cfg.Settings.Classes[q.Class].GiveUp, Idle: q.Idle, MaxFlows: q.MaxFlows}, module, log), nil
+		Timeout: cfg.Settings.Classes[q.Class].ClientTimeout, Idle: q.Idle, MaxFlows: q.MaxFlows}, module, log), nil
 }
 
 func classNames(cfg *config.Config) (all []string) {
--- a/cmd/cottonplank/main_test.go
+++ b/cmd/cottonplank/main_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resuming := platform.NewResuming(platform.ResumeLimits{Site: "armor", Life: time.Hour, MaxBytes: 1, MaxMoves: 1}, ring)
+	resuming := platform.NewSessionResumer(platform.SessionLimits{Site: "armor", TokenLifetime: time.Hour, MaxBytes: 1, MaxMigrations: 1}, ring)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	t.Setenv("NOTIFY_SOCKET", "")
@@ -170,7 +170,7 @@
 	if run([]string{"keys", "new", "--file", keys}, &out, &out) != 0 {
 		t.Fatal(out.String())
 	}
-	got := make(chan core.Result, 10)
+	got := make(chan core.EndpointUpdate, 10)
 	r.rooms = filesource.New(rooms, first, results(got), log)
 	go r.rooms.Run(t.Context())
 	replace(t, rooms, `{"rooms":[]}`)
@@ -181,16 +181,16 @@
 	if err := r.reload(t.Context()); err != nil {
 		t.Error(err)
 	}
-	if list := <-got; len(list.Instances) != 2 {
+	if list := <-got; len(list.Endpoints) != 2 {
 		t.Errorf("taken over: %+v", list)
 	}
 }
 
 // results is a sink of lists.
-type results chan core.Result
+type results chan core.EndpointUpdate
 
-func (r results) Resolved(list core.Result) { r <- list }
-func (results) ListAlive(uint64)            {}
+func (r results) EndpointsUpdated(list core.EndpointUpdate) { r <- list }
+func (results) WatchAlive(uint64)                           {}
 
 // SIGHUP turns the running program to the discovery that the file now names, before PROXY_DISCOVERY; a client's
 // connection stays. A faulty file changes nothing, and SIGHUP in a planned stop is harmless.
--- a/cmd/cottonplank/membership.go
+++ b/cmd/cottonplank/membership.go
@@ -30,14 +30,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("fronts: membership.%w", err)
 	}
-	return gossip.New(gossip.Config{Settings: m, Ring: ring, Named: decide.NamedFleetSize(settings), Version: programVersion(), Log: log,
+	return gossip.New(gossip.Config{Settings: m, Ring: ring, Named: decide.ConfiguredFleetSize(settings), Version: programVersion(), Log: log,
 		OnView: func(view *membership.View) { use(fleetSize(view, settings)) }}), nil
 }
 
 // fleetSize is what the decisions go by: the membership's count, or the settings' number where the instance is no member.
 func fleetSize(view *membership.View, settings decide.Settings) decide.FleetSize {
 	if view == nil {
-		return decide.NamedFleetSize(settings)
+		return decide.ConfiguredFleetSize(settings)
 	}
 	return decide.FleetSize{Fleet: view.Sharing.Cluster, Zone: view.Sharing.Zone, Admitted: view.Sharing.Admitted}
 }
@@ -64,7 +64,7 @@
 }
 
 // followService leaves the cluster while this process sends its clients away, and joins it again when it is called back.
-func followService(ctx context.Context, cluster *gossip.Cluster, service func() core.Service) {
+func followService(ctx context.Context, cluster *gossip.Cluster, service func() core.ServiceState) {
 	ticker := time.NewTicker(serviceEvery)
 	defer ticker.Stop()
 	away := false
@@ -86,9 +86,9 @@
 }
 
 // clusterFigures are what INFO tells of the membership.
-func clusterFigures(cluster *gossip.Cluster) []management.Figure {
+func clusterFigures(cluster *gossip.Cluster) []management.Metric {
 	frames := cluster.Figures()
-	figures := []management.Figure{
+	figures := []management.Metric{
 		{Name: "gossip_bytes_sent", Value: frames.BytesSent},
 		{Name: "frames_too_long", Value: frames.TooLong},
 		{Name: "frames_replayed", Value: frames.Replayed},
@@ -99,15 +99,15 @@
 		return figures
 	}
 	return append(figures,
-		management.Figure{Name: "members_alive", Value: uint64(view.Alive)},
-		management.Figure{Name: "members_suspect", Value: uint64(view.Suspect)},
-		management.Figure{Name: "members_failed", Value: uint64(view.Failed)},
-		management.Figure{Name: "fleet_size", Value: uint64(view.Sharing.Cluster)},
-		management.Figure{Name: "zone_size", Value: uint64(view.Sharing.Zone)},
-		management.Figure{Name: "isolated", Value: flag(view.Isolated)},
-		management.Figure{Name: "partitioned", Value: flag(view.Partitioned)},
-		management.Figure{Name: "admitted", Value: flag(view.Sharing.Admitted)},
-		management.Figure{Name: "view_version", Value: view.Version})
+		management.Metric{Name: "members_alive", Value: uint64(view.Alive)},
+		management.Metric{Name: "members_suspect", Value: uint64(view.Suspect)},
+		management.Metric{Name: "members_failed", Value: uint64(view.Failed)},
+		management.Metric{Name: "fleet_size", Value: uint64(view.Sharing.Cluster)},
+		management.Metric{Name: "zone_size", Value: uint64(view.Sharing.Zone)},
+		management.Metric{Name: "isolated", Value: flag(view.Isolated)},
+		management.Metric{Name: "partitioned", Value: flag(view.Partitioned)},
+		management.Metric{Name: "admitted", Value: flag(view.Sharing.Admitted)},
+		management.Metric{Name: "view_version", Value: view.Version})
 }
 
 func flag(is bool) uint64 {
--- a/cmd/cottonplank/membership_test.go
+++ b/cmd/cottonplank/membership_test.go
@@ -58,7 +58,7 @@
 }
 
 func (p *process) figures() map[string]uint64 {
-	figures, err := management.Figures(p.t.Context(), p.management)
+	figures, err := management.ParseMetrics(p.t.Context(), p.management)
 	if err != nil {
 		return map[string]uint64{}
 	}
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -23,9 +23,9 @@
 	fronts     config.Fronts
 	cluster    *gossip.Cluster // nil: this instance is no member
 	rediscover func(address string)
-	resuming   *platform.Resuming // nil: sessions are not resumed
-	rooms      *filesource.Source // nil: the list is discovery's
-	generation func(uint64)       // tells how many have been taken over, the start as the first
+	resuming   *platform.SessionResumer // nil: sessions are not resumed
+	rooms      *filesource.Source       // nil: the list is discovery's
+	generation func(uint64)             // tells how many have been taken over, the start as the first
 	supervisor *sdnotify.Notifier
 	log        *logrus.Logger
 }
@@ -80,11 +80,11 @@
 		r.cluster.Use(members)
 	}
 	if ring != nil {
-		r.resuming.Use(ring)
+		r.resuming.SetKeys(ring)
 		r.log.WithFields(logrus.Fields{"seals": ring.Sealing(time.Now()), "keys": len(ring.Keys())}).Info("keys taken over")
 	}
 	if r.rooms != nil {
-		r.rooms.Offer(ctx, rooms)
+		r.rooms.Propose(ctx, rooms)
 	} else {
 		r.rediscover(cfg.Discovery)
 	}
--- a/cmd/cottonplank/return_test.go
+++ b/cmd/cottonplank/return_test.go
@@ -24,12 +24,12 @@
 const toldAfter = 6 * time.Second
 
 // withDoor is a deployment whose discovery can go down.
-func withDoor(t *testing.T) (*deployment, *emulator.Discovery, *emulator.Door) {
+func withDoor(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
 	t.Helper()
 	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	d.listen = ownAddress(t)
 	discovery.Tell("s-1", d.server, "a", "active")
-	door, err := emulator.NewDoor(discovery.Handler("any"))
+	door, err := emulator.NewFaultyListener(discovery.Handler("any"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 }
 
 // startOf starts one of a fleet of 300, with so many descriptors.
-func (d *deployment) startOf(door *emulator.Door, name, listen, mode string, sockets uint64) *process {
+func (d *deployment) startOf(door *emulator.FaultyListener, name, listen, mode string, sockets uint64) *process {
 	d.t.Helper()
 	dir := filepath.Join(d.dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -90,9 +90,9 @@
 	return time.Since(start)
 }
 
-func turn(t *testing.T, door *emulator.Door, to emulator.Outage) {
+func turn(t *testing.T, door *emulator.FaultyListener, to emulator.Outage) {
 	t.Helper()
-	if err := door.Turn(to); err != nil {
+	if err := door.SetOutage(to); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -130,7 +130,7 @@
 }
 
 // waitForCalls waits until discovery has had so many: each process's first poll may be seconds away.
-func waitForCalls(t *testing.T, door *emulator.Door, n uint64) {
+func waitForCalls(t *testing.T, door *emulator.FaultyListener, n uint64) {
 	t.Helper()
 	for end := time.Now().Add(soon); door.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/cmd/cottonplank/status.go
+++ b/cmd/cottonplank/status.go
@@ -112,12 +112,12 @@
 }
 
 func (in *instance) ask(ctx context.Context, over time.Duration) error {
-	pong, err := management.Ask(ctx, in.Address, "PING")
+	pong, err := management.Query(ctx, in.Address, "PING")
 	if err != nil {
 		return err
 	}
 	_, in.State, _ = strings.Cut(pong[0], " ")
-	before, err := management.Figures(ctx, in.Address)
+	before, err := management.ParseMetrics(ctx, in.Address)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	now, err := management.Figures(ctx, in.Address)
+	now, err := management.ParseMetrics(ctx, in.Address)
 	if err != nil {
 		return err
 	}
--- a/cmd/cottonplank/succession.go
+++ b/cmd/cottonplank/succession.go
@@ -19,11 +19,11 @@
 // accepts, who reads datagrams, and how much of the limits each works on.
 type succession struct {
 	cfg       *config.Config
-	module    *core.Module
-	front     *platform.Front
+	module    *core.Engine
+	front     *platform.Frontend
 	cluster   *gossip.Cluster // nil: this instance is no member
-	clients   *hotrestart.Pause
-	datagrams []*hotrestart.Pause
+	clients   *hotrestart.Pauser
+	datagrams []*hotrestart.Pauser
 	turns     chan func()
 	done      chan struct{}
 
@@ -38,14 +38,14 @@
 }
 
 // newSuccession returns the actor of a process that accepts nothing yet where it has a predecessor.
-func newSuccession(cfg *config.Config, module *core.Module, front *platform.Front, cluster *gossip.Cluster, clients *hotrestart.Pause,
-	datagrams []*hotrestart.Pause, predecessor *hotrestart.Predecessor) *succession {
+func newSuccession(cfg *config.Config, module *core.Engine, front *platform.Frontend, cluster *gossip.Cluster, clients *hotrestart.Pauser,
+	datagrams []*hotrestart.Pauser, predecessor *hotrestart.Predecessor) *succession {
 	s := &succession{cfg: cfg, module: module, front: front, cluster: cluster, clients: clients, datagrams: datagrams,
 		turns: make(chan func()), done: make(chan struct{}), accepts: true, reads: true}
 	if predecessor != nil {
 		s.before, s.waiting, s.accepts, s.reads = true, true, false, false
 		for _, p := range append(datagrams, clients) {
-			p.Hold()
+			p.Pause()
 		}
 	}
 	return s
@@ -85,7 +85,7 @@
 	case <-ctx.Done():
 		return
 	case <-predecessor.Gone:
-		s.module.Begin() // nobody else serves: at once, with the list as last known
+		s.module.SkipListWait() // nobody else serves: at once, with the list as last known
 	case <-s.module.Ready():
 	}
 	s.turn(func() { s.waiting = false })
@@ -101,13 +101,13 @@
 const learnedWait = 400 * time.Millisecond
 
 // learned reads what a predecessor has learned of the room servers. A line that cannot be read is left out.
-func learned(predecessor *hotrestart.Predecessor, customer string, log *logrus.Logger) (all []decide.Learned) {
+func learned(predecessor *hotrestart.Predecessor, customer string, log *logrus.Logger) (all []decide.LearnedState) {
 	if predecessor == nil {
 		return nil
 	}
 	for _, line := range predecessor.Learned {
 		l, err := core.DecodeLearned(line, customer)
-		if errors.Is(err, core.ErrOther) {
+		if errors.Is(err, core.ErrOtherDeployment) {
 			log.Warn("hand-over: what the process before has learned is left out: it has other settings, or an earlier version")
 			return nil
 		}
@@ -130,9 +130,9 @@
 func (s *succession) apply() {
 	share := s.cfg.Share(s.before || s.after.Connected > 0)
 	share.Apply()
-	s.front.Reserve(share.Reserved)
-	s.module.Bound(share.MaxChannels)
-	s.front.Succeeded(s.after.Serving > 0)
+	s.front.SetReserve(share.Reserved)
+	s.module.SetMaxClients(share.MaxClients)
+	s.front.SetReplaced(s.after.Serving > 0)
 	s.applyMembership()
 	if accepts := !s.waiting && !(s.stopping && s.after.Serving > 0); accepts != s.accepts {
 		s.accepts = accepts
@@ -159,12 +159,12 @@
 	}
 }
 
-func set(on bool, pauses ...*hotrestart.Pause) {
+func set(on bool, pauses ...*hotrestart.Pauser) {
 	for _, p := range pauses {
 		if on {
 			p.Resume()
 		} else {
-			p.Hold()
+			p.Pause()
 		}
 	}
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -15,14 +15,14 @@
 // ServerID names a server. It carries no order, zone or age.
 type ServerID uint32
 
-// Repeat says what a second execution of a request would do.
-type Repeat uint8
+// Idempotency says what a second execution of a request would do.
+type Idempotency uint8
 
 // The kinds of request.
 const (
-	Safe   Repeat = iota // may be repeated and refused freely
-	Keyed                // servers of one group drop repeats for a window
-	Unsafe               // must not run twice
+	Idempotent      Idempotency = iota // may be repeated and refused freely
+	IdempotentByKey                    // servers of one group drop repeats for a window
+	NotIdempotent                      // must not run twice
 )
 
 // KeyScope is the group of servers that drops the repeats of a keyed request.
@@ -37,29 +37,29 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Name       string        // for the host's use; no decision depends on it
-	Aim        time.Duration // a connection should stand within this; must be above 0
-	MessageAim time.Duration // a message should be served within this; 0: unknown
-	GiveUp     time.Duration // what a client waits in all
-	Repeat     Repeat
-	Scope      KeyScope      // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send
+	Name                    string        // for the host's use; no decision depends on it
+	LatencyObjective        time.Duration // a connection should stand within this; must be above 0
+	MessageLatencyObjective time.Duration // a message should be served within this; 0: unknown
+	ClientTimeout           time.Duration // what a client waits in all
+	Idempotency             Idempotency
+	KeyScope                KeyScope      // for Keyed
+	DedupWindow             time.Duration // for Keyed: how long repeats are dropped, from the first send
 }
 
-// Rules are the figures of the safety rules.
-type Rules struct {
-	DrainGrace   time.Duration // sends to a server told to drain must have ended by then
-	MustAsk      time.Duration // longest silence towards discovery; 0: no such limit
-	ColdShare    float64       // a starting server has at least this part of its capacity, 0 to 1
-	Cold         time.Duration // and all of it after this long
-	FallMultiple float64       // sent more than this multiple of its present capacity
-	Fall         time.Duration // for this long, a cold server falls over
+// SafetyLimits are the figures of the safety rules.
+type SafetyLimits struct {
+	DrainGrace        time.Duration // sends to a server told to drain must have ended by then
+	MaxPollInterval   time.Duration // longest silence towards discovery; 0: no such limit
+	SlowStartShare    float64       // a starting server has at least this part of its capacity, 0 to 1
+	SlowStartDuration time.Duration // and all of it after this long
+	OverloadFactor    float64       // sent more than this multiple of its present capacity
+	OverloadWindow    time.Duration // for this long, a cold server falls over
 }
 
-// Prices are costs as a fraction of the worth of a first try; 0 means free.
-type Prices struct {
+// Costs are costs as a fraction of the worth of a first try; 0 means free.
+type Costs struct {
 	Probe     float64 // one probe
-	Move      float64 // one moved connection
+	Migration float64 // one moved connection
 	CrossZone float64 // one attempt that leaves the zone
 }
 
@@ -69,15 +69,15 @@
 	Zone           string        // the zone of this balancer
 	Zones          []string      // all zones; empty: Zone alone
 	Balancers      int           // balancers that share the fleet; 0 means 1
-	Subscribe      bool          // list changes come only once asked for
+	WatchList      bool          // list changes come only once asked for
 	Classes        []Class       // at least one
-	MaxTries       int           // attempts for a request; 0 means 1
+	MaxAttempts    int           // attempts for a request; 0 means 1
 	ConnectTimeout time.Duration // the host ends a dial without answer after this; 0: unknown
 	MaxRetryAfter  time.Duration // longest retry-after a client honours; 0: give none
-	MayProbe       bool
-	Groups         bool // connections of one group share work on their server
-	Rules          Rules
-	Prices         Prices
+	ProbingAllowed bool
+	GroupAffinity  bool // connections of one group share work on their server
+	Safety         SafetyLimits
+	Costs          Costs
 }
 
 // State is what discovery knows of a server.
@@ -87,7 +87,7 @@
 const (
 	Ready    State = iota
 	Draining       // finishes what it holds; send nothing new
-	Gone           // withdrawn
+	Removed        // withdrawn
 )
 
 // Server is one line of a list.
@@ -100,14 +100,14 @@
 	Weight  float64       // size against others; 0 counts as 1
 }
 
-// Report is a server's own account of its load. Absent values are negative.
-type Report struct {
-	Load float64 // load asked of it over what it can do
-	Held float64 // connections it holds
+// LoadReport is a server's own account of its load. Absent values are negative.
+type LoadReport struct {
+	Load        float64 // load asked of it over what it can do
+	Connections float64 // connections it holds
 }
 
-// NoReport stands for an answer that carried no report.
-var NoReport = Report{Load: -1, Held: -1}
+// NoLoadReport stands for an answer that carried no report.
+var NoLoadReport = LoadReport{Load: -1, Connections: -1}
 
 // Code says how an attempt or a probe ended.
 type Code uint8
@@ -116,16 +116,16 @@
 const (
 	OK            Code = iota // served
 	ServerError               // the server failed it; may have run
-	Full                      // turned away unseen; never ran
+	Rejected                  // turned away unseen; never ran
 	TimedOut                  // no timely answer; may have run
 	ConnectFailed             // no connection in time; never ran
 	Reset                     // the connection broke; may have run
 	Cancelled                 // withdrawn; may have run
-	Moot                      // never sent
+	NotSent                   // never sent
 )
 
-// NeverRan tells whether the code proves that the attempt did not execute.
-func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
+// NeverExecuted tells whether the code proves that the attempt did not execute.
+func (c Code) NeverExecuted() bool { return c == Rejected || c == ConnectFailed || c == NotSent }
 
 // Event is something the host reports. Events of the same moment are handed in
 // one after the other, in the order in which they happened.
@@ -141,8 +141,8 @@
 		Servers []Server // not kept; the host may use the slice again
 	}
 
-	// Requested is a client's request; exactly one final answer is owed for it.
-	Requested struct {
+	// RequestArrived is a client's request; exactly one final answer is owed for it.
+	RequestArrived struct {
 		ID        RequestID
 		Class     int // index in Settings.Classes
 		Key       string
@@ -153,9 +153,9 @@
 		Returning bool          // the client is back after a break or a move
 	}
 
-	// Opened reports a connection that already stands; attempt 0 counts as made.
-	Opened struct {
-		Request Requested
+	// ConnectionRestored reports a connection that already stands; attempt 0 counts as made.
+	ConnectionRestored struct {
+		Request RequestArrived
 		Server  ServerID
 	}
 
@@ -164,7 +164,7 @@
 		ID      RequestID
 		Attempt int
 		Server  ServerID
-		Took    time.Duration
+		Elapsed time.Duration
 	}
 
 	// LoadChanged tells the present load of an open connection, in seconds of work a second.
@@ -173,36 +173,36 @@
 		Load float64
 	}
 
-	// MessagesSlow tells how long a message takes now at the server of an open connection.
-	MessagesSlow struct {
+	// MessageDelayReported tells how long a message takes now at the server of an open connection.
+	MessageDelayReported struct {
 		ID     RequestID
 		Server ServerID
 		Delay  time.Duration
 	}
 
-	// Ended closes an attempt; each Place gets one.
-	Ended struct {
+	// AttemptEnded closes an attempt; each Place gets one.
+	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Code    Code
 		Final   bool // nothing more is owed for the request
-		Took    time.Duration
-		Report  Report
+		Elapsed time.Duration
+		Report  LoadReport
 	}
 
-	// Expired says that the host can hold a request no longer: the final answer is due now.
-	Expired struct{ ID RequestID }
+	// RequestExpired says that the host can hold a request no longer: the final answer is due now.
+	RequestExpired struct{ ID RequestID }
 
-	// ClientGone ends a request from the client's side; nothing more is owed.
-	ClientGone struct{ ID RequestID }
+	// ClientDisconnected ends a request from the client's side; nothing more is owed.
+	ClientDisconnected struct{ ID RequestID }
 
-	// Probed is the result of one Probe.
-	Probed struct {
-		Server ServerID
-		Code   Code
-		Took   time.Duration
-		Report Report
+	// ProbeCompleted is the result of one Probe.
+	ProbeCompleted struct {
+		Server  ServerID
+		Code    Code
+		Elapsed time.Duration
+		Report  LoadReport
 	}
 
 	// FleetSize tells among how many balancers the fleet's budgets are divided from now on, as the cluster's membership counts
@@ -222,8 +222,8 @@
 
 // The kinds of list.
 const (
-	ListChanges  ListKind = iota // changed lines only
-	ListFull                     // everything; a server left out is gone
+	ListDelta    ListKind = iota // changed lines only
+	ListSnapshot                 // everything; a server left out is gone
 	ListRestored                 // the last list before a restart, maybe out of date
 	ListFailed                   // a call failed or the subscription broke; no lines
 )
@@ -233,15 +233,15 @@
 type Action interface{ action() }
 
 type (
-	// Place starts the request's next attempt; attempts count from 0.
-	Place struct {
-		ID     RequestID
-		Server ServerID
-		Wait   time.Duration // time-out for the connection to stand
+	// StartAttempt starts the request's next attempt; attempts count from 0.
+	StartAttempt struct {
+		ID      RequestID
+		Server  ServerID
+		Timeout time.Duration // time-out for the connection to stand
 	}
 
-	// Refuse is a final answer: trying again is harmless.
-	Refuse struct {
+	// Reject is a final answer: trying again is harmless.
+	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration // 0: no advice
 	}
@@ -249,14 +249,14 @@
 	// Fail is a final answer that promises nothing.
 	Fail struct{ ID RequestID }
 
-	// Move ends an open connection politely; its client comes again.
-	Move struct{ ID RequestID }
+	// Migrate ends an open connection politely; its client comes again.
+	Migrate struct{ ID RequestID }
 
 	// Probe asks a server for its report.
 	Probe struct{ Server ServerID }
 
-	// Subscribe asks discovery for changes from the present list on.
-	Subscribe struct{}
+	// WatchList asks discovery for changes from the present list on.
+	WatchList struct{}
 
 	// FetchList asks discovery for the complete list once.
 	FetchList struct{}
@@ -264,33 +264,33 @@
 	// SetTimer asks for a TimerFired after the wait.
 	SetTimer struct {
 		Token uint64
-		Wait  time.Duration
+		Delay time.Duration
 	}
 
 	// Log is a line for operators.
 	Log struct{ Text string }
 )
 
-func (Started) event()      {}
-func (ListReceived) event() {}
-func (Requested) event()    {}
-func (Opened) event()       {}
-func (Established) event()  {}
-func (LoadChanged) event()  {}
-func (MessagesSlow) event() {}
-func (Ended) event()        {}
-func (Expired) event()      {}
-func (ClientGone) event()   {}
-func (Probed) event()       {}
-func (FleetSize) event()    {}
-func (TimerFired) event()   {}
-
-func (Place) action()     {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Move) action()      {}
-func (Probe) action()     {}
-func (Subscribe) action() {}
-func (FetchList) action() {}
-func (SetTimer) action()  {}
-func (Log) action()       {}
+func (Started) event()              {}
+func (ListReceived) event()         {}
+func (RequestArrived) event()       {}
+func (ConnectionRestored) event()   {}
+func (Established) event()          {}
+func (LoadChanged) event()          {}
+func (MessageDelayReported) event() {}
+func (AttemptEnded) event()         {}
+func (RequestExpired) event()       {}
+func (ClientDisconnected) event()   {}
+func (ProbeCompleted) event()       {}
+func (FleetSize) event()            {}
+func (TimerFired) event()           {}
+
+func (StartAttempt) action() {}
+func (Reject) action()       {}
+func (Fail) action()         {}
+func (Migrate) action()      {}
+func (Probe) action()        {}
+func (WatchList) action()    {}
+func (FetchList) action()    {}
+func (SetTimer) action()     {}
+func (Log) action()          {}
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -16,19 +16,19 @@
 
 // fleet is a balancer that knows so many servers; it holds the connections that are asked for.
 func fleet(t testing.TB, set Settings, n, conns int) *Balancer {
-	set.Zones, set.MayProbe = []string{"a", "b", "c"}, true
+	set.Zones, set.ProbingAllowed = []string{"a", "b", "c"}, true
 	bal, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 100 * time.Second
 	bal.Handle(now, Started{}, nil)
-	bal.Handle(now, ListReceived{Kind: ListFull, Servers: rooms(n)}, nil)
+	bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: rooms(n)}, nil)
 	for i := range conns {
-		bal.Handle(now, Opened{Request: Requested{ID: RequestID(name("o", i))}, Server: ServerID(i%300 + 1)}, nil)
+		bal.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%300 + 1)}, nil)
 	}
 	for i := range n {
-		bal.Handle(now, Probed{Server: ServerID(i + 1), Report: Report{Load: 0.5, Held: 10}}, nil)
+		bal.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Report: LoadReport{Load: 0.5, Connections: 10}}, nil)
 	}
 	return bal
 }
@@ -51,9 +51,9 @@
 		for b.Loop() {
 			now += time.Millisecond
 			i++
-			out = bal.Handle(now, Requested{ID: "r", Group: group(i), Remaining: time.Second}, out[:0])
-			out = bal.Handle(now, ClientGone{ID: "r"}, out[:0])
-			out = bal.Handle(now, Probed{Server: 7, Report: Report{Load: 0.3, Held: -1}}, out[:0])
+			out = bal.Handle(now, RequestArrived{ID: "r", Group: group(i), Remaining: time.Second}, out[:0])
+			out = bal.Handle(now, ClientDisconnected{ID: "r"}, out[:0])
+			out = bal.Handle(now, ProbeCompleted{Server: 7, Report: LoadReport{Load: 0.3, Connections: -1}}, out[:0])
 		}
 	}
 }
@@ -100,7 +100,7 @@
 			i++
 			s := list[i/2*7919%n]
 			s.State = State(i % 2) // drains, and is back
-			out = bal.Handle(now, ListReceived{Kind: ListChanges, Servers: []Server{s}}, out[:0])
+			out = bal.Handle(now, ListReceived{Kind: ListDelta, Servers: []Server{s}}, out[:0])
 		}
 	})
 }
@@ -112,7 +112,7 @@
 		now := 101 * time.Second
 		for b.Loop() {
 			now += time.Second
-			out = bal.Handle(now, ListReceived{Kind: ListFull, Servers: list}, out[:0])
+			out = bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: list}, out[:0])
 		}
 	})
 }
@@ -125,7 +125,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Handle(100*time.Second, ListReceived{Kind: ListFull, Servers: list}, nil)
+			bal.Handle(100*time.Second, ListReceived{Kind: ListSnapshot, Servers: list}, nil)
 		}
 	})
 }
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -114,7 +114,7 @@
 func newColdFleet(t *testing.T, c coldCase, set Settings) *coldFleet {
 	f := &coldFleet{coldCase: c, set: set, now: 1000 * time.Second, rng: rand.New(rand.NewPCG(11, c.seed)),
 		rooms: map[ServerID]*coldRoom{}}
-	f.set.Balancers, f.set.Groups = max(c.told, 0), c.groups > 0
+	f.set.Balancers, f.set.GroupAffinity = max(c.told, 0), c.groups > 0
 	if c.told == 0 {
 		f.set.Balancers = c.modules
 	}
@@ -151,7 +151,7 @@
 	if f.counted {
 		f.handle(m, FleetSize{Fleet: f.coldCase.modules, Zone: (f.coldCase.modules + 1) / 2, Admitted: !f.barred})
 	}
-	f.handle(m, ListReceived{Kind: ListFull, Servers: f.list})
+	f.handle(m, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	return m
 }
 
@@ -163,8 +163,8 @@
 
 // part is what a room server can do now of what it does when warm.
 func (f *coldFleet) part(s *coldRoom, at time.Duration) float64 {
-	if age := at - s.Started; s.Started > 0 && age < f.set.Rules.Cold {
-		return f.set.Rules.ColdShare + (1-f.set.Rules.ColdShare)*max(0, float64(age)/float64(f.set.Rules.Cold))
+	if age := at - s.Started; s.Started > 0 && age < f.set.Safety.SlowStartDuration {
+		return f.set.Safety.SlowStartShare + (1-f.set.Safety.SlowStartShare)*max(0, float64(age)/float64(f.set.Safety.SlowStartDuration))
 	}
 	return 1
 }
@@ -173,11 +173,11 @@
 	for _, a := range m.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
-			f.later(coldEvent{module: m, ev: TimerFired{Token: a.Token}}, a.Wait)
+			f.later(coldEvent{module: m, ev: TimerFired{Token: a.Token}}, a.Delay)
 		case Probe:
 			s := f.rooms[a.Server]
 			if s.isGone {
-				f.later(coldEvent{module: m, ev: Probed{Server: a.Server, Code: ConnectFailed, Report: NoReport}}, coldStep)
+				f.later(coldEvent{module: m, ev: ProbeCompleted{Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, coldStep)
 				continue
 			}
 			held := 0
@@ -185,13 +185,13 @@
 				held = s.past[n]
 			}
 			load := float64(held) / (s.holds * f.part(s, f.now))
-			f.later(coldEvent{module: m, ev: Probed{Server: a.Server, Code: OK, Report: Report{Load: load, Held: float64(held)}}}, coldStep)
-		case Place:
+			f.later(coldEvent{module: m, ev: ProbeCompleted{Server: a.Server, Code: OK, Report: LoadReport{Load: load, Connections: float64(held)}}}, coldStep)
+		case StartAttempt:
 			s := f.rooms[a.Server]
 			try := m.tries[a.ID]
 			m.tries[a.ID]++
 			if s.isGone {
-				f.later(coldEvent{module: m, ev: Ended{ID: a.ID, Attempt: try, Server: a.Server, Code: ConnectFailed, Report: NoReport}}, coldStep)
+				f.later(coldEvent{module: m, ev: AttemptEnded{ID: a.ID, Attempt: try, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, coldStep)
 				continue
 			}
 			if s.isCold && f.part(s, f.now) < 1 {
@@ -199,18 +199,18 @@
 			}
 			s.conns++
 			m.conns[a.ID] = s
-			f.later(coldEvent{module: m, ev: Established{ID: a.ID, Server: a.Server, Took: coldStep}}, coldStep)
+			f.later(coldEvent{module: m, ev: Established{ID: a.ID, Server: a.Server, Elapsed: coldStep}}, coldStep)
 			f.later(coldEvent{module: m, client: a.ID}, coldStep+time.Duration(f.rng.ExpFloat64()*float64(f.life)))
-		case Refuse, Fail:
+		case Reject, Fail:
 			f.refused++
 			id := RequestID("")
-			if r, ok := a.(Refuse); ok {
+			if r, ok := a.(Reject); ok {
 				id = r.ID
 			} else {
 				id = a.(Fail).ID
 			}
 			f.comeAgain(m, id)
-		case Move:
+		case Migrate:
 			f.end(m, a.ID, Cancelled)
 			f.comeAgain(m, a.ID)
 		}
@@ -231,7 +231,7 @@
 	delete(m.conns, id)
 	s.conns--
 	if !m.dead {
-		f.later(coldEvent{module: m, ev: Ended{ID: id, Server: s.ID, Attempt: m.tries[id] - 1, Code: code, Final: true, Report: NoReport}}, 0)
+		f.later(coldEvent{module: m, ev: AttemptEnded{ID: id, Server: s.ID, Attempt: m.tries[id] - 1, Code: code, Final: true, Report: NoLoadReport}}, 0)
 	}
 	return true
 }
@@ -243,7 +243,7 @@
 	i, _ := slices.BinarySearch(f.weights, at)
 	m := f.modules[i]
 	m.group[id] = group
-	f.handle(m, Requested{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
+	f.handle(m, RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
 func (f *coldFleet) anyGroup() string {
@@ -292,7 +292,7 @@
 	for _, m := range f.modules {
 		if m.late == late {
 			m.knows = true
-			f.handle(m, ListReceived{Kind: ListFull, Servers: f.list})
+			f.handle(m, ListReceived{Kind: ListSnapshot, Servers: f.list})
 		}
 	}
 }
@@ -300,7 +300,7 @@
 // restart replaces the i-th module. Its clients come again through the others.
 func (f *coldFleet) restart(t *testing.T, i int) {
 	old := f.modules[i]
-	learned := old.Learned()
+	learned := old.ExportLearned()
 	old.dead = true
 	var ids []RequestID
 	for id := range old.conns {
@@ -314,7 +314,7 @@
 	f.modules[i] = f.module(t, old.zone)
 	f.modules[i].knows = true
 	if f.learned {
-		f.modules[i].Learn(learned)
+		f.modules[i].ImportLearned(learned)
 	}
 }
 
@@ -352,7 +352,7 @@
 // play runs a case, and counts every window at each cold room server.
 func (c coldCase) play(t *testing.T, set Settings) coldResult {
 	f := newColdFleet(t, c, set)
-	rules := set.Rules
+	rules := set.Safety
 	// What keeps the warm ones at their load; it is reached sooner as the first clients come faster.
 	steady := c.load * c.holds * 2 * float64(c.rooms) / c.life.Seconds()
 	fill := 4 * time.Second
@@ -360,7 +360,7 @@
 	f.run(cmp.Or(c.warmUp, coldWarmUp), steady, false)
 	if c.lostFor > 0 {
 		for i := range f.list[:c.cold] {
-			f.list[i].State = Gone
+			f.list[i].State = Removed
 			f.rooms[f.list[i].ID].isGone = true
 			f.empty(f.rooms[f.list[i].ID])
 		}
@@ -388,10 +388,10 @@
 	const turns = 20
 	replaced := 0
 	for turn := range turns {
-		if c.late > 0 && turn == turns*3/int(rules.Cold.Seconds()) {
+		if c.late > 0 && turn == turns*3/int(rules.SlowStartDuration.Seconds()) {
 			f.tell(true)
 		}
-		if c.drop > 0 && turn == turns*2/int(rules.Cold.Seconds()) {
+		if c.drop > 0 && turn == turns*2/int(rules.SlowStartDuration.Seconds()) {
 			for _, s := range f.list[c.rooms-c.drop : c.rooms] {
 				f.empty(f.rooms[s.ID])
 			}
@@ -399,7 +399,7 @@
 		for ; replaced < int(c.restarts*float64(c.modules)*float64(turn+1)/turns); replaced++ {
 			f.restart(t, replaced)
 		}
-		f.run(rules.Cold/turns, steady*max(c.burst, 1), c.crowds)
+		f.run(rules.SlowStartDuration/turns, steady*max(c.burst, 1), c.crowds)
 	}
 	res := coldResult{least: math.MaxInt, refused: f.refused - before}
 	for _, id := range sortedIDs(f.rooms) {
@@ -408,8 +408,8 @@
 			continue
 		}
 		budget := 0.0
-		for at := started; at < started+rules.Cold; at += 100 * time.Millisecond {
-			budget += rules.FallMultiple * c.holds / c.life.Seconds() * f.part(s, at) * 0.1
+		for at := started; at < started+rules.SlowStartDuration; at += 100 * time.Millisecond {
+			budget += rules.OverloadFactor * c.holds / c.life.Seconds() * f.part(s, at) * 0.1
 		}
 		res.servers++
 		res.all += len(s.sent)
@@ -431,12 +431,12 @@
 // windows gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the window's
 // start; whether it fell, and whether over two thirds of what first felled it came from modules that had been told.
 func (f *coldFleet) windows(s *coldRoom) (most float64, fell, broke bool) {
-	rules := f.set.Rules
+	rules := f.set.Safety
 	for i, x := range s.sent {
-		n := rules.FallMultiple * s.holds / f.life.Seconds() * f.part(s, x.at) * rules.Fall.Seconds()
+		n := rules.OverloadFactor * s.holds / f.life.Seconds() * f.part(s, x.at) * rules.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
 		for _, y := range s.sent[i:] {
-			if y.at >= x.at+rules.Fall {
+			if y.at >= x.at+rules.OverloadWindow {
 				break
 			}
 			all++
@@ -464,8 +464,8 @@
 // coldSettings are those of a fleet of rooms, with probes.
 func coldSettings() Settings {
 	set := settings()
-	set.MayProbe = true
-	set.Rules.Cold, set.Rules.ColdShare, set.Rules.FallMultiple, set.Rules.Fall = 8*time.Second, 0.37, 4, time.Second
+	set.ProbingAllowed = true
+	set.Safety.SlowStartDuration, set.Safety.SlowStartShare, set.Safety.OverloadFactor, set.Safety.OverloadWindow = 8*time.Second, 0.37, 4, time.Second
 	return set
 }
 
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -15,10 +15,10 @@
 	list := servers(10, 0)
 	w.full(list)
 	for i := range own {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i))}, Server: list[i%len(list)].ID})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: list[i%len(list)].ID})
 	}
 	for _, s := range list {
-		w.send(Probed{Server: s.ID, Code: OK, Report: Report{Load: 0.5, Held: float64(each)}})
+		w.send(ProbeCompleted{Server: s.ID, Code: OK, Report: LoadReport{Load: 0.5, Connections: float64(each)}})
 	}
 	return w
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -78,21 +78,21 @@
 
 func (b *Balancer) start() {
 	b.lastSign = b.now
-	b.do(SetTimer{Token: timerTick, Wait: 1 + b.jitter(tick)})
+	b.do(SetTimer{Token: timerTick, Delay: 1 + b.jitter(tick)})
 	// The restored list may be stale: what has changed since counts as told soon, asked or not.
-	b.pollAt = b.now + b.jitter(min(pollFirst, cmp.Or(b.set.Rules.MustAsk/2, pollBase)))
+	b.pollAt = b.now + b.jitter(min(pollFirst, cmp.Or(b.set.Safety.MaxPollInterval/2, pollBase)))
 }
 
 // period spreads the calls of all balancers over what one list service can answer.
 func (b *Balancer) period() time.Duration {
-	return max(pollBase, b.set.Rules.MustAsk) + time.Duration(b.fleet.Fleet)*pollEach
+	return max(pollBase, b.set.Safety.MaxPollInterval) + time.Duration(b.fleet.Fleet)*pollEach
 }
 
 // poll makes the period's one call: the cheap one where a subscription brings only changes.
 func (b *Balancer) poll() {
 	b.pollAt = b.now + b.period()
-	if b.set.Subscribe {
-		b.do(Subscribe{})
+	if b.set.WatchList {
+		b.do(WatchList{})
 	} else {
 		b.do(FetchList{})
 	}
@@ -119,10 +119,10 @@
 		s.Server, s.place.listed = line, b.lists
 		changed = append(changed, s)
 	}
-	if ev.Kind != ListChanges {
+	if ev.Kind != ListDelta {
 		for _, s := range b.servers {
-			if s.place.listed != b.lists && s.State != Gone {
-				b.setState(s, Gone)
+			if s.place.listed != b.lists && s.State != Removed {
+				b.setState(s, Removed)
 				changed = append(changed, s)
 			}
 		}
@@ -147,19 +147,19 @@
 
 // ---- placement
 
-func (b *Balancer) request(ev Requested) {
+func (b *Balancer) request(ev RequestArrived) {
 	b.seq++
-	r := &request{Requested: ev, seq: b.seq, deadline: b.now + ev.Remaining}
+	r := &request{RequestArrived: ev, seq: b.seq, deadline: b.now + ev.Remaining}
 	b.requests[ev.ID], b.bySeq[r.seq] = r, r
 	b.need++
-	b.do(SetTimer{Token: r.seq, Wait: ev.Remaining})
+	b.do(SetTimer{Token: r.seq, Delay: ev.Remaining})
 	b.ask(r)
 	b.place(r, len(b.waiting))
 }
 
 // place makes the next attempt for r, before which so many wait, holds it, or answers it.
 func (b *Balancer) place(r *request, before int) {
-	if r.tries >= b.set.MaxTries || b.now >= r.deadline {
+	if r.tries >= b.set.MaxAttempts || b.now >= r.deadline {
 		b.answer(r)
 		return
 	}
@@ -169,7 +169,7 @@
 		s = b.pick(r)
 	}
 	if s == nil {
-		if r.ran != nil && b.classOf(r).Repeat != Safe || tries && b.hopeless(r, before) {
+		if r.ran != nil && b.classOf(r).Idempotency != Idempotent || tries && b.hopeless(r, before) {
 			b.answer(r)
 			return
 		}
@@ -180,7 +180,7 @@
 	// Attempt time-outs leave room for the attempts that remain, unless set-ups take long everywhere (a slow
 	// session store, say): another server would not be quicker, and the store would do the work twice.
 	left := r.deadline - b.now
-	wait := min(left, max(left/time.Duration(b.set.MaxTries-r.tries), setupSlack*b.setup))
+	wait := min(left, max(left/time.Duration(b.set.MaxAttempts-r.tries), setupSlack*b.setup))
 	r.srv, r.out = s, true
 	b.dialing++
 	r.tries++
@@ -188,7 +188,7 @@
 	if r.ran == nil {
 		r.ranAt = b.now
 	}
-	b.do(Place{ID: r.ID, Server: s.ID, Wait: wait})
+	b.do(StartAttempt{ID: r.ID, Server: s.ID, Timeout: wait})
 }
 
 // hopeless tells that more wait before r than come to stand, at the pace of late, before its time is up. It
@@ -221,7 +221,7 @@
 	was := b.memories[r.Key] // none is kept for the empty key
 	if s := b.servers[was.server]; r.MidFlow && r.tries == 0 && s != nil && was.at > 0 && !was.lost {
 		// Only the server that holds a connection can go on with it in mid-flow, even while it drains.
-		if s.State == Ready || b.now-s.told < b.set.Rules.DrainGrace {
+		if s.State == Ready || b.now-s.told < b.set.Safety.DrainGrace {
 			return s
 		}
 	}
@@ -296,12 +296,12 @@
 	}
 	c := b.classOf(r)
 	switch {
-	case r.ran == nil || c.Repeat == Safe:
+	case r.ran == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Repeat == Unsafe || b.now+b.set.ConnectTimeout >= r.ranAt+c.Window: // sent once dialled
+	case c.Idempotency == NotIdempotent || b.now+b.set.ConnectTimeout >= r.ranAt+c.DedupWindow: // sent once dialled
 		return false
 	}
-	return c.Scope == ScopeAll || s.Zone == r.ran.Zone && (c.Scope == ScopeZone || s.Cell == r.ran.Cell)
+	return c.KeyScope == ScopeAll || s.Zone == r.ran.Zone && (c.KeyScope == ScopeZone || s.Cell == r.ran.Cell)
 }
 
 // lightest is the pool's choice: the least load over capacity among its answers.
@@ -309,7 +309,7 @@
 	return least(pool, fit, func(s *server) float64 { return s.load })
 }
 
-func (b *Balancer) grouped(r *request) bool { return b.set.Groups && r.Group != "" }
+func (b *Balancer) grouped(r *request) bool { return b.set.GroupAffinity && r.Group != "" }
 
 // homes keeps a group together where connections of a group share work: it gives the servers of a zone
 // that come first for the group by rendezvous hashing, equal at all balancers, larger ones more often.
@@ -333,7 +333,7 @@
 		list := [2][]*server{b.local, b.remote}[i]
 		settled := i == 0 && len(targets) > 0 && targets[0].load < b.roomy &&
 			b.now-targets[0].at < b.askAfter()
-		if !b.set.MayProbe || settled || i > 0 && !b.spilling() && !b.grouped(r) {
+		if !b.set.ProbingAllowed || settled || i > 0 && !b.spilling() && !b.grouped(r) {
 			return
 		}
 		targets = targets[:min(askCount, len(targets))]
@@ -345,7 +345,7 @@
 			if b.now >= s.ejected && b.now-s.at > b.askAfter() && b.now-s.asked > b.askAfter() {
 				s.asked, r.held = b.now, b.now+askWait
 				b.do(Probe{Server: s.ID})
-				b.do(SetTimer{Token: timerHeld, Wait: askWait})
+				b.do(SetTimer{Token: timerHeld, Delay: askWait})
 			}
 		}
 	}
@@ -356,7 +356,9 @@
 	return max(askLeast, min(askMost, askFleet/time.Duration(b.fleet.Fleet)))
 }
 
-func (b *Balancer) cold(s *server) bool { return s.Started > 0 && b.now-s.Started < b.set.Rules.Cold }
+func (b *Balancer) cold(s *server) bool {
+	return s.Started > 0 && b.now-s.Started < b.set.Safety.SlowStartDuration
+}
 
 // warmEnough keeps this balancer within its part of what a cold server may be sent. The part is drawn anew
 // for each time in which a server can fall over: parts saved up by many would fall on it together.
@@ -365,19 +367,19 @@
 		return !b.cold(s) // its budget is shared out among the balancers of its own zone that are admitted
 	}
 	b.countDemand(r, s)
-	rules := b.set.Rules
+	rules := b.set.Safety
 	if b.now >= s.creditUntil {
-		age := float64(b.now-s.Started) / float64(rules.Cold)
-		part := rules.ColdShare + (1-rules.ColdShare)*age
-		span := max(rules.Fall, tick)
+		age := float64(b.now-s.Started) / float64(rules.SlowStartDuration)
+		part := rules.SlowStartShare + (1-rules.SlowStartShare)*age
+		span := max(rules.OverloadWindow, tick)
 		comes, sharers := b.comesFor(r, s, span), b.sharers()
 		work := max(part*b.takes()*span.Seconds(), coldLeast/max(float64(b.fleet.Fleet), sharers))
 		use := comes / (1 + comes) // the part of such times in which one comes for it
-		mine := coldSafety / max(use, coldUseLeast) * rules.FallMultiple * work
+		mine := coldSafety / max(use, coldUseLeast) * rules.OverloadFactor * work
 		if each := b.each(); each > 0 {
 			// By demand: of what comes for it, were all to see what this one does, the part that it bears.
 			// Guards against parts drawn where no request is, while others hold requests that drew none.
-			bears := rules.FallMultiple * part * span.Seconds() / (each * b.life())
+			bears := rules.OverloadFactor * part * span.Seconds() / (each * b.life())
 			mine = max(mine, min(coldSafety*bears/(use*sharers), 1))
 		}
 		s.credit, s.creditUntil = math.Floor(mine+b.rng.Float64()), b.now+span
@@ -392,7 +394,7 @@
 		return
 	}
 	r.stands = true
-	b.setup += (ev.Took - b.setup) / setupMemory
+	b.setup += (ev.Elapsed - b.setup) / setupMemory
 	b.dialing--
 	b.window = min(b.window+1/b.window, windowMost)
 	b.new++
@@ -402,7 +404,7 @@
 	b.retryWaiting()
 }
 
-func (b *Balancer) ended(ev Ended) {
+func (b *Balancer) ended(ev AttemptEnded) {
 	s, r := b.server(ev.Server), b.requests[ev.ID]
 	b.judge(s, ev.Code)
 	if r == nil || !r.out || r.srv != s || ev.Attempt != r.tries-1 {
@@ -410,7 +412,7 @@
 	}
 	if !r.stands {
 		b.dialing--
-		if !ev.Code.NeverRan() {
+		if !ev.Code.NeverExecuted() {
 			b.wasted++
 		}
 	}
@@ -422,16 +424,16 @@
 		b.forget(r)
 		return
 	}
-	if !ev.Code.NeverRan() && r.ran == nil {
+	if !ev.Code.NeverExecuted() && r.ran == nil {
 		r.ran = s
 	}
 	if ev.Code == TimedOut {
-		b.setup += (max(setupSlack*ev.Took, b.setup) - b.setup) / setupMemory
+		b.setup += (max(setupSlack*ev.Elapsed, b.setup) - b.setup) / setupMemory
 		if b.now-b.cutAt > tick {
 			b.window, b.cutAt = max(b.window/2, 1), b.now
 		}
 	}
-	if r.stands || ev.Code == TimedOut && b.classOf(r).Repeat != Safe {
+	if r.stands || ev.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
 		b.answer(r) // only safe requests move on after a time-out
 		return
 	}
@@ -443,7 +445,7 @@
 	switch code {
 	case OK:
 		b.alive(s)
-	case Full:
+	case Rejected:
 		b.sign()
 		s.ejected = max(s.ejected, b.now+fullRest)
 		b.reindex(s)
@@ -469,19 +471,19 @@
 // answer gives the final answer: a refusal where trying again is harmless, else a failure.
 func (b *Balancer) answer(r *request) {
 	c := b.classOf(r)
-	if c.Repeat == Safe || r.ran == nil && !r.out || c.Repeat == Keyed && c.Scope == ScopeAll {
+	if c.Idempotency == Idempotent || r.ran == nil && !r.out || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 		rest := refuseRest
 		if len(b.waiting) > waitFree { // longer while others wait, so that they are served first
 			rest = max(rest, b.set.MaxRetryAfter/2)
 		}
-		b.do(Refuse{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.set.MaxRetryAfter)})
+		b.do(Reject{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.set.MaxRetryAfter)})
 	} else {
 		b.do(Fail{ID: r.ID})
 	}
 	b.forget(r)
 }
 
-func (b *Balancer) probed(ev Probed) {
+func (b *Balancer) probed(ev ProbeCompleted) {
 	s := b.servers[ev.Server]
 	if s == nil {
 		return
@@ -512,15 +514,15 @@
 }
 
 // messagesSlow: the servers' own word that they are overloaded; it is repeated once a second while it holds.
-func (b *Balancer) messagesSlow(ev MessagesSlow) {
+func (b *Balancer) messagesSlow(ev MessageDelayReported) {
 	s, r := b.server(ev.Server), b.requests[ev.ID]
 	if r == nil {
 		return
 	}
 	s.slow = 0
-	if aim := b.classOf(r).MessageAim; aim > 0 && ev.Delay > aim/2 {
+	if aim := b.classOf(r).MessageLatencyObjective; aim > 0 && ev.Delay > aim/2 {
 		s.slow = b.now + slowFor
-		if s.State == Ready && b.now-s.at > time.Second && b.probeCredit > -probeDebt && b.set.MayProbe {
+		if s.State == Ready && b.now-s.at > time.Second && b.probeCredit > -probeDebt && b.set.ProbingAllowed {
 			b.probeCredit-- // steady probes wait until this one is earned
 			b.do(Probe{Server: s.ID})
 		}
@@ -538,7 +540,7 @@
 		}
 		return
 	}
-	b.do(SetTimer{Token: timerTick, Wait: tick})
+	b.do(SetTimer{Token: timerTick, Delay: tick})
 	b.learnRates()
 	if b.now >= b.pollAt {
 		b.poll()
@@ -572,7 +574,7 @@
 			n := int(float64(len(s.conns))*(1-moveTarget/s.reported) + b.rng.Float64())
 			for _, r := range b.farthest(s)[:min(n, len(s.conns))] {
 				r.tooMuch = true
-				b.do(Move{ID: r.ID})
+				b.do(Migrate{ID: r.ID})
 			}
 		}
 	}
@@ -591,7 +593,7 @@
 
 // probe keeps the steady flow of probes, mostly over own-zone cached servers, as many as their price allows.
 func (b *Balancer) probe() {
-	if !b.set.MayProbe || len(b.local) == 0 {
+	if !b.set.ProbingAllowed || len(b.local) == 0 {
 		return
 	}
 	worth := max(b.rate, float64(len(b.requests))/usualLife.Seconds()) // in requests a second
@@ -600,7 +602,7 @@
 	if len(own) == 0 { // nothing to watch over: all such together probe as a few do
 		least *= min(1, probeFew/float64(b.fleet.Fleet))
 	}
-	rate := max(least, worth*probeShare/cmp.Or(b.set.Prices.Probe, math.Inf(1)))
+	rate := max(least, worth*probeShare/cmp.Or(b.set.Costs.Probe, math.Inf(1)))
 	away, unseen, hot := b.remote, b.far.unseen, [2]ordered{b.far.held, b.near.laden}
 	if !b.spilling() { // Guards against a server elsewhere whose overload nobody tells: those that hold own
 		away, unseen = b.far.held, b.far.held // connections are looked at, or these would stay there.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -22,16 +22,16 @@
 // A zone without a ready server keeps its groups together elsewhere, and asks there before it places.
 func TestGroupsWithoutALocalServer(t *testing.T) {
 	set := settings()
-	set.Groups, set.MayProbe = true, true
+	set.GroupAffinity, set.ProbingAllowed = true, true
 	w := newWorld(t, set)
 	w.full(servers(0, 6))
 	used := map[ServerID]bool{}
 	for i := range 12 {
-		acts := w.send(Requested{ID: RequestID(name("r", i)), Class: safe, Group: "room", Remaining: 2 * time.Second})
+		acts := w.send(RequestArrived{ID: RequestID(name("r", i)), Class: safe, Group: "room", Remaining: 2 * time.Second})
 		for _, p := range find[Probe](acts) {
 			w.report(p.Server, 0.2)
 		}
-		if len(find[Place](acts)) == 0 {
+		if len(find[StartAttempt](acts)) == 0 {
 			w.now += askWait
 			acts = w.send(TimerFired{Token: timerHeld})
 		}
@@ -113,7 +113,7 @@
 	for i := range 5 {
 		w.none(w.ask(name("r", i), safe), "no server has room")
 	}
-	if p := find[Place](w.report(2, 0.1)); len(p) != 1 {
+	if p := find[StartAttempt](w.report(2, 0.1)); len(p) != 1 {
 		t.Fatalf("%d of the held requests went to the room shown, want 1", len(p))
 	}
 }
@@ -144,7 +144,7 @@
 }
 
 func TestDialThatFailsGoesOnUntilTriesRunOut(t *testing.T) {
-	for _, code := range []Code{ServerError, Full, TimedOut, ConnectFailed, Reset} {
+	for _, code := range []Code{ServerError, Rejected, TimedOut, ConnectFailed, Reset} {
 		w := newWorld(t, settings())
 		w.full(servers(8, 0))
 		s := w.placed(w.ask("r", safe))
@@ -157,7 +157,7 @@
 			seen = append(seen, s)
 		}
 		acts := w.end("r", 2, s, code, false)
-		if refused, failed := answers(acts); refused != 1 || failed != 0 || len(find[Place](acts)) > 0 {
+		if refused, failed := answers(acts); refused != 1 || failed != 0 || len(find[StartAttempt](acts)) > 0 {
 			t.Fatalf("code %d: tries ran out, got %v", code, acts)
 		}
 	}
@@ -171,12 +171,12 @@
 		safe, keyedZone, unsafe, keyedAl string
 	}{
 		{ServerError, goesOn, goesOn, failed, goesOn},
-		{Full, goesOn, goesOn, goesOn, goesOn},
+		{Rejected, goesOn, goesOn, goesOn, goesOn},
 		{TimedOut, goesOn, failed, failed, refused},
 		{ConnectFailed, goesOn, goesOn, goesOn, goesOn},
 		{Reset, goesOn, goesOn, failed, goesOn},
 		{Cancelled, goesOn, goesOn, failed, goesOn},
-		{Moot, goesOn, goesOn, goesOn, goesOn},
+		{NotSent, goesOn, goesOn, goesOn, goesOn},
 	} {
 		for class, want := range map[int]string{safe: c.safe, keyed: c.keyedZone, unsafe: c.unsafe, keyedAll: c.keyedAl} {
 			w := newWorld(t, settings())
@@ -185,7 +185,7 @@
 			got := "nothing"
 			r, f := answers(acts)
 			switch {
-			case len(find[Place](acts)) == 1 && r+f == 0:
+			case len(find[StartAttempt](acts)) == 1 && r+f == 0:
 				got = goesOn
 			case r == 1 && f == 0:
 				got = refused
@@ -216,7 +216,7 @@
 	}
 
 	set := settings()
-	set.Classes[keyedAll].Window = time.Second
+	set.Classes[keyedAll].DedupWindow = time.Second
 	w = newWorld(t, set)
 	w.full(servers(6, 0))
 	s = w.placed(w.ask("w", keyedAll))
@@ -247,10 +247,10 @@
 		w.full(list)
 		acts := w.ask("r", safe)
 		timers := find[SetTimer](acts)
-		if len(timers) != 1 || timers[0].Wait != 2*time.Second {
+		if len(timers) != 1 || timers[0].Delay != 2*time.Second {
 			t.Fatalf("want a timer at the deadline, got %v", acts)
 		}
-		w.now += timers[0].Wait
+		w.now += timers[0].Delay
 		if r, f := answers(w.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
 			t.Fatalf("%d servers: no answer at the deadline", len(list))
 		}
@@ -277,12 +277,12 @@
 	acts := w.ask("r", safe)
 	left := 2 * time.Second
 	for try := range 3 {
-		p := find[Place](acts)[0]
-		if p.Wait <= 0 || p.Wait > left/time.Duration(3-try) {
-			t.Fatalf("try %d: waits %v of %v", try, p.Wait, left)
+		p := find[StartAttempt](acts)[0]
+		if p.Timeout <= 0 || p.Timeout > left/time.Duration(3-try) {
+			t.Fatalf("try %d: waits %v of %v", try, p.Timeout, left)
 		}
-		w.now += p.Wait
-		left -= p.Wait
+		w.now += p.Timeout
+		left -= p.Timeout
 		acts = w.end("r", try, p.Server, TimedOut, false)
 	}
 }
@@ -294,19 +294,19 @@
 	for i := range 30 {
 		id := name("r", i)
 		s := w.placed(w.ask(id, safe))
-		w.send(Established{ID: RequestID(id), Server: s, Took: 500 * time.Millisecond})
+		w.send(Established{ID: RequestID(id), Server: s, Elapsed: 500 * time.Millisecond})
 	}
-	if p := find[Place](w.ask("r", safe)); len(p) != 1 || p[0].Wait < 900*time.Millisecond || p[0].Wait > 2*time.Second {
+	if p := find[StartAttempt](w.ask("r", safe)); len(p) != 1 || p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
 		t.Fatalf("set-ups take 0.5 s, yet %v", p)
 	}
 }
 
 func TestNothingNewToADrainingOrGoneServer(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []State{Draining, Removed} {
 		w := newWorld(t, settings())
 		w.full(servers(2, 0))
 		w.report(1, 0.1)
-		w.send(ListReceived{Kind: ListChanges, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
+		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
 		for i := range 4 {
 			if s := w.stand(name("r", i), safe); s == 1 {
 				t.Fatalf("state %d: server 1 still used", state)
@@ -332,9 +332,9 @@
 		w.full(servers(4, 0))
 		s := w.stand("r", safe)
 		w.end("r", 0, s, Cancelled, true) // its packets went to another balancer
-		w.send(ListReceived{Kind: ListChanges, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
+		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
 		w.now += c.after
-		got := w.placed(w.send(Requested{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
+		got := w.placed(w.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
 		if (got == s) != c.want {
 			t.Fatalf("%v after the drain: went to %d, its server is %d", c.after, got, s)
 		}
@@ -348,11 +348,11 @@
 	w.end("r", 0, s, Reset, true)
 	w.now += ejectMost + time.Second // no longer ejected
 	w.report(s, 0.05)
-	back := Requested{ID: "again", Key: "key-r", Remaining: time.Second, Returning: true}
+	back := RequestArrived{ID: "again", Key: "key-r", Remaining: time.Second, Returning: true}
 	if got := w.placed(w.send(back)); got == s {
 		t.Fatal("the client came back to the server it lost")
 	}
-	other := Requested{ID: "other", Key: "key-other", Remaining: time.Second}
+	other := RequestArrived{ID: "other", Key: "key-other", Remaining: time.Second}
 	if got := w.placed(w.send(other)); got != s {
 		t.Fatal("only that client is kept off")
 	}
@@ -362,7 +362,7 @@
 	w := newWorld(t, settings())
 	w.full(servers(4, 0))
 	for i := range rememberMost + 50 {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i)), Key: name("k", i)}, Server: 1})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Key: name("k", i)}, Server: 1})
 		w.end(name("o", i), 0, 1, Reset, true)
 	}
 	if len(w.b.memories) > rememberMost || len(w.b.memOrder) > rememberMost {
@@ -397,7 +397,7 @@
 	w := newWorld(t, settings())
 	w.full(servers(4, 0))
 	for id := ServerID(1); id <= 4; id++ {
-		w.send(Probed{Server: id, Code: TimedOut, Report: NoReport})
+		w.send(ProbeCompleted{Server: id, Code: TimedOut, Report: NoLoadReport})
 	}
 	out := 0
 	for _, s := range w.b.ready {
@@ -438,7 +438,7 @@
 		want        ServerID
 	}{{0.16, 0.6, 1}, {0.16, 0.5, 101}, {0.32, 0.5, 1}, {0.32, 0.3, 101}, {0.08, 0.66, 1}, {0.08, 0.6, 101}} {
 		set := settings()
-		set.Prices.CrossZone = c.price
+		set.Costs.CrossZone = c.price
 		w := newWorld(t, set)
 		w.full(servers(1, 1))
 		w.report(1, 0.75)
@@ -453,7 +453,7 @@
 	w := newWorld(t, settings())
 	w.full(servers(2, 6))
 	for id := ServerID(1); id <= 2; id++ {
-		w.send(Probed{Server: id, Code: ConnectFailed, Report: NoReport})
+		w.send(ProbeCompleted{Server: id, Code: ConnectFailed, Report: NoLoadReport})
 	}
 	if s := w.placed(w.ask("r", safe)); zoneOf(s) != "b" {
 		t.Fatalf("went to %d", s)
@@ -468,7 +468,7 @@
 	for i := range 60 {
 		acts := w.ask(name("r", i), safe)
 		for attempt := 0; ; attempt++ {
-			p := find[Place](acts)
+			p := find[StartAttempt](acts)
 			if len(p) == 0 {
 				break
 			}
@@ -487,7 +487,7 @@
 	w := newWorld(t, settings())
 	w.full(servers(4, 0))
 	fail := func(i int) []Action {
-		return w.send(Probed{Server: ServerID(i%4 + 1), Code: TimedOut, Report: NoReport})
+		return w.send(ProbeCompleted{Server: ServerID(i%4 + 1), Code: TimedOut, Report: NoLoadReport})
 	}
 	fail(0)
 	w.now += deadAfter / 2
@@ -507,7 +507,7 @@
 	w.full(servers(4, 0))
 	for i := range 10 {
 		w.now += deadAfter / 2
-		acts := w.send(Probed{Server: 1, Code: TimedOut, Report: NoReport})
+		acts := w.send(ProbeCompleted{Server: 1, Code: TimedOut, Report: NoLoadReport})
 		if len(find[FetchList](acts)) > 0 {
 			t.Fatalf("bootstrap in round %d though server 2 answers", i)
 		}
@@ -524,7 +524,7 @@
 		w.full(servers(3, 0))
 		start, calls := w.now, 0
 		for w.now < start+5*w.b.period() {
-			if n := len(find[Subscribe](w.tick(tick))); n > 0 {
+			if n := len(find[WatchList](w.tick(tick))); n > 0 {
 				if calls == 0 {
 					firsts[w.now-start] = true
 					if w.now-start > pollFirst+tick { // what has changed since the list was written counts as told soon
@@ -545,10 +545,10 @@
 
 func TestPollFetchesWhereChangesArePushed(t *testing.T) {
 	set := settings()
-	set.Subscribe = false
+	set.WatchList = false
 	w := newWorld(t, set)
 	acts := w.tick(3 * w.b.period())
-	if len(find[FetchList](acts)) == 0 || len(find[Subscribe](acts)) != 0 {
+	if len(find[FetchList](acts)) == 0 || len(find[WatchList](acts)) != 0 {
 		t.Fatal("want fetches of the list only")
 	}
 }
@@ -568,7 +568,7 @@
 	for range 5 {
 		w.send(ListReceived{Kind: ListFailed})
 		from := w.now
-		for len(find[Subscribe](w.tick(tick))) == 0 {
+		for len(find[WatchList](w.tick(tick))) == 0 {
 		}
 		waits = append(waits, w.now-from)
 	}
@@ -617,8 +617,8 @@
 			got++
 		}
 	}
-	rules := settings().Rules
-	if most := 1 + coldSafety*rules.FallMultiple*rules.ColdShare*w.b.capacity*rules.Fall.Seconds(); float64(got) > most {
+	rules := settings().Safety
+	if most := 1 + coldSafety*rules.OverloadFactor*rules.SlowStartShare*w.b.capacity*rules.OverloadWindow.Seconds(); float64(got) > most {
 		t.Fatalf("%d of a burst of 300 went to the cold server, this balancer's part is %.1f", got, most)
 	}
 	for i := range 40 {
@@ -631,7 +631,7 @@
 	if got < 2 || got > 30 {
 		t.Fatalf("%d of 40 in 8 s went to the warming server", got)
 	}
-	w.now += settings().Rules.Cold
+	w.now += settings().Safety.SlowStartDuration
 	w.report(50, 0)
 	if w.stand("warm-now", safe) != 50 {
 		t.Fatal("warm by now, yet kept out")
@@ -693,7 +693,7 @@
 	w.full(list)
 	sent := 0
 	for i := range 100 {
-		sent += len(find[Place](w.ask(name("r", i), safe)))
+		sent += len(find[StartAttempt](w.ask(name("r", i), safe)))
 	}
 	if sent > len(list) {
 		t.Fatalf("%d requests at once to %d cold servers", sent, len(list))
@@ -705,7 +705,7 @@
 	w.full(servers(2, 0))
 	w.report(1, 0.1)
 	w.now += time.Second
-	w.send(ListReceived{Kind: ListChanges, Servers: []Server{{ID: 1, Zone: "a", Started: w.now}}})
+	w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", Started: w.now}}})
 	if s := w.b.servers[1]; s.at != 0 || !w.b.cold(s) {
 		t.Fatal("a restarted server's old answer counts")
 	}
@@ -714,7 +714,7 @@
 func TestSteadyProbesStayInTheZoneAndTheirPrice(t *testing.T) {
 	rate := func(price float64) (n int) {
 		set := settings()
-		set.Prices.Probe, set.MayProbe = price, true
+		set.Costs.Probe, set.ProbingAllowed = price, true
 		w := newWorld(t, set)
 		w.full(servers(20, 20))
 		for i := range 100 {
@@ -733,7 +733,7 @@
 		t.Fatalf("%d probes at a low price, %d at ten times that", cheap, dear)
 	}
 	set := settings()
-	set.MayProbe = false
+	set.ProbingAllowed = false
 	w := newWorld(t, set)
 	w.full(servers(5, 5))
 	if len(find[Probe](w.tick(20*time.Second))) > 0 {
@@ -757,7 +757,7 @@
 		for _, p := range find[Probe](acts) {
 			w.report(p.Server, 0.2)
 		}
-		if len(find[Place](acts)) == 0 {
+		if len(find[StartAttempt](acts)) == 0 {
 			w.now += askWait
 			acts = w.send(TimerFired{Token: timerHeld})
 		}
@@ -774,15 +774,15 @@
 func TestBookedPlacementsAreNotMoved(t *testing.T) {
 	w := newWorld(t, settings())
 	w.full(servers(1, 0))
-	w.send(Probed{Server: 1, Code: OK, Report: Report{Load: 0.3, Held: 4}})
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
 	for i := range 6 {
 		w.stand(name("r", i), safe)
 	}
-	w.send(Probed{Server: 1, Code: OK, Report: Report{Load: 0.7, Held: 10}})
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
 	if s := w.b.servers[1]; s.load < moveLoad {
 		t.Fatalf("load %.2f, want it booked above the limit", s.load)
 	}
-	if n := len(find[Move](w.tick(tick))); n > 0 {
+	if n := len(find[Migrate](w.tick(tick))); n > 0 {
 		t.Errorf("%d moved off a server that reports 0.7", n)
 	}
 }
@@ -791,11 +791,11 @@
 func TestServersShortOfRoomAreProbed(t *testing.T) {
 	count := func(price float64) (hot, cool int) {
 		set := settings()
-		set.Prices.Probe, set.MayProbe = price, true
+		set.Costs.Probe, set.ProbingAllowed = price, true
 		w := newWorld(t, set)
 		w.full(servers(6, 0))
 		for i := range 30 {
-			w.send(Opened{Request: Requested{ID: RequestID(name("o", i))}, Server: ServerID(i%6 + 1)})
+			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%6 + 1)})
 		}
 		for range 40 {
 			w.report(1, 0.9)
@@ -823,7 +823,7 @@
 func TestPlacementsAreBookedByTheReport(t *testing.T) {
 	w := newWorld(t, settings())
 	w.full(servers(1, 0))
-	w.send(Probed{Server: 1, Code: OK, Report: Report{Load: 0.4, Held: 8}})
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.4, Connections: 8}})
 	for i := range 4 {
 		w.stand(name("r", i), safe)
 	}
@@ -837,37 +837,37 @@
 	w := newWorld(t, settings())
 	w.full(servers(4, 0))
 	for i := range 200 {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i))}, Server: 1})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
 	}
 	w.report(1, moveLoad)
-	if n := len(find[Move](w.tick(tick))); n != 0 {
+	if n := len(find[Migrate](w.tick(tick))); n != 0 {
 		t.Fatalf("%d moved at the limit", n)
 	}
 	w.report(1, 1.4)
-	if n := len(find[Move](w.tick(tick))); n < 60 || n > 140 {
+	if n := len(find[Migrate](w.tick(tick))); n < 60 || n > 140 {
 		t.Fatalf("%d of 200 moved at load 1.4, want about half", n)
 	}
 	w.report(1, 1.4) // a report that cannot show the moves yet
-	if n := len(find[Move](w.tick(tick))); n != 0 {
+	if n := len(find[Migrate](w.tick(tick))); n != 0 {
 		t.Fatalf("%d moved again before the report settled", n)
 	}
 }
 
 func TestSlowMessagesAreProbedAndMovedEarlier(t *testing.T) {
 	set := settings()
-	set.MayProbe = true
+	set.ProbingAllowed = true
 	w := newWorld(t, set)
 	w.full(servers(4, 0))
 	for i := range 100 {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i))}, Server: 2})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
 	}
 	w.tick(time.Second)
-	acts := w.send(MessagesSlow{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
+	acts := w.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
 	if p := find[Probe](acts); len(p) != 1 || p[0].Server != 2 {
 		t.Fatalf("want a probe of server 2, got %v", acts)
 	}
 	w.report(2, 0.9)
-	if n := len(find[Move](w.tick(tick))); n < 8 || n > 45 {
+	if n := len(find[Migrate](w.tick(tick))); n < 8 || n > 45 {
 		t.Fatalf("%d of 100 moved at load 0.9 with slow messages", n)
 	}
 	w.report(1, 0.6) // heavier than server 2's next, stale-looking answer
@@ -879,12 +879,12 @@
 
 func groups() Settings {
 	set := settings()
-	set.Groups, set.MayProbe = true, true
+	set.GroupAffinity, set.ProbingAllowed = true, true
 	return set
 }
 
 func (w *world) askGroup(id, group string) []Action {
-	return w.send(Requested{ID: RequestID(id), Group: group, Remaining: 2 * time.Second})
+	return w.send(RequestArrived{ID: RequestID(id), Group: group, Remaining: 2 * time.Second})
 }
 
 func TestGroupsKeepTogetherAcrossBalancers(t *testing.T) {
@@ -910,7 +910,7 @@
 func TestHotGroupGoesOnToItsNextServer(t *testing.T) {
 	w := newWorld(t, groups())
 	w.full(servers(12, 0))
-	r := &request{Requested: Requested{Group: "taxi-7"}}
+	r := &request{RequestArrived: RequestArrived{Group: "taxi-7"}}
 	homes := w.b.homes(r, w.b.near)
 	w.report(homes[0].ID, 0.85)
 	w.report(homes[1].ID, 0.4)
@@ -925,7 +925,7 @@
 func TestGroupStaysInItsZoneWhileThereIsRoom(t *testing.T) {
 	w := newWorld(t, groups())
 	w.full(servers(6, 6))
-	r := &request{Requested: Requested{Group: "taxi-7"}}
+	r := &request{RequestArrived: RequestArrived{Group: "taxi-7"}}
 	homes, away := w.b.homes(r, w.b.near), w.b.homes(r, w.b.far)
 	for i, load := range []float64{0.75, 0.5, 0.78} {
 		w.report(homes[i].ID, load)
@@ -947,17 +947,17 @@
 	set.Balancers = 1
 	w := newWorld(t, set)
 	w.full(servers(6, 0))
-	homes := w.b.homes(&request{Requested: Requested{Group: "taxi-7"}}, w.b.near)
+	homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)
 	for i := range 25 {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i)), Group: "taxi-7"}, Server: homes[1].ID})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Group: "taxi-7"}, Server: homes[1].ID})
 	}
 	for i, load := range []float64{0.55, 0.6, 0.9} {
-		w.send(Probed{Server: homes[i].ID, Code: OK, Report: Report{Load: load, Held: 15}}) // each loads it with 0.04 or so
+		w.send(ProbeCompleted{Server: homes[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}}) // each loads it with 0.04 or so
 	}
 	if s := w.placed(w.askGroup("r", "taxi-7")); s != homes[1].ID {
 		t.Errorf("went to %d at 0.55, which holds none of the group; %d at 0.6 does", s, homes[1].ID)
 	}
-	w.send(Probed{Server: homes[0].ID, Code: OK, Report: Report{Load: 0.3, Held: 10}})
+	w.send(ProbeCompleted{Server: homes[0].ID, Code: OK, Report: LoadReport{Load: 0.3, Connections: 10}})
 	if s := w.placed(w.askGroup("r2", "taxi-7")); s != homes[0].ID {
 		t.Fatalf("went to %d, though its first server has room for it and its group", s)
 	}
@@ -973,8 +973,8 @@
 	set.Balancers = 1
 	w := newWorld(t, set)
 	w.full(servers(2, 0))
-	home := w.b.homes(&request{Requested: Requested{Group: "taxi-7"}}, w.b.near)[0]
-	w.send(Probed{Server: home.ID, Code: OK, Report: Report{Load: 0.1, Held: 20}})
+	home := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)[0]
+	w.send(ProbeCompleted{Server: home.ID, Code: OK, Report: LoadReport{Load: 0.1, Connections: 20}})
 	for i := range 16 {
 		if s := w.placed(w.askGroup(name("r", i), "taxi-7")); s != home.ID {
 			t.Fatalf("request %d went to %d", i, s)
@@ -1000,10 +1000,10 @@
 		if i%6 == 0 {
 			group = "small"
 		}
-		w.send(Opened{Request: Requested{ID: RequestID(name(group, i)), Group: group}, Server: 1})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
 	}
 	w.report(1, 1.05)
-	moves := find[Move](w.tick(tick))
+	moves := find[Migrate](w.tick(tick))
 	if len(moves) < 2 || !strings.HasPrefix(string(moves[0].ID), "small") || !strings.HasPrefix(string(moves[1].ID), "small") {
 		t.Errorf("moved %v, the two of the small group first wanted", moves)
 	}
@@ -1013,7 +1013,7 @@
 func TestGroupStaysOnItsServersUntilTheyAreFull(t *testing.T) {
 	w := newWorld(t, groups())
 	w.full(servers(12, 0))
-	homes := w.b.homes(&request{Requested: Requested{Group: "taxi-7"}}, w.b.near)
+	homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)
 	for _, s := range w.b.local {
 		w.report(s.ID, 0.1)
 	}
@@ -1042,14 +1042,14 @@
 		s := w.placed(w.ask(id, safe))
 		w.now += 300 * time.Millisecond
 		w.end(id, 0, s, TimedOut, false)
-		w.send(ClientGone{ID: RequestID(id)})
+		w.send(ClientDisconnected{ID: RequestID(id)})
 	}
 	if w.b.window > open/16 || w.b.dialing != 0 {
 		t.Fatalf("window %.1f of %.1f, %d dials out", w.b.window, open, w.b.dialing)
 	}
 	out := 0
 	for i := range 20 {
-		out += len(find[Place](w.ask(name("q", i), safe)))
+		out += len(find[StartAttempt](w.ask(name("q", i), safe)))
 	}
 	if out == 0 || out > int(open/16)+1 {
 		t.Fatalf("%d dials out at once", out)
@@ -1062,18 +1062,18 @@
 	for _, c := range []struct {
 		code Code
 		held bool
-	}{{Full, false}, {ConnectFailed, false}, {TimedOut, true}, {Reset, true}} {
+	}{{Rejected, false}, {ConnectFailed, false}, {TimedOut, true}, {Reset, true}} {
 		w := newWorld(t, settings())
 		w.full(servers(6, 0))
 		for i := range 8 {
 			id := name("r", i)
-			for _, p := range find[Place](w.ask(id, safe)) {
+			for _, p := range find[StartAttempt](w.ask(id, safe)) {
 				w.end(id, 0, p.Server, c.code, false)
 			}
-			w.send(ClientGone{ID: RequestID(id)})
+			w.send(ClientDisconnected{ID: RequestID(id)})
 		}
 		w.full([]Server{{ID: 50, Zone: "a"}})
-		if out := len(find[Place](w.ask("late", safe))); (out == 0) != c.held {
+		if out := len(find[StartAttempt](w.ask("late", safe))); (out == 0) != c.held {
 			t.Errorf("after eight that ended with %v, %d were placed at a server that just came", c.code, out)
 		}
 	}
@@ -1088,7 +1088,7 @@
 		m := map[string]ServerID{}
 		for i := range 400 {
 			g := name("g", i)
-			m[g] = w.b.homes(&request{Requested: Requested{Group: g}}, w.b.near)[0].ID
+			m[g] = w.b.homes(&request{RequestArrived: RequestArrived{Group: g}}, w.b.near)[0].ID
 		}
 		return m
 	}
@@ -1119,14 +1119,14 @@
 		case 0:
 			w.end(id, 0, s, OK, true)
 		case 1:
-			w.send(ClientGone{ID: RequestID(id)})
+			w.send(ClientDisconnected{ID: RequestID(id)})
 			w.end(id, 0, s, Cancelled, true)
 		default:
 			w.end(id, 0, s, Reset, true)
 		}
 	}
 	w.ask("held", safe)
-	w.send(ClientGone{ID: "held"})
+	w.send(ClientDisconnected{ID: "held"})
 	if len(w.b.requests)+len(w.b.bySeq)+len(w.b.waiting) != 0 {
 		t.Fatalf("%d requests, %d timers, %d waiting kept", len(w.b.requests), len(w.b.bySeq), len(w.b.waiting))
 	}
@@ -1147,9 +1147,9 @@
 	w := newWorld(t, settings())
 	w.full(servers(2, 0))
 	for _, ev := range []Event{
-		Established{ID: "x", Server: 1}, Ended{ID: "x", Server: 1, Code: Reset}, ClientGone{ID: "x"},
-		LoadChanged{ID: "x", Load: 1}, MessagesSlow{ID: "x", Server: 1, Delay: time.Second},
-		Probed{Server: 99, Code: OK, Report: Report{Load: 1}}, TimerFired{Token: 12345},
+		Established{ID: "x", Server: 1}, AttemptEnded{ID: "x", Server: 1, Code: Reset}, ClientDisconnected{ID: "x"},
+		LoadChanged{ID: "x", Load: 1}, MessageDelayReported{ID: "x", Server: 1, Delay: time.Second},
+		ProbeCompleted{Server: 99, Code: OK, Report: LoadReport{Load: 1}}, TimerFired{Token: 12345},
 	} {
 		if acts := w.send(ev); len(acts) != 0 {
 			t.Errorf("%T: acted %v", ev, acts)
@@ -1160,7 +1160,7 @@
 // Guards against blind choices: where no answer shows room, servers are asked while the request waits.
 func TestRequestAsksWhereNothingIsKnown(t *testing.T) {
 	set := settings()
-	set.MayProbe = true
+	set.ProbingAllowed = true
 	w := newWorld(t, set)
 	w.full(servers(8, 8))
 	acts := w.ask("r", safe)
@@ -1187,18 +1187,18 @@
 		"Zone":                 func(s *Settings) { s.Zone = "elsewhere" },
 		"Balancers":            func(s *Settings) { s.Balancers = -1 },
 		"Balancers is 1000000": func(s *Settings) { s.Balancers = 1e9 },
-		"MaxTries":             func(s *Settings) { s.MaxTries = -1 },
-		"Classes[1]: Aim":      func(s *Settings) { s.Classes[1].Aim = 0 },
-		"Classes[0]: Repeat":   func(s *Settings) { s.Classes[0].Repeat = 9 },
-		"Classes[0]: Window":   func(s *Settings) { s.Classes[0].Window = -1 },
-		"Rules.ColdShare":      func(s *Settings) { s.Rules.ColdShare = 1.5 },
-		"Rules.DrainGrace":     func(s *Settings) { s.Rules.DrainGrace = -1 },
-		"Prices.Probe":         func(s *Settings) { s.Prices.Probe = -1 },
-		"Classes[2]: GiveUp":   func(s *Settings) { s.Classes[2].GiveUp = -1 },
-		"Classes[2]: Scope":    func(s *Settings) { s.Classes[2].Scope = 7 },
+		"MaxTries":             func(s *Settings) { s.MaxAttempts = -1 },
+		"Classes[1]: Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"Classes[0]: Repeat":   func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Classes[0]: Window":   func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"Rules.ColdShare":      func(s *Settings) { s.Safety.SlowStartShare = 1.5 },
+		"Rules.DrainGrace":     func(s *Settings) { s.Safety.DrainGrace = -1 },
+		"Prices.Probe":         func(s *Settings) { s.Costs.Probe = -1 },
+		"Classes[2]: GiveUp":   func(s *Settings) { s.Classes[2].ClientTimeout = -1 },
+		"Classes[2]: Scope":    func(s *Settings) { s.Classes[2].KeyScope = 7 },
 		"ConnectTimeout":       func(s *Settings) { s.ConnectTimeout = -1 },
-		"Rules.FallMultiple":   func(s *Settings) { s.Rules.FallMultiple = -1 },
-		"Classes[0]: MessageA": func(s *Settings) { s.Classes[0].MessageAim = -1 },
+		"Rules.FallMultiple":   func(s *Settings) { s.Safety.OverloadFactor = -1 },
+		"Classes[0]: MessageA": func(s *Settings) { s.Classes[0].MessageLatencyObjective = -1 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -1239,13 +1239,13 @@
 	id := name("s", step)
 	switch step % 5 {
 	case 0:
-		return w.send(Requested{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
+		return w.send(RequestArrived{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
 	case 1:
 		return w.report(ServerID(step%9+1), float64(step%13)/10)
 	case 2:
 		return w.tick(2 * tick)
 	case 3:
-		return w.send(Opened{Request: Requested{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
+		return w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
 	default:
 		return w.end(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
 	}
@@ -1255,11 +1255,11 @@
 // then, also while the own zone has room, and loses some of them.
 func TestOverloadElsewhereIsSeen(t *testing.T) {
 	set := settings()
-	set.MayProbe = true
+	set.ProbingAllowed = true
 	w := newWorld(t, set)
 	w.full(servers(3, 3))
 	for i := range 20 {
-		w.send(Opened{Request: Requested{ID: RequestID(name("o", i)), Class: safe}, Server: 102})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: safe}, Server: 102})
 	}
 	moved := 0
 	for range 20 {
@@ -1271,9 +1271,9 @@
 					t.Fatalf("server %d of another zone holds nothing and is probed", p.Server)
 				}
 			}
-			moved += len(find[Move](w.report(p.Server, load)))
+			moved += len(find[Migrate](w.report(p.Server, load)))
 		}
-		moved += len(find[Move](w.tick(tick)))
+		moved += len(find[Migrate](w.tick(tick)))
 	}
 	if moved == 0 {
 		t.Error("no connection was moved off the overloaded server")
@@ -1285,11 +1285,11 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	for _, most := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
 		set := settings()
-		set.MaxTries, set.MaxRetryAfter = 1, most
+		set.MaxAttempts, set.MaxRetryAfter = 1, most
 		w := newWorld(t, set)
 		w.full(servers(1, 0))
 		w.placed(w.ask("r", safe))
-		refused := find[Refuse](w.end("r", 0, 1, Full, false))
+		refused := find[Reject](w.end("r", 0, 1, Rejected, false))
 		if len(refused) != 1 || refused[0].RetryAfter > most || (refused[0].RetryAfter == 0) != (most == 0) {
 			t.Errorf("at most %v: %+v", most, refused)
 		}
@@ -1301,15 +1301,15 @@
 	w := newWorld(t, settings())
 	w.full(servers(4, 0))
 	s := w.placed(w.ask("r", safe))
-	if w.b.Avoids(s) || w.b.Avoids(99) {
+	if w.b.Ejected(s) || w.b.Ejected(99) {
 		t.Error("left out without a cause")
 	}
 	w.end("r", 0, s, ServerError, false)
-	if !w.b.Avoids(s) {
+	if !w.b.Ejected(s) {
 		t.Error("a server that failed is not told as left out")
 	}
 	w.tick(ejectFirst + tick)
-	if w.b.Avoids(s) {
+	if w.b.Ejected(s) {
 		t.Error("still told as left out after its time")
 	}
 }
@@ -1349,10 +1349,10 @@
 		w := newWorld(t, set)
 		w.full(servers(2, 0))
 		for i := range held {
-			w.send(Opened{Request: Requested{ID: RequestID(name("r", i))}, Server: 1})
+			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
 		}
 		w.report(1, 1)
-		if n := len(find[Move](w.tick(tick))); n != want {
+		if n := len(find[Migrate](w.tick(tick))); n != want {
 			t.Errorf("seed %d: %d of %d clients moved off a server at 1.0, want %d", seed, n, held, want)
 		}
 	}
@@ -1372,10 +1372,10 @@
 		for i := range groupsHeld * each {
 			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
 			in[id] = group
-			w.send(Opened{Request: Requested{ID: id, Group: group}, Server: 1})
+			w.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
 		}
 		w.report(1, 1.05)
-		for _, m := range find[Move](w.tick(tick)) {
+		for _, m := range find[Migrate](w.tick(tick)) {
 			moved[in[m.ID]]++
 		}
 	}
@@ -1397,13 +1397,13 @@
 	w.report(1, 0.95)
 	w.b.stood = 100 // ten a second
 	for i := range held {
-		if n := len(find[Refuse](w.ask(name("r", i), safe))); n != 0 {
+		if n := len(find[Reject](w.ask(name("r", i), safe))); n != 0 {
 			t.Fatalf("request %d of %d was refused, though 20 come to stand in its time", i, held)
 		}
 	}
 	w.now += 1250 * time.Millisecond
 	refused := map[RequestID]bool{}
-	for _, r := range find[Refuse](w.tick(tick)) {
+	for _, r := range find[Reject](w.tick(tick)) {
 		refused[r.ID] = true
 	}
 	if len(refused) == 0 || refused["r0"] || !refused[RequestID(name("r", held-1))] {
@@ -1416,7 +1416,7 @@
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 6: 3, 30: 3} {
 		w := newWorld(t, groups())
 		w.full(servers(n, 0))
-		if got := len(w.b.homes(&request{Requested: Requested{Group: "g"}}, w.b.near)); got != want {
+		if got := len(w.b.homes(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.near)); got != want {
 			t.Errorf("a group has %d servers of %d, want %d", got, n, want)
 		}
 	}
@@ -1434,7 +1434,7 @@
 		set.Balancers = c.balancers
 		w := newWorld(t, set)
 		w.full(servers(4, 0))
-		homes := w.b.homes(&request{Requested: Requested{Group: "g"}}, w.b.near)
+		homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.near)
 		for i, s := range homes {
 			w.report(s.ID, []float64{c.load, 0.2, 0.2}[i])
 		}
@@ -1453,7 +1453,7 @@
 		w.report(id+1, 0.3)
 	}
 	ask := func(id, key string) ServerID {
-		return w.placed(w.send(Requested{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
+		return w.placed(w.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
 	}
 	for i := range 8 {
 		home := ask(name("r", i), name("key", i))
@@ -1463,7 +1463,7 @@
 	home := w.b.requests["r0"].srv.ID
 	w.now += moveSettle
 	w.report(home, 1.2)
-	moves := find[Move](w.tick(tick))
+	moves := find[Migrate](w.tick(tick))
 	if len(moves) == 0 {
 		t.Fatal("nobody was moved")
 	}
@@ -1489,11 +1489,11 @@
 	}
 	bad := old.placed(old.ask("r", safe))
 	old.end("r", 0, bad, ServerError, false)
-	told := append(old.b.Learned(), Learned{Server: 77, Streak: 1, Out: time.Hour})
+	told := append(old.b.ExportLearned(), LearnedState{Server: 77, ConsecutiveFailures: 1, EjectedFor: time.Hour})
 	next.now += time.Second
 	next.send(TimerFired{Token: timerHeld})
-	next.b.Learn(told)
-	if !next.b.Avoids(bad) || next.b.Avoids(77) {
+	next.b.ImportLearned(told)
+	if !next.b.Ejected(bad) || next.b.Ejected(77) {
 		t.Error("the server that is left out is not, or an unknown one is")
 	}
 	for id, s := range next.b.servers {
@@ -1506,7 +1506,7 @@
 			t.Error("a client went to the server that is left out")
 		}
 	}
-	next.b.Learn([]Learned{{Server: 1, Load: -3, Age: -1, Each: 9, Streak: -4, Out: -1}})
+	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4, EjectedFor: -1}})
 	if s := next.b.servers[1]; s.load < 0 || s.each > 1 {
 		t.Errorf("nonsense was taken over: %+v", s)
 	}
@@ -1523,7 +1523,7 @@
 		w.none(w.ask(name("x", i), safe), "no server is left")
 	}
 	acts := w.tick(time.Second)
-	if len(find[Move](acts)) > 0 {
+	if len(find[Migrate](acts)) > 0 {
 		t.Errorf("moved: %v", acts)
 	}
 	for _, r := range w.b.requests {
@@ -1546,7 +1546,7 @@
 // A list ten times as long costs no more probes, and groups that had a home among the old servers keep to few.
 func TestListTenTimesAsLong(t *testing.T) {
 	set := settings()
-	set.MayProbe = true
+	set.ProbingAllowed = true
 	probes := func(n int) int {
 		w := newWorld(t, set)
 		w.full(servers(9, 0))
@@ -1567,7 +1567,7 @@
 		w.full(servers(2, 0))
 		w.report(1, 0.5)
 		s := w.b.servers[1]
-		w.send(Probed{Server: 1, Code: OK, Report: Report{Load: load, Held: 4}})
+		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
 		if s.load != 0.5 || s.reported != 0.5 || s.each != 0 {
 			t.Errorf("a load of %v is taken: %+v", load, s)
 		}
@@ -1575,7 +1575,7 @@
 	for _, held := range []float64{-7, 1e9, math.Inf(1), math.NaN()} {
 		w := newWorld(t, settings())
 		w.full(servers(2, 0))
-		w.send(Probed{Server: 1, Code: OK, Report: Report{Load: 0.5, Held: held}})
+		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: held}})
 		if s := w.b.servers[1]; s.each != 0 || s.load != 0.5 {
 			t.Errorf("%v connections are taken: %+v", held, s)
 		}
@@ -1587,7 +1587,7 @@
 func TestBookingsEndWithTheirConnections(t *testing.T) {
 	w := newWorld(t, settings())
 	w.full(servers(1, 0))
-	w.send(Probed{Server: 1, Code: OK, Report: Report{Load: 0.2, Held: 10}})
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.2, Connections: 10}})
 	for i := range 40 {
 		id := name("c", i)
 		w.stand(id, safe)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,9 +10,9 @@
 // A host hands in events with its own clock and carries out the actions.
 func Example() {
 	b, err := decide.New(decide.Settings{
-		Seed: 1, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, MaxTries: 3,
-		Classes: []decide.Class{{Name: "session", Aim: 300 * time.Millisecond}},
-		Rules:   decide.Rules{DrainGrace: time.Second, ColdShare: 0.3, Cold: 10 * time.Second, FallMultiple: 3},
+		Seed: 1, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, MaxAttempts: 3,
+		Classes: []decide.Class{{Name: "session", LatencyObjective: 300 * time.Millisecond}},
+		Safety:  decide.SafetyLimits{DrainGrace: time.Second, SlowStartShare: 0.3, SlowStartDuration: 10 * time.Second, OverloadFactor: 3},
 	})
 	if err != nil {
 		fmt.Println(err)
@@ -20,16 +20,16 @@
 	}
 	now := 5 * time.Second
 	actions := b.Handle(now, decide.Started{}, nil)
-	actions = b.Handle(now, decide.ListReceived{Kind: decide.ListFull, Servers: []decide.Server{
+	actions = b.Handle(now, decide.ListReceived{Kind: decide.ListSnapshot, Servers: []decide.Server{
 		{ID: 17, Zone: "north"}, {ID: 23, Zone: "south"},
 	}}, actions[:0])
-	actions = b.Handle(now, decide.Requested{ID: "r1", Key: "client-9", Remaining: 2 * time.Second}, actions[:0])
+	actions = b.Handle(now, decide.RequestArrived{ID: "r1", Key: "client-9", Remaining: 2 * time.Second}, actions[:0])
 	for _, a := range actions {
 		switch a := a.(type) {
-		case decide.Place:
+		case decide.StartAttempt:
 			fmt.Println("dial server", a.Server, "for", a.ID)
 		case decide.SetTimer:
-			fmt.Println("wake me in", a.Wait)
+			fmt.Println("wake me in", a.Delay)
 		}
 	}
 	// Output:
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -97,7 +97,7 @@
 		}
 		f.balancers = append(f.balancers, b)
 		f.handle(i, Started{})
-		f.handle(i, ListReceived{Kind: ListFull, Servers: list})
+		f.handle(i, ListReceived{Kind: ListSnapshot, Servers: list})
 	}
 	return f
 }
@@ -110,10 +110,10 @@
 
 // part is what a server can do now of what it does when warm.
 func (f *manyBalancers) part(id ServerID) float64 {
-	rules := f.balancers[0].set.Rules
+	rules := f.balancers[0].set.Safety
 	for _, s := range f.list {
-		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < rules.Cold {
-			return rules.ColdShare + (1-rules.ColdShare)*float64(age)/float64(rules.Cold)
+		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < rules.SlowStartDuration {
+			return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartDuration)
 		}
 	}
 	return 1
@@ -128,28 +128,28 @@
 	for _, a := range f.balancers[i].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
-			f.later(i, f.now+a.Wait, TimerFired{Token: a.Token})
+			f.later(i, f.now+a.Delay, TimerFired{Token: a.Token})
 		case Probe:
 			f.probes++
 			if len(f.balancers[i].servers[a.Server].conns) == 0 {
 				f.idleProbes++
 			}
 			s := f.servers[a.Server]
-			r := Report{Load: 0, Held: float64(s.conns)}
+			r := LoadReport{Load: 0, Connections: float64(s.conns)}
 			if n := len(s.past) - int(fleetLag/fleetStep); n >= 0 {
 				r.Load = s.past[n]
 			}
-			f.later(i, f.now+fleetStep, Probed{Server: a.Server, Code: OK, Report: r})
-		case Place:
+			f.later(i, f.now+fleetStep, ProbeCompleted{Server: a.Server, Code: OK, Report: r})
+		case StartAttempt:
 			f.sent[a.Server] = append(f.sent[a.Server], f.now)
 			if choked := f.load(a.Server) > chokeLoad; f.fails[a.Server] || choked {
 				if choked && !f.fails[a.Server] {
 					f.late++
-					f.later(i, f.now+a.Wait, Ended{ID: a.ID, Attempt: f.balancers[i].requests[a.ID].tries - 1, Server: a.Server, Code: TimedOut, Report: NoReport})
+					f.later(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests[a.ID].tries - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
 					continue
 				}
 				at := f.balancers[i].requests[a.ID].tries - 1
-				f.later(i, f.now+fleetStep, Ended{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoReport})
+				f.later(i, f.now+fleetStep, AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport})
 				continue
 			}
 			s := f.servers[a.Server]
@@ -161,20 +161,20 @@
 				f.storeBusy = max(f.storeBusy, f.now) + time.Duration(float64(time.Second)/f.store)
 				took += f.storeBusy - f.now
 			}
-			f.later(i, f.now+took, Established{ID: a.ID, Server: a.Server, Took: took})
+			f.later(i, f.now+took, Established{ID: a.ID, Server: a.Server, Elapsed: took})
 			if f.life > 0 {
 				f.ends = append(f.ends, ending{f.now + took + time.Duration(f.rng.ExpFloat64()*float64(f.life)), a.ID})
 			}
 		case Fail:
 			f.finish(a.ID, Cancelled)
-		case Refuse:
+		case Reject:
 			f.finish(a.ID, Cancelled) // one that stood too late is closed
 			f.refused++
 			f.held = append(f.held, f.now-f.came[a.ID])
 			if f.again[a.ID] < 2 && f.life > 0 { // a client comes again by itself, twice
 				f.back = append(f.back, returning{f.now + a.RetryAfter, f.groups[a.ID], f.again[a.ID] + 1})
 			}
-		case Move:
+		case Migrate:
 			f.sendAway(a.ID)
 		}
 	}
@@ -203,7 +203,7 @@
 		delete(s.groups, group)
 	}
 	if r := f.balancers[at.balancer].requests[id]; r != nil {
-		f.later(at.balancer, f.now+fleetStep, Ended{ID: id, Server: at.server, Code: code, Final: true, Report: NoReport, Attempt: r.tries - 1})
+		f.later(at.balancer, f.now+fleetStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true, Report: NoLoadReport, Attempt: r.tries - 1})
 	}
 	return true
 }
@@ -260,15 +260,15 @@
 		f.servers[id] = &fleetServer{capacity: capacity, groups: map[string]int{}}
 	}
 	f.tell()
-	rules := f.balancers[0].set.Rules
-	return rules.FallMultiple * rules.Fall.Seconds() * capacity / usualLife.Seconds() * (rules.ColdShare + 0.28)
+	rules := f.balancers[0].set.Safety
+	return rules.OverloadFactor * rules.OverloadWindow.Seconds() * capacity / usualLife.Seconds() * (rules.SlowStartShare + 0.28)
 }
 
 func (f *manyBalancers) arrive(group string) {
 	f.next++
 	id := RequestID(name("f", f.next))
 	f.groups[id], f.came[id] = group, f.now
-	f.handle(f.rng.IntN(len(f.balancers)), Requested{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
+	f.handle(f.rng.IntN(len(f.balancers)), RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
 // pairs counts on how many servers groups are, all groups together.
@@ -302,7 +302,7 @@
 
 func fleetSettings() Settings {
 	set := groups()
-	set.MayProbe = true
+	set.ProbingAllowed = true
 	return set
 }
 
@@ -356,12 +356,12 @@
 		set := fleetSettings()
 		f := newFleet(t, set, n, servers(6, 0), 26)
 		f.run(20*time.Second, 0.055, fleetGroups)
-		bears, rules := f.startCold(50, 1, 26), set.Rules
+		bears, rules := f.startCold(50, 1, 26), set.Safety
 		f.run(4*time.Second, 0.6, fleetGroups)
-		got := f.most(50, rules.Fall)
-		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, rules.Fall, bears)
+		got := f.most(50, rules.OverloadWindow)
+		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, rules.OverloadWindow, bears)
 		if float64(got) > bears+3 {
-			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", n, got, rules.Fall, bears)
+			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", n, got, rules.OverloadWindow, bears)
 		}
 	}
 }
@@ -378,20 +378,20 @@
 			groups = append(groups, name("g", i))
 		}
 		f.run(20*time.Second, 0.008*float64(c.old), groups)
-		bears, rules := f.startCold(500, c.old, 26), set.Rules
+		bears, rules := f.startCold(500, c.old, 26), set.Safety
 		f.run(4*time.Second, 0.03*float64(c.old), groups)
 		all, most := 0, 0
 		for _, s := range f.list[c.old:] {
-			all, most = all+len(f.sent[s.ID]), max(most, f.most(s.ID, rules.Fall))
+			all, most = all+len(f.sent[s.ID]), max(most, f.most(s.ID, rules.OverloadWindow))
 		}
-		part := float64(all) / (4 / rules.Fall.Seconds() * bears * float64(c.old))
+		part := float64(all) / (4 / rules.OverloadWindow.Seconds() * bears * float64(c.old))
 		t.Logf("%d balancers: %.2f of what the cold servers bear in 4 s, %d within %v at one, which bears %.1f",
-			c.n, part, most, rules.Fall, bears)
+			c.n, part, most, rules.OverloadWindow, bears)
 		if part < 0.25 {
 			t.Errorf("%d balancers use %.2f of what the cold servers bear, at least 0.25 wanted", c.n, part)
 		}
 		if float64(most) > bears+4 {
-			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", c.n, most, rules.Fall, bears)
+			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", c.n, most, rules.OverloadWindow, bears)
 		}
 	}
 }
@@ -439,7 +439,7 @@
 	t.Parallel()
 	for _, c := range fleetSizes {
 		f, groups := standingFleet(t, c.n, c.old, 0.4)
-		fall := f.balancers[0].set.Rules.Fall
+		fall := f.balancers[0].set.Safety.OverloadWindow
 		bears := f.startCold(500, c.old/3, 26)
 		f.drain(1, c.old/3)
 		f.run(4*time.Second, 0.01*float64(c.old), groups)
@@ -559,7 +559,7 @@
 // tell gives all balancers the list.
 func (f *manyBalancers) tell() {
 	for i := range f.balancers {
-		f.handle(i, ListReceived{Kind: ListFull, Servers: f.list})
+		f.handle(i, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	}
 }
 
--- a/decide/fleetsize.go
+++ b/decide/fleetsize.go
@@ -6,15 +6,15 @@
 	counted bool // the membership counts them; else it is the number of the settings
 }
 
-// NamedFleetSize is the size that the settings name, where the zones are taken to have the same number of balancers each.
-func NamedFleetSize(set Settings) FleetSize {
+// ConfiguredFleetSize is the size that the settings name, where the zones are taken to have the same number of balancers each.
+func ConfiguredFleetSize(set Settings) FleetSize {
 	all := max(set.Balancers, 1)
 	return FleetSize{Fleet: all, Zone: max(1, all/max(len(set.Zones), 1)), Admitted: true}
 }
 
 // fleetSize takes over what the membership counts. A spoilt number is passed over.
 func (b *Balancer) fleetSize(ev FleetSize) {
-	if ev.Fleet < 1 || ev.Zone < 1 || ev.Fleet > MostBalancers {
+	if ev.Fleet < 1 || ev.Zone < 1 || ev.Fleet > MaxBalancers {
 		return
 	}
 	b.fleet = fleetShare{FleetSize: ev, counted: true}
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -16,13 +16,13 @@
 		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.roomy, told.b.full, told.b.askAfter(), told.b.period(), told.b.peers(),
 			named.b.roomy, named.b.full, named.b.askAfter(), named.b.period(), named.b.peers())
 	}
-	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1}, {Fleet: MostBalancers + 1, Zone: 1}} {
+	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1}, {Fleet: MaxBalancers + 1, Zone: 1}} {
 		told.send(spoilt)
 		if told.b.peers() != 150 || !told.b.fleet.Admitted {
 			t.Errorf("%+v is taken", spoilt)
 		}
 	}
-	told.send(NamedFleetSize(few))
+	told.send(ConfiguredFleetSize(few))
 	if told.b.peers() != newWorld(t, few).b.peers() {
 		t.Errorf("%v peers without a view", told.b.peers())
 	}
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -17,18 +17,18 @@
 // settings are a small deployment's; a test changes what it is about.
 func settings() Settings {
 	return Settings{
-		Seed: 7, Zone: "a", Zones: []string{"a", "b"}, Balancers: 4, Subscribe: true,
+		Seed: 7, Zone: "a", Zones: []string{"a", "b"}, Balancers: 4, WatchList: true,
 		Classes: []Class{
-			{Name: "safe", Aim: 300 * time.Millisecond, MessageAim: 60 * time.Millisecond, GiveUp: 2 * time.Second},
-			{Name: "keyed", Aim: 300 * time.Millisecond, Repeat: Keyed, Scope: ScopeZone, Window: 5 * time.Second},
-			{Name: "unsafe", Aim: 300 * time.Millisecond, Repeat: Unsafe},
-			{Name: "all", Aim: 300 * time.Millisecond, Repeat: Keyed, Scope: ScopeAll, Window: 5 * time.Second},
-			{Name: "cell", Aim: 300 * time.Millisecond, Repeat: Keyed, Scope: ScopeCell, Window: 5 * time.Second},
+			{Name: "safe", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond, ClientTimeout: 2 * time.Second},
+			{Name: "keyed", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeZone, DedupWindow: 5 * time.Second},
+			{Name: "unsafe", LatencyObjective: 300 * time.Millisecond, Idempotency: NotIdempotent},
+			{Name: "all", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeAll, DedupWindow: 5 * time.Second},
+			{Name: "cell", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeCell, DedupWindow: 5 * time.Second},
 		},
-		MaxTries: 3, // without probes, so that requests are placed at once
-		Rules: Rules{DrainGrace: 500 * time.Millisecond, MustAsk: 10 * time.Second, ColdShare: 0.3,
-			Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second},
-		Prices: Prices{Probe: 0.002, Move: 0.02, CrossZone: 0.03},
+		MaxAttempts: 3, // without probes, so that requests are placed at once
+		Safety: SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second, SlowStartShare: 0.3,
+			SlowStartDuration: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second},
+		Costs: Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
 }
 
@@ -77,26 +77,26 @@
 }
 
 func (w *world) full(list []Server) []Action {
-	return w.send(ListReceived{Kind: ListFull, Servers: list})
+	return w.send(ListReceived{Kind: ListSnapshot, Servers: list})
 }
 
 func (w *world) report(id ServerID, load float64) []Action {
-	return w.send(Probed{Server: id, Code: OK, Report: Report{Load: load, Held: -1}})
+	return w.send(ProbeCompleted{Server: id, Code: OK, Report: LoadReport{Load: load, Connections: -1}})
 }
 
 func (w *world) ask(id string, class int) []Action {
-	return w.send(Requested{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
+	return w.send(RequestArrived{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
 }
 
 func (w *world) end(id string, attempt int, s ServerID, code Code, final bool) []Action {
-	return w.send(Ended{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoReport})
+	return w.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoLoadReport})
 }
 
 // stand places a request and lets its connection stand.
 func (w *world) stand(id string, class int) ServerID {
 	w.t.Helper()
 	acts := w.ask(id, class)
-	if len(find[Place](acts)) == 0 { // it waits for answers that do not come
+	if len(find[StartAttempt](acts)) == 0 { // it waits for answers that do not come
 		w.now += askWait
 		acts = w.send(TimerFired{Token: timerHeld})
 	}
@@ -117,7 +117,7 @@
 // placed wants exactly one Place among the actions.
 func (w *world) placed(acts []Action) ServerID {
 	w.t.Helper()
-	p := find[Place](acts)
+	p := find[StartAttempt](acts)
 	if len(p) != 1 {
 		w.t.Fatalf("want one Place, got %v", acts)
 	}
@@ -126,14 +126,14 @@
 
 func (w *world) none(acts []Action, why string) {
 	w.t.Helper()
-	if p := find[Place](acts); len(p) > 0 {
+	if p := find[StartAttempt](acts); len(p) > 0 {
 		w.t.Fatalf("%s: unwanted %v", why, p)
 	}
 }
 
 // answers counts final answers.
 func answers(acts []Action) (refused, failed int) {
-	return len(find[Refuse](acts)), len(find[Fail](acts))
+	return len(find[Reject](acts)), len(find[Fail](acts))
 }
 
 func zoneOf(id ServerID) string {
--- a/decide/index.go
+++ b/decide/index.go
@@ -197,12 +197,12 @@
 	p.zone.count(p, holds)
 	turn, leave := time.Duration(0), time.Duration(0)
 	if p.in&isCold != 0 {
-		turn = s.Started + b.set.Rules.Cold
+		turn = s.Started + b.set.Safety.SlowStartDuration
 	}
 	if p.in&isOut != 0 && (turn == 0 || s.ejected < turn) {
 		turn = s.ejected
 	}
-	if s.State == Gone && len(s.conns) == 0 {
+	if s.State == Removed && len(s.conns) == 0 {
 		leave = s.told + rememberFor
 	}
 	reset(b.turns, s, &p.turn, turn)
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -24,8 +24,8 @@
 	actions map[string]int
 	lines   map[ServerID]Server // the list as it is told
 	ids     []ServerID          // of lines, and of those that went
-	out     []Place             // attempts that are out
-	stand   []Place             // connections that stand
+	out     []StartAttempt      // attempts that are out
+	stand   []StartAttempt      // connections that stand
 	timers  []timerDue
 	probes  []ServerID
 	nextID  int
@@ -46,12 +46,12 @@
 	for _, a := range got {
 		p.actions[reflect.TypeOf(a).Name()]++
 		switch a := a.(type) {
-		case Place:
+		case StartAttempt:
 			p.out = append(p.out, a)
 		case Probe:
 			p.probes = append(p.probes, a.Server)
 		case SetTimer:
-			p.timers = append(p.timers, timerDue{p.now + a.Wait, a.Token})
+			p.timers = append(p.timers, timerDue{p.now + a.Delay, a.Token})
 		}
 	}
 	return true
@@ -98,7 +98,7 @@
 		case k < 3:
 			s.State = Draining
 		case k < 5:
-			s.State = Gone
+			s.State = Removed
 		case k < 7: // a restart
 			s.State, s.Started = Ready, p.now
 		case k == 7:
@@ -110,12 +110,12 @@
 		}
 		p.lines[id] = s
 		told = append(told, s)
-		if s.State == Gone {
+		if s.State == Removed {
 			delete(p.lines, id)
 		}
 	}
 	if p.rng.IntN(4) > 0 {
-		return p.give(ListReceived{Kind: ListChanges, Servers: told})
+		return p.give(ListReceived{Kind: ListDelta, Servers: told})
 	}
 	return p.whole(func(Server) bool { return true })
 }
@@ -128,14 +128,14 @@
 			told = append(told, s)
 		}
 	}
-	return p.give(ListReceived{Kind: ListFull, Servers: told})
+	return p.give(ListReceived{Kind: ListSnapshot, Servers: told})
 }
 
 // step gives one random event.
 func (p *pair) step(weights int) bool {
-	pick := func(list *[]Place) (Place, bool) {
+	pick := func(list *[]StartAttempt) (StartAttempt, bool) {
 		if len(*list) == 0 {
-			return Place{}, false
+			return StartAttempt{}, false
 		}
 		i := p.rng.IntN(len(*list))
 		a := (*list)[i]
@@ -143,13 +143,13 @@
 		return a, true
 	}
 	anyServer := func() ServerID { return p.ids[p.rng.IntN(len(p.ids))] }
-	report := func() Report {
-		return Report{Load: p.rng.Float64() * 1.1, Held: float64(p.rng.IntN(30)) - 1}
+	report := func() LoadReport {
+		return LoadReport{Load: p.rng.Float64() * 1.1, Connections: float64(p.rng.IntN(30)) - 1}
 	}
 	switch k := p.rng.IntN(200); {
 	case k < 60:
 		p.nextID++
-		ev := Requested{ID: RequestID(name("r", p.nextID)), Class: p.rng.IntN(5), Key: name("k", p.rng.IntN(50)),
+		ev := RequestArrived{ID: RequestID(name("r", p.nextID)), Class: p.rng.IntN(5), Key: name("k", p.rng.IntN(50)),
 			Remaining: time.Duration(p.rng.IntN(3000)+1) * time.Millisecond, MidFlow: p.rng.IntN(9) == 0}
 		if p.rng.IntN(3) > 0 {
 			ev.Group = name("g", p.rng.IntN(30))
@@ -157,12 +157,12 @@
 		return p.give(ev)
 	case k < 65:
 		p.nextID++
-		a := Place{ID: RequestID(name("o", p.nextID)), Server: anyServer()}
+		a := StartAttempt{ID: RequestID(name("o", p.nextID)), Server: anyServer()}
 		if p.rng.IntN(5) == 0 {
 			a.Server = ServerID(1<<21 + p.rng.IntN(9)) // one that no list has named
 		}
 		p.stand = append(p.stand, a)
-		return p.give(Opened{Request: Requested{ID: a.ID, Group: name("g", p.rng.IntN(30))}, Server: a.Server})
+		return p.give(ConnectionRestored{Request: RequestArrived{ID: a.ID, Group: name("g", p.rng.IntN(30))}, Server: a.Server})
 	case k < 100:
 		a, ok := pick(&p.out)
 		if !ok {
@@ -174,10 +174,10 @@
 		}
 		if p.rng.IntN(3) > 0 {
 			p.stand = append(p.stand, a)
-			return p.give(Established{ID: a.ID, Attempt: attempt, Server: a.Server, Took: 50 * time.Millisecond})
+			return p.give(Established{ID: a.ID, Attempt: attempt, Server: a.Server, Elapsed: 50 * time.Millisecond})
 		}
-		return p.give(Ended{ID: a.ID, Attempt: attempt, Server: a.Server, Code: Code(p.rng.IntN(8)), Report: NoReport,
-			Took: 100 * time.Millisecond})
+		return p.give(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: Code(p.rng.IntN(8)), Report: NoLoadReport,
+			Elapsed: 100 * time.Millisecond})
 	case k < 115:
 		a, ok := pick(&p.stand)
 		if !ok {
@@ -187,26 +187,26 @@
 		if r := p.ref.requests[a.ID]; r != nil {
 			attempt = r.tries - 1
 		}
-		return p.give(Ended{ID: a.ID, Attempt: attempt, Server: a.Server, Code: []Code{OK, Reset, Cancelled}[p.rng.IntN(3)],
-			Final: true, Report: NoReport})
+		return p.give(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: []Code{OK, Reset, Cancelled}[p.rng.IntN(3)],
+			Final: true, Report: NoLoadReport})
 	case k < 118:
 		if a, ok := pick(&p.out); ok {
-			return p.give(ClientGone{ID: a.ID})
+			return p.give(ClientDisconnected{ID: a.ID})
 		}
 	case k < 150:
 		id := anyServer()
 		if n := len(p.probes); n > 0 && p.rng.IntN(4) > 0 {
 			id, p.probes = p.probes[n-1], p.probes[:n-1]
 		}
-		ev := Probed{Server: id, Report: report()}
+		ev := ProbeCompleted{Server: id, Report: report()}
 		if p.rng.IntN(12) == 0 {
-			ev.Code, ev.Report = Code(p.rng.IntN(8)), NoReport
+			ev.Code, ev.Report = Code(p.rng.IntN(8)), NoLoadReport
 		}
 		return p.give(ev)
 	case k < 154:
 		if len(p.stand) > 0 {
 			a := p.stand[p.rng.IntN(len(p.stand))]
-			return p.give(MessagesSlow{ID: a.ID, Server: a.Server, Delay: time.Duration(p.rng.IntN(90)) * time.Millisecond}) &&
+			return p.give(MessageDelayReported{ID: a.ID, Server: a.Server, Delay: time.Duration(p.rng.IntN(90)) * time.Millisecond}) &&
 				p.give(LoadChanged{ID: a.ID, Load: p.rng.Float64()})
 		}
 	case k < 158:
@@ -277,21 +277,21 @@
 	if !p.give(Started{}) || !p.whole(func(Server) bool { return true }) {
 		return false
 	}
-	var learned []Learned
+	var learned []LearnedState
 	for id := range ServerID(n) {
-		l := Learned{Server: id + 1, Age: -1}
+		l := LearnedState{Server: id + 1, Age: -1}
 		if p.rng.IntN(2) == 0 {
-			l.Load, l.Age, l.Each = p.rng.Float64(), time.Duration(p.rng.IntN(12_000))*time.Millisecond, p.rng.Float64()/20
+			l.Load, l.Age, l.LoadPerConnection = p.rng.Float64(), time.Duration(p.rng.IntN(12_000))*time.Millisecond, p.rng.Float64()/20
 		}
 		if p.rng.IntN(9) == 0 {
-			l.Streak, l.Out = 1, time.Duration(p.rng.IntN(5000))*time.Millisecond
+			l.ConsecutiveFailures, l.EjectedFor = 1, time.Duration(p.rng.IntN(5000))*time.Millisecond
 		}
 		learned = append(learned, l)
 	}
-	p.b.Learn(learned)
+	p.b.ImportLearned(learned)
 	p.ref.Learn(learned)
 	for i := range steps {
-		if i == steps/2 && !slices.Equal(p.b.Learned(), p.ref.Learned()) {
+		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.ref.Learned()) {
 			p.trace = "what it has learned differs"
 			return false
 		}
@@ -305,7 +305,7 @@
 // pairSettings differ in all that the lists matter to.
 func pairSettings(seed uint64) Settings {
 	set := settings()
-	set.Seed, set.Groups, set.Subscribe, set.MayProbe = seed, seed%3 != 0, seed%2 == 0, seed%5 != 4
+	set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%3 != 0, seed%2 == 0, seed%5 != 4
 	set.Zones, set.Balancers = []string{"a", "b", "c"}, []int{1, 4, 40, 300}[seed%4]
 	return set
 }
@@ -330,7 +330,7 @@
 		}
 	}
 	t.Log(all)
-	for _, kind := range []string{"Place", "Refuse", "Fail", "Move", "Probe", "FetchList", "Log"} {
+	for _, kind := range []string{"StartAttempt", "Reject", "Fail", "Migrate", "Probe", "FetchList", "Log"} {
 		if all[kind] == 0 {
 			t.Errorf("no %s among the actions compared: %v", kind, all)
 		}
@@ -376,7 +376,7 @@
 		found := false
 		for seed := uint64(0); seed < 24 && !found; seed++ {
 			set := pairSettings(seed)
-			set.Groups, set.MayProbe = true, true
+			set.GroupAffinity, set.ProbingAllowed = true, true
 			p := newPair(t, seed, set)
 			p.plant = plant
 			found = !p.run(60, 9, 4000)
@@ -413,9 +413,9 @@
 			p.whole(func(Server) bool { return true })
 			for round := range 12 {
 				for g := range 40 {
-					group := Requested{Group: name("g", g*round/4)}
-					near, far := p.b.ranked(&request{Requested: group})
-					refNear, refFar := p.ref.ranked(&refRequest{Requested: group})
+					group := RequestArrived{Group: name("g", g*round/4)}
+					near, far := p.b.ranked(&request{RequestArrived: group})
+					refNear, refFar := p.ref.ranked(&refRequest{RequestArrived: group})
 					for i, got := range [2][]*server{near, far} {
 						want := [2][]*refServer{refNear, refFar}[i]
 						if !slices.EqualFunc(got, want, func(x *server, y *refServer) bool { return x.ID == y.ID }) {
@@ -459,25 +459,25 @@
 			b.Handle(now, ListReceived{Servers: []Server{s}}, nil)
 		}},
 		"a request": {4, func(b *Balancer, _, i int) {
-			b.Handle(now, Requested{ID: "r", Remaining: time.Second}, nil)
-			b.Handle(now, ClientGone{ID: "r"}, nil)
+			b.Handle(now, RequestArrived{ID: "r", Remaining: time.Second}, nil)
+			b.Handle(now, ClientDisconnected{ID: "r"}, nil)
 		}},
 		"a request of a known group": {12, func(b *Balancer, _, i int) {
-			b.Handle(now, Requested{ID: "r", Group: "g", Remaining: time.Second}, nil)
-			b.Handle(now, ClientGone{ID: "r"}, nil)
+			b.Handle(now, RequestArrived{ID: "r", Group: "g", Remaining: time.Second}, nil)
+			b.Handle(now, ClientDisconnected{ID: "r"}, nil)
 		}},
 		"a failure": {2, func(b *Balancer, n, i int) {
-			b.Handle(now, Probed{Server: ServerID(i + 1), Code: ServerError}, nil)
+			b.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Code: ServerError}, nil)
 		}},
 		"a probe": {0, func(b *Balancer, n, i int) {
-			b.Handle(now, Probed{Server: ServerID(i + 1), Report: Report{Load: 0.6, Held: 9}}, nil)
+			b.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Report: LoadReport{Load: 0.6, Connections: 9}}, nil)
 		}},
 	} {
 		for _, n := range []int{600, 5000, 20_000} {
 			set := groups()
 			b := fleet(t, set, n, 0)
-			b.Handle(now, Requested{ID: "first", Group: "g", Remaining: time.Second}, nil)
-			b.Handle(now, ClientGone{ID: "first"}, nil)
+			b.Handle(now, RequestArrived{ID: "first", Group: "g", Remaining: time.Second}, nil)
+			b.Handle(now, ClientDisconnected{ID: "first"}, nil)
 			before := b.visits
 			for i := range times {
 				now += tick
@@ -492,7 +492,7 @@
 	for _, n := range []int{600, 5000, 20_000} {
 		b := fleet(t, groups(), n, 0)
 		before := b.visits
-		b.Handle(now, Requested{ID: "r", Group: "new", Remaining: time.Second}, nil)
+		b.Handle(now, RequestArrived{ID: "r", Group: "new", Remaining: time.Second}, nil)
 		if visits := b.visits - before; visits > n+12 {
 			t.Errorf("%d servers: a new group looks at %d", n, visits)
 		}
@@ -512,8 +512,8 @@
 			t.Errorf("%d servers: %v allocations a tick", n, allocs)
 		}
 		allocs := testing.AllocsPerRun(100, func() {
-			b.Handle(now, Requested{ID: "r", Group: "g", Remaining: time.Second}, out[:0])
-			b.Handle(now, ClientGone{ID: "r"}, out[:0])
+			b.Handle(now, RequestArrived{ID: "r", Group: "g", Remaining: time.Second}, out[:0])
+			b.Handle(now, ClientDisconnected{ID: "r"}, out[:0])
 		})
 		if short = max(short, 1); n == 600 {
 			short = allocs
@@ -526,15 +526,15 @@
 // All walks over whole lists are known, each with its reason: one more would make something grow with the list again.
 func TestWalksOverWholeListsAreKnown(t *testing.T) {
 	known := map[string]string{
-		"list":       "a whole list has just come",
-		"rebuild":    "so much has changed",
-		"reindexAll": "of those that it is told of",
-		"bootstrap":  "no server has answered for seconds",
-		"rank":       "a group that is not known: one quick pass",
-		"pick":       "until the first fit one; all only where none is fit",
-		"Learned":    "once, for the process that takes over",
-		"Learn":      "it was told of them all",
-		"keep":       "memory is moved, no server is looked at",
+		"list":          "a whole list has just come",
+		"rebuild":       "so much has changed",
+		"reindexAll":    "of those that it is told of",
+		"bootstrap":     "no server has answered for seconds",
+		"rank":          "a group that is not known: one quick pass",
+		"pick":          "until the first fit one; all only where none is fit",
+		"ExportLearned": "once, for the process that takes over",
+		"ImportLearned": "it was told of them all",
+		"keep":          "memory is moved, no server is looked at",
 	}
 	walk := regexp.MustCompile(`(range|slices\.\w+\(|first\(|least\(|lightest\(|inTurn\(\S+) ?b?z?\.?(near\.|far\.)?(ready|local|remote|servers|keys|all)\b`)
 	found := map[string]bool{}
@@ -566,8 +566,8 @@
 func TestRecordsOfGoneServersAreDropped(t *testing.T) {
 	w := newWorld(t, settings())
 	w.full(servers(40, 0))
-	w.send(Opened{Request: Requested{ID: "held"}, Server: 1})
-	w.send(Opened{Request: Requested{ID: "unlisted"}, Server: 99})
+	w.send(ConnectionRestored{Request: RequestArrived{ID: "held"}, Server: 1})
+	w.send(ConnectionRestored{Request: RequestArrived{ID: "unlisted"}, Server: 99})
 	w.end("unlisted", 0, 99, OK, true)
 	w.end("unknown", 0, 98, OK, true)
 	w.full(servers(40, 0)[20:])
@@ -591,7 +591,7 @@
 func TestLateEndAtADroppedRecord(t *testing.T) {
 	w := newWorld(t, settings())
 	w.full(servers(1, 0))
-	s := w.placed(w.send(Requested{ID: "r", Remaining: time.Hour}))
+	s := w.placed(w.send(RequestArrived{ID: "r", Remaining: time.Hour}))
 	w.full(nil)
 	w.now += rememberFor + time.Second
 	w.send(ListReceived{})
@@ -600,7 +600,7 @@
 	}
 	w.full(servers(1, 0))
 	w.send(Established{ID: "r", Server: s})
-	w.send(ClientGone{ID: "r"})
+	w.send(ClientDisconnected{ID: "r"})
 	w.now += rememberFor + time.Second
 	w.send(ListReceived{})
 	if b := w.b; b.servers[s] == nil || len(b.local) != 1 || b.servers[s].State != Ready {
--- a/decide/legal_test.go
+++ b/decide/legal_test.go
@@ -53,13 +53,13 @@
 func (h *host) check(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
-	case Place:
+	case StartAttempt:
 		h.checkPlace(a)
-	case Refuse:
+	case Reject:
 		r := h.owed(a.ID)
-		if class := h.b.set.Classes[r.class]; class.Repeat == Unsafe || class.Repeat == Keyed && class.Scope != ScopeAll {
+		if class := h.b.set.Classes[r.class]; class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.KeyScope != ScopeAll {
 			for _, at := range r.attempts {
-				if !at.ended || !at.code.NeverRan() {
+				if !at.ended || !at.code.NeverExecuted() {
 					h.t.Fatalf("%s refused though it may have run", a.ID)
 				}
 			}
@@ -67,7 +67,7 @@
 		r.answered = true
 	case Fail:
 		h.owed(a.ID).answered = true
-	case Move:
+	case Migrate:
 		if r := h.live[a.ID]; r == nil || !r.stands {
 			h.t.Fatalf("moved %s, which does not stand", a.ID)
 		}
@@ -76,10 +76,10 @@
 			h.t.Fatalf("probed unknown server %d", a.Server)
 		}
 	case SetTimer:
-		if a.Wait <= 0 || a.Wait > time.Hour {
-			h.t.Fatalf("timer of %v", a.Wait)
+		if a.Delay <= 0 || a.Delay > time.Hour {
+			h.t.Fatalf("timer of %v", a.Delay)
 		}
-		h.timers = append(h.timers, timerDue{h.now + a.Wait, a.Token})
+		h.timers = append(h.timers, timerDue{h.now + a.Delay, a.Token})
 	}
 }
 
@@ -93,7 +93,7 @@
 	return r
 }
 
-func (h *host) checkPlace(a Place) {
+func (h *host) checkPlace(a StartAttempt) {
 	h.t.Helper()
 	r := h.owed(a.ID)
 	if h.now > r.deadline {
@@ -102,10 +102,10 @@
 	if !h.known[a.Server] {
 		h.t.Fatalf("%s placed on unknown server %d", a.ID, a.Server)
 	}
-	if at, ok := h.told[a.Server]; ok && h.now > at+h.b.set.Rules.DrainGrace {
+	if at, ok := h.told[a.Server]; ok && h.now > at+h.b.set.Safety.DrainGrace {
 		h.t.Fatalf("%s placed on server %d, draining for %v", a.ID, a.Server, h.now-at)
 	}
-	if len(r.attempts) >= h.b.set.MaxTries {
+	if len(r.attempts) >= h.b.set.MaxAttempts {
 		h.t.Fatalf("%s placed a %d. time", a.ID, len(r.attempts)+1)
 	}
 	class := h.b.set.Classes[r.class]
@@ -113,19 +113,19 @@
 		if !at.ended {
 			h.t.Fatalf("%s has two attempts out", a.ID)
 		}
-		if at.code.NeverRan() || class.Repeat == Safe {
+		if at.code.NeverExecuted() || class.Idempotency == Idempotent {
 			continue
 		}
-		if class.Repeat == Unsafe {
+		if class.Idempotency == NotIdempotent {
 			h.t.Fatalf("unsafe %s sent again after code %d", a.ID, at.code)
 		}
 		from, to := h.b.servers[at.server], h.b.servers[a.Server]
-		if h.now > r.attempts[i].sent+class.Window || class.Scope == ScopeZone && from.Zone != to.Zone ||
-			class.Scope == ScopeCell && (from.Cell != to.Cell || from.Zone != to.Zone) {
+		if h.now > r.attempts[i].sent+class.DedupWindow || class.KeyScope == ScopeZone && from.Zone != to.Zone ||
+			class.KeyScope == ScopeCell && (from.Cell != to.Cell || from.Zone != to.Zone) {
 			h.t.Fatalf("keyed %s sent again outside its group or window", a.ID)
 		}
 	}
-	r.attempts = append(r.attempts, attemptSeen{server: a.Server, sent: h.now, wait: a.Wait})
+	r.attempts = append(r.attempts, attemptSeen{server: a.Server, sent: h.now, wait: a.Timeout})
 }
 
 // advance moves the clock, fires what is due and ends what has timed out.
@@ -177,7 +177,7 @@
 	if r.stands || code == OK {
 		r.answered = true
 	}
-	h.give(Ended{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final, Report: NoReport})
+	h.give(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final, Report: NoLoadReport})
 	r.stands = false
 }
 
@@ -194,10 +194,10 @@
 				lines = append(lines, h.listed[i])
 			}
 		}
-		h.tell(ListChanges, lines)
+		h.tell(ListDelta, lines)
 	case 2: // all vanish
 		h.listed = nil
-		h.tell(ListFull, nil)
+		h.tell(ListSnapshot, nil)
 	default: // replaced ids, a new complete list
 		h.listed = nil
 		for range h.rng.IntN(8) + 1 {
@@ -208,7 +208,7 @@
 			zone := []string{"a", "b"}[id%2]
 			h.listed = append(h.listed, Server{ID: id, Zone: zone, Cell: int(id % 5), Weight: float64(h.rng.IntN(3))})
 		}
-		h.tell(ListFull, h.listed)
+		h.tell(ListSnapshot, h.listed)
 	}
 }
 
@@ -222,7 +222,7 @@
 		is, listed := ready[id]
 		if _, was := h.told[id]; is {
 			delete(h.told, id)
-		} else if !was && (listed || kind == ListFull) {
+		} else if !was && (listed || kind == ListSnapshot) {
 			h.told[id] = h.now
 		}
 	}
@@ -243,14 +243,14 @@
 		id := RequestID(name("q", h.nextID))
 		r := &tracked{class: h.rng.IntN(5), deadline: h.now + time.Duration(h.rng.IntN(3000)+1)*time.Millisecond}
 		h.live[id], h.ids = r, append(h.ids, id)
-		h.give(Requested{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)), Group: name("g", h.rng.IntN(4)),
+		h.give(RequestArrived{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)), Group: name("g", h.rng.IntN(4)),
 			Remaining: r.deadline - h.now, MidFlow: h.rng.IntN(9) == 0, Load: h.rng.Float64() / 10})
 	case k < 30:
 		h.nextID++
 		id, s := RequestID(name("o", h.nextID)), h.nextSrv-ServerID(h.rng.IntN(8))
 		h.live[id] = &tracked{stands: true, attempts: []attemptSeen{{server: s}}}
 		h.ids = append(h.ids, id)
-		h.give(Opened{Request: Requested{ID: id, Key: name("k", h.rng.IntN(40))}, Server: s})
+		h.give(ConnectionRestored{Request: RequestArrived{ID: id, Key: name("k", h.rng.IntN(40))}, Server: s})
 	case k < 60:
 		id, r := pick()
 		if r == nil || len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].ended {
@@ -267,15 +267,15 @@
 	case k < 65:
 		if id, r := pick(); r != nil && !r.answered {
 			r.answered, r.stands = true, false
-			h.give(ClientGone{ID: id})
+			h.give(ClientDisconnected{ID: id})
 		}
 	case k < 75:
 		s := h.nextSrv - ServerID(h.rng.IntN(8))
-		h.give(Probed{Server: s, Code: Code(h.rng.IntN(8)), Report: Report{Load: h.rng.Float64()*2 - 0.3, Held: -1}})
+		h.give(ProbeCompleted{Server: s, Code: Code(h.rng.IntN(8)), Report: LoadReport{Load: h.rng.Float64()*2 - 0.3, Connections: -1}})
 	case k < 80:
 		if id, r := pick(); r != nil && r.stands {
 			s := r.attempts[len(r.attempts)-1].server
-			h.give(MessagesSlow{ID: id, Server: s, Delay: time.Duration(h.rng.IntN(300)) * time.Millisecond})
+			h.give(MessageDelayReported{ID: id, Server: s, Delay: time.Duration(h.rng.IntN(300)) * time.Millisecond})
 			h.give(LoadChanged{ID: id, Load: h.rng.Float64()})
 		}
 	case k < 83:
@@ -290,7 +290,7 @@
 func TestRulesHoldForAnyLegalEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
-		set.Seed, set.Groups, set.Subscribe, set.MayProbe = seed, seed%2 == 0, seed%3 != 0, seed%5 != 0
+		set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%2 == 0, seed%3 != 0, seed%5 != 0
 		h := &host{rng: rand.New(rand.NewPCG(seed, 1)), live: map[RequestID]*tracked{},
 			known: map[ServerID]bool{}, told: map[ServerID]time.Duration{}, nextSrv: 20}
 		b, err := New(set)
--- a/decide/reach.go
+++ b/decide/reach.go
@@ -15,19 +15,19 @@
 	callEach   = pollEach      // what each balancer adds to the time over which all their calls are spread
 )
 
-// Reach says when a balancer dials discovery and when it calls, once a call has failed. A dial alone finds out that
+// ReconnectSchedule says when a balancer dials discovery and when it calls, once a call has failed. A dial alone finds out that
 // discovery is there and costs it no work; then comes one call, spread over the fleet. Calls do not wait longer and
 // longer: what is missed meanwhile would count as told. For hosts that cannot dial alone there is the poll's backoff.
-type Reach struct {
+type ReconnectSchedule struct {
 	rng    *rand.Rand
 	pause  time.Duration
 	spread time.Duration
 }
 
-// NewReach returns one for a fleet of so many balancers. At once, if above 0, is the pause where what discovery has counts
+// NewReconnectSchedule returns one for a fleet of so many balancers. At once, if above 0, is the pause where what discovery has counts
 // at its return: nothing is spread then.
-func NewReach(seed uint64, balancers int, atOnce time.Duration) Reach {
-	r := Reach{rng: rand.New(rand.NewPCG(seed, 0xbb67ae8584caa73b)), pause: dialPause,
+func NewReconnectSchedule(seed uint64, balancers int, atOnce time.Duration) ReconnectSchedule {
+	r := ReconnectSchedule{rng: rand.New(rand.NewPCG(seed, 0xbb67ae8584caa73b)), pause: dialPause,
 		spread: time.Duration(balancers) * callEach}
 	if atOnce > 0 {
 		r.pause, r.spread = atOnce, 0
@@ -35,30 +35,30 @@
 	return r
 }
 
-// Spread takes over another size of the fleet.
-func (r *Reach) Spread(balancers int) {
+// SetFleetSize takes over another size of the fleet.
+func (r *ReconnectSchedule) SetFleetSize(balancers int) {
 	if r.spread > 0 {
 		r.spread = time.Duration(balancers) * callEach
 	}
 }
 
-// Dial is when to dial, where an attempt that has failed by now was begun at some time.
-func (r Reach) Dial(begun, now time.Duration) time.Duration {
+// DialAt is when to dial, where an attempt that has failed by now was begun at some time.
+func (r ReconnectSchedule) DialAt(begun, now time.Duration) time.Duration {
 	if r.spread == 0 {
 		return max(now, begun+r.pause)
 	}
 	return max(now, begun+r.pause/2+r.jitter(r.pause))
 }
 
-// Call is when to call, where a dial has found discovery now, and the attempt that failed last was begun at some time.
-func (r Reach) Call(begun, now time.Duration) time.Duration {
+// CallAt is when to call, where a dial has found discovery now, and the attempt that failed last was begun at some time.
+func (r ReconnectSchedule) CallAt(begun, now time.Duration) time.Duration {
 	return now + r.jitter(min(r.spread, begun+backWithin-now))
 }
 
-// DialWait bounds a dial: one whose first packet was lost is sent again so late that it finds discovery late.
-func (r Reach) DialWait() time.Duration { return max(r.pause, dialLeast) }
+// DialTimeout bounds a dial: one whose first packet was lost is sent again so late that it finds discovery late.
+func (r ReconnectSchedule) DialTimeout() time.Duration { return max(r.pause, dialLeast) }
 
-func (r Reach) jitter(d time.Duration) time.Duration {
+func (r ReconnectSchedule) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
--- a/decide/reach_test.go
+++ b/decide/reach_test.go
@@ -58,20 +58,20 @@
 	heap.Push(&w.steps, back{at: at, step: step})
 }
 
-func (w *outage) dial(r Reach, failed, now time.Duration) {
+func (w *outage) dial(r ReconnectSchedule, failed, now time.Duration) {
 	w.dials[w.second(now)]++
 	if now >= w.down || w.how == refused503 || w.how == hanging {
-		w.later(r.Call(failed, now), func(now time.Duration) { w.call(r, now) })
+		w.later(r.CallAt(failed, now), func(now time.Duration) { w.call(r, now) })
 		return
 	}
 	ended := now
 	if w.how == cutOff {
-		ended += r.DialWait()
+		ended += r.DialTimeout()
 	}
-	w.later(r.Dial(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	w.later(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
 }
 
-func (w *outage) call(r Reach, now time.Duration) {
+func (w *outage) call(r ReconnectSchedule, now time.Duration) {
 	w.calls[w.second(now)]++
 	ended := now
 	switch {
@@ -85,14 +85,14 @@
 		w.told = append(w.told, w.free-w.down)
 		return
 	}
-	w.later(r.Dial(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	w.later(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
 }
 
 func play(balancers, capacity int, how away, down time.Duration) *outage {
 	w := &outage{down: down, how: how, capacity: capacity, dials: map[int]int{}, calls: map[int]int{}}
 	for i := range balancers {
-		r := NewReach(uint64(i+1), balancers, 0)
-		w.later(r.Dial(0, 0), func(now time.Duration) { w.dial(r, 0, now) })
+		r := NewReconnectSchedule(uint64(i+1), balancers, 0)
+		w.later(r.DialAt(0, 0), func(now time.Duration) { w.dial(r, 0, now) })
 	}
 	for len(w.told) < balancers && len(w.steps) > 0 {
 		next := heap.Pop(&w.steps).(back)
@@ -144,14 +144,14 @@
 
 // Where what discovery has counts at its return, nothing is spread.
 func TestReachAtOnce(t *testing.T) {
-	r := NewReach(1, 2300, 100*time.Millisecond)
-	if at := r.Dial(time.Second, time.Second); at != 1100*time.Millisecond {
+	r := NewReconnectSchedule(1, 2300, 100*time.Millisecond)
+	if at := r.DialAt(time.Second, time.Second); at != 1100*time.Millisecond {
 		t.Errorf("dials at %v", at)
 	}
-	if at := r.Dial(time.Second, 3*time.Second); at != 3*time.Second {
+	if at := r.DialAt(time.Second, 3*time.Second); at != 3*time.Second {
 		t.Errorf("after a call that hung it dials at %v", at)
 	}
-	if at := r.Call(time.Second, 2*time.Second); at != 2*time.Second {
+	if at := r.CallAt(time.Second, 2*time.Second); at != 2*time.Second {
 		t.Errorf("calls at %v", at)
 	}
 }
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -35,7 +35,7 @@
 }
 
 type refRequest struct {
-	Requested
+	RequestArrived
 	seq      uint64
 	deadline time.Duration
 	held     time.Duration
@@ -107,7 +107,7 @@
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	set.Balancers, set.MaxTries = max(set.Balancers, 1), max(set.MaxTries, 1)
+	set.Balancers, set.MaxAttempts = max(set.Balancers, 1), max(set.MaxAttempts, 1)
 	b := &refBalancer{
 		set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
 		servers: map[ServerID]*refServer{}, requests: map[RequestID]*refRequest{}, bySeq: map[uint64]*refRequest{},
@@ -115,7 +115,7 @@
 		seq: timerHeld, window: windowMost / 4,
 	}
 	hidden := hiddenLoad * (1 - 1/b.peers())
-	b.gap = gapPrice * set.Prices.CrossZone
+	b.gap = gapPrice * set.Costs.CrossZone
 	b.roomy, b.full = roomyLoad-hidden, fullLoad-hidden/2
 	return b, nil
 }
@@ -127,25 +127,25 @@
 		b.start()
 	case ListReceived:
 		b.list(ev)
-	case Requested:
+	case RequestArrived:
 		b.refRequest(ev)
-	case Opened:
+	case ConnectionRestored:
 		b.opened(ev)
 	case Established:
 		b.established(ev)
 	case LoadChanged:
 		b.loadChanged(ev)
-	case MessagesSlow:
+	case MessageDelayReported:
 		b.messagesSlow(ev)
-	case Ended:
+	case AttemptEnded:
 		b.ended(ev)
-	case Expired:
+	case RequestExpired:
 		if r := b.requests[ev.ID]; r != nil && !r.stands {
 			b.answer(r)
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		b.forget(b.requests[ev.ID])
-	case Probed:
+	case ProbeCompleted:
 		b.probed(ev)
 	case TimerFired:
 		b.timer(ev.Token)
@@ -163,7 +163,7 @@
 func (b *refBalancer) refServer(id ServerID) *refServer {
 	s := b.servers[id]
 	if s == nil {
-		s = &refServer{Server: Server{ID: id, State: Gone}, order: refMix(b.set.Seed, uint64(id))}
+		s = &refServer{Server: Server{ID: id, State: Removed}, order: refMix(b.set.Seed, uint64(id))}
 		b.servers[id] = s
 	}
 	return s
@@ -176,10 +176,10 @@
 	s.State = state
 }
 
-func (s *refServer) shows(r Report) {
+func (s *refServer) shows(r LoadReport) {
 	s.reported = r.Load
-	if r.Held >= shareLeast && r.Held <= shareMost {
-		s.each = r.Load / r.Held
+	if r.Connections >= shareLeast && r.Connections <= shareMost {
+		s.each = r.Load / r.Connections
 	}
 }
 
@@ -330,8 +330,8 @@
 	return nil
 }
 
-func (b *refBalancer) opened(ev Opened) {
-	r := &refRequest{Requested: ev.Request, tries: 1, srv: b.refServer(ev.Server), stands: true, out: true}
+func (b *refBalancer) opened(ev ConnectionRestored) {
+	r := &refRequest{RequestArrived: ev.Request, tries: 1, srv: b.refServer(ev.Server), stands: true, out: true}
 	b.requests[r.ID] = r
 	r.srv.hold(r)
 }
@@ -468,18 +468,18 @@
 
 func (b *refBalancer) start() {
 	b.lastSign = b.now
-	b.do(SetTimer{Token: timerTick, Wait: 1 + b.jitter(tick)})
-	b.pollAt = b.now + b.jitter(min(pollFirst, cmp.Or(b.set.Rules.MustAsk/2, pollBase)))
+	b.do(SetTimer{Token: timerTick, Delay: 1 + b.jitter(tick)})
+	b.pollAt = b.now + b.jitter(min(pollFirst, cmp.Or(b.set.Safety.MaxPollInterval/2, pollBase)))
 }
 
 func (b *refBalancer) period() time.Duration {
-	return max(pollBase, b.set.Rules.MustAsk) + time.Duration(b.set.Balancers)*pollEach
+	return max(pollBase, b.set.Safety.MaxPollInterval) + time.Duration(b.set.Balancers)*pollEach
 }
 
 func (b *refBalancer) poll() {
 	b.pollAt = b.now + b.period()
-	if b.set.Subscribe {
-		b.do(Subscribe{})
+	if b.set.WatchList {
+		b.do(WatchList{})
 	} else {
 		b.do(FetchList{})
 	}
@@ -493,14 +493,14 @@
 		return
 	}
 	b.pollFails = 0
-	if ev.Kind != ListChanges {
+	if ev.Kind != ListDelta {
 		listed := make(map[ServerID]bool, len(ev.Servers))
 		for _, s := range ev.Servers {
 			listed[s.ID] = true
 		}
 		for id, s := range b.servers {
 			if !listed[id] {
-				b.setState(s, Gone)
+				b.setState(s, Removed)
 			}
 		}
 	}
@@ -522,7 +522,7 @@
 		switch {
 		case s.State == Ready:
 			b.ready = append(b.ready, s)
-		case s.State == Gone && len(s.conns) == 0 && b.now-s.told > rememberFor:
+		case s.State == Removed && len(s.conns) == 0 && b.now-s.told > rememberFor:
 			delete(b.servers, id)
 		}
 	}
@@ -553,18 +553,18 @@
 	b.do(FetchList{})
 }
 
-func (b *refBalancer) refRequest(ev Requested) {
+func (b *refBalancer) refRequest(ev RequestArrived) {
 	b.seq++
-	r := &refRequest{Requested: ev, seq: b.seq, deadline: b.now + ev.Remaining}
+	r := &refRequest{RequestArrived: ev, seq: b.seq, deadline: b.now + ev.Remaining}
 	b.requests[ev.ID], b.bySeq[r.seq] = r, r
 	b.need++
-	b.do(SetTimer{Token: r.seq, Wait: ev.Remaining})
+	b.do(SetTimer{Token: r.seq, Delay: ev.Remaining})
 	b.ask(r)
 	b.place(r, len(b.waiting))
 }
 
 func (b *refBalancer) place(r *refRequest, before int) {
-	if r.tries >= b.set.MaxTries || b.now >= r.deadline {
+	if r.tries >= b.set.MaxAttempts || b.now >= r.deadline {
 		b.answer(r)
 		return
 	}
@@ -574,7 +574,7 @@
 		s = b.pick(r)
 	}
 	if s == nil {
-		if r.ran != nil && b.classOf(r).Repeat != Safe || tries && b.hopeless(r, before) {
+		if r.ran != nil && b.classOf(r).Idempotency != Idempotent || tries && b.hopeless(r, before) {
 			b.answer(r)
 			return
 		}
@@ -583,7 +583,7 @@
 	}
 	b.charge(r, s)
 	left := r.deadline - b.now
-	wait := min(left, max(left/time.Duration(b.set.MaxTries-r.tries), setupSlack*b.setup))
+	wait := min(left, max(left/time.Duration(b.set.MaxAttempts-r.tries), setupSlack*b.setup))
 	r.srv, r.out = s, true
 	b.dialing++
 	r.tries++
@@ -591,7 +591,7 @@
 	if r.ran == nil {
 		r.ranAt = b.now
 	}
-	b.do(Place{ID: r.ID, Server: s.ID, Wait: wait})
+	b.do(StartAttempt{ID: r.ID, Server: s.ID, Timeout: wait})
 }
 
 func (b *refBalancer) hopeless(r *refRequest, before int) bool {
@@ -616,7 +616,7 @@
 func (b *refBalancer) pick(r *refRequest) *refServer {
 	was := b.memories[r.Key]
 	if s := b.servers[was.refServer]; r.MidFlow && r.tries == 0 && s != nil && was.at > 0 && !was.lost {
-		if s.State == Ready || b.now-s.told < b.set.Rules.DrainGrace {
+		if s.State == Ready || b.now-s.told < b.set.Safety.DrainGrace {
 			return s
 		}
 	}
@@ -679,19 +679,19 @@
 	}
 	c := b.classOf(r)
 	switch {
-	case r.ran == nil || c.Repeat == Safe:
+	case r.ran == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Repeat == Unsafe || b.now+b.set.ConnectTimeout >= r.ranAt+c.Window:
+	case c.Idempotency == NotIdempotent || b.now+b.set.ConnectTimeout >= r.ranAt+c.DedupWindow:
 		return false
 	}
-	return c.Scope == ScopeAll || s.Zone == r.ran.Zone && (c.Scope == ScopeZone || s.Cell == r.ran.Cell)
+	return c.KeyScope == ScopeAll || s.Zone == r.ran.Zone && (c.KeyScope == ScopeZone || s.Cell == r.ran.Cell)
 }
 
 func refLightest(pool []*refServer, fit func(*refServer) bool) *refServer {
 	return refLeast(pool, fit, func(s *refServer) float64 { return s.load })
 }
 
-func (b *refBalancer) grouped(r *refRequest) bool { return b.set.Groups && r.Group != "" }
+func (b *refBalancer) grouped(r *refRequest) bool { return b.set.GroupAffinity && r.Group != "" }
 
 func (b *refBalancer) homes(r *refRequest, list []*refServer) (homes []*refServer) {
 	if !b.grouped(r) {
@@ -724,7 +724,7 @@
 		list := [2][]*refServer{b.local, b.remote}[i]
 		settled := i == 0 && len(targets) > 0 && targets[0].load < b.roomy &&
 			b.now-targets[0].at < b.askAfter()
-		if !b.set.MayProbe || settled || i > 0 && !b.spilling() && !b.grouped(r) {
+		if !b.set.ProbingAllowed || settled || i > 0 && !b.spilling() && !b.grouped(r) {
 			return
 		}
 		targets = targets[:min(askCount, len(targets))]
@@ -736,7 +736,7 @@
 			if b.now >= s.ejected && b.now-s.at > b.askAfter() && b.now-s.asked > b.askAfter() {
 				s.asked, r.held = b.now, b.now+askWait
 				b.do(Probe{Server: s.ID})
-				b.do(SetTimer{Token: timerHeld, Wait: askWait})
+				b.do(SetTimer{Token: timerHeld, Delay: askWait})
 			}
 		}
 	}
@@ -747,7 +747,7 @@
 }
 
 func (b *refBalancer) cold(s *refServer) bool {
-	return s.Started > 0 && b.now-s.Started < b.set.Rules.Cold
+	return s.Started > 0 && b.now-s.Started < b.set.Safety.SlowStartDuration
 }
 
 func (b *refBalancer) warmEnough(r *refRequest, s *refServer) bool {
@@ -758,17 +758,17 @@
 		r.cameFor = s
 		s.demand.add(b.now)
 	}
-	rules := b.set.Rules
+	rules := b.set.Safety
 	if b.now >= s.creditUntil {
-		age := float64(b.now-s.Started) / float64(rules.Cold)
-		part := rules.ColdShare + (1-rules.ColdShare)*age
-		span := max(rules.Fall, tick)
+		age := float64(b.now-s.Started) / float64(rules.SlowStartDuration)
+		part := rules.SlowStartShare + (1-rules.SlowStartShare)*age
+		span := max(rules.OverloadWindow, tick)
 		comes, sharers := b.comesFor(r, s, span), b.sharers()
 		work := max(part*b.takes()*span.Seconds(), coldLeast/max(float64(b.set.Balancers), sharers))
 		use := comes / (1 + comes)
-		mine := coldSafety / max(use, coldUseLeast) * rules.FallMultiple * work
+		mine := coldSafety / max(use, coldUseLeast) * rules.OverloadFactor * work
 		if each := b.each(); each > 0 {
-			bears := rules.FallMultiple * part * span.Seconds() / (each * b.life())
+			bears := rules.OverloadFactor * part * span.Seconds() / (each * b.life())
 			mine = max(mine, min(coldSafety*bears/(use*sharers), 1))
 		}
 		s.credit, s.creditUntil = math.Floor(mine+b.rng.Float64()), b.now+span
@@ -852,7 +852,7 @@
 		return
 	}
 	r.stands = true
-	b.setup += (ev.Took - b.setup) / setupMemory
+	b.setup += (ev.Elapsed - b.setup) / setupMemory
 	b.dialing--
 	b.window = min(b.window+1/b.window, windowMost)
 	b.new++
@@ -862,7 +862,7 @@
 	b.retryWaiting()
 }
 
-func (b *refBalancer) ended(ev Ended) {
+func (b *refBalancer) ended(ev AttemptEnded) {
 	s, r := b.refServer(ev.Server), b.requests[ev.ID]
 	b.judge(s, ev.Code)
 	if r == nil || !r.out || r.srv != s || ev.Attempt != r.tries-1 {
@@ -870,7 +870,7 @@
 	}
 	if !r.stands {
 		b.dialing--
-		if !ev.Code.NeverRan() {
+		if !ev.Code.NeverExecuted() {
 			b.wasted++
 		}
 	}
@@ -882,16 +882,16 @@
 		b.forget(r)
 		return
 	}
-	if !ev.Code.NeverRan() && r.ran == nil {
+	if !ev.Code.NeverExecuted() && r.ran == nil {
 		r.ran = s
 	}
 	if ev.Code == TimedOut {
-		b.setup += (max(setupSlack*ev.Took, b.setup) - b.setup) / setupMemory
+		b.setup += (max(setupSlack*ev.Elapsed, b.setup) - b.setup) / setupMemory
 		if b.now-b.cutAt > tick {
 			b.window, b.cutAt = max(b.window/2, 1), b.now
 		}
 	}
-	if r.stands || ev.Code == TimedOut && b.classOf(r).Repeat != Safe {
+	if r.stands || ev.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
 		b.answer(r)
 		return
 	}
@@ -902,7 +902,7 @@
 	switch code {
 	case OK:
 		b.alive(s)
-	case Full:
+	case Rejected:
 		b.sign()
 		s.ejected = max(s.ejected, b.now+fullRest)
 	case ServerError, TimedOut, ConnectFailed, Reset:
@@ -931,19 +931,19 @@
 
 func (b *refBalancer) answer(r *refRequest) {
 	c := b.classOf(r)
-	if c.Repeat == Safe || r.ran == nil && !r.out || c.Repeat == Keyed && c.Scope == ScopeAll {
+	if c.Idempotency == Idempotent || r.ran == nil && !r.out || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
 		rest := refuseRest
 		if len(b.waiting) > waitFree {
 			rest = max(rest, b.set.MaxRetryAfter/2)
 		}
-		b.do(Refuse{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.set.MaxRetryAfter)})
+		b.do(Reject{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.set.MaxRetryAfter)})
 	} else {
 		b.do(Fail{ID: r.ID})
 	}
 	b.forget(r)
 }
 
-func (b *refBalancer) probed(ev Probed) {
+func (b *refBalancer) probed(ev ProbeCompleted) {
 	s := b.servers[ev.Server]
 	if s == nil {
 		return
@@ -972,15 +972,15 @@
 	}
 }
 
-func (b *refBalancer) messagesSlow(ev MessagesSlow) {
+func (b *refBalancer) messagesSlow(ev MessageDelayReported) {
 	s, r := b.refServer(ev.Server), b.requests[ev.ID]
 	if r == nil {
 		return
 	}
 	s.slow = 0
-	if aim := b.classOf(r).MessageAim; aim > 0 && ev.Delay > aim/2 {
+	if aim := b.classOf(r).MessageLatencyObjective; aim > 0 && ev.Delay > aim/2 {
 		s.slow = b.now + slowFor
-		if s.State == Ready && b.now-s.at > time.Second && b.probeCredit > -probeDebt && b.set.MayProbe {
+		if s.State == Ready && b.now-s.at > time.Second && b.probeCredit > -probeDebt && b.set.ProbingAllowed {
 			b.probeCredit--
 			b.do(Probe{Server: s.ID})
 		}
@@ -998,7 +998,7 @@
 		}
 		return
 	}
-	b.do(SetTimer{Token: timerTick, Wait: tick})
+	b.do(SetTimer{Token: timerTick, Delay: tick})
 	b.learnRates()
 	if b.now >= b.pollAt {
 		b.poll()
@@ -1025,7 +1025,7 @@
 			n := int(float64(len(s.conns))*(1-moveTarget/s.reported) + b.rng.Float64())
 			for _, r := range b.farthest(s)[:min(n, len(s.conns))] {
 				r.tooMuch = true
-				b.do(Move{ID: r.ID})
+				b.do(Migrate{ID: r.ID})
 			}
 		}
 	}
@@ -1041,7 +1041,7 @@
 }
 
 func (b *refBalancer) probe() {
-	if !b.set.MayProbe || len(b.local) == 0 {
+	if !b.set.ProbingAllowed || len(b.local) == 0 {
 		return
 	}
 	worth := max(b.rate, float64(len(b.requests))/usualLife.Seconds())
@@ -1050,7 +1050,7 @@
 	if len(own) == 0 {
 		refLeast *= min(1, probeFew/float64(b.set.Balancers))
 	}
-	rate := max(refLeast, worth*probeShare/cmp.Or(b.set.Prices.Probe, math.Inf(1)))
+	rate := max(refLeast, worth*probeShare/cmp.Or(b.set.Costs.Probe, math.Inf(1)))
 	away, hot := b.remote, append(refHolding(b.remote), b.local...)
 	if !b.spilling() {
 		away = refHolding(b.remote)
@@ -1085,9 +1085,9 @@
 	}
 }
 
-func (b *refBalancer) Learned() (all []Learned) {
+func (b *refBalancer) Learned() (all []LearnedState) {
 	for _, s := range b.ready {
-		l := Learned{Server: s.ID, Load: s.reported, Age: -1, Each: s.each, Streak: s.streak, Out: max(s.ejected-b.now, 0)}
+		l := LearnedState{Server: s.ID, Load: s.reported, Age: -1, LoadPerConnection: s.each, ConsecutiveFailures: s.streak, EjectedFor: max(s.ejected-b.now, 0)}
 		if s.at > 0 {
 			l.Age = b.now - s.at
 		}
@@ -1096,17 +1096,17 @@
 	return all
 }
 
-func (b *refBalancer) Learn(all []Learned) {
+func (b *refBalancer) Learn(all []LearnedState) {
 	for _, l := range all {
 		s := b.servers[l.Server]
 		if s == nil {
 			continue
 		}
-		if l.Streak > 0 && l.Out > 0 {
-			s.streak, s.ejected = l.Streak, b.now+min(l.Out, ejectMost)
+		if l.ConsecutiveFailures > 0 && l.EjectedFor > 0 {
+			s.streak, s.ejected = l.ConsecutiveFailures, b.now+min(l.EjectedFor, ejectMost)
 		}
-		if l.Each > 0 && l.Each < 1 {
-			s.each = l.Each
+		if l.LoadPerConnection > 0 && l.LoadPerConnection < 1 {
+			s.each = l.LoadPerConnection
 		}
 		if l.Age >= 0 && l.Age < poolAge && l.Load >= 0 {
 			s.load, s.reported, s.at = l.Load, l.Load, b.now-l.Age
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// MostBalancers is how many may be told: past it the figure is a slip of the pen, and would make the poll's period days.
-const MostBalancers = 10_000
+// MaxBalancers is how many may be told: past it the figure is a slip of the pen, and would make the poll's period days.
+const MaxBalancers = 10_000
 
 // validate names the first setting that makes no sense.
 func (s *Settings) validate() error {
@@ -17,11 +17,11 @@
 	if len(s.Zones) > 0 && !slices.Contains(s.Zones, s.Zone) {
 		return fmt.Errorf("settings: Zone %q is not in Zones", s.Zone)
 	}
-	if s.Balancers < 0 || s.Balancers > MostBalancers {
-		return fmt.Errorf("settings: Balancers is %d, not from 0 to %d", s.Balancers, MostBalancers)
+	if s.Balancers < 0 || s.Balancers > MaxBalancers {
+		return fmt.Errorf("settings: Balancers is %d, not from 0 to %d", s.Balancers, MaxBalancers)
 	}
-	if s.MaxTries < 0 {
-		return fmt.Errorf("settings: MaxTries is %d, below 0", s.MaxTries)
+	if s.MaxAttempts < 0 {
+		return fmt.Errorf("settings: MaxTries is %d, below 0", s.MaxAttempts)
 	}
 	for i := range s.Classes {
 		if err := s.Classes[i].validate(); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func (s *Settings) validateFigures() error {
-	r, p := s.Rules, s.Prices
+	r, p := s.Safety, s.Costs
 	for _, d := range []struct {
 		name string
 		bad  bool
@@ -40,13 +40,13 @@
 		{"ConnectTimeout", s.ConnectTimeout < 0},
 		{"MaxRetryAfter", s.MaxRetryAfter < 0},
 		{"Rules.DrainGrace", r.DrainGrace < 0},
-		{"Rules.MustAsk", r.MustAsk < 0},
-		{"Rules.ColdShare", !(r.ColdShare >= 0 && r.ColdShare <= 1)},
-		{"Rules.Cold", r.Cold < 0},
-		{"Rules.FallMultiple", !(r.FallMultiple >= 0)},
-		{"Rules.Fall", r.Fall < 0},
+		{"Rules.MustAsk", r.MaxPollInterval < 0},
+		{"Rules.ColdShare", !(r.SlowStartShare >= 0 && r.SlowStartShare <= 1)},
+		{"Rules.Cold", r.SlowStartDuration < 0},
+		{"Rules.FallMultiple", !(r.OverloadFactor >= 0)},
+		{"Rules.Fall", r.OverloadWindow < 0},
 		{"Prices.Probe", !(p.Probe >= 0)},
-		{"Prices.Move", !(p.Move >= 0)},
+		{"Prices.Move", !(p.Migration >= 0)},
 		{"Prices.CrossZone", !(p.CrossZone >= 0)},
 	} {
 		if d.bad {
@@ -67,18 +67,18 @@
 
 func (c *Class) validate() error {
 	switch {
-	case c.Aim <= 0:
-		return faulty("Aim", "is %v, must be above 0", c.Aim)
-	case c.MessageAim < 0:
-		return faulty("MessageAim", "is %v, below 0", c.MessageAim)
-	case c.GiveUp < 0:
-		return faulty("GiveUp", "is %v, below 0", c.GiveUp)
-	case c.Repeat > Unsafe:
-		return faulty("Repeat", "is %d, not a known kind", c.Repeat)
-	case c.Scope > ScopeCell:
-		return faulty("Scope", "is %d, not a known one", c.Scope)
-	case c.Window < 0:
-		return faulty("Window", "is %v, below 0", c.Window)
+	case c.LatencyObjective <= 0:
+		return faulty("Aim", "is %v, must be above 0", c.LatencyObjective)
+	case c.MessageLatencyObjective < 0:
+		return faulty("MessageAim", "is %v, below 0", c.MessageLatencyObjective)
+	case c.ClientTimeout < 0:
+		return faulty("GiveUp", "is %v, below 0", c.ClientTimeout)
+	case c.Idempotency > NotIdempotent:
+		return faulty("Repeat", "is %d, not a known kind", c.Idempotency)
+	case c.KeyScope > ScopeCell:
+		return faulty("Scope", "is %d, not a known one", c.KeyScope)
+	case c.DedupWindow < 0:
+		return faulty("Window", "is %v, below 0", c.DedupWindow)
 	}
 	return nil
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -44,7 +44,7 @@
 
 // request is one client request from its arrival to its end.
 type request struct {
-	Requested
+	RequestArrived
 	seq      uint64
 	deadline time.Duration
 	held     time.Duration // not placed before
@@ -119,15 +119,15 @@
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	set.Balancers, set.MaxTries = max(set.Balancers, 1), max(set.MaxTries, 1)
+	set.Balancers, set.MaxAttempts = max(set.Balancers, 1), max(set.MaxAttempts, 1)
 	b := &Balancer{
 		set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
 		index: newIndex(), requests: map[RequestID]*request{}, bySeq: map[uint64]*request{},
 		memories: map[string]memory{}, loads: make([]float64, len(set.Classes)+1), mean: 0.5,
-		seq: timerHeld, window: windowMost / 4, fleet: fleetShare{FleetSize: NamedFleetSize(set)},
+		seq: timerHeld, window: windowMost / 4, fleet: fleetShare{FleetSize: ConfiguredFleetSize(set)},
 	}
 	b.near, b.far = &b.zones[0], &b.zones[1]
-	b.gap = gapPrice * set.Prices.CrossZone
+	b.gap = gapPrice * set.Costs.CrossZone
 	b.setMargins()
 	return b, nil
 }
@@ -141,25 +141,25 @@
 		b.start()
 	case ListReceived:
 		b.list(ev)
-	case Requested:
+	case RequestArrived:
 		b.request(ev)
-	case Opened:
+	case ConnectionRestored:
 		b.opened(ev)
 	case Established:
 		b.established(ev)
 	case LoadChanged:
 		b.loadChanged(ev)
-	case MessagesSlow:
+	case MessageDelayReported:
 		b.messagesSlow(ev)
-	case Ended:
+	case AttemptEnded:
 		b.ended(ev)
-	case Expired:
+	case RequestExpired:
 		if r := b.requests[ev.ID]; r != nil && !r.stands {
 			b.answer(r)
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		b.forget(b.requests[ev.ID])
-	case Probed:
+	case ProbeCompleted:
 		b.probed(ev)
 	case FleetSize:
 		b.fleetSize(ev)
@@ -190,7 +190,7 @@
 func (b *Balancer) record(id ServerID) *server {
 	s := b.servers[id]
 	if s == nil {
-		s = &server{Server: Server{ID: id, State: Gone}, order: mix(b.set.Seed, uint64(id))}
+		s = &server{Server: Server{ID: id, State: Removed}, order: mix(b.set.Seed, uint64(id))}
 		b.servers[id] = s
 	}
 	return s
@@ -214,10 +214,10 @@
 const shareMost = 1 << 20
 
 // shows keeps what a report tells: the load, and what one connection loads the server with.
-func (s *server) shows(r Report) {
+func (s *server) shows(r LoadReport) {
 	s.reported = r.Load
-	if r.Held >= shareLeast && r.Held <= shareMost {
-		s.each = r.Load / r.Held
+	if r.Connections >= shareLeast && r.Connections <= shareMost {
+		s.each = r.Load / r.Connections
 	}
 }
 
@@ -309,8 +309,8 @@
 // sign notes that some server answers.
 func (b *Balancer) sign() { b.lastSign, b.failing = b.now, false }
 
-// Avoids tells whether a server gets nothing new for now though it is ready. It looks only.
-func (b *Balancer) Avoids(id ServerID) bool {
+// Ejected tells whether a server gets nothing new for now though it is ready. It looks only.
+func (b *Balancer) Ejected(id ServerID) bool {
 	s := b.servers[id]
 	return s != nil && b.now < s.ejected
 }
@@ -367,8 +367,8 @@
 	return nil
 }
 
-func (b *Balancer) opened(ev Opened) {
-	r := &request{Requested: ev.Request, tries: 1, srv: b.server(ev.Server), stands: true, out: true}
+func (b *Balancer) opened(ev ConnectionRestored) {
+	r := &request{RequestArrived: ev.Request, tries: 1, srv: b.server(ev.Server), stands: true, out: true}
 	b.requests[r.ID] = r
 	b.hold(r)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,18 +53,18 @@
 	Management  string // the second address; empty: off
 	Discovery   string
 	Settings    decide.Settings
-	Pushed      bool // lists count as told when discovery has them
+	ListPushed  bool // lists count as told when discovery has them
 	Tenants     []string
-	Known       []core.Instance
+	Known       []core.Endpoint
 	Generation  int64
 	Cores       float64
 	MemoryMB    int
 	Sockets     int
 	Descriptors int           // that channels and their dials may hold,
-	DialSpare   int           // of which channels leave so many to dials
+	DialReserve int           // of which channels leave so many to dials
 	Probes      int           // connections for probes that may be kept
 	Callers     int           // that may be connected to the management address
-	MaxChannels int           // requests that may wait and connections that may stand
+	MaxClients  int           // requests that may wait and connections that may stand
 	StopBudget  time.Duration // from SIGTERM to the end
 }
 
@@ -184,22 +184,22 @@
 		return nil, err
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		known, err := httpsource.Decode(f.Known)
+		known, err := httpsource.DecodeListing(f.Known)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.Known, c.Generation = known.Instances, known.Generation
+		c.Known, c.Generation = known.Endpoints, known.Generation
 	}
 	if c.Settings, err = f.Settings.decode(); err != nil {
 		return nil, fmt.Errorf("settings.%w", err)
 	}
-	c.Settings.Seed, c.Pushed = seed, f.Settings.Mode == "automatic"
+	c.Settings.Seed, c.ListPushed = seed, f.Settings.Mode == "automatic"
 	for _, t := range f.Settings.Tenants {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
 	longest := time.Duration(0)
 	for _, class := range c.Settings.Classes {
-		longest = max(longest, class.GiveUp)
+		longest = max(longest, class.ClientTimeout)
 	}
 	c.StopBudget = min(longest, longestDeadline) + killAfter - exitSpare
 	return c, nil
@@ -252,8 +252,8 @@
 		c.Callers = manageSockets - 2 // its listener, and the caller that is let in before another is put out
 		c.Descriptors -= manageSockets
 	}
-	c.DialSpare = c.Descriptors / dialPart
-	c.MaxChannels = mostChannels(c.Descriptors)
+	c.DialReserve = c.Descriptors / dialPart
+	c.MaxClients = mostChannels(c.Descriptors)
 }
 
 // mostChannels is how many may stand or wait, each with a dial, so that a door is left for those that come beyond it.
@@ -263,18 +263,18 @@
 
 // Share is what a process may hold of the limits while others serve beside it.
 type Share struct {
-	Reserved    int // of Descriptors, left to another process
-	MaxChannels int
-	Memory      int64 // for the Go runtime, in bytes
+	Reserved   int // of Descriptors, left to another process
+	MaxClients int
+	Memory     int64 // for the Go runtime, in bytes
 }
 
 // Share shares the limits out to one process, or to two of the same parts.
 func (c *Config) Share(two bool) Share {
-	s := Share{MaxChannels: c.MaxChannels, Memory: int64(float64(c.MemoryMB) * memoryPart * (1 << 20))}
+	s := Share{MaxClients: c.MaxClients, Memory: int64(float64(c.MemoryMB) * memoryPart * (1 << 20))}
 	if two {
 		// Each has its own spare ones, so that its part of the others is less than half.
 		left := max(c.Descriptors-c.Sockets/2, leastShare)
-		s.Reserved, s.MaxChannels, s.Memory = c.Descriptors-left, mostChannels(left), s.Memory/2
+		s.Reserved, s.MaxClients, s.Memory = c.Descriptors-left, mostChannels(left), s.Memory/2
 	}
 	return s
 }
@@ -300,8 +300,8 @@
 
 func seconds(v float64) time.Duration { return time.Duration(math.Round(v * float64(time.Second))) }
 
-var repeats = map[string]decide.Repeat{"idempotent": decide.Safe, "deduplicated": decide.Keyed,
-	"at_most_once": decide.Unsafe}
+var repeats = map[string]decide.Idempotency{"idempotent": decide.Idempotent, "deduplicated": decide.IdempotentByKey,
+	"at_most_once": decide.NotIdempotent}
 
 var scopes = map[string]decide.KeyScope{"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone,
 	"cell": decide.ScopeCell}
@@ -333,7 +333,7 @@
 		return out, errors.New("profiles: is empty")
 	}
 	l, r, p := s.Limits, s.Rules, s.Penalties
-	for _, f := range []figure{{"balancers", float64(s.Balancers), decide.MostBalancers}, {"limits.connect_timeout_s", l.ConnectTimeout, mostSeconds},
+	for _, f := range []figure{{"balancers", float64(s.Balancers), decide.MaxBalancers}, {"limits.connect_timeout_s", l.ConnectTimeout, mostSeconds},
 		{"limits.max_retry_after_s", l.MaxRetryAfter, mostSeconds}, {"limits.most_tries", float64(l.MostTries), mostTries},
 		{"rules.must_ask_in_s", r.MustAsk, mostSeconds}, {"rules.drain_grace_s", r.DrainGrace, mostSeconds},
 		{"rules.cold_share", r.ColdShare, 1}, {"rules.cold_s", r.Cold, mostSeconds}, {"rules.fall_multiple", r.FallMultiple, mostMultiple},
@@ -344,12 +344,12 @@
 		}
 	}
 	out = decide.Settings{
-		Zone: s.Zone, Zones: s.Areas, Balancers: s.Balancers, Subscribe: true, // on sockets changes come on a watch alone, whatever the mode
-		MaxTries: l.MostTries, ConnectTimeout: seconds(l.ConnectTimeout), MayProbe: l.MayProbe,
-		Groups: s.Specifics.Groups,
-		Rules: decide.Rules{DrainGrace: seconds(r.DrainGrace), MustAsk: seconds(r.MustAsk), ColdShare: r.ColdShare,
-			Cold: seconds(r.Cold), FallMultiple: r.FallMultiple, Fall: seconds(r.Fall)},
-		Prices: decide.Prices{Probe: p.Probe, Move: p.Moves, CrossZone: p.CrossZone},
+		Zone: s.Zone, Zones: s.Areas, Balancers: s.Balancers, WatchList: true, // on sockets changes come on a watch alone, whatever the mode
+		MaxAttempts: l.MostTries, ConnectTimeout: seconds(l.ConnectTimeout), ProbingAllowed: l.MayProbe,
+		GroupAffinity: s.Specifics.Groups,
+		Safety: decide.SafetyLimits{DrainGrace: seconds(r.DrainGrace), MaxPollInterval: seconds(r.MustAsk), SlowStartShare: r.ColdShare,
+			SlowStartDuration: seconds(r.Cold), OverloadFactor: r.FallMultiple, OverloadWindow: seconds(r.Fall)},
+		Costs: decide.Costs{Probe: p.Probe, Migration: p.Moves, CrossZone: p.CrossZone},
 	}
 	if l.RetryAfter {
 		out.MaxRetryAfter = seconds(l.MaxRetryAfter)
@@ -374,16 +374,16 @@
 				return out, fmt.Errorf("profiles[%d].%w", i, err)
 			}
 		}
-		class := decide.Class{Name: c.Name, Aim: seconds(c.Aim), GiveUp: seconds(c.GiveUp), Repeat: repeat,
-			Window: seconds(c.Window)}
-		if repeat == decide.Keyed {
-			class.Scope = scope
+		class := decide.Class{Name: c.Name, LatencyObjective: seconds(c.Aim), ClientTimeout: seconds(c.GiveUp), Idempotency: repeat,
+			DedupWindow: seconds(c.Window)}
+		if repeat == decide.IdempotentByKey {
+			class.KeyScope = scope
 		}
 		if i < len(s.Specifics.MessageAim) {
 			if err := (figure{"message_aim_s", s.Specifics.MessageAim[i], mostSeconds}).check(); err != nil {
 				return out, fmt.Errorf("specifics.%w", err)
 			}
-			class.MessageAim = seconds(s.Specifics.MessageAim[i])
+			class.MessageLatencyObjective = seconds(s.Specifics.MessageAim[i])
 		}
 		out.Classes = append(out.Classes, class)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,8 +29,8 @@
 	}
 	class := c.Settings.Classes[0]
 	if c.Name != "n3" || len(c.Known) != 1 || c.Generation != 41 || c.MemoryMB != 192 ||
-		c.Settings.Seed != 0x8c1f30d27a5be964 || !c.Settings.Subscribe || !c.Settings.Groups ||
-		class.Aim != 300*time.Millisecond || class.MessageAim != 60*time.Millisecond || class.Repeat != decide.Safe ||
+		c.Settings.Seed != 0x8c1f30d27a5be964 || !c.Settings.WatchList || !c.Settings.GroupAffinity ||
+		class.LatencyObjective != 300*time.Millisecond || class.MessageLatencyObjective != 60*time.Millisecond || class.Idempotency != decide.Idempotent ||
 		c.Settings.ConnectTimeout != 60*time.Millisecond || c.Settings.MaxRetryAfter != 1500*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		third := c.Sockets / 3 // what usual clients may hold; each has a dial
-		if c.Descriptors > c.Sockets-spareSockets-c.Probes || c.Descriptors-c.DialSpare-2*c.MaxChannels < doorLeast || c.MaxChannels < third || 2*c.MaxChannels > c.Descriptors {
+		if c.Descriptors > c.Sockets-spareSockets-c.Probes || c.Descriptors-c.DialReserve-2*c.MaxClients < doorLeast || c.MaxClients < third || 2*c.MaxClients > c.Descriptors {
 			t.Errorf("%s descriptors: %+v", sockets, c)
 		}
 	}
@@ -94,8 +94,8 @@
 		}
 		one, two := c.Share(false), c.Share(true)
 		each := c.Sockets - two.Reserved // what a process may hold in all
-		if one.Reserved != 0 || one.MaxChannels != c.MaxChannels || 2*each > c.Sockets || two.Memory*2 > one.Memory ||
-			2*two.MaxChannels > c.Descriptors-two.Reserved || two.MaxChannels < leastShare/4 {
+		if one.Reserved != 0 || one.MaxClients != c.MaxClients || 2*each > c.Sockets || two.Memory*2 > one.Memory ||
+			2*two.MaxClients > c.Descriptors-two.Reserved || two.MaxClients < leastShare/4 {
 			t.Errorf("%s descriptors: one %+v, two %+v of %+v", sockets, one, two, c)
 		}
 	}
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -17,7 +17,7 @@
 
 // Control lets a balancer follow the control machines. No machines: off.
 type Control struct {
-	Machines []replica.Machine
+	Machines []replica.Server
 	Region   string // its own: machines there are asked first
 	Site     string // the same at all that share the keys
 	KeysFile string
@@ -87,7 +87,7 @@
 			return c, fmt.Errorf("machines[%d].region: is missing", i)
 		}
 		seen[m.Address] = true
-		c.Machines = append(c.Machines, replica.Machine{Address: m.Address, Region: m.Region})
+		c.Machines = append(c.Machines, replica.Server{Address: m.Address, Region: m.Region})
 	}
 	return c, nil
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -12,7 +12,7 @@
 	fuzzcorpus.Add(f, []byte(good))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Parse(raw, noEnv)
-		if err == nil && (len(c.Settings.Classes) == 0 || c.MaxChannels <= 0 || c.Listen == "") {
+		if err == nil && (len(c.Settings.Classes) == 0 || c.MaxClients <= 0 || c.Listen == "") {
 			t.Errorf("%q is taken as %+v", raw, c)
 		}
 	})
--- a/internal/config/resume.go
+++ b/internal/config/resume.go
@@ -56,8 +56,8 @@
 	if life == 0 {
 		life = defaultTokenLife
 	}
-	if !(life >= 10 && life <= token.MaxLife.Seconds()) {
-		return r, fmt.Errorf("token_life_s: %v is not within 10 to %v", life, token.MaxLife.Seconds())
+	if !(life >= 10 && life <= token.MaxLifetime.Seconds()) {
+		return r, fmt.Errorf("token_life_s: %v is not within 10 to %v", life, token.MaxLifetime.Seconds())
 	}
 	if wait == 0 {
 		wait = defaultStateWait
--- a/internal/controlplane/control_test.go
+++ b/internal/controlplane/control_test.go
@@ -67,21 +67,21 @@
 
 func rooms(n, weight int) (d replica.Document) {
 	for i := range n {
-		d.Rooms = append(d.Rooms, endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a",
+		d.Rooms = append(d.Rooms, endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a",
 			Weight: float64(weight)})
 	}
 	return d
 }
 
 // spread writes a document into a hub.
-func spread(t *testing.T, h *Hub, d replica.Document) replica.State {
+func spread(t *testing.T, h *Broadcaster, d replica.Document) replica.State {
 	t.Helper()
 	state, _, err := h.take(func(r *replica.Replica) (bool, error) {
 		c, _, err := r.Propose(d, 1)
 		if err != nil {
 			return false, err
 		}
-		return r.TakeChanges([]replica.Change{*c})
+		return r.ApplyChanges([]replica.Change{*c})
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -110,19 +110,19 @@
 }
 
 // machine serves a hub.
-func machine(t *testing.T, h *Hub, keys *Keyring, site string) (replica.Machine, func()) {
+func machine(t *testing.T, h *Broadcaster, keys *Keyring, site string) (replica.Server, func()) {
 	t.Helper()
 	l := listen(t)
 	log, _ := logger()
 	stop := run(t, func(ctx context.Context) { NewServer(h, keys, site, log).Serve(ctx, l) })
-	return replica.Machine{Address: l.Addr().String(), Region: "a"}, stop
+	return replica.Server{Address: l.Addr().String(), Region: "a"}, stop
 }
 
 // balancer follows machines; states are those that it was told of.
-func balancer(t *testing.T, saved replica.State, keys *Keyring, site string, machines ...replica.Machine) (h *Hub, states chan replica.State, text *logged) {
+func balancer(t *testing.T, saved replica.State, keys *Keyring, site string, machines ...replica.Server) (h *Broadcaster, states chan replica.State, text *logged) {
 	t.Helper()
 	log, text := logger()
-	h, states = NewHub(saved, false), make(chan replica.State, 10000)
+	h, states = NewBroadcaster(saved, false), make(chan replica.State, 10000)
 	f := NewFollower(h, machines, "a", 1, keys, site, func(s replica.State) { states <- s }, log)
 	run(t, f.Run)
 	return h, states, text
@@ -137,7 +137,9 @@
 	}
 }
 
-func has(h *Hub, v replica.Version) func() bool { return func() bool { return h.State().Version == v } }
+func has(h *Broadcaster, v replica.Version) func() bool {
+	return func() bool { return h.State().Version == v }
+}
 
 func version(n uint64) replica.Version { return replica.Version{Term: 1, Number: n} }
 
@@ -146,14 +148,14 @@
 func TestFollowThroughAMachine(t *testing.T) {
 	t.Parallel()
 	keys := keyring(t)
-	writer := NewHub(replica.State{}, true)
+	writer := NewBroadcaster(replica.State{}, true)
 	spread(t, writer, rooms(20000, 1))
 	first, stopFirst := machine(t, writer, keys, "x")
-	middle := NewHub(replica.State{}, true)
+	middle := NewBroadcaster(replica.State{}, true)
 	log, _ := logger()
-	run(t, NewFollower(middle, []replica.Machine{first}, "a", 2, keys, "x", func(replica.State) {}, log).Run)
+	run(t, NewFollower(middle, []replica.Server{first}, "a", 2, keys, "x", func(replica.State) {}, log).Run)
 	second, stopSecond := machine(t, middle, keys, "x")
-	other := replica.Machine{Address: first.Address, Region: "b"}
+	other := replica.Server{Address: first.Address, Region: "b"}
 	h, states, text := balancer(t, replica.State{}, keys, "x", second, other)
 	until(t, "the whole state", has(h, version(1)))
 	spread(t, writer, rooms(20001, 1))
@@ -162,7 +164,7 @@
 	stopSecond()
 	spread(t, writer, rooms(20002, 1))
 	until(t, "a change at the other machine", has(h, version(3)))
-	if took := time.Since(start); took > replica.Silence {
+	if took := time.Since(start); took > replica.LeaderTimeout {
 		t.Errorf("the change after the machine's end took %v", took)
 	}
 	if !reflect.DeepEqual(h.State(), writer.State()) || len(states) != 3 || !strings.Contains(text.String(), other.Address) {
@@ -181,7 +183,7 @@
 func TestMachinesOfDifferentAges(t *testing.T) {
 	t.Parallel()
 	keys := keyring(t)
-	newer, older := NewHub(replica.State{}, true), NewHub(replica.State{}, true)
+	newer, older := NewBroadcaster(replica.State{}, true), NewBroadcaster(replica.State{}, true)
 	old := spread(t, older, rooms(10, 1))
 	spread(t, newer, rooms(10, 1))
 	for i := range 100 {
@@ -192,15 +194,15 @@
 	hangs, closed, also := listen(t), listen(t), listen(t)
 	closed.Close()
 	also.Close()
-	var all []replica.Machine
+	var all []replica.Server
 	for _, l := range []net.Listener{hangs, closed, also} {
-		all = append(all, replica.Machine{Address: l.Addr().String(), Region: "a"})
+		all = append(all, replica.Server{Address: l.Addr().String(), Region: "a"})
 	}
 	m1.Region, m2.Region = "b", "c"
 	h, states, _ := balancer(t, old, keys, "x", append(all, m1, m2)...)
 	start := time.Now()
 	until(t, "the newer state", has(h, version(101)))
-	if took := time.Since(start); took > replica.Silence {
+	if took := time.Since(start); took > replica.LeaderTimeout {
 		t.Errorf("it took %v", took)
 	}
 	stop() // the older one is all that is left
@@ -218,12 +220,12 @@
 // false machines: each answers with something that must not be taken; the sound one after them is found.
 func TestFramesThatAreNotTaken(t *testing.T) {
 	t.Parallel()
-	keys, sound := keyring(t), NewHub(replica.State{}, true)
+	keys, sound := keyring(t), NewBroadcaster(replica.State{}, true)
 	want := spread(t, sound, rooms(3, 1))
-	bad := spread(t, NewHub(replica.State{}, true), rooms(5, 1))
+	bad := spread(t, NewBroadcaster(replica.State{}, true), rooms(5, 1))
 	frame := func(t *testing.T, l *link) []byte { // of a state that is newer than the sound one
 		bad.Version.Term = 9
-		p := bad.Pieces()[0]
+		p := bad.Chunks()[0]
 		body, err := cbor.Marshal(message{Piece: &p})
 		if err != nil {
 			t.Fatal(err)
@@ -248,7 +250,7 @@
 			return err
 		},
 		"too long": func(t *testing.T, conn net.Conn, l *link) error {
-			_, err := conn.Write(binary.BigEndian.AppendUint32(nil, replica.MaxMessage+1))
+			_, err := conn.Write(binary.BigEndian.AppendUint32(nil, replica.MaxMessageBytes+1))
 			return err
 		},
 	} {
@@ -277,7 +279,7 @@
 			}()
 			m, _ := machine(t, sound, keys, "x")
 			m.Region = "b"
-			h, states, _ := balancer(t, replica.State{}, keys, "x", replica.Machine{Address: l.Addr().String(), Region: "a"}, m)
+			h, states, _ := balancer(t, replica.State{}, keys, "x", replica.Server{Address: l.Addr().String(), Region: "a"}, m)
 			until(t, "the sound state", has(h, want.Version))
 			if err := <-played; err != nil {
 				t.Error(err)
@@ -302,7 +304,7 @@
 // another one within its time.
 func TestMachineThatFallsSilent(t *testing.T) {
 	t.Parallel()
-	keys, hub := keyring(t), NewHub(replica.State{}, true)
+	keys, hub := keyring(t), NewBroadcaster(replica.State{}, true)
 	want := spread(t, hub, rooms(3, 1))
 	l, beaten := listen(t), make(chan error, 1)
 	go func() {
@@ -318,13 +320,13 @@
 	}()
 	m, _ := machine(t, hub, keys, "x")
 	m.Region = "b"
-	h, _, text := balancer(t, replica.State{}, keys, "x", replica.Machine{Address: l.Addr().String(), Region: "a"}, m)
+	h, _, text := balancer(t, replica.State{}, keys, "x", replica.Server{Address: l.Addr().String(), Region: "a"}, m)
 	if err := <-beaten; err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	until(t, "the other machine's state", has(h, want.Version))
-	if took := time.Since(start); took > replica.Silence || strings.Contains(text.String(), "nothing heard") {
+	if took := time.Since(start); took > replica.LeaderTimeout || strings.Contains(text.String(), "nothing heard") {
 		t.Errorf("it took %v, log:\n%s", took, text)
 	}
 }
@@ -335,12 +337,12 @@
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	defer theirs.Close()
-	go theirs.Write(binary.BigEndian.AppendUint32(nil, replica.MaxMessage+1))
+	go theirs.Write(binary.BigEndian.AppendUint32(nil, replica.MaxMessageBytes+1))
 	ours.SetReadDeadline(time.Now().Add(soon))
 	if _, _, err := newLink(ours).body(); !errors.Is(err, errLong) {
 		t.Error(err)
 	}
-	if err := newLink(ours).send(make([]byte, replica.MaxMessage+1)); !errors.Is(err, errLong) {
+	if err := newLink(ours).send(make([]byte, replica.MaxMessageBytes+1)); !errors.Is(err, errLong) {
 		t.Error(err)
 	}
 }
@@ -350,12 +352,12 @@
 func TestOtherKeysAndSites(t *testing.T) {
 	t.Parallel()
 	mine, others := keyring(t), keyring(t)
-	hub := NewHub(replica.State{}, true)
+	hub := NewBroadcaster(replica.State{}, true)
 	spread(t, hub, rooms(3, 1))
 	log, text := logger()
 	l := listen(t)
 	run(t, func(ctx context.Context) { NewServer(hub, mine, "x", log).Serve(ctx, l) })
-	m := replica.Machine{Address: l.Addr().String(), Region: "a"}
+	m := replica.Server{Address: l.Addr().String(), Region: "a"}
 	foreign, _, _ := balancer(t, replica.State{}, others, "x", m)
 	elsewhere, _, _ := balancer(t, replica.State{}, mine, "y", m)
 	good, _, _ := balancer(t, replica.State{}, mine, "x", m)
@@ -512,7 +514,7 @@
 // A restart asks for changes alone; a saved state that is newer than any machine's stays.
 func TestSavedState(t *testing.T) {
 	t.Parallel()
-	keys, hub := keyring(t), NewHub(replica.State{}, true)
+	keys, hub := keyring(t), NewBroadcaster(replica.State{}, true)
 	saved := spread(t, hub, rooms(5, 1))
 	spread(t, hub, rooms(5, 2))
 	m, _ := machine(t, hub, keys, "x")
@@ -562,8 +564,8 @@
 	put(text("a", "b", "c"))
 	log, said := logger()
 	saves := NewStore(db, "x", log)
-	hub, asked := NewHub(saves.Load(), true), make(chan os.Signal)
-	stop := run(t, func(ctx context.Context) { NewWriter(file, 1, hub, saves, log).Run(ctx, asked) })
+	hub, asked := NewBroadcaster(saves.Load(), true), make(chan os.Signal)
+	stop := run(t, func(ctx context.Context) { NewLeader(file, 1, hub, saves, log).Run(ctx, asked) })
 	until(t, "the first version", has(hub, version(1)))
 	for _, bad := range []struct{ text, says string }{
 		{`{"rooms":[]}`, "rooms: is empty"}, {`{"discovery":"127.0.0.1:1"}`, "rooms: none is left"}, {`{"rooms`, "EOF"},
@@ -586,8 +588,8 @@
 	stop()
 	// One that starts again goes on behind its last version, whatever the file has become.
 	put(text("a", "b", "c"))
-	hub = NewHub(saves.Load(), true)
-	run(t, func(ctx context.Context) { NewWriter(file, 1, hub, saves, log).Run(ctx, asked) })
+	hub = NewBroadcaster(saves.Load(), true)
+	run(t, func(ctx context.Context) { NewLeader(file, 1, hub, saves, log).Run(ctx, asked) })
 	until(t, "the version after the restart", has(hub, version(4)))
 }
 
@@ -599,9 +601,9 @@
 		t.Fatal(err)
 	}
 	log, said := logger()
-	hub := NewHub(replica.State{}, true)
+	hub := NewBroadcaster(replica.State{}, true)
 	saves := NewStore(filepath.Join(dir, "nowhere", "state.db"), "x", log)
-	run(t, func(ctx context.Context) { NewWriter(file, 1, hub, saves, log).Run(ctx, nil) })
+	run(t, func(ctx context.Context) { NewLeader(file, 1, hub, saves, log).Run(ctx, nil) })
 	until(t, "a word of it", func() bool { return strings.Contains(said.String(), "not spread") })
 	if v := hub.State().Version; v != (replica.Version{}) {
 		t.Errorf("spread as %s", v)
@@ -610,18 +612,18 @@
 
 // inner stands in for discovery's actor.
 type inner struct {
-	sink  Sink
+	sink  core.UpdateHandler
 	calls chan string
 }
 
-func (i *inner) Move(address string) { i.calls <- "move " + address }
-func (i *inner) Subscribe(ctx context.Context, watch uint64) {
+func (i *inner) SetAddress(address string) { i.calls <- "move " + address }
+func (i *inner) Watch(ctx context.Context, watch uint64) {
 	i.calls <- "subscribe"
-	i.sink.ListAlive(watch)
-	i.sink.Resolved(core.Result{Instances: []core.Instance{{Name: "of discovery"}}})
-	context.AfterFunc(ctx, func() { i.calls <- "ended"; i.sink.Resolved(core.Result{Watch: watch}) })
+	i.sink.WatchAlive(watch)
+	i.sink.EndpointsUpdated(core.EndpointUpdate{Endpoints: []core.Endpoint{{Name: "of discovery"}}})
+	context.AfterFunc(ctx, func() { i.calls <- "ended"; i.sink.EndpointsUpdated(core.EndpointUpdate{WatchID: watch}) })
 }
-func (i *inner) FetchList(context.Context)               { i.calls <- "fetch" }
+func (i *inner) Fetch(context.Context)                   { i.calls <- "fetch" }
 func (i *inner) Dial(_ context.Context, done func(bool)) { i.calls <- "dial"; done(false) }
 func (i *inner) Run(ctx context.Context)                 { <-ctx.Done() }
 
@@ -630,14 +632,14 @@
 	alive chan uint64
 }
 
-func (s sink) Resolved(r core.Result) {
+func (s sink) EndpointsUpdated(r core.EndpointUpdate) {
 	text := ""
-	for _, in := range r.Instances {
+	for _, in := range r.Endpoints {
 		text += in.Name + " "
 	}
 	s.lists <- text
 }
-func (s sink) ListAlive(watch uint64) {
+func (s sink) WatchAlive(watch uint64) {
 	select {
 	case s.alive <- watch:
 	default:
@@ -660,29 +662,29 @@
 // the next start. The document's discovery comes before a reload's.
 func TestSource(t *testing.T) {
 	t.Parallel()
-	keys, hub := keyring(t), NewHub(replica.State{}, true)
+	keys, hub := keyring(t), NewBroadcaster(replica.State{}, true)
 	m, stop := machine(t, hub, keys, "x")
 	s, _ := store(t, filepath.Join(t.TempDir(), "state.db"), "x")
 	log, said := logger()
 	in := &inner{calls: make(chan string, 100)}
 	out, turned := sink{make(chan string, 100), make(chan uint64, 100)}, make(chan string, 100)
-	following := Following{Machines: []replica.Machine{m}, Region: "a", Site: "x"}
+	following := FollowerConfig{Machines: []replica.Server{m}, Region: "a", Site: "x"}
 	start := func(saved replica.State) *Source {
 		in = &inner{calls: in.calls} // the one before may still be ending
-		source := NewSource(following, keys, s, saved, func(gate Sink) Inner { in.sink = gate; return in }, func(to string) { turned <- to }, out, log)
+		source := NewSource(following, keys, s, saved, func(gate core.UpdateHandler) DiscoverySource { in.sink = gate; return in }, func(to string) { turned <- to }, out, log)
 		return source
 	}
 	source := start(s.Load())
 	end := run(t, source.Run)
-	source.Subscribe(t.Context(), 1)
+	source.Watch(t.Context(), 1)
 	next(t, in.calls, "subscribe")
 	next(t, out.lists, "of discovery ")
 	next(t, out.alive, 1)
-	source.Rediscover("127.0.0.1:5")
+	source.SetFallbackAddress("127.0.0.1:5")
 	next(t, turned, "127.0.0.1:5")
 	spread(t, hub, replica.Document{Discovery: "127.0.0.1:7"})
 	next(t, turned, "127.0.0.1:7")
-	source.Rediscover("127.0.0.1:5")
+	source.SetFallbackAddress("127.0.0.1:5")
 	source.Dial(t.Context(), func(there bool) { out.lists <- fmt.Sprint(there) })
 	next(t, in.calls, "dial")
 	next(t, out.lists, "false")
@@ -696,7 +698,7 @@
 	next(t, out.alive, 1)
 	source.Dial(t.Context(), func(there bool) { out.lists <- fmt.Sprint(there) })
 	next(t, out.lists, "true")
-	source.FetchList(t.Context())
+	source.Fetch(t.Context())
 	next(t, out.lists, "s-00000 s-00001 ")
 	until(t, "the save", func() bool { return s.Load().Version == version(2) })
 	spread(t, hub, rooms(3, 1)) // what changes alone is told
@@ -711,13 +713,13 @@
 
 	again := start(s.Load())
 	run(t, again.Run)
-	again.Subscribe(t.Context(), 2)
+	again.Watch(t.Context(), 2)
 	next(t, out.lists, "s-00000 s-00001 ")
-	until(t, "silence", again.follower.Silent)
+	until(t, "silence", again.follower.LeaderStale)
 	if len(in.calls) > 0 {
 		t.Errorf("discovery is asked although the saved document lists room servers: %s", <-in.calls)
 	}
-	again.Rediscover("127.0.0.1:5")
+	again.SetFallbackAddress("127.0.0.1:5")
 	if len(turned) > 0 || !strings.Contains(said.String(), "the file's discovery is not taken over") {
 		t.Errorf("in silence a reload turns to another discovery, log:\n%s", said)
 	}
@@ -726,7 +728,7 @@
 // A follower that goes away leaves nothing behind at a machine, and one that says nothing is put out.
 func TestFollowersThatGo(t *testing.T) {
 	t.Parallel()
-	keys, hub := keyring(t), NewHub(replica.State{}, true)
+	keys, hub := keyring(t), NewBroadcaster(replica.State{}, true)
 	spread(t, hub, rooms(3, 1))
 	m, stop := machine(t, hub, keys, "x")
 	silent, err := net.Dial("tcp", m.Address)
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -15,14 +15,14 @@
 
 // Follower fills a hub from the control machines, one at a time.
 type Follower struct {
-	hub   *Hub
+	hub   *Broadcaster
 	keys  *Keyring
 	site  string
 	taken func(replica.State) // called from Run, in the order of the versions
 	log   *logrus.Logger
 
 	mu      sync.Mutex
-	seeker  *replica.Seeker
+	seeker  *replica.ServerSelector
 	last    string // why the last machine was left
 	told    string // the machine that the log told of
 	current string
@@ -30,10 +30,10 @@
 
 // NewFollower returns a follower; those with different seeds spread over the machines. taken hears of each version that is in
 // force, and may take as long as it needs.
-func NewFollower(hub *Hub, machines []replica.Machine, region string, seed uint64, keys *Keyring, site string,
+func NewFollower(hub *Broadcaster, machines []replica.Server, region string, seed uint64, keys *Keyring, site string,
 	taken func(replica.State), log *logrus.Logger) *Follower {
 	f := &Follower{hub: hub, keys: keys, site: site, taken: taken, log: log,
-		seeker: replica.NewSeeker(machines, region, seed, time.Now())}
+		seeker: replica.NewServerSelector(machines, region, seed, time.Now())}
 	hub.age = f.age
 	return f
 }
@@ -41,11 +41,11 @@
 func (f *Follower) age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seeker.Age(now)
+	return f.seeker.LeaderAge(now)
 }
 
-// Silent tells whether nothing has been heard of the writer for replica.Silence.
-func (f *Follower) Silent() bool {
+// LeaderStale tells whether nothing has been heard of the writer for replica.Silence.
+func (f *Follower) LeaderStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.look()
@@ -53,13 +53,13 @@
 
 // look says when the silence begins and when it ends.
 func (f *Follower) look() bool {
-	silent, turned := f.seeker.Silent(time.Now())
+	silent, turned := f.seeker.LeaderStale(time.Now())
 	if !turned {
 		return silent
 	}
 	entry := f.log.WithField("version", f.hub.State().Version.String())
 	if silent {
-		entry.WithField("cause", f.last).Warnf("control: nothing heard of the writer for %v, serving on with what is there", replica.Silence)
+		entry.WithField("cause", f.last).Warnf("control: nothing heard of the writer for %v, serving on with what is there", replica.LeaderTimeout)
 	} else {
 		entry.WithField("machine", f.current).Info("control: the writer is heard again")
 	}
@@ -76,7 +76,7 @@
 		for {
 			select {
 			case <-tick.C:
-				f.Silent()
+				f.LeaderStale()
 			case <-ctx.Done():
 				return
 			}
@@ -107,8 +107,8 @@
 }
 
 // follow takes what one machine sends, until it is lost or left.
-func (f *Follower) follow(ctx context.Context, m replica.Machine) error {
-	dialer := net.Dialer{Timeout: replica.Reply}
+func (f *Follower) follow(ctx context.Context, m replica.Server) error {
+	dialer := net.Dialer{Timeout: replica.ReplyTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", m.Address)
 	if err != nil {
 		return err
@@ -123,14 +123,14 @@
 	if err := peer.send(message{Ask: &has}); err != nil {
 		return err
 	}
-	defer f.hub.take(func(r *replica.Replica) (bool, error) { r.Forget(); return false, nil })
-	wait := replica.Reply
+	defer f.hub.take(func(r *replica.Replica) (bool, error) { r.DiscardChunks(); return false, nil })
+	wait := replica.ReplyTimeout
 	for {
 		var got message
 		if err := peer.receive(&got, wait); err != nil {
 			return err
 		}
-		wait = replica.Quiet
+		wait = replica.IdleTimeout
 		if got.Beat != nil {
 			if !f.hear(m, *got.Beat) {
 				return nil
@@ -139,9 +139,9 @@
 		}
 		state, changed, err := f.hub.take(func(r *replica.Replica) (bool, error) {
 			if got.Piece != nil {
-				return r.TakePiece(*got.Piece)
+				return r.ApplyChunk(*got.Piece)
 			}
-			return r.TakeChanges(got.Changes)
+			return r.ApplyChanges(got.Changes)
 		})
 		if err != nil {
 			f.log.WithError(err).WithField("machine", m.Address).Error("control: what a machine sent is not taken over")
@@ -155,12 +155,12 @@
 	}
 }
 
-func (f *Follower) hear(m replica.Machine, b beat) (stays bool) {
+func (f *Follower) hear(m replica.Server, b beat) (stays bool) {
 	own := f.hub.State().Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	age := time.Duration(min(b.AgeMS, uint64(replica.Unheard.Milliseconds()))) * time.Millisecond
-	if stays = f.seeker.Hear(time.Now(), age, b.Version, own); stays {
+	age := time.Duration(min(b.AgeMS, uint64(replica.MaxLeaderAge.Milliseconds()))) * time.Millisecond
+	if stays = f.seeker.HeartbeatReceived(time.Now(), age, b.Version, own); stays {
 		f.current = m.Address
 		if f.told != m.Address {
 			f.told = m.Address
--- a/internal/controlplane/frame.go
+++ b/internal/controlplane/frame.go
@@ -50,10 +50,10 @@
 
 // message is any that follows. One of its parts is there.
 type message struct {
-	Ask     *replica.Version `cbor:"1,keyasint,omitempty"` // by a follower, once: what it has
-	Beat    *beat            `cbor:"2,keyasint,omitempty"`
-	Changes []replica.Change `cbor:"3,keyasint,omitempty"`
-	Piece   *replica.Piece   `cbor:"4,keyasint,omitempty"`
+	Ask     *replica.Version       `cbor:"1,keyasint,omitempty"` // by a follower, once: what it has
+	Beat    *beat                  `cbor:"2,keyasint,omitempty"`
+	Changes []replica.Change       `cbor:"3,keyasint,omitempty"`
+	Piece   *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
 }
 
 // beat tells what a machine has, and how long ago the writer was there.
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > replica.MaxMessage {
+	if len(body) > replica.MaxMessageBytes {
 		return errLong
 	}
 	l.conn.SetWriteDeadline(time.Now().Add(writeWait))
@@ -178,7 +178,7 @@
 		return nil, nil, err
 	}
 	n := binary.BigEndian.Uint32(head)
-	if n > replica.MaxMessage {
+	if n > replica.MaxMessageBytes {
 		return nil, nil, errLong
 	}
 	raw := make([]byte, int(n)+sha256.Size)
@@ -219,7 +219,7 @@
 	if err := l.send(hello{form, id, ours}); err != nil {
 		return err
 	}
-	l.conn.SetReadDeadline(time.Now().Add(replica.Reply))
+	l.conn.SetReadDeadline(time.Now().Add(replica.ReplyTimeout))
 	body, sum, err := l.body()
 	if err != nil {
 		return err
@@ -236,7 +236,7 @@
 
 // answer is the machine's side of the agreement.
 func (l *link) answer(keys *Keyring, site string) error {
-	l.conn.SetReadDeadline(time.Now().Add(replica.Reply))
+	l.conn.SetReadDeadline(time.Now().Add(replica.ReplyTimeout))
 	body, sum, err := l.body()
 	if err != nil {
 		return err
--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -14,7 +14,7 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			var d Document
 			for i := range n {
-				d.Rooms = append(d.Rooms, endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Zone: "a", Weight: 1,
+				d.Rooms = append(d.Rooms, endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Zone: "a", Weight: 1,
 					Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255)})
 			}
 			r := New(State{Version{Term: 1, Number: 1}, d}, false)
@@ -22,7 +22,7 @@
 				room := d.Rooms[i%n]
 				room.Weight = float64(2 + i%2)
 				from := r.State().Version
-				if _, err := r.TakeChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Put: []endpoint.Room{room}}}); err != nil {
+				if _, err := r.ApplyChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Upserted: []endpoint.Entry{room}}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/controlplane/replica/changed_test.go
+++ b/internal/controlplane/replica/changed_test.go
@@ -14,8 +14,8 @@
 func TestChangesAreJudgedAsTheWhole(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		pick := func(i int) endpoint.Room { // some share an address
-			return endpoint.Room{Name: fmt.Sprintf("s-%02d", i), Zone: "a", Address: fmt.Sprintf("127.0.0.1:%d", 1+(i+rng.IntN(3)/2)%30)}
+		pick := func(i int) endpoint.Entry { // some share an address
+			return endpoint.Entry{Name: fmt.Sprintf("s-%02d", i), Zone: "a", Address: fmt.Sprintf("127.0.0.1:%d", 1+(i+rng.IntN(3)/2)%30)}
 		}
 		var d Document
 		for i := range 12 {
@@ -38,25 +38,25 @@
 				case 2:
 					room.Weight = -1
 				}
-				c.Put = append(c.Put, room)
+				c.Upserted = append(c.Upserted, room)
 			}
 			for range rng.IntN(3) {
 				c.Removed = append(c.Removed, pick(rng.IntN(30)).Name)
 			}
 			twice := map[string]bool{}
 			wanted := error(nil)
-			for _, room := range c.Put {
+			for _, room := range c.Upserted {
 				if twice[room.Name] {
-					wanted = ErrFaulty
+					wanted = ErrInvalidDocument
 				}
 				twice[room.Name] = true
 			}
 			next := c.apply(before.Document)
-			whole, err := Document{Discovery: next.Discovery, Rooms: append([]endpoint.Room{}, next.Rooms...)}.check()
+			whole, err := Document{Discovery: next.Discovery, Rooms: append([]endpoint.Entry{}, next.Rooms...)}.check()
 			if err != nil {
-				wanted = ErrFaulty
+				wanted = ErrInvalidDocument
 			}
-			changed, err := r.TakeChanges([]Change{c})
+			changed, err := r.ApplyChanges([]Change{c})
 			if (err == nil) != (wanted == nil) {
 				t.Fatalf("seed %d: %+v brings %v, the whole %v", seed, c, err, wanted)
 			}
@@ -83,7 +83,7 @@
 	each := func(n int) float64 {
 		var d Document
 		for i := range n {
-			d.Rooms = append(d.Rooms, endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
+			d.Rooms = append(d.Rooms, endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
 				Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255)})
 		}
 		r := New(State{Version{Term: 1, Number: 1}, d}, false)
@@ -92,7 +92,7 @@
 			weight++
 			room, from := d.Rooms[n/2], r.State().Version
 			room.Weight = weight
-			if _, err := r.TakeChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Put: []endpoint.Room{room}}}); err != nil {
+			if _, err := r.ApplyChanges([]Change{{From: from, To: Version{Term: 1, Number: from.Number + 1}, Upserted: []endpoint.Entry{room}}}); err != nil {
 				t.Fatal(err)
 			}
 		})
