--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -15,8 +15,8 @@
 
 // Bounds of a document.
 const (
-	MaxFile = 8 << 20 // bytes of an operator's file
-	maxText = 128     // bytes of a name, a zone or an address, so that each change and piece fits a frame
+	MaxFileBytes = 8 << 20 // bytes of an operator's file
+	maxText      = 128     // bytes of a name, a zone or an address, so that each change and piece fits a frame
 )
 
 // Version is a document's. The writer of a term numbers what it writes from 1 on, so that no two documents have the same
@@ -36,8 +36,8 @@
 
 // Document is what an operator sets for all balancers. It is not changed after it was checked.
 type Document struct {
-	Discovery string          `json:"discovery,omitempty"` // its address; empty: each balancer's own configuration says it
-	Rooms     []endpoint.Room `json:"rooms,omitempty"`     // in place of discovery, ordered by name; none: discovery lists them
+	Discovery string           `json:"discovery,omitempty"` // its address; empty: each balancer's own configuration says it
+	Rooms     []endpoint.Entry `json:"rooms,omitempty"`     // in place of discovery, ordered by name; none: discovery lists them
 }
 
 // State is a document with its version.
@@ -48,10 +48,10 @@
 
 // Parse reads an operator's file. Errors name the key and the value.
 func Parse(raw []byte) (d Document, err error) {
-	if len(raw) > MaxFile {
-		return d, fmt.Errorf("document: is longer than %d bytes", MaxFile)
+	if len(raw) > MaxFileBytes {
+		return d, fmt.Errorf("document: is longer than %d bytes", MaxFileBytes)
 	}
-	if err := endpoint.Decode(raw, &d, "document"); err != nil {
+	if err := endpoint.DecodeStrict(raw, &d, "document"); err != nil {
 		return Document{}, err
 	}
 	if d.Rooms != nil && len(d.Rooms) == 0 {
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(d.Rooms) > 0 {
-		if _, err := endpoint.Check(d.Rooms); err != nil {
+		if _, err := endpoint.NewList(d.Rooms); err != nil {
 			return d, err
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // fits tells which text of a room server is too long for a frame.
-func fits(r endpoint.Room) error {
+func fits(r endpoint.Entry) error {
 	for _, t := range [...]struct{ key, text string }{{"name", r.Name}, {"address", r.Address}, {"zone", r.Zone}} {
 		if len(t.text) > maxText {
 			return fmt.Errorf("%s: is longer than %d bytes", t.key, maxText)
@@ -94,10 +94,10 @@
 }
 
 // at finds a room server by its name.
-func (d Document) at(name string) (endpoint.Room, bool) {
+func (d Document) at(name string) (endpoint.Entry, bool) {
 	i, found := slices.BinarySearchFunc(d.Rooms, name, byName)
 	if !found {
-		return endpoint.Room{}, false
+		return endpoint.Entry{}, false
 	}
 	return d.Rooms[i], true
 }
@@ -112,11 +112,11 @@
 
 // Change leads from one version to another.
 type Change struct {
-	From      Version         `cbor:"1,keyasint"`
-	To        Version         `cbor:"2,keyasint"`
-	Discovery *string         `cbor:"3,keyasint,omitempty"` // nil: as it was
-	Put       []endpoint.Room `cbor:"4,keyasint,omitempty"`
-	Removed   []string        `cbor:"5,keyasint,omitempty"`
+	From      Version          `cbor:"1,keyasint"`
+	To        Version          `cbor:"2,keyasint"`
+	Discovery *string          `cbor:"3,keyasint,omitempty"` // nil: as it was
+	Upserted  []endpoint.Entry `cbor:"4,keyasint,omitempty"`
+	Removed   []string         `cbor:"5,keyasint,omitempty"`
 }
 
 // change tells what leads from one state to another; false: nothing differs.
@@ -125,13 +125,13 @@
 	if before.Document.Discovery != after.Document.Discovery {
 		c.Discovery = &after.Document.Discovery
 	}
-	old := make(map[string]endpoint.Room, len(before.Document.Rooms))
+	old := make(map[string]endpoint.Entry, len(before.Document.Rooms))
 	for _, r := range before.Document.Rooms {
 		old[r.Name] = r
 	}
 	for _, r := range after.Document.Rooms {
 		if o, there := old[r.Name]; !there || o != r {
-			c.Put = append(c.Put, r)
+			c.Upserted = append(c.Upserted, r)
 		}
 		delete(old, r.Name)
 	}
@@ -140,7 +140,7 @@
 			c.Removed = append(c.Removed, r.Name)
 		}
 	}
-	return c, c.Discovery != nil || len(c.Put)+len(c.Removed) > 0
+	return c, c.Discovery != nil || len(c.Upserted)+len(c.Removed) > 0
 }
 
 // apply returns the document after a change. What it returns is not checked.
@@ -148,17 +148,17 @@
 	if c.Discovery != nil {
 		d.Discovery = *c.Discovery
 	}
-	if len(c.Put)+len(c.Removed) == 0 {
+	if len(c.Upserted)+len(c.Removed) == 0 {
 		return d
 	}
-	put := make(map[string]endpoint.Room, len(c.Put))
+	put := make(map[string]endpoint.Entry, len(c.Upserted))
 	names := slices.Clone(c.Removed)
-	for _, r := range c.Put {
+	for _, r := range c.Upserted {
 		put[r.Name] = r
 		names = append(names, r.Name)
 	}
 	slices.Sort(names)
-	rooms, rest := make([]endpoint.Room, 0, len(d.Rooms)+len(c.Put)), d.Rooms
+	rooms, rest := make([]endpoint.Entry, 0, len(d.Rooms)+len(c.Upserted)), d.Rooms
 	for _, name := range slices.Compact(names) {
 		i, found := slices.BinarySearchFunc(rest, name, byName)
 		rooms, rest = append(rooms, rest[:i]...), rest[i:]
@@ -173,17 +173,17 @@
 	return d
 }
 
-func byName(r endpoint.Room, name string) int { return cmp.Compare(r.Name, name) }
+func byName(r endpoint.Entry, name string) int { return cmp.Compare(r.Name, name) }
 
 // roomBytes is what a room server takes in a frame, at most.
-func roomBytes(r endpoint.Room) int { return len(r.Name) + len(r.Address) + len(r.Zone) + 64 }
+func roomBytes(r endpoint.Entry) int { return len(r.Name) + len(r.Address) + len(r.Zone) + 64 }
 
 func (c Change) bytes() int {
 	n := 64
 	if c.Discovery != nil {
 		n += len(*c.Discovery)
 	}
-	for _, r := range c.Put {
+	for _, r := range c.Upserted {
 		n += roomBytes(r)
 	}
 	for _, name := range c.Removed {
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -14,22 +14,22 @@
 	keepNumber = 8192
 )
 
-// MaxMessage bounds a message in bytes: a batch of at most maxBatch, to which one change or room server comes at most.
-const MaxMessage = 64 << 10
+// MaxMessageBytes bounds a message in bytes: a batch of at most maxBatch, to which one change or room server comes at most.
+const MaxMessageBytes = 64 << 10
 
 // The reasons for which a follower does not take what it is sent. It asks another machine then.
 var (
-	ErrGap    = errors.New("a change or a piece is missing before this one")
-	ErrFaulty = errors.New("faulty document")
+	ErrGap             = errors.New("a change or a piece is missing before this one")
+	ErrInvalidDocument = errors.New("faulty document")
 )
 
-// Piece is a part of a whole state.
-type Piece struct {
-	Version   Version         `cbor:"1,keyasint"`
-	Index     int             `cbor:"2,keyasint"`
-	Last      bool            `cbor:"3,keyasint,omitempty"`
-	Discovery string          `cbor:"4,keyasint,omitempty"`
-	Rooms     []endpoint.Room `cbor:"5,keyasint,omitempty"`
+// SnapshotChunk is a part of a whole state.
+type SnapshotChunk struct {
+	Version   Version          `cbor:"1,keyasint"`
+	Index     int              `cbor:"2,keyasint"`
+	Last      bool             `cbor:"3,keyasint,omitempty"`
+	Discovery string           `cbor:"4,keyasint,omitempty"`
+	Rooms     []endpoint.Entry `cbor:"5,keyasint,omitempty"`
 }
 
 // Replica is one machine's or balancer's copy of the document. A control machine also keeps the changes that led to it.
@@ -40,7 +40,7 @@
 	bytes int               // of kept
 	ahead Version           // the newest that a follower had, where that is above state's
 	names map[string]string // of the room servers in force, by their addresses; nil: not made yet
-	whole []Piece           // those that came of a state that is not complete yet
+	whole []SnapshotChunk   // those that came of a state that is not complete yet
 	count int               // room servers in whole
 }
 
@@ -79,9 +79,9 @@
 	return &c, next, nil
 }
 
-// Seen tells the writer which version a follower has. A newer one than its own means that its state was lost: it writes
+// ObserveFollower tells the writer which version a follower has. A newer one than its own means that its state was lost: it writes
 // nothing more in that term, as another document could get the same version.
-func (r *Replica) Seen(v Version) (ahead bool) {
+func (r *Replica) ObserveFollower(v Version) (ahead bool) {
 	if v.Compare(r.state.Version) <= 0 {
 		return false
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-// Since tells what a follower that has a version is sent next: changes that fit one message, or, where those are not kept, a
+// ChangesSince tells what a follower that has a version is sent next: changes that fit one message, or, where those are not kept, a
 // whole state. Neither: it has what there is, or something newer.
-func (r *Replica) Since(v Version) (changes []Change, whole bool) {
+func (r *Replica) ChangesSince(v Version) (changes []Change, whole bool) {
 	if v.Compare(r.state.Version) >= 0 {
 		return nil, false
 	}
@@ -140,11 +140,11 @@
 	return r.kept[at:len(r.kept):len(r.kept)], false
 }
 
-// Pieces are a state in parts, each of which fits a message.
-func (s State) Pieces() (all []Piece) {
+// Chunks are a state in parts, each of which fits a message.
+func (s State) Chunks() (all []SnapshotChunk) {
 	rest := s.Document.Rooms
 	for i := 0; ; i++ {
-		p := Piece{Version: s.Version, Index: i, Discovery: s.Document.Discovery}
+		p := SnapshotChunk{Version: s.Version, Index: i, Discovery: s.Document.Discovery}
 		bytes, n := 0, 0
 		for n < len(rest) && bytes < maxBatch {
 			bytes += roomBytes(rest[n])
@@ -159,9 +159,9 @@
 	}
 }
 
-// TakeChanges takes changes over, all or none; it tells whether the state in force is another now. What leads to a version
+// ApplyChanges takes changes over, all or none; it tells whether the state in force is another now. What leads to a version
 // that it has, or had, is passed over.
-func (r *Replica) TakeChanges(changes []Change) (bool, error) {
+func (r *Replica) ApplyChanges(changes []Change) (bool, error) {
 	next := r.state
 	var led []Change
 	for _, c := range changes {
@@ -179,7 +179,7 @@
 	}
 	if err := r.checkChanged(next.Document, led); err != nil {
 		r.names = nil // it may be half changed
-		return false, fmt.Errorf("%w: version %s: %w", ErrFaulty, next.Version, err)
+		return false, fmt.Errorf("%w: version %s: %w", ErrInvalidDocument, next.Version, err)
 	}
 	r.enter(next, led)
 	return true, nil
@@ -201,13 +201,13 @@
 	if err := d.follows(before); err != nil {
 		return err
 	}
-	if len(d.Rooms) > endpoint.MaxRooms {
-		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(d.Rooms), endpoint.MaxRooms)
+	if len(d.Rooms) > endpoint.MaxEntries {
+		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(d.Rooms), endpoint.MaxEntries)
 	}
 	touched := map[string]bool{}
 	for _, c := range led {
 		put := map[string]bool{}
-		for _, room := range c.Put {
+		for _, room := range c.Upserted {
 			if put[room.Name] {
 				return fmt.Errorf("rooms: %q is there twice", room.Name)
 			}
@@ -227,7 +227,7 @@
 		if !there {
 			continue
 		}
-		if err := errors.Join(fits(room), room.Check()); err != nil {
+		if err := errors.Join(fits(room), room.Validate()); err != nil {
 			return fmt.Errorf("rooms: %q: %w", name, err)
 		}
 		if other, taken := r.names[room.Address]; taken {
@@ -238,37 +238,37 @@
 	return nil
 }
 
-// TakePiece takes a piece; it tells whether the state in force is another now. A state that is not newer than the one in
+// ApplyChunk takes a piece; it tells whether the state in force is another now. A state that is not newer than the one in
 // force is passed over.
-func (r *Replica) TakePiece(p Piece) (bool, error) {
+func (r *Replica) ApplyChunk(p SnapshotChunk) (bool, error) {
 	if p.Version.Compare(r.state.Version) <= 0 {
 		return false, nil
 	}
 	if p.Index == 0 {
-		r.Forget()
+		r.DiscardChunks()
 	}
 	if p.Index != len(r.whole) || p.Index > 0 && (p.Version != r.whole[0].Version || p.Discovery != r.whole[0].Discovery) {
-		r.Forget()
+		r.DiscardChunks()
 		return false, fmt.Errorf("%w: piece %d of %s", ErrGap, p.Index, p.Version)
 	}
-	if r.count += len(p.Rooms); r.count > endpoint.MaxRooms || p.Index > endpoint.MaxRooms {
-		r.Forget()
-		return false, fmt.Errorf("%w: over %d room servers", ErrFaulty, endpoint.MaxRooms)
+	if r.count += len(p.Rooms); r.count > endpoint.MaxEntries || p.Index > endpoint.MaxEntries {
+		r.DiscardChunks()
+		return false, fmt.Errorf("%w: over %d room servers", ErrInvalidDocument, endpoint.MaxEntries)
 	}
 	r.whole = append(r.whole, p)
 	if !p.Last {
 		return false, nil
 	}
-	d := Document{Discovery: p.Discovery, Rooms: make([]endpoint.Room, 0, r.count)}
+	d := Document{Discovery: p.Discovery, Rooms: make([]endpoint.Entry, 0, r.count)}
 	for _, part := range r.whole {
 		d.Rooms = append(d.Rooms, part.Rooms...)
 	}
-	r.Forget()
+	r.DiscardChunks()
 	return true, r.take(State{p.Version, d}, nil)
 }
 
-// Forget drops the pieces of a state that did not become complete; they are of one connection.
-func (r *Replica) Forget() { r.whole, r.count = nil, 0 }
+// DiscardChunks drops the pieces of a state that did not become complete; they are of one connection.
+func (r *Replica) DiscardChunks() { r.whole, r.count = nil, 0 }
 
 func (r *Replica) take(next State, led []Change) error {
 	d, err := next.Document.check()
@@ -276,14 +276,14 @@
 		err = d.follows(r.state.Document)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: version %s: %w", ErrFaulty, next.Version, err)
+		return fmt.Errorf("%w: version %s: %w", ErrInvalidDocument, next.Version, err)
 	}
 	r.enter(State{next.Version, d}, led)
 	return nil
 }
 
-// Restore checks a state that was saved.
-func Restore(s State) (State, error) {
+// RestoreState checks a state that was saved.
+func RestoreState(s State) (State, error) {
 	if s.Version == (Version{}) {
 		return State{}, errors.New("no version")
 	}
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-func room(i, weight int) endpoint.Room {
-	return endpoint.Room{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a", Weight: float64(weight)}
+func room(i, weight int) endpoint.Entry {
+	return endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a", Weight: float64(weight)}
 }
 
 func document(n, weight int) Document {
@@ -30,7 +30,7 @@
 func write(t interface{ Fatal(...any) }, r *Replica, d Document, term uint64) Version {
 	c, next, err := r.Propose(d, term)
 	if err == nil && c != nil {
-		_, err = r.TakeChanges([]Change{*c})
+		_, err = r.ApplyChanges([]Change{*c})
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -43,21 +43,21 @@
 
 // pull has a follower take all that a machine sends it, up to so many messages; it tells how many whole states there were.
 func pull(t interface{ Fatal(...any) }, to, from *Replica, most int) (wholes int) {
-	defer to.Forget()
+	defer to.DiscardChunks()
 	has := to.State().Version
 	for sent := 0; ; {
-		changes, whole := from.Since(has)
+		changes, whole := from.ChangesSince(has)
 		if !whole && len(changes) == 0 {
 			return wholes
 		}
 		before := to.State().Version
 		if whole {
 			wholes++
-			for _, p := range from.State().Pieces() {
+			for _, p := range from.State().Chunks() {
 				if sent++; sent > most {
 					return wholes
 				}
-				if _, err := to.TakePiece(p); err != nil {
+				if _, err := to.ApplyChunk(p); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -66,7 +66,7 @@
 			if sent++; sent > most {
 				return wholes
 			}
-			if _, err := to.TakeChanges(changes); err != nil {
+			if _, err := to.ApplyChanges(changes); err != nil {
 				t.Fatal(err)
 			}
 			has = changes[len(changes)-1].To
@@ -148,7 +148,7 @@
 		write(t, writer, d, 1)
 		pull(t, machine, writer, math.MaxInt)
 	}
-	changes, whole := machine.Since(follower.State().Version)
+	changes, whole := machine.ChangesSince(follower.State().Version)
 	if whole || len(changes) != 100 {
 		t.Errorf("%d changes, whole %v", len(changes), whole)
 	}
@@ -172,7 +172,7 @@
 	if writer.bytes > keepBytes || len(writer.kept) == 0 {
 		t.Errorf("%d bytes of %d changes are kept", writer.bytes, len(writer.kept))
 	}
-	if _, whole := writer.Since(follower.State().Version); !whole {
+	if _, whole := writer.ChangesSince(follower.State().Version); !whole {
 		t.Error("changes that are not all kept are sent")
 	}
 	if pull(t, follower, writer, math.MaxInt) != 1 || !reflect.DeepEqual(follower.State(), writer.State()) {
@@ -192,18 +192,18 @@
 	writer, older, follower := New(State{}, true), New(State{}, true), New(State{}, false)
 	write(t, writer, document(10, 1), 1)
 	pull(t, older, writer, math.MaxInt)
-	old, _ := older.Since(Version{})
+	old, _ := older.ChangesSince(Version{})
 	write(t, writer, document(10, 2), 1)
 	pull(t, follower, writer, math.MaxInt)
-	for _, p := range older.State().Pieces() {
-		if changed, err := follower.TakePiece(p); changed || err != nil {
+	for _, p := range older.State().Chunks() {
+		if changed, err := follower.ApplyChunk(p); changed || err != nil {
 			t.Error(changed, err)
 		}
 	}
-	if changed, err := follower.TakeChanges(old); changed || err != nil {
+	if changed, err := follower.ApplyChanges(old); changed || err != nil {
 		t.Error(changed, err)
 	}
-	if changes, whole := older.Since(follower.State().Version); whole || len(changes) > 0 {
+	if changes, whole := older.ChangesSince(follower.State().Version); whole || len(changes) > 0 {
 		t.Errorf("the older sends %d changes, whole %v", len(changes), whole)
 	}
 	if !reflect.DeepEqual(follower.State(), writer.State()) {
@@ -216,16 +216,16 @@
 	writer := New(State{}, true)
 	write(t, writer, document(2000, 1), 1)
 	first := New(writer.State(), false)
-	pieces := writer.State().Pieces()
+	pieces := writer.State().Chunks()
 	if len(pieces) < 3 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	fresh := New(State{}, false)
-	fresh.TakePiece(pieces[0])
-	if _, err := fresh.TakePiece(pieces[2]); !errors.Is(err, ErrGap) {
+	fresh.ApplyChunk(pieces[0])
+	if _, err := fresh.ApplyChunk(pieces[2]); !errors.Is(err, ErrGap) {
 		t.Error(err)
 	}
-	if _, err := fresh.TakePiece(pieces[1]); !errors.Is(err, ErrGap) { // what came before the gap is dropped
+	if _, err := fresh.ApplyChunk(pieces[1]); !errors.Is(err, ErrGap) { // what came before the gap is dropped
 		t.Error(err)
 	}
 	v := func(n uint64) Version { return Version{Term: 1, Number: n} }
@@ -233,21 +233,21 @@
 		change Change
 		want   error
 	}{
-		{Change{From: v(2), To: v(3), Put: []endpoint.Room{room(1, 5)}}, ErrGap},
-		{Change{From: v(1), To: v(2), Put: []endpoint.Room{{Name: "x", Address: "nowhere", Zone: "a"}}}, ErrFaulty},
-		{Change{From: v(1), To: v(2), Put: []endpoint.Room{{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}}}, ErrFaulty},
+		{Change{From: v(2), To: v(3), Upserted: []endpoint.Entry{room(1, 5)}}, ErrGap},
+		{Change{From: v(1), To: v(2), Upserted: []endpoint.Entry{{Name: "x", Address: "nowhere", Zone: "a"}}}, ErrInvalidDocument},
+		{Change{From: v(1), To: v(2), Upserted: []endpoint.Entry{{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}}}, ErrInvalidDocument},
 		{Change{From: v(1), To: v(2), Removed: func() (all []string) {
 			for _, r := range writer.State().Document.Rooms {
 				all = append(all, r.Name)
 			}
 			return all
-		}()}, ErrFaulty},
+		}()}, ErrInvalidDocument},
 	} {
-		if changed, err := first.TakeChanges([]Change{c.change}); !errors.Is(err, c.want) || first.State().Version != v(1) {
+		if changed, err := first.ApplyChanges([]Change{c.change}); !errors.Is(err, c.want) || first.State().Version != v(1) {
 			t.Errorf("%v: changed %v, %v, at %s", c.change.To, changed, err, first.State().Version)
 		}
 	}
-	if _, err := fresh.TakePiece(Piece{Version: v(9), Last: true}); !errors.Is(err, ErrFaulty) {
+	if _, err := fresh.ApplyChunk(SnapshotChunk{Version: v(9), Last: true}); !errors.Is(err, ErrInvalidDocument) {
 		t.Errorf("an empty document: %v", err)
 	}
 }
@@ -274,7 +274,7 @@
 // A writer whose state was lost writes nothing under versions that followers may have with another document.
 func TestWriterThatLostItsState(t *testing.T) {
 	writer := New(State{}, true)
-	if !writer.Seen(Version{Term: 1, Number: 50}) {
+	if !writer.ObserveFollower(Version{Term: 1, Number: 50}) {
 		t.Error("a newer version is not seen as one")
 	}
 	if _, _, err := writer.Propose(document(3, 1), 1); err == nil || !strings.Contains(err.Error(), "1.50") {
--- a/internal/controlplane/replica/seeker_test.go
+++ b/internal/controlplane/replica/seeker_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func six() (all []Machine) {
+func six() (all []Server) {
 	for i := range 6 {
-		all = append(all, Machine{fmt.Sprint("m", i), fmt.Sprint("r", i/2)})
+		all = append(all, Server{fmt.Sprint("m", i), fmt.Sprint("r", i/2)})
 	}
 	return all
 }
@@ -16,12 +16,12 @@
 var epoch = time.Unix(1e9, 0)
 
 // finds plays a follower from a moment until a machine that works is found; the others hang.
-func finds(s *Seeker, now time.Time, works func(Machine) bool, own Version) time.Time {
+func finds(s *ServerSelector, now time.Time, works func(Server) bool, own Version) time.Time {
 	for {
 		m, pause := s.Next()
 		if now = now.Add(pause); !works(m) {
-			now = now.Add(Reply)
-		} else if s.Hear(now, 0, own, own) {
+			now = now.Add(ReplyTimeout)
+		} else if s.HeartbeatReceived(now, 0, own, own) {
 			return now
 		}
 	}
@@ -32,20 +32,20 @@
 func TestThreeOfSixAreGone(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(300) {
-		s := NewSeeker(six(), "r1", seed, epoch)
+		s := NewServerSelector(six(), "r1", seed, epoch)
 		if s.order[0].Region != "r1" || s.order[1].Region != "r1" {
 			t.Fatalf("order %v", s.order)
 		}
 		first[s.order[0].Address]++
 		gone := map[string]bool{"m0": true, "m2": true, "m3": true}
-		var mine Machine
-		works := func(m Machine) bool { mine = m; return !gone[m.Address] }
+		var mine Server
+		works := func(m Server) bool { mine = m; return !gone[m.Address] }
 		at := finds(s, epoch, works, Version{})
-		if at.Sub(epoch) >= Silence {
+		if at.Sub(epoch) >= LeaderTimeout {
 			t.Errorf("seed %d: found after %v", seed, at.Sub(epoch))
 		}
 		gone = map[string]bool{"m2": true, "m3": true, mine.Address: true}
-		if again := finds(s, at.Add(Quiet), works, Version{}); again.Sub(at) >= Silence {
+		if again := finds(s, at.Add(IdleTimeout), works, Version{}); again.Sub(at) >= LeaderTimeout {
 			t.Errorf("seed %d: found again after %v", seed, again.Sub(at))
 		}
 	}
@@ -56,28 +56,28 @@
 
 // A machine that is behind the follower, or has not heard the writer, is left.
 func TestMachineThatIsBehindIsLeft(t *testing.T) {
-	s := NewSeeker(six(), "r1", 1, epoch)
+	s := NewServerSelector(six(), "r1", 1, epoch)
 	own, older := Version{Term: 1, Number: 9}, Version{Term: 1, Number: 8}
 	s.Next()
-	if !s.Hear(epoch, 0, older, own) {
+	if !s.HeartbeatReceived(epoch, 0, older, own) {
 		t.Error("one that may be about to hear is left at once")
 	}
-	if s.Hear(epoch.Add(stale), 0, older, own) {
+	if s.HeartbeatReceived(epoch.Add(stale), 0, older, own) {
 		t.Error("one that stays behind is not left")
 	}
 	s.Next()
-	if !s.Hear(epoch.Add(stale), 0, older, own) {
+	if !s.HeartbeatReceived(epoch.Add(stale), 0, older, own) {
 		t.Error("the next one is held to the time of the one before")
 	}
-	if s.Hear(epoch.Add(stale), stale+1, own, own) {
+	if s.HeartbeatReceived(epoch.Add(stale), stale+1, own, own) {
 		t.Error("one that does not hear the writer is not left")
 	}
 }
 
 // The silence is the writer's: a machine that answers and does not hear it does not end it. It is told once.
 func TestSilence(t *testing.T) {
-	s := NewSeeker(six(), "r1", 1, epoch)
-	if age := s.Age(epoch); age != Unheard {
+	s := NewServerSelector(six(), "r1", 1, epoch)
+	if age := s.LeaderAge(epoch); age != MaxLeaderAge {
 		t.Errorf("age %v before anything was heard", age)
 	}
 	var v Version
@@ -88,29 +88,29 @@
 		if i >= 10 && i < 30 {
 			age = now.Sub(epoch.Add(5 * time.Second))
 		}
-		s.Hear(now, age, v, v)
-		if silent, turned := s.Silent(now); turned {
+		s.HeartbeatReceived(now, age, v, v)
+		if silent, turned := s.LeaderStale(now); turned {
 			turns += fmt.Sprintf("%d %v ", i, silent)
 		}
 	}
 	if turns != "22 true 30 false " {
 		t.Errorf("told: %s", turns)
 	}
-	for _, age := range []time.Duration{Unheard, 2 * Silence} { // of a machine that has not heard the writer, or has long ago
-		s := NewSeeker(six(), "r1", 1, epoch)
-		s.Hear(epoch.Add(time.Second), age, v, v)
-		if silent, _ := s.Silent(epoch.Add(time.Second)); silent || s.Age(epoch.Add(time.Second)) != age {
-			t.Errorf("age %v at the start: silent %v, age %v", age, silent, s.Age(epoch.Add(time.Second)))
+	for _, age := range []time.Duration{MaxLeaderAge, 2 * LeaderTimeout} { // of a machine that has not heard the writer, or has long ago
+		s := NewServerSelector(six(), "r1", 1, epoch)
+		s.HeartbeatReceived(epoch.Add(time.Second), age, v, v)
+		if silent, _ := s.LeaderStale(epoch.Add(time.Second)); silent || s.LeaderAge(epoch.Add(time.Second)) != age {
+			t.Errorf("age %v at the start: silent %v, age %v", age, silent, s.LeaderAge(epoch.Add(time.Second)))
 		}
 	}
-	if silent, _ := NewSeeker(six(), "r1", 1, epoch).Silent(epoch.Add(Silence)); !silent {
+	if silent, _ := NewServerSelector(six(), "r1", 1, epoch).LeaderStale(epoch.Add(LeaderTimeout)); !silent {
 		t.Error("silence from the start on is none")
 	}
 }
 
 // Once all were asked in vain the pauses grow, so that a fleet without a writer does not call without end.
 func TestPauses(t *testing.T) {
-	s := NewSeeker(six(), "r1", 7, epoch)
+	s := NewServerSelector(six(), "r1", 7, epoch)
 	for i := range 18 {
 		_, pause := s.Next()
 		most := pauseQuick
@@ -125,14 +125,14 @@
 	for ; now.Before(epoch.Add(10 * time.Minute)); calls++ { // no machine hears the writer
 		_, pause := s.Next()
 		now = now.Add(pause)
-		for s.Hear(now, stale+1, Version{}, Version{}) {
-			now = now.Add(Beat)
+		for s.HeartbeatReceived(now, stale+1, Version{}, Version{}) {
+			now = now.Add(HeartbeatInterval)
 		}
 	}
 	if most := 10 * 60 / 2; calls > most {
 		t.Errorf("%d calls in 10 minutes without a writer, %d at most", calls, most)
 	}
-	s.Hear(now, 0, Version{}, Version{})
+	s.HeartbeatReceived(now, 0, Version{}, Version{})
 	if _, pause := s.Next(); pause > pauseQuick {
 		t.Errorf("pause %v after a good machine", pause)
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -17,28 +17,28 @@
 	tellEvery    = 10 * time.Second
 )
 
-// Hub holds a copy of the document for those that follow it here, and for the one that fills it.
-type Hub struct {
+// Broadcaster holds a copy of the document for those that follow it here, and for the one that fills it.
+type Broadcaster struct {
 	mu      sync.Mutex
 	copy    *replica.Replica
 	changed chan struct{}                     // closed when another version is in force
 	age     func(now time.Time) time.Duration // since the writer was there
 }
 
-// NewHub returns a hub with a state. keeps: it is served from here.
-func NewHub(state replica.State, keeps bool) *Hub {
-	return &Hub{copy: replica.New(state, keeps), changed: make(chan struct{}), age: func(time.Time) time.Duration { return 0 }}
+// NewBroadcaster returns a hub with a state. keeps: it is served from here.
+func NewBroadcaster(state replica.State, keeps bool) *Broadcaster {
+	return &Broadcaster{copy: replica.New(state, keeps), changed: make(chan struct{}), age: func(time.Time) time.Duration { return 0 }}
 }
 
 // State is the state in force.
-func (h *Hub) State() replica.State {
+func (h *Broadcaster) State() replica.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.copy.State()
 }
 
 // take lets do change the copy, and tells who follows.
-func (h *Hub) take(do func(*replica.Replica) (bool, error)) (state replica.State, changed bool, err error) {
+func (h *Broadcaster) take(do func(*replica.Replica) (bool, error)) (state replica.State, changed bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if changed, err = do(h.copy); changed && err == nil {
@@ -49,16 +49,16 @@
 }
 
 // since is what a follower with a version is sent now, and what tells of the next change.
-func (h *Hub) since(v replica.Version) (state replica.State, changes []replica.Change, whole bool, next <-chan struct{}) {
+func (h *Broadcaster) since(v replica.Version) (state replica.State, changes []replica.Change, whole bool, next <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	changes, whole = h.copy.Since(v)
+	changes, whole = h.copy.ChangesSince(v)
 	return h.copy.State(), changes, whole, h.changed
 }
 
 // Server serves a hub's document.
 type Server struct {
-	hub  *Hub
+	hub  *Broadcaster
 	keys *Keyring
 	site string
 	log  *logrus.Logger
@@ -67,7 +67,7 @@
 }
 
 // NewServer returns a server of a hub.
-func NewServer(hub *Hub, keys *Keyring, site string, log *logrus.Logger) *Server {
+func NewServer(hub *Broadcaster, keys *Keyring, site string, log *logrus.Logger) *Server {
 	return &Server{hub: hub, keys: keys, site: site, log: log, aheads: rate.Sometimes{First: 1, Interval: tellEvery},
 		refusals: rate.Sometimes{First: 1, Interval: tellEvery}}
 }
@@ -118,7 +118,7 @@
 // follow sends a follower all that it does not have, from now on.
 func (s *Server) follow(ctx context.Context, peer *link) error {
 	var m message
-	if err := peer.receive(&m, replica.Reply); err != nil {
+	if err := peer.receive(&m, replica.ReplyTimeout); err != nil {
 		return err
 	}
 	if m.Ask == nil {
@@ -126,7 +126,7 @@
 	}
 	has := *m.Ask
 	s.hub.mu.Lock()
-	ahead := s.hub.copy.Seen(has)
+	ahead := s.hub.copy.ObserveFollower(has)
 	s.hub.mu.Unlock()
 	if ahead {
 		s.aheads.Do(func() {
@@ -141,14 +141,14 @@
 		peer.in.ReadByte()
 		cancel()
 	}()
-	beats := time.NewTicker(replica.Beat)
+	beats := time.NewTicker(replica.HeartbeatInterval)
 	defer beats.Stop()
 	due := true
 	for {
 		state, changes, whole, next := s.hub.since(has)
 		switch {
 		case whole:
-			for _, p := range state.Pieces() {
+			for _, p := range state.Chunks() {
 				if err := peer.send(message{Piece: &p}); err != nil {
 					return err
 				}
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -19,15 +19,9 @@
 	orderSize  = 8
 )
 
-// Sink takes what the list's actor learns.
-type Sink interface {
-	Resolved(core.Result)
-	ListAlive(watch uint64)
-}
-
-// Inner is the list's actor where the document lists no room servers.
-type Inner interface {
-	core.Resolver
+// DiscoverySource is the list's actor where the document lists no room servers.
+type DiscoverySource interface {
+	core.Discovery
 	core.Dialer
 	Run(context.Context)
 }
@@ -36,22 +30,22 @@
 type gate struct {
 	mu     sync.Mutex
 	closed bool
-	sink   Sink
+	sink   core.UpdateHandler
 }
 
-func (g *gate) Resolved(r core.Result) {
+func (g *gate) EndpointsUpdated(r core.EndpointUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.closed {
-		g.sink.Resolved(r)
+		g.sink.EndpointsUpdated(r)
 	}
 }
 
-func (g *gate) ListAlive(watch uint64) {
+func (g *gate) WatchAlive(watch uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.closed {
-		g.sink.ListAlive(watch)
+		g.sink.WatchAlive(watch)
 	}
 }
 
@@ -64,24 +58,24 @@
 // Source is a balancer's list's actor: discovery, until the document lists room servers; these from then on. It also turns the
 // balancer to the document's discovery.
 type Source struct {
-	hub      *Hub
+	hub      *Broadcaster
 	follower *Follower
-	saver    *Saver
-	inner    Inner
+	saver    *Persister
+	inner    DiscoverySource
 	gate     *gate
-	sink     Sink
+	sink     core.UpdateHandler
 	turn     func(discovery string)
-	turns    core.Turns // nil: nobody hears
+	turns    core.Watchdog // nil: nobody hears
 	log      *logrus.Logger
 	orders   chan order
 	states   chan replica.State
 
 	// Owned by Run's goroutine.
-	listed    bool            // the document lists room servers,
-	rooms     []endpoint.Room // these
-	discovery string          // the document's, that the balancer was turned to
-	watch     order           // the latest
-	inside    context.Context // of the inner actor's watches: it ends when the document's list takes over
+	listed    bool             // the document lists room servers,
+	rooms     []endpoint.Entry // these
+	discovery string           // the document's, that the balancer was turned to
+	watch     order            // the latest
+	inside    context.Context  // of the inner actor's watches: it ends when the document's list takes over
 	stopInner context.CancelFunc
 }
 
@@ -92,9 +86,9 @@
 	dialed func(bool) // discovery is to be dialled; nil: it is not
 }
 
-// Following says whom a balancer follows.
-type Following struct {
-	Machines []replica.Machine
+// FollowerConfig says whom a balancer follows.
+type FollowerConfig struct {
+	Machines []replica.Server
 	Region   string
 	Site     string
 	Seed     uint64
@@ -102,9 +96,9 @@
 
 // NewSource returns the actor. inner makes the actor of discovery for a sink; turn turns the module to another discovery. saved
 // is the state that the balancer starts with, which is in force already.
-func NewSource(f Following, keys *Keyring, store *Store, saved replica.State, inner func(Sink) Inner, turn func(discovery string),
-	sink Sink, log *logrus.Logger) *Source {
-	s := &Source{hub: NewHub(saved, false), saver: NewSaver(store), sink: sink, gate: &gate{sink: sink}, turn: turn, log: log,
+func NewSource(f FollowerConfig, keys *Keyring, store *Store, saved replica.State, inner func(core.UpdateHandler) DiscoverySource, turn func(discovery string),
+	sink core.UpdateHandler, log *logrus.Logger) *Source {
+	s := &Source{hub: NewBroadcaster(saved, false), saver: NewPersister(store), sink: sink, gate: &gate{sink: sink}, turn: turn, log: log,
 		orders: make(chan order, orderSize), states: make(chan replica.State), listed: len(saved.Document.Rooms) > 0,
 		discovery: saved.Document.Discovery, rooms: saved.Document.Rooms}
 	s.inside, s.stopInner = context.WithCancel(context.Background())
@@ -114,22 +108,22 @@
 	return s
 }
 
-// Instances are a document's room servers as the core has them; none: discovery lists them.
-func Instances(d replica.Document) []core.Instance {
-	return filesource.Instances(endpoint.List{Rooms: d.Rooms})
+// Endpoints are a document's room servers as the core has them; none: discovery lists them.
+func Endpoints(d replica.Document) []core.Endpoint {
+	return filesource.Endpoints(endpoint.List{Entries: d.Rooms})
 }
 
-// Watch lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) Watch(turns core.Turns) { s.turns = turns }
+// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
+func (s *Source) SetWatchdog(turns core.Watchdog) { s.turns = turns }
 
-// Move turns to discovery at another address.
-func (s *Source) Move(address string) { s.inner.Move(address) }
+// SetAddress turns to discovery at another address.
+func (s *Source) SetAddress(address string) { s.inner.SetAddress(address) }
 
-// Subscribe answers with the list in force, and from then on with its changes.
-func (s *Source) Subscribe(ctx context.Context, watch uint64) { s.order(order{ctx: ctx, watch: watch}) }
+// Watch answers with the list in force, and from then on with its changes.
+func (s *Source) Watch(ctx context.Context, watch uint64) { s.order(order{ctx: ctx, watch: watch}) }
 
-// FetchList answers with the list in force.
-func (s *Source) FetchList(ctx context.Context) { s.order(order{ctx: ctx}) }
+// Fetch answers with the list in force.
+func (s *Source) Fetch(ctx context.Context) { s.order(order{ctx: ctx}) }
 
 // Dial finds out whether discovery takes a connection. The document's list takes no call.
 func (s *Source) Dial(ctx context.Context, done func(there bool)) {
@@ -143,13 +137,13 @@
 	}
 }
 
-// Rediscover is a reload's turn to the discovery of the balancer's own file. The document's comes before that; and in silence
+// SetFallbackAddress is a reload's turn to the discovery of the balancer's own file. The document's comes before that; and in silence
 // a newer version may name another, so that the one in force stays.
-func (s *Source) Rediscover(address string) {
+func (s *Source) SetFallbackAddress(address string) {
 	switch {
 	case s.hub.State().Document.Discovery != "":
 		s.log.WithField("discovery", address).Info("control: the document names discovery, the file's is not taken over")
-	case s.follower.Silent():
+	case s.follower.LeaderStale():
 		s.log.WithField("discovery", address).Warn("control: nothing is heard of the writer, the file's discovery is not taken over")
 	default:
 		s.turn(address)
@@ -177,12 +171,12 @@
 		case <-ctx.Done():
 			return
 		case o := <-s.orders:
-			core.Turn(s.turns, func() { s.answer(o) })
+			core.RunMonitored(s.turns, func() { s.answer(o) })
 		case state := <-s.states:
-			core.Turn(s.turns, func() { s.enforce(state) })
+			core.RunMonitored(s.turns, func() { s.enforce(state) })
 		case <-alive.C:
 			if s.listed && s.watch.ctx != nil && s.watch.ctx.Err() == nil {
-				core.Turn(s.turns, func() { s.sink.ListAlive(s.watch.watch) })
+				core.RunMonitored(s.turns, func() { s.sink.WatchAlive(s.watch.watch) })
 			}
 		}
 	}
@@ -202,19 +196,19 @@
 	}
 	if !s.listed {
 		if o.watch == 0 {
-			s.inner.FetchList(o.ctx)
+			s.inner.Fetch(o.ctx)
 			return
 		}
 		ctx, cancel := context.WithCancel(o.ctx)
 		release := context.AfterFunc(s.inside, cancel)
 		context.AfterFunc(ctx, func() { release() })
-		s.inner.Subscribe(ctx, o.watch)
+		s.inner.Watch(ctx, o.watch)
 		return
 	}
 	if o.watch != 0 {
-		s.sink.ListAlive(o.watch)
+		s.sink.WatchAlive(o.watch)
 	}
-	s.sink.Resolved(core.Result{Kind: decide.ListFull, Instances: Instances(replica.Document{Rooms: s.rooms})})
+	s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(replica.Document{Rooms: s.rooms})})
 }
 
 // enforce puts a version into force, and has it saved then.
@@ -225,24 +219,24 @@
 	}
 	before := s.rooms
 	if s.rooms = state.Document.Rooms; len(s.rooms) > 0 {
-		result := core.Result{Kind: decide.ListChanges, Instances: changed(before, s.rooms)}
+		result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: changed(before, s.rooms)}
 		if !s.listed {
-			result = core.Result{Kind: decide.ListFull, Instances: Instances(state.Document)}
+			result = core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(state.Document)}
 			s.listed = true
 			s.gate.close()
 			s.stopInner()
 			if s.watch.ctx != nil {
-				s.sink.ListAlive(s.watch.watch)
+				s.sink.WatchAlive(s.watch.watch)
 			}
 		}
-		s.sink.Resolved(result)
+		s.sink.EndpointsUpdated(result)
 	}
-	s.saver.Put(state)
+	s.saver.Enqueue(state)
 }
 
 // changed is what differs from one list to the next, both by name. Guards the module against a whole list for each change.
-func changed(before, after []endpoint.Room) (all []core.Instance) {
-	var put, gone []endpoint.Room
+func changed(before, after []endpoint.Entry) (all []core.Endpoint) {
+	var put, gone []endpoint.Entry
 	i := 0
 	for _, r := range after {
 		for ; i < len(before) && before[i].Name < r.Name; i++ {
@@ -256,9 +250,9 @@
 		put = append(put, r)
 	}
 	gone = append(gone, before[i:]...)
-	all = filesource.Instances(endpoint.List{Rooms: gone})
+	all = filesource.Endpoints(endpoint.List{Entries: gone})
 	for i := range all {
-		all[i].State = decide.Gone
+		all[i].State = decide.Removed
 	}
-	return append(all, filesource.Instances(endpoint.List{Rooms: put})...)
+	return append(all, filesource.Endpoints(endpoint.List{Entries: put})...)
 }
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -123,7 +123,7 @@
 	if in.Site != s.site {
 		return replica.State{}, fmt.Errorf("is of site %q, this is %q", in.Site, s.site)
 	}
-	return replica.Restore(in.State)
+	return replica.RestoreState(in.State)
 }
 
 func sumOf(body []byte) []byte {
@@ -165,17 +165,17 @@
 	return guarded(write)
 }
 
-// Saver saves the latest state at intervals, aside from who follows: a disk may be slow.
-type Saver struct {
+// Persister saves the latest state at intervals, aside from who follows: a disk may be slow.
+type Persister struct {
 	store *Store
 	next  chan replica.State
 }
 
-// NewSaver returns a saver to a store.
-func NewSaver(store *Store) *Saver { return &Saver{store, make(chan replica.State, 1)} }
+// NewPersister returns a saver to a store.
+func NewPersister(store *Store) *Persister { return &Persister{store, make(chan replica.State, 1)} }
 
-// Put has a state saved. It does not wait; only one goroutine calls it.
-func (s *Saver) Put(state replica.State) {
+// Enqueue has a state saved. It does not wait; only one goroutine calls it.
+func (s *Persister) Enqueue(state replica.State) {
 	select {
 	case <-s.next: // the newer one is enough
 	default:
@@ -184,7 +184,7 @@
 }
 
 // Run saves until ctx ends, and then what is left.
-func (s *Saver) Run(ctx context.Context) {
+func (s *Persister) Run(ctx context.Context) {
 	for {
 		select {
 		case state := <-s.next:
@@ -204,7 +204,7 @@
 	}
 }
 
-func (s *Saver) save(state replica.State) {
+func (s *Persister) save(state replica.State) {
 	if err := s.store.Save(state); err != nil {
 		s.store.log.WithError(err).Error("control: the state could not be saved, a restart asks for the whole")
 	}
--- a/internal/controlplane/writer.go
+++ b/internal/controlplane/writer.go
@@ -25,7 +25,7 @@
 		return d, fmt.Errorf("document: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, replica.MaxFile+1))
+	raw, err := io.ReadAll(io.LimitReader(f, replica.MaxFileBytes+1))
 	if err != nil {
 		return d, fmt.Errorf("document: %w", err)
 	}
@@ -35,28 +35,28 @@
 	return d, nil
 }
 
-// Writer makes an operator's file the next version in a hub, when that is replaced. What is faulty, or takes over half of the
+// Leader makes an operator's file the next version in a hub, when that is replaced. What is faulty, or takes over half of the
 // room servers away, changes nothing and is told once.
-type Writer struct {
+type Leader struct {
 	path  string
 	term  uint64
-	hub   *Hub
+	hub   *Broadcaster
 	store *Store
 	log   *logrus.Logger
 
 	// Owned by Run's goroutine.
-	keeper *endpoint.Keeper // nil: no room servers are in force
-	read   os.FileInfo      // the file when it was read last; nil: it is to be read
+	keeper *endpoint.ChangeGuard // nil: no room servers are in force
+	read   os.FileInfo           // the file when it was read last; nil: it is to be read
 	said   string
 }
 
-// NewWriter returns the writer of a term.
-func NewWriter(path string, term uint64, hub *Hub, store *Store, log *logrus.Logger) *Writer {
-	return &Writer{path: path, term: term, hub: hub, store: store, log: log}
+// NewLeader returns the writer of a term.
+func NewLeader(path string, term uint64, hub *Broadcaster, store *Store, log *logrus.Logger) *Leader {
+	return &Leader{path: path, term: term, hub: hub, store: store, log: log}
 }
 
 // Run writes until ctx ends. A list that was held is taken when asked brings it once more.
-func (w *Writer) Run(ctx context.Context, asked <-chan os.Signal) {
+func (w *Leader) Run(ctx context.Context, asked <-chan os.Signal) {
 	look := time.NewTicker(fileEvery)
 	defer look.Stop()
 	w.take(false)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *Writer) take(asked bool) {
+func (w *Leader) take(asked bool) {
 	w.read = nil
 	now, err := os.Stat(w.path)
 	if err == nil && time.Since(now.ModTime()) > fileSettle {
@@ -95,13 +95,13 @@
 }
 
 // write judges a document, saves it and spreads it.
-func (w *Writer) write(d replica.Document, asked bool) error {
+func (w *Leader) write(d replica.Document, asked bool) error {
 	before := w.hub.State()
 	if rooms := before.Document.Rooms; len(rooms) > 0 && len(d.Rooms) > 0 {
 		if w.keeper == nil {
-			w.keeper = endpoint.NewKeeper(endpoint.List{Rooms: rooms})
+			w.keeper = endpoint.NewChangeGuard(endpoint.List{Entries: rooms})
 		}
-		if verdict, c := w.keeper.Offer(endpoint.List{Rooms: d.Rooms}, asked); verdict == endpoint.Hold {
+		if verdict, c := w.keeper.Propose(endpoint.List{Entries: d.Rooms}, asked); verdict == endpoint.NeedsConfirmation {
 			return fmt.Errorf("rooms: held, over half of the room servers go; taken when SIGHUP asks for it: %s", c)
 		}
 	}
@@ -118,11 +118,11 @@
 	if c == nil {
 		return nil
 	}
-	if _, _, err := w.hub.take(func(r *replica.Replica) (bool, error) { return r.TakeChanges([]replica.Change{*c}) }); err != nil {
+	if _, _, err := w.hub.take(func(r *replica.Replica) (bool, error) { return r.ApplyChanges([]replica.Change{*c}) }); err != nil {
 		w.keeper = nil
 		return err
 	}
-	w.log.WithFields(logrus.Fields{"version": next.Version.String(), "put": len(c.Put), "removed": len(c.Removed),
+	w.log.WithFields(logrus.Fields{"version": next.Version.String(), "put": len(c.Upserted), "removed": len(c.Removed),
 		"rooms": len(next.Document.Rooms), "discovery": next.Document.Discovery}).Info("control: version written")
 	return nil
 }
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -18,8 +18,8 @@
 
 // Call is one client's request from its channel's opening to its close. The module's actor owns its fields.
 type Call struct {
-	m  *Module
-	ch Channel
+	m  *Engine
+	ch ClientConn
 	id decide.RequestID
 
 	traits   Traits
@@ -58,7 +58,7 @@
 }
 
 // Accept tells that a channel is open; its first line is awaited.
-func (m *Module) Accept(ch Channel, t Traits) *Call {
+func (m *Engine) Accept(ch ClientConn, t Traits) *Call {
 	c := &Call{m: m, ch: ch, traits: t, n: -1, req: Request{Class: noClass}}
 	if c.traits.Linger == 0 {
 		c.traits.Linger = lingerWait
@@ -66,15 +66,15 @@
 	m.post(func() {
 		m.open[c] = struct{}{}
 		c.since = m.now
-		c.end = m.deadlines.set(m.now+firstLineWait, ch.Drop)
+		c.end = m.deadlines.set(m.now+firstLineWait, ch.Abort)
 		m.drained()
 	})
 	return c
 }
 
-// Begun tells that a part of a channel's line has come, and again when more has. Guards clients that take their time to
+// FirstLineStarted tells that a part of a channel's line has come, and again when more has. Guards clients that take their time to
 // write it: they have longer than those that send nothing, and are shed after them. No piece renews the wait.
-func (m *Module) Begun(c *Call) {
+func (m *Engine) FirstLineStarted(c *Call) {
 	m.post(func() {
 		if c.phase != accepted {
 			return
@@ -83,30 +83,30 @@
 			// From the accept, or from the latest PING of a health check, which may stay for long before it asks.
 			c.begun = true
 			m.deadlines.drop(c.end)
-			c.end = m.deadlines.set(c.since+begunLineWait, c.ch.Drop)
+			c.end = m.deadlines.set(c.since+begunLineWait, c.ch.Abort)
 		}
 		c.since = m.now
 	})
 }
 
-// Pinged tells that a channel which has asked for nothing shows that it lives. A health check that asks again and
+// HealthCheckReceived tells that a channel which has asked for nothing shows that it lives. A health check that asks again and
 // again may stay; one that asked once, or many times at a stroke, is dropped as one that said nothing.
-func (m *Module) Pinged(c *Call) {
+func (m *Engine) HealthCheckReceived(c *Call) {
 	m.post(func() {
 		c.pinged, c.begun, c.dropped = true, false, false // what had begun to come, or lay unread, was that
 		if c.phase == accepted && m.now-c.since >= pingApart {
 			c.since = m.now
 			m.deadlines.drop(c.end)
-			c.end = m.deadlines.set(m.now+firstLineWait, c.ch.Drop)
+			c.end = m.deadlines.set(m.now+firstLineWait, c.ch.Abort)
 		}
 		m.drained()
 	})
 }
 
-// Shed tells that a front is short of descriptors: of the channels that have asked for nothing, and those that
+// ShedIdle tells that a front is short of descriptors: of the channels that have asked for nothing, and those that
 // linger after their answer, the one that has been silent longest is dropped. Guards usual clients, dials and
 // probes against clients that open connections by hundreds and say nothing.
-func (m *Module) Shed() {
+func (m *Engine) ShedIdle() {
 	m.post(func() {
 		var longest *Call
 		for c := range m.open {
@@ -118,7 +118,7 @@
 		if longest != nil {
 			longest.dropped = true
 			m.counters.Shed++
-			longest.ch.Drop()
+			longest.ch.Abort()
 		}
 	})
 }
@@ -131,20 +131,20 @@
 	return c.since < o.since
 }
 
-// Request tells what a channel asks for. Exactly one final answer follows while the channel stays open.
-func (m *Module) Request(c *Call, r Request) {
+// RequestReceived tells what a channel asks for. Exactly one final answer follows while the channel stays open.
+func (m *Engine) RequestReceived(c *Call, r Request) {
 	m.post(func() {
 		if !c.begin(r) {
 			return
 		}
-		m.handle(decide.Requested{ID: c.id, Class: r.Class, Key: r.Key, Group: r.Group,
+		m.handle(decide.RequestArrived{ID: c.id, Class: r.Class, Key: r.Key, Group: r.Group,
 			Remaining: c.remaining(), Load: r.Load, Returning: r.Returning})
 	})
 }
 
-// Reopen tells of a connection that was open at a room server before the start. It is opened there and nowhere
+// RestoreConnection tells of a connection that was open at a room server before the start. It is opened there and nowhere
 // else, within patience; a server that is not listed is waited for as long.
-func (m *Module) Reopen(c *Call, r Request, server decide.ServerID, patience time.Duration) {
+func (m *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	m.post(func() {
 		if c.phase != accepted || !c.take(r) {
 			return
@@ -162,7 +162,7 @@
 		return false
 	}
 	// Guards the descriptors and the memory: past the bound nothing is dialled any more.
-	if m.waiting+m.standing > m.cfg.MaxChannels || m.drainEnds() {
+	if m.waiting+m.standing > m.cfg.MaxClients || m.drainEnds() {
 		c.refuse(busyRetry)
 		return false
 	}
@@ -239,12 +239,12 @@
 		connect = t + connectSlack
 	}
 	if s.told > 0 { // within its grace; what is not sent by its end is not sent
-		connect = min(connect, s.told+m.cfg.Settings.Rules.DrainGrace-m.now)
+		connect = min(connect, s.told+m.cfg.Settings.Safety.DrainGrace-m.now)
 	}
 	if connect < wait {
 		c.connect = m.deadlines.set(m.now+connect, func() { c.giveUp(n, decide.ConnectFailed) })
 	}
-	c.ch.Attempt(CallAttempt{N: n, Server: s.Subchannel, Wait: wait})
+	c.ch.StartAttempt(Attempt{Number: n, Upstream: s.Upstream, Timeout: wait})
 }
 
 // giveUp ends an attempt that brought no answer in time, or no connection. What became of it is the channel's to say: an
@@ -252,13 +252,13 @@
 // that two attempts are never out together.
 func (c *Call) giveUp(n int, why decide.Code) {
 	if c.out && c.n == n && c.phase == pending {
-		c.ch.GiveUp(n, why)
+		c.ch.CancelAttempt(n, why)
 	}
 }
 
-// Connected tells that an attempt's line is with a room server: its connect timeout runs no more. It counts from here
+// AttemptSent tells that an attempt's line is with a room server: its connect timeout runs no more. It counts from here
 // on, whatever became of the request meanwhile: the room server has it.
-func (m *Module) Connected(c *Call, n int) {
+func (m *Engine) AttemptSent(c *Call, n int) {
 	m.post(func() {
 		if k := c.counters(); k != nil {
 			k.Attempts++
@@ -269,8 +269,8 @@
 	})
 }
 
-// Up tells that a room server has taken an attempt. Only the attempt that is out may stand.
-func (m *Module) Up(c *Call, n int) {
+// AttemptAccepted tells that a room server has taken an attempt. Only the attempt that is out may stand.
+func (m *Engine) AttemptAccepted(c *Call, n int) {
 	m.post(func() {
 		if !c.out || c.n != n || c.phase != pending {
 			return
@@ -282,21 +282,21 @@
 		m.standing++
 		c.server.open++
 		c.touched()
-		c.ch.Stand(n)
-		if c.req.Resume != nil {
+		c.ch.Establish(n)
+		if c.req.Resumer != nil {
 			m.counters.Resumed++
 		}
 		if k := c.counters(); k != nil {
 			k.Served++
 		}
 		if c.reopened {
-			m.counters.Reopened++
+			m.counters.Restored++
 			c.id, c.first = m.newID(), n
 			m.calls[c.id] = c
-			m.handle(decide.Opened{Request: decide.Requested{ID: c.id, Class: c.req.Class, Key: c.req.Key,
+			m.handle(decide.ConnectionRestored{Request: decide.RequestArrived{ID: c.id, Class: c.req.Class, Key: c.req.Key,
 				Group: c.req.Group, Load: c.req.Load, Returning: c.req.Returning}, Server: c.server.ID})
 		} else {
-			m.handle(decide.Established{ID: c.id, Attempt: n, Server: c.server.ID, Took: m.now - c.sent})
+			m.handle(decide.Established{ID: c.id, Attempt: n, Server: c.server.ID, Elapsed: m.now - c.sent})
 		}
 		if m.drain != nil && m.drain.moving {
 			c.sendAway()
@@ -304,12 +304,12 @@
 	})
 }
 
-// Ended tells how an attempt or a standing connection ended. Its transport to the room server is closed.
-func (m *Module) Ended(c *Call, n int, code decide.Code, report decide.Report) {
+// AttemptEnded tells how an attempt or a standing connection ended. Its transport to the room server is closed.
+func (m *Engine) AttemptEnded(c *Call, n int, code decide.Code, report decide.LoadReport) {
 	m.post(func() { c.ended(n, code, report) })
 }
 
-func (c *Call) ended(n int, code decide.Code, report decide.Report) {
+func (c *Call) ended(n int, code decide.Code, report decide.LoadReport) {
 	if !c.out || c.n != n {
 		return // it was given up before
 	}
@@ -332,8 +332,8 @@
 	if final {
 		delete(m.calls, id)
 	}
-	m.handle(decide.Ended{ID: id, Attempt: n - first, Server: c.server.ID, Code: code, Final: final,
-		Took: m.now - c.sent, Report: report})
+	m.handle(decide.AttemptEnded{ID: id, Attempt: n - first, Server: c.server.ID, Code: code, Final: final,
+		Elapsed: m.now - c.sent, Report: report})
 }
 
 // stopClocks takes back the deadlines of the attempt that is out.
@@ -353,7 +353,7 @@
 	m := c.m
 	c.phase, c.since = answered, m.now
 	m.waiting--
-	c.end = m.deadlines.set(m.now+c.traits.Linger, c.ch.Drop)
+	c.end = m.deadlines.set(m.now+c.traits.Linger, c.ch.Abort)
 	return true
 }
 
@@ -365,7 +365,7 @@
 		if c.wait != nil && c.wait.at <= c.m.now {
 			code = decide.TimedOut // the request's deadline and the attempt's fell due together
 		}
-		c.ended(c.n, code, decide.NoReport)
+		c.ended(c.n, code, decide.NoLoadReport)
 	}
 	delete(c.m.calls, c.id)
 }
@@ -375,9 +375,9 @@
 	retryAfter = min(retryAfter, c.m.cfg.Settings.MaxRetryAfter)
 	if c.settle() {
 		if k := c.counters(); k != nil {
-			k.Refused++
+			k.Rejected++
 		}
-		c.ch.Unavailable(retryAfter)
+		c.ch.Reject(retryAfter)
 		c.settled()
 	}
 }
@@ -394,9 +394,9 @@
 	}
 }
 
-// Malformed tells that a channel's first line is no request, or that more came before its answer; it is answered as
+// RequestMalformed tells that a channel's first line is no request, or that more came before its answer; it is answered as
 // failed, and an attempt that is out is given up.
-func (m *Module) Malformed(c *Call) {
+func (m *Engine) RequestMalformed(c *Call) {
 	m.post(func() {
 		if c.phase == accepted {
 			m.deadlines.drop(c.end)
@@ -406,7 +406,7 @@
 		if c.phase == pending {
 			id := c.id
 			c.fail()
-			m.handle(decide.ClientGone{ID: id}) // the module did not answer it, and may hold it still
+			m.handle(decide.ClientDisconnected{ID: id}) // the module did not answer it, and may hold it still
 		}
 	})
 }
@@ -417,15 +417,15 @@
 		return
 	}
 	c.moved = true
-	c.m.counters.Moves++
+	c.m.counters.Migrations++
 	c.m.deadlines.drop(c.silence)
-	c.ch.Move()
+	c.ch.Migrate()
 	// Guards against a client that reads nothing any more: the move must not wait for it.
-	c.end = c.m.deadlines.set(c.m.now+max(moveWait, c.traits.Linger), c.ch.Drop)
+	c.end = c.m.deadlines.set(c.m.now+max(moveWait, c.traits.Linger), c.ch.Abort)
 }
 
-// Awaiting tells that a standing connection's client sent something that the server has not answered yet.
-func (m *Module) Awaiting(c *Call) {
+// ResponseAwaited tells that a standing connection's client sent something that the server has not answered yet.
+func (m *Engine) ResponseAwaited(c *Call) {
 	m.post(func() {
 		if c.phase == standing && !c.moved {
 			m.deadlines.drop(c.silence)
@@ -434,8 +434,8 @@
 	})
 }
 
-// Answered tells that the server brought something back.
-func (m *Module) Answered(c *Call) {
+// ServerResponded tells that the server brought something back.
+func (m *Engine) ServerResponded(c *Call) {
 	m.post(func() {
 		m.deadlines.drop(c.silence)
 		c.silence = nil
@@ -446,14 +446,14 @@
 // decision module learns of a broken connection.
 func (c *Call) silent() {
 	if c.phase == standing && !c.moved {
-		c.m.counters.Silent++
+		c.m.counters.Unresponsive++
 		c.move()
-		c.ended(c.n, decide.Reset, decide.NoReport)
+		c.ended(c.n, decide.Reset, decide.NoLoadReport)
 	}
 }
 
-// Touch tells that a standing connection shows traffic; a front says so now and then, not for each packet.
-func (m *Module) Touch(c *Call) {
+// TrafficSeen tells that a standing connection shows traffic; a front says so now and then, not for each packet.
+func (m *Engine) TrafficSeen(c *Call) {
 	m.post(func() {
 		if c.phase == standing {
 			c.touched()
@@ -465,22 +465,22 @@
 	if c.traits.Idle > 0 && !c.moved {
 		c.m.deadlines.drop(c.end)
 		c.end = c.m.deadlines.set(c.m.now+c.traits.Idle, func() {
-			c.ch.Drop()
-			c.ended(c.n, decide.OK, decide.NoReport) // its end, unseen, is the likely cause
+			c.ch.Abort()
+			c.ended(c.n, decide.OK, decide.NoLoadReport) // its end, unseen, is the likely cause
 		})
 	}
 }
 
-// Lingering tells that one side of a standing connection has ended; the other gets a while to follow.
-func (m *Module) Lingering(c *Call) {
+// HalfClosed tells that one side of a standing connection has ended; the other gets a while to follow.
+func (m *Engine) HalfClosed(c *Call) {
 	m.post(func() {
 		m.deadlines.drop(c.end)
-		c.end = m.deadlines.set(m.now+c.traits.Linger, c.ch.Drop)
+		c.end = m.deadlines.set(m.now+c.traits.Linger, c.ch.Abort)
 	})
 }
 
-// Load tells the present load of a standing connection, in seconds of work a second.
-func (m *Module) Load(c *Call, load float64) {
+// SetLoad tells the present load of a standing connection, in seconds of work a second.
+func (m *Engine) SetLoad(c *Call, load float64) {
 	m.post(func() {
 		if c.phase == standing {
 			m.handle(decide.LoadChanged{ID: c.id, Load: load})
@@ -488,22 +488,22 @@
 	})
 }
 
-// Closed tells that a channel and all that belonged to it are closed. A client that left before its answer
+// ClientClosed tells that a channel and all that belonged to it are closed. A client that left before its answer
 // is owed nothing.
-func (m *Module) Closed(c *Call) {
+func (m *Engine) ClientClosed(c *Call) {
 	m.post(func() {
 		m.deadlines.drop(c.end)
 		if c.phase == pending {
 			c.phase, c.since = answered, m.now
 			m.waiting--
-			m.counters.Left++
+			m.counters.ClientsLeft++
 			if m.calls[c.id] == c {
 				delete(m.calls, c.id)
-				m.handle(decide.ClientGone{ID: c.id})
+				m.handle(decide.ClientDisconnected{ID: c.id})
 			}
 		}
 		if c.out {
-			c.ended(c.n, decide.Cancelled, decide.NoReport)
+			c.ended(c.n, decide.Cancelled, decide.NoLoadReport)
 		}
 		c.stopClocks()
 		if id := c.req.ID; id != "" {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -69,13 +69,13 @@
 	f.got = append(f.got, fmt.Sprintf(format, args...))
 }
 
-func (f *fakeChannel) Attempt(a CallAttempt)         { f.add("attempt %d %s", a.N, a.Server.Instance) }
-func (f *fakeChannel) GiveUp(n int, why decide.Code) { f.add("give up %d", n) }
-func (f *fakeChannel) Stand(n int)                   { f.add("stand %d", n) }
-func (f *fakeChannel) Fail()                         { f.add("fail") }
-func (f *fakeChannel) Move()                         { f.add("move") }
-func (f *fakeChannel) Drop()                         { f.add("drop") }
-func (f *fakeChannel) Unavailable(d time.Duration) {
+func (f *fakeChannel) StartAttempt(a Attempt)               { f.add("attempt %d %s", a.Number, a.Upstream.Name) }
+func (f *fakeChannel) CancelAttempt(n int, why decide.Code) { f.add("give up %d", n) }
+func (f *fakeChannel) Establish(n int)                      { f.add("stand %d", n) }
+func (f *fakeChannel) Fail()                                { f.add("fail") }
+func (f *fakeChannel) Migrate()                             { f.add("move") }
+func (f *fakeChannel) Abort()                               { f.add("drop") }
+func (f *fakeChannel) Reject(d time.Duration) {
 	f.add("unavailable")
 }
 
@@ -102,32 +102,32 @@
 	watch []context.Context // of the watches asked for
 }
 
-func (*fakeServers) Probe(context.Context, uint64, Subchannel) {}
-func (*fakeServers) Forget(decide.ServerID)                    {}
-func (*fakeServers) FetchList(context.Context)                 {}
+func (*fakeServers) Probe(context.Context, uint64, Upstream) {}
+func (*fakeServers) Remove(decide.ServerID)                  {}
+func (*fakeServers) Fetch(context.Context)                   {}
 
-func (f *fakeServers) Subscribe(ctx context.Context, _ uint64) {
+func (f *fakeServers) Watch(ctx context.Context, _ uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked, f.watch = append(f.asked, "watch"), append(f.watch, ctx)
 }
 
-func (f *fakeServers) Move(address string) {
+func (f *fakeServers) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked = append(f.asked, "move to "+address)
 }
 
-func instance(name string) Instance {
-	return Instance{Name: name, Address: "x", Server: decide.Server{ID: ServerID(name), Zone: "a"}}
+func instance(name string) Endpoint {
+	return Endpoint{Name: name, Address: "x", Server: decide.Server{ID: ServerID(name), Zone: "a"}}
 }
 
-func run(t *testing.T, maxChannels int, known ...Instance) *Module {
+func run(t *testing.T, maxChannels int, known ...Endpoint) *Engine {
 	t.Helper()
-	m, err := New(Config{Known: known, MaxChannels: maxChannels, Log: func(string) {}, Settings: decide.Settings{
-		Seed: 3, Zone: "a", MaxTries: 3, ConnectTimeout: 60 * time.Millisecond,
-		Classes: []decide.Class{{Name: "c", Aim: 300 * time.Millisecond, GiveUp: time.Second}},
-		Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond, ColdShare: 0.3, FallMultiple: 4}}})
+	m, err := New(Config{Known: known, MaxClients: maxChannels, Log: func(string) {}, Settings: decide.Settings{
+		Seed: 3, Zone: "a", MaxAttempts: 3, ConnectTimeout: 60 * time.Millisecond,
+		Classes: []decide.Class{{Name: "c", LatencyObjective: 300 * time.Millisecond, ClientTimeout: time.Second}},
+		Safety:  decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, SlowStartShare: 0.3, OverloadFactor: 4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,8 +143,8 @@
 func TestRediscover(t *testing.T) {
 	t.Parallel()
 	f := &fakeServers{}
-	m, err := New(Config{MaxChannels: 1, Log: func(string) {}, Settings: decide.Settings{Seed: 3, Zone: "a",
-		Classes: []decide.Class{{Name: "c", Aim: time.Second}}}})
+	m, err := New(Config{MaxClients: 1, Log: func(string) {}, Settings: decide.Settings{Seed: 3, Zone: "a",
+		Classes: []decide.Class{{Name: "c", LatencyObjective: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,8 +152,8 @@
 	var running sync.WaitGroup
 	running.Go(func() { m.Run(ctx, f, f) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	m.Rediscover("127.0.0.1:1")
-	m.Rediscover("127.0.0.1:2")
+	m.SetDiscoveryAddress("127.0.0.1:1")
+	m.SetDiscoveryAddress("127.0.0.1:2")
 	settled(m)
 	f.mu.Lock()
 	got, first := strings.Join(f.asked, ", "), f.watch[0]
@@ -168,14 +168,14 @@
 	}
 }
 
-func (m *Module) ask(ch Channel, within time.Duration) *Call {
+func (m *Engine) ask(ch ClientConn, within time.Duration) *Call {
 	c := m.Accept(ch, Traits{})
-	m.Request(c, Request{Deadline: time.Now().Add(within)})
+	m.RequestReceived(c, Request{Deadline: time.Now().Add(within)})
 	return c
 }
 
 // settled waits for a published snapshot that is newer than what happened before.
-func settled(m *Module) *Snapshot {
+func settled(m *Engine) *Snapshot {
 	for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if s := m.Snapshot(); s.At.After(since) {
 			return s
@@ -184,9 +184,9 @@
 }
 
 // detailed waits for a snapshot with rows that is newer than what happened before.
-func detailed(m *Module) *Snapshot {
+func detailed(m *Engine) *Snapshot {
 	for since := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		if s := m.Detailed(time.Second); s.At.After(since) && s.Subchannels != nil {
+		if s := m.DetailedSnapshot(time.Second); s.At.After(since) && s.Upstreams != nil {
 			return s
 		}
 	}
@@ -206,15 +206,15 @@
 	if got := ch.orders(); got != first+", give up 0" {
 		t.Errorf("orders are %q: the next attempt comes before the channel has told the end of this one", got)
 	}
-	m.Ended(c, 0, decide.ConnectFailed, decide.NoReport)
+	m.AttemptEnded(c, 0, decide.ConnectFailed, decide.NoLoadReport)
 	ch.wait(t, first+", give up 0, attempt 1")
-	m.Up(c, 0)
-	m.Ended(c, 0, decide.Reset, decide.NoReport)
-	m.Connected(c, 1)
-	m.Up(c, 1)
-	m.Up(c, 1)
-	m.Closed(c)
-	if s := settled(m); s.Served != 1 || s.Refused+s.Failed+s.Left > 0 || s.Attempts != 1 || s.Open > 0 {
+	m.AttemptAccepted(c, 0)
+	m.AttemptEnded(c, 0, decide.Reset, decide.NoLoadReport)
+	m.AttemptSent(c, 1)
+	m.AttemptAccepted(c, 1)
+	m.AttemptAccepted(c, 1)
+	m.ClientClosed(c)
+	if s := settled(m); s.Served != 1 || s.Rejected+s.Failed+s.ClientsLeft > 0 || s.Attempts != 1 || s.Clients > 0 {
 		t.Errorf("%+v", s)
 	}
 	if got := ch.orders(); !strings.HasSuffix(got, "attempt 1 s-1, stand 1") && !strings.HasSuffix(got, "attempt 1 s-2, stand 1") {
@@ -229,13 +229,13 @@
 	ch := &fakeChannel{}
 	c := m.ask(ch, 400*time.Millisecond)
 	ch.wait(t, "attempt 0 s-1")
-	m.Connected(c, 0)
+	m.AttemptSent(c, 0)
 	ch.wait(t, "attempt 0 s-1, give up 0, unavailable")
-	m.Up(c, 0)
-	m.Malformed(c)
-	m.Request(c, Request{Deadline: time.Now().Add(time.Second)})
-	m.Closed(c)
-	if s := settled(m); s.Refused != 1 || s.Served+s.Failed+s.Left > 0 {
+	m.AttemptAccepted(c, 0)
+	m.RequestMalformed(c)
+	m.RequestReceived(c, Request{Deadline: time.Now().Add(time.Second)})
+	m.ClientClosed(c)
+	if s := settled(m); s.Rejected != 1 || s.Served+s.Failed+s.ClientsLeft > 0 {
 		t.Errorf("%+v, orders %q", s.Counters, ch.orders())
 	}
 	if n := strings.Count(ch.orders(), "unavailable"); n != 1 {
@@ -262,16 +262,16 @@
 	m := run(t, 10)
 	ch := &fakeChannel{}
 	c := m.Accept(ch, Traits{})
-	m.Reopen(c, Request{}, ServerID("s-1"), 10*time.Second)
-	m.Resolved(Result{Kind: decide.ListFull, Instances: []Instance{instance("s-1"), instance("s-2")}})
+	m.RestoreConnection(c, Request{}, ServerID("s-1"), 10*time.Second)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: []Endpoint{instance("s-1"), instance("s-2")}})
 	ch.wait(t, "attempt 0 s-1")
-	m.Ended(c, 0, decide.ConnectFailed, decide.NoReport)
+	m.AttemptEnded(c, 0, decide.ConnectFailed, decide.NoLoadReport)
 	ch.wait(t, "attempt 0 s-1, attempt 1 s-1")
-	m.Up(c, 1)
+	m.AttemptAccepted(c, 1)
 	ch.wait(t, "attempt 0 s-1, attempt 1 s-1, stand 1")
-	m.Ended(c, 1, decide.OK, decide.NoReport)
-	m.Closed(c)
-	if s := detailed(m); s.Reopened != 1 || s.Served != 1 || s.Open > 0 || s.Subchannels[0].Open+s.Subchannels[1].Open > 0 {
+	m.AttemptEnded(c, 1, decide.OK, decide.NoLoadReport)
+	m.ClientClosed(c)
+	if s := detailed(m); s.Restored != 1 || s.Served != 1 || s.Clients > 0 || s.Upstreams[0].Connections+s.Upstreams[1].Connections > 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -280,7 +280,7 @@
 	t.Parallel()
 	m := run(t, 10)
 	ch := &fakeChannel{}
-	m.Reopen(m.Accept(ch, Traits{}), Request{}, ServerID("s-gone"), 0)
+	m.RestoreConnection(m.Accept(ch, Traits{}), Request{}, ServerID("s-gone"), 0)
 	ch.wait(t, "fail")
 }
 
@@ -292,12 +292,12 @@
 	a, b := m.ask(silent, time.Second), m.ask(sound, time.Second)
 	for i, c := range []*Call{a, b} {
 		[]*fakeChannel{silent, sound}[i].wait(t, "attempt 0 s-1")
-		m.Up(c, 0)
-		m.Awaiting(c)
+		m.AttemptAccepted(c, 0)
+		m.ResponseAwaited(c)
 	}
-	m.Answered(b)
+	m.ServerResponded(b)
 	silent.wait(t, "attempt 0 s-1, stand 0, move")
-	if s := settled(m); s.Silent != 1 || s.Moves != 1 {
+	if s := settled(m); s.Unresponsive != 1 || s.Migrations != 1 {
 		t.Errorf("%+v", s.Counters)
 	}
 	if got := sound.orders(); got != "attempt 0 s-1, stand 0" {
@@ -316,14 +316,14 @@
 		ch := &fakeChannel{}
 		c := m.ask(ch, time.Second)
 		ch.wait(t, "attempt 0")
-		m.Up(c, 0)
+		m.AttemptAccepted(c, 0)
 		go func() {
 			for !strings.HasSuffix(ch.orders(), "move") && time.Now().Before(end) {
 				time.Sleep(5 * time.Millisecond)
 			}
 			moved <- time.Now()
-			m.Ended(c, 0, decide.Cancelled, decide.NoReport)
-			m.Closed(c)
+			m.AttemptEnded(c, 0, decide.Cancelled, decide.NoLoadReport)
+			m.ClientClosed(c)
 		}()
 	}
 	start := time.Now()
@@ -348,53 +348,53 @@
 	t.Parallel()
 	const soon = 10 * time.Second
 	m := run(t, 10, instance("s-1"))
-	if err := m.Rejoin(soon); err != nil {
+	if err := m.LeaveLameDuck(soon); err != nil {
 		t.Fatal(err)
 	}
 	ch := &fakeChannel{}
 	c := m.Accept(ch, Traits{Resumable: true})
-	m.Request(c, Request{Deadline: time.Now().Add(time.Second)})
+	m.RequestReceived(c, Request{Deadline: time.Now().Add(time.Second)})
 	ch.wait(t, "attempt 0")
-	m.Up(c, 0)
+	m.AttemptAccepted(c, 0)
 	for range 2 {
-		if err := m.LameDuck(soon); err != nil || m.Service() != LameDuck {
-			t.Fatalf("%v, %v", m.Service(), err)
+		if err := m.EnterLameDuck(soon); err != nil || m.ServiceState() != LameDuck {
+			t.Fatalf("%v, %v", m.ServiceState(), err)
 		}
 	}
 	for range 2 {
-		if err := m.Rejoin(soon); err != nil || m.Service() != Serving {
-			t.Fatalf("%v, %v", m.Service(), err)
+		if err := m.LeaveLameDuck(soon); err != nil || m.ServiceState() != Serving {
+			t.Fatalf("%v, %v", m.ServiceState(), err)
 		}
 	}
 	time.Sleep(lameLast + 200*time.Millisecond)
 	if got := ch.orders(); got != "attempt 0 s-1, stand 0" {
 		t.Errorf("after the call back it got %q", got)
 	}
-	if err := m.LameDuck(soon); err != nil {
+	if err := m.EnterLameDuck(soon); err != nil {
 		t.Fatal(err)
 	}
 	ch.wait(t, "attempt 0 s-1, stand 0, move")
 	m.Drain(3*time.Second, nil)
-	if err := m.LameDuck(soon); err != nil || m.Service() != Stopping {
-		t.Errorf("lame duck in a stop: %v, %v", m.Service(), err)
+	if err := m.EnterLameDuck(soon); err != nil || m.ServiceState() != Stopping {
+		t.Errorf("lame duck in a stop: %v, %v", m.ServiceState(), err)
 	}
-	if err := m.Rejoin(soon); err == nil || m.Service() != Stopping {
-		t.Errorf("called back in a stop: %v, %v", m.Service(), err)
+	if err := m.LeaveLameDuck(soon); err == nil || m.ServiceState() != Stopping {
+		t.Errorf("called back in a stop: %v, %v", m.ServiceState(), err)
 	}
 }
 
 // A process that takes over is ready with discovery's first answer, or when the one before it has ended.
 func TestReadyWithAFreshList(t *testing.T) {
 	t.Parallel()
-	for name, get := range map[string]func(*Module){
-		"list":        func(m *Module) { m.Resolved(Result{Kind: decide.ListChanges}) },
-		"predecessor": (*Module).Begin,
+	for name, get := range map[string]func(*Engine){
+		"list":        func(m *Engine) { m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta}) },
+		"predecessor": (*Engine).SkipListWait,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := &fakeServers{}
-			m, err := New(Config{MaxChannels: 1, AwaitList: true, Log: func(string) {}, Settings: decide.Settings{Seed: 3,
-				Zone: "a", Subscribe: true, Classes: []decide.Class{{Name: "c", Aim: time.Second}}}})
+			m, err := New(Config{MaxClients: 1, AwaitList: true, Log: func(string) {}, Settings: decide.Settings{Seed: 3,
+				Zone: "a", WatchList: true, Classes: []decide.Class{{Name: "c", LatencyObjective: time.Second}}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -402,8 +402,8 @@
 			var running sync.WaitGroup
 			running.Go(func() { m.Run(ctx, f, f) })
 			t.Cleanup(func() { cancel(); running.Wait() })
-			m.Resolved(Result{Kind: decide.ListFailed})
-			if s := m.Fresh(10 * time.Second); s.Service != Starting {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed})
+			if s := m.CurrentSnapshot(10 * time.Second); s.Service != Starting {
 				t.Errorf("before: %v", s.Service)
 			}
 			f.mu.Lock()
@@ -417,8 +417,8 @@
 			case <-time.After(10 * time.Second):
 				t.Fatal("not ready")
 			}
-			if m.Service() != Serving {
-				t.Errorf("after: %v", m.Service())
+			if m.ServiceState() != Serving {
+				t.Errorf("after: %v", m.ServiceState())
 			}
 		})
 	}
@@ -431,14 +431,14 @@
 	m := run(t, 10, instance("s-1"))
 	slow, silent := &fakeChannel{}, &fakeChannel{}
 	c := m.Accept(slow, Traits{Descriptor: true})
-	m.Begun(c)
+	m.FirstLineStarted(c)
 	m.Accept(silent, Traits{Descriptor: true})
 	time.Sleep(2 * shedAfter)
-	m.Shed()
+	m.ShedIdle()
 	silent.wait(t, "drop")
 	over := m.Drain(20*time.Second, nil) // its moves come late: nothing else holds it up
 	time.Sleep(firstLineWait + 100*time.Millisecond)
-	m.Begun(c) // renews nothing
+	m.FirstLineStarted(c) // renews nothing
 	select {
 	case <-over:
 		t.Error("the stop was over before the line was there")
@@ -459,16 +459,16 @@
 	m.post(func() { close(held); <-release })
 	<-held
 	defer close(release)
-	if s := m.Fresh(50 * time.Millisecond); s.Listed != 1 {
+	if s := m.CurrentSnapshot(50 * time.Millisecond); s.Listed != 1 {
 		t.Errorf("%+v", s)
 	}
-	if err := m.LameDuck(50 * time.Millisecond); err == nil {
+	if err := m.EnterLameDuck(50 * time.Millisecond); err == nil {
 		t.Error("an order that was not carried out counts as done")
 	}
 	for len(m.inbox) < cap(m.inbox) {
 		m.post(func() {})
 	}
-	if err := m.Rejoin(50 * time.Millisecond); err == nil {
+	if err := m.LeaveLameDuck(50 * time.Millisecond); err == nil {
 		t.Error("an order past the mailbox counts as done")
 	}
 }
@@ -480,16 +480,16 @@
 	first, second := &fakeChannel{}, &fakeChannel{}
 	c := m.ask(first, 5*time.Second)
 	first.wait(t, "attempt 0")
-	m.Connected(c, 0)
-	m.Up(c, 0)
+	m.AttemptSent(c, 0)
+	m.AttemptAccepted(c, 0)
 	m.ask(second, 5*time.Second)
 	second.wait(t, "unavailable")
-	m.Malformed(m.Accept(&fakeChannel{}, Traits{}))
-	s := m.Fresh(10 * time.Second)
-	if got, want := s.Classes[0], (ClassCounters{Served: 1, Refused: 1, Attempts: 1}); got != want {
+	m.RequestMalformed(m.Accept(&fakeChannel{}, Traits{}))
+	s := m.CurrentSnapshot(10 * time.Second)
+	if got, want := s.Classes[0], (ClassCounters{Served: 1, Rejected: 1, Attempts: 1}); got != want {
 		t.Errorf("class 0: %+v, want %+v", got, want)
 	}
-	if s.Malformed != 1 || s.Failed != 1 || s.Standing != 1 || s.Waiting != 0 {
+	if s.Malformed != 1 || s.Failed != 1 || s.Established != 1 || s.Waiting != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -500,15 +500,15 @@
 	m := run(t, 10, instance("s-1"))
 	stays, goes := &fakeChannel{}, &fakeChannel{}
 	a, b := m.Accept(stays, Traits{Resumable: true}), m.ask(goes, time.Second)
-	m.Request(a, Request{Deadline: time.Now().Add(time.Second)})
+	m.RequestReceived(a, Request{Deadline: time.Now().Add(time.Second)})
 	goes.wait(t, "attempt 0")
 	stays.wait(t, "attempt 0")
-	m.Up(a, 0)
-	m.Up(b, 0)
+	m.AttemptAccepted(a, 0)
+	m.AttemptAccepted(b, 0)
 	over := m.Drain(3*time.Second, nil)
 	goes.wait(t, "attempt 0 s-1, stand 0, move")
-	m.Ended(b, 0, decide.Cancelled, decide.NoReport)
-	m.Closed(b)
+	m.AttemptEnded(b, 0, decide.Cancelled, decide.NoLoadReport)
+	m.ClientClosed(b)
 	<-over
 	if got := stays.orders(); got != "attempt 0 s-1, stand 0" {
 		t.Errorf("the resumable one got %q", got)
@@ -522,24 +522,24 @@
 	ch := &fakeChannel{}
 	c := m.ask(ch, time.Second)
 	ch.wait(t, "attempt 0")
-	m.Up(c, 0)
-	m.Resolved(Result{Kind: decide.ListFull})
-	if s := detailed(m); len(s.Subchannels) != 1 || s.Subchannels[0].Open != 1 {
-		t.Errorf("while it stands: %+v", s.Subchannels)
+	m.AttemptAccepted(c, 0)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot})
+	if s := detailed(m); len(s.Upstreams) != 1 || s.Upstreams[0].Connections != 1 {
+		t.Errorf("while it stands: %+v", s.Upstreams)
 	}
-	m.Ended(c, 0, decide.OK, decide.NoReport)
-	m.Closed(c)
-	if s := detailed(m); len(s.Subchannels) != 0 {
-		t.Errorf("after its end: %+v", s.Subchannels)
+	m.AttemptEnded(c, 0, decide.OK, decide.NoLoadReport)
+	m.ClientClosed(c)
+	if s := detailed(m); len(s.Upstreams) != 0 {
+		t.Errorf("after its end: %+v", s.Upstreams)
 	}
 }
 
 // answering runs a module whose lists a test gives.
-func answering(t *testing.T, cfg Config) (*Module, *fakeServers) {
+func answering(t *testing.T, cfg Config) (*Engine, *fakeServers) {
 	t.Helper()
-	cfg.MaxChannels, cfg.Log = 10, func(string) {}
-	cfg.Settings.Seed, cfg.Settings.Zone, cfg.Settings.MaxTries = 3, "a", 3
-	cfg.Settings.Classes = []decide.Class{{Name: "c", Aim: 300 * time.Millisecond, GiveUp: time.Second}}
+	cfg.MaxClients, cfg.Log = 10, func(string) {}
+	cfg.Settings.Seed, cfg.Settings.Zone, cfg.Settings.MaxAttempts = 3, "a", 3
+	cfg.Settings.Classes = []decide.Class{{Name: "c", LatencyObjective: 300 * time.Millisecond, ClientTimeout: time.Second}}
 	m, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -573,15 +573,15 @@
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	m, f := answering(t, Config{})
-	m.Rediscover("127.0.0.1:1")
+	m.SetDiscoveryAddress("127.0.0.1:1")
 	f.watches(t, 1)
-	m.ListAlive(1)
+	m.WatchAlive(1)
 	silent := time.Now()
 	f.watches(t, 2)
 	if d := time.Since(silent); d < 2*time.Second || d > 5*time.Second {
 		t.Errorf("asked for anew after %v, an empty line comes every 2 s", d)
 	}
-	m.ListAlive(1) // the old one comes back to life, the new one does not answer
+	m.WatchAlive(1) // the old one comes back to life, the new one does not answer
 	f.mu.Lock()
 	asked := f.watch[1]
 	f.mu.Unlock()
@@ -591,8 +591,8 @@
 		t.Error("the watch that was asked for and never answers does not end")
 	}
 	settled(m)
-	m.Resolved(Result{Kind: decide.ListFailed, Watch: 2})
-	m.ListAlive(1) // and falls silent once more
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
+	m.WatchAlive(1) // and falls silent once more
 	f.watches(t, 3)
 }
 
@@ -601,23 +601,23 @@
 func TestPushedLists(t *testing.T) {
 	t.Parallel()
 	const grace = 400 * time.Millisecond
-	m, f := answering(t, Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Rules: decide.Rules{DrainGrace: grace}}})
+	m, f := answering(t, Config{ListPushed: true, Settings: decide.Settings{WatchList: true, Safety: decide.SafetyLimits{DrainGrace: grace}}})
 	f.watches(t, 1)
 	if !m.AwaitsList() {
 		t.Error("a process without its first list is taken in")
 	}
-	m.Resolved(Result{Kind: decide.ListFailed, Watch: 1})
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 1})
 	failed := time.Now()
 	f.watches(t, 2)
 	if d := time.Since(failed); d > grace {
 		t.Errorf("asked for anew after %v, the grace is %v", d, grace)
 	}
-	m.ListAlive(2)
-	m.Resolved(Result{Kind: decide.ListFull, Instances: []Instance{instance("s-1")}})
+	m.WatchAlive(2)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: []Endpoint{instance("s-1")}})
 	if settled(m); m.AwaitsList() {
 		t.Error("a process with its first list is not taken in")
 	}
-	m.Resolved(Result{Kind: decide.ListFailed, Watch: 2})
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
 	failed = time.Now()
 	f.watches(t, 3)
 	if d := time.Since(failed); d > grace {
@@ -629,27 +629,29 @@
 // or a figure that may be tuned from one version to the next, makes no other customer.
 func TestLearnedOfAnotherCustomer(t *testing.T) {
 	mine := decide.Settings{Seed: 1, Zone: "a", Zones: []string{"a", "b"}, Classes: []decide.Class{{Name: "c"}, {Name: "d"}}}
-	line, err := json.Marshal(learned{decide.Learned{Server: 1, Each: 0.3}, Customer(mine)})
+	line, err := json.Marshal(learned{decide.LearnedState{Server: 1, LoadPerConnection: 0.3}, DeploymentID(mine)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := mine
-	again.Seed, again.MaxTries = 2, 5
-	if l, err := DecodeLearned(string(line), Customer(again)); err != nil || l.Each != 0.3 {
+	again.Seed, again.MaxAttempts = 2, 5
+	if l, err := DecodeLearned(string(line), DeploymentID(again)); err != nil || l.LoadPerConnection != 0.3 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	for name, differ := range map[string]func(*decide.Settings){
 		"zone":    func(s *decide.Settings) { s.Zone = "b" },
 		"classes": func(s *decide.Settings) { s.Classes = []decide.Class{{Name: "d"}, {Name: "c"}} },
-		"effect":  func(s *decide.Settings) { s.Classes = []decide.Class{{Name: "c", Repeat: decide.Unsafe}, {Name: "d"}} },
+		"effect": func(s *decide.Settings) {
+			s.Classes = []decide.Class{{Name: "c", Idempotency: decide.NotIdempotent}, {Name: "d"}}
+		},
 	} {
 		other := mine
 		differ(&other)
-		if _, err := DecodeLearned(string(line), Customer(other)); !errors.Is(err, ErrOther) {
+		if _, err := DecodeLearned(string(line), DeploymentID(other)); !errors.Is(err, ErrOtherDeployment) {
 			t.Errorf("other %s: %v", name, err)
 		}
 	}
-	if _, err := DecodeLearned(`{"server":1,"each":0.3}`, Customer(mine)); !errors.Is(err, ErrOther) {
+	if _, err := DecodeLearned(`{"server":1,"each":0.3}`, DeploymentID(mine)); !errors.Is(err, ErrOtherDeployment) {
 		t.Errorf("of nobody: %v", err)
 	}
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -40,12 +40,12 @@
 }
 
 // step sets one step of the drain.
-func (m *Module) step(after time.Duration, do func()) {
+func (m *Engine) step(after time.Duration, do func()) {
 	m.drain.due = append(m.drain.due, m.deadlines.set(m.now+after, do))
 }
 
 // calledBack takes back what a lame duck still had to do.
-func (m *Module) calledBack() {
+func (m *Engine) calledBack() {
 	if m.drain != nil {
 		for _, d := range m.drain.due {
 			m.deadlines.drop(d)
@@ -55,7 +55,7 @@
 }
 
 // moveBetween paces the moves of what stands.
-func (m *Module) moveBetween(first, last time.Duration) {
+func (m *Engine) moveBetween(first, last time.Duration) {
 	m.step(first, func() {
 		n, pause := 0, (last-first)/time.Duration(max(len(m.open), 1))
 		for c := range m.open {
@@ -72,7 +72,7 @@
 }
 
 // refuseAll answers what waits and what comes from now on.
-func (m *Module) refuseAll() {
+func (m *Engine) refuseAll() {
 	m.drain.ending = true
 	for c := range m.open {
 		c.answerNow()
@@ -87,13 +87,13 @@
 	case c.reopened:
 		c.fail() // its attempt is one at a room server that held the connection before
 	default:
-		c.m.handle(decide.Expired{ID: c.id})
+		c.m.handle(decide.RequestExpired{ID: c.id})
 	}
 }
 
 // Drain begins a planned stop that must be over within budget; the channel closes when it is, no sooner than waits tells
 // that no client waits to be accepted, if there is time.
-func (m *Module) Drain(budget time.Duration, waits func() bool) <-chan struct{} {
+func (m *Engine) Drain(budget time.Duration, waits func() bool) <-chan struct{} {
 	done := make(chan struct{})
 	m.post(func() {
 		if m.drain != nil && m.drain.final {
@@ -114,9 +114,9 @@
 	return done
 }
 
-// LameDuck sends all clients away while the process stays: new ones are served for a while, and refused once all are
+// EnterLameDuck sends all clients away while the process stays: new ones are served for a while, and refused once all are
 // moved. Called again, or in a stop, it changes nothing.
-func (m *Module) LameDuck(within time.Duration) error {
+func (m *Engine) EnterLameDuck(within time.Duration) error {
 	return m.await(within, func() {
 		if m.drain != nil {
 			return
@@ -128,8 +128,8 @@
 	})
 }
 
-// Rejoin calls a lame duck back: whom it has not sent away yet stays. A stop is final.
-func (m *Module) Rejoin(within time.Duration) error {
+// LeaveLameDuck calls a lame duck back: whom it has not sent away yet stays. A stop is final.
+func (m *Engine) LeaveLameDuck(within time.Duration) error {
 	var refused error
 	if err := m.await(within, func() {
 		switch {
@@ -154,11 +154,11 @@
 	}
 }
 
-func (m *Module) drainEnds() bool { return m.drain != nil && m.drain.ending }
+func (m *Engine) drainEnds() bool { return m.drain != nil && m.drain.ending }
 
 // drained ends the stop early once no client waits to be accepted, no first line is on its way, no request waits and
 // nothing stands.
-func (m *Module) drained() {
+func (m *Engine) drained() {
 	if m.drain == nil || !m.drain.least || m.drain.closed {
 		return
 	}
@@ -175,7 +175,7 @@
 				again = true
 			default:
 				c.dropped = true
-				c.ch.Drop()
+				c.ch.Abort()
 			}
 		case pending:
 			over = false
@@ -196,7 +196,7 @@
 	}
 }
 
-func (m *Module) drainOver() {
+func (m *Engine) drainOver() {
 	if !m.drain.closed {
 		m.drain.closed = true
 		close(m.drain.done)
--- a/internal/core/module.go
+++ b/internal/core/engine.go
@@ -37,12 +37,12 @@
 	startWait     = 3 * time.Second  // without an answer of discovery a successor serves from the list it has
 )
 
-// Module is the module's actor: it owns the decision module, the calls, the subchannels and all deadlines.
-type Module struct {
+// Engine is the module's actor: it owns the decision module, the calls, the subchannels and all deadlines.
+type Engine struct {
 	cfg      Config
 	balancer *decide.Balancer
 	prober   Prober
-	resolver Resolver
+	resolver Discovery
 
 	inbox chan func()
 	done  chan struct{}
@@ -73,7 +73,7 @@
 	drain       *drain
 	counters    Counters
 	classes     []ClassCounters
-	service     Service
+	service     ServiceState
 	generation  uint64
 	listAt      time.Duration
 	departed    map[string]departure
@@ -89,7 +89,7 @@
 
 // subchannel is what the core keeps of one room server.
 type subchannel struct {
-	Subchannel
+	Upstream
 	zone     string
 	started  time.Time
 	state    decide.State
@@ -114,12 +114,12 @@
 }
 
 // New checks the settings and returns a module that Run starts.
-func New(cfg Config) (*Module, error) {
+func New(cfg Config) (*Engine, error) {
 	b, err := decide.New(cfg.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
-	m := &Module{
+	m := &Engine{
 		cfg: cfg, balancer: b, epoch: time.Now(),
 		inbox: make(chan func(), 1024), done: make(chan struct{}), ready: make(chan struct{}),
 		deadlines: newDeadlines(), open: map[*Call]struct{}{}, calls: map[decide.RequestID]*Call{},
@@ -135,17 +135,17 @@
 }
 
 // Run serves until ctx ends. The prober and the resolver are called from its goroutine alone.
-func (m *Module) Run(ctx context.Context, prober Prober, resolver Resolver) {
+func (m *Engine) Run(ctx context.Context, prober Prober, resolver Discovery) {
 	defer close(m.done)
 	m.ctx, m.prober, m.resolver = ctx, prober, resolver
 	m.tick()
 	m.handle(decide.Started{})
-	m.resolved(Result{Kind: decide.ListRestored, Instances: m.cfg.Known})
-	m.balancer.Learn(m.cfg.Learned)
+	m.resolved(EndpointUpdate{Kind: decide.ListRestored, Endpoints: m.cfg.Known})
+	m.balancer.ImportLearned(m.cfg.Learned)
 	for _, l := range m.cfg.Learned {
 		m.mayAvoid(l.Server)
 	}
-	if m.cfg.AwaitList || m.cfg.Pushed {
+	if m.cfg.AwaitList || m.cfg.ListPushed {
 		m.askList() // at once: nobody waits for this process while another still serves, or before it is ready
 		m.deadlines.set(m.now+startWait, m.started)
 	} else {
@@ -159,9 +159,9 @@
 		case <-ctx.Done():
 			return
 		case turn := <-m.inbox:
-			Turn(m.cfg.Turns, func() { m.turn(turn) })
+			RunMonitored(m.cfg.Watchdog, func() { m.turn(turn) })
 		case <-timer.C:
-			Turn(m.cfg.Turns, func() { m.turn(nil) })
+			RunMonitored(m.cfg.Watchdog, func() { m.turn(nil) })
 		}
 		if at, ok := m.deadlines.next(); ok {
 			timer.Reset(max(at-m.now, 0))
@@ -170,7 +170,7 @@
 }
 
 // turn does what the mailbox brought, if anything, and what has fallen due.
-func (m *Module) turn(do func()) {
+func (m *Engine) turn(do func()) {
 	if do != nil {
 		m.tick()
 		do()
@@ -180,10 +180,10 @@
 }
 
 // tick reads the host clock, the module's only time.
-func (m *Module) tick() { m.now = clockStart + time.Since(m.epoch) }
+func (m *Engine) tick() { m.now = clockStart + time.Since(m.epoch) }
 
 // post puts a turn into the mailbox; a sender waits while it is full, the module's actor never does.
-func (m *Module) post(turn func()) {
+func (m *Engine) post(turn func()) {
 	select {
 	case m.inbox <- turn:
 	case <-m.done:
@@ -192,7 +192,7 @@
 
 // handle gives the decision module an event and carries out what it asks for. What that brings about at once
 // waits until the actions before it are done.
-func (m *Module) handle(ev decide.Event) {
+func (m *Engine) handle(ev decide.Event) {
 	m.events = append(m.events, ev)
 	if m.handling {
 		return
@@ -207,20 +207,20 @@
 			m.act(a)
 		}
 		switch ev := ev.(type) {
-		case decide.Ended:
+		case decide.AttemptEnded:
 			m.mayAvoid(ev.Server)
-		case decide.Probed:
+		case decide.ProbeCompleted:
 			m.mayAvoid(ev.Server)
 		}
 	}
 	m.events, m.handling = nil, false
 }
 
-func (m *Module) act(a decide.Action) {
+func (m *Engine) act(a decide.Action) {
 	switch a := a.(type) {
-	case decide.Place:
+	case decide.StartAttempt:
 		m.place(a)
-	case decide.Refuse:
+	case decide.Reject:
 		if c := m.calls[a.ID]; c != nil {
 			c.refuse(cmp.Or(c.after, a.RetryAfter))
 		}
@@ -228,34 +228,34 @@
 		if c := m.calls[a.ID]; c != nil {
 			c.fail()
 		}
-	case decide.Move:
+	case decide.Migrate:
 		if c := m.calls[a.ID]; c != nil {
 			c.move()
 		}
 	case decide.Probe:
 		m.probe(a.Server)
-	case decide.Subscribe:
+	case decide.WatchList:
 		m.resubscribe()
 	case decide.FetchList:
 		m.refetch()
 	case decide.SetTimer:
-		m.deadlines.set(m.now+a.Wait, func() { m.handle(decide.TimerFired{Token: a.Token}) })
+		m.deadlines.set(m.now+a.Delay, func() { m.handle(decide.TimerFired{Token: a.Token}) })
 	case decide.Log:
 		m.cfg.Log(a.Text)
 	}
 }
 
-// FleetSize tells among how many balancers the fleet's budgets are divided from now on.
-func (m *Module) FleetSize(size decide.FleetSize) {
+// SetFleetSize tells among how many balancers the fleet's budgets are divided from now on.
+func (m *Engine) SetFleetSize(size decide.FleetSize) {
 	m.post(func() {
-		m.reach.times.Spread(size.Fleet)
+		m.reach.times.SetFleetSize(size.Fleet)
 		m.handle(size)
 	})
 }
 
 // ---- probes
 
-func (m *Module) probe(server decide.ServerID) {
+func (m *Engine) probe(server decide.ServerID) {
 	s := m.subchannels[server]
 	if s == nil {
 		return
@@ -265,17 +265,17 @@
 	seq := m.probeSeq
 	ctx, cancel := context.WithCancel(m.ctx)
 	p := &probe{server: server, sent: m.now, cancel: cancel}
-	p.due = m.deadlines.set(m.now+probeWait, func() { m.probed(seq, decide.TimedOut, decide.NoReport) })
+	p.due = m.deadlines.set(m.now+probeWait, func() { m.probed(seq, decide.TimedOut, decide.NoLoadReport) })
 	m.probes[seq] = p
-	m.prober.Probe(ctx, seq, s.Subchannel)
+	m.prober.Probe(ctx, seq, s.Upstream)
 }
 
-// Probed tells the result of a probe.
-func (m *Module) Probed(seq uint64, code decide.Code, report decide.Report) {
+// ProbeCompleted tells the result of a probe.
+func (m *Engine) ProbeCompleted(seq uint64, code decide.Code, report decide.LoadReport) {
 	m.post(func() { m.probed(seq, code, report) })
 }
 
-func (m *Module) probed(seq uint64, code decide.Code, report decide.Report) {
+func (m *Engine) probed(seq uint64, code decide.Code, report decide.LoadReport) {
 	p := m.probes[seq]
 	if p == nil {
 		return // it has timed out
@@ -286,13 +286,13 @@
 	if s := m.subchannels[p.server]; s != nil && report.Load >= 0 {
 		s.load = report.Load
 	}
-	m.handle(decide.Probed{Server: p.server, Code: code, Took: m.now - p.sent, Report: report})
+	m.handle(decide.ProbeCompleted{Server: p.server, Code: code, Elapsed: m.now - p.sent, Report: report})
 }
 
 // ---- the list
 
 // subscribe opens a watch. One that is open stays until the new one answers, so that no change is missed.
-func (m *Module) subscribe() {
+func (m *Engine) subscribe() {
 	ctx, cancel := context.WithCancel(m.ctx)
 	m.lastWatch++
 	watch := m.lastWatch
@@ -300,15 +300,15 @@
 	m.asked = &listCall{watch: watch, begun: m.now, cancel: cancel, due: m.deadlines.set(m.now+listWait, func() {
 		cancel()
 		if m.asked != nil && m.asked.watch == watch { // its resolver may have left the order out, and tell nothing
-			m.failed(Result{Kind: decide.ListFailed, Watch: watch})
+			m.failed(EndpointUpdate{Kind: decide.ListFailed, WatchID: watch})
 		}
 	})}
-	m.resolver.Subscribe(ctx, watch)
+	m.resolver.Watch(ctx, watch)
 }
 
 // resubscribe opens a watch unless one is being opened, which its own deadline ends, or the way back to discovery leads
 // to one.
-func (m *Module) resubscribe() {
+func (m *Engine) resubscribe() {
 	if m.asked == nil && m.reach.step == reached {
 		m.subscribe()
 	}
@@ -316,17 +316,17 @@
 
 // refetch asks for the whole list, unless discovery cannot be reached: the call that ends the way back to it brings what
 // has changed. Guards a discovery that is down against a fleet that asks again with each time-out.
-func (m *Module) refetch() {
+func (m *Engine) refetch() {
 	if m.reach.step == reached {
 		m.fetchList()
 	}
 }
 
-// Rediscover turns to discovery at another address and begins the watch there at once. The list as it is stands
+// SetDiscoveryAddress turns to discovery at another address and begins the watch there at once. The list as it is stands
 // meanwhile, and no channel hears of it.
-func (m *Module) Rediscover(address string) {
+func (m *Engine) SetDiscoveryAddress(address string) {
 	m.post(func() {
-		m.resolver.Move(address)
+		m.resolver.SetAddress(address)
 		m.endReach() // what failed, or was found, was the old address
 		m.reach.moved = m.lastWatch
 		m.subscribe()
@@ -334,15 +334,15 @@
 }
 
 // askList asks discovery ahead of the decision module's own poll.
-func (m *Module) askList() {
-	if m.cfg.Settings.Subscribe {
+func (m *Engine) askList() {
+	if m.cfg.Settings.WatchList {
 		m.subscribe()
 	} else {
 		m.fetchList()
 	}
 }
 
-func (m *Module) fetchList() {
+func (m *Engine) fetchList() {
 	if m.fetch != nil {
 		m.deadlines.drop(m.fetch.due)
 		m.fetch.cancel()
@@ -350,15 +350,15 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	m.fetch = &listCall{begun: m.now, cancel: cancel, due: m.deadlines.set(m.now+listWait, func() {
 		cancel()
-		if m.reach.step == calling && !m.cfg.Settings.Subscribe { // guards the way back against an order that was left out
-			m.failed(Result{Kind: decide.ListFailed})
+		if m.reach.step == calling && !m.cfg.Settings.WatchList { // guards the way back against an order that was left out
+			m.failed(EndpointUpdate{Kind: decide.ListFailed})
 		}
 	})}
-	m.resolver.FetchList(ctx)
+	m.resolver.Fetch(ctx)
 }
 
-// ListAlive tells that a watch shows a sign of life.
-func (m *Module) ListAlive(watch uint64) {
+// WatchAlive tells that a watch shows a sign of life.
+func (m *Engine) WatchAlive(watch uint64) {
 	m.post(func() {
 		m.told(watch)
 		m.reachedBy(watch)
@@ -369,7 +369,7 @@
 }
 
 // told ends the wait for a watch that was asked for: it has come, or has failed.
-func (m *Module) told(watch uint64) {
+func (m *Engine) told(watch uint64) {
 	if m.asked != nil && m.asked.watch == watch {
 		m.deadlines.drop(m.asked.due)
 		m.asked = nil
@@ -378,42 +378,42 @@
 
 // failed begins the way back to discovery, whose steps are the core's. The decision module hears of it, and what it asks
 // for meanwhile waits for the way's end.
-func (m *Module) failed(r Result) {
+func (m *Engine) failed(r EndpointUpdate) {
 	begun := m.now // of a watch that was open: until now
 	switch {
-	case m.asked != nil && m.asked.watch == r.Watch:
+	case m.asked != nil && m.asked.watch == r.WatchID:
 		begun = m.asked.begun
-	case m.fetch != nil && r.Watch == 0:
+	case m.fetch != nil && r.WatchID == 0:
 		begun = m.fetch.begun
 	}
-	m.told(r.Watch)
-	if m.reach.step != waiting && (r.Watch == 0 || r.Watch == m.lastWatch) {
+	m.told(r.WatchID)
+	if m.reach.step != waiting && (r.WatchID == 0 || r.WatchID == m.lastWatch) {
 		m.lostDiscovery(begun)
 	}
 	m.handle(decide.ListReceived{Kind: r.Kind})
 }
 
-// Resolved brings a resolver result.
-func (m *Module) Resolved(r Result) { m.post(func() { m.resolved(r) }) }
+// EndpointsUpdated brings a resolver result.
+func (m *Engine) EndpointsUpdated(r EndpointUpdate) { m.post(func() { m.resolved(r) }) }
 
-func (m *Module) resolved(r Result) {
+func (m *Engine) resolved(r EndpointUpdate) {
 	if r.Kind == decide.ListFailed {
 		m.failed(r)
 		return
 	}
-	if m.fetch != nil && r.Kind == decide.ListFull {
+	if m.fetch != nil && r.Kind == decide.ListSnapshot {
 		m.deadlines.drop(m.fetch.due)
 		m.fetch = nil
 	}
-	if !m.cfg.Settings.Subscribe && r.Kind != decide.ListRestored {
+	if !m.cfg.Settings.WatchList && r.Kind != decide.ListRestored {
 		m.endReach() // there is no watch that would tell
 	}
 	m.listAt = m.now
 	left := map[*subchannel]bool{} // that want nothing new, or are another process from now on
-	if r.Kind == decide.ListFull {
-		m.counters.Lists++
-		listed := make(map[decide.ServerID]bool, len(r.Instances))
-		for _, in := range r.Instances {
+	if r.Kind == decide.ListSnapshot {
+		m.counters.ListSnapshots++
+		listed := make(map[decide.ServerID]bool, len(r.Endpoints))
+		for _, in := range r.Endpoints {
 			listed[in.ID] = true
 		}
 		for id, s := range m.subchannels {
@@ -423,22 +423,22 @@
 			}
 		}
 	}
-	lines := make([]decide.Server, 0, len(r.Instances))
-	for _, in := range r.Instances {
+	lines := make([]decide.Server, 0, len(r.Endpoints))
+	for _, in := range r.Endpoints {
 		s := m.subchannels[in.ID]
 		if s == nil {
-			s = &subchannel{load: -1, Subchannel: Subchannel{Address: in.Address}, started: in.Started}
+			s = &subchannel{load: -1, Upstream: Upstream{Address: in.Address}, started: in.Started}
 			m.subchannels[in.ID] = s
 			m.listed++ // as ready, until setState tells
 		}
 		if in.State != decide.Ready || s.Address != in.Address || !s.started.Equal(in.Started) {
 			left[s] = true
 		}
-		s.Subchannel = Subchannel{ID: in.ID, Instance: in.Name, Address: in.Address}
+		s.Upstream = Upstream{ID: in.ID, Name: in.Name, Address: in.Address}
 		s.zone, s.started = in.Zone, in.Started
 		m.setState(s, in.State, r.Kind)
 		delete(m.departed, in.Name)
-		if in.State == decide.Gone {
+		if in.State == decide.Removed {
 			m.setGone(s)
 		}
 		line := in.Server
@@ -454,19 +454,19 @@
 
 // recall gives up the attempts that are on their way to room servers and not sent yet. Guards the grace of a drain: a
 // connection that comes up late would be a new send there.
-func (m *Module) recall(left map[*subchannel]bool) {
+func (m *Engine) recall(left map[*subchannel]bool) {
 	if len(left) == 0 {
 		return
 	}
 	for c := range m.dialing {
 		if c.out && c.phase == pending && left[c.server] {
-			c.ch.GiveUp(c.n, decide.Moot) // no room server is to blame
+			c.ch.CancelAttempt(c.n, decide.NotSent) // no room server is to blame
 		}
 	}
 }
 
 // setState notes when a room server was told to take nothing new.
-func (m *Module) setState(s *subchannel, state decide.State, kind decide.ListKind) {
+func (m *Engine) setState(s *subchannel, state decide.State, kind decide.ListKind) {
 	switch {
 	case state == decide.Ready:
 		s.told = 0
@@ -479,8 +479,8 @@
 }
 
 // count counts a room server in or out, so that nobody has to go through them all.
-func (m *Module) count(state decide.State, n int) {
-	if state != decide.Gone {
+func (m *Engine) count(state decide.State, n int) {
+	if state != decide.Removed {
 		m.listed += n
 	}
 	if state == decide.Draining {
@@ -489,27 +489,27 @@
 }
 
 // shut tells whether nothing may be sent to a room server any more.
-func (m *Module) shut(s *subchannel) bool {
-	return s.state == decide.Gone || s.told > 0 && m.now >= s.told+m.cfg.Settings.Rules.DrainGrace
+func (m *Engine) shut(s *subchannel) bool {
+	return s.state == decide.Removed || s.told > 0 && m.now >= s.told+m.cfg.Settings.Safety.DrainGrace
 }
 
-func (m *Module) setGone(s *subchannel) {
-	m.setState(s, decide.Gone, decide.ListChanges)
-	m.depart(s.Subchannel)
-	m.prober.Forget(s.ID)
+func (m *Engine) setGone(s *subchannel) {
+	m.setState(s, decide.Removed, decide.ListDelta)
+	m.depart(s.Upstream)
+	m.prober.Remove(s.ID)
 	m.dropGone(s)
 }
 
 // dropGone guards against a table that grows with each deploy: a room server that is gone stays in it only
 // while connections stand there. One that was listed again meanwhile has a new entry, which stays.
-func (m *Module) dropGone(s *subchannel) {
-	if s.state == decide.Gone && s.open == 0 && m.subchannels[s.ID] == s {
+func (m *Engine) dropGone(s *subchannel) {
+	if s.state == decide.Removed && s.open == 0 && m.subchannels[s.ID] == s {
 		delete(m.subchannels, s.ID)
 	}
 }
 
 // hostClock turns a wall time into host-clock time; 0 stays long ago.
-func (m *Module) hostClock(t time.Time) time.Duration {
+func (m *Engine) hostClock(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
@@ -518,7 +518,7 @@
 
 // ---- placement
 
-func (m *Module) place(a decide.Place) {
+func (m *Engine) place(a decide.StartAttempt) {
 	c := m.calls[a.ID]
 	if c == nil {
 		return
@@ -526,13 +526,13 @@
 	s := m.subchannels[a.Server]
 	if s == nil {
 		c.n++
-		m.handle(decide.Ended{ID: a.ID, Attempt: c.n, Server: a.Server, Code: decide.Moot, Report: decide.NoReport})
+		m.handle(decide.AttemptEnded{ID: a.ID, Attempt: c.n, Server: a.Server, Code: decide.NotSent, Report: decide.NoLoadReport})
 		return
 	}
-	c.attempt(s, a.Wait)
+	c.attempt(s, a.Timeout)
 }
 
-func (m *Module) newID() decide.RequestID {
+func (m *Engine) newID() decide.RequestID {
 	m.lastID++
 	return decide.RequestID(strconv.FormatUint(m.lastID, 10))
 }
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -12,7 +12,7 @@
 // Whatever another process tells as learned, the decision module stays sound: loads are none below 0, and no server is
 // left out for long.
 func FuzzLearned(f *testing.F) {
-	line, err := json.Marshal(learned{decide.Learned{Server: 1, Load: 0.4, Age: time.Second, Each: 0.1, Streak: 2, Out: time.Second}, "c1"})
+	line, err := json.Marshal(learned{decide.LearnedState{Server: 1, Load: 0.4, Age: time.Second, LoadPerConnection: 0.1, ConsecutiveFailures: 2, EjectedFor: time.Second}, "c1"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -22,15 +22,15 @@
 		if err != nil {
 			return
 		}
-		b, err := decide.New(decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "c", Aim: time.Second}}})
+		b, err := decide.New(decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "c", LatencyObjective: time.Second}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		const start = 24 * time.Hour
-		b.Handle(start, decide.ListReceived{Kind: decide.ListFull, Servers: []decide.Server{{ID: l.Server, Zone: "a"}}}, nil)
-		b.Learn([]decide.Learned{l})
-		for _, got := range b.Learned() {
-			if got.Load < 0 || got.Each < 0 || got.Streak < 0 || got.Out > time.Minute {
+		b.Handle(start, decide.ListReceived{Kind: decide.ListSnapshot, Servers: []decide.Server{{ID: l.Server, Zone: "a"}}}, nil)
+		b.ImportLearned([]decide.LearnedState{l})
+		for _, got := range b.ExportLearned() {
+			if got.Load < 0 || got.LoadPerConnection < 0 || got.ConsecutiveFailures < 0 || got.EjectedFor > time.Minute {
 				t.Errorf("%q is taken as %+v", raw, got)
 			}
 		}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -11,34 +11,34 @@
 	"cottonplank/decide"
 )
 
-// ErrOther is told of what was learned under other settings.
-var ErrOther = errors.New("learned: under other settings")
+// ErrOtherDeployment is told of what was learned under other settings.
+var ErrOtherDeployment = errors.New("learned: under other settings")
 
 // learned is such a line.
 type learned struct {
-	decide.Learned
+	decide.LearnedState
 	Of string `json:"of"` // the settings under which it was learned
 }
 
-// Customer names a customer's settings: what a load, a class or a room server is measured by. Neither the seed nor what
+// DeploymentID names a customer's settings: what a load, a class or a room server is measured by. Neither the seed nor what
 // may be tuned from one version to the next belongs to it.
-func Customer(s decide.Settings) string {
+func DeploymentID(s decide.Settings) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %q", s.Zone, s.Zones)
 	for _, c := range s.Classes {
-		fmt.Fprintf(h, " %q %d %d", c.Name, c.Repeat, c.Scope)
+		fmt.Fprintf(h, " %q %d %d", c.Name, c.Idempotency, c.KeyScope)
 	}
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Learned tells what the decision module has learned of the room servers, a line for each; nothing where the actor is
+// ExportLearned tells what the decision module has learned of the room servers, a line for each; nothing where the actor is
 // busy for longer than within.
-func (m *Module) Learned(within time.Duration) (lines []string) {
-	told := make(chan []decide.Learned, 1)
-	if m.await(within, func() { told <- m.balancer.Learned() }) != nil {
+func (m *Engine) ExportLearned(within time.Duration) (lines []string) {
+	told := make(chan []decide.LearnedState, 1)
+	if m.await(within, func() { told <- m.balancer.ExportLearned() }) != nil {
 		return nil
 	}
-	mine := Customer(m.cfg.Settings)
+	mine := DeploymentID(m.cfg.Settings)
 	for _, l := range <-told {
 		if raw, err := json.Marshal(learned{l, mine}); err == nil {
 			lines = append(lines, string(raw))
@@ -48,13 +48,13 @@
 }
 
 // DecodeLearned reads such a line. Guards against what a process of another customer's at the same address has learned.
-func DecodeLearned(line, customer string) (decide.Learned, error) {
+func DecodeLearned(line, customer string) (decide.LearnedState, error) {
 	var l learned
 	if err := json.Unmarshal([]byte(line), &l); err != nil {
-		return l.Learned, fmt.Errorf("learned: %w", err)
+		return l.LearnedState, fmt.Errorf("learned: %w", err)
 	}
 	if l.Of != customer {
-		return l.Learned, ErrOther
+		return l.LearnedState, ErrOtherDeployment
 	}
-	return l.Learned, nil
+	return l.LearnedState, nil
 }
--- a/internal/core/reach.go
+++ b/internal/core/reach.go
@@ -24,7 +24,7 @@
 
 // reach is the way back to discovery after a failed call. The module's actor owns it.
 type reach struct {
-	times  decide.Reach
+	times  decide.ReconnectSchedule
 	step   step
 	failed time.Duration // when the attempt that failed last was begun
 	dialed time.Duration // when the dial was begun that is out
@@ -36,28 +36,28 @@
 
 func newReach(cfg Config) reach {
 	atOnce := time.Duration(0)
-	if cfg.Pushed {
+	if cfg.ListPushed {
 		// What discovery has counts at its return, so that the watch has to be back before the grace is over.
-		atOnce = max(min(cfg.Settings.Rules.DrainGrace/4, pushedPause), pushedLeast)
+		atOnce = max(min(cfg.Settings.Safety.DrainGrace/4, pushedPause), pushedLeast)
 	}
-	return reach{times: decide.NewReach(cfg.Settings.Seed, max(cfg.Settings.Balancers, 1), atOnce), cancel: func() {}}
+	return reach{times: decide.NewReconnectSchedule(cfg.Settings.Seed, max(cfg.Settings.Balancers, 1), atOnce), cancel: func() {}}
 }
 
 // lostDiscovery begins the way back, or begins it anew, after an attempt that was begun at some time and has failed.
-func (m *Module) lostDiscovery(begun time.Duration) {
+func (m *Engine) lostDiscovery(begun time.Duration) {
 	m.reach.failed = begun
-	m.reachAt(m.reach.times.Dial(begun, m.now), m.dialDiscovery)
+	m.reachAt(m.reach.times.DialAt(begun, m.now), m.dialDiscovery)
 }
 
 // reachAt sets the next step.
-func (m *Module) reachAt(at time.Duration, next func()) {
+func (m *Engine) reachAt(at time.Duration, next func()) {
 	m.endReach()
 	m.reach.step = waiting
 	m.reach.due = m.deadlines.set(at, next)
 }
 
 // endReach gives up what is under way to discovery, the call that is out apart.
-func (m *Module) endReach() {
+func (m *Engine) endReach() {
 	r := &m.reach
 	m.deadlines.drop(r.due)
 	r.cancel()
@@ -66,14 +66,14 @@
 
 // reachedBy ends the way back, for a watch shows a sign of life: one that stood all the time does as well, as nothing is
 // missed. One of the address that was left does not speak for the one that is asked now.
-func (m *Module) reachedBy(watch uint64) {
+func (m *Engine) reachedBy(watch uint64) {
 	if watch > m.reach.moved {
 		m.endReach()
 	}
 }
 
 // dialDiscovery finds out whether discovery is there. A resolver that cannot tell is called at once.
-func (m *Module) dialDiscovery() {
+func (m *Engine) dialDiscovery() {
 	r := &m.reach
 	dialer, ok := m.resolver.(Dialer)
 	if !ok {
@@ -81,7 +81,7 @@
 		return
 	}
 	r.dialed = m.now
-	m.reachAt(m.now+r.times.DialWait(), func() { m.lostDiscovery(r.dialed) })
+	m.reachAt(m.now+r.times.DialTimeout(), func() { m.lostDiscovery(r.dialed) })
 	var ctx context.Context
 	ctx, r.cancel = context.WithCancel(m.ctx)
 	turn := r.turn
@@ -99,8 +99,8 @@
 }
 
 // foundDiscovery spreads the one call that follows.
-func (m *Module) foundDiscovery() {
-	m.reachAt(m.reach.times.Call(m.reach.failed, m.now), func() {
+func (m *Engine) foundDiscovery() {
+	m.reachAt(m.reach.times.CallAt(m.reach.failed, m.now), func() {
 		m.endReach()
 		m.reach.step = calling
 		m.askList()
--- a/internal/core/reach_test.go
+++ b/internal/core/reach_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-func dialling(t *testing.T) (*Module, *dialServers) {
+func dialling(t *testing.T) (*Engine, *dialServers) {
 	t.Helper()
-	m, err := New(Config{MaxChannels: 1, Log: func(string) {}, Settings: decide.Settings{Seed: 3, Zone: "a", Subscribe: true,
-		Balancers: 3, Rules: decide.Rules{MustAsk: 200 * time.Millisecond}, // the first poll comes at once
-		Classes: []decide.Class{{Name: "c", Aim: time.Second}}}})
+	m, err := New(Config{MaxClients: 1, Log: func(string) {}, Settings: decide.Settings{Seed: 3, Zone: "a", WatchList: true,
+		Balancers: 3, Safety: decide.SafetyLimits{MaxPollInterval: 200 * time.Millisecond}, // the first poll comes at once
+		Classes: []decide.Class{{Name: "c", LatencyObjective: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +53,8 @@
 // for for ever.
 func TestACallThatNobodyHeardOf(t *testing.T) {
 	t.Parallel()
-	m, f := answering(t, Config{Settings: decide.Settings{Subscribe: true}})
-	m.Rediscover("127.0.0.1:1")
+	m, f := answering(t, Config{Settings: decide.Settings{WatchList: true}})
+	m.SetDiscoveryAddress("127.0.0.1:1")
 	f.watches(t, 2)
 }
 
@@ -64,8 +64,8 @@
 	t.Parallel()
 	m, f := dialling(t)
 	f.watches(t, 1)
-	m.ListAlive(1)
-	m.Resolved(Result{Kind: decide.ListFailed, Watch: 1})
+	m.WatchAlive(1)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 1})
 	f.next(t).done(false)
 	hung := f.next(t)
 	again := f.next(t)
@@ -73,7 +73,7 @@
 		t.Error("two dials are out at once")
 	}
 	hung.done(true)
-	m.handleInTurn(decide.Subscribe{}, decide.FetchList{})
+	m.handleInTurn(decide.WatchList{}, decide.FetchList{})
 	settled(m)
 	f.mu.Lock()
 	if n := len(f.watch); n != 1 {
@@ -89,7 +89,7 @@
 }
 
 // handleInTurn carries out actions as if the decision module asked for them now.
-func (m *Module) handleInTurn(actions ...decide.Action) {
+func (m *Engine) handleInTurn(actions ...decide.Action) {
 	m.post(func() {
 		for _, a := range actions {
 			m.act(a)
@@ -102,16 +102,16 @@
 	t.Parallel()
 	m, f := dialling(t)
 	f.watches(t, 1)
-	m.ListAlive(1)
-	m.Rediscover("127.0.0.1:1")
+	m.WatchAlive(1)
+	m.SetDiscoveryAddress("127.0.0.1:1")
 	f.watches(t, 2)
-	m.Resolved(Result{Kind: decide.ListFailed, Watch: 2})
-	m.ListAlive(1)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
+	m.WatchAlive(1)
 	f.next(t).done(true)
 	f.watches(t, 3)
-	m.ListAlive(3)
-	m.Resolved(Result{Kind: decide.ListFailed}) // a list that was fetched beside it
-	m.ListAlive(3)
+	m.WatchAlive(3)
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed}) // a list that was fetched beside it
+	m.WatchAlive(3)
 	settled(m)
 	time.Sleep(2 * time.Second) // a dial would come 1.5 s after the failure at the latest
 	if n := len(f.dials); n > 0 {
--- a/internal/core/resume.go
+++ b/internal/core/resume.go
@@ -18,23 +18,23 @@
 
 // departure is a room server that has left the list.
 type departure struct {
-	Subchannel
+	Upstream
 	due *deadline
 }
 
 // depart keeps the address of a room server that is gone, where sessions are resumed.
-func (m *Module) depart(s Subchannel) {
-	if m.cfg.StateWait == 0 || len(m.departed) >= departMost {
+func (m *Engine) depart(s Upstream) {
+	if m.cfg.StateTimeout == 0 || len(m.departed) >= departMost {
 		return
 	}
-	if d, ok := m.departed[s.Instance]; ok {
+	if d, ok := m.departed[s.Name]; ok {
 		m.deadlines.drop(d.due)
 	}
-	m.departed[s.Instance] = departure{s, m.deadlines.set(m.now+departKeep, func() { delete(m.departed, s.Instance) })}
+	m.departed[s.Name] = departure{s, m.deadlines.set(m.now+departKeep, func() { delete(m.departed, s.Name) })}
 }
 
-// Dialled tells that an attempt has its connection, and that its line is yet to be written.
-func (m *Module) Dialled(c *Call, n int) {
+// AttemptDialed tells that an attempt has its connection, and that its line is yet to be written.
+func (m *Engine) AttemptDialed(c *Call, n int) {
 	m.post(func() {
 		if c.out && c.n == n {
 			m.deadlines.drop(c.connect)
@@ -42,30 +42,30 @@
 	})
 }
 
-// Locate asks where the room server is that holds the session of attempt n; Resumer.Holder brings the answer. From the
+// LocateHolder asks where the room server is that holds the session of attempt n; Resumer.Holder brings the answer. From the
 // first such question on, the state has StateWait to come. What is asked there is no request: it goes to one that
 // drains too.
-func (m *Module) Locate(c *Call, n int, instance string) {
+func (m *Engine) LocateHolder(c *Call, n int, instance string) {
 	m.post(func() {
 		if !c.out || c.n != n || c.phase != pending {
 			return
 		}
 		if c.state == nil {
-			c.state = m.deadlines.set(m.now+m.cfg.StateWait, func() { c.startOver(Late) })
+			c.state = m.deadlines.set(m.now+m.cfg.StateTimeout, func() { c.startOver(ReasonStateTimeout) })
 		}
 		id := ServerID(instance)
-		if s := m.subchannels[id]; s != nil && s.Instance == instance {
-			c.req.Resume.Holder(n, s.Subchannel, true)
+		if s := m.subchannels[id]; s != nil && s.Name == instance {
+			c.req.Resumer.HolderLocated(n, s.Upstream, true)
 			return
 		}
 		d, known := m.departed[instance]
-		c.req.Resume.Holder(n, d.Subchannel, known)
+		c.req.Resumer.HolderLocated(n, d.Upstream, known)
 	})
 }
 
-// Fetched tells that the state has come. The attempt's time begins anew, as far as the client waits: what the state took
+// StateFetched tells that the state has come. The attempt's time begins anew, as far as the client waits: what the state took
 // is no fault of the room server that is to have it.
-func (m *Module) Fetched(c *Call, n int) {
+func (m *Engine) StateFetched(c *Call, n int) {
 	m.post(func() {
 		if c.out && c.n == n && c.phase == pending {
 			m.deadlines.drop(c.wait)
@@ -77,7 +77,7 @@
 }
 
 // StartOver tells that attempt n found that its session cannot go on: that is the final answer.
-func (m *Module) StartOver(c *Call, n int, why Reason) {
+func (m *Engine) StartOver(c *Call, n int, why Reason) {
 	m.post(func() {
 		if c.out && c.n == n {
 			c.startOver(why)
@@ -85,8 +85,8 @@
 	})
 }
 
-// Later tells that the session of attempt n is held by another request: come again is the final answer.
-func (m *Module) Later(c *Call, n int, after time.Duration) {
+// RetryLater tells that the session of attempt n is held by another request: come again is the final answer.
+func (m *Engine) RetryLater(c *Call, n int, after time.Duration) {
 	m.post(func() {
 		if c.out && c.n == n {
 			c.after = after
@@ -95,8 +95,8 @@
 	})
 }
 
-// RefuseToken tells of a request whose token is refused before anything is asked for it.
-func (m *Module) RefuseToken(c *Call, r Request, why Reason) {
+// RejectToken tells of a request whose token is refused before anything is asked for it.
+func (m *Engine) RejectToken(c *Call, r Request, why Reason) {
 	m.post(func() {
 		if c.phase == accepted && c.take(r) {
 			c.startOver(why)
@@ -104,13 +104,13 @@
 	})
 }
 
-// TokenGiven tells that a client was given a token, or was not as no key seals.
-func (m *Module) TokenGiven(sealed bool) {
+// TokenIssued tells that a client was given a token, or was not as no key seals.
+func (m *Engine) TokenIssued(sealed bool) {
 	m.post(func() {
 		if sealed {
-			m.counters.Given++
+			m.counters.TokensIssued++
 		} else {
-			m.counters.Unsealed++
+			m.counters.TokensUnsealed++
 		}
 	})
 }
@@ -122,9 +122,9 @@
 		return
 	}
 	c.m.counters.StartedOver[why]++
-	c.req.Resume.StartOver(why)
+	c.req.Resumer.StartOver(why)
 	if c.out {
-		c.ended(c.n, decide.Cancelled, decide.NoReport)
+		c.ended(c.n, decide.Cancelled, decide.NoLoadReport)
 	}
 	delete(c.m.calls, c.id)
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -11,7 +11,7 @@
 )
 
 // many are room servers, each of its own name and derived number.
-func many(n int) (all []Instance) {
+func many(n int) (all []Endpoint) {
 	used := map[decide.ServerID]bool{}
 	for i := 0; len(all) < n; i++ {
 		in := instance(fmt.Sprintf("s-%08x", i))
@@ -33,16 +33,16 @@
 }
 
 // still is a module that no actor runs, with a list.
-func still(t testing.TB, n int) *Module {
+func still(t testing.TB, n int) *Engine {
 	t.Helper()
-	m, err := New(Config{Settings: decide.Settings{Zone: "a", Subscribe: true, Classes: []decide.Class{{Name: "solo-play", Aim: time.Second}}},
-		MaxChannels: 10, Log: func(string) {}})
+	m, err := New(Config{Settings: decide.Settings{Zone: "a", WatchList: true, Classes: []decide.Class{{Name: "solo-play", LatencyObjective: time.Second}}},
+		MaxClients: 10, Log: func(string) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.ctx, m.prober, m.resolver = context.Background(), &fakeServers{}, &fakeServers{}
 	m.handle(decide.Started{})
-	m.resolved(Result{Kind: decide.ListFull, Instances: many(n)})
+	m.resolved(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: many(n)})
 	return m
 }
 
@@ -59,14 +59,14 @@
 		}) / times; got > 4096 {
 			t.Errorf("%d room servers: a snapshot takes %d bytes", n, got)
 		}
-		if s := m.Snapshot(); s.Listed != n || s.Avoided != 0 || s.Subchannels != nil {
-			t.Errorf("%d of %d are listed, %d left out, %d rows", s.Listed, n, s.Avoided, len(s.Subchannels))
+		if s := m.Snapshot(); s.Listed != n || s.Ejected != 0 || s.Upstreams != nil {
+			t.Errorf("%d of %d are listed, %d left out, %d rows", s.Listed, n, s.Ejected, len(s.Upstreams))
 		}
 		one := many(1)
 		if got := taken(func() {
 			for i := range times {
 				one[0].Weight = float64(1 + i%2)
-				m.resolved(Result{Kind: decide.ListChanges, Instances: one})
+				m.resolved(EndpointUpdate{Kind: decide.ListDelta, Endpoints: one})
 			}
 		}) / times; got > 4096 {
 			t.Errorf("%d room servers: a change takes %d bytes", n, got)
@@ -91,36 +91,52 @@
 	t.Parallel()
 	all := many(300)
 	m := run(t, 10, all...)
-	leave := func(state decide.State, from, to int) (some []Instance) {
+	leave := func(state decide.State, from, to int) (some []Endpoint) {
 		for _, in := range all[from:to] {
 			in.State = state
 			some = append(some, in)
 		}
 		return some
 	}
-	fail := func(in Instance) { // until it is ejected
-		m.post(func() { m.handle(decide.Probed{Server: in.ID, Code: decide.ServerError, Report: decide.NoReport}) })
+	fail := func(in Endpoint) { // until it is ejected
+		m.post(func() {
+			m.handle(decide.ProbeCompleted{Server: in.ID, Code: decide.ServerError, Report: decide.NoLoadReport})
+		})
 	}
 	for i, v := range []struct {
 		do              func()
 		listed, avoided int
 	}{
 		{func() {}, 300, 0},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Draining, 0, 20)}) }, 300, 20},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Draining, 10, 20)}) }, 300, 20},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Gone, 0, 5)}) }, 295, 15},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Gone, 0, 5)}) }, 295, 15},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Draining, 0, 20)})
+		}, 300, 20},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Draining, 10, 20)})
+		}, 300, 20},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Removed, 0, 5)})
+		}, 295, 15},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Removed, 0, 5)})
+		}, 295, 15},
 		{func() { fail(all[100]); fail(all[101]) }, 295, 17},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Draining, 100, 101)}) }, 295, 17},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Gone, 101, 102)}) }, 294, 16},
-		{func() { m.Resolved(Result{Kind: decide.ListChanges, Instances: leave(decide.Ready, 0, 20)}) }, 299, 1},
-		{func() { m.Resolved(Result{Kind: decide.ListFull, Instances: all[:200]}) }, 200, 2}, // ejected still
-		{func() { m.Resolved(Result{Kind: decide.ListFull}) }, 0, 0},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Draining, 100, 101)})
+		}, 295, 17},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Removed, 101, 102)})
+		}, 294, 16},
+		{func() {
+			m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: leave(decide.Ready, 0, 20)})
+		}, 299, 1},
+		{func() { m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: all[:200]}) }, 200, 2}, // ejected still
+		{func() { m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot}) }, 0, 0},
 	} {
 		v.do()
-		s := m.Fresh(10 * time.Second)
-		if s.Listed != v.listed || s.Avoided > v.avoided { // an ejection ends by itself
-			t.Errorf("%d: %d listed and %d left out, want %d and %d", i, s.Listed, s.Avoided, v.listed, v.avoided)
+		s := m.CurrentSnapshot(10 * time.Second)
+		if s.Listed != v.listed || s.Ejected > v.avoided { // an ejection ends by itself
+			t.Errorf("%d: %d listed and %d left out, want %d and %d", i, s.Listed, s.Ejected, v.listed, v.avoided)
 		}
 		d := detailed(m)
 		listed, avoided := 0, 0
@@ -128,9 +144,9 @@
 		m.post(func() {
 			defer close(done)
 			for _, sub := range m.subchannels {
-				if sub.state != decide.Gone {
+				if sub.state != decide.Removed {
 					listed++
-					if sub.state == decide.Draining || m.balancer.Avoids(sub.ID) {
+					if sub.state == decide.Draining || m.balancer.Ejected(sub.ID) {
 						avoided++
 					}
 				}
@@ -139,11 +155,11 @@
 			s = m.Snapshot()
 		})
 		<-done
-		if s.Listed != listed || s.Avoided != avoided || len(d.Subchannels) != listed {
-			t.Errorf("%d: %d listed, %d left out, %d rows, counted %d and %d", i, s.Listed, s.Avoided, len(d.Subchannels), listed, avoided)
+		if s.Listed != listed || s.Ejected != avoided || len(d.Upstreams) != listed {
+			t.Errorf("%d: %d listed, %d left out, %d rows, counted %d and %d", i, s.Listed, s.Ejected, len(d.Upstreams), listed, avoided)
 		}
-		for k := range d.Subchannels[min(1, len(d.Subchannels)):] {
-			if d.Subchannels[k].ID >= d.Subchannels[k+1].ID {
+		for k := range d.Upstreams[min(1, len(d.Upstreams)):] {
+			if d.Upstreams[k].ID >= d.Upstreams[k+1].ID {
 				t.Fatalf("%d: row %d is out of order", i, k)
 			}
 		}
@@ -158,7 +174,7 @@
 		ch := &fakeChannel{}
 		c := m.ask(ch, 10*time.Second)
 		ch.wait(t, "attempt 0")
-		m.Up(c, 0)
+		m.AttemptAccepted(c, 0)
 	}
 	out := &fakeChannel{}
 	m.ask(out, 10*time.Second)
@@ -170,7 +186,7 @@
 	}
 	drains := instance("s-1")
 	drains.State = decide.Draining
-	m.Resolved(Result{Kind: decide.ListChanges, Instances: []Instance{drains}})
+	m.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta, Endpoints: []Endpoint{drains}})
 	out.wait(t, "attempt 0 s-1, give up 0")
 }
 
@@ -192,9 +208,9 @@
 			m.detail()
 		})
 		one := many(1)
-		run("change", func() { m.resolved(Result{Kind: decide.ListChanges, Instances: one}) })
+		run("change", func() { m.resolved(EndpointUpdate{Kind: decide.ListDelta, Endpoints: one}) })
 		run("change decided", func() {
-			m.handle(decide.ListReceived{Kind: decide.ListChanges, Servers: []decide.Server{one[0].Server}})
+			m.handle(decide.ListReceived{Kind: decide.ListDelta, Servers: []decide.Server{one[0].Server}})
 		})
 	}
 }
--- a/internal/discovery/endpoint/roomlist.go
+++ b/internal/discovery/endpoint/list.go
@@ -15,11 +15,11 @@
 	"strings"
 )
 
-// MaxRooms bounds a list.
-const MaxRooms = 1 << 16
+// MaxEntries bounds a list.
+const MaxEntries = 1 << 16
 
-// Room is one room server.
-type Room struct {
+// Entry is one room server.
+type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -28,22 +28,22 @@
 }
 
 // List is a sound list, ordered by name.
-type List struct{ Rooms []Room }
+type List struct{ Entries []Entry }
 
 // Parse reads a list, {"rooms":[{"name":...,"address":...,"zone":...}]}. Errors name the entry, the key and the value. An
 // empty list is an error: it would send every client away.
 func Parse(raw []byte) (List, error) {
 	var file struct {
-		Rooms []Room `json:"rooms"`
+		Rooms []Entry `json:"rooms"`
 	}
-	if err := Decode(raw, &file, "list"); err != nil {
+	if err := DecodeStrict(raw, &file, "list"); err != nil {
 		return List{}, err
 	}
-	return Check(file.Rooms)
+	return NewList(file.Rooms)
 }
 
-// Decode reads one JSON value and nothing after it, without unknown keys; what names it in the error of more. Errors name the key.
-func Decode(raw []byte, into any, what string) error {
+// DecodeStrict reads one JSON value and nothing after it, without unknown keys; what names it in the error of more. Errors name the key.
+func DecodeStrict(raw []byte, into any, what string) error {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.DisallowUnknownFields()
 	if err := in.Decode(into); err != nil {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Check tells what is faulty in one room server; the error names the key and the value.
-func (r Room) Check() error {
+// Validate tells what is faulty in one room server; the error names the key and the value.
+func (r Entry) Validate() error {
 	if r.Name == "" || strings.ContainsFunc(r.Name, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		return fmt.Errorf("name: %q is empty or not printable ASCII without spaces", r.Name)
 	}
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// Check makes a list of room servers that came otherwise than as a file. It sorts them in place. Errors are as Parse's.
-func Check(rooms []Room) (List, error) {
-	if len(rooms) == 0 || len(rooms) > MaxRooms {
-		return List{}, fmt.Errorf("rooms: %d of them, 1 to %d expected", len(rooms), MaxRooms)
+// NewList makes a list of room servers that came otherwise than as a file. It sorts them in place. Errors are as Parse's.
+func NewList(rooms []Entry) (List, error) {
+	if len(rooms) == 0 || len(rooms) > MaxEntries {
+		return List{}, fmt.Errorf("rooms: %d of them, 1 to %d expected", len(rooms), MaxEntries)
 	}
 	names, addresses := map[string]int{}, map[string]int{}
 	for i, r := range rooms {
-		if err := r.Check(); err != nil {
+		if err := r.Validate(); err != nil {
 			return List{}, fmt.Errorf("rooms[%d].%w", i, err)
 		}
 		if j, there := names[r.Name]; there {
@@ -94,7 +94,7 @@
 		}
 		names[r.Name], addresses[r.Address] = i, i
 	}
-	byName := func(a, b Room) int { return cmp.Compare(a.Name, b.Name) }
+	byName := func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) }
 	if !slices.IsSortedFunc(rooms, byName) { // what is sorted may be in others' hands
 		slices.SortFunc(rooms, byName)
 	}
@@ -126,11 +126,11 @@
 
 // Diff tells what after changes in before.
 func Diff(before, after List) (c Change) {
-	old := map[string]Room{}
-	for _, r := range before.Rooms {
+	old := map[string]Entry{}
+	for _, r := range before.Entries {
 		old[r.Name] = r
 	}
-	for _, r := range after.Rooms {
+	for _, r := range after.Entries {
 		o, there := old[r.Name]
 		delete(old, r.Name)
 		switch {
@@ -144,7 +144,7 @@
 			c.Changed = append(c.Changed, r.Name)
 		}
 	}
-	for _, r := range before.Rooms {
+	for _, r := range before.Entries {
 		if _, left := old[r.Name]; left {
 			c.Removed = append(c.Removed, r.Name)
 		}
@@ -152,38 +152,38 @@
 	return c
 }
 
-// Verdict says what becomes of a list that was found.
-type Verdict uint8
+// Decision says what becomes of a list that was found.
+type Decision uint8
 
 // The verdicts.
 const (
-	Same Verdict = iota // nothing changes
-	Take
-	Hold // it takes away over half of the room servers that serve; the operator must ask for it once more
+	Unchanged Decision = iota // nothing changes
+	Apply
+	NeedsConfirmation // it takes away over half of the room servers that serve; the operator must ask for it once more
 )
 
-// Keeper holds the list in force and the one that waits for its confirmation.
-type Keeper struct {
+// ChangeGuard holds the list in force and the one that waits for its confirmation.
+type ChangeGuard struct {
 	current List
 	held    *List
 }
 
-// NewKeeper returns a keeper of the first list.
-func NewKeeper(first List) *Keeper { return &Keeper{current: first} }
+// NewChangeGuard returns a keeper of the first list.
+func NewChangeGuard(first List) *ChangeGuard { return &ChangeGuard{current: first} }
 
 // Current is the list in force.
-func (k *Keeper) Current() List { return k.current }
+func (k *ChangeGuard) Current() List { return k.current }
 
-// Offer judges a list that was found. asked says that the operator asked for it by a signal: the second time in a row
+// Propose judges a list that was found. asked says that the operator asked for it by a signal: the second time in a row
 // that one is asked for which was held, it is taken.
-func (k *Keeper) Offer(found List, asked bool) (Verdict, Change) {
+func (k *ChangeGuard) Propose(found List, asked bool) (Decision, Change) {
 	change := Diff(k.current, found)
 	if change.Empty() {
 		k.held = nil
-		return Same, change
+		return Unchanged, change
 	}
 	serving := 0
-	for _, r := range k.current.Rooms {
+	for _, r := range k.current.Entries {
 		if !r.Drain {
 			serving++
 		}
@@ -193,7 +193,7 @@
 		removed[name] = true
 	}
 	lost := len(change.Drained)
-	for _, r := range k.current.Rooms {
+	for _, r := range k.current.Entries {
 		if !r.Drain && removed[r.Name] {
 			lost++
 		}
@@ -201,8 +201,8 @@
 	again := k.held != nil && Diff(*k.held, found).Empty()
 	if 2*lost > serving && !(asked && again) {
 		k.held = &found
-		return Hold, change
+		return NeedsConfirmation, change
 	}
 	k.current, k.held = found, nil
-	return Take, change
+	return Apply, change
 }
--- a/internal/discovery/endpoint/roomlist_test.go
+++ b/internal/discovery/endpoint/list_test.go
@@ -14,7 +14,7 @@
 	var l List
 	for i, name := range rooms {
 		name, drains := strings.CutSuffix(name, "!")
-		l.Rooms = append(l.Rooms, Room{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "a", Drain: drains})
+		l.Entries = append(l.Entries, Entry{Name: name, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), Zone: "a", Drain: drains})
 	}
 	return l
 }
@@ -37,7 +37,7 @@
 			t.Errorf("%s: %v, want it to say %q", text, err, says)
 		}
 	}
-	if l, err := Parse([]byte(`{"rooms":[` + room + `]}`)); err != nil || len(l.Rooms) != 1 || l.Rooms[0].Zone != "a" {
+	if l, err := Parse([]byte(`{"rooms":[` + room + `]}`)); err != nil || len(l.Entries) != 1 || l.Entries[0].Zone != "a" {
 		t.Error(l, err)
 	}
 }
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l, err := Parse(raw); err != nil || len(l.Rooms) != 3 {
+	if l, err := Parse(raw); err != nil || len(l.Entries) != 3 {
 		t.Error(l, err)
 	}
 }
@@ -56,27 +56,27 @@
 // What changes is told by kind; over half of those that serve are taken away only when that is asked for twice, of the same
 // list. Guards a fleet against a file that was cut or mixed up.
 func TestKeeper(t *testing.T) {
-	k := NewKeeper(list("a", "b", "c", "d"))
+	k := NewChangeGuard(list("a", "b", "c", "d"))
 	for i, v := range []struct {
 		found   List
 		asked   bool
-		verdict Verdict
+		verdict Decision
 		says    string
 	}{
-		{list("a", "b", "c", "d"), false, Same, "nothing"},
-		{list("a", "b", "c!", "d", "e"), false, Take, "added e; drained c"}, // 4 serve
-		{list("a", "b", "c", "d", "e"), false, Take, "returned c"},
-		{list("a", "b"), false, Hold, "removed c d e"}, {list("a", "b"), false, Hold, "removed c d e"},
-		{list("a", "b!"), true, Hold, "drained b; removed c d e"}, // another one than that which was held
-		{list("a", "b", "c", "d", "e"), false, Same, "nothing"},   // it is withdrawn
-		{list("a", "b!"), true, Hold, "drained b; removed c d e"}, {list("a", "b!"), true, Take, "drained b; removed c d e"},
-		{list("b!"), true, Hold, "changed b; removed a"}, {list("a"), false, Take, "removed b"},
+		{list("a", "b", "c", "d"), false, Unchanged, "nothing"},
+		{list("a", "b", "c!", "d", "e"), false, Apply, "added e; drained c"}, // 4 serve
+		{list("a", "b", "c", "d", "e"), false, Apply, "returned c"},
+		{list("a", "b"), false, NeedsConfirmation, "removed c d e"}, {list("a", "b"), false, NeedsConfirmation, "removed c d e"},
+		{list("a", "b!"), true, NeedsConfirmation, "drained b; removed c d e"}, // another one than that which was held
+		{list("a", "b", "c", "d", "e"), false, Unchanged, "nothing"},           // it is withdrawn
+		{list("a", "b!"), true, NeedsConfirmation, "drained b; removed c d e"}, {list("a", "b!"), true, Apply, "drained b; removed c d e"},
+		{list("b!"), true, NeedsConfirmation, "changed b; removed a"}, {list("a"), false, Apply, "removed b"},
 	} {
-		if verdict, change := k.Offer(v.found, v.asked); verdict != v.verdict || change.String() != v.says {
+		if verdict, change := k.Propose(v.found, v.asked); verdict != v.verdict || change.String() != v.says {
 			t.Errorf("%d: verdict %d, %s, want %d, %s", i, verdict, change, v.verdict, v.says)
 		}
 	}
-	if len(k.Current().Rooms) != 1 {
+	if len(k.Current().Entries) != 1 {
 		t.Errorf("in force: %+v", k.Current())
 	}
 }
@@ -86,7 +86,7 @@
 	fuzzcorpus.Add(f, []byte(`{"rooms":[{"name":"s-1","address":"127.0.0.1:9000","zone":"a","weight":1.5,"drain":true}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := Parse(raw)
-		if err == nil && (len(l.Rooms) == 0 || l.Rooms[0].Name == "" || l.Rooms[0].Zone == "") {
+		if err == nil && (len(l.Entries) == 0 || l.Entries[0].Name == "" || l.Entries[0].Zone == "") {
 			t.Errorf("%q is taken as %+v", raw, l)
 		}
 	})
@@ -96,27 +96,27 @@
 func TestLongLists(t *testing.T) {
 	long := func(n int) (rooms List, raw []byte) {
 		for i := range n {
-			rooms.Rooms = append(rooms.Rooms, Room{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
+			rooms.Entries = append(rooms.Entries, Entry{Name: fmt.Sprintf("s-%05d", i), Zone: "a",
 				Address: fmt.Sprintf("127.%d.%d.%d:9000", i>>16, i>>8&255, i&255)})
 		}
-		raw, _ = json.Marshal(map[string]any{"rooms": rooms.Rooms}) // strings and numbers always do
+		raw, _ = json.Marshal(map[string]any{"rooms": rooms.Entries}) // strings and numbers always do
 		return rooms, raw
 	}
 	whole, raw := long(20_000)
 	l, err := Parse(raw)
-	if err != nil || len(l.Rooms) != 20_000 {
-		t.Fatalf("%d room servers, %v", len(l.Rooms), err)
+	if err != nil || len(l.Entries) != 20_000 {
+		t.Fatalf("%d room servers, %v", len(l.Entries), err)
 	}
-	if _, raw := long(MaxRooms + 1); len(raw) > 0 {
+	if _, raw := long(MaxEntries + 1); len(raw) > 0 {
 		if _, err := Parse(raw); err == nil {
 			t.Error("one more than the bound is taken")
 		}
 	}
-	k := NewKeeper(whole)
-	if verdict, _ := k.Offer(List{whole.Rooms[:9_999]}, false); verdict != Hold {
+	k := NewChangeGuard(whole)
+	if verdict, _ := k.Propose(List{whole.Entries[:9_999]}, false); verdict != NeedsConfirmation {
 		t.Errorf("over half of them may be taken away: %d", verdict)
 	}
-	if verdict, _ := k.Offer(List{whole.Rooms[:10_000]}, false); verdict != Take {
+	if verdict, _ := k.Propose(List{whole.Entries[:10_000]}, false); verdict != Apply {
 		t.Errorf("half of them may not be taken away: %d", verdict)
 	}
 }
--- a/internal/discovery/filesource/roomfile.go
+++ b/internal/discovery/filesource/source.go
@@ -27,23 +27,17 @@
 	orderSize  = 8
 )
 
-// Sink takes what the actor learns.
-type Sink interface {
-	Resolved(core.Result)
-	ListAlive(watch uint64)
-}
-
 // Source is the actor.
 type Source struct {
 	path   string
-	sink   Sink
+	sink   core.UpdateHandler
 	log    *logrus.Logger
-	turns  core.Turns // nil: nobody hears
+	turns  core.Watchdog // nil: nobody hears
 	orders chan order
 	offers chan endpoint.List
 
 	// Owned by Run's goroutine.
-	keeper *endpoint.Keeper
+	keeper *endpoint.ChangeGuard
 	watch  order       // the latest
 	failed string      // what was said of the file last
 	read   os.FileInfo // the file when it was read last; nil: it is to be read
@@ -70,36 +64,36 @@
 	return l, nil
 }
 
-// Instances are a list's room servers as the core has them.
-func Instances(l endpoint.List) (all []core.Instance) {
-	for _, r := range l.Rooms {
+// Endpoints are a list's room servers as the core has them.
+func Endpoints(l endpoint.List) (all []core.Endpoint) {
+	for _, r := range l.Entries {
 		state := decide.Ready
 		if r.Drain {
 			state = decide.Draining
 		}
-		all = append(all, core.Instance{Name: r.Name, Address: r.Address, Server: decide.Server{ID: core.ServerID(r.Name),
+		all = append(all, core.Endpoint{Name: r.Name, Address: r.Address, Server: decide.Server{ID: core.ServerID(r.Name),
 			Zone: r.Zone, State: state, Weight: r.Weight}})
 	}
 	return all
 }
 
 // New returns the actor of a file, with the list that was read from it.
-func New(path string, first endpoint.List, sink Sink, log *logrus.Logger) *Source {
-	return &Source{path: path, sink: sink, log: log, keeper: endpoint.NewKeeper(first), orders: make(chan order, orderSize),
+func New(path string, first endpoint.List, sink core.UpdateHandler, log *logrus.Logger) *Source {
+	return &Source{path: path, sink: sink, log: log, keeper: endpoint.NewChangeGuard(first), orders: make(chan order, orderSize),
 		offers: make(chan endpoint.List)}
 }
 
-// Watch lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) Watch(turns core.Turns) { s.turns = turns }
+// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
+func (s *Source) SetWatchdog(turns core.Watchdog) { s.turns = turns }
 
-// Move is discovery's; a file has no address.
-func (s *Source) Move(string) {}
+// SetAddress is discovery's; a file has no address.
+func (s *Source) SetAddress(string) {}
 
-// Subscribe answers with the list in force, and from then on with its changes.
-func (s *Source) Subscribe(ctx context.Context, watch uint64) { s.order(order{ctx, watch}) }
+// Watch answers with the list in force, and from then on with its changes.
+func (s *Source) Watch(ctx context.Context, watch uint64) { s.order(order{ctx, watch}) }
 
-// FetchList answers with the list in force.
-func (s *Source) FetchList(ctx context.Context) { s.order(order{ctx, 0}) }
+// Fetch answers with the list in force.
+func (s *Source) Fetch(ctx context.Context) { s.order(order{ctx, 0}) }
 
 // order is a call of the core's.
 type order struct {
@@ -114,8 +108,8 @@
 	}
 }
 
-// Offer brings a list that the operator asked to take over by a signal, and was read from the file.
-func (s *Source) Offer(ctx context.Context, l endpoint.List) {
+// Propose brings a list that the operator asked to take over by a signal, and was read from the file.
+func (s *Source) Propose(ctx context.Context, l endpoint.List) {
 	select {
 	case s.offers <- l:
 	case <-ctx.Done():
@@ -147,15 +141,15 @@
 		case <-ctx.Done():
 			return
 		case o := <-s.orders:
-			core.Turn(s.turns, func() {
+			core.RunMonitored(s.turns, func() {
 				if o.watch != 0 {
 					s.watch = o
-					s.sink.ListAlive(o.watch)
+					s.sink.WatchAlive(o.watch)
 				}
-				s.sink.Resolved(core.Result{Kind: decide.ListFull, Instances: Instances(s.keeper.Current())})
+				s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(s.keeper.Current())})
 			})
 		case l := <-s.offers:
-			core.Turn(s.turns, func() { s.found(l, true) })
+			core.RunMonitored(s.turns, func() { s.found(l, true) })
 		case <-signs:
 			if since.IsZero() {
 				since = time.Now()
@@ -166,12 +160,12 @@
 			read.Reset(settle)
 		case <-read.C:
 			since = time.Time{}
-			core.Turn(s.turns, s.take)
+			core.RunMonitored(s.turns, s.take)
 		case <-look.C:
-			core.Turn(s.turns, s.look)
+			core.RunMonitored(s.turns, s.look)
 		case <-alive.C:
 			if s.watch.ctx != nil && s.watch.ctx.Err() == nil {
-				core.Turn(s.turns, func() { s.sink.ListAlive(s.watch.watch) })
+				core.RunMonitored(s.turns, func() { s.sink.WatchAlive(s.watch.watch) })
 			}
 		}
 	}
@@ -207,19 +201,19 @@
 }
 
 func (s *Source) found(l endpoint.List, asked bool) {
-	verdict, change := s.keeper.Offer(l, asked)
+	verdict, change := s.keeper.Propose(l, asked)
 	switch verdict {
-	case endpoint.Same:
+	case endpoint.Unchanged:
 		s.failed = ""
-	case endpoint.Hold:
+	case endpoint.NeedsConfirmation:
 		text := "rooms: held: " + change.String()
 		if text != s.failed || asked {
 			s.log.WithField("change", change.String()).Error("rooms: the list takes over half of the room servers away; it is taken when SIGHUP asks for it once more")
 		}
 		s.failed = text
-	case endpoint.Take:
+	case endpoint.Apply:
 		s.failed = ""
 		s.log.WithField("change", change.String()).Info("rooms: list taken over")
-		s.sink.Resolved(core.Result{Kind: decide.ListFull, Instances: Instances(l)})
+		s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(l)})
 	}
 }
--- a/internal/discovery/filesource/roomfile_test.go
+++ b/internal/discovery/filesource/source_test.go
@@ -26,9 +26,9 @@
 	alive int
 }
 
-func (s *sink) Resolved(r core.Result) {
+func (s *sink) EndpointsUpdated(r core.EndpointUpdate) {
 	var names []string
-	for _, in := range r.Instances {
+	for _, in := range r.Endpoints {
 		name := in.Name
 		if in.State == decide.Draining {
 			name += "!"
@@ -40,7 +40,7 @@
 	s.names, s.lists = strings.Join(names, " "), s.lists+1
 }
 
-func (s *sink) ListAlive(uint64) {
+func (s *sink) WatchAlive(uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.alive++
@@ -95,7 +95,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { s.Run(ctx) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	s.Subscribe(ctx, 1)
+	s.Watch(ctx, 1)
 	return s, got
 }
 
@@ -189,7 +189,7 @@
 	got.want(t, "a b c d")
 	put(t, path, text("a"))
 	time.Sleep(lookEvery + 3*settle)
-	s.FetchList(t.Context())
+	s.Fetch(t.Context())
 	l, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 	if names, _, alive := got.get(); names != "a b c d" || alive == 0 {
 		t.Errorf("the list is %q, %d signs of life", names, alive)
 	}
-	s.Offer(t.Context(), l)
+	s.Propose(t.Context(), l)
 	got.want(t, "a")
 }
 
@@ -211,8 +211,8 @@
 	put(t, path, strings.Replace(text(names...), `"zone":"a"`, `"zone": "a"`, 1))
 	s := New(path, endpoint.List{}, &sink{}, logrus.New())
 	s.log.SetOutput(io.Discard)
-	if s.look(); len(s.keeper.Current().Rooms) != 20_000 || s.read != nil {
-		t.Fatalf("%d room servers, and a file that was just written passes for read", len(s.keeper.Current().Rooms))
+	if s.look(); len(s.keeper.Current().Entries) != 20_000 || s.read != nil {
+		t.Fatalf("%d room servers, and a file that was just written passes for read", len(s.keeper.Current().Entries))
 	}
 	age := func(seconds int) {
 		t.Helper()
@@ -228,12 +228,12 @@
 	}
 	put(t, path, text(append(names, "s-20000")...))
 	age(60) // as old, but another file
-	if s.look(); len(s.keeper.Current().Rooms) != 20_001 {
-		t.Errorf("%d room servers", len(s.keeper.Current().Rooms))
+	if s.look(); len(s.keeper.Current().Entries) != 20_001 {
+		t.Errorf("%d room servers", len(s.keeper.Current().Entries))
 	}
 	put(t, path, "{")
 	age(90)
-	if s.look(); s.read != nil || len(s.keeper.Current().Rooms) != 20_001 {
+	if s.look(); s.read != nil || len(s.keeper.Current().Entries) != 20_001 {
 		t.Error("a faulty file passes for read")
 	}
 }
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -33,18 +33,18 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var states = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Gone}
+var states = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
 
 // Listing is a decoded list.
 type Listing struct {
 	Generation int64
 	Reset      bool // the whole list, not only changes
-	Instances  []core.Instance
+	Endpoints  []core.Endpoint
 }
 
-// Decode reads a list in discovery's form. One bad line spoils the whole of it: half a list would look like
+// DecodeListing reads a list in discovery's form. One bad line spoils the whole of it: half a list would look like
 // room servers that are gone.
-func Decode(raw []byte) (Listing, error) {
+func DecodeListing(raw []byte) (Listing, error) {
 	values := json.NewDecoder(bytes.NewReader(raw))
 	l, err := decodeNext(values, func() {})
 	if err != nil {
@@ -78,7 +78,7 @@
 			err = errors.New("instances are there twice")
 		case strings.EqualFold(name, "instances"):
 			listed = true
-			l.Instances, err = decodeInstances(values, passed)
+			l.Endpoints, err = decodeInstances(values, passed)
 		default:
 			var unknown json.RawMessage
 			err = values.Decode(&unknown)
@@ -115,7 +115,7 @@
 	return err
 }
 
-func decodeInstances(values *json.Decoder, passed func()) (all []core.Instance, err error) {
+func decodeInstances(values *json.Decoder, passed func()) (all []core.Endpoint, err error) {
 	first, err := values.Token()
 	if err != nil || first == nil { // null: none
 		return nil, err
@@ -147,7 +147,7 @@
 	return all, err
 }
 
-func (w wireInstance) decode() (in core.Instance, err error) {
+func (w wireInstance) decode() (in core.Endpoint, err error) {
 	if w.InstanceID == "" {
 		return in, errors.New("instanceId is empty")
 	}
@@ -155,13 +155,13 @@
 	if !ok {
 		return in, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
 	}
-	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && state != decide.Gone {
+	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && state != decide.Removed {
 		return in, fmt.Errorf("hostPort: %q is no address and port", w.HostPort)
 	}
 	if w.Weight < 0 || w.StartedAtMs < 0 {
 		return in, errors.New("weight or startedAtMs is below 0")
 	}
-	in = core.Instance{Name: w.InstanceID, Address: w.HostPort, Server: decide.Server{
+	in = core.Endpoint{Name: w.InstanceID, Address: w.HostPort, Server: decide.Server{
 		ID: core.ServerID(w.InstanceID), Zone: w.Zone, Cell: w.Cell, State: state, Weight: w.Weight}}
 	if w.StartedAtMs > 0 {
 		in.Started = time.UnixMilli(w.StartedAtMs)
--- a/internal/discovery/httpsource/fuzz_test.go
+++ b/internal/discovery/httpsource/fuzz_test.go
@@ -10,9 +10,9 @@
 func FuzzDecode(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(list), []byte(`{"generation":0,"instances":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		l, err := Decode(raw)
-		for _, in := range l.Instances {
-			if err != nil || in.Name == "" || in.State > decide.Gone || in.Weight < 0 {
+		l, err := DecodeListing(raw)
+		for _, in := range l.Endpoints {
+			if err != nil || in.Name == "" || in.State > decide.Removed || in.Weight < 0 {
 				t.Errorf("%q is taken as %+v, %v", raw, in, err)
 			}
 		}
--- a/internal/discovery/httpsource/return_test.go
+++ b/internal/discovery/httpsource/return_test.go
@@ -22,20 +22,20 @@
 
 type noProbes struct{}
 
-func (noProbes) Probe(context.Context, uint64, core.Subchannel) {}
-func (noProbes) Forget(decide.ServerID)                         {}
+func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
+func (noProbes) Remove(decide.ServerID)                       {}
 
 // fleet runs so many modules, each with a resolver of its own, that find discovery at one address.
-func fleet(t *testing.T, n int, address string, cfg core.Config) (all []*core.Module) {
+func fleet(t *testing.T, n int, address string, cfg core.Config) (all []*core.Engine) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	t.Cleanup(func() { cancel(); running.Wait() })
-	cfg.MaxChannels, cfg.Log = 10, func(string) {}
-	cfg.Settings.Zone, cfg.Settings.Classes = "a", []decide.Class{{Name: "c", Aim: time.Second}}
-	cfg.Settings.Rules.DrainGrace, cfg.Settings.Rules.MustAsk = 500*time.Millisecond, 10*time.Second
+	cfg.MaxClients, cfg.Log = 10, func(string) {}
+	cfg.Settings.Zone, cfg.Settings.Classes = "a", []decide.Class{{Name: "c", LatencyObjective: time.Second}}
+	cfg.Settings.Safety.DrainGrace, cfg.Settings.Safety.MaxPollInterval = 500*time.Millisecond, 10*time.Second
 	for i := range n {
 		cfg.Settings.Seed = uint64(i + 1)
 		m, err := core.New(cfg)
@@ -51,11 +51,11 @@
 }
 
 // heard waits until each has a list of so many, and tells how long the last one took.
-func heard(t *testing.T, all []*core.Module, entries int) time.Duration {
+func heard(t *testing.T, all []*core.Engine, entries int) time.Duration {
 	t.Helper()
 	start, last := time.Now(), time.Duration(0)
 	for _, m := range all {
-		for m.Fresh(time.Second).Listed != entries {
+		for m.CurrentSnapshot(time.Second).Listed != entries {
 			if time.Since(start) > 60*time.Second {
 				t.Fatalf("a list has %d entries, want %d", m.Snapshot().Listed, entries)
 			}
@@ -79,20 +79,20 @@
 		cfg    core.Config
 		within time.Duration
 	}{
-		{"refused", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"reset", emulator.Resets, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"503", emulator.Unavailable, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"hung", emulator.Hangs, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"cut off", emulator.CutOff, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
+		{"refused", emulator.Refuses, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
+		{"reset", emulator.Resets, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
+		{"503", emulator.Unavailable, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
+		{"hung", emulator.Hangs, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
+		{"cut off", emulator.CutOff, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
 		{"in turn", emulator.Refuses, 250 * time.Millisecond,
-			core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}}, toldAfter},
-		{"2300", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 2300}}, toldAfter},
+			core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}}, toldAfter},
+		{"2300", emulator.Refuses, 0, core.Config{Settings: decide.Settings{WatchList: true, Balancers: 2300}}, toldAfter},
 		{"polled", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, toldAfter},
 		// Pushed: what discovery has counts at once, and nothing new is sent after the grace.
-		{"pushed", emulator.Refuses, 0, core.Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Balancers: 300}},
+		{"pushed", emulator.Refuses, 0, core.Config{ListPushed: true, Settings: decide.Settings{WatchList: true, Balancers: 300}},
 			500 * time.Millisecond},
 		{"pushed, 503", emulator.Unavailable, 0,
-			core.Config{Pushed: true, Settings: decide.Settings{Subscribe: true, Balancers: 300}}, 500 * time.Millisecond},
+			core.Config{ListPushed: true, Settings: decide.Settings{WatchList: true, Balancers: 300}}, 500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -102,20 +102,20 @@
 			if c.each > 0 {
 				handler = emulator.InTurn(handler, c.each, time.Second)
 			}
-			door, err := emulator.NewDoor(handler)
+			door, err := emulator.NewFaultyListener(handler)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(door.Close)
 			all := fleet(t, balancers, door.Address(), c.cfg)
 			heard(t, all, 1)
-			if err := door.Turn(c.outage); err != nil {
+			if err := door.SetOutage(c.outage); err != nil {
 				t.Fatal(err)
 			}
 			d.Tell("s-2", "127.0.0.1:9", "a", "active")
 			time.Sleep(down)
 			dials, calls := door.Dials.Load(), door.Calls.Load()
-			if err := door.Turn(emulator.Open); err != nil {
+			if err := door.SetOutage(emulator.Open); err != nil {
 				t.Fatal(err)
 			}
 			last := heard(t, all, 2)
@@ -132,31 +132,31 @@
 	t.Parallel()
 	d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	d.Tell("s-1", "127.0.0.1:9", "a", "active")
-	var doors []*emulator.Door
+	var doors []*emulator.FaultyListener
 	for range 2 {
-		door, err := emulator.NewDoor(d.Handler("any"))
+		door, err := emulator.NewFaultyListener(d.Handler("any"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(door.Close)
 		doors = append(doors, door)
 	}
-	all := fleet(t, 12, doors[0].Address(), core.Config{Settings: decide.Settings{Subscribe: true, Balancers: 300}})
+	all := fleet(t, 12, doors[0].Address(), core.Config{Settings: decide.Settings{WatchList: true, Balancers: 300}})
 	heard(t, all, 1)
 	for _, door := range doors {
-		if err := door.Turn(emulator.Refuses); err != nil {
+		if err := door.SetOutage(emulator.Refuses); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.Sleep(4 * time.Second)
 	for _, m := range all {
-		m.Rediscover(doors[1].Address())
+		m.SetDiscoveryAddress(doors[1].Address())
 	}
 	time.Sleep(4 * time.Second)
 	for i := range 4 {
 		d.Tell(fmt.Sprint("t-", i), "127.0.0.1:9", "a", "active")
 	}
-	if err := doors[1].Turn(emulator.Open); err != nil {
+	if err := doors[1].SetOutage(emulator.Open); err != nil {
 		t.Fatal(err)
 	}
 	if last := heard(t, all, 5); last > toldAfter {
--- a/internal/discovery/httpsource/resolver.go
+++ b/internal/discovery/httpsource/source.go
@@ -22,22 +22,16 @@
 	orderSize = 8
 )
 
-// Sink takes what the resolver learns.
-type Sink interface {
-	Resolved(core.Result)
-	ListAlive(watch uint64)
-}
-
-// Resolver is the list's actor.
-type Resolver struct {
+// Source is the list's actor.
+type Source struct {
 	client *http.Client
-	sink   Sink
+	sink   core.UpdateHandler
 	log    *logrus.Logger
 	orders chan call
 	moves  chan string
 	news   chan news
 	calls  sync.WaitGroup
-	turns  core.Turns // nil: nobody hears
+	turns  core.Watchdog // nil: nobody hears
 
 	// Owned by Run's goroutine.
 	address    string
@@ -73,8 +67,8 @@
 }
 
 // New returns a resolver for discovery at an address, with a list of the given version.
-func New(address string, generation int64, sink Sink, log *logrus.Logger) *Resolver {
-	return &Resolver{
+func New(address string, generation int64, sink core.UpdateHandler, log *logrus.Logger) *Source {
+	return &Source{
 		address: address, url: listURL(address), sink: sink, log: log, generation: generation, listed: true,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
 		orders: make(chan call, orderSize), moves: make(chan string, orderSize), news: make(chan news),
@@ -84,9 +78,9 @@
 
 func listURL(address string) string { return "http://" + address + listPath }
 
-// Move turns to discovery at another address, for the calls that are ordered after it. The list as it is, and the
+// SetAddress turns to discovery at another address, for the calls that are ordered after it. The list as it is, and the
 // watch that brings its changes, stand until the first of them is answered.
-func (r *Resolver) Move(address string) {
+func (r *Source) SetAddress(address string) {
 	select {
 	case r.moves <- address:
 	default:
@@ -94,20 +88,20 @@
 	}
 }
 
-// Subscribe asks for what has changed and for all changes from then on.
-func (r *Resolver) Subscribe(ctx context.Context, watch uint64) {
+// Watch asks for what has changed and for all changes from then on.
+func (r *Source) Watch(ctx context.Context, watch uint64) {
 	r.order(call{ctx: ctx, watch: true, id: watch})
 }
 
-// FetchList asks for the whole list once.
-func (r *Resolver) FetchList(ctx context.Context) { r.order(call{ctx: ctx}) }
+// Fetch asks for the whole list once.
+func (r *Source) Fetch(ctx context.Context) { r.order(call{ctx: ctx}) }
 
 // Dial finds out whether discovery takes a connection, without a call.
-func (r *Resolver) Dial(ctx context.Context, done func(there bool)) {
+func (r *Source) Dial(ctx context.Context, done func(there bool)) {
 	r.order(call{ctx: ctx, dialed: done})
 }
 
-func (r *Resolver) order(c call) {
+func (r *Source) order(c call) {
 	select {
 	case r.orders <- c:
 	default: // guards the module's actor: it never waits, and asks again when nothing comes
@@ -115,26 +109,26 @@
 	}
 }
 
-// Watch lets a watchdog hear of the actor's turns; it is called before Run.
-func (r *Resolver) Watch(turns core.Turns) { r.turns = turns }
+// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
+func (r *Source) SetWatchdog(turns core.Watchdog) { r.turns = turns }
 
 // Run is the actor; it ends with ctx and with all its calls.
-func (r *Resolver) Run(ctx context.Context) {
+func (r *Source) Run(ctx context.Context) {
 	defer r.calls.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case c := <-r.orders:
-			core.Turn(r.turns, func() { r.begin(ctx, c) })
+			core.RunMonitored(r.turns, func() { r.begin(ctx, c) })
 		case n := <-r.news:
-			core.Turn(r.turns, func() { r.hear(n) })
+			core.RunMonitored(r.turns, func() { r.hear(n) })
 		}
 	}
 }
 
 // begin makes a call.
-func (r *Resolver) begin(ctx context.Context, c call) {
+func (r *Source) begin(ctx context.Context, c call) {
 	r.takeMoves() // those ordered before this call come before it
 	if c.dialed != nil {
 		address := r.address
@@ -148,7 +142,7 @@
 	r.calls.Go(func() { r.call(ctx, c) })
 }
 
-func (r *Resolver) takeMoves() {
+func (r *Source) takeMoves() {
 	for {
 		select {
 		case address := <-r.moves:
@@ -161,7 +155,7 @@
 }
 
 // there dials and lets go at once: discovery has no work with it.
-func (r *Resolver) there(ctx context.Context, address string) bool {
+func (r *Source) there(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
@@ -172,7 +166,7 @@
 
 // hear takes a list, a sign of life or the end of a call. A watch goes on until the first answer of a newer one,
 // which ends it; what it still says then is old.
-func (r *Resolver) hear(n news) {
+func (r *Source) hear(n news) {
 	if n.call.watch && n.call.number < r.watching {
 		return
 	}
@@ -184,7 +178,7 @@
 	}
 	if n.err != nil {
 		r.log.WithError(n.err).Warn("discovery: call failed")
-		r.sink.Resolved(core.Result{Kind: decide.ListFailed, Watch: n.call.id})
+		r.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListFailed, WatchID: n.call.id})
 		return
 	}
 	if n.call.watch {
@@ -192,15 +186,15 @@
 			r.endWatch()
 			r.watching, r.endWatch = n.call.number, n.call.cancel
 		}
-		r.sink.ListAlive(n.call.id)
+		r.sink.WatchAlive(n.call.id)
 	}
 	l := n.listing
 	if l == nil {
 		return
 	}
-	result := core.Result{Kind: decide.ListChanges, Instances: l.Instances}
+	result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: l.Endpoints}
 	if l.Reset {
-		result.Kind = decide.ListFull
+		result.Kind = decide.ListSnapshot
 	}
 	switch {
 	case n.call.era != r.era: // the old address's watch: its changes count, its versions do not
@@ -208,15 +202,15 @@
 		// Guards against what another call has overtaken, a whole list or the changes after the version with which a
 		// watch was opened: it would bring back what drains. A whole list before that version, or one of the watch that
 		// brought the version in force, is of a discovery that has begun anew.
-		result = core.Result{Kind: decide.ListChanges}
+		result = core.EndpointUpdate{Kind: decide.ListDelta}
 	default:
 		r.generation, r.by, r.listed = l.Generation, n.call.number, r.listed || l.Reset
 	}
-	r.sink.Resolved(result)
+	r.sink.EndpointsUpdated(result)
 }
 
 // call makes one call and brings what it says to the actor.
-func (r *Resolver) call(ctx context.Context, c call) {
+func (r *Source) call(ctx context.Context, c call) {
 	defer c.cancel()
 	from := c.from
 	heard := func(l *Listing) {
@@ -239,7 +233,7 @@
 	}
 }
 
-func (r *Resolver) tell(ctx context.Context, n news) {
+func (r *Source) tell(ctx context.Context, n news) {
 	select {
 	case r.news <- n:
 	case <-ctx.Done():
@@ -247,7 +241,7 @@
 }
 
 // read makes one HTTP call and hands on so many lists of its answer, 0: all, and nil for each empty line.
-func (r *Resolver) read(c call, url string, most int, heard func(*Listing)) error {
+func (r *Source) read(c call, url string, most int, heard func(*Listing)) error {
 	req, err := http.NewRequestWithContext(c.ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("list request: %w", err)
--- a/internal/discovery/httpsource/resolver_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -55,12 +55,12 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.Subscribe(ctx, 1)
-	s.want(t, decide.ListFull, 20_000)
-	s.want(t, decide.ListChanges, 1)
-	s.want(t, decide.ListFull, 20_000)
-	if l, err := Decode([]byte(whole)); err != nil || len(l.Instances) != 20_000 {
-		t.Errorf("%d entries, %v", len(l.Instances), err)
+	r.Watch(ctx, 1)
+	s.want(t, decide.ListSnapshot, 20_000)
+	s.want(t, decide.ListDelta, 1)
+	s.want(t, decide.ListSnapshot, 20_000)
+	if l, err := DecodeListing([]byte(whole)); err != nil || len(l.Endpoints) != 20_000 {
+		t.Errorf("%d entries, %v", len(l.Endpoints), err)
 	}
 	each := func(n int) (allocations, bytes float64) {
 		raw := long(n)
@@ -149,20 +149,20 @@
 				sound = false
 			}
 		}
-		l, err := Decode([]byte(raw))
+		l, err := DecodeListing([]byte(raw))
 		if sound != (err == nil) || sound && (l.Generation != *want.Generation || l.Reset != want.Reset ||
-			len(l.Instances) != len(want.Instances)) {
+			len(l.Endpoints) != len(want.Instances)) {
 			t.Errorf("%s: %+v, %v, want %v", raw, l, err, sound)
 		}
 	}
 }
 
 func TestDecode(t *testing.T) {
-	l, err := Decode([]byte(list))
-	if err != nil || l.Generation != 41 || !l.Reset || len(l.Instances) != 1 {
+	l, err := DecodeListing([]byte(list))
+	if err != nil || l.Generation != 41 || !l.Reset || len(l.Endpoints) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	in := l.Instances[0]
+	in := l.Endpoints[0]
 	if in.Name != "s-5be2a07c" || in.ID != core.ServerID(in.Name) || in.Zone != "a" || in.Cell != 3 ||
 		in.State != decide.Ready || !in.Started.Equal(time.UnixMilli(1700000000000)) {
 		t.Errorf("%+v", in)
@@ -171,7 +171,7 @@
 		{`"active"`, `"asleep"`}, {`"s-5be2a07c"`, `""`}, {`10.1.0.18:9000`, `nowhere`}, {`1.0`, `-1`},
 		{`"generation":41,`, ``}, {`}]}`, `}]`}, {`"cell":3`, `"cell":"x"`},
 	} {
-		if l, err := Decode([]byte(strings.Replace(list, bad.old, bad.new, 1))); err == nil {
+		if l, err := DecodeListing([]byte(strings.Replace(list, bad.old, bad.new, 1))); err == nil {
 			t.Errorf("%s for %s: taken as %+v", bad.new, bad.old, l)
 		}
 	}
@@ -179,18 +179,18 @@
 
 // sink keeps what comes.
 type sink struct {
-	results chan core.Result
+	results chan core.EndpointUpdate
 	alive   chan uint64 // nil: nobody looks
 }
 
-func (s *sink) Resolved(r core.Result) { s.results <- r }
-func (s *sink) ListAlive(watch uint64) { s.alive <- watch }
+func (s *sink) EndpointsUpdated(r core.EndpointUpdate) { s.results <- r }
+func (s *sink) WatchAlive(watch uint64)                { s.alive <- watch }
 
 func (s *sink) want(t *testing.T, kind decide.ListKind, lines int) {
 	t.Helper()
 	select {
 	case r := <-s.results:
-		if r.Kind != kind || len(r.Instances) != lines {
+		if r.Kind != kind || len(r.Endpoints) != lines {
 			t.Fatalf("result %+v, want kind %d with %d lines", r, kind, lines)
 		}
 	case <-time.After(10 * time.Second):
@@ -199,10 +199,10 @@
 }
 
 // discovery is a stand-in whose answers a test gives.
-func discovery(t *testing.T, answer http.HandlerFunc) (*Resolver, *sink) {
+func discovery(t *testing.T, answer http.HandlerFunc) (*Source, *sink) {
 	t.Helper()
 	server := httptest.NewServer(answer)
-	s := &sink{results: make(chan core.Result, 10), alive: make(chan uint64, 100)}
+	s := &sink{results: make(chan core.EndpointUpdate, 10), alive: make(chan uint64, 100)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := New(strings.TrimPrefix(server.URL, "http://"), 40, s, log)
@@ -237,22 +237,22 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.FetchList(ctx)
-	s.want(t, decide.ListFull, 1)
-	r.Subscribe(ctx, 1)
+	r.Fetch(ctx)
+	s.want(t, decide.ListSnapshot, 1)
+	r.Watch(ctx, 1)
 	if got := <-from; got != "41" {
 		t.Errorf("watch from %s", got)
 	}
 	more <- `{"generation":42,"reset":false,"instances":[]}`
-	s.want(t, decide.ListChanges, 0)
+	s.want(t, decide.ListDelta, 0)
 	more <- ``
 	more <- strings.Replace(strings.Replace(list, "41", "43", 1), "true", "false", 1)
-	s.want(t, decide.ListChanges, 1)
-	r.FetchList(ctx) // its answer is older than what the watch brought: it changes nothing
-	s.want(t, decide.ListChanges, 0)
+	s.want(t, decide.ListDelta, 1)
+	r.Fetch(ctx) // its answer is older than what the watch brought: it changes nothing
+	s.want(t, decide.ListDelta, 0)
 	more <- `garbage` // the watch ends there, and the next one asks from the last version that was read
 	s.want(t, decide.ListFailed, 0)
-	r.Subscribe(ctx, 1)
+	r.Watch(ctx, 1)
 	if got := <-from; got != "43" {
 		t.Errorf("watch after garbage from %s", got)
 	}
@@ -277,8 +277,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.Subscribe(ctx, 1)
-	s.want(t, decide.ListFull, 1)
+	r.Watch(ctx, 1)
+	s.want(t, decide.ListSnapshot, 1)
 	asked, answer := make(chan string, 10), make(chan struct{})
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		asked <- req.URL.RawQuery
@@ -290,21 +290,21 @@
 		}
 	}))
 	t.Cleanup(func() { next.CloseClientConnections(); next.Close() })
-	r.Move(strings.TrimPrefix(next.URL, "http://"))
-	r.Subscribe(ctx, 1)
+	r.SetAddress(strings.TrimPrefix(next.URL, "http://"))
+	r.Watch(ctx, 1)
 	if got := <-asked; got != "" {
 		t.Errorf("the first call at the new address asks for %q, want the whole list", got)
 	}
 	old <- strings.Replace(strings.Replace(list, "41", "401", 1), "true", "false", 1)
-	s.want(t, decide.ListChanges, 1)
+	s.want(t, decide.ListDelta, 1)
 	close(cut)
 	answer <- struct{}{}
-	s.want(t, decide.ListFull, 1)
+	s.want(t, decide.ListSnapshot, 1)
 	if got := <-asked; got != "watch=1&from=7" {
 		t.Errorf("then it asks for %q", got)
 	}
 	close(answer)
-	s.want(t, decide.ListFull, 1)
+	s.want(t, decide.ListSnapshot, 1)
 }
 
 // Errors, garbage and a call that hangs are failed calls and nothing worse.
@@ -340,9 +340,9 @@
 			r, s := discovery(t, answer)
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
-			r.Subscribe(ctx, 1)
+			r.Watch(ctx, 1)
 			s.want(t, decide.ListFailed, 0)
-			r.FetchList(ctx)
+			r.Fetch(ctx)
 			s.want(t, decide.ListFailed, 0)
 		})
 	}
@@ -362,7 +362,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.Subscribe(ctx, 7)
+	r.Watch(ctx, 7)
 	alive := func(times int) {
 		t.Helper()
 		for range times {
@@ -384,16 +384,16 @@
 	for _, text := range strings.SplitAfter(indented, "\n") {
 		pieces <- text
 	}
-	s.want(t, decide.ListFull, 1)
+	s.want(t, decide.ListSnapshot, 1)
 	alive(1)
 	pieces <- "\r\n\r\n"
 	alive(1)
 	pieces <- changes + changes + "\n\n" + changes[:40]
-	s.want(t, decide.ListChanges, 1)
-	s.want(t, decide.ListChanges, 1)
+	s.want(t, decide.ListDelta, 1)
+	s.want(t, decide.ListDelta, 1)
 	alive(3)
 	pieces <- changes[40:] + "\n"
-	s.want(t, decide.ListChanges, 1)
+	s.want(t, decide.ListDelta, 1)
 	alive(1)
 	pieces <- changes[:len(changes)-1] + "\n\n\n"
 	close(pieces) // half a list, and the end
@@ -422,7 +422,7 @@
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			r.Subscribe(ctx, 1)
+			r.Watch(ctx, 1)
 			s.want(t, decide.ListFailed, 0)
 			if len(s.alive) > 0 {
 				t.Error("it counts as alive")
@@ -466,21 +466,21 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			r.Subscribe(ctx, 1)
+			r.Watch(ctx, 1)
 			first <- list
-			s.want(t, decide.ListFull, 1)
-			r.Subscribe(ctx, 2)
+			s.want(t, decide.ListSnapshot, 1)
+			r.Watch(ctx, 2)
 			if from := <-came; from != "41" {
 				t.Fatalf("the second watch asks from %s", from)
 			}
 			first <- at("43")
-			s.want(t, decide.ListChanges, 1)
+			s.want(t, decide.ListDelta, 1)
 			second <- old
-			s.want(t, decide.ListChanges, 0)
+			s.want(t, decide.ListDelta, 0)
 			second <- at("42")
-			s.want(t, decide.ListChanges, 0)
+			s.want(t, decide.ListDelta, 0)
 			second <- at("44")
-			s.want(t, decide.ListChanges, 1)
+			s.want(t, decide.ListDelta, 1)
 		})
 	}
 }
@@ -493,8 +493,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.Subscribe(ctx, 1)
-	s.want(t, decide.ListFull, 1)
-	r.FetchList(ctx)
-	s.want(t, decide.ListFull, 1)
+	r.Watch(ctx, 1)
+	s.want(t, decide.ListSnapshot, 1)
+	r.Fetch(ctx)
+	s.want(t, decide.ListSnapshot, 1)
 }
--- a/internal/frontend/platform/channel.go
+++ b/internal/frontend/platform/channel.go
@@ -15,7 +15,7 @@
 // channel is the actor of one client: it owns the client's connection and the one to its room server. Commands
 // come from the core through the mailbox, news from its own readers.
 type channel struct {
-	front  *Front
+	front  *Frontend
 	call   *core.Call
 	client *net.TCPConn
 	text   *textproto.Conn
@@ -78,7 +78,7 @@
 
 // run is the actor. It returns when both connections are closed.
 func (c *channel) run(ctx context.Context) {
-	defer c.front.module.Closed(c.call)
+	defer c.front.module.ClientClosed(c.call)
 	defer c.closeUp(false)
 	defer c.closeHolder()
 	defer c.front.free()
@@ -109,7 +109,7 @@
 		c.begin(n.line, n.at)
 	case newsEarly:
 		if !c.stands {
-			c.front.module.Malformed(c.call)
+			c.front.module.RequestMalformed(c.call)
 		}
 	case newsClientEnd:
 		return c.clientEnded(n.err)
@@ -132,20 +132,20 @@
 	first, err := parseFirst(line, c.front.names)
 	// Guards sessions against a client that tells a room server to attach one, as only a balancer may.
 	if err != nil || first.session && c.front.resuming != nil {
-		c.front.module.Malformed(c.call)
+		c.front.module.RequestMalformed(c.call)
 		return
 	}
 	c.first = first
 	r := core.Request{ID: first.id, Class: first.class, Key: first.key, Group: first.group,
 		Deadline: at.Add(first.wait), Load: first.load, Returning: first.returning}
 	if first.at != "" {
-		c.front.module.Reopen(c.call, r, core.ServerID(first.at), reopenWithin)
+		c.front.module.RestoreConnection(c.call, r, core.ServerID(first.at), reopenWithin)
 		return
 	}
 	if !c.beginSession(&r, at) {
 		return
 	}
-	c.front.module.Request(c.call, r)
+	c.front.module.RequestReceived(c.call, r)
 }
 
 // reopenWithin is how long a connection that was open before the start may take to stand again.
--- a/internal/frontend/platform/channel_client.go
+++ b/internal/frontend/platform/channel_client.go
@@ -61,7 +61,7 @@
 				pings = 0
 			}
 			err = c.text.PrintfLine("%s", c.front.pong())
-			c.front.module.Pinged(c.call)
+			c.front.module.HealthCheckReceived(c.call)
 			if err == nil {
 				continue
 			}
@@ -108,7 +108,7 @@
 		}
 		if time.Since(told) >= begunEvery {
 			told = time.Now()
-			c.front.module.Begun(c.call)
+			c.front.module.FirstLineStarted(c.call)
 		}
 	}
 	return textline.Read(c.text.R)
--- a/internal/frontend/platform/channel_commands.go
+++ b/internal/frontend/platform/channel_commands.go
@@ -18,7 +18,7 @@
 }
 
 type (
-	attemptCommand struct{ core.CallAttempt }
+	attemptCommand struct{ core.Attempt }
 	giveUpCommand  struct {
 		n   int
 		why decide.Code
@@ -30,7 +30,7 @@
 	dropCommand        struct{}
 	holderCommand      struct {
 		n      int
-		server core.Subchannel
+		server core.Upstream
 		known  bool
 	}
 	startOverCommand struct{ why core.Reason }
@@ -45,29 +45,31 @@
 	}
 }
 
-// Attempt starts a call attempt.
-func (c *channel) Attempt(a core.CallAttempt) { c.enqueue(attemptCommand{a}) }
+// StartAttempt starts a call attempt.
+func (c *channel) StartAttempt(a core.Attempt) { c.enqueue(attemptCommand{a}) }
 
-// GiveUp asks for the end of a call attempt that has no answer.
-func (c *channel) GiveUp(n int, why decide.Code) { c.enqueue(giveUpCommand{n, why}) }
+// CancelAttempt asks for the end of a call attempt that has no answer.
+func (c *channel) CancelAttempt(n int, why decide.Code) { c.enqueue(giveUpCommand{n, why}) }
 
-// Stand passes the room server's answer to the client and relays from then on.
-func (c *channel) Stand(n int) { c.enqueue(standCommand{n}) }
+// Establish passes the room server's answer to the client and relays from then on.
+func (c *channel) Establish(n int) { c.enqueue(standCommand{n}) }
 
-// Unavailable answers that trying again is harmless, and closes.
-func (c *channel) Unavailable(retryAfter time.Duration) { c.enqueue(unavailableCommand{retryAfter}) }
+// Reject answers that trying again is harmless, and closes.
+func (c *channel) Reject(retryAfter time.Duration) { c.enqueue(unavailableCommand{retryAfter}) }
 
 // Fail answers that the request failed, and closes.
 func (c *channel) Fail() { c.enqueue(failCommand{}) }
 
-// Move sends the client of a standing connection away.
-func (c *channel) Move() { c.enqueue(moveCommand{}) }
+// Migrate sends the client of a standing connection away.
+func (c *channel) Migrate() { c.enqueue(moveCommand{}) }
 
-// Drop closes whatever is still open.
-func (c *channel) Drop() { c.enqueue(dropCommand{}) }
+// Abort closes whatever is still open.
+func (c *channel) Abort() { c.enqueue(dropCommand{}) }
 
-// Holder answers what Locate asked.
-func (c *channel) Holder(n int, s core.Subchannel, known bool) { c.enqueue(holderCommand{n, s, known}) }
+// HolderLocated answers what Locate asked.
+func (c *channel) HolderLocated(n int, s core.Upstream, known bool) {
+	c.enqueue(holderCommand{n, s, known})
+}
 
 // StartOver is the final answer that the session cannot go on.
 func (c *channel) StartOver(why core.Reason) { c.enqueue(startOverCommand{why}) }
@@ -75,7 +77,7 @@
 func (cmd attemptCommand) execute(ctx context.Context, c *channel) bool {
 	c.closeUp(false)
 	c.dropCall()
-	c.dial(ctx, cmd.CallAttempt)
+	c.dial(ctx, cmd.Attempt)
 	return true
 }
 
@@ -97,7 +99,7 @@
 func (failCommand) execute(_ context.Context, c *channel) bool { return c.answer("ERR") }
 
 func (cmd startOverCommand) execute(_ context.Context, c *channel) bool {
-	return c.answer(protocol.Anew(string(cmd.why)))
+	return c.answer(protocol.StartOverLine(string(cmd.why)))
 }
 
 func (cmd holderCommand) execute(ctx context.Context, c *channel) bool { return c.located(ctx, cmd) }
--- a/internal/frontend/platform/channel_relay.go
+++ b/internal/frontend/platform/channel_relay.go
@@ -60,9 +60,9 @@
 	}
 	c.awaiting = yes
 	if yes {
-		c.front.module.Awaiting(c.call)
+		c.front.module.ResponseAwaited(c.call)
 	} else {
-		c.front.module.Answered(c.call)
+		c.front.module.ServerResponded(c.call)
 	}
 }
 
@@ -89,7 +89,7 @@
 			switch word, rest, _ := bytes.Cut(bytes.TrimRight(raw, "\r\n"), []byte{' '}); string(word) {
 			case "LOAD":
 				if load, err := parseLoad(string(rest)); err == nil {
-					c.front.module.Load(c.call, load)
+					c.front.module.SetLoad(c.call, load)
 				}
 			case "BYE":
 				code, ended = decide.OK, true
@@ -135,7 +135,7 @@
 		return false
 	}
 	c.left = true
-	c.front.module.Lingering(c.call)
+	c.front.module.HalfClosed(c.call)
 	return true
 }
 
@@ -143,7 +143,7 @@
 func (c *channel) leave(reset bool) {
 	n := c.up.n
 	c.closeUp(reset)
-	c.front.module.Ended(c.call, n, decide.Cancelled, decide.NoReport)
+	c.front.module.AttemptEnded(c.call, n, decide.Cancelled, decide.NoLoadReport)
 }
 
 // serverEnded passes the server's end on to the client in the same way, or finishes a move.
@@ -167,11 +167,11 @@
 	} else if !errors.Is(n.err, io.EOF) {
 		c.client.SetLinger(0)
 		c.closeUp(true)
-		c.front.module.Ended(c.call, number, n.code, decide.NoReport)
+		c.front.module.AttemptEnded(c.call, number, n.code, decide.NoLoadReport)
 		return false
 	}
 	c.closeUp(false)
-	c.front.module.Ended(c.call, number, n.code, decide.NoReport)
-	c.front.module.Lingering(c.call)
+	c.front.module.AttemptEnded(c.call, number, n.code, decide.NoLoadReport)
+	c.front.module.HalfClosed(c.call)
 	return c.client.CloseWrite() == nil
 }
--- a/internal/frontend/platform/channel_upstream.go
+++ b/internal/frontend/platform/channel_upstream.go
@@ -29,15 +29,15 @@
 
 // dial starts a call attempt. The dial has its own goroutine; the line is written by the actor, so that an
 // attempt that was given up meanwhile writes nothing.
-func (c *channel) dial(ctx context.Context, a core.CallAttempt) {
+func (c *channel) dial(ctx context.Context, a core.Attempt) {
 	ctx, cancel := context.WithCancel(ctx)
-	up := &upstream{n: a.N, cancel: cancel, start: make(chan struct{}), wait: a.Wait}
+	up := &upstream{n: a.Number, cancel: cancel, start: make(chan struct{}), wait: a.Timeout}
 	c.up = up
 	if c.session != nil {
-		c.session.at = a.Server
+		c.session.at = a.Upstream
 	}
 	c.front.readers.Go(func() {
-		conn, err := c.connect(ctx, a.Server.Address)
+		conn, err := c.connect(ctx, a.Upstream.Address)
 		select {
 		case c.news <- newsDialled{up, conn, err}:
 		case <-c.done:
@@ -77,7 +77,7 @@
 		return stays
 	}
 	if n.err != nil {
-		c.endAttempt(decide.ConnectFailed, decide.NoReport)
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 		return true
 	}
 	up := c.up
@@ -120,11 +120,11 @@
 		return stays
 	}
 	if err := up.text.PrintfLine("%s", c.firstLine(up.wait)); err != nil {
-		c.endAttempt(decide.ConnectFailed, decide.NoReport)
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 		return true
 	}
 	up.sent = true
-	c.front.module.Connected(c.call, up.n)
+	c.front.module.AttemptSent(c.call, up.n)
 	return true
 }
 
@@ -133,7 +133,7 @@
 func (c *channel) awaited() (yes, stays bool) {
 	left, more := c.clientState()
 	if more {
-		c.front.module.Malformed(c.call)
+		c.front.module.RequestMalformed(c.call)
 	}
 	return !left && !more, !left
 }
@@ -143,11 +143,11 @@
 func (c *channel) giveUp(n int, why decide.Code) {
 	switch up := c.up; {
 	case up == nil || up.n != n || up.told: // its end, or its answer, is told already
-	case up.sent && why.NeverRan(): // its line was written as the time-out of its dial fell due: it goes on
-	case !up.sent && !why.NeverRan():
-		c.endAttempt(decide.ConnectFailed, decide.NoReport)
+	case up.sent && why.NeverExecuted(): // its line was written as the time-out of its dial fell due: it goes on
+	case !up.sent && !why.NeverExecuted():
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 	default:
-		c.endAttempt(why, decide.NoReport)
+		c.endAttempt(why, decide.NoLoadReport)
 	}
 }
 
@@ -156,18 +156,18 @@
 		return true
 	}
 	if errors.Is(n.err, textline.ErrLong) || errors.Is(n.err, textline.ErrBare) {
-		c.endAttempt(decide.ServerError, decide.NoReport)
+		c.endAttempt(decide.ServerError, decide.NoLoadReport)
 		return true
 	}
 	if n.err != nil {
-		c.endAttempt(c.broken(), decide.NoReport)
+		c.endAttempt(c.broken(), decide.NoLoadReport)
 		return true
 	}
 	r := parseReply(n.line)
 	if c.session != nil && c.session.flow != nil {
 		if r.up {
 			c.up.answer = n.line
-			return c.step(c.session.flow.Up())
+			return c.step(c.session.flow.UpstreamAccepted())
 		}
 		if known, more := c.said(n.line); known {
 			return more
@@ -185,7 +185,7 @@
 // isUp tells the core that the attempt has its answer.
 func (c *channel) isUp() {
 	c.up.told = true
-	c.front.module.Up(c.call, c.up.n)
+	c.front.module.AttemptAccepted(c.call, c.up.n)
 }
 
 // broken is what became of an attempt whose connection broke: it may have run once its line was written.
@@ -197,10 +197,10 @@
 }
 
 // endAttempt closes the attempt's connection before the core hears that it ended.
-func (c *channel) endAttempt(code decide.Code, report decide.Report) {
+func (c *channel) endAttempt(code decide.Code, report decide.LoadReport) {
 	n := c.up.n
 	c.closeUp(false)
-	c.front.module.Ended(c.call, n, code, report)
+	c.front.module.AttemptEnded(c.call, n, code, report)
 }
 
 // closeUp closes the connection to the room server; with reset it is cut off.
--- a/internal/frontend/platform/crossings_test.go
+++ b/internal/frontend/platform/crossings_test.go
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { // before the balancer's own end
 		c.closeUp(false)
 		close(c.done)
-		b.module.Closed(c.call)
+		b.module.ClientClosed(c.call)
 	})
 	return h
 }
@@ -74,14 +74,14 @@
 }
 
 // sync waits until the core has done what it was told before.
-func (b *balancer) sync() { b.module.Fresh(20 * time.Second) }
+func (b *balancer) sync() { b.module.CurrentSnapshot(20 * time.Second) }
 
 // waiting is a client whose request the core has, and cannot send on.
 func (b *balancer) waiting(t *testing.T) *client {
 	t.Helper()
 	c := b.client(t)
 	c.send(opening())
-	until(t, "the request", func() bool { return b.module.Fresh(20*time.Second).Waiting == 1 })
+	until(t, "the request", func() bool { return b.module.CurrentSnapshot(20*time.Second).Waiting == 1 })
 	return c
 }
 
@@ -89,7 +89,7 @@
 func (b *balancer) unaccepted(t *testing.T) *client {
 	t.Helper()
 	b.sync()
-	b.pause.Hold()
+	b.pause.Pause()
 	until(t, "the pause", func() bool { return len(b.front.held) == 0 })
 	c := b.client(t)
 	c.send(opening())
@@ -106,22 +106,22 @@
 	}
 }
 
-func (s *answerer) as(state decide.State) core.Result {
+func (s *answerer) as(state decide.State) core.EndpointUpdate {
 	in := s.instance()
 	in.State = state
-	return core.Result{Kind: decide.ListChanges, Instances: []core.Instance{in}}
+	return core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{in}}
 }
 
-func (s *answerer) in(zone string) core.Result {
+func (s *answerer) in(zone string) core.EndpointUpdate {
 	in := s.instance()
 	in.Zone = zone
-	return core.Result{Kind: decide.ListChanges, Instances: []core.Instance{in}}
+	return core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{in}}
 }
 
-var room = Budget{Descriptors: 300, DialSpare: 50}
+var room = DescriptorBudget{Total: 300, DialReserve: 50}
 
 // unsafe makes the class one that must not run twice.
-func unsafe(s *decide.Settings) { s.Classes[0].Repeat = decide.Unsafe }
+func unsafe(s *decide.Settings) { s.Classes[0].Idempotency = decide.NotIdempotent }
 
 // A dial comes up as its time-out falls due. Whichever the actor takes first, there is one attempt: what was written may
 // have run, and goes on; what was not is not written any more.
@@ -173,12 +173,12 @@
 // is on its way: nothing is sent there, and the request goes elsewhere at once.
 func TestDialIsRecalled(t *testing.T) {
 	t.Parallel()
-	for name, change := range map[string]func(*core.Result){
-		"draining":  func(r *core.Result) { r.Instances[0].State = decide.Draining },
-		"gone":      func(r *core.Result) { r.Instances[0].State = decide.Gone },
-		"elsewhere": func(r *core.Result) { r.Instances[0].Address = "127.0.0.1:1" },
-		"anew":      func(r *core.Result) { r.Instances[0].Started = time.Now() },
-		"left out":  func(r *core.Result) { r.Kind, r.Instances = decide.ListFull, nil },
+	for name, change := range map[string]func(*core.EndpointUpdate){
+		"draining":  func(r *core.EndpointUpdate) { r.Endpoints[0].State = decide.Draining },
+		"gone":      func(r *core.EndpointUpdate) { r.Endpoints[0].State = decide.Removed },
+		"elsewhere": func(r *core.EndpointUpdate) { r.Endpoints[0].Address = "127.0.0.1:1" },
+		"anew":      func(r *core.EndpointUpdate) { r.Endpoints[0].Started = time.Now() },
+		"left out":  func(r *core.EndpointUpdate) { r.Kind, r.Endpoints = decide.ListSnapshot, nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -188,8 +188,8 @@
 			dialled := h.requests()
 			r := s1.as(decide.Ready)
 			change(&r)
-			b.module.Resolved(r)
-			b.module.Resolved(s2.as(decide.Ready))
+			b.module.EndpointsUpdated(r)
+			b.module.EndpointsUpdated(s2.as(decide.Ready))
 			if o, any := h.ordered(); any {
 				h.execute(t.Context(), o)
 			}
@@ -211,13 +211,13 @@
 	dialled := h.requests()
 	for _, s := range []*answerer{s1, s2} {
 		r := s.as(decide.Ready)
-		r.Instances[0].Started = time.Now()
-		b.module.Resolved(r)
+		r.Endpoints[0].Started = time.Now()
+		b.module.EndpointsUpdated(r)
 	}
 	o, _ := h.ordered()
 	h.execute(t.Context(), o)
 	h.handle(dialled)
-	if n := b.module.Fresh(20 * time.Second).Avoided; n > 0 {
+	if n := b.module.CurrentSnapshot(20 * time.Second).Ejected; n > 0 {
 		t.Errorf("%d room servers are left out", n)
 	}
 }
@@ -227,9 +227,9 @@
 func TestReopeningEndsWithTheGrace(t *testing.T) {
 	t.Parallel()
 	s := newServer(t, "s-1", echo)
-	b := with(t, room, func(s *decide.Settings) { s.Rules.DrainGrace = 30 * time.Millisecond }, s)
+	b := with(t, room, func(s *decide.Settings) { s.Safety.DrainGrace = 30 * time.Millisecond }, s)
 	h := b.byHand(t)
-	b.module.Resolved(s.as(decide.Draining))
+	b.module.EndpointsUpdated(s.as(decide.Draining))
 	h.asked = true
 	h.begin(strings.TrimRight(opening(), "\r\n")+",at=s-1", time.Now())
 	b.sync()
@@ -318,7 +318,7 @@
 	ends := map[string]bool{"fin": false, "rst": true}
 	// gone waits until the core has heard that one left.
 	gone := func(t *testing.T, b *balancer) {
-		until(t, "the client's end", func() bool { return b.module.Fresh(20*time.Second).Left == 1 })
+		until(t, "the client's end", func() bool { return b.module.CurrentSnapshot(20*time.Second).ClientsLeft == 1 })
 	}
 	for name, reset := range ends {
 		t.Run("for a room server/"+name, func(t *testing.T) {
@@ -328,13 +328,13 @@
 			end(c, reset)
 			gone(t, b)
 			s := newServer(t, "s-1", echo)
-			b.module.Resolved(s.as(decide.Ready)) // a request that waits is placed in this turn
+			b.module.EndpointsUpdated(s.as(decide.Ready)) // a request that waits is placed in this turn
 			nothing(t, b, s)
 		})
 		t.Run("for a descriptor/"+name, func(t *testing.T) {
 			t.Parallel()
 			s := newServer(t, "s-1", echo)
-			b := budgeted(t, Budget{Descriptors: 12, DialSpare: 4}, s)
+			b := budgeted(t, DescriptorBudget{Total: 12, DialReserve: 4}, s)
 			until(t, "the accepting side's descriptor", func() bool { return len(b.front.held) == 1 })
 			for range cap(b.front.held) - 1 { // it waits for a client with its own; none is left for the dial
 				b.front.held <- struct{}{}
@@ -356,11 +356,11 @@
 			c := b.client(t)
 			c.send(opening())
 			until(t, "the attempt", func() bool { return len(s1.lines()) == 1 })
-			b.module.Resolved(s2.as(decide.Ready))
+			b.module.EndpointsUpdated(s2.as(decide.Ready))
 			end(c, reset)
 			<-over
 			gone(t, b)
-			b.module.Resolved(s1.as(decide.Draining)) // for the one who comes next
+			b.module.EndpointsUpdated(s1.as(decide.Draining)) // for the one who comes next
 			nothing(t, b, s2)
 		})
 		t.Run("unread/"+name, func(t *testing.T) {
@@ -370,7 +370,10 @@
 			c := b.unaccepted(t)
 			end(c, reset)
 			b.pause.Resume()
-			until(t, "the client's end", func() bool { s := b.module.Fresh(20 * time.Second); return s.Open == 0 && len(b.front.held) == 1 })
+			until(t, "the client's end", func() bool {
+				s := b.module.CurrentSnapshot(20 * time.Second)
+				return s.Clients == 0 && len(b.front.held) == 1
+			})
 			nothing(t, b, s)
 		})
 		for _, text := range []string{strings.TrimRight(opening(), "\r\n"), opening() + "x"} {
@@ -407,7 +410,7 @@
 	t.Parallel()
 	keyed := func(scope decide.KeyScope, window time.Duration) func(*decide.Settings) {
 		return func(s *decide.Settings) {
-			s.Classes[0].Repeat, s.Classes[0].Scope, s.Classes[0].Window = decide.Keyed, scope, window
+			s.Classes[0].Idempotency, s.Classes[0].KeyScope, s.Classes[0].DedupWindow = decide.IdempotentByKey, scope, window
 		}
 	}
 	closed := func(conn net.Conn, _ *bufio.Reader) { conn.(*net.TCPConn).SetLinger(0) }
@@ -443,7 +446,7 @@
 					bad.l.Close()
 				}
 				b := with(t, room, e.set, bad)
-				b.module.Resolved(good.in("b"))
+				b.module.EndpointsUpdated(good.in("b"))
 				b.sync()
 				c := b.client(t)
 				c.send(opening())
@@ -467,8 +470,8 @@
 		set        func(*decide.Settings)
 		want, late string
 	}{
-		{func(s *decide.Settings) { unsafe(s); s.MaxTries = 1 }, "ERR\r\n", "BUSY 1000\r\n"},
-		{func(s *decide.Settings) { s.MaxRetryAfter, s.MaxTries = 0, 1 }, "BUSY\r\n", "BUSY\r\n"},
+		{func(s *decide.Settings) { unsafe(s); s.MaxAttempts = 1 }, "ERR\r\n", "BUSY 1000\r\n"},
+		{func(s *decide.Settings) { s.MaxRetryAfter, s.MaxAttempts = 0, 1 }, "BUSY\r\n", "BUSY\r\n"},
 	} {
 		s := newServer(t, "s-1", hang)
 		b := with(t, room, o.set, s)
@@ -491,7 +494,7 @@
 	c := b.unaccepted(t)
 	looked := make(chan bool, 1000)
 	over := b.module.Drain(20*time.Second, func() bool {
-		waits := b.front.Waits(b.l)
+		waits := b.front.ClientsWaiting(b.l)
 		looked <- waits
 		return waits
 	})
--- a/internal/frontend/platform/front.go
+++ b/internal/frontend/platform/front.go
@@ -26,52 +26,52 @@
 	warnEvery   = time.Second          // guards the log against a warning for each accept that fails
 )
 
-// Budget is what the front may hold of the process's descriptors.
-type Budget struct {
-	Descriptors int // for channels and their dials together
-	DialSpare   int // of these, what channels leave to dials
+// DescriptorBudget is what the front may hold of the process's descriptors.
+type DescriptorBudget struct {
+	Total       int // for channels and their dials together
+	DialReserve int // of these, what channels leave to dials
 }
 
-// Front accepts the clients' channels.
-type Front struct {
-	module   *core.Module
-	resuming *Resuming // nil: sessions are not resumed
+// Frontend accepts the clients' channels.
+type Frontend struct {
+	module   *core.Engine
+	resuming *SessionResumer // nil: sessions are not resumed
 	names    Names
 	dialer   net.Dialer
 	log      *logrus.Logger
-	budget   Budget
+	budget   DescriptorBudget
 	held     chan struct{} // one for each descriptor that a channel or a dial holds
 	freed    chan struct{} // tells the accepting side that one came free
 	most     atomic.Int64  // that may be held when a channel is accepted
 	reserve  chan int
 	ended    chan struct{}
 
-	turns     core.Turns // of the accepting side; nil: nobody hears
+	turns     core.Watchdog // of the accepting side; nil: nobody hears
 	succeeded atomic.Bool
 	actors    sync.WaitGroup
 	readers   sync.WaitGroup // the channels' readers and dials
 }
 
 // New returns a front for a module.
-func New(module *core.Module, names Names, budget Budget, log *logrus.Logger) *Front {
-	f := &Front{module: module, names: names, log: log, dialer: net.Dialer{KeepAlive: -1}, budget: budget,
-		held: make(chan struct{}, budget.Descriptors), freed: make(chan struct{}, 1), reserve: make(chan int),
+func New(module *core.Engine, names Names, budget DescriptorBudget, log *logrus.Logger) *Frontend {
+	f := &Frontend{module: module, names: names, log: log, dialer: net.Dialer{KeepAlive: -1}, budget: budget,
+		held: make(chan struct{}, budget.Total), freed: make(chan struct{}, 1), reserve: make(chan int),
 		ended: make(chan struct{})}
-	f.most.Store(int64(budget.Descriptors - budget.DialSpare))
+	f.most.Store(int64(budget.Total - budget.DialReserve))
 	return f
 }
 
-// Watch lets a watchdog hear of the accepting side's turns; it is called before Serve.
-func (f *Front) Watch(turns core.Turns) { f.turns = turns }
+// SetWatchdog lets a watchdog hear of the accepting side's turns; it is called before Serve.
+func (f *Frontend) SetWatchdog(turns core.Watchdog) { f.turns = turns }
 
-// Resume lets sessions go on with a token; it is called before Serve.
-func (f *Front) Resume(r *Resuming) { f.resuming = r }
+// EnableSessions lets sessions go on with a token; it is called before Serve.
+func (f *Frontend) EnableSessions(r *SessionResumer) { f.resuming = r }
 
 // roomToAccept waits until a channel may be accepted. While there is no room, the core sheds what has been silent
 // longest; clients wait in the listener's backlog meanwhile.
-func (f *Front) roomToAccept(ctx context.Context) bool {
+func (f *Frontend) roomToAccept(ctx context.Context) bool {
 	for len(f.held) >= int(f.most.Load()) {
-		f.module.Shed()
+		f.module.ShedIdle()
 		select {
 		case <-ctx.Done():
 			return false
@@ -84,13 +84,13 @@
 }
 
 // roomToDial waits for a descriptor; channels leave enough for that to be short.
-func (f *Front) roomToDial(ctx context.Context) error {
+func (f *Frontend) roomToDial(ctx context.Context) error {
 	select {
 	case f.held <- struct{}{}:
 		return nil
 	default:
 	}
-	f.module.Shed()
+	f.module.ShedIdle()
 	select {
 	case f.held <- struct{}{}:
 		return nil
@@ -99,8 +99,8 @@
 	}
 }
 
-// Waits tells whether clients wait to be accepted, where they wait for this process alone.
-func (f *Front) Waits(l *net.TCPListener) bool {
+// ClientsWaiting tells whether clients wait to be accepted, where they wait for this process alone.
+func (f *Frontend) ClientsWaiting(l *net.TCPListener) bool {
 	raw, err := l.SyscallConn()
 	if err != nil || f.succeeded.Load() {
 		return false
@@ -112,19 +112,19 @@
 	return err == nil && n > 0
 }
 
-// Succeeded tells whether another process serves at the clients' address.
-func (f *Front) Succeeded(yes bool) { f.succeeded.Store(yes) }
+// SetReplaced tells whether another process serves at the clients' address.
+func (f *Frontend) SetReplaced(yes bool) { f.succeeded.Store(yes) }
 
 // pong answers the front layer's PING. Once clients are to go elsewhere the answer is any other than PONG.
-func (f *Front) pong() string {
-	if s := f.module.Service(); s == core.LameDuck || f.module.AwaitsList() || s == core.Stopping && !f.succeeded.Load() {
+func (f *Frontend) pong() string {
+	if s := f.module.ServiceState(); s == core.LameDuck || f.module.AwaitsList() || s == core.Stopping && !f.succeeded.Load() {
 		return "BUSY"
 	}
 	return "PONG"
 }
 
 // free gives a descriptor back.
-func (f *Front) free() {
+func (f *Frontend) free() {
 	<-f.held
 	select {
 	case f.freed <- struct{}{}:
@@ -132,10 +132,10 @@
 	}
 }
 
-// Reserve leaves so many descriptors to another process, as they come free; it may be called again.
-func (f *Front) Reserve(n int) {
-	all := f.budget.Descriptors
-	f.most.Store(int64(all - f.budget.DialSpare*(all-n)/all))
+// SetReserve leaves so many descriptors to another process, as they come free; it may be called again.
+func (f *Frontend) SetReserve(n int) {
+	all := f.budget.Total
+	f.most.Store(int64(all - f.budget.DialReserve*(all-n)/all))
 	select {
 	case f.reserve <- n:
 	case <-f.ended:
@@ -143,7 +143,7 @@
 }
 
 // keep is the actor that holds the descriptors which are left to another process.
-func (f *Front) keep(ctx context.Context) {
+func (f *Frontend) keep(ctx context.Context) {
 	defer close(f.ended)
 	for reserved, target := 0, 0; ; {
 		for ; reserved > target; reserved-- {
@@ -165,7 +165,7 @@
 
 // Serve accepts until ctx ends, then waits for the channels' actors. While pause holds it, it serves what it has
 // accepted and accepts nothing more.
-func (f *Front) Serve(ctx context.Context, l *net.TCPListener, pause *hotrestart.Pause) {
+func (f *Frontend) Serve(ctx context.Context, l *net.TCPListener, pause *hotrestart.Pauser) {
 	f.actors.Go(func() { f.keep(ctx) })
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -175,11 +175,11 @@
 	for f.roomToAccept(ctx) {
 		conn, err := l.AcceptTCP()
 		if err == nil {
-			core.Turn(f.turns, func() { f.accept(ctx, conn) })
+			core.RunMonitored(f.turns, func() { f.accept(ctx, conn) })
 			continue
 		}
 		f.free()
-		if pause.Held(ctx, err) {
+		if pause.Paused(ctx, err) {
 			continue
 		}
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -197,14 +197,14 @@
 	}
 }
 
-func (f *Front) accept(ctx context.Context, conn *net.TCPConn) {
+func (f *Frontend) accept(ctx context.Context, conn *net.TCPConn) {
 	c := f.channel(conn)
 	c.call = f.module.Accept(c, core.Traits{Descriptor: true})
 	f.actors.Go(func() { c.run(ctx) })
 }
 
 // channel makes the actor of a client's connection.
-func (f *Front) channel(conn *net.TCPConn) *channel {
+func (f *Frontend) channel(conn *net.TCPConn) *channel {
 	return &channel{
 		front: f, client: conn, text: textproto.NewConn(conn),
 		commands: make(chan command, mailboxSize), news: make(chan any), done: make(chan struct{}),
@@ -213,7 +213,7 @@
 }
 
 // close ends a dial's connection, if there is one, and gives its descriptor back.
-func (f *Front) close(conn net.Conn) {
+func (f *Frontend) close(conn net.Conn) {
 	if conn != nil {
 		conn.Close()
 		f.free()
