--- a/internal/frontend/platform/gone_test.go
+++ b/internal/frontend/platform/gone_test.go
@@ -82,7 +82,7 @@
 		},
 		"further attempt": func(t *testing.T, d *answerer) (*hand, command) {
 			b := newBalancer(t, newServer(t, "s-1", say("BUSY\r\n"))) // own zone first
-			b.module.Resolved(d.in("b"))
+			b.module.EndpointsUpdated(d.in("b"))
 			h := b.byHand(t)
 			h.handle(h.requests())
 			h.handle(<-h.news) // BUSY
@@ -94,7 +94,7 @@
 			h.asked = true
 			h.begin(strings.TrimRight(opening(), "\r\n"), time.Now())
 			b.sync()
-			b.module.Resolved(d.as(decide.Ready))
+			b.module.EndpointsUpdated(d.as(decide.Ready))
 			return h, <-h.commands
 		},
 		"opened anew": func(t *testing.T, d *answerer) (*hand, command) {
@@ -103,7 +103,7 @@
 			h.asked = true
 			h.begin(strings.TrimRight(opening(), "\r\n")+",at="+d.name, time.Now())
 			b.sync()
-			b.module.Resolved(d.as(decide.Ready))
+			b.module.EndpointsUpdated(d.as(decide.Ready))
 			return h, <-h.commands
 		},
 		"in a stop": func(t *testing.T, d *answerer) (*hand, command) {
@@ -122,7 +122,7 @@
 				if !is[attemptCommand](o) {
 					t.Fatalf("the core orders %T, want an attempt", o)
 				}
-				blamed := h.b.module.Fresh(20 * time.Second).Avoided
+				blamed := h.b.module.CurrentSnapshot(20 * time.Second).Ejected
 				h.goes(end)
 				h.execute(t.Context(), o)
 				if h.handle(<-h.news) {
@@ -131,7 +131,7 @@
 				if n := d.visits(t); n > 0 {
 					t.Errorf("%d connections to the room server", n)
 				}
-				if n := h.b.module.Fresh(20 * time.Second).Avoided; n > blamed {
+				if n := h.b.module.CurrentSnapshot(20 * time.Second).Ejected; n > blamed {
 					t.Errorf("%d room servers are left out, %d before", n, blamed)
 				}
 			})
@@ -141,7 +141,7 @@
 		t.Run("for a descriptor/"+name, func(t *testing.T) {
 			t.Parallel()
 			d := door(t, "s-9")
-			b := budgeted(t, Budget{Descriptors: 12, DialSpare: 4}, d)
+			b := budgeted(t, DescriptorBudget{Total: 12, DialReserve: 4}, d)
 			until(t, "the accepting side's descriptor", func() bool { return len(b.front.held) == 1 })
 			for range cap(b.front.held) - 1 {
 				b.front.held <- struct{}{}
@@ -259,7 +259,7 @@
 			until(t, "the dial", func() bool { return len(b.front.held) == 3 }) // beside the client and the accepting side
 			end(c)
 			until(t, "the end of both", func() bool {
-				return len(b.front.held) == 1 && b.module.Fresh(20*time.Second).Left == 1
+				return len(b.front.held) == 1 && b.module.CurrentSnapshot(20*time.Second).ClientsLeft == 1
 			})
 			raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 16) })
 			if n := d.visits(t, filled); n > 0 || err != nil {
@@ -275,7 +275,7 @@
 	t.Parallel()
 	const players, each = 20, 10 // of each way to go
 	s1, s2, d := newServer(t, "s-1", echo), newServer(t, "s-2", echo), door(t, "s-9")
-	b := with(t, Budget{Descriptors: 600, DialSpare: 200}, func(*decide.Settings) {}, s1, s2)
+	b := with(t, DescriptorBudget{Total: 600, DialReserve: 200}, func(*decide.Settings) {}, s1, s2)
 
 	ctx, enough := context.WithCancel(t.Context())
 	var load sync.WaitGroup
@@ -314,7 +314,7 @@
 			}
 		}
 		if more != "" {
-			until(t, "the requests", func() bool { return b.module.Fresh(20*time.Second).Waiting >= len(here) })
+			until(t, "the requests", func() bool { return b.module.CurrentSnapshot(20*time.Second).Waiting >= len(here) })
 			for i, c := range here {
 				[]func(*client){ends["fin"], ends["rst"], ends["cancel"]}[i%len(ends)](c)
 			}
@@ -325,11 +325,11 @@
 	goes(b.addr, ",at=s-9")
 	time.Sleep(goneWithin)
 
-	b.module.Resolved(d.as(decide.Draining)) // within its grace, for those that were open there alone
-	front := New(b.module, testNames, Budget{Descriptors: 600, DialSpare: 200}, b.front.log)
+	b.module.EndpointsUpdated(d.as(decide.Draining)) // within its grace, for those that were open there alone
+	front := New(b.module, testNames, DescriptorBudget{Total: 600, DialReserve: 200}, b.front.log)
 	serving, end := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { front.Serve(serving, l, hotrestart.NewPause(l.SetDeadline)) })
+	running.Go(func() { front.Serve(serving, l, hotrestart.NewPauser(l.SetDeadline)) })
 	t.Cleanup(func() { end(); running.Wait() })
 	last := dial(t, l.Addr().String()) // accepted after all others
 	last.send("PING\r\n")
--- a/internal/frontend/platform/idle_bench_test.go
+++ b/internal/frontend/platform/idle_bench_test.go
@@ -10,8 +10,8 @@
 // BenchmarkIdleSecond is a second in which a balancer of 90 room servers does nothing but watch over 20 connections
 // that stand there and say nothing. ns/op is the second itself; what it costs is in a profile, or in process time.
 func BenchmarkIdleSecond(b *testing.B) {
-	cfg := emulator.RoomConfig{State: 8, Capacity: 1000}
-	all := make([]emulator.RoomConfig, 90)
+	cfg := emulator.RoomServerConfig{State: 8, Capacity: 1000}
+	all := make([]emulator.RoomServerConfig, 90)
 	for i := range all {
 		all[i] = cfg
 	}
--- a/internal/frontend/platform/line_test.go
+++ b/internal/frontend/platform/line_test.go
@@ -80,8 +80,8 @@
 	return append([]string(nil), a.got...)
 }
 
-func (a *answerer) instance() core.Instance {
-	return core.Instance{Name: a.name, Address: a.l.Addr().String(), Server: decide.Server{
+func (a *answerer) instance() core.Endpoint {
+	return core.Endpoint{Name: a.name, Address: a.l.Addr().String(), Server: decide.Server{
 		ID: core.ServerID(a.name), Zone: "a"}}
 }
 
@@ -105,19 +105,19 @@
 
 type noList struct{}
 
-func (noList) Subscribe(context.Context, uint64) {}
-func (noList) FetchList(context.Context)         {}
-func (noList) Move(string)                       {}
+func (noList) Watch(context.Context, uint64) {}
+func (noList) Fetch(context.Context)         {}
+func (noList) SetAddress(string)             {}
 
 type noProbes struct{}
 
-func (noProbes) Probe(context.Context, uint64, core.Subchannel) {}
-func (noProbes) Forget(decide.ServerID)                         {}
+func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
+func (noProbes) Remove(decide.ServerID)                       {}
 
 type balancer struct {
-	module *core.Module
-	front  *Front
-	pause  *hotrestart.Pause
+	module *core.Engine
+	front  *Frontend
+	pause  *hotrestart.Pauser
 	l      *net.TCPListener
 	addr   string
 	stop   func()
@@ -125,29 +125,29 @@
 
 func newBalancer(t *testing.T, servers ...*answerer) *balancer {
 	t.Helper()
-	return budgeted(t, Budget{Descriptors: 300, DialSpare: 50}, servers...)
+	return budgeted(t, DescriptorBudget{Total: 300, DialReserve: 50}, servers...)
 }
 
-func budgeted(t *testing.T, budget Budget, servers ...*answerer) *balancer {
+func budgeted(t *testing.T, budget DescriptorBudget, servers ...*answerer) *balancer {
 	t.Helper()
 	return with(t, budget, func(*decide.Settings) {}, servers...)
 }
 
 // with is a balancer whose settings differ from the usual ones.
-func with(t *testing.T, budget Budget, differ func(*decide.Settings), servers ...*answerer) *balancer {
+func with(t *testing.T, budget DescriptorBudget, differ func(*decide.Settings), servers ...*answerer) *balancer {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	known := []core.Instance{}
+	known := []core.Endpoint{}
 	for _, s := range servers {
 		known = append(known, s.instance())
 	}
 	settings := decide.Settings{
-		Seed: 5, Zone: "a", MaxTries: 3, MaxRetryAfter: 1500 * time.Millisecond,
-		Classes: []decide.Class{{Name: "solo-play", Aim: 300 * time.Millisecond, GiveUp: 2 * time.Second}},
-		Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond, ColdShare: 0.3, Cold: time.Second, FallMultiple: 4, Fall: time.Second}}
+		Seed: 5, Zone: "a", MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
+		Classes: []decide.Class{{Name: "solo-play", LatencyObjective: 300 * time.Millisecond, ClientTimeout: 2 * time.Second}},
+		Safety:  decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, SlowStartShare: 0.3, SlowStartDuration: time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}
 	differ(&settings)
-	module, err := core.New(core.Config{Known: known, MaxChannels: 100, Log: func(string) {}, Settings: settings})
+	module, err := core.New(core.Config{Known: known, MaxClients: 100, Log: func(string) {}, Settings: settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front, pause := New(module, testNames, budget, log), hotrestart.NewPause(l.SetDeadline)
+	front, pause := New(module, testNames, budget, log), hotrestart.NewPauser(l.SetDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, noProbes{}, noList{}) })
@@ -379,7 +379,7 @@
 // find one. Guards against clients that open connections by hundreds.
 func TestSilentChannelsAreShed(t *testing.T) {
 	t.Parallel()
-	b := budgeted(t, Budget{Descriptors: 16, DialSpare: 4}, newServer(t, "s-1", echo))
+	b := budgeted(t, DescriptorBudget{Total: 16, DialReserve: 4}, newServer(t, "s-1", echo))
 	standing := b.client(t)
 	standing.send(opening())
 	standing.want("UP receipt-1\r\n")
@@ -567,8 +567,8 @@
 					_, err = c.r.ReadString('\n')
 				}
 			}
-			if s := b.module.Fresh(5 * time.Second); s.Avoided != 0 || s.Listed != 2 {
-				t.Errorf("%d of %d room servers are left out", s.Avoided, s.Listed)
+			if s := b.module.CurrentSnapshot(5 * time.Second); s.Ejected != 0 || s.Listed != 2 {
+				t.Errorf("%d of %d room servers are left out", s.Ejected, s.Listed)
 			}
 		})
 	}
@@ -578,7 +578,7 @@
 // The module's order to move and the room server's own end cross each other. The client gets one end, and no second one.
 func TestMoveCrossesTheServersEnd(t *testing.T) {
 	b := newBalancer(t)
-	front := New(b.module, testNames, Budget{Descriptors: 300, DialSpare: 50}, logrus.New()) // it accepts nothing
+	front := New(b.module, testNames, DescriptorBudget{Total: 300, DialReserve: 50}, logrus.New()) // it accepts nothing
 	for _, code := range []decide.Code{decide.OK, decide.Cancelled} {
 		ours, client := pair(t)
 		server, _ := pair(t)
@@ -679,12 +679,12 @@
 		open()
 	}
 	start := time.Now()
-	if err := b.module.LameDuck(10 * time.Second); err != nil {
+	if err := b.module.EnterLameDuck(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	check.send("PING\r\n")
 	check.want("BUSY\r\n")
-	if s := b.module.Service(); s != core.LameDuck {
+	if s := b.module.ServiceState(); s != core.LameDuck {
 		t.Errorf("the service state is %v", s)
 	}
 	open()
@@ -709,7 +709,7 @@
 	if d := time.Since(start); d > 4*time.Second {
 		t.Errorf("all are moved after %v", d)
 	}
-	if err := b.module.Rejoin(10 * time.Second); err != nil {
+	if err := b.module.LeaveLameDuck(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	again := b.client(t)
@@ -723,14 +723,14 @@
 // accepted, accepts nothing more, and answers PING for the process that does.
 func TestBesideAnotherProcess(t *testing.T) {
 	t.Parallel()
-	b := budgeted(t, Budget{Descriptors: 16, DialSpare: 4}, newServer(t, "s-1", echo))
+	b := budgeted(t, DescriptorBudget{Total: 16, DialReserve: 4}, newServer(t, "s-1", echo))
 	accepted := b.client(t)
 	accepted.send("PING\r\n")
 	accepted.want("PONG\r\n")
-	b.front.Reserve(14)
-	b.front.Reserve(12) // all but four: the channel, its dial, and one that is accepted
-	b.pause.Hold()
-	b.front.Succeeded(true)
+	b.front.SetReserve(14)
+	b.front.SetReserve(12) // all but four: the channel, its dial, and one that is accepted
+	b.pause.Pause()
+	b.front.SetReplaced(true)
 	b.module.Drain(20*time.Second, nil)
 	accepted.send("PING\r\n")
 	accepted.want("PONG\r\n")
@@ -745,8 +745,8 @@
 	if n := len(b.front.held); n > 16 {
 		t.Errorf("%d descriptors are held", n)
 	}
-	b.front.Succeeded(false)
-	b.front.Reserve(0)
+	b.front.SetReplaced(false)
+	b.front.SetReserve(0)
 	b.pause.Resume()
 	other.conn.SetDeadline(time.Now().Add(20 * time.Second))
 	other.want("UP receipt-1\r\n")
--- a/internal/frontend/platform/probe_test.go
+++ b/internal/frontend/platform/probe_test.go
@@ -14,12 +14,12 @@
 )
 
 // probeOnce asks a stand-in room server that the probes' first line is left to.
-func probeOnce(t *testing.T, s *subchannel, a *answerer) (decide.Code, decide.Report) {
+func probeOnce(t *testing.T, s *subchannel, a *answerer) (decide.Code, decide.LoadReport) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	in := a.instance()
-	return s.probe(probeOrder{ctx, 1, core.Subchannel{ID: in.ID, Instance: in.Name, Address: in.Address}})
+	return s.probe(probeOrder{ctx, 1, core.Upstream{ID: in.ID, Name: in.Name, Address: in.Address}})
 }
 
 func TestProbes(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 	probe := func(i int) {
 		in := all[i].instance()
-		p.Probe(ctx, 1, core.Subchannel{ID: in.ID, Instance: in.Name, Address: in.Address})
+		p.Probe(ctx, 1, core.Upstream{ID: in.ID, Name: in.Name, Address: in.Address})
 		for end := time.Now().Add(10 * time.Second); len(all[i].lines()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/frontend/platform/reply.go
+++ b/internal/frontend/platform/reply.go
@@ -11,7 +11,7 @@
 type reply struct {
 	up     bool
 	code   decide.Code // where it is not up
-	report decide.Report
+	report decide.LoadReport
 }
 
 // parseReply reads the answer to a first line. Only a line that a room server makes for a connection that
@@ -21,15 +21,15 @@
 	switch word {
 	case "UP":
 		if isToken(rest) {
-			return reply{up: true, report: decide.NoReport}
+			return reply{up: true, report: decide.NoLoadReport}
 		}
 	case "BUSY":
 		// Guards against a spoilt answer: BUSY proves that nothing ran, so it counts in a room server's form alone.
 		if rest == "" || isReport(rest) {
-			return reply{code: decide.Full, report: parseReport(rest)}
+			return reply{code: decide.Rejected, report: parseReport(rest)}
 		}
 	case "MOVE":
-		return reply{code: decide.Cancelled, report: decide.NoReport}
+		return reply{code: decide.Cancelled, report: decide.NoLoadReport}
 	}
 	return reply{code: decide.ServerError, report: parseReport(rest)}
 }
@@ -50,8 +50,8 @@
 }
 
 // parseReport reads a load report, `inflight=7,x0=0.61`; absent and odd values count as not told.
-func parseReport(text string) decide.Report {
-	report := decide.NoReport
+func parseReport(text string) decide.LoadReport {
+	report := decide.NoLoadReport
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -62,14 +62,14 @@
 		case "x0":
 			report.Load = v
 		case "inflight":
-			report.Held = v
+			report.Connections = v
 		}
 	}
 	return report
 }
 
 // parseProbe reads the answer to PING or STATS.
-func parseProbe(line string) (decide.Code, decide.Report) {
+func parseProbe(line string) (decide.Code, decide.LoadReport) {
 	word, rest, _ := strings.Cut(line, " ")
 	if word != "PONG" {
 		return decide.ServerError, parseReport(rest)
--- a/internal/frontend/platform/resume.go
+++ b/internal/frontend/platform/resume.go
@@ -21,33 +21,33 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// ResumeLimits bound what sessions that move may take.
-type ResumeLimits struct {
-	Site     string
-	Life     time.Duration // of a token
-	MaxState int           // bytes of one session's state
-	MaxBytes int64         // of all states in flight
-	MaxMoves int           // states in flight
+// SessionLimits bound what sessions that move may take.
+type SessionLimits struct {
+	Site          string
+	TokenLifetime time.Duration // of a token
+	MaxState      int           // bytes of one session's state
+	MaxBytes      int64         // of all states in flight
+	MaxMigrations int           // states in flight
 }
 
-// Resuming lets sessions go on with a token. Its keys may be exchanged while it is used; all else stays.
-type Resuming struct {
-	limits ResumeLimits
+// SessionResumer lets sessions go on with a token. Its keys may be exchanged while it is used; all else stays.
+type SessionResumer struct {
+	limits SessionLimits
 	ring   atomic.Pointer[token.Ring]
 	bytes  *semaphore.Weighted
 	moves  *semaphore.Weighted
 }
 
-// NewResuming returns what a Front takes as its Resuming.
-func NewResuming(limits ResumeLimits, ring *token.Ring) *Resuming {
-	r := &Resuming{limits: limits, bytes: semaphore.NewWeighted(limits.MaxBytes),
-		moves: semaphore.NewWeighted(int64(limits.MaxMoves))}
+// NewSessionResumer returns what a Front takes as its Resuming.
+func NewSessionResumer(limits SessionLimits, ring *token.Ring) *SessionResumer {
+	r := &SessionResumer{limits: limits, bytes: semaphore.NewWeighted(limits.MaxBytes),
+		moves: semaphore.NewWeighted(int64(limits.MaxMigrations))}
 	r.ring.Store(ring)
 	return r
 }
 
-// Use takes other keys into use; tokens under way are opened by them from now on.
-func (r *Resuming) Use(ring *token.Ring) { r.ring.Store(ring) }
+// SetKeys takes other keys into use; tokens under way are opened by them from now on.
+func (r *SessionResumer) SetKeys(ring *token.Ring) { r.ring.Store(ring) }
 
 // sessionRoom is what a first line may grow by when the field of a session takes the place of the client's.
 const sessionRoom = 160
@@ -61,7 +61,7 @@
 	flow   *migration.Flow // of one that goes on; nil: it begins
 	token  token.Token
 	holder *holder
-	at     core.Subchannel // of the attempt
+	at     core.Upstream // of the attempt
 	kept   kept
 }
 
@@ -93,7 +93,7 @@
 // kept is what a standing connection needs to give its client tokens. The reader from the room server owns it while
 // the connection is relayed, the actor before and after.
 type kept struct {
-	front    *Front
+	front    *Frontend
 	on       bool // the room server keeps the session
 	token    token.Token
 	renew    time.Time
@@ -120,17 +120,17 @@
 		var id token.SessionID
 		rand.Read(id[:])
 		ref := token.Ref{Session: id, Epoch: 1, Fence: randomNumber()}
-		c.session = &session{open: protocol.Open{Mode: protocol.Begin, Ref: ref}}
+		c.session = &session{open: protocol.Open{Mode: protocol.ModeNew, Ref: ref}}
 		return true
 	}
-	r.Resume = c
+	r.Resumer = c
 	opened, err := set.ring.Load().Open(asked, set.limits.Site, at)
 	if err == nil && opened.Room != c.first.group {
-		c.front.module.RefuseToken(c.call, *r, core.Reason(migration.Room.String()))
+		c.front.module.RejectToken(c.call, *r, core.Reason(migration.WrongRoom.String()))
 		return false
 	}
 	if err != nil {
-		c.front.module.RefuseToken(c.call, *r, core.Reason(migration.Refusal(err).String()))
+		c.front.module.RejectToken(c.call, *r, core.Reason(migration.ReasonForError(err).String()))
 		return false
 	}
 	c.session = &session{flow: migration.New(opened, randomNumber()), token: opened}
@@ -147,8 +147,8 @@
 
 // resumes begins an attempt of a session that goes on: its connection is up.
 func (c *channel) resumes() bool {
-	c.front.module.Dialled(c.call, c.up.n)
-	return c.step(c.session.flow.Attempt(c.session.at.Instance))
+	c.front.module.AttemptDialed(c.call, c.up.n)
+	return c.step(c.session.flow.Attempt(c.session.at.Name))
 }
 
 // step makes the flow's next step; false ends the actor.
@@ -160,11 +160,11 @@
 	}
 	switch s {
 	case migration.Locate:
-		m.Locate(c.call, c.up.n, f.Holder)
-	case migration.OpenBack, migration.OpenMove:
-		c.session.open = protocol.Open{Mode: protocol.Back, Ref: f.Ref, Next: f.Claim, Via: f.Via}
-		if s == migration.OpenMove {
-			c.session.open = protocol.Open{Mode: protocol.Move, Ref: f.Next, Position: f.Pos, Size: len(f.State)}
+		m.LocateHolder(c.call, c.up.n, f.Holder)
+	case migration.OpenReattach, migration.OpenMigrated:
+		c.session.open = protocol.Open{Mode: protocol.ModeReattach, Ref: f.Ref, Next: f.Claim, ViaRedirect: f.ViaRedirect}
+		if s == migration.OpenMigrated {
+			c.session.open = protocol.Open{Mode: protocol.ModeMigrate, Ref: f.Next, Position: f.Position, Size: len(f.State)}
 		}
 		if c.up.sent {
 			c.say(c.firstLine(c.up.wait))
@@ -176,21 +176,21 @@
 		up, state := c.up, f.State
 		c.front.readers.Go(func() { up.conn.Write(state) })
 	case migration.Commit:
-		call := protocol.Commit{Session: f.Ref.Session, Claim: f.Claim, To: c.session.at.Instance}
+		call := protocol.Commit{Session: f.Ref.Session, Claim: f.Claim, To: c.session.at.Name}
 		h := c.session.holder
 		c.ask(h, func() any {
 			line, err := h.say(call.String())
-			return newsCommit{h, line == protocol.Done, err}
+			return newsCommit{h, line == protocol.CommitDone, err}
 		})
-	case migration.Go:
+	case migration.Activate:
 		c.closeHolder()
-		c.say(protocol.Go)
-	case migration.Stand:
+		c.say(protocol.ActivateLine)
+	case migration.Establish:
 		c.isUp()
 	case migration.StartOver:
-		m.StartOver(c.call, c.up.n, core.Reason(f.Why.String()))
-	case migration.Later:
-		m.Later(c.call, c.up.n, f.After)
+		m.StartOver(c.call, c.up.n, core.Reason(f.Reason.String()))
+	case migration.RetryLater:
+		m.RetryLater(c.call, c.up.n, f.RetryAfter)
 	}
 	return true
 }
@@ -212,8 +212,8 @@
 	h := &holder{ctx: ctx, cancel: cancel}
 	c.session.holder = h
 	set := c.front.resuming
-	call := protocol.Export{Ref: f.Ref, Claim: f.Claim, Most: set.limits.MaxState, Via: f.Via,
-		For: (c.up.wait + claimSpare).Truncate(time.Millisecond)}
+	call := protocol.Export{Ref: f.Ref, Claim: f.Claim, MaxState: set.limits.MaxState, ViaRedirect: f.ViaRedirect,
+		ClaimFor: (c.up.wait + claimSpare).Truncate(time.Millisecond)}
 	c.ask(h, func() any {
 		answer, err := c.export(ctx, h, o.server.Address, call)
 		return newsHolder{h, answer, err}
@@ -254,8 +254,8 @@
 	if !ok {
 		return arbiter.Answer{Verdict: arbiter.Unknown}, nil // it does not know the extension
 	}
-	if size > call.Most {
-		return arbiter.Answer{Verdict: arbiter.Large}, nil
+	if size > call.MaxState {
+		return arbiter.Answer{Verdict: arbiter.StateTooLarge}, nil
 	}
 	if a.Verdict == arbiter.Granted {
 		// Past the bound the client comes again: the state stays where it is, and the claim ends with the connection.
@@ -299,14 +299,14 @@
 	}
 	if n.err != nil {
 		c.closeHolder()
-		return c.step(c.session.flow.HolderLost())
+		return c.step(c.session.flow.HolderDisconnected())
 	}
 	if n.answer.Verdict == arbiter.Granted {
-		c.front.module.Fetched(c.call, c.up.n)
+		c.front.module.StateFetched(c.call, c.up.n)
 	} else {
 		c.closeHolder()
 	}
-	return c.step(c.session.flow.HolderSaid(n.answer))
+	return c.step(c.session.flow.HolderAnswered(n.answer))
 }
 
 // committed goes on with the answer to COMMIT.
@@ -321,7 +321,7 @@
 		return true // the next attempt asks what became of it
 	}
 	if n.err != nil {
-		return c.step(c.session.flow.HolderLost())
+		return c.step(c.session.flow.HolderDisconnected())
 	}
 	return c.step(c.session.flow.Committed(n.yes))
 }
@@ -365,17 +365,17 @@
 func (c *channel) said(line string) (known, more bool) {
 	f := c.session.flow
 	var epoch, position uint64
-	if line == protocol.Ready {
-		return true, c.step(f.Ready())
+	if line == protocol.ReadyLine {
+		return true, c.step(f.UpstreamReady())
 	}
 	if protocol.Parse(line, "HELD", &epoch, &position) {
-		return true, c.step(f.Held(epoch, position))
+		return true, c.step(f.UpstreamHolds(epoch, position))
 	}
 	a, _, ok := protocol.ParseAnswer(line, f.Ref.Session)
-	if !ok || a.Verdict == arbiter.Granted || c.session.open.Mode != protocol.Back {
+	if !ok || a.Verdict == arbiter.Granted || c.session.open.Mode != protocol.ModeReattach {
 		return false, true
 	}
-	return true, c.step(f.HolderSaid(a))
+	return true, c.step(f.HolderAnswered(a))
 }
 
 // keeps prepares a connection that stands for tokens.
@@ -385,7 +385,7 @@
 		ref = f.Next
 	}
 	c.session.kept = kept{front: c.front, token: token.Token{Ref: ref, Site: c.front.resuming.limits.Site,
-		Room: c.first.group, Server: c.session.at.Instance}}
+		Room: c.first.group, Server: c.session.at.Name}}
 }
 
 // pass looks at a whole line of the room server before it goes to the client. It returns what is to be written before
@@ -415,12 +415,12 @@
 		return ""
 	}
 	set, now := k.front.resuming, time.Now()
-	k.token.Position, k.token.Expires = k.position, now.Add(set.limits.Life)
-	k.renew = now.Add(set.limits.Life / 2)
+	k.token.Position, k.token.Expires = k.position, now.Add(set.limits.TokenLifetime)
+	k.renew = now.Add(set.limits.TokenLifetime / 2)
 	sealed, err := set.ring.Load().Seal(k.token, now, rand.Reader)
-	k.front.module.TokenGiven(err == nil)
+	k.front.module.TokenIssued(err == nil)
 	if err != nil {
 		return "" // no key seals: the client starts over when it must
 	}
-	return protocol.Token(sealed) + "\r\n"
+	return protocol.TokenLine(sealed) + "\r\n"
 }
--- a/internal/frontend/platform/resume_bench_test.go
+++ b/internal/frontend/platform/resume_bench_test.go
@@ -37,7 +37,7 @@
 		moves  bool
 	}{{"off", true, false, false}, {"on", false, false, false}, {"token", false, true, false}, {"move", false, true, true}} {
 		b.Run(v.name, func(b *testing.B) {
-			cfg := emulator.RoomConfig{Keeps: true, State: 2048, Capacity: 1000} // so much that the load of what is booked holds none back
+			cfg := emulator.RoomServerConfig{Keeps: true, State: 2048, Capacity: 1000} // so much that the load of what is booked holds none back
 			s := newSite(b, 1, cfg, cfg)
 			at := s.balancers[0]
 			stand(b, s)
@@ -91,9 +91,9 @@
 	for _, state := range []int{0, 2048, 65536} {
 		b.Run(fmt.Sprintf("state=%d", state), func(b *testing.B) {
 			const sessions = 100
-			s := newSite(b, 0, emulator.RoomConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
-				emulator.RoomConfig{Keeps: true, Capacity: 1000})
-			s.limits.MaxState, s.limits.MaxBytes, s.limits.MaxMoves = 65536, 64<<20, sessions
+			s := newSite(b, 0, emulator.RoomServerConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
+				emulator.RoomServerConfig{Keeps: true, Capacity: 1000})
+			s.limits.MaxState, s.limits.MaxBytes, s.limits.MaxMigrations = 65536, 64<<20, sessions
 			s.balancers = append(s.balancers, s.balancer())
 			at := s.balancers[0]
 			stand(b, s)
--- a/internal/frontend/platform/resume_test.go
+++ b/internal/frontend/platform/resume_test.go
@@ -26,22 +26,22 @@
 // site is some balancers before some room servers that keep sessions, with one ring of keys.
 type site struct {
 	t         testing.TB
-	rooms     []*emulator.Room
+	rooms     []*emulator.RoomServer
 	balancers []*balancer
 	key       token.Key
-	limits    ResumeLimits
+	limits    SessionLimits
 }
 
-func newSite(t testing.TB, balancers int, rooms ...emulator.RoomConfig) *site {
+func newSite(t testing.TB, balancers int, rooms ...emulator.RoomServerConfig) *site {
 	t.Helper()
 	key, err := token.NewKey(time.Now().Add(-time.Hour), time.Now().Add(time.Hour), zeros{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, key: key, limits: ResumeLimits{Site: "armor", Life: time.Hour, MaxState: 4096, MaxBytes: 1 << 20, MaxMoves: 64}}
+	s := &site{t: t, key: key, limits: SessionLimits{Site: "armor", TokenLifetime: time.Hour, MaxState: 4096, MaxBytes: 1 << 20, MaxMigrations: 64}}
 	for i, cfg := range rooms {
 		cfg.Name = fmt.Sprintf("s-%d", i+1)
-		r, err := emulator.NewRoom(cfg)
+		r, err := emulator.NewRoomServer(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	return s
 }
 
-var keeps = emulator.RoomConfig{Keeps: true, State: 100}
+var keeps = emulator.RoomServerConfig{Keeps: true, State: 100}
 
 type zeros struct{}
 
@@ -65,14 +65,14 @@
 	s.t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	var known []core.Instance
+	var known []core.Endpoint
 	for i := range s.rooms {
 		known = append(known, s.instance(i, decide.Ready))
 	}
-	module, err := core.New(core.Config{Known: known, MaxChannels: 300, StateWait: stateWait, Log: func(string) {},
-		Settings: decide.Settings{Seed: 5, Zone: "a", MaxTries: 3, MaxRetryAfter: 1500 * time.Millisecond, Groups: true, MayProbe: true,
-			Classes: []decide.Class{{Name: "solo-play", Aim: time.Second, GiveUp: 3 * time.Second}},
-			Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond, ColdShare: 0.3, Cold: time.Second, FallMultiple: 4, Fall: time.Second}}})
+	module, err := core.New(core.Config{Known: known, MaxClients: 300, StateTimeout: stateWait, Log: func(string) {},
+		Settings: decide.Settings{Seed: 5, Zone: "a", MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond, GroupAffinity: true, ProbingAllowed: true,
+			Classes: []decide.Class{{Name: "solo-play", LatencyObjective: time.Second, ClientTimeout: 3 * time.Second}},
+			Safety:  decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, SlowStartShare: 0.3, SlowStartDuration: time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -80,12 +80,12 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	front, pause := New(module, testNames, Budget{Descriptors: 600, DialSpare: 200}, log), hotrestart.NewPause(l.SetDeadline)
-	ring, err := token.NewRing([]token.Key{s.key}, s.limits.Life)
+	front, pause := New(module, testNames, DescriptorBudget{Total: 600, DialReserve: 200}, log), hotrestart.NewPauser(l.SetDeadline)
+	ring, err := token.NewRing([]token.Key{s.key}, s.limits.TokenLifetime)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	front.Resume(NewResuming(s.limits, ring))
+	front.EnableSessions(NewSessionResumer(s.limits, ring))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	prober := NewProber(ctx, module, 100)
@@ -97,17 +97,17 @@
 	return b
 }
 
-func (s *site) instance(room int, state decide.State) core.Instance {
+func (s *site) instance(room int, state decide.State) core.Endpoint {
 	r := s.rooms[room]
-	return core.Instance{Name: r.Name(), Address: r.Address(), Server: decide.Server{ID: core.ServerID(r.Name()), Zone: "a",
+	return core.Endpoint{Name: r.Name(), Address: r.Address(), Server: decide.Server{ID: core.ServerID(r.Name()), Zone: "a",
 		State: state}}
 }
 
 // set tells all balancers the state of a room server.
 func (s *site) set(room int, state decide.State) {
 	for _, b := range s.balancers {
-		b.module.Resolved(core.Result{Kind: decide.ListChanges, Instances: []core.Instance{s.instance(room, state)}})
-		b.module.Fresh(5 * time.Second)
+		b.module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{s.instance(room, state)}})
+		b.module.CurrentSnapshot(5 * time.Second)
 	}
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (s *site) startedOver(b *balancer, why core.Reason) uint64 {
-	return b.module.Fresh(5 * time.Second).StartedOver[why]
+	return b.module.CurrentSnapshot(5 * time.Second).StartedOver[why]
 }
 
 // A session that a drain sends away goes on where it was, at another balancer, and again, with every move kept. Guards
@@ -223,7 +223,7 @@
 			t.Errorf("%d sessions attached at %s, want %d", n, s.rooms[i].Name(), want)
 		}
 	}
-	if n := s.balancers[1].module.Fresh(5 * time.Second).Resumed; n != 1 {
+	if n := s.balancers[1].module.CurrentSnapshot(5 * time.Second).Resumed; n != 1 {
 		t.Errorf("%d resumed at the second balancer", n)
 	}
 }
@@ -343,15 +343,15 @@
 	for name, v := range map[string]struct {
 		why    string
 		breaks func(s *site)
-		rooms  [2]emulator.RoomConfig
+		rooms  [2]emulator.RoomServerConfig
 	}{
-		"no state":              {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{Forget: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
-		"dead":                  {"gone", stop, [2]emulator.RoomConfig{keeps, keeps}},
-		"stalls":                {"late", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{StallExport: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
-		"dies half-way":         {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{HalfExport: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
-		"lies about size":       {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{SmallState: true}) }, [2]emulator.RoomConfig{keeps, keeps}},
-		"one byte over":         {"large", func(*site) {}, [2]emulator.RoomConfig{{Keeps: true, State: 4097}, keeps}},
-		"new one knows nothing": {"unsupported", func(*site) {}, [2]emulator.RoomConfig{keeps, {}}},
+		"no state":              {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{Forget: true}) }, [2]emulator.RoomServerConfig{keeps, keeps}},
+		"dead":                  {"gone", stop, [2]emulator.RoomServerConfig{keeps, keeps}},
+		"stalls":                {"late", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{StallExport: true}) }, [2]emulator.RoomServerConfig{keeps, keeps}},
+		"dies half-way":         {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{HalfExport: true}) }, [2]emulator.RoomServerConfig{keeps, keeps}},
+		"lies about size":       {"gone", func(s *site) { s.rooms[0].Misbehave(emulator.Faults{SmallState: true}) }, [2]emulator.RoomServerConfig{keeps, keeps}},
+		"one byte over":         {"large", func(*site) {}, [2]emulator.RoomServerConfig{{Keeps: true, State: 4097}, keeps}},
+		"new one knows nothing": {"unsupported", func(*site) {}, [2]emulator.RoomServerConfig{keeps, {}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -374,7 +374,7 @@
 // A state of exactly the limit goes on.
 func TestLargestState(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 1, emulator.RoomConfig{Keeps: true, State: 4096}, keeps)
+	s := newSite(t, 1, emulator.RoomServerConfig{Keeps: true, State: 4096}, keeps)
 	c, _ := s.begin(s.balancers[0], 0, 3)
 	s.present(s.balancers[0], s.move(c, 0, 1)).hasBoard(3, 1)
 }
@@ -423,7 +423,7 @@
 	forged.Secret = other.key.Secret
 	nothing := func(*token.Token) {}
 	spoof := s.balancers[0].client(t)
-	spoof.send(strings.Replace(opening(), "\r\n", ",session="+protocol.Open{Mode: protocol.Back}.String()+"\r\n", 1))
+	spoof.send(strings.Replace(opening(), "\r\n", ",session="+protocol.Open{Mode: protocol.ModeReattach}.String()+"\r\n", 1))
 	spoof.want("ERR\r\n")
 	for text, why := range map[string]string{
 		tok[:40]: "malformed", "7" + tok[1:]: "version", seal(other.key, nothing): "unknown-key",
@@ -463,7 +463,7 @@
 // With it on, a client that asks for nothing and a room server that knows nothing go on as before.
 func TestOldClientsAndServers(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 1, keeps, emulator.RoomConfig{})
+	s := newSite(t, 1, keeps, emulator.RoomServerConfig{})
 	s.only(0)
 	c := s.balancers[0].client(t)
 	c.send(opening())
@@ -543,7 +543,7 @@
 	t.Parallel()
 	s := newSite(t, 2, keeps)
 	c, first := s.begin(s.balancers[0], 0, 3)
-	if err := s.balancers[0].module.LameDuck(5 * time.Second); err != nil {
+	if err := s.balancers[0].module.EnterLameDuck(5 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	tok, ok := strings.CutPrefix(c.line(), "TOKEN ")
@@ -558,7 +558,7 @@
 func TestWholeRoom(t *testing.T) {
 	t.Parallel()
 	const players = 60
-	large := emulator.RoomConfig{Keeps: true, State: 100, Capacity: 400}
+	large := emulator.RoomServerConfig{Keeps: true, State: 100, Capacity: 400}
 	s := newSite(t, 2, large, large, large)
 	var clients []*client
 	for i := range players {
@@ -619,7 +619,7 @@
 	if err != nil || f.resume != "new" {
 		t.Fatal(f, err)
 	}
-	o := protocol.Open{Mode: protocol.Begin, Ref: token.Ref{Epoch: 1, Fence: 0xab}}
+	o := protocol.Open{Mode: protocol.ModeNew, Ref: token.Ref{Epoch: 1, Fence: 0xab}}
 	want := "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,session=" + o.String() + ",t=familles,d=1500,g=5c0f"
 	if got := f.forwardSession(1500*time.Millisecond, o); got != want {
 		t.Errorf("%q, want %q", got, want)
--- a/internal/frontend/platform/subchannel.go
+++ b/internal/frontend/platform/subchannel.go
@@ -19,7 +19,7 @@
 // Prober keeps an actor for each room server that is probed. The module's actor alone calls it.
 type Prober struct {
 	ctx         context.Context
-	module      *core.Module
+	module      *core.Engine
 	dialer      net.Dialer
 	subchannels map[decide.ServerID]*subchannel
 	most        int
@@ -28,7 +28,7 @@
 }
 
 // NewProber returns a prober whose actors end with ctx. Each keeps a connection; there are most of them at most.
-func NewProber(ctx context.Context, module *core.Module, most int) *Prober {
+func NewProber(ctx context.Context, module *core.Engine, most int) *Prober {
 	return &Prober{ctx: ctx, module: module, dialer: net.Dialer{KeepAlive: -1}, most: most,
 		subchannels: map[decide.ServerID]*subchannel{}}
 }
@@ -37,11 +37,11 @@
 func (p *Prober) Wait() { p.actors.Wait() }
 
 // Probe puts a probe into the mailbox of the room server's actor.
-func (p *Prober) Probe(ctx context.Context, seq uint64, server core.Subchannel) {
+func (p *Prober) Probe(ctx context.Context, seq uint64, server core.Upstream) {
 	s := p.subchannels[server.ID]
 	if s == nil {
 		if len(p.subchannels) >= p.most {
-			p.Forget(p.oldest())
+			p.Remove(p.oldest())
 		}
 		s = &subchannel{prober: p, probes: make(chan probeOrder, probeBacklog)}
 		p.subchannels[server.ID] = s
@@ -67,8 +67,8 @@
 	return id
 }
 
-// Forget ends the actor of a room server that is gone.
-func (p *Prober) Forget(server decide.ServerID) {
+// Remove ends the actor of a room server that is gone.
+func (p *Prober) Remove(server decide.ServerID) {
 	if s := p.subchannels[server]; s != nil {
 		close(s.probes)
 		delete(p.subchannels, server)
@@ -78,7 +78,7 @@
 type probeOrder struct {
 	ctx    context.Context // ends when the core stops waiting
 	seq    uint64
-	server core.Subchannel
+	server core.Upstream
 }
 
 // subchannel is the actor of one room server's probes. It keeps one connection for them, as a new one costs
@@ -103,32 +103,32 @@
 				return
 			}
 			code, report := s.probe(o)
-			s.prober.module.Probed(o.seq, code, report)
+			s.prober.module.ProbeCompleted(o.seq, code, report)
 		}
 	}
 }
 
 // probe asks once, and once more on a new connection where the kept one turns out to be closed.
-func (s *subchannel) probe(o probeOrder) (decide.Code, decide.Report) {
+func (s *subchannel) probe(o probeOrder) (decide.Code, decide.LoadReport) {
 	if s.conn != nil && s.address == o.server.Address {
 		if line, err := s.ask(o.ctx); err == nil {
 			return parseProbe(line)
 		}
 		s.close()
 		if o.ctx.Err() != nil {
-			return decide.TimedOut, decide.NoReport
+			return decide.TimedOut, decide.NoLoadReport
 		}
 	}
 	s.close()
 	conn, err := s.prober.dialer.DialContext(o.ctx, "tcp", o.server.Address)
 	if err != nil {
-		return decide.ConnectFailed, decide.NoReport
+		return decide.ConnectFailed, decide.NoLoadReport
 	}
 	s.conn, s.text, s.address = conn, textproto.NewConn(conn), o.server.Address
 	line, err := s.ask(o.ctx)
 	if err != nil {
 		s.close()
-		return decide.Reset, decide.NoReport
+		return decide.Reset, decide.NoLoadReport
 	}
 	return parseProbe(line)
 }
--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -28,7 +28,7 @@
 
 // flow is the actor of one client's connection. The router owns names, from and server; the actor the rest.
 type flow struct {
-	front *Front
+	front *Frontend
 	call  *core.Call
 
 	names  []string        // the ids that lead here
@@ -75,7 +75,7 @@
 	err error
 }
 
-func newFlow(f *Front, from netip.AddrPort) *flow {
+func newFlow(f *Frontend, from netip.AddrPort) *flow {
 	return &flow{front: f, from: from, client: from, orders: make(chan func(), orderBacklog),
 		clients: make(chan clientDatagram, flowBacklog), servers: make(chan serverDatagram), done: make(chan struct{})}
 }
@@ -99,20 +99,20 @@
 	}
 }
 
-func (fl *flow) Attempt(a core.CallAttempt) { fl.order(func() { fl.attempt(a) }) }
-func (fl *flow) GiveUp(n int, why decide.Code) {
+func (fl *flow) StartAttempt(a core.Attempt) { fl.order(func() { fl.attempt(a) }) }
+func (fl *flow) CancelAttempt(n int, why decide.Code) {
 	fl.order(func() { fl.giveUp(n, why) })
 }
-func (fl *flow) Stand(n int) { fl.order(func() { fl.stand(n) }) }
-func (fl *flow) Move()       { fl.order(fl.move) }
-func (fl *flow) Drop()       { fl.order(func() { fl.over = true }) }
-func (fl *flow) Fail()       { fl.order(func() { fl.answer(internalError, "") }) }
-func (fl *flow) Unavailable(retryAfter time.Duration) {
+func (fl *flow) Establish(n int) { fl.order(func() { fl.stand(n) }) }
+func (fl *flow) Migrate()        { fl.order(fl.move) }
+func (fl *flow) Abort()          { fl.order(func() { fl.over = true }) }
+func (fl *flow) Fail()           { fl.order(func() { fl.answer(internalError, "") }) }
+func (fl *flow) Reject(retryAfter time.Duration) {
 	fl.order(func() { fl.answer(connectionRefused, retryReason(retryAfter)) })
 }
 
 func (fl *flow) run(ctx context.Context) {
-	defer fl.front.module.Closed(fl.call)
+	defer fl.front.module.ClientClosed(fl.call)
 	defer fl.front.turn(func() { fl.front.forget(fl) })
 	defer close(fl.done)
 	defer fl.closeUp()
@@ -134,7 +134,7 @@
 
 // attempt opens a socket of its own for the room server, so that a late reply of an attempt that was given up
 // finds no way back, and sends what the client has sent so far.
-func (fl *flow) attempt(a core.CallAttempt) {
+func (fl *flow) attempt(a core.Attempt) {
 	fl.closeUp()
 	for len(fl.clients) > 0 { // Guards against an attempt for a client whose close is here, and behind this order
 		fl.clientSent(<-fl.clients)
@@ -142,25 +142,25 @@
 	if fl.over {
 		return
 	}
-	addr, err := netip.ParseAddrPort(a.Server.Address)
+	addr, err := netip.ParseAddrPort(a.Upstream.Address)
 	if err != nil {
-		fl.front.module.Ended(fl.call, a.N, decide.ConnectFailed, decide.NoReport)
+		fl.front.module.AttemptEnded(fl.call, a.Number, decide.ConnectFailed, decide.NoLoadReport)
 		return
 	}
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		fl.front.log.WithError(err).Warn("quic front: socket for a room server")
-		fl.front.module.Ended(fl.call, a.N, decide.ConnectFailed, decide.NoReport)
+		fl.front.module.AttemptEnded(fl.call, a.Number, decide.ConnectFailed, decide.NoLoadReport)
 		return
 	}
-	up := &upstream{n: a.N, id: a.Server.ID, conn: conn}
+	up := &upstream{n: a.Number, id: a.Upstream.ID, conn: conn}
 	fl.up = up
 	fl.front.actors.Go(func() { fl.readServer(up) })
-	fl.front.module.Connected(fl.call, a.N)
+	fl.front.module.AttemptSent(fl.call, a.Number)
 	if fl.resumed {
 		// It stands at this server already; what the client sent goes on with the core's word.
 		fl.isUp = true
-		fl.front.module.Up(fl.call, a.N)
+		fl.front.module.AttemptAccepted(fl.call, a.Number)
 		return
 	}
 	for _, raw := range fl.kept {
@@ -238,14 +238,14 @@
 		fl.unanswered = now
 	case !fl.awaiting && now.Sub(fl.unanswered) > quiet:
 		fl.awaiting = true
-		fl.front.module.Awaiting(fl.call)
+		fl.front.module.ResponseAwaited(fl.call)
 	}
 }
 
 func (fl *flow) touch() {
 	if now := time.Now(); now.Sub(fl.touched) > fl.front.cfg.Idle/touchEvery {
 		fl.touched = now
-		fl.front.module.Touch(fl.call)
+		fl.front.module.TrafficSeen(fl.call)
 	}
 }
 
@@ -273,7 +273,7 @@
 		// Refused before it stood: another room server may take it, and the client hears nothing of this one.
 		code := decide.ServerError
 		if closed.code == connectionRefused {
-			code = decide.Full
+			code = decide.Rejected
 		}
 		fl.endAttempt(code)
 		return
@@ -286,7 +286,7 @@
 	}
 	if !fl.isUp {
 		fl.isUp = true
-		fl.front.module.Up(fl.call, fl.up.n)
+		fl.front.module.AttemptAccepted(fl.call, fl.up.n)
 	}
 }
 
@@ -306,7 +306,7 @@
 func (fl *flow) endAttempt(code decide.Code) {
 	n := fl.up.n
 	fl.closeUp()
-	fl.front.module.Ended(fl.call, n, code, decide.NoReport)
+	fl.front.module.AttemptEnded(fl.call, n, code, decide.NoLoadReport)
 }
 
 // end closes a standing connection.
@@ -319,7 +319,7 @@
 
 // giveUp ends an attempt that has no answer. What was sent when it began cannot be taken back for want of a connection.
 func (fl *flow) giveUp(n int, why decide.Code) {
-	if fl.up != nil && fl.up.n == n && !fl.isUp && !why.NeverRan() {
+	if fl.up != nil && fl.up.n == n && !fl.isUp && !why.NeverExecuted() {
 		fl.endAttempt(why)
 	}
 }
@@ -360,7 +360,7 @@
 	fl.unanswered = time.Time{}
 	if fl.awaiting {
 		fl.awaiting = false
-		fl.front.module.Answered(fl.call)
+		fl.front.module.ServerResponded(fl.call)
 	}
 	fl.touch()
 }
--- a/internal/frontend/quic/front.go
+++ b/internal/frontend/quic/front.go
@@ -35,16 +35,16 @@
 	IDs      *IDFormat
 	ResetKey []byte        // shared with the room servers
 	Class    int           // of all requests that come here
-	Wait     time.Duration // a request's deadline
+	Timeout  time.Duration // a request's deadline
 	Idle     time.Duration // a connection without traffic for so long has ended
 	MaxFlows int
 }
 
-// Front routes datagrams. Its router goroutine owns the table of flows.
-type Front struct {
-	watch  core.Turns // nil: nobody hears
+// Frontend routes datagrams. Its router goroutine owns the table of flows.
+type Frontend struct {
+	watch  core.Watchdog // nil: nobody hears
 	cfg    Config
-	module *core.Module
+	module *core.Engine
 	log    *logrus.Logger
 	conn   *net.UDPConn
 	limit  *rate.Limiter
@@ -65,22 +65,22 @@
 }
 
 // New returns a front that routes what comes to its socket.
-func New(cfg Config, module *core.Module, log *logrus.Logger) *Front {
+func New(cfg Config, module *core.Engine, log *logrus.Logger) *Frontend {
 	conn := cfg.Conn
 	if err := conn.SetReadBuffer(readBuffer); err != nil {
 		log.WithError(err).Warn("quic front: read buffer")
 	}
-	return &Front{cfg: cfg, module: module, log: log, conn: conn, limit: rate.NewLimiter(resetsASecond, resetsASecond),
+	return &Frontend{cfg: cfg, module: module, log: log, conn: conn, limit: rate.NewLimiter(resetsASecond, resetsASecond),
 		datagrams: make(chan datagram, backlog), turns: make(chan func()), closed: make(chan struct{}),
 		flows: map[string]*flow{}}
 }
 
 // Addr is the front's address.
-func (f *Front) Addr() netip.AddrPort { return f.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (f *Frontend) Addr() netip.AddrPort { return f.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Serve routes until ctx ends, then waits for the flows' actors. While pause holds it, it reads no datagram; what its
 // room servers send still reaches the clients.
-func (f *Front) Serve(ctx context.Context, pause *hotrestart.Pause) {
+func (f *Frontend) Serve(ctx context.Context, pause *hotrestart.Pauser) {
 	defer f.actors.Wait()
 	defer close(f.closed)
 	// Closed here and not by context.AfterFunc: stopping that one can come before its call, and the reader
@@ -92,17 +92,17 @@
 		case <-ctx.Done():
 			return
 		case d := <-f.datagrams:
-			core.Turn(f.watch, func() { f.route(ctx, d) })
+			core.RunMonitored(f.watch, func() { f.route(ctx, d) })
 		case turn := <-f.turns:
-			core.Turn(f.watch, turn)
+			core.RunMonitored(f.watch, turn)
 		}
 	}
 }
 
-// Watch lets a watchdog hear of the router's turns; it is called before Serve.
-func (f *Front) Watch(turns core.Turns) { f.watch = turns }
+// SetWatchdog lets a watchdog hear of the router's turns; it is called before Serve.
+func (f *Frontend) SetWatchdog(turns core.Watchdog) { f.watch = turns }
 
-func (f *Front) read(ctx context.Context, pause *hotrestart.Pause) {
+func (f *Frontend) read(ctx context.Context, pause *hotrestart.Pauser) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := f.conn.ReadFromUDPAddrPort(buf)
@@ -110,7 +110,7 @@
 			return
 		}
 		if err != nil {
-			pause.Held(ctx, err)
+			pause.Paused(ctx, err)
 			continue // of one datagram; the socket goes on
 		}
 		select {
@@ -122,7 +122,7 @@
 }
 
 // turn has the router run something before it looks at the next datagram. The router never waits for a flow.
-func (f *Front) turn(do func()) {
+func (f *Frontend) turn(do func()) {
 	select {
 	case f.turns <- do:
 	case <-f.closed:
@@ -130,7 +130,7 @@
 }
 
 // route finds the flow of a datagram, or begins one.
-func (f *Front) route(ctx context.Context, d datagram) {
+func (f *Frontend) route(ctx context.Context, d datagram) {
 	p, err := parsePacket(d.raw, f.cfg.IDs.Len())
 	if err != nil {
 		return
@@ -160,7 +160,7 @@
 
 // begin takes a client's first Initial as a request. One that does not open under the keys of its own id is
 // no client's and is dropped, as an endpoint would (RFC 9001, section 5.2).
-func (f *Front) begin(ctx context.Context, d datagram, p packet) {
+func (f *Frontend) begin(ctx context.Context, d datagram, p packet) {
 	if len(d.raw) < minInitial || len(p.dcid) < minOrigCID {
 		return
 	}
@@ -187,13 +187,13 @@
 	fl := f.newFlow(ctx, d, p)
 	fl.origCID, fl.clientCID = clone(p.dcid), clone(p.scid)
 	fl.fromClient(d, p)
-	f.module.Request(fl.call, core.Request{Class: f.cfg.Class, Key: d.from.Addr().String(),
-		Deadline: time.Now().Add(f.cfg.Wait)})
+	f.module.RequestReceived(fl.call, core.Request{Class: f.cfg.Class, Key: d.from.Addr().String(),
+		Deadline: time.Now().Add(f.cfg.Timeout)})
 }
 
 // resume takes a datagram whose id names a room server but no flow: after a restart of the balancer, or an id
 // that its client has not used before.
-func (f *Front) resume(ctx context.Context, d datagram, p packet, server decide.ServerID) {
+func (f *Frontend) resume(ctx context.Context, d datagram, p packet, server decide.ServerID) {
 	if !p.long {
 		// A new id from a known address is a known connection's: the client changed it, not its place.
 		for _, fl := range f.flows {
@@ -210,10 +210,10 @@
 	fl := f.newFlow(ctx, d, p)
 	fl.resumed = true
 	fl.fromClient(d, p)
-	f.module.Reopen(fl.call, core.Request{Class: f.cfg.Class, Key: d.from.Addr().String()}, server, 0)
+	f.module.RestoreConnection(fl.call, core.Request{Class: f.cfg.Class, Key: d.from.Addr().String()}, server, 0)
 }
 
-func (f *Front) newFlow(ctx context.Context, d datagram, p packet) *flow {
+func (f *Frontend) newFlow(ctx context.Context, d datagram, p packet) *flow {
 	fl := newFlow(f, d.from)
 	f.count++
 	f.name(fl, p.dcid)
@@ -226,7 +226,7 @@
 const maxNames = 16
 
 // name lets an id lead to a flow.
-func (f *Front) name(fl *flow, id []byte) {
+func (f *Frontend) name(fl *flow, id []byte) {
 	if len(id) == 0 || f.flows[string(id)] != nil {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 // forget takes a closed flow out of the table.
-func (f *Front) forget(fl *flow) {
+func (f *Frontend) forget(fl *flow) {
 	f.count--
 	for _, id := range fl.names {
 		delete(f.flows, id)
@@ -247,7 +247,7 @@
 }
 
 // reset sends a stateless reset, smaller than its cause, so that two that answer each other come to an end.
-func (f *Front) reset(id []byte, cause int, to netip.AddrPort) {
+func (f *Frontend) reset(id []byte, cause int, to netip.AddrPort) {
 	size := min(cause-1, maxReset)
 	if size < minReset || !f.limit.Allow() {
 		return
@@ -264,7 +264,7 @@
 }
 
 // send writes a datagram to a client. UDP promises nothing, and a client repeats what it misses.
-func (f *Front) send(raw []byte, to netip.AddrPort) {
+func (f *Frontend) send(raw []byte, to netip.AddrPort) {
 	if _, err := f.conn.WriteToUDPAddrPort(raw, to); err != nil && !errors.Is(err, net.ErrClosed) {
 		f.log.WithError(err).Debug("quic front: send")
 	}
--- a/internal/frontend/quic/front_test.go
+++ b/internal/frontend/quic/front_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.pause.Hold()
+	old.pause.Pause()
 	next := newBalancer(t, "127.0.0.1:0", ids, func(cfg *Config) {
 		cfg.Conn.Close()
 		cfg.Conn = shared.(*net.UDPConn)
@@ -46,7 +46,7 @@
 			t.Fatalf("after the hand-over: %q, %v", answer, err)
 		}
 	}
-	eventually(t, "reopened", func() bool { return next.module.Snapshot().Reopened == 1 })
+	eventually(t, "reopened", func() bool { return next.module.Snapshot().Restored == 1 })
 	if s := next.module.Snapshot(); s.Served != 1 || s.Failed > 0 {
 		t.Errorf("%+v", s)
 	}
@@ -79,7 +79,7 @@
 				}
 			}
 			eventually(t, "snapshot", func() bool { return b.module.Snapshot().Served == clients })
-			if s := b.module.Snapshot(); taken != clients || s.Refused+s.Failed+s.Reopened > 0 {
+			if s := b.module.Snapshot(); taken != clients || s.Rejected+s.Failed+s.Restored > 0 {
 				t.Errorf("servers took %d clients, balancer says %+v", taken, s.Counters)
 			}
 		})
@@ -123,8 +123,8 @@
 	if closed, err := c.open(5 * time.Second); err != nil || closed != nil {
 		t.Fatalf("open: %+v, %v", closed, err)
 	}
-	b.module.Resolved(core.Result{Kind: decide.ListFull,
-		Instances: []core.Instance{s1.instance(decide.Draining), s2.instance(decide.Ready)}})
+	b.module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot,
+		Endpoints: []core.Endpoint{s1.instance(decide.Draining), s2.instance(decide.Ready)}})
 	for _, move := range []bool{false, true, true} {
 		answer, err := c.say("new id")
 		if err != nil {
@@ -160,7 +160,7 @@
 	if answer, err := c.say("hello"); err != nil || answer != "s-1 hello" {
 		t.Fatalf("after the restart: %q, %v", answer, err)
 	}
-	eventually(t, "reopened", func() bool { return b.module.Snapshot().Reopened == 1 })
+	eventually(t, "reopened", func() bool { return b.module.Snapshot().Restored == 1 })
 	if s := b.module.Snapshot(); s.Served != 1 {
 		t.Errorf("a new placement was made: %+v", s.Counters)
 	}
@@ -227,7 +227,7 @@
 				t.Errorf("the good server took %d of 4 clients", taken)
 			}
 			eventually(t, "snapshot", func() bool { return b.module.Snapshot().Served == 4 })
-			if s := b.module.Snapshot(); s.Refused+s.Failed > 0 || s.Attempts < 5 {
+			if s := b.module.Snapshot(); s.Rejected+s.Failed > 0 || s.Attempts < 5 {
 				t.Errorf("balancer says %+v", s.Counters)
 			}
 		})
@@ -246,13 +246,13 @@
 	if err != nil || closed == nil || closed.code != connectionRefused || !strings.HasPrefix(closed.reason, "retry-after=") {
 		t.Fatalf("open: %+v, %v", closed, err)
 	}
-	eventually(t, "snapshot", func() bool { return b.module.Snapshot().Refused == 1 })
+	eventually(t, "snapshot", func() bool { return b.module.Snapshot().Rejected == 1 })
 	attempts := b.module.Snapshot().Attempts
 	if again, err := c.open(5 * time.Second); err != nil || again == nil || *again != *closed {
 		t.Errorf("the second time: %+v, %v", again, err)
 	}
 	time.Sleep(1100 * time.Millisecond) // for another snapshot
-	if s := b.module.Snapshot(); s.Refused != 1 || s.Served+s.Failed > 0 || s.Attempts != attempts {
+	if s := b.module.Snapshot(); s.Rejected != 1 || s.Served+s.Failed > 0 || s.Attempts != attempts {
 		t.Errorf("balancer says %+v", s.Counters)
 	}
 	if taken, _, _ := s1.counts(); taken > 0 {
@@ -320,7 +320,7 @@
 	if err != nil || !bytes.HasSuffix(answer, token[:]) {
 		t.Fatalf("answer %x, %v", answer, err)
 	}
-	eventually(t, "closed", func() bool { return b.module.Snapshot().Open == 0 })
+	eventually(t, "closed", func() bool { return b.module.Snapshot().Clients == 0 })
 }
 
 // An idle connection ends by itself.
@@ -332,6 +332,6 @@
 	if closed, err := newClient(t, b.front.Addr()).open(5 * time.Second); err != nil || closed != nil {
 		t.Fatalf("open: %+v, %v", closed, err)
 	}
-	eventually(t, "open", func() bool { return b.module.Snapshot().Open == 1 })
-	eventually(t, "closed", func() bool { return b.module.Snapshot().Open == 0 })
+	eventually(t, "open", func() bool { return b.module.Snapshot().Clients == 1 })
+	eventually(t, "closed", func() bool { return b.module.Snapshot().Clients == 0 })
 }
--- a/internal/frontend/quic/gone_test.go
+++ b/internal/frontend/quic/gone_test.go
@@ -29,18 +29,18 @@
 	b := newBalancer(t, "127.0.0.1:0", ids, nil)
 	c := newClient(t, b.front.Addr())
 	c.conn.Write(c.initial)
-	eventually(t, "the request", func() bool { return b.module.Fresh(time.Second).Waiting == 1 })
+	eventually(t, "the request", func() bool { return b.module.CurrentSnapshot(time.Second).Waiting == 1 })
 	c.conn.Write(c.gives())
-	eventually(t, "its end", func() bool { return b.module.Fresh(time.Second).Left == 1 })
+	eventually(t, "its end", func() bool { return b.module.CurrentSnapshot(time.Second).ClientsLeft == 1 })
 	c.conn.Write(c.gives())
 	s := newServer(t, "s-1", ids, accepts)
-	b.module.Resolved(core.Result{Kind: decide.ListChanges, Instances: []core.Instance{s.instance(decide.Ready)}})
+	b.module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{s.instance(decide.Ready)}})
 	other := newClient(t, b.front.Addr())
 	if closed, err := other.open(5 * time.Second); err != nil || closed != nil {
 		t.Fatalf("another client: %+v, %v", closed, err)
 	}
-	if n := b.module.Fresh(time.Second); n.Attempts != 1 || n.Open != 1 {
-		t.Errorf("%d attempts, %d channels, want the other client's", n.Attempts, n.Open)
+	if n := b.module.CurrentSnapshot(time.Second); n.Attempts != 1 || n.Clients != 1 {
+		t.Errorf("%d attempts, %d channels, want the other client's", n.Attempts, n.Clients)
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 		fl.fromClient(datagram{fl.from, raw}, p)
 	}
-	fl.attempt(core.CallAttempt{Server: core.Subchannel{Address: server.LocalAddr().String()}})
+	fl.attempt(core.Attempt{Upstream: core.Upstream{Address: server.LocalAddr().String()}})
 	fl.closeUp()
 	server.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 2048)); err == nil || !fl.over {
--- a/internal/frontend/quic/standin_test.go
+++ b/internal/frontend/quic/standin_test.go
@@ -77,8 +77,8 @@
 	return s
 }
 
-func (s *standInServer) instance(state decide.State) core.Instance {
-	return core.Instance{Name: s.name, Address: s.conn.LocalAddr().String(), Server: decide.Server{
+func (s *standInServer) instance(state decide.State) core.Endpoint {
+	return core.Endpoint{Name: s.name, Address: s.conn.LocalAddr().String(), Server: decide.Server{
 		ID: core.ServerID(s.name), Zone: "a", State: state}}
 }
 
@@ -284,34 +284,34 @@
 // noList and noProbes stand in for discovery and for the line front's probes.
 type noList struct{}
 
-func (noList) Subscribe(context.Context, uint64) {}
-func (noList) FetchList(context.Context)         {}
-func (noList) Move(string)                       {}
+func (noList) Watch(context.Context, uint64) {}
+func (noList) Fetch(context.Context)         {}
+func (noList) SetAddress(string)             {}
 
 type noProbes struct{}
 
-func (noProbes) Probe(context.Context, uint64, core.Subchannel) {}
-func (noProbes) Forget(decide.ServerID)                         {}
+func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
+func (noProbes) Remove(decide.ServerID)                       {}
 
 // balancer is a front on a module of its own.
 type balancer struct {
-	pause  *hotrestart.Pause
-	front  *Front
-	module *core.Module
+	pause  *hotrestart.Pauser
+	front  *Frontend
+	module *core.Engine
 	stop   func()
 }
 
 func settings() decide.Settings {
-	return decide.Settings{Seed: 5, Zone: "a", MaxTries: 3, MaxRetryAfter: 1500 * time.Millisecond,
-		Classes: []decide.Class{{Name: "solo-play", Aim: 300 * time.Millisecond, GiveUp: 1200 * time.Millisecond}},
-		Rules:   decide.Rules{DrainGrace: 500 * time.Millisecond, ColdShare: 0.3, Cold: time.Second, FallMultiple: 4, Fall: time.Second}}
+	return decide.Settings{Seed: 5, Zone: "a", MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
+		Classes: []decide.Class{{Name: "solo-play", LatencyObjective: 300 * time.Millisecond, ClientTimeout: 1200 * time.Millisecond}},
+		Safety:  decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, SlowStartShare: 0.3, SlowStartDuration: time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}
 }
 
-func newBalancer(t testing.TB, listen string, ids *IDFormat, change func(*Config), known ...core.Instance) *balancer {
+func newBalancer(t testing.TB, listen string, ids *IDFormat, change func(*Config), known ...core.Endpoint) *balancer {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	module, err := core.New(core.Config{Settings: settings(), Known: known, MaxChannels: 100, Log: func(string) {}})
+	module, err := core.New(core.Config{Settings: settings(), Known: known, MaxClients: 100, Log: func(string) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,12 +323,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Conn: conn, IDs: ids, ResetKey: resetKey, Wait: 1200 * time.Millisecond, Idle: time.Minute,
+	cfg := Config{Conn: conn, IDs: ids, ResetKey: resetKey, Timeout: 1200 * time.Millisecond, Idle: time.Minute,
 		MaxFlows: 100}
 	if change != nil {
 		change(&cfg)
 	}
-	front, pause := New(cfg, module, log), hotrestart.NewPause(conn.SetReadDeadline)
+	front, pause := New(cfg, module, log), hotrestart.NewPauser(conn.SetReadDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, noProbes{}, noList{}) })
--- a/internal/operations/hotrestart/handover_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -213,13 +213,13 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := NewPause(l.(*net.TCPListener).SetDeadline)
+	p := NewPauser(l.(*net.TCPListener).SetDeadline)
 	accepted := make(chan struct{}, 9)
 	go func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
-				if p.Held(context.Background(), err) {
+				if p.Paused(context.Background(), err) {
 					continue
 				}
 				return
@@ -228,9 +228,9 @@
 			accepted <- struct{}{}
 		}
 	}()
-	p.Hold()
+	p.Pause()
 	p.Resume()
-	p.Hold()
+	p.Pause()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operations/hotrestart/sockets.go
+++ b/internal/operations/hotrestart/sockets.go
@@ -128,24 +128,24 @@
 	}
 }
 
-// Pause lets the one goroutine that accepts from a socket, or reads it, stop and go on; the socket stays open. Another
+// Pauser lets the one goroutine that accepts from a socket, or reads it, stop and go on; the socket stays open. Another
 // process that holds the same socket is not touched.
-type Pause struct {
+type Pauser struct {
 	deadline func(time.Time) error
 	resumed  chan struct{}
 }
 
-// NewPause returns a pause for a socket's read or accept deadline.
-func NewPause(deadline func(time.Time) error) *Pause {
-	return &Pause{deadline: deadline, resumed: make(chan struct{}, 1)}
+// NewPauser returns a pause for a socket's read or accept deadline.
+func NewPauser(deadline func(time.Time) error) *Pauser {
+	return &Pauser{deadline: deadline, resumed: make(chan struct{}, 1)}
 }
 
-// Hold stops the goroutine at its next call; a closed socket is stopped already. The call under way may still bring what
+// Pause stops the goroutine at its next call; a closed socket is stopped already. The call under way may still bring what
 // comes just then, once.
-func (p *Pause) Hold() { _ = p.deadline(time.Unix(1, 0)) }
+func (p *Pauser) Pause() { _ = p.deadline(time.Unix(1, 0)) }
 
 // Resume lets it go on.
-func (p *Pause) Resume() {
+func (p *Pauser) Resume() {
 	_ = p.deadline(time.Time{})
 	select {
 	case p.resumed <- struct{}{}:
@@ -153,8 +153,8 @@
 	}
 }
 
-// Held tells whether a call failed because of the pause, and waits until that is over.
-func (p *Pause) Held(ctx context.Context, err error) bool {
+// Paused tells whether a call failed because of the pause, and waits until that is over.
+func (p *Pauser) Paused(ctx context.Context, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
--- a/internal/operations/management/client.go
+++ b/internal/operations/management/client.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Ask makes one call at an instance's management address and returns the lines of its answer. It waits until ctx ends, 2 s
+// Query makes one call at an instance's management address and returns the lines of its answer. It waits until ctx ends, 2 s
 // at most.
-func Ask(ctx context.Context, address, call string) (lines []string, err error) {
+func Query(ctx context.Context, address, call string) (lines []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait)
 	defer cancel()
 	var dialer net.Dialer
@@ -40,9 +40,9 @@
 	return lines, nil
 }
 
-// Figures asks for INFO and returns its counts by name, without the part svc.
-func Figures(ctx context.Context, address string) (map[string]uint64, error) {
-	lines, err := Ask(ctx, address, string(callInfo))
+// ParseMetrics asks for INFO and returns its counts by name, without the part svc.
+func ParseMetrics(ctx context.Context, address string) (map[string]uint64, error) {
+	lines, err := Query(ctx, address, string(callInfo))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operations/management/management.go
+++ b/internal/operations/management/management.go
@@ -50,25 +50,25 @@
 
 // Server answers calls.
 type Server struct {
-	module  *core.Module
+	module  *core.Engine
 	classes []string
 	most    int
-	more    func() []Figure // nil: there are no more
+	more    func() []Metric // nil: there are no more
 	log     *logrus.Logger
 	actors  sync.WaitGroup
 }
 
-// Figure is one line of INFO beside the module's own.
-type Figure struct {
+// Metric is one line of INFO beside the module's own.
+type Metric struct {
 	Name  string
 	Value uint64
 }
 
-// Show adds figures to INFO; it is called before Serve.
-func (s *Server) Show(more func() []Figure) { s.more = more }
+// AddMetrics adds figures to INFO; it is called before Serve.
+func (s *Server) AddMetrics(more func() []Metric) { s.more = more }
 
 // New returns a server for a module whose classes have these names; it holds most callers at once.
-func New(module *core.Module, classes []string, most int, log *logrus.Logger) *Server {
+func New(module *core.Engine, classes []string, most int, log *logrus.Logger) *Server {
 	return &Server{module: module, classes: classes, most: most, log: log}
 }
 
@@ -168,21 +168,21 @@
 	}
 	switch c {
 	case callPing:
-		if state := s.module.Service(); state != core.Serving {
+		if state := s.module.ServiceState(); state != core.Serving {
 			return "400 " + state.String()
 		}
 		return "200 serving"
 	case callInfo:
-		return s.info(s.module.Fresh(askWait))
+		return s.info(s.module.CurrentSnapshot(askWait))
 	case callLameDuck:
-		err = s.module.LameDuck(askWait)
+		err = s.module.EnterLameDuck(askWait)
 	case callRejoin:
-		err = s.module.Rejoin(askWait)
+		err = s.module.LeaveLameDuck(askWait)
 	}
 	if err != nil {
 		return "400 " + err.Error()
 	}
-	return "200 " + s.module.Service().String()
+	return "200 " + s.module.ServiceState().String()
 }
 
 // info tells the figures of a snapshot.
@@ -192,17 +192,17 @@
 	for i, name := range s.classes {
 		c := snapshot.Classes[i]
 		fmt.Fprintf(&b, "svc.fulfilled.%s=%d\r\nsvc.throttled.%[1]s=%[3]d\r\nsvc.faulted.%[1]s=%[4]d\r\nsvc.relayed.%[1]s=%[5]d\r\n",
-			name, c.Served, c.Refused, c.Failed, c.Attempts)
+			name, c.Served, c.Rejected, c.Failed, c.Attempts)
 	}
 	if snapshot.Generation > 0 {
 		fmt.Fprintf(&b, "svc.generation=%d\r\n", snapshot.Generation)
 	}
-	if snapshot.Resumes {
-		fmt.Fprintf(&b, "svc.tokens_given=%d\r\nsvc.tokens_unsealed=%d\r\nsvc.resumed=%d\r\n", snapshot.Given, snapshot.Unsealed,
+	if snapshot.SessionsEnabled {
+		fmt.Fprintf(&b, "svc.tokens_given=%d\r\nsvc.tokens_unsealed=%d\r\nsvc.resumed=%d\r\n", snapshot.TokensIssued, snapshot.TokensUnsealed,
 			snapshot.Resumed)
-		for r := range migration.Reasons {
+		for r := range migration.NumReasons {
 			name := "started_over"
-			if r.Refused() {
+			if r.IsTokenError() {
 				name = "token_refused"
 			}
 			fmt.Fprintf(&b, "svc.%s.%s=%d\r\n", name, r, snapshot.StartedOver[core.Reason(r.String())])
@@ -214,6 +214,6 @@
 		}
 	}
 	fmt.Fprintf(&b, "svc.open_requests=%d\r\nsvc.registry_entries=%d\r\nsvc.out_of_rotation=%d\r\nEOF",
-		snapshot.Waiting+snapshot.Standing, snapshot.Listed, snapshot.Avoided)
+		snapshot.Waiting+snapshot.Established, snapshot.Listed, snapshot.Ejected)
 	return b.String()
 }
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -19,20 +19,20 @@
 
 type nothing struct{}
 
-func (nothing) Probe(context.Context, uint64, core.Subchannel) {}
-func (nothing) Forget(decide.ServerID)                         {}
-func (nothing) Subscribe(context.Context, uint64)              {}
-func (nothing) FetchList(context.Context)                      {}
-func (nothing) Move(string)                                    {}
+func (nothing) Probe(context.Context, uint64, core.Upstream) {}
+func (nothing) Remove(decide.ServerID)                       {}
+func (nothing) Watch(context.Context, uint64)                {}
+func (nothing) Fetch(context.Context)                        {}
+func (nothing) SetAddress(string)                            {}
 
 // start returns the address of a server that holds most callers.
 func start(t *testing.T, most int) string {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	module, err := core.New(core.Config{MaxChannels: 9, Log: func(string) {}, Settings: decide.Settings{Zone: "a",
-		Classes: []decide.Class{{Name: "solo-play", Aim: time.Second}, {Name: "team-play", Aim: time.Second}}},
-		Known: []core.Instance{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a", State: decide.Draining}},
+	module, err := core.New(core.Config{MaxClients: 9, Log: func(string) {}, Settings: decide.Settings{Zone: "a",
+		Classes: []decide.Class{{Name: "solo-play", LatencyObjective: time.Second}, {Name: "team-play", LatencyObjective: time.Second}}},
+		Known: []core.Endpoint{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a", State: decide.Draining}},
 			{Name: "s-2", Server: decide.Server{ID: 2, Zone: "a"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	server := New(module, []string{"solo-play", "team-play"}, most, log)
 	running.Go(func() { server.Serve(ctx, l) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	module.Resolved(core.Result{Kind: decide.ListChanges})
-	module.Fresh(10 * time.Second)
+	module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
+	module.CurrentSnapshot(10 * time.Second)
 	return l.Addr().String()
 }
 
@@ -98,8 +98,8 @@
 
 // What came of tokens is told where sessions are resumed, and only there.
 func TestInfoOfTokens(t *testing.T) {
-	s := &core.Snapshot{Resumes: true, Generation: 4}
-	s.Given, s.Resumed, s.StartedOver = 3, 2, map[core.Reason]uint64{"gone": 4, "forged": 5}
+	s := &core.Snapshot{SessionsEnabled: true, Generation: 4}
+	s.TokensIssued, s.Resumed, s.StartedOver = 3, 2, map[core.Reason]uint64{"gone": 4, "forged": 5}
 	server := New(nil, nil, 1, nil)
 	for _, want := range []string{"svc.tokens_given=3\r\n", "svc.resumed=2\r\n", "svc.started_over.gone=4\r\n",
 		"svc.token_refused.forged=5\r\n", "svc.started_over.late=0\r\n", "svc.generation=4\r\n"} {
@@ -107,7 +107,7 @@
 			t.Errorf("%q lacks %q", got, want)
 		}
 	}
-	if s.Resumes = false; strings.Contains(server.info(s), "token") {
+	if s.SessionsEnabled = false; strings.Contains(server.info(s), "token") {
 		t.Error("told where it is off")
 	}
 }
--- a/internal/operations/sdnotify/actors_test.go
+++ b/internal/operations/sdnotify/actors_test.go
@@ -24,11 +24,11 @@
 
 type nothing struct{}
 
-func (nothing) Probe(context.Context, uint64, core.Subchannel) {}
-func (nothing) Forget(decide.ServerID)                         {}
-func (nothing) Subscribe(context.Context, uint64)              {}
-func (nothing) FetchList(context.Context)                      {}
-func (nothing) Move(string)                                    {}
+func (nothing) Probe(context.Context, uint64, core.Upstream) {}
+func (nothing) Remove(decide.ServerID)                       {}
+func (nothing) Watch(context.Context, uint64)                {}
+func (nothing) Fetch(context.Context)                        {}
+func (nothing) SetAddress(string)                            {}
 
 // blocks is a prober and a sink that holds up whoever calls it until it is released.
 type blocks struct {
@@ -36,9 +36,9 @@
 	released chan struct{}
 }
 
-func (b blocks) Forget(decide.ServerID) { <-b.released }
-func (b blocks) Resolved(core.Result)   { <-b.released }
-func (b blocks) ListAlive(uint64)       { <-b.released }
+func (b blocks) Remove(decide.ServerID)               { <-b.released }
+func (b blocks) EndpointsUpdated(core.EndpointUpdate) { <-b.released }
+func (b blocks) WatchAlive(uint64)                    { <-b.released }
 
 const limit = 100 * time.Millisecond
 
@@ -60,9 +60,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	marks := &sdnotify.Marks{}
-	module, err := core.New(core.Config{MaxChannels: 10, Log: func(string) {}, Turns: marks.New("module"),
-		Settings: decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "solo-play", Aim: time.Second}}},
-		Known:    []core.Instance{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a"}}}})
+	module, err := core.New(core.Config{MaxClients: 10, Log: func(string) {}, Watchdog: marks.New("module"),
+		Settings: decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "solo-play", LatencyObjective: time.Second}}},
+		Known:    []core.Endpoint{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,17 +70,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := platform.New(module, platform.Names{}, platform.Budget{Descriptors: 9000, DialSpare: 10}, log)
-	front.Watch(marks.New("front"))
+	front := platform.New(module, platform.Names{}, platform.DescriptorBudget{Total: 9000, DialReserve: 10}, log)
+	front.SetWatchdog(marks.New("front"))
 	prober := blocks{released: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { module.Run(ctx, prober, nothing{}) })
-	running.Go(func() { front.Serve(ctx, l, hotrestart.NewPause(l.SetDeadline)) })
+	running.Go(func() { front.Serve(ctx, l, hotrestart.NewPauser(l.SetDeadline)) })
 	defer func() { cancel(); running.Wait() }()
 	time.Sleep(2 * limit)
 	stuck(t, marks)
-	module.Resolved(core.Result{Kind: decide.ListFull}) // its only room server is gone, which the prober is told
+	module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot}) // its only room server is gone, which the prober is told
 	stuck(t, marks, "module")
 	var conns []net.Conn
 	for len(marks.Stuck(time.Now(), limit)) < 2 && len(conns) < 4000 { // its mailbox fills up
@@ -109,12 +109,12 @@
 	marks := &sdnotify.Marks{}
 	sink := blocks{released: make(chan struct{})}
 	list := httpsource.New(strings.TrimPrefix(server.URL, "http://"), 0, sink, log)
-	list.Watch(marks.New("list"))
+	list.SetWatchdog(marks.New("list"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { list.Run(ctx) })
 	defer func() { cancel(); running.Wait() }()
-	list.FetchList(ctx)
+	list.Fetch(ctx)
 	stuck(t, marks, "list")
 	close(sink.released)
 	stuck(t, marks)
--- a/internal/operations/sdnotify/bench_test.go
+++ b/internal/operations/sdnotify/bench_test.go
@@ -7,6 +7,6 @@
 	m := (&Marks{}).New("module")
 	for b.Loop() {
 		m.Busy()
-		m.Waits()
+		m.Idle()
 	}
 }
--- a/internal/operations/sdnotify/mark.go
+++ b/internal/operations/sdnotify/mark.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Waits tells that the turn is over.
-func (m *Mark) Waits() {
+// Idle tells that the turn is over.
+func (m *Mark) Idle() {
 	if m != nil {
 		m.since.Store(0)
 	}
--- a/internal/operations/sdnotify/supervise_test.go
+++ b/internal/operations/sdnotify/supervise_test.go
@@ -91,7 +91,7 @@
 		t.Fatalf("told %q", got)
 	}
 	list.Busy()
-	list.Waits()
+	list.Idle()
 	module.Busy() // and never waits
 	for end := time.Now().Add(5 * time.Second); ; {
 		got := next(t, conn, 5*time.Second)
@@ -105,7 +105,7 @@
 	if got := next(t, conn, 300*time.Millisecond); got != "" {
 		t.Errorf("a stuck process told %q", got)
 	}
-	module.Waits()
+	module.Idle()
 	if got := next(t, conn, 5*time.Second); got != "WATCHDOG=1" {
 		t.Errorf("told %q", got)
 	}
@@ -130,15 +130,15 @@
 	if got := marks.Stuck(now, time.Second); len(got) != 0 {
 		t.Errorf("%q", got)
 	}
-	c.Waits()
-	b.Waits()
-	a.Waits()
+	c.Idle()
+	b.Idle()
+	a.Idle()
 	if got := marks.Stuck(now.Add(time.Minute), time.Second); len(got) != 0 {
 		t.Errorf("%q", got)
 	}
 	var none *Marks
 	none.New("x").Busy()
-	none.New("x").Waits()
+	none.New("x").Idle()
 }
 
 // A supervisor that takes nothing more holds up no caller. Guards the daemon against a socket that hangs: its buffer is
--- a/internal/operations/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -42,7 +42,7 @@
 func (a *Agent) Addr() *net.UDPAddr { return a.conn.LocalAddr().(*net.UDPAddr) }
 
 // Serve answers until ctx ends, but not while pause holds it.
-func (a *Agent) Serve(ctx context.Context, pause *hotrestart.Pause) {
+func (a *Agent) Serve(ctx context.Context, pause *hotrestart.Pauser) {
 	defer a.conn.Close()
 	defer context.AfterFunc(ctx, func() { a.conn.Close() })()
 	buf := make([]byte, maxRequest)
@@ -52,7 +52,7 @@
 			return
 		}
 		if err != nil {
-			pause.Held(ctx, err)
+			pause.Paused(ctx, err)
 			continue // of one datagram; the socket goes on
 		}
 		if raw := a.respond(buf[:n]); raw != nil {
--- a/internal/operations/snmp/agent_test.go
+++ b/internal/operations/snmp/agent_test.go
@@ -27,17 +27,17 @@
 var classes = []string{"solo-play", "team-play"}
 
 func snapshot() *core.Snapshot {
-	s := &core.Snapshot{ClassCounters: core.ClassCounters{Served: 5, Refused: 4, Failed: 3, Attempts: 9},
-		Classes: []core.ClassCounters{{Served: 4}, {Served: 1, Refused: 4}}, Service: core.LameDuck, Standing: 8,
-		Counters: core.Counters{Moves: 2, Probes: 7, ResumeCounters: core.ResumeCounters{Given: 11, Resumed: 12,
+	s := &core.Snapshot{ClassCounters: core.ClassCounters{Served: 5, Rejected: 4, Failed: 3, Attempts: 9},
+		Classes: []core.ClassCounters{{Served: 4}, {Served: 1, Rejected: 4}}, Service: core.LameDuck, Established: 8,
+		Counters: core.Counters{Migrations: 2, Probes: 7, SessionCounters: core.SessionCounters{TokensIssued: 11, Resumed: 12,
 			StartedOver: map[core.Reason]uint64{"gone": 13}}},
-		Started: time.Now().Add(-time.Minute), ListAt: time.Now().Add(-3 * time.Second), Open: 6, Waiting: 1}
+		Started: time.Now().Add(-time.Minute), ListUpdated: time.Now().Add(-3 * time.Second), Clients: 6, Waiting: 1}
 	for i := range 14 {
 		name := fmt.Sprintf("s-%d", i)
-		s.Subchannels = append(s.Subchannels, core.SubchannelRow{Zone: "a", State: decide.Draining, Open: i, Load: 0.5,
-			Subchannel: core.Subchannel{ID: core.ServerID(name), Instance: name, Address: "127.0.0.1:1"}})
+		s.Upstreams = append(s.Upstreams, core.UpstreamStats{Zone: "a", State: decide.Draining, Connections: i, Load: 0.5,
+			Upstream: core.Upstream{ID: core.ServerID(name), Name: name, Address: "127.0.0.1:1"}})
 	}
-	slices.SortFunc(s.Subchannels, func(a, b core.SubchannelRow) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.Upstreams, func(a, b core.UpstreamStats) int { return cmp.Compare(a.ID, b.ID) })
 	return s
 }
 
@@ -54,7 +54,7 @@
 	a := New(conn, "secret", "n3", classes, get, get, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { a.Serve(ctx, hotrestart.NewPause(conn.SetReadDeadline)) })
+	running.Go(func() { a.Serve(ctx, hotrestart.NewPauser(conn.SetReadDeadline)) })
 	t.Cleanup(func() { cancel(); running.Wait() })
 	client := &gosnmp.GoSNMP{Target: "127.0.0.1", Port: uint16(a.Addr().Port), Community: community,
 		Version: gosnmp.Version2c, Timeout: 2 * time.Second, Retries: 2, MaxOids: 60}
@@ -123,7 +123,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := len(scalars) + 14*len(columns) + len(classes)*len(classColumns) + len(migration.Words())*len(whyColumns); len(all) != n {
+		if n := len(scalars) + 14*len(columns) + len(classes)*len(classColumns) + len(migration.ReasonWords())*len(whyColumns); len(all) != n {
 			t.Errorf("%s: %d values, want %d", name, len(all), n)
 		}
 		if !slices.IsSortedFunc(all, func(a, b gosnmp.SnmpPDU) int { return slices.Compare(parseOID(a.Name), parseOID(b.Name)) }) {
@@ -135,7 +135,7 @@
 		}
 		for oid, want := range map[string]any{objects + ".1.0": uint64(5), objects + ".9.0": uint(6),
 			objects + ".8.0": uint(3), objects + ".11.0": uint(8), objects + ".14.0": 3, objects + ".16.0": uint64(11), objects + ".18.0": uint64(12),
-			byWhy + ".3." + fmt.Sprint(int(migration.Gone)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
+			byWhy + ".3." + fmt.Sprint(int(migration.HolderGone)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
 			entry + ".8." + fmt.Sprint(core.ServerID("s-3")): 500} {
 			if values[oid] != want {
 				t.Errorf("%s: %s is %v (%T), want %v", name, oid, values[oid], values[oid], want)
@@ -195,9 +195,9 @@
 func TestRowsAreMadeForWhoAsks(t *testing.T) {
 	for _, n := range []int{600, 5000, 20_000} {
 		s := snapshot()
-		s.Subchannels = nil
+		s.Upstreams = nil
 		for i := range n {
-			s.Subchannels = append(s.Subchannels, core.SubchannelRow{Subchannel: core.Subchannel{ID: decide.ServerID(7 * i), Instance: "s"}})
+			s.Upstreams = append(s.Upstreams, core.UpstreamStats{Upstream: core.Upstream{ID: decide.ServerID(7 * i), Name: "s"}})
 		}
 		made := 0
 		see := func() *tree { return newTree("n3", classes, s, func() *core.Snapshot { made++; return s }) }
--- a/internal/operations/snmp/tree.go
+++ b/internal/operations/snmp/tree.go
@@ -71,38 +71,38 @@
 	{object{"", system + ".5", gosnmp.OctetString}, func(name string, _ *core.Snapshot) any { return name }},
 
 	counter("cpServed", ".1", func(s *core.Snapshot) uint64 { return s.Served }),
-	counter("cpRefused", ".2", func(s *core.Snapshot) uint64 { return s.Refused }),
+	counter("cpRefused", ".2", func(s *core.Snapshot) uint64 { return s.Rejected }),
 	counter("cpFailed", ".3", func(s *core.Snapshot) uint64 { return s.Failed }),
 	counter("cpAttempts", ".4", func(s *core.Snapshot) uint64 { return s.Attempts }),
-	counter("cpMoves", ".5", func(s *core.Snapshot) uint64 { return s.Moves }),
+	counter("cpMoves", ".5", func(s *core.Snapshot) uint64 { return s.Migrations }),
 	counter("cpProbes", ".6", func(s *core.Snapshot) uint64 { return s.Probes }),
-	counter("cpReopened", ".7", func(s *core.Snapshot) uint64 { return s.Reopened }),
-	gauge("cpListAge", ".8", func(s *core.Snapshot) int { return int(time.Since(s.ListAt) / time.Second) }),
-	gauge("cpOpenChannels", ".9", func(s *core.Snapshot) int { return s.Open }),
+	counter("cpReopened", ".7", func(s *core.Snapshot) uint64 { return s.Restored }),
+	gauge("cpListAge", ".8", func(s *core.Snapshot) int { return int(time.Since(s.ListUpdated) / time.Second) }),
+	gauge("cpOpenChannels", ".9", func(s *core.Snapshot) int { return s.Clients }),
 	gauge("cpWaitingRequests", ".10", func(s *core.Snapshot) int { return s.Waiting }),
-	gauge("cpStandingConnections", ".11", func(s *core.Snapshot) int { return s.Standing }),
+	gauge("cpStandingConnections", ".11", func(s *core.Snapshot) int { return s.Established }),
 	gauge("cpListedServers", ".12", func(s *core.Snapshot) int { return s.Listed }),
-	gauge("cpAvoidedServers", ".13", func(s *core.Snapshot) int { return s.Avoided }),
+	gauge("cpAvoidedServers", ".13", func(s *core.Snapshot) int { return s.Ejected }),
 	{object{"cpServiceState", objects + ".14", gosnmp.Integer}, func(_ string, s *core.Snapshot) any {
-		return map[core.Service]int{core.Starting: 1, core.Serving: 2, core.LameDuck: 3, core.Stopping: 4}[s.Service]
+		return map[core.ServiceState]int{core.Starting: 1, core.Serving: 2, core.LameDuck: 3, core.Stopping: 4}[s.Service]
 	}},
 	counter("cpMalformed", ".15", func(s *core.Snapshot) uint64 { return s.Malformed }),
-	counter("cpTokensGiven", ".16", func(s *core.Snapshot) uint64 { return s.Given }),
-	counter("cpTokensUnsealed", ".17", func(s *core.Snapshot) uint64 { return s.Unsealed }),
+	counter("cpTokensGiven", ".16", func(s *core.Snapshot) uint64 { return s.TokensIssued }),
+	counter("cpTokensUnsealed", ".17", func(s *core.Snapshot) uint64 { return s.TokensUnsealed }),
 	counter("cpSessionsResumed", ".18", func(s *core.Snapshot) uint64 { return s.Resumed }),
 	counter("cpGeneration", ".19", func(s *core.Snapshot) uint64 { return s.Generation }),
 }
 
-var columns = []column[core.SubchannelRow]{
-	{object{"cpSubchannelInstance", entry + ".2", gosnmp.OctetString}, func(r *core.SubchannelRow) any { return r.Instance }},
-	{object{"cpSubchannelAddress", entry + ".3", gosnmp.OctetString}, func(r *core.SubchannelRow) any { return r.Address }},
-	{object{"cpSubchannelZone", entry + ".4", gosnmp.OctetString}, func(r *core.SubchannelRow) any { return r.Zone }},
-	{object{"cpSubchannelState", entry + ".5", gosnmp.Integer}, func(r *core.SubchannelRow) any {
-		return map[decide.State]int{decide.Ready: 1, decide.Draining: 2, decide.Gone: 3}[r.State]
+var columns = []column[core.UpstreamStats]{
+	{object{"cpSubchannelInstance", entry + ".2", gosnmp.OctetString}, func(r *core.UpstreamStats) any { return r.Name }},
+	{object{"cpSubchannelAddress", entry + ".3", gosnmp.OctetString}, func(r *core.UpstreamStats) any { return r.Address }},
+	{object{"cpSubchannelZone", entry + ".4", gosnmp.OctetString}, func(r *core.UpstreamStats) any { return r.Zone }},
+	{object{"cpSubchannelState", entry + ".5", gosnmp.Integer}, func(r *core.UpstreamStats) any {
+		return map[decide.State]int{decide.Ready: 1, decide.Draining: 2, decide.Removed: 3}[r.State]
 	}},
-	{object{"cpSubchannelOpen", entry + ".6", gosnmp.Gauge32}, func(r *core.SubchannelRow) any { return uint32(max(r.Open, 0)) }},
-	{object{"cpSubchannelAttempts", entry + ".7", gosnmp.Counter64}, func(r *core.SubchannelRow) any { return r.Attempts }},
-	{object{"cpSubchannelLoad", entry + ".8", gosnmp.Integer}, func(r *core.SubchannelRow) any {
+	{object{"cpSubchannelOpen", entry + ".6", gosnmp.Gauge32}, func(r *core.UpstreamStats) any { return uint32(max(r.Connections, 0)) }},
+	{object{"cpSubchannelAttempts", entry + ".7", gosnmp.Counter64}, func(r *core.UpstreamStats) any { return r.Attempts }},
+	{object{"cpSubchannelLoad", entry + ".8", gosnmp.Integer}, func(r *core.UpstreamStats) any {
 		if r.Load < 0 {
 			return -1
 		}
@@ -117,7 +117,7 @@
 var classColumns = []column[classRow]{
 	{object{"cpClassName", byClass + ".2", gosnmp.OctetString}, func(r *classRow) any { return r.name }},
 	classCounter("cpClassServed", ".3", func(r *classRow) uint64 { return r.Served }),
-	classCounter("cpClassRefused", ".4", func(r *classRow) uint64 { return r.Refused }),
+	classCounter("cpClassRefused", ".4", func(r *classRow) uint64 { return r.Rejected }),
 	classCounter("cpClassFailed", ".5", func(r *classRow) uint64 { return r.Failed }),
 	classCounter("cpClassAttempts", ".6", func(r *classRow) uint64 { return r.Attempts }),
 }
@@ -138,7 +138,7 @@
 type tree struct {
 	bindings []binding
 	detailed func() *core.Snapshot
-	rows     []core.SubchannelRow // by ID
+	rows     []core.UpstreamStats // by ID
 	made     bool
 }
 
@@ -155,7 +155,7 @@
 	for i := range min(len(classes), len(s.Classes)) {
 		addRow(t, classColumns, uint64(i+1), &classRow{s.Classes[i], classes[i]})
 	}
-	for i, word := range migration.Words() {
+	for i, word := range migration.ReasonWords() {
 		addRow(t, whyColumns, uint64(i+1), &whyRow{word, s.StartedOver[core.Reason(word)]})
 	}
 	slices.SortFunc(t.bindings, func(a, b binding) int { return slices.Compare(a.oid, b.oid) })
@@ -163,19 +163,19 @@
 }
 
 // subchannels are the rows of the room servers, the same ones for all of a request.
-func (t *tree) subchannels() []core.SubchannelRow {
+func (t *tree) subchannels() []core.UpstreamStats {
 	if !t.made {
-		t.rows, t.made = t.detailed().Subchannels, true
+		t.rows, t.made = t.detailed().Upstreams, true
 	}
 	return t.rows
 }
 
 // findRow finds the first row that is not before an index.
 func (t *tree) findRow(index uint32) (int, bool) {
-	return slices.BinarySearchFunc(t.subchannels(), index, func(r core.SubchannelRow, i uint32) int { return cmp.Compare(uint32(r.ID), i) })
+	return slices.BinarySearchFunc(t.subchannels(), index, func(r core.UpstreamStats, i uint32) int { return cmp.Compare(uint32(r.ID), i) })
 }
 
-func (t *tree) cell(c *column[core.SubchannelRow], i int) gosnmp.SnmpPDU {
+func (t *tree) cell(c *column[core.UpstreamStats], i int) gosnmp.SnmpPDU {
 	r := &t.rows[i]
 	return gosnmp.SnmpPDU{Name: c.oid + "." + strconv.FormatUint(uint64(r.ID), 10), Type: c.kind, Value: c.value(r)}
 }
--- a/internal/session/arbiter/ledger.go
+++ b/internal/session/arbiter/arbiter.go
@@ -19,13 +19,13 @@
 
 // The verdicts.
 const (
-	Granted Verdict = iota
-	InUse           // held by an attach or a claim that is under way; asking again later is sound
-	Used            // the token has done its work: the session went on from it
-	Over            // the session has ended
-	Moved           // the session went to another room server
-	Large           // the state is larger than the asker takes
-	Unknown         // nothing is held, or no longer
+	Granted       Verdict = iota
+	InUse                 // held by an attach or a claim that is under way; asking again later is sound
+	TokenUsed             // the token has done its work: the session went on from it
+	Ended                 // the session has ended
+	Moved                 // the session went to another room server
+	StateTooLarge         // the state is larger than the asker takes
+	Unknown               // nothing is held, or no longer
 )
 
 func (v Verdict) String() string {
@@ -34,23 +34,23 @@
 
 // Answer is a verdict and what belongs to it.
 type Answer struct {
-	Verdict  Verdict
-	Position uint64
-	State    []byte        // Granted
-	Cut      Conn          // Granted: a connection that lost the session and must be closed; 0: none
-	To       string        // Moved: the room server,
-	Ref      token.Ref     // and the hold there
-	Wait     time.Duration // InUse: until the claim runs out; 0: unknown
+	Verdict   Verdict
+	Position  uint64
+	State     []byte        // Granted
+	Displaced Conn          // Granted: a connection that lost the session and must be closed; 0: none
+	MovedTo   string        // Moved: the room server,
+	Ref       token.Ref     // and the hold there
+	Wait      time.Duration // InUse: until the claim runs out; 0: unknown
 }
 
 // Config is what a ledger starts with.
 type Config struct {
-	Keep  time.Duration // how long a session without a connection, and the trace of one that went, are kept
-	Limit int           // sessions and traces at most; past it nothing new is kept
+	Retention time.Duration // how long a session without a connection, and the trace of one that went, are kept
+	Limit     int           // sessions and traces at most; past it nothing new is kept
 }
 
-// Ledger holds the sessions of one room server.
-type Ledger struct {
+// Arbiter holds the sessions of one room server.
+type Arbiter struct {
 	cfg     Config
 	records map[token.SessionID]*record
 	swept   time.Time
@@ -96,27 +96,27 @@
 }
 
 // New returns an empty ledger.
-func New(cfg Config) *Ledger { return &Ledger{cfg: cfg, records: map[token.SessionID]*record{}} }
+func New(cfg Config) *Arbiter { return &Arbiter{cfg: cfg, records: map[token.SessionID]*record{}} }
 
-// Begin holds a new session of a connection. False: there are too many, or the session is known; it is then no session
+// Create holds a new session of a connection. False: there are too many, or the session is known; it is then no session
 // of this ledger, and the client plays without a token.
-func (l *Ledger) Begin(now time.Time, ref token.Ref, conn Conn) bool {
+func (l *Arbiter) Create(now time.Time, ref token.Ref, conn Conn) bool {
 	l.sweep(now)
 	if l.records[ref.Session] != nil || len(l.records) >= l.cfg.Limit {
 		return false
 	}
-	l.records[ref.Session] = &record{holds: []*hold{{ref: ref, conn: conn}}, until: now.Add(l.cfg.Keep)}
+	l.records[ref.Session] = &record{holds: []*hold{{ref: ref, conn: conn}}, until: now.Add(l.cfg.Retention)}
 	return true
 }
 
-// Back attaches a session that lies here to a connection, under the next epoch and the fence next. via says that the
+// Reattach attaches a session that lies here to a connection, under the next epoch and the fence next. via says that the
 // asker was sent here by the trace of another room server and does not hold the token of ref itself.
-func (l *Ledger) Back(now time.Time, ref token.Ref, next uint64, via bool, conn Conn) Answer {
+func (l *Arbiter) Reattach(now time.Time, ref token.Ref, next uint64, via bool, conn Conn) Answer {
 	r, h, a := l.find(now, ref, next, via, conn)
 	if h == nil {
 		return a
 	}
-	a.Cut = l.detach(h)
+	a.Displaced = l.detach(h)
 	h.priors = append(h.priors, prior{h.ref, h.confirmed})
 	h.ref = token.Ref{Session: ref.Session, Epoch: h.ref.Epoch + 1, Fence: next}
 	h.prepared, h.confirmed, h.conn = false, false, conn
@@ -127,15 +127,15 @@
 
 // Export gives a session's state to a move that claims it until ends; from then on nothing is attached. The claim ends
 // too when the claimant's connection does. Asked again by the same claim, it gives the state again.
-func (l *Ledger) Export(now time.Time, ref token.Ref, claim uint64, ends time.Time, most int, via bool, claimant Conn) Answer {
+func (l *Arbiter) Export(now time.Time, ref token.Ref, claim uint64, ends time.Time, most int, via bool, claimant Conn) Answer {
 	_, h, a := l.find(now, ref, claim, via, claimant)
 	if h == nil {
 		return a
 	}
 	if len(h.state) > most {
-		return Answer{Verdict: Large, Position: h.position}
+		return Answer{Verdict: StateTooLarge, Position: h.position}
 	}
-	a.Cut = l.detach(h)
+	a.Displaced = l.detach(h)
 	h.claim, h.claimant, h.claimEnds = claim, claimant, ends
 	a.Ref, a.Position, a.State = h.ref, h.position, h.state
 	return a
@@ -143,7 +143,7 @@
 
 // Commit ends a move: the session is gone from here, and a trace says where it went. False: another has claimed or
 // attached it meanwhile, and the move must be given up.
-func (l *Ledger) Commit(now time.Time, session token.SessionID, claim uint64, to string) bool {
+func (l *Arbiter) Commit(now time.Time, session token.SessionID, claim uint64, to string) bool {
 	l.sweep(now)
 	r := l.records[session]
 	if r == nil {
@@ -159,7 +159,7 @@
 			r.traces = append(r.traces, trace{p, to, next})
 		}
 		r.holds = nil // a rival that was only prepared can never be attached now
-		r.until = now.Add(l.cfg.Keep)
+		r.until = now.Add(l.cfg.Retention)
 		return true
 	}
 	return false
@@ -167,7 +167,7 @@
 
 // Prepare keeps a state that a move brought. Only the move's own connection, or an asker whom a trace sent here for
 // this very hold, attaches it.
-func (l *Ledger) Prepare(now time.Time, ref token.Ref, position uint64, state []byte, conn Conn) bool {
+func (l *Arbiter) Prepare(now time.Time, ref token.Ref, position uint64, state []byte, conn Conn) bool {
 	l.sweep(now)
 	r := l.records[ref.Session]
 	if r == nil {
@@ -177,7 +177,7 @@
 		r = &record{}
 		l.records[ref.Session] = r
 	}
-	r.until = now.Add(l.cfg.Keep)
+	r.until = now.Add(l.cfg.Retention)
 	// A connection's GO is for what it brought last.
 	r.holds = slices.DeleteFunc(r.holds, func(h *hold) bool { return h.prepared && h.conn == conn && h.ref != ref })
 	for _, h := range r.holds {
@@ -193,8 +193,8 @@
 	return true
 }
 
-// Go attaches what a connection has prepared: the move was committed.
-func (l *Ledger) Go(now time.Time, conn Conn, session token.SessionID) bool {
+// Activate attaches what a connection has prepared: the move was committed.
+func (l *Arbiter) Activate(now time.Time, conn Conn, session token.SessionID) bool {
 	r := l.records[session]
 	if r == nil {
 		return false
@@ -203,23 +203,23 @@
 		if h.conn == conn && h.prepared {
 			h.prepared = false
 			l.settle(r, h)
-			r.until = now.Add(l.cfg.Keep)
+			r.until = now.Add(l.cfg.Retention)
 			return true
 		}
 	}
 	return false
 }
 
-// Confirm notes that the client has the token of this attach: those before it are used up.
-func (l *Ledger) Confirm(conn Conn, session token.SessionID) {
+// ConfirmToken notes that the client has the token of this attach: those before it are used up.
+func (l *Arbiter) ConfirmToken(conn Conn, session token.SessionID) {
 	if h := l.attached(conn, session); h != nil {
 		h.confirmed, h.priors = true, nil
 	}
 }
 
-// Keep notes the state of an attached session. False: the connection does not hold it any more, and what it brought
+// SaveState notes the state of an attached session. False: the connection does not hold it any more, and what it brought
 // must not be acknowledged.
-func (l *Ledger) Keep(conn Conn, session token.SessionID, position uint64, state []byte) bool {
+func (l *Arbiter) SaveState(conn Conn, session token.SessionID, position uint64, state []byte) bool {
 	h := l.attached(conn, session)
 	if h == nil {
 		return false
@@ -228,8 +228,8 @@
 	return true
 }
 
-// Left notes that a connection has ended: what it held waits for its token, what it claimed is free.
-func (l *Ledger) Left(now time.Time, conn Conn, session token.SessionID) {
+// Disconnected notes that a connection has ended: what it held waits for its token, what it claimed is free.
+func (l *Arbiter) Disconnected(now time.Time, conn Conn, session token.SessionID) {
 	r := l.records[session]
 	if r == nil {
 		return
@@ -237,7 +237,7 @@
 	for _, h := range r.holds {
 		if h.conn == conn {
 			h.conn = 0
-			r.until = now.Add(l.cfg.Keep)
+			r.until = now.Add(l.cfg.Retention)
 		}
 		if h.claimant == conn {
 			h.claim, h.claimant = 0, 0
@@ -246,15 +246,15 @@
 }
 
 // End notes that the session of a connection was played to its end.
-func (l *Ledger) End(now time.Time, conn Conn, session token.SessionID) {
+func (l *Arbiter) End(now time.Time, conn Conn, session token.SessionID) {
 	if h := l.attached(conn, session); h != nil {
 		r := l.records[session]
-		r.holds, r.over, r.until = nil, true, now.Add(l.cfg.Keep)
+		r.holds, r.over, r.until = nil, true, now.Add(l.cfg.Retention)
 	}
 }
 
 // Sessions counts what is held, and how much of it is attached.
-func (l *Ledger) Sessions() (held, attached int) {
+func (l *Arbiter) Sessions() (held, attached int) {
 	for _, r := range l.records {
 		for _, h := range r.holds {
 			held++
@@ -267,7 +267,7 @@
 }
 
 // find looks up what a ref may take. With no hold the answer says why.
-func (l *Ledger) find(now time.Time, ref token.Ref, by uint64, via bool, conn Conn) (*record, *hold, Answer) {
+func (l *Arbiter) find(now time.Time, ref token.Ref, by uint64, via bool, conn Conn) (*record, *hold, Answer) {
 	l.sweep(now)
 	r := l.records[ref.Session]
 	if r == nil {
@@ -297,18 +297,18 @@
 			if via && t.confirmed {
 				break
 			}
-			return r, nil, Answer{Verdict: Moved, To: t.to, Ref: t.next}
+			return r, nil, Answer{Verdict: Moved, MovedTo: t.to, Ref: t.next}
 		}
 	}
 	if r.over {
-		return r, nil, Answer{Verdict: Over}
+		return r, nil, Answer{Verdict: Ended}
 	}
 	for _, h := range r.holds {
 		if h.prepared && len(r.traces) == 0 {
 			return r, nil, Answer{Verdict: Unknown}
 		}
 	}
-	return r, nil, Answer{Verdict: Used}
+	return r, nil, Answer{Verdict: TokenUsed}
 }
 
 // prior tells whether a ref is an earlier attach whose token is still good. One that is shown uses up those before it.
@@ -326,7 +326,7 @@
 }
 
 // detach takes a hold from its connection and from a claim that has run out.
-func (l *Ledger) detach(h *hold) (cut Conn) {
+func (l *Arbiter) detach(h *hold) (cut Conn) {
 	if !h.prepared {
 		cut = h.conn // one that has only prepared it hears so at its GO
 	}
@@ -336,12 +336,12 @@
 
 // settle leaves one hold of a session: what else was prepared lost its move. Traces of earlier stays remain, as a client
 // that never got the token of this attach comes by them; the way along them ends, for epochs only rise.
-func (l *Ledger) settle(r *record, h *hold) {
+func (l *Arbiter) settle(r *record, h *hold) {
 	r.holds, r.over = []*hold{h}, false
 	r.traces = r.traces[max(len(r.traces)-mostTraces, 0):]
 }
 
-func (l *Ledger) attached(conn Conn, session token.SessionID) *hold {
+func (l *Arbiter) attached(conn Conn, session token.SessionID) *hold {
 	if r := l.records[session]; r != nil {
 		for _, h := range r.holds {
 			if h.conn == conn && !h.prepared && conn != 0 {
@@ -353,8 +353,8 @@
 }
 
 // sweep forgets what has been without a connection for too long.
-func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < l.cfg.Keep/8 {
+func (l *Arbiter) sweep(now time.Time) {
+	if now.Sub(l.swept) < l.cfg.Retention/8 {
 		return
 	}
 	l.swept = now
--- a/internal/session/migration/flow.go
+++ b/internal/session/migration/flow.go
@@ -15,22 +15,22 @@
 
 // The reasons. The first seven are those of tokens that are refused before anything is asked.
 const (
-	Malformed   Reason = iota // the token is cut, too long or in no known form
-	Version                   // its version is not known
-	UnknownKey                // its key is not known, or no more
-	Forged                    // its key did not seal it
-	Expired                   // its time is over
-	Site                      // another site's balancers sealed it
-	Room                      // the client asks for another room than the token's
-	Used                      // the session went on from it already
-	Over                      // the session has ended
-	Gone                      // the room server that held the state has none, or cannot be reached
-	Late                      // the state did not come in time, or the claim on it ran out
-	Large                     // the state is larger than the balancer carries
-	Stale                     // the state is older than what the client knows to be acknowledged
-	Lost                      // whether the move was committed cannot be known
-	Unsupported               // the new room server does not know the extension
-	Reasons                   // their number
+	Malformed     Reason = iota // the token is cut, too long or in no known form
+	Version                     // its version is not known
+	UnknownKey                  // its key is not known, or no more
+	Forged                      // its key did not seal it
+	Expired                     // its time is over
+	WrongSite                   // another site's balancers sealed it
+	WrongRoom                   // the client asks for another room than the token's
+	TokenUsed                   // the session went on from it already
+	SessionEnded                // the session has ended
+	HolderGone                  // the room server that held the state has none, or cannot be reached
+	StateTimeout                // the state did not come in time, or the claim on it ran out
+	StateTooLarge               // the state is larger than the balancer carries
+	Stale                       // the state is older than what the client knows to be acknowledged
+	Lost                        // whether the move was committed cannot be known
+	Unsupported                 // the new room server does not know the extension
+	NumReasons                  // their number
 )
 
 func (r Reason) String() string {
@@ -38,12 +38,12 @@
 		"large", "stale", "lost", "unsupported"}[r]
 }
 
-// Refused tells whether the reason lies in the token itself.
-func (r Reason) Refused() bool { return r <= Room }
+// IsTokenError tells whether the reason lies in the token itself.
+func (r Reason) IsTokenError() bool { return r <= WrongRoom }
 
-// Words are the words of all reasons, in their order.
-func Words() (all []string) {
-	for r := range Reasons {
+// ReasonWords are the words of all reasons, in their order.
+func ReasonWords() (all []string) {
+	for r := range NumReasons {
 		all = append(all, r.String())
 	}
 	return all
@@ -54,17 +54,17 @@
 
 // The steps.
 const (
-	Nothing   Step = iota // wait for the next news
-	Locate                // ask the core where Holder is, then tell Located
-	Export                // ask Holder for the state by Claim; its answer goes to HolderSaid
-	OpenBack              // open at the room server, where the session lies
-	OpenMove              // open at the room server, for a state that comes
-	SendState             // write State to the room server
-	Commit                // ask Holder to let the session go; its answer goes to Committed
-	Go                    // tell the room server to attach it
-	Stand                 // the room server's UP may go to the client
-	StartOver             // the one final answer, with Why
-	Later                 // the other final answer: come again after After
+	Wait         Step = iota // wait for the next news
+	Locate                   // ask the core where Holder is, then tell Located
+	Export                   // ask Holder for the state by Claim; its answer goes to HolderSaid
+	OpenReattach             // open at the room server, where the session lies
+	OpenMigrated             // open at the room server, for a state that comes
+	SendState                // write State to the room server
+	Commit                   // ask Holder to let the session go; its answer goes to Committed
+	Activate                 // tell the room server to attach it
+	Establish                // the room server's UP may go to the client
+	StartOver                // the one final answer, with Why
+	RetryLater               // the other final answer: come again after After
 )
 
 // busyWait is told to a client whose session is held by an attach under way; most are over by then.
@@ -75,15 +75,15 @@
 
 // Flow is one request's way to its session. Its methods return the next step.
 type Flow struct {
-	Claim  uint64 // this request's, and the fence of the attach that it makes
-	Holder string // the room server that is to hold the session
-	Ref    token.Ref
-	Via    bool // a trace told Ref, the client has no token of it
-	Next   token.Ref
-	Pos    uint64
-	State  []byte // between the export and the commit
-	Why    Reason
-	After  time.Duration
+	Claim       uint64 // this request's, and the fence of the attach that it makes
+	Holder      string // the room server that is to hold the session
+	Ref         token.Ref
+	ViaRedirect bool // a trace told Ref, the client has no token of it
+	Next        token.Ref
+	Position    uint64
+	State       []byte // between the export and the commit
+	Reason      Reason
+	RetryAfter  time.Duration
 
 	known   uint64 // the position that the client's token names
 	target  string
@@ -113,9 +113,9 @@
 	switch {
 	case f.target == f.Holder:
 		f.back, f.fetched, f.State = true, false, nil
-		return OpenBack
+		return OpenReattach
 	case f.fetched:
-		return OpenMove
+		return OpenMigrated
 	}
 	f.back = false
 	return Locate
@@ -124,46 +124,46 @@
 // Located tells whether the core knows an address of Holder.
 func (f *Flow) Located(known bool) Step {
 	if !known {
-		return f.over(Gone)
+		return f.over(HolderGone)
 	}
 	return Export
 }
 
-// HolderSaid takes the answer to Export, or what the room server says in its place to OpenBack.
-func (f *Flow) HolderSaid(a arbiter.Answer) Step {
+// HolderAnswered takes the answer to Export, or what the room server says in its place to OpenBack.
+func (f *Flow) HolderAnswered(a arbiter.Answer) Step {
 	switch a.Verdict {
 	case arbiter.Granted:
 		if a.Position < f.known {
 			return f.over(Stale)
 		}
-		f.fetched, f.State, f.Pos = true, a.State, a.Position
+		f.fetched, f.State, f.Position = true, a.State, a.Position
 		f.Next = token.Ref{Session: f.Ref.Session, Epoch: a.Ref.Epoch + 1, Fence: f.Claim}
-		return OpenMove
+		return OpenMigrated
 	case arbiter.Moved:
 		// Epochs only rise along the traces; what breaks that is no trace.
 		if f.hops++; f.hops > mostHops || a.Ref.Epoch <= f.Ref.Epoch {
-			return f.over(Late)
+			return f.over(StateTimeout)
 		}
-		f.Holder, f.Ref, f.Via = a.To, a.Ref, true
+		f.Holder, f.Ref, f.ViaRedirect = a.MovedTo, a.Ref, true
 		return f.route()
 	case arbiter.InUse:
-		f.After = busyWait
+		f.RetryAfter = busyWait
 		if a.Wait > 0 {
-			f.After = min(a.Wait, busyWait) // a claim ends with its move, mostly long before it runs out
+			f.RetryAfter = min(a.Wait, busyWait) // a claim ends with its move, mostly long before it runs out
 		}
-		return Later
-	case arbiter.Used:
-		return f.over(Used)
-	case arbiter.Over:
-		return f.over(Over)
-	case arbiter.Large:
-		return f.over(Large)
+		return RetryLater
+	case arbiter.TokenUsed:
+		return f.over(TokenUsed)
+	case arbiter.Ended:
+		return f.over(SessionEnded)
+	case arbiter.StateTooLarge:
+		return f.over(StateTooLarge)
 	}
-	return f.over(Gone)
+	return f.over(HolderGone)
 }
 
-// HolderLost tells that the connection to Holder broke. With it ends the claim.
-func (f *Flow) HolderLost() Step {
+// HolderDisconnected tells that the connection to Holder broke. With it ends the claim.
+func (f *Flow) HolderDisconnected() Step {
 	switch {
 	case f.asked && !f.lost:
 		// Whether it was committed is known there alone. Asked again by the same claim, it gives the state once more
@@ -174,29 +174,29 @@
 	case f.asked, f.lost:
 		return f.over(Lost)
 	}
-	return f.over(Gone)
+	return f.over(HolderGone)
 }
 
 // ask forgets a state whose commit is in doubt.
 func (f *Flow) ask() { f.asked, f.fetched, f.State = false, false, nil }
 
-// Ready tells that the room server waits for the state.
-func (f *Flow) Ready() Step {
+// UpstreamReady tells that the room server waits for the state.
+func (f *Flow) UpstreamReady() Step {
 	if f.back || !f.fetched || f.went {
 		return f.over(Unsupported)
 	}
 	return SendState
 }
 
-// Held tells that the room server holds the session, not attached yet where it came by a move.
-func (f *Flow) Held(epoch, position uint64) Step {
+// UpstreamHolds tells that the room server holds the session, not attached yet where it came by a move.
+func (f *Flow) UpstreamHolds(epoch, position uint64) Step {
 	if f.back {
 		if position < f.known {
 			return f.over(Stale)
 		}
 		f.Next = token.Ref{Session: f.Ref.Session, Epoch: epoch, Fence: f.Claim}
-		f.went, f.Pos = true, position
-		return Go
+		f.went, f.Position = true, position
+		return Activate
 	}
 	if !f.fetched || f.asked || f.went {
 		return f.over(Unsupported)
@@ -209,22 +209,22 @@
 func (f *Flow) Committed(yes bool) Step {
 	f.asked, f.fetched, f.State = false, false, nil
 	if !yes {
-		return f.over(Late)
+		return f.over(StateTimeout)
 	}
-	f.Holder, f.Ref, f.Via = f.target, f.Next, true
+	f.Holder, f.Ref, f.ViaRedirect = f.target, f.Next, true
 	f.went = true
-	return Go
+	return Activate
 }
 
-// Up tells that the room server lets the connection stand.
-func (f *Flow) Up() Step {
+// UpstreamAccepted tells that the room server lets the connection stand.
+func (f *Flow) UpstreamAccepted() Step {
 	if !f.went {
 		return f.over(Unsupported) // it took the line for one without a session: the board there is empty
 	}
-	return Stand
+	return Establish
 }
 
 func (f *Flow) over(why Reason) Step {
-	f.Why, f.State, f.fetched = why, nil, false
+	f.Reason, f.State, f.fetched = why, nil, false
 	return StartOver
 }
--- a/internal/session/migration/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -35,7 +35,7 @@
 
 type room struct {
 	name string
-	l    *arbiter.Ledger
+	l    *arbiter.Arbiter
 }
 
 // run is one request of a client at one balancer.
@@ -59,12 +59,12 @@
 func newWorld() *world {
 	w := &world{now: time.Unix(1e9, 0), servers: map[string]*room{}}
 	for _, name := range []string{"a", "b", "c"} {
-		w.servers[name] = &room{name: name, l: arbiter.New(arbiter.Config{Keep: time.Hour, Limit: 10})}
+		w.servers[name] = &room{name: name, l: arbiter.New(arbiter.Config{Retention: time.Hour, Limit: 10})}
 	}
 	w.held = token.Token{Ref: token.Ref{Session: session, Epoch: 1, Fence: 77}, Server: "a"}
 	w.had = []token.Token{w.held}
-	w.servers["a"].l.Begin(w.now, w.held.Ref, w.conn())
-	w.servers["a"].l.Left(w.now, w.conns, session)
+	w.servers["a"].l.Create(w.now, w.held.Ref, w.conn())
+	w.servers["a"].l.Disconnected(w.now, w.conns, session)
 	w.epoch = 1
 	return w
 }
@@ -82,9 +82,9 @@
 
 // drop ends a request's connections, whatever it had come to.
 func (w *world) drop(r *run) {
-	w.servers[r.at].l.Left(w.now, r.conn, session)
+	w.servers[r.at].l.Disconnected(w.now, r.conn, session)
 	if r.export != 0 {
-		w.servers[r.exportAt].l.Left(w.now, r.export, session)
+		w.servers[r.exportAt].l.Disconnected(w.now, r.export, session)
 	}
 	if w.playing == r {
 		w.playing = nil
@@ -112,7 +112,7 @@
 
 // proves notes that a room server has seen the client's token of a hold: those before it have done their work.
 func (w *world) proves(r *run, a arbiter.Answer) {
-	if r.true_ && a.Verdict == arbiter.Granted && !r.flow.Via {
+	if r.true_ && a.Verdict == arbiter.Granted && !r.flow.ViaRedirect {
 		w.proven = max(w.proven, r.began)
 	}
 }
@@ -128,64 +128,64 @@
 		return
 	case Export:
 		if r.export != 0 {
-			w.servers[r.exportAt].l.Left(w.now, r.export, session)
+			w.servers[r.exportAt].l.Disconnected(w.now, r.export, session)
 		}
 		r.export, r.exportAt = w.conn(), f.Holder
 		var a arbiter.Answer
 		if lost != 1 {
-			a = holder.l.Export(w.now, f.Ref, f.Claim, w.now.Add(2*time.Second), 100, f.Via, r.export)
-			w.cut(r, a.Cut)
+			a = holder.l.Export(w.now, f.Ref, f.Claim, w.now.Add(2*time.Second), 100, f.ViaRedirect, r.export)
+			w.cut(r, a.Displaced)
 			w.proves(r, a)
 		}
 		if lost != 0 {
-			holder.l.Left(w.now, r.export, session)
-			next = f.HolderLost()
+			holder.l.Disconnected(w.now, r.export, session)
+			next = f.HolderDisconnected()
 		} else {
-			next = f.HolderSaid(a)
+			next = f.HolderAnswered(a)
 		}
-	case OpenBack:
+	case OpenReattach:
 		if lost == 1 {
 			w.drop(r)
 			return
 		}
-		a := at.l.Back(w.now, f.Ref, f.Claim, f.Via, r.conn)
-		w.cut(r, a.Cut)
+		a := at.l.Reattach(w.now, f.Ref, f.Claim, f.ViaRedirect, r.conn)
+		w.cut(r, a.Displaced)
 		w.proves(r, a)
 		if lost != 0 {
 			w.drop(r)
 			return
 		}
 		if a.Verdict == arbiter.Granted {
-			next = f.Held(a.Ref.Epoch, a.Position)
+			next = f.UpstreamHolds(a.Ref.Epoch, a.Position)
 		} else {
-			next = f.HolderSaid(a)
+			next = f.HolderAnswered(a)
 		}
-	case OpenMove:
-		next = f.Ready()
+	case OpenMigrated:
+		next = f.UpstreamReady()
 	case SendState:
-		ok := lost != 1 && at.l.Prepare(w.now, f.Next, f.Pos, f.State, r.conn)
+		ok := lost != 1 && at.l.Prepare(w.now, f.Next, f.Position, f.State, r.conn)
 		if !ok || lost != 0 {
 			w.drop(r)
 			return
 		}
-		next = f.Held(f.Next.Epoch, f.Pos)
+		next = f.UpstreamHolds(f.Next.Epoch, f.Position)
 	case Commit:
 		yes := lost != 1 && holder.l.Commit(w.now, session, f.Claim, r.at)
 		if lost != 0 {
-			next = f.HolderLost()
+			next = f.HolderDisconnected()
 		} else {
 			next = f.Committed(yes)
 		}
-	case Go:
-		if lost == 1 || !f.back && !at.l.Go(w.now, r.conn, session) || lost == 2 {
+	case Activate:
+		if lost == 1 || !f.back && !at.l.Activate(w.now, r.conn, session) || lost == 2 {
 			w.drop(r)
 			return
 		}
-		next = f.Up()
-	case Stand:
+		next = f.UpstreamAccepted()
+	case Establish:
 		w.stand(r, lost)
 		return
-	case StartOver, Later:
+	case StartOver, RetryLater:
 		if r.true_ && r.step == StartOver {
 			w.startedO = true
 		}
@@ -206,18 +206,18 @@
 		w.drop(r)
 		return
 	}
-	w.held = token.Token{Ref: r.flow.Next, Server: r.at, Position: r.flow.Pos}
+	w.held = token.Token{Ref: r.flow.Next, Server: r.at, Position: r.flow.Position}
 	w.had = append(w.had, w.held)
-	if r.flow.Pos < w.acked && !w.crashed {
-		panic(fmt.Sprintf("the client knows %d moves, the board it was given has %d", w.acked, r.flow.Pos))
+	if r.flow.Position < w.acked && !w.crashed {
+		panic(fmt.Sprintf("the client knows %d moves, the board it was given has %d", w.acked, r.flow.Position))
 	}
 	if lost == 2 {
 		w.drop(r)
 		return
 	}
-	w.servers[r.at].l.Confirm(r.conn, session)
+	w.servers[r.at].l.ConfirmToken(r.conn, session)
 	w.proven = max(w.proven, w.held.Epoch)
-	w.playing, r.step = r, Nothing
+	w.playing, r.step = r, Wait
 }
 
 // check holds what must be true at any moment.
@@ -234,7 +234,7 @@
 		t.Fatalf("attached %d times", attached)
 	}
 	for _, r := range w.flows {
-		if r.flow.Next.Epoch == 0 || r.step != Stand {
+		if r.flow.Next.Epoch == 0 || r.step != Establish {
 			continue
 		}
 		if r.flow.Next.Epoch < w.epoch && !w.crashed {
@@ -294,7 +294,7 @@
 		"finish": func(t *rapid.T) {
 			r := pick(t)
 			for range rapid.IntRange(1, 12).Draw(t, "steps") {
-				if r.step == Nothing || r.step == StartOver || r.step == Later {
+				if r.step == Wait || r.step == StartOver || r.step == RetryLater {
 					return
 				}
 				w.advance(r, 0)
@@ -303,7 +303,7 @@
 		},
 		"finish but one": func(t *rapid.T) {
 			r := pick(t)
-			for r.step != Nothing && r.step != StartOver && r.step != Later && r.step != Go && r.step != Stand {
+			for r.step != Wait && r.step != StartOver && r.step != RetryLater && r.step != Activate && r.step != Establish {
 				w.advance(r, 0)
 				w.check(t)
 			}
@@ -312,10 +312,10 @@
 		"lose": func(t *rapid.T) { w.advance(pick(t), rapid.IntRange(1, 2).Draw(t, "where")) },
 		"again": func(t *rapid.T) { // the attempt ends, the balancer makes another
 			r := pick(t)
-			if r.tries++; r.tries > 2 || r.up || r.step == StartOver || r.step == Later {
+			if r.tries++; r.tries > 2 || r.up || r.step == StartOver || r.step == RetryLater {
 				t.Skip("no attempt left")
 			}
-			w.servers[r.at].l.Left(w.now, r.conn, session)
+			w.servers[r.at].l.Disconnected(w.now, r.conn, session)
 			r.at, r.conn = names.Draw(t, "at"), w.conn()
 			r.step = r.flow.Attempt(r.at)
 		},
@@ -325,7 +325,7 @@
 				t.Skip("nobody plays")
 			}
 			// A connection that lost the session must not be acknowledged.
-			if w.servers[w.playing.at].l.Keep(w.playing.conn, session, w.acked+1, []byte{1}) {
+			if w.servers[w.playing.at].l.SaveState(w.playing.conn, session, w.acked+1, []byte{1}) {
 				w.acked++
 			}
 		},
@@ -359,7 +359,7 @@
 					w.drop(r)
 				}
 			}
-			s.l = arbiter.New(arbiter.Config{Keep: time.Hour, Limit: 10})
+			s.l = arbiter.New(arbiter.Config{Retention: time.Hour, Limit: 10})
 		},
 	})
 	// The troubles end: the client comes with its newest token until it has its answer.
@@ -372,7 +372,7 @@
 	w.now = w.now.Add(5 * time.Second)
 	r := w.present(0, w.held, true, names.Draw(t, "at last"))
 	for range 60 {
-		if r.step == Nothing || r.step == StartOver || r.step == Later {
+		if r.step == Wait || r.step == StartOver || r.step == RetryLater {
 			break
 		}
 		w.advance(r, 0)
@@ -382,6 +382,6 @@
 		return // the bound on ways of cut-off attaches
 	}
 	if w.playing != r && !w.crashed {
-		t.Fatalf("the newest token ends at step %d, reason %v", r.step, r.flow.Why)
+		t.Fatalf("the newest token ends at step %d, reason %v", r.step, r.flow.Reason)
 	}
 }
--- a/internal/session/protocol/resumeline.go
+++ b/internal/session/protocol/protocol.go
@@ -17,14 +17,14 @@
 
 // The words between a balancer and a room server.
 const (
-	Ready     = "READY" // a room server waits for the state
-	Go        = "GO"    // a balancer lets it attach the session
-	Done      = "DONE"  // the answer to COMMIT: the session is gone from here
-	No        = "NO"    // or not, as another has it
-	Have      = "HAVE"  // a client's line: it has its token
-	NewToken  = "new"   // in a client's first line: it asks for a token and has none
-	MaxState  = 1 << 20 // bytes; the longest that any balancer carries
-	FieldName = "session"
+	ReadyLine     = "READY" // a room server waits for the state
+	ActivateLine  = "GO"    // a balancer lets it attach the session
+	CommitDone    = "DONE"  // the answer to COMMIT: the session is gone from here
+	CommitRefused = "NO"    // or not, as another has it
+	HaveLine      = "HAVE"  // a client's line: it has its token
+	NewToken      = "new"   // in a client's first line: it asks for a token and has none
+	MaxState      = 1 << 20 // bytes; the longest that any balancer carries
+	FieldName     = "session"
 )
 
 // Mode says how a first line treats a session.
@@ -32,19 +32,19 @@
 
 // The modes.
 const (
-	Begin Mode = "new"  // a new session, held under Ref
-	Back  Mode = "back" // the one that lies here under Ref, from now on under Next
-	Move  Mode = "move" // one that comes, to be held under Ref; Size bytes of state follow READY
+	ModeNew      Mode = "new"  // a new session, held under Ref
+	ModeReattach Mode = "back" // the one that lies here under Ref, from now on under Next
+	ModeMigrate  Mode = "move" // one that comes, to be held under Ref; Size bytes of state follow READY
 )
 
 // Open is the value of the field session in a first line.
 type Open struct {
-	Mode     Mode
-	Ref      token.Ref
-	Next     uint64 // Back: the fence of the attach
-	Via      bool   // Back: a trace led here
-	Position uint64 // Move
-	Size     int    // Move
+	Mode        Mode
+	Ref         token.Ref
+	Next        uint64 // Back: the fence of the attach
+	ViaRedirect bool   // Back: a trace led here
+	Position    uint64 // Move
+	Size        int    // Move
 }
 
 var (
@@ -55,9 +55,9 @@
 func (o Open) String() string {
 	head := fmt.Sprintf("%s:%s:%d:%x", o.Mode, o.Ref.Session, o.Ref.Epoch, o.Ref.Fence)
 	switch o.Mode {
-	case Back:
-		return fmt.Sprintf("%s:%x:%d", head, o.Next, flag(o.Via))
-	case Move:
+	case ModeReattach:
+		return fmt.Sprintf("%s:%x:%d", head, o.Next, flag(o.ViaRedirect))
+	case ModeMigrate:
 		return fmt.Sprintf("%s:%d:%d", head, o.Position, o.Size)
 	}
 	return head
@@ -73,10 +73,10 @@
 	f := fields{parts[1:], nil}
 	o.Ref = f.ref()
 	switch o.Mode {
-	case Begin:
-	case Back:
-		o.Next, o.Via = f.hex(), f.flag()
-	case Move:
+	case ModeNew:
+	case ModeReattach:
+		o.Next, o.ViaRedirect = f.hex(), f.flag()
+	case ModeMigrate:
 		o.Position, o.Size = f.number(), f.size()
 	default:
 		return o, fmt.Errorf("unknown mode %q", parts[0])
@@ -86,11 +86,11 @@
 
 // Export is a balancer's call for a session's state.
 type Export struct {
-	Ref   token.Ref
-	Claim uint64
-	For   time.Duration // how long the claim stands, whole milliseconds
-	Most  int           // bytes of state that the balancer takes
-	Via   bool
+	Ref         token.Ref
+	Claim       uint64
+	ClaimFor    time.Duration // how long the claim stands, whole milliseconds
+	MaxState    int           // bytes of state that the balancer takes
+	ViaRedirect bool
 }
 
 // Commit is a balancer's call to let a session go to another room server.
@@ -101,8 +101,8 @@
 }
 
 func (e Export) String() string {
-	return fmt.Sprintf("EXPORT %s %d %x %x %d %d %d", e.Ref.Session, e.Ref.Epoch, e.Ref.Fence, e.Claim, e.For.Milliseconds(),
-		e.Most, flag(e.Via))
+	return fmt.Sprintf("EXPORT %s %d %x %x %d %d %d", e.Ref.Session, e.Ref.Epoch, e.Ref.Fence, e.Claim, e.ClaimFor.Milliseconds(),
+		e.MaxState, flag(e.ViaRedirect))
 }
 
 func (c Commit) String() string {
@@ -116,7 +116,7 @@
 		return e, err
 	}
 	e.Ref, e.Claim = f.ref(), f.hex()
-	e.For, e.Most, e.Via = time.Duration(f.small())*time.Millisecond, f.size(), f.flag()
+	e.ClaimFor, e.MaxState, e.ViaRedirect = time.Duration(f.small())*time.Millisecond, f.size(), f.flag()
 	return e, f.end()
 }
 
@@ -130,18 +130,18 @@
 	return c, f.end()
 }
 
-// Answer is the line with which a room server answers EXPORT, or a first line whose session it does not attach. After
+// AnswerLine is the line with which a room server answers EXPORT, or a first line whose session it does not attach. After
 // STATE, the bytes of the state follow.
-func Answer(a arbiter.Answer) string {
+func AnswerLine(a arbiter.Answer) string {
 	switch a.Verdict {
 	case arbiter.Granted:
 		return fmt.Sprintf("STATE %d %d %d", a.Ref.Epoch, a.Position, len(a.State))
 	case arbiter.Moved:
-		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.To), a.Ref.Epoch, a.Ref.Fence)
+		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.MovedTo), a.Ref.Epoch, a.Ref.Fence)
 	case arbiter.InUse:
 		return fmt.Sprintf("INUSE %d", a.Wait.Milliseconds())
 	}
-	return map[arbiter.Verdict]string{arbiter.Used: "USED", arbiter.Over: "OVER", arbiter.Large: "LARGE",
+	return map[arbiter.Verdict]string{arbiter.TokenUsed: "USED", arbiter.Ended: "OVER", arbiter.StateTooLarge: "LARGE",
 		arbiter.Unknown: "UNKNOWN"}[a.Verdict]
 }
 
@@ -154,15 +154,15 @@
 	case "STATE":
 		a.Verdict, a.Ref.Epoch, a.Position, size = arbiter.Granted, f.number(), f.number(), f.size()
 	case "MOVED":
-		a.Verdict, a.To, a.Ref.Epoch, a.Ref.Fence = arbiter.Moved, f.name(), f.number(), f.hex()
+		a.Verdict, a.MovedTo, a.Ref.Epoch, a.Ref.Fence = arbiter.Moved, f.name(), f.number(), f.hex()
 	case "INUSE":
 		a.Verdict, a.Wait = arbiter.InUse, time.Duration(f.small())*time.Millisecond
 	case "USED":
-		a.Verdict = arbiter.Used
+		a.Verdict = arbiter.TokenUsed
 	case "OVER":
-		a.Verdict = arbiter.Over
+		a.Verdict = arbiter.Ended
 	case "LARGE":
-		a.Verdict = arbiter.Large
+		a.Verdict = arbiter.StateTooLarge
 	case "UNKNOWN":
 		a.Verdict = arbiter.Unknown
 	default:
@@ -171,14 +171,14 @@
 	return a, size, f.end() == nil
 }
 
-// Held is the line HELD: the room server has the session at this epoch and position.
-func Held(epoch, position uint64) string { return fmt.Sprintf("HELD %d %d", epoch, position) }
+// HeldLine is the line HELD: the room server has the session at this epoch and position.
+func HeldLine(epoch, position uint64) string { return fmt.Sprintf("HELD %d %d", epoch, position) }
 
-// Kept is the line KEPT, the first after UP: the session may be moved, and its client gets a token.
-func Kept(epoch, position uint64) string { return fmt.Sprintf("KEPT %d %d", epoch, position) }
+// KeptLine is the line KEPT, the first after UP: the session may be moved, and its client gets a token.
+func KeptLine(epoch, position uint64) string { return fmt.Sprintf("KEPT %d %d", epoch, position) }
 
-// Pos is the line POS: all of the client's moves up to this one are in the state.
-func Pos(position uint64) string { return fmt.Sprintf("POS %d", position) }
+// PositionLine is the line POS: all of the client's moves up to this one are in the state.
+func PositionLine(position uint64) string { return fmt.Sprintf("POS %d", position) }
 
 // Parse reads a line of whole numbers after a word, as HELD, KEPT and POS are.
 func Parse(line, word string, numbers ...*uint64) bool {
@@ -193,9 +193,9 @@
 	return f.end() == nil
 }
 
-// Token and Anew are the lines of a balancer to its client.
-func Token(text string) string  { return "TOKEN " + text }
-func Anew(reason string) string { return "ANEW " + reason }
+// TokenLine and Anew are the lines of a balancer to its client.
+func TokenLine(text string) string       { return "TOKEN " + text }
+func StartOverLine(reason string) string { return "ANEW " + reason }
 
 func flag(v bool) int {
 	if v {
--- a/internal/session/protocol/resumeline_test.go
+++ b/internal/session/protocol/resumeline_test.go
@@ -14,13 +14,13 @@
 
 // What is written is read again as it was, and names of any bytes pass.
 func TestWrittenAndRead(t *testing.T) {
-	for _, o := range []Open{{Mode: Begin, Ref: ref}, {Mode: Back, Ref: ref, Next: 9, Via: true},
-		{Mode: Move, Ref: ref, Position: 7, Size: MaxState}} {
+	for _, o := range []Open{{Mode: ModeNew, Ref: ref}, {Mode: ModeReattach, Ref: ref, Next: 9, ViaRedirect: true},
+		{Mode: ModeMigrate, Ref: ref, Position: 7, Size: MaxState}} {
 		if got, err := ParseOpen(o.String()); err != nil || got != o || strings.ContainsAny(o.String(), ", =") {
 			t.Errorf("%s is read as %+v, %v", o, got, err)
 		}
 	}
-	e := Export{Ref: ref, Claim: 5, For: 2 * time.Second, Most: 100, Via: true}
+	e := Export{Ref: ref, Claim: 5, ClaimFor: 2 * time.Second, MaxState: 100, ViaRedirect: true}
 	if got, err := ParseExport(e.String()); err != nil || got != e {
 		t.Errorf("%s is read as %+v, %v", e, got, err)
 	}
@@ -29,24 +29,24 @@
 		t.Errorf("%s is read as %+v, %v", c, got, err)
 	}
 	for _, a := range []arbiter.Answer{{Verdict: arbiter.Granted, Position: 4, State: []byte("abc"), Ref: ref},
-		{Verdict: arbiter.Moved, To: "s 1", Ref: ref}, {Verdict: arbiter.InUse, Wait: time.Second}, {Verdict: arbiter.Used},
-		{Verdict: arbiter.Over}, {Verdict: arbiter.Large}, {Verdict: arbiter.Unknown}} {
-		got, size, ok := ParseAnswer(Answer(a), ref.Session)
-		if !ok || got.Verdict != a.Verdict || size != len(a.State) || got.Position != a.Position || got.To != a.To ||
+		{Verdict: arbiter.Moved, MovedTo: "s 1", Ref: ref}, {Verdict: arbiter.InUse, Wait: time.Second}, {Verdict: arbiter.TokenUsed},
+		{Verdict: arbiter.Ended}, {Verdict: arbiter.StateTooLarge}, {Verdict: arbiter.Unknown}} {
+		got, size, ok := ParseAnswer(AnswerLine(a), ref.Session)
+		if !ok || got.Verdict != a.Verdict || size != len(a.State) || got.Position != a.Position || got.MovedTo != a.MovedTo ||
 			got.Wait != a.Wait || got.Ref.Epoch != a.Ref.Epoch {
-			t.Errorf("%q is read as %+v, %d", Answer(a), got, size)
+			t.Errorf("%q is read as %+v, %d", AnswerLine(a), got, size)
 		}
 	}
 	var epoch, position uint64
-	if !Parse(Held(3, 4), "HELD", &epoch, &position) || epoch != 3 || position != 4 || Parse("HELD 3", "HELD", &epoch, &position) {
+	if !Parse(HeldLine(3, 4), "HELD", &epoch, &position) || epoch != 3 || position != 4 || Parse("HELD 3", "HELD", &epoch, &position) {
 		t.Error("HELD")
 	}
 }
 
 // Whatever is taken is in the one form that is written; guards against two readings of one line.
 func FuzzParse(f *testing.F) {
-	fuzzcorpus.Add(f, []byte(Open{Mode: Back, Ref: ref, Next: 9}.String()), []byte(Open{Mode: Move, Ref: ref, Size: 9}.String()),
-		[]byte(Export{Ref: ref, Claim: 5, Most: 9}.String()), []byte(Commit{Session: ref.Session, Claim: 5, To: "s%201"}.String()),
+	fuzzcorpus.Add(f, []byte(Open{Mode: ModeReattach, Ref: ref, Next: 9}.String()), []byte(Open{Mode: ModeMigrate, Ref: ref, Size: 9}.String()),
+		[]byte(Export{Ref: ref, Claim: 5, MaxState: 9}.String()), []byte(Commit{Session: ref.Session, Claim: 5, To: "s%201"}.String()),
 		[]byte("STATE 3 4 5"), []byte("MOVED s-1 3 ab"), []byte("INUSE 50"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		text := string(raw)
@@ -60,7 +60,7 @@
 			t.Errorf("%q is read as %s", text, c)
 		}
 		if a, size, ok := ParseAnswer(text, ref.Session); ok {
-			if a.State = make([]byte, size); Answer(a) != text {
+			if a.State = make([]byte, size); AnswerLine(a) != text {
 				t.Errorf("%q is read as %+v", text, a)
 			}
 		}
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -17,9 +17,9 @@
 const (
 	// Leeway is how far the clocks of two balancers may be apart.
 	Leeway = time.Minute
-	// MaxLife bounds how long a token is good, and so how long a key opens after it has stopped to seal.
-	MaxLife = 24 * time.Hour
-	maxKeys = 64
+	// MaxLifetime bounds how long a token is good, and so how long a key opens after it has stopped to seal.
+	MaxLifetime = 24 * time.Hour
+	maxKeys     = 64
 )
 
 // Key is one key of a ring.
@@ -50,8 +50,8 @@
 
 // NewRing checks the keys. Tokens live for life at most, 24 h or less, and a key opens for so long after its last seal.
 func NewRing(keys []Key, life time.Duration) (*Ring, error) {
-	if life <= 0 || life > MaxLife {
-		return nil, fmt.Errorf("a token's life: %v is not above 0 and up to %v", life, MaxLife)
+	if life <= 0 || life > MaxLifetime {
+		return nil, fmt.Errorf("a token's life: %v is not above 0 and up to %v", life, MaxLifetime)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("keys: %d of them, 1 to %d expected", len(keys), maxKeys)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -252,7 +252,7 @@
 	case "fading":
 		s.State = decide.Draining
 	case "off":
-		s.State = decide.Gone
+		s.State = decide.Removed
 	default:
 		return s, l.bad("condition", "on, fading or off", condition)
 	}
@@ -281,7 +281,7 @@
 			return nil, err
 		}
 		server, err := serverOf(l)
-		return decide.Opened{Request: req, Server: server}, err
+		return decide.ConnectionRestored{Request: req, Server: server}, err
 	case "FIRST_BYTE":
 		return established(l)
 	case "HEARTBEAT":
@@ -290,7 +290,7 @@
 		return ended(l, sch)
 	case "ABORTED":
 		id, err := l.need("id")
-		return decide.ClientGone{ID: decide.RequestID(id)}, err
+		return decide.ClientDisconnected{ID: decide.RequestID(id)}, err
 	case "FIRED":
 		token, err := l.number("nonce", 64)
 		return decide.TimerFired{Token: token}, err
@@ -309,9 +309,9 @@
 	var ev decide.ListReceived
 	switch string(how) {
 	case "update":
-		ev.Kind = decide.ListChanges
+		ev.Kind = decide.ListDelta
 	case "replace":
-		ev.Kind = decide.ListFull
+		ev.Kind = decide.ListSnapshot
 	case "restored":
 		ev.Kind = decide.ListRestored
 	case "unavailable":
@@ -343,7 +343,7 @@
 	attrReturning = 16
 )
 
-func request(l *line, sch *schema) (r decide.Requested, err error) {
+func request(l *line, sch *schema) (r decide.RequestArrived, err error) {
 	id, err := l.need("id")
 	if err != nil {
 		return r, err
@@ -399,7 +399,7 @@
 		return nil, err
 	}
 	took, err := l.optional("took_s", 0)
-	return decide.Established{ID: id, Attempt: n, Server: server, Took: secondsOf(took)}, err
+	return decide.Established{ID: id, Attempt: n, Server: server, Elapsed: secondsOf(took)}, err
 }
 
 func note(l *line) (decide.Event, error) {
@@ -419,7 +419,7 @@
 	case 1:
 		return decide.LoadChanged{ID: id, Load: amount / 1e6}, nil
 	case 2:
-		return decide.MessagesSlow{ID: id, Server: server, Delay: secondsOf(amount / 1e3)}, nil
+		return decide.MessageDelayReported{ID: id, Server: server, Delay: secondsOf(amount / 1e3)}, nil
 	}
 	return nil, nil // a kind of note added later
 }
@@ -429,11 +429,11 @@
 	if err != nil {
 		return nil, err
 	}
-	ev := decide.Ended{ID: id, Attempt: n, Server: server}
+	ev := decide.AttemptEnded{ID: id, Attempt: n, Server: server}
 	if ev.Final, err = l.flag("no_more"); err != nil {
 		return nil, err
 	}
-	ev.Code, ev.Took, ev.Report, err = answer(l, sch)
+	ev.Code, ev.Elapsed, ev.Report, err = answer(l, sch)
 	return ev, err
 }
 
@@ -442,13 +442,13 @@
 	if err != nil {
 		return nil, err
 	}
-	ev := decide.Probed{Server: server}
-	ev.Code, ev.Took, ev.Report, err = answer(l, sch)
+	ev := decide.ProbeCompleted{Server: server}
+	ev.Code, ev.Elapsed, ev.Report, err = answer(l, sch)
 	return ev, err
 }
 
 // answer reads the fields that outcomes and probe results share.
-func answer(l *line, sch *schema) (code decide.Code, took time.Duration, rep decide.Report, err error) {
+func answer(l *line, sch *schema) (code decide.Code, took time.Duration, rep decide.LoadReport, err error) {
 	rc, err := l.number("rc", 31)
 	if err != nil {
 		return 0, 0, rep, err
@@ -465,12 +465,12 @@
 	return code, secondsOf(sec), rep, err
 }
 
-var codes = [8]decide.Code{decide.OK, decide.ServerError, decide.Full, decide.TimedOut,
-	decide.ConnectFailed, decide.Reset, decide.Cancelled, decide.Moot}
+var codes = [8]decide.Code{decide.OK, decide.ServerError, decide.Rejected, decide.TimedOut,
+	decide.ConnectFailed, decide.Reset, decide.Cancelled, decide.NotSent}
 
 // report picks the columns that the module reads.
-func report(l *line, columns []string) (decide.Report, error) {
-	rep := decide.NoReport
+func report(l *line, columns []string) (decide.LoadReport, error) {
+	rep := decide.NoLoadReport
 	rest, ok := l.get("health_info")
 	if !ok || len(rest) == 0 || string(rest) == "-" {
 		return rep, nil
@@ -492,7 +492,7 @@
 		case "x0":
 			rep.Load = f
 		case "inflight":
-			rep.Held = f
+			rep.Connections = f
 		}
 	}
 	return rep, nil
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -78,16 +78,16 @@
 		t.Fatal(err)
 	}
 	want := decide.Settings{
-		Seed: 51, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, Subscribe: true, MaxTries: 3,
-		ConnectTimeout: 100 * time.Millisecond, MaxRetryAfter: 1500 * time.Millisecond, MayProbe: true, Groups: true,
+		Seed: 51, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, WatchList: true, MaxAttempts: 3,
+		ConnectTimeout: 100 * time.Millisecond, MaxRetryAfter: 1500 * time.Millisecond, ProbingAllowed: true, GroupAffinity: true,
 		Classes: []decide.Class{
-			{Name: "feed", Aim: 300 * time.Millisecond, MessageAim: 60 * time.Millisecond, GiveUp: 1800 * time.Millisecond},
-			{Name: "order", Aim: 500 * time.Millisecond, MessageAim: 100 * time.Millisecond, Repeat: decide.Keyed,
-				Scope: decide.ScopeZone, Window: 5 * time.Second},
+			{Name: "feed", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond, ClientTimeout: 1800 * time.Millisecond},
+			{Name: "order", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: 100 * time.Millisecond, Idempotency: decide.IdempotentByKey,
+				KeyScope: decide.ScopeZone, DedupWindow: 5 * time.Second},
 		},
-		Rules: decide.Rules{DrainGrace: 500 * time.Millisecond, MustAsk: 10 * time.Second, ColdShare: 0.32,
-			Cold: 8800 * time.Millisecond, FallMultiple: 3, Fall: 3 * time.Second},
-		Prices: decide.Prices{Probe: 0.002, Move: 0.02, CrossZone: 0.03},
+		Safety: decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second, SlowStartShare: 0.32,
+			SlowStartDuration: 8800 * time.Millisecond, OverloadFactor: 3, OverloadWindow: 3 * time.Second},
+		Costs: decide.Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
 	if len(r.settings) != 1 || !reflect.DeepEqual(r.settings[0], want) {
 		t.Fatalf("got %+v", r.settings)
@@ -97,29 +97,29 @@
 func TestEvents(t *testing.T) {
 	const ms = time.Millisecond
 	for line, want := range map[string]decide.Event{
-		"DEMAND\twho=3\tid=u-1\tservice=order\tsubject=user:k\tremaining_s=0.24\tsize_hint_s=0.012\tteam_id=g/1\tattrs=17": decide.Requested{
+		"DEMAND\twho=3\tid=u-1\tservice=order\tsubject=user:k\tremaining_s=0.24\tsize_hint_s=0.012\tteam_id=g/1\tattrs=17": decide.RequestArrived{
 			ID: "u-1", Class: 1, Key: "user:k", Group: "g/1", Remaining: 240 * ms, Load: 0.012, Returning: true},
-		"DEMAND\twho=3\tid=u-1\tservice=feed\tremaining_s=1e-1\tsize_hint_s=0.5\tattrs=8": decide.Requested{
+		"DEMAND\twho=3\tid=u-1\tservice=feed\tremaining_s=1e-1\tsize_hint_s=0.5\tattrs=8": decide.RequestArrived{
 			ID: "u-1", Remaining: 100 * ms, MidFlow: true},
-		"ALREADY_OPEN\twho=3\tid=u-2\tservice=feed\tremaining_s=2\tserver=7": decide.Opened{
-			Request: decide.Requested{ID: "u-2", Remaining: 2 * time.Second}, Server: 7},
+		"ALREADY_OPEN\twho=3\tid=u-2\tservice=feed\tremaining_s=2\tserver=7": decide.ConnectionRestored{
+			Request: decide.RequestArrived{ID: "u-2", Remaining: 2 * time.Second}, Server: 7},
 		"FIRST_BYTE\twho=3\tid=u-1\tn=1\tserver=7\ttook_s=0.02": decide.Established{
-			ID: "u-1", Attempt: 1, Server: 7, Took: 20 * ms},
+			ID: "u-1", Attempt: 1, Server: 7, Elapsed: 20 * ms},
 		"HEARTBEAT\twho=3\tid=u-1\tn=0\tserver=7\twhat=1\tamount=2500": decide.LoadChanged{ID: "u-1", Load: 0.0025},
-		"HEARTBEAT\twho=3\tid=u-1\tn=0\tserver=7\twhat=2\tamount=35.5": decide.MessagesSlow{
+		"HEARTBEAT\twho=3\tid=u-1\tn=0\tserver=7\twhat=2\tamount=35.5": decide.MessageDelayReported{
 			ID: "u-1", Server: 7, Delay: 35500 * time.Microsecond},
-		"DONE\twho=3\tid=u-1\trc=10\tserver=7\tn=0\tno_more=1\ttook_s=0.0185\thealth_info=0.5,12,0.75": decide.Ended{
-			ID: "u-1", Server: 7, Final: true, Took: 18500 * time.Microsecond, Report: decide.Report{Load: 0.75, Held: 12}},
-		"DONE\twho=3\tid=u-1\trc=80\tserver=7\tn=2\tno_more=0": decide.Ended{
-			ID: "u-1", Attempt: 2, Server: 7, Code: decide.Moot, Report: decide.NoReport},
-		"ABORTED\twho=3\tid=u-1":             decide.ClientGone{ID: "u-1"},
+		"DONE\twho=3\tid=u-1\trc=10\tserver=7\tn=0\tno_more=1\ttook_s=0.0185\thealth_info=0.5,12,0.75": decide.AttemptEnded{
+			ID: "u-1", Server: 7, Final: true, Elapsed: 18500 * time.Microsecond, Report: decide.LoadReport{Load: 0.75, Connections: 12}},
+		"DONE\twho=3\tid=u-1\trc=80\tserver=7\tn=2\tno_more=0": decide.AttemptEnded{
+			ID: "u-1", Attempt: 2, Server: 7, Code: decide.NotSent, Report: decide.NoLoadReport},
+		"ABORTED\twho=3\tid=u-1":             decide.ClientDisconnected{ID: "u-1"},
 		"FIRED\twho=3\tnonce=77":             decide.TimerFired{Token: 77},
 		"TARGETS\twho=3\thow=unavailable":    decide.ListReceived{Kind: decide.ListFailed},
 		"FIRED\twho=3\tunheard=x=y\tnonce=9": decide.TimerFired{Token: 9},
-		"PROBE_RESULT\twho=3\tserver=4294967295\trc=40\ttook_s=0.5": decide.Probed{
-			Server: 4294967295, Code: decide.TimedOut, Took: 500 * ms, Report: decide.NoReport},
-		"PROBE_RESULT\twho=3\tserver=9\trc=10\ttook_s=0.001\thealth_info=0.1,,1.5": decide.Probed{
-			Server: 9, Took: ms, Report: decide.Report{Load: 1.5, Held: -1}},
+		"PROBE_RESULT\twho=3\tserver=4294967295\trc=40\ttook_s=0.5": decide.ProbeCompleted{
+			Server: 4294967295, Code: decide.TimedOut, Elapsed: 500 * ms, Report: decide.NoLoadReport},
+		"PROBE_RESULT\twho=3\tserver=9\trc=10\ttook_s=0.001\thealth_info=0.1,,1.5": decide.ProbeCompleted{
+			Server: 9, Elapsed: ms, Report: decide.LoadReport{Load: 1.5, Connections: -1}},
 	} {
 		r, seqs, err := decodeAll(batch(createLine, line))
 		if err != nil {
@@ -136,11 +136,11 @@
 }
 
 func TestEveryCodeHasItsOutcome(t *testing.T) {
-	want := []decide.Code{decide.OK, decide.ServerError, decide.Full, decide.TimedOut, decide.ConnectFailed,
-		decide.Reset, decide.Cancelled, decide.Moot}
+	want := []decide.Code{decide.OK, decide.ServerError, decide.Rejected, decide.TimedOut, decide.ConnectFailed,
+		decide.Reset, decide.Cancelled, decide.NotSent}
 	for i, rc := range []string{"10", "20", "30", "40", "50", "60", "70", "80"} {
 		r, _, err := decodeAll(batch(createLine, "PROBE_RESULT\twho=3\tserver=1\trc="+rc))
-		if err != nil || r.events[0].(decide.Probed).Code != want[i] {
+		if err != nil || r.events[0].(decide.ProbeCompleted).Code != want[i] {
 			t.Errorf("rc=%s: %v, %v", rc, r.events, err)
 		}
 	}
@@ -169,7 +169,7 @@
 	second.ID = 9
 	want := []decide.Event{
 		decide.ListReceived{Kind: decide.ListRestored, Servers: []decide.Server{line}},
-		decide.ListReceived{Kind: decide.ListFull, Servers: []decide.Server{second}},
+		decide.ListReceived{Kind: decide.ListSnapshot, Servers: []decide.Server{second}},
 	}
 	if !reflect.DeepEqual(r.events, want) {
 		t.Fatalf("got %+v", r.events)
@@ -191,7 +191,7 @@
 	}
 	lines = append(lines, "ABORTED\twho=3\tid="+long)
 	r, _, err := decodeAll(batch(lines...))
-	if err != nil || len(r.events) != 5001 || len(r.events[5000].(decide.ClientGone).ID) != len(long) {
+	if err != nil || len(r.events) != 5001 || len(r.events[5000].(decide.ClientDisconnected).ID) != len(long) {
 		t.Fatalf("%d events, %v", len(r.events), err)
 	}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -25,22 +25,22 @@
 // Action writes one action of an instance.
 func (e *Encoder) Action(who int, a decide.Action) error {
 	switch a := a.(type) {
-	case decide.Place:
-		e.begin("PLACE", who).text("id", string(a.ID)).number("server", uint64(a.Server)).seconds("max_wait_s", a.Wait)
-	case decide.Refuse:
+	case decide.StartAttempt:
+		e.begin("PLACE", who).text("id", string(a.ID)).number("server", uint64(a.Server)).seconds("max_wait_s", a.Timeout)
+	case decide.Reject:
 		e.begin("OVERLOAD_REPLY", who).text("id", string(a.ID)).seconds("stay_away_s", a.RetryAfter)
 	case decide.Fail:
 		e.begin("REPORT_FAILURE", who).text("id", string(a.ID))
-	case decide.Move:
+	case decide.Migrate:
 		e.begin("RELOCATE", who).text("id", string(a.ID))
 	case decide.Probe:
 		e.begin("SAMPLE", who).number("server", uint64(a.Server))
-	case decide.Subscribe:
+	case decide.WatchList:
 		e.begin("LISTEN", who).number("enable", 1)
 	case decide.FetchList:
 		e.begin("RESOLVE", who)
 	case decide.SetTimer:
-		e.begin("SET_ALARM", who).number("nonce", a.Token).seconds("wait_s", a.Wait)
+		e.begin("SET_ALARM", who).number("nonce", a.Token).seconds("wait_s", a.Delay)
 	case decide.Log:
 		e.begin("RECORD", who).text("body_text", clean.Replace(a.Text))
 	default:
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -69,21 +69,21 @@
 		Zone:           string(zone),
 		Zones:          f.list("areas"),
 		Balancers:      f.whole("balancers"),
-		MaxTries:       f.whole("limits.most_tries"),
+		MaxAttempts:    f.whole("limits.most_tries"),
 		ConnectTimeout: f.seconds("limits.connect_timeout_s"),
-		MayProbe:       f.flag("limits.may_probe"),
-		Groups:         f.flag("specifics.groups"),
-		Rules: decide.Rules{
-			DrainGrace:   secondsOf(f.must("rules.drain_grace_s")),
-			MustAsk:      f.seconds("rules.must_ask_in_s"),
-			ColdShare:    f.must("rules.cold_share"),
-			Cold:         secondsOf(f.must("rules.cold_s")),
-			FallMultiple: f.must("rules.fall_multiple"),
-			Fall:         secondsOf(f.must("rules.fall_s")),
+		ProbingAllowed: f.flag("limits.may_probe"),
+		GroupAffinity:  f.flag("specifics.groups"),
+		Safety: decide.SafetyLimits{
+			DrainGrace:        secondsOf(f.must("rules.drain_grace_s")),
+			MaxPollInterval:   f.seconds("rules.must_ask_in_s"),
+			SlowStartShare:    f.must("rules.cold_share"),
+			SlowStartDuration: secondsOf(f.must("rules.cold_s")),
+			OverloadFactor:    f.must("rules.fall_multiple"),
+			OverloadWindow:    secondsOf(f.must("rules.fall_s")),
 		},
-		Prices: decide.Prices{
+		Costs: decide.Costs{
 			Probe:     f.number("penalties.probe"),
-			Move:      f.number("penalties.moves"),
+			Migration: f.number("penalties.moves"),
 			CrossZone: f.number("penalties.cross_zone"),
 		},
 	}
@@ -92,7 +92,7 @@
 	}
 	switch mode := f.text("membership_mode"); mode {
 	case "subscribe":
-		s.Subscribe = true
+		s.WatchList = true
 	case "automatic":
 	default:
 		f.keep(fmt.Errorf("CREATE: field membership_mode: expected subscribe or automatic, found %q", mode))
@@ -109,10 +109,10 @@
 	for i := 0; i < count && f.err == nil; i++ {
 		at := "profiles." + strconv.Itoa(i) + "."
 		c := decide.Class{
-			Name:   f.text(at + "name"),
-			Aim:    secondsOf(f.must(at + "aim_s")),
-			GiveUp: f.seconds(at + "give_up_s"),
-			Window: f.seconds(at + "window_s"),
+			Name:             f.text(at + "name"),
+			LatencyObjective: secondsOf(f.must(at + "aim_s")),
+			ClientTimeout:    f.seconds(at + "give_up_s"),
+			DedupWindow:      f.seconds(at + "window_s"),
 		}
 		if c.Name == "" {
 			f.keep(fmt.Errorf("CREATE: field %sname is missing", at))
@@ -122,12 +122,12 @@
 			if err != nil {
 				f.keep(fmt.Errorf("CREATE: field specifics.message_aim_s: expected seconds, found %q", aims[i]))
 			}
-			c.MessageAim = secondsOf(sec)
+			c.MessageLatencyObjective = secondsOf(sec)
 		}
-		c.Repeat = word(f, at+"repeat", map[string]decide.Repeat{
-			"idempotent": decide.Safe, "deduplicated": decide.Keyed, "at_most_once": decide.Unsafe})
-		if c.Repeat == decide.Keyed {
-			c.Scope = word(f, at+"key_scope", map[string]decide.KeyScope{
+		c.Idempotency = word(f, at+"repeat", map[string]decide.Idempotency{
+			"idempotent": decide.Idempotent, "deduplicated": decide.IdempotentByKey, "at_most_once": decide.NotIdempotent})
+		if c.Idempotency == decide.IdempotentByKey {
+			c.KeyScope = word(f, at+"key_scope", map[string]decide.KeyScope{
 				"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell})
 		}
 		sch.classes[c.Name] = i
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -87,7 +87,7 @@
 }
 
 // Set puts a room server into a lifecycle and tells all watches at once.
-func (d *Discovery) Set(r *Room, zone, lifecycle string) {
+func (d *Discovery) Set(r *RoomServer, zone, lifecycle string) {
 	d.Put(Entry{Instance: r.Name(), Address: r.Address(), Zone: zone, Lifecycle: lifecycle, Weight: 1,
 		Started: r.startedMs()})
 }
--- a/internal/testbench/emulator/door.go
+++ b/internal/testbench/emulator/door.go
@@ -24,8 +24,8 @@
 	CutOff                    // nothing comes up, and what is open falls silent for good
 )
 
-// Door is an address of discovery that can go down and come back, for all balancers that share it.
-type Door struct {
+// FaultyListener is an address of discovery that can go down and come back, for all balancers that share it.
+type FaultyListener struct {
 	address string
 	handler http.Handler
 	down    Outage
@@ -36,19 +36,19 @@
 	Calls   atomic.Uint64
 }
 
-// NewDoor opens an address for a handler. Its IP address is one that no client's socket takes its port from.
-func NewDoor(handler http.Handler) (*Door, error) {
+// NewFaultyListener opens an address for a handler. Its IP address is one that no client's socket takes its port from.
+func NewFaultyListener(handler http.Handler) (*FaultyListener, error) {
 	l, err := net.Listen("tcp", "127.77.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("door: %w", err)
 	}
-	d := &Door{address: l.Addr().String(), handler: handler}
+	d := &FaultyListener{address: l.Addr().String(), handler: handler}
 	d.serve(l)
 	return d, nil
 }
 
 // Address is where balancers find it.
-func (d *Door) Address() string { return d.address }
+func (d *FaultyListener) Address() string { return d.address }
 
 // InTurn lets a handler work through calls in turn: each takes so long, and one that has waited for too long gets 503.
 func InTurn(handler http.Handler, each, patience time.Duration) http.Handler {
@@ -65,8 +65,8 @@
 	})
 }
 
-// Turn changes to an outage, or to none. It is called from one goroutine.
-func (d *Door) Turn(to Outage) error {
+// SetOutage changes to an outage, or to none. It is called from one goroutine.
+func (d *FaultyListener) SetOutage(to Outage) error {
 	silent := d.down == Hangs || d.down == CutOff || to == Hangs || to == CutOff
 	conns := d.conns
 	if silent {
@@ -106,7 +106,7 @@
 }
 
 // Close ends it.
-func (d *Door) Close() {
+func (d *FaultyListener) Close() {
 	if d.l != nil {
 		d.l.Close()
 	}
@@ -117,7 +117,7 @@
 }
 
 // cutOff leaves no room in the listener's backlog, so that SYNs are lost as on a wire that is cut.
-func (d *Door) cutOff(l net.Listener) error {
+func (d *FaultyListener) cutOff(l net.Listener) error {
 	d.l = l
 	if err := listen(l, 0); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return err
 }
 
-func (d *Door) serve(l net.Listener) {
+func (d *FaultyListener) serve(l net.Listener) {
 	d.l, d.conns = l, &doorConns{open: map[*doorConn]struct{}{}}
 	down, conns := d.down, d.conns
 	handler := d.handler
@@ -163,7 +163,7 @@
 // doorListener counts who comes, and treats them as the outage does.
 type doorListener struct {
 	net.Listener
-	door  *Door
+	door  *FaultyListener
 	conns *doorConns
 	down  Outage
 }
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -20,26 +20,26 @@
 	"cottonplank/internal/textline"
 )
 
-// Front deals clients out among the balancers, as the platform's front layer does.
-type Front struct {
+// FrontLayer deals clients out among the balancers, as the platform's front layer does.
+type FrontLayer struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	balancers []string // addresses
 	names     []string
 }
 
-// NewFront returns a front without balancers.
-func NewFront(seed uint64) *Front { return &Front{rng: rand.New(rand.NewPCG(seed, 1))} }
+// NewFrontLayer returns a front without balancers.
+func NewFrontLayer(seed uint64) *FrontLayer { return &FrontLayer{rng: rand.New(rand.NewPCG(seed, 1))} }
 
 // Add lets a balancer have clients.
-func (f *Front) Add(name, address string) {
+func (f *FrontLayer) Add(name, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.names, f.balancers = append(f.names, name), append(f.balancers, address)
 }
 
 // Remove takes a balancer out.
-func (f *Front) Remove(name string) {
+func (f *FrontLayer) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, n := range f.names {
@@ -52,7 +52,7 @@
 }
 
 // pick deals out one balancer, any but the given one where there is another.
-func (f *Front) pick(not string) (name, address string) {
+func (f *FrontLayer) pick(not string) (name, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.names) == 0 {
@@ -67,7 +67,7 @@
 
 // PlayerConfig is what all players of a run have in common.
 type PlayerConfig struct {
-	Front    *Front
+	Front    *FrontLayer
 	Recorder *invariants.Recorder
 	Class    string
 	Tenant   string
@@ -321,7 +321,7 @@
 		return false
 	}
 	p.token, p.used = fresh, asked
-	if _, err := io.WriteString(conn, protocol.Have+"\r\n"); err != nil {
+	if _, err := io.WriteString(conn, protocol.HaveLine+"\r\n"); err != nil {
 		return false
 	}
 	line, err = textline.Read(r)
--- a/internal/testbench/emulator/room.go
+++ b/internal/testbench/emulator/room.go
@@ -21,8 +21,8 @@
 	"cottonplank/internal/textline"
 )
 
-// RoomConfig is what a Room is.
-type RoomConfig struct {
+// RoomServerConfig is what a Room is.
+type RoomServerConfig struct {
 	Name     string
 	Capacity int  // connections that it can serve; past it new ones are turned away
 	Keeps    bool // it knows the resumption
@@ -50,16 +50,16 @@
 	SmallState  bool // it tells a state one byte longer than it sends, and ends
 }
 
-// Room is a room server that keeps boards.
-type Room struct {
-	cfg     RoomConfig
+// RoomServer is a room server that keeps boards.
+type RoomServer struct {
+	cfg     RoomServerConfig
 	l       net.Listener
 	started time.Time
 	faults  atomic.Pointer[Faults]
 	all     sync.WaitGroup
 
 	mu       sync.Mutex
-	ledger   *arbiter.Ledger
+	ledger   *arbiter.Arbiter
 	conns    map[arbiter.Conn]*roomConn
 	last     arbiter.Conn
 	open     int // connections that stand
@@ -79,7 +79,7 @@
 }
 
 // Traffic counts it.
-func (s *Room) Traffic() Traffic {
+func (s *RoomServer) Traffic() Traffic {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Traffic{s.accepted, s.probes, len(s.conns)}
@@ -87,7 +87,7 @@
 
 // roomConn is one connection of a Room's.
 type roomConn struct {
-	room    *Room
+	room    *RoomServer
 	id      arbiter.Conn
 	conn    net.Conn
 	r       *bufio.Reader
@@ -100,8 +100,8 @@
 	writes  sync.Mutex
 }
 
-// NewRoom starts a room server on a port of its own.
-func NewRoom(cfg RoomConfig) (*Room, error) {
+// NewRoomServer starts a room server on a port of its own.
+func NewRoomServer(cfg RoomServerConfig) (*RoomServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("room server %s: %w", cfg.Name, err)
@@ -109,25 +109,25 @@
 	if cfg.Capacity == 0 {
 		cfg.Capacity = 1 << 20
 	}
-	s := &Room{cfg: cfg, l: l, started: time.Now(), conns: map[arbiter.Conn]*roomConn{}}
+	s := &RoomServer{cfg: cfg, l: l, started: time.Now(), conns: map[arbiter.Conn]*roomConn{}}
 	s.ledger = newLedger()
 	s.faults.Store(&Faults{})
 	s.all.Go(s.accept)
 	return s, nil
 }
 
-func newLedger() *arbiter.Ledger {
-	return arbiter.New(arbiter.Config{Keep: time.Minute, Limit: 1 << 16})
+func newLedger() *arbiter.Arbiter {
+	return arbiter.New(arbiter.Config{Retention: time.Minute, Limit: 1 << 16})
 }
 
 // Name is its instance id.
-func (s *Room) Name() string { return s.cfg.Name }
+func (s *RoomServer) Name() string { return s.cfg.Name }
 
 // Address is where balancers find it.
-func (s *Room) Address() string { return s.l.Addr().String() }
+func (s *RoomServer) Address() string { return s.l.Addr().String() }
 
 // startedMs is when it started, for discovery: 0, long ago, for one that has no cold start.
-func (s *Room) startedMs() int64 {
+func (s *RoomServer) startedMs() int64 {
 	if s.cfg.ColdFor == 0 {
 		return 0
 	}
@@ -135,7 +135,7 @@
 }
 
 // Misbehave sets its faults.
-func (s *Room) Misbehave(f Faults) {
+func (s *RoomServer) Misbehave(f Faults) {
 	s.faults.Store(&f)
 	if f.Forget {
 		s.mu.Lock()
@@ -145,21 +145,21 @@
 }
 
 // Sessions counts what it holds, and how much of it is attached.
-func (s *Room) Sessions() (held, attached int) {
+func (s *RoomServer) Sessions() (held, attached int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Sessions()
 }
 
 // Open counts the connections that stand.
-func (s *Room) Open() int {
+func (s *RoomServer) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
 // Drain sends all clients away at once and takes no new ones; what it holds may be fetched.
-func (s *Room) Drain() {
+func (s *RoomServer) Drain() {
 	s.mu.Lock()
 	s.draining = true
 	var away []*roomConn
@@ -176,7 +176,7 @@
 }
 
 // Return takes new clients again.
-func (s *Room) Return() {
+func (s *RoomServer) Return() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = false
@@ -184,10 +184,10 @@
 
 // StalledCommits is how many COMMITs have come and were not answered by StallCommit: what is to happen while one waits for
 // its answer must not happen before it is there.
-func (s *Room) StalledCommits() int64 { return s.stalled.Load() }
+func (s *RoomServer) StalledCommits() int64 { return s.stalled.Load() }
 
 // Stop ends it at once, as a crash does.
-func (s *Room) Stop() {
+func (s *RoomServer) Stop() {
 	s.l.Close()
 	s.mu.Lock()
 	s.stopped = true
@@ -199,7 +199,7 @@
 	s.all.Wait()
 }
 
-func (s *Room) accept() {
+func (s *RoomServer) accept() {
 	for {
 		conn, err := s.l.Accept()
 		if err != nil {
@@ -248,7 +248,7 @@
 		s.open--
 	}
 	if c.session != nil {
-		s.ledger.Left(time.Now(), c.id, c.session.Ref.Session)
+		s.ledger.Disconnected(time.Now(), c.id, c.session.Ref.Session)
 	}
 	c.detached()
 	c.attemptOver()
@@ -288,9 +288,9 @@
 		return c.room.cfg.Keeps && c.request == "" && c.export(line)
 	case "COMMIT":
 		return c.room.cfg.Keeps && c.request == "" && c.commit(line)
-	case protocol.Go:
+	case protocol.ActivateLine:
 		return c.goes()
-	case protocol.Have:
+	case protocol.HaveLine:
 		return c.stands && c.confirm()
 	case "PLAY":
 		return c.stands && c.play(rest)
@@ -364,11 +364,11 @@
 	s, now := c.room, time.Now()
 	c.session = &o
 	switch o.Mode {
-	case protocol.Begin:
+	case protocol.ModeNew:
 		s.mu.Lock()
-		begun := s.ledger.Begin(now, o.Ref, c.id)
+		begun := s.ledger.Create(now, o.Ref, c.id)
 		if begun {
-			s.ledger.Keep(c.id, o.Ref.Session, 0, c.state(0))
+			s.ledger.SaveState(c.id, o.Ref.Session, 0, c.state(0))
 			c.attached(o.Ref.Epoch, 0)
 		}
 		s.mu.Unlock()
@@ -376,21 +376,21 @@
 			c.session = nil
 			return c.stand("")
 		}
-		return c.stand(protocol.Kept(o.Ref.Epoch, 0))
-	case protocol.Back:
+		return c.stand(protocol.KeptLine(o.Ref.Epoch, 0))
+	case protocol.ModeReattach:
 		s.mu.Lock()
-		a := s.ledger.Back(now, o.Ref, o.Next, o.Via, c.id)
-		s.cut(a.Cut)
+		a := s.ledger.Reattach(now, o.Ref, o.Next, o.ViaRedirect, c.id)
+		s.cut(a.Displaced)
 		if a.Verdict == arbiter.Granted {
 			c.epoch, c.pos = a.Ref.Epoch, a.Position
 		}
 		s.mu.Unlock()
 		if a.Verdict != arbiter.Granted {
-			return c.say(protocol.Answer(a)) // it may try another first line here
+			return c.say(protocol.AnswerLine(a)) // it may try another first line here
 		}
-		return c.say(protocol.Held(a.Ref.Epoch, a.Position))
+		return c.say(protocol.HeldLine(a.Ref.Epoch, a.Position))
 	}
-	if !c.say(protocol.Ready) {
+	if !c.say(protocol.ReadyLine) {
 		return false
 	}
 	state := make([]byte, o.Size)
@@ -406,7 +406,7 @@
 		c.say("BUSY")
 		return false
 	}
-	return c.say(protocol.Held(o.Ref.Epoch, o.Position))
+	return c.say(protocol.HeldLine(o.Ref.Epoch, o.Position))
 }
 
 // goes attaches the session: the balancer lets it.
@@ -416,12 +416,12 @@
 		return false
 	}
 	s.mu.Lock()
-	ok := c.session.Mode == protocol.Back || s.ledger.Go(time.Now(), c.id, c.session.Ref.Session)
+	ok := c.session.Mode == protocol.ModeReattach || s.ledger.Activate(time.Now(), c.id, c.session.Ref.Session)
 	if ok {
 		c.attached(c.epoch, c.pos)
 	}
 	s.mu.Unlock()
-	return ok && c.stand(protocol.Kept(c.epoch, c.pos))
+	return ok && c.stand(protocol.KeptLine(c.epoch, c.pos))
 }
 
 // attached notes that the client plays here. The room's lock is held, so that events come in the order of the ledger's.
@@ -448,7 +448,7 @@
 }
 
 // cut closes a connection that lost its session. The room's lock is held.
-func (s *Room) cut(id arbiter.Conn) {
+func (s *RoomServer) cut(id arbiter.Conn) {
 	if c := s.conns[id]; c != nil {
 		c.detached()
 		c.conn.Close()
@@ -456,7 +456,7 @@
 }
 
 // setup counts a new connection; true: it is one too many for a cold room server. The room's lock is held.
-func (s *Room) setup(now time.Time) bool {
+func (s *RoomServer) setup(now time.Time) bool {
 	if s.cfg.Setups == 0 {
 		return false
 	}
@@ -480,11 +480,11 @@
 	s := c.room
 	s.mu.Lock()
 	if c.session != nil {
-		s.ledger.Confirm(c.id, c.session.Ref.Session)
+		s.ledger.ConfirmToken(c.id, c.session.Ref.Session)
 	}
 	pos := c.pos
 	s.mu.Unlock()
-	return c.say(protocol.Pos(pos))
+	return c.say(protocol.PositionLine(pos))
 }
 
 // play makes a move of the game: moves come one after the other.
@@ -494,8 +494,8 @@
 	s.mu.Lock()
 	ok := err == nil && n == c.pos+1
 	if ok && c.session != nil {
-		s.ledger.Confirm(c.id, c.session.Ref.Session)
-		if !s.ledger.Keep(c.id, c.session.Ref.Session, n, c.state(n)) {
+		s.ledger.ConfirmToken(c.id, c.session.Ref.Session)
+		if !s.ledger.SaveState(c.id, c.session.Ref.Session, n, c.state(n)) {
 			s.mu.Unlock()
 			return false // it lost the session: nothing may be acknowledged
 		}
@@ -505,7 +505,7 @@
 	}
 	pos := c.pos
 	s.mu.Unlock()
-	return c.say(protocol.Pos(pos))
+	return c.say(protocol.PositionLine(pos))
 }
 
 func (c *roomConn) finish() {
@@ -531,10 +531,10 @@
 	c.session = &protocol.Open{Ref: e.Ref}
 	now := time.Now()
 	s.mu.Lock()
-	a := s.ledger.Export(now, e.Ref, e.Claim, now.Add(e.For), e.Most, e.Via, c.id)
-	s.cut(a.Cut)
+	a := s.ledger.Export(now, e.Ref, e.Claim, now.Add(e.ClaimFor), e.MaxState, e.ViaRedirect, c.id)
+	s.cut(a.Displaced)
 	s.mu.Unlock()
-	answer := protocol.Answer(a)
+	answer := protocol.AnswerLine(a)
 	state := a.State
 	if a.Verdict != arbiter.Granted {
 		return c.say(answer)
@@ -573,7 +573,7 @@
 		return false
 	}
 	if done {
-		return c.say(protocol.Done)
+		return c.say(protocol.CommitDone)
 	}
-	return c.say(protocol.No)
+	return c.say(protocol.CommitRefused)
 }
--- a/internal/testbench/emulator/room_test.go
+++ b/internal/testbench/emulator/room_test.go
@@ -12,7 +12,7 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-func opens(t *testing.T, r *Room, id int) (net.Conn, string) {
+func opens(t *testing.T, r *RoomServer, id int) (net.Conn, string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Address())
 	if err != nil {
@@ -28,7 +28,7 @@
 // A full room server turns clients away, tells its loads, and one that drains sends all away. Guards runs against a stand-in
 // that takes whatever comes.
 func TestRoom(t *testing.T) {
-	r, err := NewRoom(RoomConfig{Name: "s-1", Capacity: 2, Load: 500})
+	r, err := NewRoomServer(RoomServerConfig{Name: "s-1", Capacity: 2, Load: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		falls int
 	}{{time.Hour, 1}, {time.Nanosecond, 0}} {
 		recorder := invariants.NewRecorder(invariants.Figures{})
-		r, err := NewRoom(RoomConfig{Name: "s-1", Setups: 10, ColdShare: 0.3, ColdFor: v.cold, FallMultiple: 4, Recorder: recorder})
+		r, err := NewRoomServer(RoomServerConfig{Name: "s-1", Setups: 10, ColdShare: 0.3, ColdFor: v.cold, FallMultiple: 4, Recorder: recorder})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbench/emulator/source.go
+++ b/internal/testbench/emulator/source.go
@@ -21,8 +21,8 @@
 	wholeKept  = 4               // whole lists kept encoded, the newest
 )
 
-// Roster is a list of room servers that many sources tell. It encodes each change once for all of them.
-type Roster struct {
+// EndpointTable is a list of room servers that many sources tell. It encodes each change once for all of them.
+type EndpointTable struct {
 	mu       sync.Mutex
 	entries  []Entry // of version 1
 	place    map[string]int
@@ -33,9 +33,9 @@
 	encoded  atomic.Uint64
 }
 
-// NewRoster returns a roster of version 1.
-func NewRoster(entries []Entry) *Roster {
-	r := &Roster{entries: slices.Clone(entries), place: map[string]int{}, whole: map[int64][]byte{}}
+// NewEndpointTable returns a roster of version 1.
+func NewEndpointTable(entries []Entry) *EndpointTable {
+	r := &EndpointTable{entries: slices.Clone(entries), place: map[string]int{}, whole: map[int64][]byte{}}
 	for i := range r.entries {
 		r.entries[i].Started = StartedAt + 1
 		r.place[r.entries[i].Instance] = i
@@ -44,16 +44,16 @@
 }
 
 // Version is the newest.
-func (r *Roster) Version() int64 {
+func (r *EndpointTable) Version() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version()
 }
 
-func (r *Roster) version() int64 { return int64(len(r.changes)) + 1 }
+func (r *EndpointTable) version() int64 { return int64(len(r.changes)) + 1 }
 
 // Publish changes an entry that the roster has, or adds one, and returns the new version.
-func (r *Roster) Publish(e Entry) int64 {
+func (r *EndpointTable) Publish(e Entry) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.version() + 1
@@ -63,23 +63,23 @@
 	return v
 }
 
-func (r *Roster) encode(l listing) []byte {
+func (r *EndpointTable) encode(l listing) []byte {
 	r.encoded.Add(1)
 	raw, _ := json.Marshal(l) // strings and numbers always do
 	return append(raw, '\n')
 }
 
 // Encoded counts the lists and changes encoded so far.
-func (r *Roster) Encoded() uint64 { return r.encoded.Load() }
+func (r *EndpointTable) Encoded() uint64 { return r.encoded.Load() }
 
 // At is the list of a version, with the entries in one order whatever the version.
-func (r *Roster) At(v int64) []Entry {
+func (r *EndpointTable) At(v int64) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at(v)
 }
 
-func (r *Roster) at(v int64) []Entry {
+func (r *EndpointTable) at(v int64) []Entry {
 	all, place := slices.Clone(r.entries), r.place
 	for _, e := range r.changes[:v-1] {
 		if i, ok := place[e.Instance]; ok {
@@ -91,8 +91,8 @@
 	return all
 }
 
-// Whole is the encoded list of a version. Callers don't change it.
-func (r *Roster) Whole(v int64) []byte {
+// Snapshot is the encoded list of a version. Callers don't change it.
+func (r *EndpointTable) Snapshot(v int64) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	raw, ok := r.whole[v]
@@ -108,15 +108,15 @@
 }
 
 // since is the changes after one version up to another.
-func (r *Roster) since(from, to int64) ([][]byte, []Entry) {
+func (r *EndpointTable) since(from, to int64) ([][]byte, []Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lines[from-1 : to-1], r.changes[from-1 : to-1]
 }
 
-// Source is one service that tells a roster's list to thousands of watches. It tells what has reached it.
-type Source struct {
-	roster *Roster
+// ListServer is one service that tells a roster's list to thousands of watches. It tells what has reached it.
+type ListServer struct {
+	roster *EndpointTable
 
 	mu      sync.Mutex
 	version int64
@@ -132,13 +132,13 @@
 	hear    func([]Entry)
 }
 
-// NewSource returns a source that knows version 1.
-func NewSource(r *Roster) *Source {
-	return &Source{roster: r, version: 1, changed: make(chan struct{})}
+// NewListServer returns a source that knows version 1.
+func NewListServer(r *EndpointTable) *ListServer {
+	return &ListServer{roster: r, version: 1, changed: make(chan struct{})}
 }
 
 // Reach tells that the list up to a version has reached the source; it never goes back.
-func (s *Source) Reach(v int64) {
+func (s *ListServer) Reach(v int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v > s.version {
@@ -149,7 +149,7 @@
 }
 
 // Listen opens an address. Whoever calls there is told what hear notes first, if that is not nil.
-func (s *Source) Listen(hear func([]Entry)) (address string, err error) {
+func (s *ListServer) Listen(hear func([]Entry)) (address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := door{hear: hear}
@@ -160,13 +160,13 @@
 }
 
 // Address is what the n-th Listen opened, or Start since then.
-func (s *Source) Address(n int) string {
+func (s *ListServer) Address(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.doors[n].address
 }
 
-func (s *Source) open(d door) (address string, err error) {
+func (s *ListServer) open(d door) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("source: %w", err)
@@ -180,7 +180,7 @@
 }
 
 // Stop ends it, and all watches, as a crash does.
-func (s *Source) Stop() {
+func (s *ListServer) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, server := range s.servers {
@@ -190,7 +190,7 @@
 }
 
 // Start brings it back, at other addresses: somebody's connection may have the old ones by now.
-func (s *Source) Start() (err error) {
+func (s *ListServer) Start() (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, d := range s.doors {
@@ -206,15 +206,15 @@
 type Told struct{ Calls, Messages, Bytes uint64 }
 
 // Told counts it.
-func (s *Source) Told() Told { return Told{s.calls.Load(), s.messages.Load(), s.bytes.Load()} }
+func (s *ListServer) Told() Told { return Told{s.calls.Load(), s.messages.Load(), s.bytes.Load()} }
 
-func (s *Source) now() (int64, <-chan struct{}) {
+func (s *ListServer) now() (int64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.changed
 }
 
-func (s *Source) serve(hear func([]Entry), w http.ResponseWriter, req *http.Request) {
+func (s *ListServer) serve(hear func([]Entry), w http.ResponseWriter, req *http.Request) {
 	s.calls.Add(1)
 	from, err := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
 	write := func(raw []byte, told func() []Entry) bool {
@@ -230,7 +230,7 @@
 	watch := req.URL.Query().Get("watch") != ""
 	if err != nil || from <= 0 || from > to || !watch {
 		from = to
-		if !write(s.roster.Whole(from), func() []Entry { return s.roster.At(from) }) || !watch {
+		if !write(s.roster.Snapshot(from), func() []Entry { return s.roster.At(from) }) || !watch {
 			return
 		}
 	} else if from == to && !write(fmt.Appendf(nil, "{\"generation\":%d,\"reset\":false,\"instances\":[]}\n", from), nil) {
--- a/internal/testbench/emulator/source_test.go
+++ b/internal/testbench/emulator/source_test.go
@@ -43,8 +43,8 @@
 // A source tells the whole list, what is new since a version, and then each change once, each encoded once for all
 // watches; it tells no more than has reached it, and is back after it was gone.
 func TestSource(t *testing.T) {
-	roster := NewRoster(entries(3))
-	s := NewSource(roster)
+	roster := NewEndpointTable(entries(3))
+	s := NewListServer(roster)
 	defer s.Stop()
 	var heard []string
 	address, err := s.Listen(nil)
@@ -127,8 +127,8 @@
 func TestSourceCost(t *testing.T) {
 	const watches, changes = 20, 10
 	for _, n := range []int{100, 200, 400} {
-		roster := NewRoster(entries(n))
-		s := NewSource(roster)
+		roster := NewEndpointTable(entries(n))
+		s := NewListServer(roster)
 		address, err := s.Listen(nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbench/experiment/fleet.go
+++ b/internal/testbench/experiment/fleet.go
@@ -145,7 +145,7 @@
 		close(b.ended)
 	}()
 	for end := time.Now().Add(startWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if lines, err := management.Ask(ctx, b.management, "PING"); err == nil && strings.HasPrefix(lines[0], "200 ") {
+		if lines, err := management.Query(ctx, b.management, "PING"); err == nil && strings.HasPrefix(lines[0], "200 ") {
 			return nil
 		}
 		select {
@@ -203,7 +203,7 @@
 
 // figures adds the balancer's own counts to a table.
 func (b *balancer) figures(into map[string]uint64) error {
-	figures, err := management.Figures(context.Background(), b.management)
+	figures, err := management.ParseMetrics(context.Background(), b.management)
 	if err != nil {
 		return fmt.Errorf("balancer %s: %w", b.name, err)
 	}
--- a/internal/testbench/experiment/members.go
+++ b/internal/testbench/experiment/members.go
@@ -177,7 +177,7 @@
 	for end := time.Now().Add(togetherBy); ; time.Sleep(pollEvery) {
 		seen := 0
 		for _, b := range m.base.balancers {
-			if figures, err := management.Figures(ctx, b.management); err == nil && figures["members_alive"] == uint64(m.e.Instances) {
+			if figures, err := management.ParseMetrics(ctx, b.management); err == nil && figures["members_alive"] == uint64(m.e.Instances) {
 				seen++
 			}
 		}
@@ -335,7 +335,7 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), pollEvery)
 			defer cancel()
-			figures, err := management.Figures(ctx, b.management)
+			figures, err := management.ParseMetrics(ctx, b.management)
 			if _, member := figures["members_alive"]; err != nil || !member {
 				return
 			}
@@ -376,7 +376,7 @@
 
 // addCold starts a room server that is cold.
 func (r *run) addCold(setups float64) error {
-	room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
+	room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
 		Setups: setups, ColdShare: coldShare, ColdFor: coldFor, FallMultiple: fallMultiple})
 	if err != nil {
 		return err
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -43,7 +43,7 @@
 // newRun returns an experiment that open starts.
 func newRun(program, dir string, e Experiment, say func(string)) *run {
 	return &run{e: e, program: program, dir: dir, say: say,
-		recorder: invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: ruleSlack}), front: emulator.NewFront(e.Seed),
+		recorder: invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: ruleSlack}), front: emulator.NewFrontLayer(e.Seed),
 		killed: map[string]bool{}, ended: map[string]bool{}, broke: map[string]int{}, keys: keys{path: filepath.Join(dir, "keys.json")},
 		result:  Result{Name: e.Name, Tokens: e.Tokens, Sessions: e.Sessions, Reasons: map[string]int{}, Balancers: map[string]uint64{}},
 		took:    hdrhistogram.New(1, 60_000_000, 3),
@@ -57,9 +57,9 @@
 	dir       string
 	say       func(string)
 	recorder  *invariants.Recorder
-	front     *emulator.Front
+	front     *emulator.FrontLayer
 	discovery *emulator.Discovery
-	rooms     []*emulator.Room
+	rooms     []*emulator.RoomServer
 	balancers []*balancer
 	alive     []bool
 	keys      keys
@@ -83,7 +83,7 @@
 func (r *run) open(ctx context.Context) (err error) {
 	r.discovery = emulator.NewDiscovery(r.recorder)
 	for i := range r.e.Rooms {
-		room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", i), Capacity: r.e.Capacity, Keeps: true,
+		room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d", i), Capacity: r.e.Capacity, Keeps: true,
 			State: r.e.State, Recorder: r.recorder})
 		if err != nil {
 			return err
--- a/internal/testbench/experiment/scale.go
+++ b/internal/testbench/experiment/scale.go
@@ -69,14 +69,14 @@
 	faults   *rand.Rand
 	changes  *rand.Rand
 	recorder *invariants.Recorder
-	front    *emulator.Front
+	front    *emulator.FrontLayer
 	tally    emulator.Tally
 	result   ScaleResult
 
-	rooms   []*emulator.Room // that exist
-	zoneOf  []int            // of each of them
-	roster  *emulator.Roster
-	sources []*emulator.Source
+	rooms   []*emulator.RoomServer // that exist
+	zoneOf  []int                  // of each of them
+	roster  *emulator.EndpointTable
+	sources []*emulator.ListServer
 	links   []*faultproxy.Link
 	ports   []*faultproxy.Port // of the hollow balancers, then of the real ones
 	workers []*worker
@@ -101,7 +101,7 @@
 }
 
 func newScaleRun(p Programs, dir string, e ScaleExperiment, say func(string)) *scaleRun {
-	s := &scaleRun{e: e, programs: p, dir: dir, say: say, faults: rand.New(rand.NewPCG(e.Seed, 7)), changes: rand.New(rand.NewPCG(e.Seed, 8)), front: emulator.NewFront(e.Seed),
+	s := &scaleRun{e: e, programs: p, dir: dir, say: say, faults: rand.New(rand.NewPCG(e.Seed, 7)), changes: rand.New(rand.NewPCG(e.Seed, 8)), front: emulator.NewFrontLayer(e.Seed),
 		recorder: invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: ruleSlack}),
 		led:      make([]bool, e.Sources), parted: make([]bool, e.Regions), down: make([]bool, e.Hollow), away: make([]bool, e.Zones)}
 	for i := range s.led {
--- a/internal/testbench/experiment/scale_compare.go
+++ b/internal/testbench/experiment/scale_compare.go
@@ -81,8 +81,8 @@
 	for i := range servers {
 		entries = append(entries, emulator.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: "a", Lifecycle: "active", Weight: 1})
 	}
-	roster := emulator.NewRoster(entries)
-	source := emulator.NewSource(roster)
+	roster := emulator.NewEndpointTable(entries)
+	source := emulator.NewListServer(roster)
 	defer source.Stop()
 	address, err := source.Listen(nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 	at := onlyPlace
 	at.mode, at.quiet = "automatic", true
 	e := Experiment{Seed: 1, Balancers: 2 * each, Sessions: 1, Patience: 2000, MemoryMB: 512}
-	list := roster.Whole(known)
+	list := roster.Snapshot(known)
 	var reals []*balancer
 	var ports []*faultproxy.Port // of the real ones, then of the hollow ones
 	defer func() {
--- a/internal/testbench/experiment/scale_open.go
+++ b/internal/testbench/experiment/scale_open.go
@@ -46,7 +46,7 @@
 		s.ports = append(s.ports, p)
 	}
 	s.reads = make([]uint64, len(s.ports))
-	list := s.roster.Whole(known)
+	list := s.roster.Snapshot(known)
 	s.result.ListKB = float64(len(list)) / kb
 	if err := s.openReal(ctx); err != nil {
 		return err
@@ -73,7 +73,7 @@
 		}
 		served[z] = true
 		for k := range s.e.Rooms {
-			room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d-%d", z, k), Capacity: 2 * s.e.Sessions, Recorder: s.recorder})
+			room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d-%d", z, k), Capacity: 2 * s.e.Sessions, Recorder: s.recorder})
 			if err != nil {
 				return err
 			}
@@ -93,9 +93,9 @@
 		s.entries = append(s.entries, emulator.Entry{Instance: fmt.Sprintf("h-%d", i), Address: nowhere(i), Zone: zoneName(zones[i%len(zones)]),
 			Lifecycle: "active", Weight: 1})
 	}
-	s.roster = emulator.NewRoster(s.entries)
+	s.roster = emulator.NewEndpointTable(s.entries)
 	for i := range s.e.Sources {
-		source := emulator.NewSource(s.roster)
+		source := emulator.NewListServer(s.roster)
 		s.sources = append(s.sources, source)
 		for d := range 1 + s.e.Real { // for hollow ones, then for each real one
 			var hear func([]emulator.Entry)
@@ -178,7 +178,7 @@
 	e := Experiment{Seed: s.e.Seed, Balancers: s.e.Hollow + s.e.Real, Sessions: s.e.Sessions, Patience: 2000, MemoryMB: 512}
 	at := place{zone: zoneName(s.e.realZone(i)), zones: s.zoneNames(), mode: s.e.Mode}
 	for range portTries {
-		if b, err = newBalancer(s.programs.Balancer, s.dir, realName(i), e, at, s.ports[s.e.Hollow+i].Address, json.RawMessage(s.roster.Whole(known))); err != nil {
+		if b, err = newBalancer(s.programs.Balancer, s.dir, realName(i), e, at, s.ports[s.e.Hollow+i].Address, json.RawMessage(s.roster.Snapshot(known))); err != nil {
 			return nil, err
 		}
 		if err = b.start(ctx); err == nil {
--- a/internal/testbench/experiment/slope.go
+++ b/internal/testbench/experiment/slope.go
@@ -59,9 +59,9 @@
 	}
 	defer os.RemoveAll(dir)
 	s = ListSlope{Servers: n, InForce: -1}
-	var rooms []*emulator.Room
+	var rooms []*emulator.RoomServer
 	for i := range slopeRooms {
-		room, err := emulator.NewRoom(emulator.RoomConfig{Name: fmt.Sprintf("s-%d", i)})
+		room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d", i)})
 		if err != nil {
 			return s, err
 		}
@@ -95,7 +95,7 @@
 	}
 	defer b.stop()
 	for s.InForce < 0 && time.Since(began) < slopeList {
-		figures, err := management.Figures(ctx, b.management)
+		figures, err := management.ParseMetrics(ctx, b.management)
 		if err != nil {
 			return s, err
 		}
--- a/internal/testbench/hollow/hollow.go
+++ b/internal/testbench/hollow/hollow.go
@@ -32,12 +32,12 @@
 
 // follower carries a list's changes to one balancer. It tells its sink from one goroutine.
 type follower interface {
-	core.Resolver
+	core.Discovery
 	Run(context.Context)
 }
 
 // newFollower returns the mechanism that the balancer itself uses: a watch over HTTP.
-func newFollower(address string, version int64, sink httpsource.Sink, log *logrus.Logger) follower {
+func newFollower(address string, version int64, sink core.UpdateHandler, log *logrus.Logger) follower {
 	return httpsource.New(address, version, sink, log)
 }
 
@@ -54,11 +54,11 @@
 	digest  uint64
 }
 
-func digestOf(in core.Instance) uint64 { return Digest(in.Name, in.Address, in.Zone, in.State) }
+func digestOf(in core.Endpoint) uint64 { return Digest(in.Name, in.Address, in.Zone, in.State) }
 
-func versionOf(in core.Instance) int64 { return in.Started.UnixMilli() - emulator.StartedAt }
+func versionOf(in core.Endpoint) int64 { return in.Started.UnixMilli() - emulator.StartedAt }
 
-func newShared(known []core.Instance, version int64) *shared {
+func newShared(known []core.Endpoint, version int64) *shared {
 	s := &shared{of: make(map[string][]stamped, len(known))}
 	for _, in := range known {
 		d := digestOf(in)
@@ -99,7 +99,7 @@
 }
 
 // change takes a change over.
-func (c *copied) change(s *shared, in core.Instance) {
+func (c *copied) change(s *shared, in core.Endpoint) {
 	v, d := versionOf(in), digestOf(in)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // whole takes the whole list over.
-func (c *copied) whole(all []core.Instance) {
+func (c *copied) whole(all []core.Endpoint) {
 	*c = copied{}
 	for _, in := range all {
 		c.digest ^= digestOf(in)
@@ -133,7 +133,7 @@
 type hollow struct {
 	id     int
 	full   bool // the module has the list
-	module *core.Module
+	module *core.Engine
 	shared *shared
 	tell   func(Event)
 
@@ -151,15 +151,15 @@
 // noProbes stands where there are no room servers to probe.
 type noProbes struct{}
 
-func (noProbes) Probe(context.Context, uint64, core.Subchannel) {}
-func (noProbes) Forget(decide.ServerID)                         {}
+func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
+func (noProbes) Remove(decide.ServerID)                       {}
 
 // startHollow runs one; known is the list of a version, 0: it has none.
-func startHollow(ctx context.Context, h *hollow, cfg core.Config, address string, known []core.Instance, version int64) error {
+func startHollow(ctx context.Context, h *hollow, cfg core.Config, address string, known []core.Endpoint, version int64) error {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
-	cfg.MaxChannels, cfg.Log = 1, func(string) {}
+	cfg.MaxClients, cfg.Log = 1, func(string) {}
 	if h.version = version; version > 0 {
 		h.list = copied{version: version, digest: h.shared.first}
 		if h.full {
@@ -185,46 +185,46 @@
 	h.ended.Wait()
 }
 
-// ListAlive hears of a watch's sign of life.
-func (h *hollow) ListAlive(watch uint64) {
+// WatchAlive hears of a watch's sign of life.
+func (h *hollow) WatchAlive(watch uint64) {
 	h.mu.Lock()
 	h.heard = true
 	h.mu.Unlock()
-	h.module.ListAlive(watch)
+	h.module.WatchAlive(watch)
 }
 
-// Resolved takes what the follower brings, and tells of it once it is in force.
-func (h *hollow) Resolved(r core.Result) {
+// EndpointsUpdated takes what the follower brings, and tells of it once it is in force.
+func (h *hollow) EndpointsUpdated(r core.EndpointUpdate) {
 	if r.Kind == decide.ListFailed {
-		h.module.Resolved(r)
+		h.module.EndpointsUpdated(r)
 		return
 	}
 	before := h.version
-	if r.Kind == decide.ListFull {
-		h.list.whole(r.Instances)
+	if r.Kind == decide.ListSnapshot {
+		h.list.whole(r.Endpoints)
 		h.version = h.list.version
 	} else {
-		for _, in := range r.Instances {
+		for _, in := range r.Endpoints {
 			h.list.change(h.shared, in)
 			h.version = versionOf(in)
 		}
 	}
 	if h.full {
-		h.module.Resolved(r)
-		if h.module.Rejoin(barrierWait) != nil { // changes nothing at a module that serves; the list is in force before it
+		h.module.EndpointsUpdated(r)
+		if h.module.LeaveLameDuck(barrierWait) != nil { // changes nothing at a module that serves; the list is in force before it
 			return
 		}
 	} else {
-		h.module.Resolved(core.Result{Kind: decide.ListChanges})
+		h.module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
 	}
-	if h.version == before && r.Kind != decide.ListFull {
+	if h.version == before && r.Kind != decide.ListSnapshot {
 		return
 	}
 	now := Now()
 	h.mu.Lock()
 	h.shown.Version, h.shown.Digest = h.version, h.list.digest
 	h.mu.Unlock()
-	h.tell(Event{At: now, Kind: InForce, Balancer: h.id, Version: h.version, Whole: r.Kind == decide.ListFull})
+	h.tell(Event{At: now, Kind: InForce, Balancer: h.id, Version: h.version, Whole: r.Kind == decide.ListSnapshot})
 }
 
 // begun tells whether its watch has shown a sign of life.
@@ -248,13 +248,13 @@
 		e.Digest = 0
 		// Rows are shared for a while by all who ask: those of before the last change are not the end's.
 		began := time.Now()
-		all := h.module.Detailed(barrierWait)
+		all := h.module.DetailedSnapshot(barrierWait)
 		for all.At.Before(began) && time.Since(began) < barrierWait {
 			time.Sleep(rowsPause)
-			all = h.module.Detailed(barrierWait)
+			all = h.module.DetailedSnapshot(barrierWait)
 		}
-		for _, s := range all.Subchannels {
-			e.Digest ^= Digest(s.Instance, s.Address, s.Zone, s.State)
+		for _, s := range all.Upstreams {
+			e.Digest ^= Digest(s.Name, s.Address, s.Zone, s.State)
 		}
 	}
 	e.At = Now()
--- a/internal/testbench/hollow/hollow_test.go
+++ b/internal/testbench/hollow/hollow_test.go
@@ -21,28 +21,28 @@
 	return all
 }
 
-func instance(name string, version int64, state decide.State) core.Instance {
-	return core.Instance{Name: name, Address: "127.1.0.1:1", Server: decide.Server{Zone: "a", State: state},
+func instance(name string, version int64, state decide.State) core.Endpoint {
+	return core.Endpoint{Name: name, Address: "127.1.0.1:1", Server: decide.Server{Zone: "a", State: state},
 		Started: time.UnixMilli(emulator.StartedAt + version)}
 }
 
 // A follower's digest is that of the list that it would have, also where it is told a change again or skips one.
 func TestCopied(t *testing.T) {
-	known := []core.Instance{instance("a", 1, decide.Ready), instance("b", 1, decide.Ready)}
+	known := []core.Endpoint{instance("a", 1, decide.Ready), instance("b", 1, decide.Ready)}
 	a2, b3, a4 := instance("a", 2, decide.Draining), instance("b", 3, decide.Draining), instance("a", 4, decide.Ready)
 	for name, v := range map[string]struct {
-		told []core.Instance
-		has  []core.Instance
+		told []core.Endpoint
+		has  []core.Endpoint
 	}{
-		"in order":     {[]core.Instance{a2, b3, a4}, []core.Instance{a4, b3}},
-		"twice":        {[]core.Instance{a2, a2, b3, b3, a4, a4}, []core.Instance{a4, b3}},
-		"again":        {[]core.Instance{a2, b3, a4, a2, b3, a4}, []core.Instance{a4, b3}},
-		"gone back":    {[]core.Instance{a2, b3, a4, a2}, []core.Instance{a2, b3}},
-		"and one more": {[]core.Instance{a2, b3, a4, a2, b3}, []core.Instance{a2, b3}},
+		"in order":     {[]core.Endpoint{a2, b3, a4}, []core.Endpoint{a4, b3}},
+		"twice":        {[]core.Endpoint{a2, a2, b3, b3, a4, a4}, []core.Endpoint{a4, b3}},
+		"again":        {[]core.Endpoint{a2, b3, a4, a2, b3, a4}, []core.Endpoint{a4, b3}},
+		"gone back":    {[]core.Endpoint{a2, b3, a4, a2}, []core.Endpoint{a2, b3}},
+		"and one more": {[]core.Endpoint{a2, b3, a4, a2, b3}, []core.Endpoint{a2, b3}},
 	} {
 		s := newShared(known, 1)
 		other := copied{version: 1, digest: s.first} // that has learned all of it before
-		for _, in := range []core.Instance{a2, b3, a4} {
+		for _, in := range []core.Endpoint{a2, b3, a4} {
 			other.change(s, in)
 		}
 		c := copied{version: 1, digest: s.first}
@@ -62,7 +62,7 @@
 	}
 	s := newShared(known, 1)
 	c, skips := copied{version: 1, digest: s.first}, copied{version: 1, digest: s.first}
-	for _, in := range []core.Instance{a2, b3, a4} {
+	for _, in := range []core.Endpoint{a2, b3, a4} {
 		c.change(s, in)
 		if in.Name != "b" {
 			skips.change(s, in)
@@ -75,8 +75,8 @@
 
 // fleet is some hollow balancers before one source.
 type fleet struct {
-	roster *emulator.Roster
-	source *emulator.Source
+	roster *emulator.EndpointTable
+	source *emulator.ListServer
 	ports  []*faultproxy.Port
 	hollow []*hollow
 	shared *shared
@@ -94,19 +94,19 @@
 // begin starts them and waits for their watches.
 func begin(t *testing.T, full bool, hollows, servers int, known bool) *fleet {
 	t.Helper()
-	f := &fleet{roster: emulator.NewRoster(entries(servers))}
-	f.source = emulator.NewSource(f.roster)
+	f := &fleet{roster: emulator.NewEndpointTable(entries(servers))}
+	f.source = emulator.NewListServer(f.roster)
 	t.Cleanup(f.source.Stop)
 	address, err := f.source.Listen(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	link := faultproxy.NewLink(func(*faultproxy.Port) string { return address })
-	list, err := httpsource.Decode(f.roster.Whole(1))
+	list, err := httpsource.DecodeListing(f.roster.Snapshot(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.shared = newShared(list.Instances, 1)
+	f.shared = newShared(list.Endpoints, 1)
 	version := int64(1)
 	if !known {
 		version = 0
@@ -118,13 +118,13 @@
 		}
 		t.Cleanup(p.Close)
 		h := &hollow{id: i, full: full, shared: f.shared, tell: f.note}
-		own, err := httpsource.Decode(f.roster.Whole(1))
+		own, err := httpsource.DecodeListing(f.roster.Snapshot(1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.note(Event{Kind: Reachable, Balancer: i})
-		if err := startHollow(t.Context(), h, core.Config{Pushed: true, Settings: decide.Settings{Zone: "a", Balancers: 2300, Subscribe: true,
-			Classes: []decide.Class{{Name: "x", Aim: time.Second, GiveUp: 2 * time.Second}}, Rules: decide.Rules{MustAsk: 10 * time.Second}}}, p.Address, own.Instances, version); err != nil {
+		if err := startHollow(t.Context(), h, core.Config{ListPushed: true, Settings: decide.Settings{Zone: "a", Balancers: 2300, WatchList: true,
+			Classes: []decide.Class{{Name: "x", LatencyObjective: time.Second, ClientTimeout: 2 * time.Second}}, Safety: decide.SafetyLimits{MaxPollInterval: 10 * time.Second}}}, p.Address, own.Endpoints, version); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(h.stop)
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -66,7 +66,7 @@
 type worker struct {
 	setup    Setup
 	raw      []byte // the known list
-	known    []core.Instance
+	known    []core.Endpoint
 	version  int64
 	shared   *shared
 	settings map[string]*config.Config
@@ -145,11 +145,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := httpsource.Decode(list)
+	known, err := httpsource.DecodeListing(list)
 	if err != nil {
 		return err
 	}
-	w.raw, w.known, w.version = list, known.Instances, known.Generation
+	w.raw, w.known, w.version = list, known.Endpoints, known.Generation
 	w.shared = newShared(w.known, w.version)
 	for zone, path := range w.setup.Settings {
 		raw, err := os.ReadFile(path)
@@ -174,16 +174,16 @@
 		h := &hollow{id: s.Balancer, full: w.setup.Full, shared: w.shared, tell: w.note}
 		known, version := w.known, w.version
 		if w.setup.Full { // a copy of its own, as each process has one
-			own, err := httpsource.Decode(w.raw)
+			own, err := httpsource.DecodeListing(w.raw)
 			if err != nil {
 				return err
 			}
-			known = own.Instances
+			known = own.Endpoints
 		}
 		if s.Cold {
 			known, version = nil, 0
 		}
-		if err := startHollow(ctx, h, core.Config{Settings: settings, Pushed: cfg.Pushed}, s.Address, known, version); err != nil {
+		if err := startHollow(ctx, h, core.Config{Settings: settings, ListPushed: cfg.ListPushed}, s.Address, known, version); err != nil {
 			return err
 		}
 		w.hollow[s.Balancer] = h
