--- a/cmd/cottonplank/main.go
+++ b/cmd/cottonplank/main.go
@@ -117,13 +117,13 @@
 	if err != nil {
 		return fmt.Errorf("fronts: control.%w", err)
 	}
-	path := hotrestart.Path(os.TempDir(), cfg.Listen)
-	sockets, predecessor := hotrestart.Take(path, log)
-	sockets.Offer(sdnotify.Sockets())
-	marks := &sdnotify.Marks{}
+	path := hotrestart.SocketPath(os.TempDir(), cfg.Listen)
+	sockets, predecessor := hotrestart.TakeOver(path, log)
+	sockets.AddInherited(sdnotify.InheritedSockets())
+	marks := &sdnotify.Monitor{}
 	cfg.Share(predecessor != nil).Apply()
 	module, err := core.New(core.Config{Settings: cfg.Settings, Known: cfg.Known, MaxClients: cfg.MaxClients,
-		AwaitList: predecessor != nil, ListPushed: cfg.ListPushed, StateTimeout: stateWait(fronts.Resume), Watchdog: marks.New("module"), Learned: learned(predecessor, core.DeploymentID(cfg.Settings), log), Log: func(text string) { log.Info(text) }})
+		AwaitList: predecessor != nil, ListPushed: cfg.ListPushed, StateTimeout: stateWait(fronts.Resume), Watchdog: marks.AddTask("module"), Learned: learned(predecessor, core.DeploymentID(cfg.Settings), log), Log: func(text string) { log.Info(text) }})
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 		if connectionIDs, err = quicFront(cfg, fronts.QUIC, conn, module, log); err != nil {
 			return err
 		}
-		connectionIDs.SetWatchdog(marks.New("quic front"))
+		connectionIDs.SetWatchdog(marks.AddTask("quic front"))
 		connectionIDsPause = pauseUDP(conn)
 	}
 	var agent *snmp.Agent
@@ -198,9 +198,9 @@
 	default:
 		list = httpsource.New(cfg.Discovery, cfg.Generation, module, log)
 	}
-	list.SetWatchdog(marks.New("list"))
+	list.SetWatchdog(marks.AddTask("list"))
 	front := platform.New(module, names(cfg), platform.DescriptorBudget{Total: cfg.Descriptors, DialReserve: cfg.DialReserve}, log)
-	front.SetWatchdog(marks.New("clients' front"))
+	front.SetWatchdog(marks.AddTask("clients' front"))
 	var resuming *platform.SessionResumer
 	if ring != nil {
 		r := fronts.Resume
@@ -213,7 +213,7 @@
 	running.Go(func() { module.Run(ctx, prober, list); prober.Wait() })
 	next := newSuccession(cfg, module, front, cluster, clients, datagrams, predecessor)
 	tell := func() []string { return module.ExportLearned(learnedWait) }
-	offer := hotrestart.NewOffer(path, sockets, tell, next.successors, log)
+	offer := hotrestart.NewServer(path, sockets, tell, next.successors, log)
 	running.Go(func() { next.run(ctx) })
 	running.Go(func() { next.begin(ctx, predecessor, func() { offer.Serve(ctx) }) })
 	running.Go(func() { front.Serve(ctx, listener, clients) })
@@ -288,7 +288,7 @@
 	select {
 	case <-module.Ready():
 		if takesOver {
-			supervisor.TakesOver(os.Getpid())
+			supervisor.SetMainPID(os.Getpid())
 		}
 		supervisor.Ready()
 	case <-ctx.Done():
--- a/cmd/cottonplank/main_test.go
+++ b/cmd/cottonplank/main_test.go
@@ -118,7 +118,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	t.Setenv("NOTIFY_SOCKET", "")
-	supervisor, err := sdnotify.NewNotifier(&sdnotify.Marks{}, func() string { return "" }, log)
+	supervisor, err := sdnotify.NewNotifier(&sdnotify.Monitor{}, func() string { return "" }, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/cottonplank/membership.go
+++ b/cmd/cottonplank/membership.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fronts: membership.%w", err)
 	}
-	return gossip.New(gossip.Config{Settings: m, Ring: ring, Named: decide.ConfiguredFleetSize(settings), Version: programVersion(), Log: log,
+	return gossip.New(gossip.Config{Settings: m, Ring: ring, ConfiguredSize: decide.ConfiguredFleetSize(settings), Version: programVersion(), Log: log,
 		OnView: func(view *membership.View) { use(fleetSize(view, settings)) }}), nil
 }
 
@@ -39,7 +39,7 @@
 	if view == nil {
 		return decide.ConfiguredFleetSize(settings)
 	}
-	return decide.FleetSize{Fleet: view.Sharing.Cluster, Zone: view.Sharing.Zone, Admitted: view.Sharing.Admitted}
+	return decide.FleetSize{Fleet: view.Divisors.Cluster, Zone: view.Divisors.Zone, Admitted: view.Divisors.Admitted}
 }
 
 func programVersion() string {
@@ -77,22 +77,22 @@
 		switch s := service(); {
 		case s == core.LameDuck && !away:
 			away = true
-			cluster.Participate(false)
+			cluster.SetMember(false)
 		case s == core.Serving && away:
 			away = false
-			cluster.Participate(true)
+			cluster.SetMember(true)
 		}
 	}
 }
 
 // clusterFigures are what INFO tells of the membership.
 func clusterFigures(cluster *gossip.Cluster) []management.Metric {
-	frames := cluster.Figures()
+	frames := cluster.Stats()
 	figures := []management.Metric{
 		{Name: "gossip_bytes_sent", Value: frames.BytesSent},
 		{Name: "frames_too_long", Value: frames.TooLong},
 		{Name: "frames_replayed", Value: frames.Replayed},
-		{Name: "frames_refused", Value: frames.Refused},
+		{Name: "frames_refused", Value: frames.Rejected},
 	}
 	view := cluster.View()
 	if view == nil {
@@ -102,11 +102,11 @@
 		management.Metric{Name: "members_alive", Value: uint64(view.Alive)},
 		management.Metric{Name: "members_suspect", Value: uint64(view.Suspect)},
 		management.Metric{Name: "members_failed", Value: uint64(view.Failed)},
-		management.Metric{Name: "fleet_size", Value: uint64(view.Sharing.Cluster)},
-		management.Metric{Name: "zone_size", Value: uint64(view.Sharing.Zone)},
+		management.Metric{Name: "fleet_size", Value: uint64(view.Divisors.Cluster)},
+		management.Metric{Name: "zone_size", Value: uint64(view.Divisors.Zone)},
 		management.Metric{Name: "isolated", Value: flag(view.Isolated)},
 		management.Metric{Name: "partitioned", Value: flag(view.Partitioned)},
-		management.Metric{Name: "admitted", Value: flag(view.Sharing.Admitted)},
+		management.Metric{Name: "admitted", Value: flag(view.Divisors.Admitted)},
 		management.Metric{Name: "view_version", Value: view.Version})
 }
 
--- a/cmd/cottonplank/ready_test.go
+++ b/cmd/cottonplank/ready_test.go
@@ -246,7 +246,7 @@
 func (f *fleet) tear() {
 	f.t.Helper()
 	for i, listen := range f.listen {
-		path := hotrestart.Path(f.dir, listen)
+		path := hotrestart.SocketPath(f.dir, listen)
 		if i%3 == 0 {
 			if _, err := os.Stat(path); err != nil {
 				f.t.Error(err) // the killed one has left none
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -40,7 +40,7 @@
 			return
 		case <-hangup:
 		}
-		r.supervisor.Reloading(sdnotify.Monotonic())
+		r.supervisor.Reloading(sdnotify.MonotonicNow())
 		if err := r.reload(ctx); err != nil {
 			r.log.WithError(err).Error("configuration is faulty, the one in force stays")
 		} else {
@@ -77,7 +77,7 @@
 		}
 	}
 	if members != nil {
-		r.cluster.Use(members)
+		r.cluster.SetKeys(members)
 	}
 	if ring != nil {
 		r.resuming.SetKeys(ring)
--- a/cmd/cottonplank/succession.go
+++ b/cmd/cottonplank/succession.go
@@ -30,7 +30,7 @@
 	// Owned by run's goroutine.
 	before   bool // a predecessor lives
 	waiting  bool // it serves while this process gets ready
-	after    hotrestart.Successors
+	after    hotrestart.Replacements
 	stopping bool
 	accepts  bool
 	reads    bool
@@ -39,7 +39,7 @@
 
 // newSuccession returns the actor of a process that accepts nothing yet where it has a predecessor.
 func newSuccession(cfg *config.Config, module *core.Engine, front *platform.Frontend, cluster *gossip.Cluster, clients *hotrestart.Pauser,
-	datagrams []*hotrestart.Pauser, predecessor *hotrestart.Predecessor) *succession {
+	datagrams []*hotrestart.Pauser, predecessor *hotrestart.PreviousProcess) *succession {
 	s := &succession{cfg: cfg, module: module, front: front, cluster: cluster, clients: clients, datagrams: datagrams,
 		turns: make(chan func()), done: make(chan struct{}), accepts: true, reads: true}
 	if predecessor != nil {
@@ -76,7 +76,7 @@
 }
 
 // begin waits until this process serves, and then offers its sockets in its turn.
-func (s *succession) begin(ctx context.Context, predecessor *hotrestart.Predecessor, offer func()) {
+func (s *succession) begin(ctx context.Context, predecessor *hotrestart.PreviousProcess, offer func()) {
 	if predecessor == nil {
 		offer()
 		return
@@ -84,14 +84,14 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-predecessor.Gone:
+	case <-predecessor.Exited:
 		s.module.SkipListWait() // nobody else serves: at once, with the list as last known
 	case <-s.module.Ready():
 	}
 	s.turn(func() { s.waiting = false })
-	predecessor.Serving()
+	predecessor.NotifyServing()
 	go func() { // ends with the predecessor, or with the process
-		<-predecessor.Gone
+		<-predecessor.Exited
 		s.turn(func() { s.before = false })
 	}()
 	offer()
@@ -101,7 +101,7 @@
 const learnedWait = 400 * time.Millisecond
 
 // learned reads what a predecessor has learned of the room servers. A line that cannot be read is left out.
-func learned(predecessor *hotrestart.Predecessor, customer string, log *logrus.Logger) (all []decide.LearnedState) {
+func learned(predecessor *hotrestart.PreviousProcess, customer string, log *logrus.Logger) (all []decide.LearnedState) {
 	if predecessor == nil {
 		return nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // successors tells who has taken the sockets.
-func (s *succession) successors(n hotrestart.Successors) { s.turn(func() { s.after = n }) }
+func (s *succession) successors(n hotrestart.Replacements) { s.turn(func() { s.after = n }) }
 
 // stop begins a planned stop: where another process accepts from the same queue, this one accepts nothing more.
 func (s *succession) stop() { s.turn(func() { s.stopping = true }) }
@@ -153,9 +153,9 @@
 	}
 	s.yielded = yields
 	if yields {
-		s.cluster.Yield()
+		s.cluster.AbandonMembership()
 	} else if !s.stopping {
-		s.cluster.Participate(true)
+		s.cluster.SetMember(true)
 	}
 }
 
--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -20,8 +20,8 @@
 				"alive": now.Alive}).Info("membership: a member's state changed")
 		}
 	}
-	if before == nil || before.Isolated != now.Isolated || before.Partitioned != now.Partitioned || before.Sharing != now.Sharing {
-		log.WithFields(logrus.Fields{"isolated": now.Isolated, "partitioned": now.Partitioned, "fleet_size": now.Sharing.Cluster,
-			"zone_size": now.Sharing.Zone, "admitted": now.Sharing.Admitted}).Info("membership: the cluster as this instance sees it")
+	if before == nil || before.Isolated != now.Isolated || before.Partitioned != now.Partitioned || before.Divisors != now.Divisors {
+		log.WithFields(logrus.Fields{"isolated": now.Isolated, "partitioned": now.Partitioned, "fleet_size": now.Divisors.Cluster,
+			"zone_size": now.Divisors.Zone, "admitted": now.Divisors.Admitted}).Info("membership: the cluster as this instance sees it")
 	}
 }
--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -44,19 +44,19 @@
 
 // Config is what a Cluster starts with.
 type Config struct {
-	Settings config.Membership
-	Ring     *token.Ring
-	Named    decide.FleetSize // the instances that the settings name
-	Version  string           // of the program
-	Log      *logrus.Logger
+	Settings       config.Membership
+	Ring           *token.Ring
+	ConfiguredSize decide.FleetSize // the instances that the settings name
+	Version        string           // of the program
+	Log            *logrus.Logger
 	// OnView is called with each new view, and with nil when the instance is no member any more, from the cluster's
 	// goroutine; nil: nobody is told.
 	OnView func(*membership.View)
 }
 
-// Figures count frames since the start.
-type Figures struct {
-	BytesSent, FramesSent, TooLong, Replayed, Refused uint64
+// Stats count frames since the start.
+type Stats struct {
+	BytesSent, FramesSent, TooLong, Replayed, Rejected uint64
 }
 
 // Cluster is this instance's part of the cluster, as an actor.
@@ -89,21 +89,21 @@
 // View is the latest view; nil while the instance is no member.
 func (c *Cluster) View() *membership.View { return c.view.Load() }
 
-// Figures tells the counts.
-func (c *Cluster) Figures() Figures {
-	return Figures{BytesSent: c.counts.sent.Load(), FramesSent: c.counts.frames.Load(), TooLong: c.counts.tooLong.Load(),
+// Stats tells the counts.
+func (c *Cluster) Stats() Stats {
+	return Stats{BytesSent: c.counts.sent.Load(), FramesSent: c.counts.frames.Load(), TooLong: c.counts.tooLong.Load(),
 		Replayed: c.counts.replayed.Load(),
-		Refused:  c.counts.refused.Load()}
+		Rejected: c.counts.refused.Load()}
 }
 
-// Use takes over new keys.
-func (c *Cluster) Use(ring *token.Ring) { c.ring.Store(ring) }
+// SetKeys takes over new keys.
+func (c *Cluster) SetKeys(ring *token.Ring) { c.ring.Store(ring) }
 
-// Participate joins the cluster, or leaves it and tells the others so.
-func (c *Cluster) Participate(join bool) { c.set(join, false) }
+// SetMember joins the cluster, or leaves it and tells the others so.
+func (c *Cluster) SetMember(join bool) { c.set(join, false) }
 
-// Yield ends the membership without a word: the next process of this instance goes on with it.
-func (c *Cluster) Yield() { c.set(false, true) }
+// AbandonMembership ends the membership without a word: the next process of this instance goes on with it.
+func (c *Cluster) AbandonMembership() { c.set(false, true) }
 
 func (c *Cluster) set(active, silent bool) {
 	c.silent.Store(silent)
@@ -119,7 +119,7 @@
 	if c.silent.Load() {
 		return
 	}
-	c.Participate(false)
+	c.SetMember(false)
 	deadline := time.Now().Add(LeaveWait)
 	for c.member.Load() && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
@@ -209,7 +209,7 @@
 	}
 	c.publish(now)
 	logChanges(c.cfg.Log, before, now)
-	c.session.describe(now.Sharing)
+	c.session.describe(now.Divisors)
 }
 
 func (c *Cluster) publish(view *membership.View) {
@@ -261,8 +261,8 @@
 	s.delegate = newDelegate(s)
 	lib.Delegate, lib.Events, lib.Ping, lib.Conflict = s.delegate, s.delegate, s.delegate, s.delegate
 	self := s.self.Load().member(set.Name, set.Listen.String())
-	s.machine, err = membership.New(membership.Config{Self: self, Balancers: c.cfg.Named.Fleet, ZoneBalancers: c.cfg.Named.Zone, Alone: s.alone(),
-		WallClock: time.Duration(now.UnixNano()), PartitionHold: set.PartitionHold, Detection: detectionTime(lib, c.cfg.Named.Fleet)})
+	s.machine, err = membership.New(membership.Config{Self: self, Balancers: c.cfg.ConfiguredSize.Fleet, ZoneBalancers: c.cfg.ConfiguredSize.Zone, Alone: s.alone(),
+		WallClock: time.Duration(now.UnixNano()), PartitionHold: set.PartitionHold, Detection: detectionTime(lib, c.cfg.ConfiguredSize.Fleet)})
 	if err == nil {
 		s.list, err = memberlist.Create(lib)
 	}
@@ -354,7 +354,7 @@
 	answered := s.ask(m.Name, m.Address)
 	switch {
 	case !answered:
-		s.events.put(membership.Unanswered{Name: m.Name})
+		s.events.put(membership.ProbeUnanswered{Name: m.Name})
 	case m.State != membership.Alive && s.isTurn():
 		s.join([]string{m.Address})
 	}
@@ -380,7 +380,7 @@
 	if _, err = s.list.Ping(name, to); err != nil {
 		return false
 	}
-	s.events.put(membership.Answered{Name: name})
+	s.events.put(membership.ProbeAnswered{Name: name})
 	return true
 }
 
@@ -420,7 +420,7 @@
 }
 
 // describe tells the others a changed divisor.
-func (s *session) describe(sharing membership.Sharing) {
+func (s *session) describe(sharing membership.BudgetDivisors) {
 	d := *s.self.Load()
 	d.Divisor = 0
 	if sharing.Settled {
--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -86,7 +86,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := New(Config{Settings: config.Membership{Name: name, Listen: listen, Zone: "a", Region: "x", Seeds: seeds, Via: via,
-		PartitionHold: time.Hour}, Ring: ring, Named: decide.FleetSize{Fleet: 5, Zone: 5}, Version: "test", Log: log})
+		PartitionHold: time.Hour}, Ring: ring, ConfiguredSize: decide.FleetSize{Fleet: 5, Zone: 5}, Version: "test", Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { c.Run(ctx) })
@@ -150,15 +150,15 @@
 		waitFor(t, "m4 has left", 5*time.Second, r.has("m4", membership.Left))
 	}
 	t.Logf("left after %v", time.Since(leaving).Round(time.Millisecond))
-	all[3].Yield() // its process is gone without a word
+	all[3].AbandonMembership() // its process is gone without a word
 	for _, r := range all[:3] {
 		took := waitFor(t, "m3 has failed", testWait, r.has("m3", membership.Failed))
 		t.Logf("failed after %v", took.Round(time.Millisecond))
 	}
-	if v := all[0].View(); v.Sharing.Cluster < 4 {
-		t.Errorf("a size of %d right after a failure", v.Sharing.Cluster)
+	if v := all[0].View(); v.Divisors.Cluster < 4 {
+		t.Errorf("a size of %d right after a failure", v.Divisors.Cluster)
 	}
-	all[3].Participate(true)
+	all[3].SetMember(true)
 	for _, r := range all[:3] {
 		waitFor(t, "m3 is back", testWait, r.has("m3", membership.Alive))
 	}
@@ -171,7 +171,7 @@
 	all := startAll(t, 4, ring)
 	next := start(t, "m3", all[3].cfg.Settings.Listen, ring, all[0].cfg.Settings.Listen)
 	time.Sleep(500 * time.Millisecond)
-	all[3].Yield()
+	all[3].AbandonMembership()
 	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, r := range all[:3] {
 			if state, _ := r.state("m3"); state == membership.Failed || state == membership.Left {
@@ -201,7 +201,7 @@
 	t.Parallel()
 	ring := newRing(t, newKey(t))
 	all := startAll(t, 4, ring)
-	all[3].Yield()
+	all[3].AbandonMembership()
 	moved := start(t, "m3", freeAddress(t), ring, all[0].cfg.Settings.Listen)
 	for _, r := range all[:3] {
 		waitFor(t, "m3 is alive at its new address", 2*testWait, func() bool {
@@ -220,7 +220,7 @@
 	t.Parallel()
 	ours := startAll(t, 2, newRing(t, newKey(t)))
 	theirs := start(t, "x0", freeAddress(t), newRing(t, newKey(t)), ours[0].cfg.Settings.Listen)
-	waitFor(t, "a frame is refused", testWait, func() bool { return ours[0].Figures().Refused > 0 })
+	waitFor(t, "a frame is refused", testWait, func() bool { return ours[0].Stats().Rejected > 0 })
 	time.Sleep(2 * time.Second)
 	if v := theirs.View(); v.Alive != 1 {
 		t.Errorf("the other site sees %d members", v.Alive)
@@ -246,17 +246,17 @@
 	}
 	conn.Write(make([]byte, 8000))
 	waitFor(t, "counters", testWait, func() bool {
-		f := all[0].Figures()
-		return f.Refused >= 1 && f.Replayed >= 2 && f.TooLong >= 1
+		f := all[0].Stats()
+		return f.Rejected >= 1 && f.Replayed >= 2 && f.TooLong >= 1
 	})
 	stream, err := net.Dial("tcp", to.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stream.Close()
-	before := all[0].Figures().Refused
+	before := all[0].Stats().Rejected
 	stream.Write(frame)
-	waitFor(t, "the stream is refused", testWait, func() bool { return all[0].Figures().Refused > before })
+	waitFor(t, "the stream is refused", testWait, func() bool { return all[0].Stats().Rejected > before })
 	if v := all[0].View(); v.Alive != 3 {
 		t.Errorf("%d alive", v.Alive)
 	}
@@ -270,7 +270,7 @@
 	all := startAll(t, 3, newRing(t, old))
 	for _, ring := range []*token.Ring{newRing(t, old, next), newRing(t, next)} {
 		for _, r := range all {
-			r.Use(ring)
+			r.SetKeys(ring)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}
@@ -287,7 +287,7 @@
 	r := start(t, "m0", freeAddress(t), newRing(t, newKey(t)), freeAddress(t), freeAddress(t))
 	waitFor(t, "a view", testWait, func() bool { return r.View() != nil })
 	time.Sleep(3 * time.Second)
-	if v := r.View(); v.Alive != 1 || v.Sharing.Admitted || v.Sharing.Cluster != 5 {
-		t.Errorf("alone beside dead seeds: %+v", v.Sharing)
+	if v := r.View(); v.Alive != 1 || v.Divisors.Admitted || v.Divisors.Cluster != 5 {
+		t.Errorf("alone beside dead seeds: %+v", v.Divisors)
 	}
 }
--- a/internal/cluster/gossip/cost_test.go
+++ b/internal/cluster/gossip/cost_test.go
@@ -46,7 +46,7 @@
 	}
 	for i := range n {
 		c := New(Config{Settings: config.Membership{Name: fmt.Sprintf("m%04d", i), Listen: address(i), Zone: "a", Region: "x",
-			Seeds: []netip.AddrPort{address(0), address(n / 3), address(2 * n / 3)}, PartitionHold: time.Hour}, Ring: ring, Named: decide.FleetSize{Fleet: n, Zone: n},
+			Seeds: []netip.AddrPort{address(0), address(n / 3), address(2 * n / 3)}, PartitionHold: time.Hour}, Ring: ring, ConfiguredSize: decide.FleetSize{Fleet: n, Zone: n},
 			Version: "bench", Log: log})
 		ctx, cancel := context.WithCancel(context.Background())
 		h.all, h.cancel = append(h.all, c), append(h.cancel, cancel)
@@ -92,7 +92,7 @@
 func (h *hollowMembers) spent() spent {
 	s := spent{at: time.Now()}
 	for _, c := range h.all {
-		f := c.Figures()
+		f := c.Stats()
 		s.bytes += f.BytesSent
 		s.frames += f.FramesSent
 	}
@@ -132,7 +132,7 @@
 				h.report("rest", from, n)
 				lost := n / 9
 				for _, c := range h.all[n-lost:] {
-					c.Yield()
+					c.AbandonMembership()
 				}
 				from = h.spent()
 				time.Sleep(2 * span)
--- a/internal/cluster/gossip/cuts_test.go
+++ b/internal/cluster/gossip/cuts_test.go
@@ -118,11 +118,11 @@
 			w.set(faultproxy.Conditions{Cut: true}, cuts)
 			waitFor(t, "it knows that it is isolated", testWait, func() bool { return all[cutOff].View().Isolated })
 			for _, r := range all {
-				r.Use(newRing(t, old, next))
+				r.SetKeys(newRing(t, old, next))
 			}
 			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				if v := all[cutOff].View(); v.Failed > 0 || v.Sharing.Zone < 5 {
-					t.Fatalf("cut off: %d failed, size %d", v.Failed, v.Sharing.Zone)
+				if v := all[cutOff].View(); v.Failed > 0 || v.Divisors.Zone < 5 {
+					t.Fatalf("cut off: %d failed, size %d", v.Failed, v.Divisors.Zone)
 				}
 				for i, r := range all {
 					if state, _ := r.state("m0"); i != cutOff && state != membership.Alive {
--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -112,7 +112,7 @@
 
 // NotifyPingComplete notes that a member answered.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.session.events.put(membership.Answered{Name: n.Name})
+	d.session.events.put(membership.ProbeAnswered{Name: n.Name})
 }
 
 // NotifyJoin takes a member that was found, new or again.
--- a/internal/cluster/membership/machine.go
+++ b/internal/cluster/membership/machine.go
@@ -74,9 +74,9 @@
 		m.lost(event.Name, event.Incarnation)
 	case MemberLeft:
 		m.left(event.Name, event.Incarnation)
-	case Answered:
+	case ProbeAnswered:
 		m.answered(event.Name)
-	case Unanswered:
+	case ProbeUnanswered:
 		m.unanswered(event.Name)
 	case Tick:
 		m.tick()
@@ -252,8 +252,8 @@
 	m.changed = m.changed || m.partition.active != partitioned || m.shares() != shares
 }
 
-func (m *Machine) shares() Sharing {
-	return Sharing{Cluster: m.cluster.divisor, Zone: m.zone.divisor, Admitted: m.zone.admitted, Settled: m.zone.settled}
+func (m *Machine) shares() BudgetDivisors {
+	return BudgetDivisors{Cluster: m.cluster.divisor, Zone: m.zone.divisor, Admitted: m.zone.admitted, Settled: m.zone.settled}
 }
 
 func (m *Machine) setState(r *record, state State) {
@@ -280,7 +280,7 @@
 func (m *Machine) current() *View {
 	self := m.cfg.Self
 	v := &View{Version: m.version, Isolated: m.isolated, Partitioned: m.partition.active, Members: []Member{self}, Alive: 1,
-		Sharing: m.shares()}
+		Divisors: m.shares()}
 	for _, name := range slices.Sorted(maps.Keys(m.members)) {
 		r := m.members[name]
 		v.Members = append(v.Members, r.Member)
--- a/internal/cluster/membership/machine_test.go
+++ b/internal/cluster/membership/machine_test.go
@@ -57,7 +57,7 @@
 		if d.now%time.Second == 0 {
 			for _, name := range d.members {
 				if !d.silent[name] {
-					d.m.Handle(d.now, Answered{name})
+					d.m.Handle(d.now, ProbeAnswered{name})
 				}
 			}
 		}
@@ -89,12 +89,12 @@
 	d.want("m03", Suspect)
 	d.run(DefaultConfirm + 2*time.Second)
 	d.want("m03", Failed)
-	if v := d.m.View(); v.Sharing.Zone != 20 || v.Alive != 19 || v.Failed != 1 {
-		t.Errorf("size %d, alive %d, failed %d right after a failure, want 20, 19, 1", v.Sharing.Zone, v.Alive, v.Failed)
+	if v := d.m.View(); v.Divisors.Zone != 20 || v.Alive != 19 || v.Failed != 1 {
+		t.Errorf("size %d, alive %d, failed %d right after a failure, want 20, 19, 1", v.Divisors.Zone, v.Alive, v.Failed)
 	}
 	d.run(DefaultPartitionHold)
-	if v := d.m.View(); v.Sharing.Zone != 19 || v.Sharing.Cluster != 19 {
-		t.Errorf("sizes %d and %d long after a failure, want 19", v.Sharing.Zone, v.Sharing.Cluster)
+	if v := d.m.View(); v.Divisors.Zone != 19 || v.Divisors.Cluster != 19 {
+		t.Errorf("sizes %d and %d long after a failure, want 19", v.Divisors.Zone, v.Divisors.Cluster)
 	}
 }
 
@@ -115,14 +115,14 @@
 	d := newDriver(t, 19)
 	d.lose("m03", "m04")
 	for _, name := range []string{"m03", "m03", "m04"} {
-		d.m.Handle(d.now, Unanswered{name})
+		d.m.Handle(d.now, ProbeUnanswered{name})
 	}
 	d.run(2 * time.Second)
 	d.want("m03", Failed)
 	d.want("m04", Suspect)
 	d.now += 5 * time.Second // stopped
 	d.m.Handle(d.now, Tick{})
-	d.m.Handle(d.now, Unanswered{"m04"})
+	d.m.Handle(d.now, ProbeUnanswered{"m04"})
 	d.run(2 * time.Second)
 	d.want("m04", Suspect)
 }
@@ -160,7 +160,7 @@
 	d.now += 6 * time.Second
 	d.m.Handle(d.now, Tick{})
 	for _, name := range d.members[2:] { // a queue of old frames is read at once
-		d.m.Handle(d.now, Answered{name})
+		d.m.Handle(d.now, ProbeAnswered{name})
 	}
 	d.m.Handle(d.now+TickInterval, Tick{})
 	d.want("m01", Suspect)
@@ -181,8 +181,8 @@
 	}
 	d.run(3 * time.Minute)
 	v := d.m.View()
-	if v.Failed != 0 || v.Sharing.Zone != 20 {
-		t.Errorf("isolated: %d failed, size %d; want 0, 20", v.Failed, v.Sharing.Zone)
+	if v.Failed != 0 || v.Divisors.Zone != 20 {
+		t.Errorf("isolated: %d failed, size %d; want 0, 20", v.Failed, v.Divisors.Zone)
 	}
 	for _, name := range d.members {
 		delete(d.silent, name)
@@ -190,8 +190,8 @@
 	}
 	d.run(2*DefaultDetection + 2*time.Second)
 	v = d.m.View()
-	if v.Isolated || v.Partitioned || !v.Sharing.Admitted || v.Sharing.Zone != 20 {
-		t.Errorf("after its return: isolated %v, partitioned %v, admitted %v, size %d", v.Isolated, v.Partitioned, v.Sharing.Admitted, v.Sharing.Zone)
+	if v.Isolated || v.Partitioned || !v.Divisors.Admitted || v.Divisors.Zone != 20 {
+		t.Errorf("after its return: isolated %v, partitioned %v, admitted %v, size %d", v.Isolated, v.Partitioned, v.Divisors.Admitted, v.Divisors.Zone)
 	}
 }
 
@@ -203,13 +203,13 @@
 	}
 	d.run(10 * time.Minute)
 	v := d.m.View()
-	if !v.Partitioned || v.Failed != 0 || v.Sharing.Zone != 20 || !v.Sharing.Admitted {
-		t.Errorf("partitioned %v, failed %d, size %d, admitted %v; want true, 0, 20, true", v.Partitioned, v.Failed, v.Sharing.Zone, v.Sharing.Admitted)
+	if !v.Partitioned || v.Failed != 0 || v.Divisors.Zone != 20 || !v.Divisors.Admitted {
+		t.Errorf("partitioned %v, failed %d, size %d, admitted %v; want true, 0, 20, true", v.Partitioned, v.Failed, v.Divisors.Zone, v.Divisors.Admitted)
 	}
 	d.run(DefaultPartitionHold)
 	v = d.m.View()
-	if v.Partitioned || v.Failed+len(v.Members) != 11 || v.Sharing.Zone != 11 {
-		t.Errorf("after the hold: partitioned %v, failed %d, size %d; want false, none kept, 11", v.Partitioned, v.Failed, v.Sharing.Zone)
+	if v.Partitioned || v.Failed+len(v.Members) != 11 || v.Divisors.Zone != 11 {
+		t.Errorf("after the hold: partitioned %v, failed %d, size %d; want false, none kept, 11", v.Partitioned, v.Failed, v.Divisors.Zone)
 	}
 }
 
@@ -228,15 +228,15 @@
 		m.Handle(d.now, MemberAlive{one})
 	}
 	d.run(10 * time.Minute)
-	if v := m.View(); v.Sharing.Admitted || v.Sharing.Zone != 21 {
-		t.Errorf("admitted %v with divisor %d in a part, want false, 21", v.Sharing.Admitted, v.Sharing.Zone)
+	if v := m.View(); v.Divisors.Admitted || v.Divisors.Zone != 21 {
+		t.Errorf("admitted %v with divisor %d in a part, want false, 21", v.Divisors.Admitted, v.Divisors.Zone)
 	}
 	for i := range 10 {
 		d.join(fmt.Sprintf("far%02d", i), 1000)
 	}
 	d.run(time.Second)
-	if v := m.View(); !v.Sharing.Admitted || v.Sharing.Zone != 21 {
-		t.Errorf("admitted %v with divisor %d when the network is whole, want true, 21", v.Sharing.Admitted, v.Sharing.Zone)
+	if v := m.View(); !v.Divisors.Admitted || v.Divisors.Zone != 21 {
+		t.Errorf("admitted %v with divisor %d when the network is whole, want true, 21", v.Divisors.Admitted, v.Divisors.Zone)
 	}
 }
 
@@ -248,7 +248,7 @@
 		delete(d.silent, "m05")
 		d.m.Handle(d.now, MemberAlive{member("m05", 1000)})
 		d.run(8 * time.Second)
-		if got := d.m.View().Sharing.Zone; got != 20 {
+		if got := d.m.View().Divisors.Zone; got != 20 {
 			t.Fatalf("size %d while a member flaps, want 20", got)
 		}
 	}
@@ -259,13 +259,13 @@
 	d.m.Handle(d.now, MemberLeft{"m07", 1000})
 	d.want("m07", Left)
 	d.run(DefaultDetection - time.Second)
-	if got := d.m.View().Sharing.Zone; got != 20 {
+	if got := d.m.View().Divisors.Zone; got != 20 {
 		t.Errorf("size %d before all have heard of a planned stop, want 20", got)
 	}
 	d.m.Handle(d.now, MemberLost{"m07", 1000})
 	d.want("m07", Left)
 	d.run(2 * time.Second)
-	if got := d.m.View().Sharing.Zone; got != 19 {
+	if got := d.m.View().Divisors.Zone; got != 19 {
 		t.Errorf("size %d after a planned stop, want 19", got)
 	}
 	d.m.Handle(d.now, MemberAlive{member("m07", 1001)}) // a new process
@@ -292,18 +292,18 @@
 	}
 	d := &driver{t: t, m: m, silent: map[string]bool{}}
 	d.run(5 * time.Second)
-	if m.View().Sharing.Admitted {
+	if m.View().Divisors.Admitted {
 		t.Error("admitted without contact to anybody")
 	}
 	for i := range 19 {
 		d.join(fmt.Sprintf("m%02d", i), 1000)
 	}
 	d.run(DefaultDetection - time.Second)
-	if m.View().Sharing.Admitted {
+	if m.View().Divisors.Admitted {
 		t.Error("admitted before the others have counted it")
 	}
 	d.run(3 * time.Second)
-	if !m.View().Sharing.Admitted {
+	if !m.View().Divisors.Admitted {
 		t.Error("not admitted after the detection time")
 	}
 }
@@ -323,7 +323,7 @@
 		m.Handle(d.now, MemberAlive{one})
 	}
 	d.run(2 * DefaultDetection)
-	if s := m.View().Sharing; s.Cluster != 30 || s.Zone != 10 || !s.Settled || !s.Admitted {
+	if s := m.View().Divisors; s.Cluster != 30 || s.Zone != 10 || !s.Settled || !s.Admitted {
 		t.Errorf("%+v, want 30 in all, 10 in the zone, settled", s)
 	}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -45,11 +45,11 @@
 	Failed      int
 	Isolated    bool // no other member has answered for too long
 	Partitioned bool // a large part of the cluster was lost at once, which is not taken for its death
-	Sharing     Sharing
+	Divisors    BudgetDivisors
 }
 
-// Sharing tells how budgets that all instances draw on are divided.
-type Sharing struct {
+// BudgetDivisors tells how budgets that all instances draw on are divided.
+type BudgetDivisors struct {
 	Cluster int // divisor of what the whole cluster shares, such as polls of discovery
 	Zone    int // divisor of what the instances of the own zone share, such as a cold server's budget
 	// Admitted says that the instance may use its part of the zone's budget. A new process may not until all others
@@ -77,22 +77,22 @@
 		Incarnation uint64
 	}
 
-	// Answered says that a member answered a probe of this instance.
-	Answered struct{ Name string }
+	// ProbeAnswered says that a member answered a probe of this instance.
+	ProbeAnswered struct{ Name string }
 
-	// Unanswered says that a member did not answer a probe of this instance in time.
-	Unanswered struct{ Name string }
+	// ProbeUnanswered says that a member did not answer a probe of this instance in time.
+	ProbeUnanswered struct{ Name string }
 
 	// Tick is due every TickInterval.
 	Tick struct{}
 )
 
-func (MemberAlive) event() {}
-func (MemberLost) event()  {}
-func (MemberLeft) event()  {}
-func (Answered) event()    {}
-func (Unanswered) event()  {}
-func (Tick) event()        {}
+func (MemberAlive) event()     {}
+func (MemberLost) event()      {}
+func (MemberLeft) event()      {}
+func (ProbeAnswered) event()   {}
+func (ProbeUnanswered) event() {}
+func (Tick) event()            {}
 
 // TickInterval is how often the machine expects a Tick.
 const TickInterval = 250 * time.Millisecond
--- a/internal/cluster/membership/sum_test.go
+++ b/internal/cluster/membership/sum_test.go
@@ -47,7 +47,7 @@
 	incarnation uint64
 	alive       bool
 	due         time.Duration // when the next change is reported; 0: none is pending
-	told        Sharing
+	told        BudgetDivisors
 }
 
 func newModel(t *rapid.T, instances, balancers int, seed uint64) *model {
@@ -91,7 +91,7 @@
 		m.known[[2]int{i, j}] = k
 	}
 	reached := m.reaches(from, to)
-	told := to.machine.View().Sharing
+	told := to.machine.View().Divisors
 	news := reached && (!k.alive || k.incarnation != to.incarnation || announced(told) != announced(k.told))
 	lost := !reached && k.alive
 	switch {
@@ -111,7 +111,7 @@
 }
 
 // announced is what a member tells the others as its divisor.
-func announced(s Sharing) int {
+func announced(s BudgetDivisors) int {
 	if s.Settled {
 		return s.Zone
 	}
@@ -136,7 +136,7 @@
 			}
 			m.detect(i, j)
 			if m.reaches(from, to) && m.rng.IntN(2) == 0 {
-				from.machine.Handle(m.at(from), Answered{to.name})
+				from.machine.Handle(m.at(from), ProbeAnswered{to.name})
 			}
 		}
 		from.machine.Handle(m.at(from), Tick{})
@@ -189,10 +189,10 @@
 			m.t.Fatalf("%s: the view goes back from %d to %d", in.name, in.version, v.Version)
 		}
 		in.version = v.Version
-		if v.Sharing.Admitted {
-			sum += 1 / float64(v.Sharing.Zone)
+		if v.Divisors.Admitted {
+			sum += 1 / float64(v.Divisors.Zone)
 		}
-		text += fmt.Sprintf(" %s(part %d, size %d, admitted %v, partitioned %v)", in.name, in.part, v.Sharing.Zone, v.Sharing.Admitted, v.Partitioned)
+		text += fmt.Sprintf(" %s(part %d, size %d, admitted %v, partitioned %v)", in.name, in.part, v.Divisors.Zone, v.Divisors.Admitted, v.Partitioned)
 	}
 	if sum > 1+1e-9 {
 		m.t.Fatalf("after %v the parts sum up to %.3f:%s", m.now, sum, text)
@@ -209,7 +209,7 @@
 // settledIn counts the live instances of a part that are settled.
 func (m *model) settledIn(part int, but *instance) (n int) {
 	for _, in := range m.instances {
-		if in.live && in.part == part && in != but && in.machine.View().Sharing.Settled {
+		if in.live && in.part == part && in != but && in.machine.View().Divisors.Settled {
 			n++
 		}
 	}
--- a/internal/operations/hotrestart/hotrestart.go
+++ b/internal/operations/hotrestart/hotrestart.go
@@ -36,8 +36,8 @@
 	servingLine = "SERVING" // from the new one: it accepts
 )
 
-// Path names the Unix socket of the process that listens at an address.
-func Path(dir, listen string) string {
+// SocketPath names the Unix socket of the process that listens at an address.
+func SocketPath(dir, listen string) string {
 	return filepath.Join(dir, "cottonplank-"+strings.NewReplacer("/", "_").Replace(listen)+".sock")
 }
 
@@ -54,18 +54,18 @@
 	return do(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// Predecessor is the running process whose sockets were taken over.
-type Predecessor struct {
+// PreviousProcess is the running process whose sockets were taken over.
+type PreviousProcess struct {
 	conn *net.UnixConn
 	// Learned are lines that the running process has learned; this package does not read them.
 	Learned []string
-	// Gone is closed when that process has ended.
-	Gone chan struct{}
+	// Exited is closed when that process has ended.
+	Exited chan struct{}
 }
 
-// Take asks the process that listens at path for its sockets. Without one, or where it does not answer, there is no
+// TakeOver asks the process that listens at path for its sockets. Without one, or where it does not answer, there is no
 // predecessor and the sockets are to be opened anew.
-func Take(path string, log *logrus.Logger) (*Sockets, *Predecessor) {
+func TakeOver(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
 	s := &Sockets{taken: map[string]*os.File{}}
 	var conn net.Conn
 	err := within(path, func(path string) (err error) {
@@ -86,7 +86,7 @@
 		log.WithError(err).Warn("hand-over: the running process does not hand its sockets over")
 		return s, nil
 	}
-	p := &Predecessor{conn: old, Gone: make(chan struct{})}
+	p := &PreviousProcess{conn: old, Exited: make(chan struct{})}
 	if p.Learned, err = learned(old); err != nil {
 		log.WithError(err).Warn("hand-over: nothing was learned from the running process") // it serves without
 	}
@@ -207,8 +207,8 @@
 }
 
 // watch waits for the end of the connection, which tells that the other process has ended.
-func (p *Predecessor) watch() {
-	defer close(p.Gone)
+func (p *PreviousProcess) watch() {
+	defer close(p.Exited)
 	defer p.conn.Close()
 	for buf := make([]byte, 64); ; {
 		if _, err := p.conn.Read(buf); err != nil {
@@ -217,30 +217,30 @@
 	}
 }
 
-// Serving tells the predecessor that this process accepts.
-func (p *Predecessor) Serving() {
+// NotifyServing tells the predecessor that this process accepts.
+func (p *PreviousProcess) NotifyServing() {
 	p.conn.SetWriteDeadline(time.Now().Add(takeWait))
 	_, _ = p.conn.Write([]byte(servingLine + "\r\n")) // one that has ended need not know
 }
 
-// Successors tells how many processes have taken the sockets, and how many of these accept.
-type Successors struct{ Connected, Serving int }
+// Replacements tells how many processes have taken the sockets, and how many of these accept.
+type Replacements struct{ Connected, Serving int }
 
-// Offer hands the sockets to processes that ask for them.
-type Offer struct {
+// Server hands the sockets to processes that ask for them.
+type Server struct {
 	path    string
 	sockets *Sockets
 	log     *logrus.Logger
-	changed func(Successors)
+	changed func(Replacements)
 	learned func() []string
 	own     os.FileInfo // of the Unix socket, as the actor left it at path
 	actors  sync.WaitGroup
 }
 
-// NewOffer returns an offer at path; changed is called from its actor, one change after the other. What learned tells
+// NewServer returns an offer at path; changed is called from its actor, one change after the other. What learned tells
 // goes to a successor, line by line.
-func NewOffer(path string, sockets *Sockets, learned func() []string, changed func(Successors), log *logrus.Logger) *Offer {
-	return &Offer{path: path, sockets: sockets, learned: learned, changed: changed, log: log}
+func NewServer(path string, sockets *Sockets, learned func() []string, changed func(Replacements), log *logrus.Logger) *Server {
+	return &Server{path: path, sockets: sockets, learned: learned, changed: changed, log: log}
 }
 
 // news of a successor.
@@ -252,7 +252,7 @@
 
 // Serve is the offer's actor, which owns the table of successors; it ends with ctx. One that serves offers the sockets
 // at the same path; when it ends, this process offers them again.
-func (o *Offer) Serve(ctx context.Context) {
+func (o *Server) Serve(ctx context.Context) {
 	defer o.actors.Wait()
 	o.sockets.drop()
 	ctx, cancel := context.WithCancel(ctx)
@@ -285,7 +285,7 @@
 			} else {
 				successors[n.conn] = n.serving
 			}
-			count := Successors{Connected: len(successors)}
+			count := Replacements{Connected: len(successors)}
 			for _, serving := range successors {
 				if serving {
 					count.Serving++
@@ -298,7 +298,7 @@
 }
 
 // listen opens the Unix socket under another name and puts it in the place of what a killed process left there.
-func (o *Offer) listen(ctx context.Context, heard chan<- news) *net.UnixListener {
+func (o *Server) listen(ctx context.Context, heard chan<- news) *net.UnixListener {
 	fresh := fmt.Sprintf("%s.%d", o.path, os.Getpid())
 	os.Remove(fresh)
 	var l *net.UnixListener
@@ -335,7 +335,7 @@
 }
 
 // give is a successor's actor: it hands the sockets over and hears of it until the connection ends.
-func (o *Offer) give(ctx context.Context, conn *net.UnixConn, heard chan<- news) {
+func (o *Server) give(ctx context.Context, conn *net.UnixConn, heard chan<- news) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	text := textproto.NewConn(conn)
@@ -387,7 +387,7 @@
 
 // send writes the names with the descriptors. Within Control these are not closed meanwhile, nor made blocking, as
 // duplicates by File would be: the two processes share the sockets' modes.
-func (o *Offer) send(conn *net.UnixConn) error {
+func (o *Server) send(conn *net.UnixConn) error {
 	var names []string
 	var fds []int
 	var write func(rest []socket) error
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -24,7 +24,7 @@
 }
 
 // offer offers a listener of its own at path, until stop.
-func offer(t *testing.T, path, address string) (l *net.TCPListener, changes chan Successors, stop func()) {
+func offer(t *testing.T, path, address string) (l *net.TCPListener, changes chan Replacements, stop func()) {
 	t.Helper()
 	s := &Sockets{}
 	l, err := s.ListenTCP("clients", address)
@@ -34,10 +34,10 @@
 	if _, err := s.ListenUDP("datagrams", address); err != nil {
 		t.Fatal(err)
 	}
-	changes = make(chan Successors, 20)
+	changes = make(chan Replacements, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	o := NewOffer(path, s, func() []string { return []string{"one", "two"} }, func(n Successors) { changes <- n }, quiet())
+	o := NewServer(path, s, func() []string { return []string{"one", "two"} }, func(n Replacements) { changes <- n }, quiet())
 	running.Go(func() { o.Serve(ctx) })
 	stop = sync.OnceFunc(func() { cancel(); running.Wait(); l.Close() })
 	t.Cleanup(stop)
@@ -45,10 +45,10 @@
 }
 
 // takes asks until the offer stands.
-func takes(t *testing.T, path string) (*Sockets, *Predecessor) {
+func takes(t *testing.T, path string) (*Sockets, *PreviousProcess) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if s, p := Take(path, quiet()); p != nil {
+		if s, p := TakeOver(path, quiet()); p != nil {
 			return s, p
 		}
 	}
@@ -56,7 +56,7 @@
 	return nil, nil
 }
 
-func wants(t *testing.T, changes chan Successors, want Successors) {
+func wants(t *testing.T, changes chan Replacements, want Replacements) {
 	t.Helper()
 	select {
 	case got := <-changes:
@@ -72,7 +72,7 @@
 // queue outlives it. Guards against the reset that the close of a queue of its own would bring.
 func TestTheQueueOutlivesTheOldOne(t *testing.T) {
 	t.Parallel()
-	path := Path(t.TempDir(), "127.0.0.1:9000")
+	path := SocketPath(t.TempDir(), "127.0.0.1:9000")
 	l, changes, stop := offer(t, path, "127.0.0.1:0")
 	address := l.Addr().String()
 	if info, err := os.Stat(path); err == nil && info.Mode().Perm() != 0o600 {
@@ -85,7 +85,7 @@
 	defer client.Close()
 	io.WriteString(client, "hello\r\n")
 	sockets, predecessor := takes(t, path)
-	wants(t, changes, Successors{Connected: 1})
+	wants(t, changes, Replacements{Connected: 1})
 	if got := strings.Join(predecessor.Learned, " "); got != "one two" {
 		t.Errorf("learned %q", got)
 	}
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	predecessor.Serving()
-	wants(t, changes, Successors{Connected: 1, Serving: 1})
+	predecessor.NotifyServing()
+	wants(t, changes, Replacements{Connected: 1, Serving: 1})
 	stop()
-	<-predecessor.Gone
+	<-predecessor.Exited
 	taken.SetDeadline(time.Now().Add(10 * time.Second))
 	conn, err := taken.Accept()
 	if err != nil {
@@ -113,21 +113,21 @@
 // A successor that ends is told, and the next one finds the offer again, though the first had put its own in its place.
 func TestOfferedAgain(t *testing.T) {
 	t.Parallel()
-	path := Path(t.TempDir(), "x")
+	path := SocketPath(t.TempDir(), "x")
 	_, changes, _ := offer(t, path, "127.0.0.1:0")
 	for range 3 {
 		_, predecessor := takes(t, path)
-		wants(t, changes, Successors{Connected: 1})
+		wants(t, changes, Replacements{Connected: 1})
 		os.Remove(path)
 		predecessor.conn.Close()
-		wants(t, changes, Successors{})
+		wants(t, changes, Replacements{})
 	}
 }
 
 // At its end a process takes away the path that it left, and no other's.
 func TestOwnPathIsRemoved(t *testing.T) {
 	t.Parallel()
-	path := Path(t.TempDir(), "x")
+	path := SocketPath(t.TempDir(), "x")
 	_, _, first := offer(t, path, "127.0.0.1:0")
 	takes(t, path)
 	left, err := os.Lstat(path)
@@ -153,18 +153,18 @@
 // The path that a killed process left is no predecessor and is replaced; a process that hangs is not waited for long.
 func TestStaleAndHungPaths(t *testing.T) {
 	t.Parallel()
-	path := Path(t.TempDir(), "x")
+	path := SocketPath(t.TempDir(), "x")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false)
 	start := time.Now()
-	if _, p := Take(path, quiet()); p != nil || time.Since(start) > 5*takeWait {
+	if _, p := TakeOver(path, quiet()); p != nil || time.Since(start) > 5*takeWait {
 		t.Errorf("a hung process: %v after %v", p, time.Since(start))
 	}
 	l.Close()
-	if _, p := Take(path, quiet()); p != nil {
+	if _, p := TakeOver(path, quiet()); p != nil {
 		t.Error("a stale path counts as a process")
 	}
 	offer(t, path, "127.0.0.1:0")
@@ -178,7 +178,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	path := Path(dir, "127.0.0.1:9000")
+	path := SocketPath(dir, "127.0.0.1:9000")
 	offer(t, path, "127.0.0.1:0")
 	takes(t, path)
 }
@@ -186,7 +186,7 @@
 // Both kinds come over with their addresses; a socket of another address is not taken for the one that is asked for.
 func TestAddressesMatch(t *testing.T) {
 	t.Parallel()
-	path := Path(t.TempDir(), "x")
+	path := SocketPath(t.TempDir(), "x")
 	l, _, _ := offer(t, path, "127.0.0.1:0")
 	sockets, _ := takes(t, path)
 	if _, err := sockets.ListenUDP("clients", "127.0.0.1:0"); err == nil {
--- a/internal/operations/hotrestart/sockets.go
+++ b/internal/operations/hotrestart/sockets.go
@@ -40,9 +40,9 @@
 	return failed
 }}
 
-// Offer gives sockets that a supervisor has opened. One that a running process has handed over comes before that of
+// AddInherited gives sockets that a supervisor has opened. One that a running process has handed over comes before that of
 // the same name: clients wait in its queue.
-func (s *Sockets) Offer(files map[string]*os.File) {
+func (s *Sockets) AddInherited(files map[string]*os.File) {
 	if s.taken == nil {
 		s.taken = map[string]*os.File{}
 	}
--- a/internal/operations/sdnotify/actors_test.go
+++ b/internal/operations/sdnotify/actors_test.go
@@ -43,11 +43,11 @@
 const limit = 100 * time.Millisecond
 
 // stuck waits until exactly these actors are stuck.
-func stuck(t *testing.T, marks *sdnotify.Marks, want ...string) {
+func stuck(t *testing.T, marks *sdnotify.Monitor, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if got = marks.Stuck(time.Now(), limit); slices.Equal(got, want) {
+		if got = marks.StuckTasks(time.Now(), limit); slices.Equal(got, want) {
 			return
 		}
 	}
@@ -59,8 +59,8 @@
 func TestModuleAndFrontStuck(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	marks := &sdnotify.Marks{}
-	module, err := core.New(core.Config{MaxClients: 10, Log: func(string) {}, Watchdog: marks.New("module"),
+	marks := &sdnotify.Monitor{}
+	module, err := core.New(core.Config{MaxClients: 10, Log: func(string) {}, Watchdog: marks.AddTask("module"),
 		Settings: decide.Settings{Zone: "a", Classes: []decide.Class{{Name: "solo-play", LatencyObjective: time.Second}}},
 		Known:    []core.Endpoint{{Name: "s-1", Server: decide.Server{ID: 1, Zone: "a"}}}})
 	if err != nil {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	front := platform.New(module, platform.Names{}, platform.DescriptorBudget{Total: 9000, DialReserve: 10}, log)
-	front.SetWatchdog(marks.New("front"))
+	front.SetWatchdog(marks.AddTask("front"))
 	prober := blocks{released: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -83,7 +83,7 @@
 	module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot}) // its only room server is gone, which the prober is told
 	stuck(t, marks, "module")
 	var conns []net.Conn
-	for len(marks.Stuck(time.Now(), limit)) < 2 && len(conns) < 4000 { // its mailbox fills up
+	for len(marks.StuckTasks(time.Now(), limit)) < 2 && len(conns) < 4000 { // its mailbox fills up
 		conn, err := net.DialTimeout("tcp", l.Addr().String(), time.Second)
 		if err != nil {
 			break
@@ -106,10 +106,10 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	marks := &sdnotify.Marks{}
+	marks := &sdnotify.Monitor{}
 	sink := blocks{released: make(chan struct{})}
 	list := httpsource.New(strings.TrimPrefix(server.URL, "http://"), 0, sink, log)
-	list.SetWatchdog(marks.New("list"))
+	list.SetWatchdog(marks.AddTask("list"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { list.Run(ctx) })
--- a/internal/operations/sdnotify/bench_test.go
+++ b/internal/operations/sdnotify/bench_test.go
@@ -4,7 +4,7 @@
 
 // BenchmarkMark is what a turn of an actor costs more with its mark.
 func BenchmarkMark(b *testing.B) {
-	m := (&Marks{}).New("module")
+	m := (&Monitor{}).AddTask("module")
 	for b.Loop() {
 		m.Busy()
 		m.Idle()
--- a/internal/operations/sdnotify/clock.go
+++ b/internal/operations/sdnotify/clock.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Monotonic is the time of CLOCK_MONOTONIC, by which a supervisor tells reloads apart.
-func Monotonic() time.Duration {
+// MonotonicNow is the time of CLOCK_MONOTONIC, by which a supervisor tells reloads apart.
+func MonotonicNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return 0 // the clock is always there on the platforms that have such supervisors
--- a/internal/operations/sdnotify/mark.go
+++ b/internal/operations/sdnotify/monitor.go
@@ -10,47 +10,47 @@
 	"time"
 )
 
-// Mark is one actor's sign of life: it is busy from the moment when something woke it until it waits again. A nil Mark
+// Task is one actor's sign of life: it is busy from the moment when something woke it until it waits again. A nil Mark
 // takes nothing.
-type Mark struct {
+type Task struct {
 	name  string
 	since atomic.Int64 // Unix nanoseconds since which it is busy; 0: it waits
 }
 
 // Busy tells that a turn begins.
-func (m *Mark) Busy() {
+func (m *Task) Busy() {
 	if m != nil {
 		m.since.Store(time.Now().UnixNano())
 	}
 }
 
 // Idle tells that the turn is over.
-func (m *Mark) Idle() {
+func (m *Task) Idle() {
 	if m != nil {
 		m.since.Store(0)
 	}
 }
 
-// Marks are those of a process. A nil Marks makes nil ones.
-type Marks struct {
+// Monitor are those of a process. A nil Marks makes nil ones.
+type Monitor struct {
 	mu  sync.Mutex
-	all []*Mark
+	all []*Task
 }
 
-// New returns the mark of another actor. Names need not differ.
-func (m *Marks) New(name string) *Mark {
+// AddTask returns the mark of another actor. Names need not differ.
+func (m *Monitor) AddTask(name string) *Task {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mark := &Mark{name: name}
+	mark := &Task{name: name}
 	m.all = append(m.all, mark)
 	return mark
 }
 
-// Stuck names the actors whose turn has taken longer than limit at now, in order.
-func (m *Marks) Stuck(now time.Time, limit time.Duration) (names []string) {
+// StuckTasks names the actors whose turn has taken longer than limit at now, in order.
+func (m *Monitor) StuckTasks(now time.Time, limit time.Duration) (names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, mark := range m.all {
--- a/internal/operations/sdnotify/notify.go
+++ b/internal/operations/sdnotify/notify.go
@@ -16,7 +16,7 @@
 	log     *logrus.Logger
 	send    func(state string) (bool, error)
 	every   time.Duration // between two signs of life; 0: no watchdog
-	marks   *Marks
+	marks   *Monitor
 	status  func() string
 	pending chan string
 	done    chan struct{}
@@ -30,7 +30,7 @@
 
 // NewNotifier returns a notifier for the supervisor that the environment names (NOTIFY_SOCKET, WATCHDOG_USEC and
 // WATCHDOG_PID). Without one every call does nothing. status is the line that it shows.
-func NewNotifier(marks *Marks, status func() string, log *logrus.Logger) (*Notifier, error) {
+func NewNotifier(marks *Monitor, status func() string, log *logrus.Logger) (*Notifier, error) {
 	limit, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
 		return nil, fmt.Errorf("WATCHDOG_USEC or WATCHDOG_PID: %w", err)
@@ -74,7 +74,7 @@
 
 // sign gives the sign of life, unless an actor is stuck; the log names it once.
 func (n *Notifier) sign(before string) (stuck string) {
-	if names := n.marks.Stuck(time.Now(), n.every*4/stuckPart); len(names) > 0 {
+	if names := n.marks.StuckTasks(time.Now(), n.every*4/stuckPart); len(names) > 0 {
 		if stuck = strings.Join(names, ", "); stuck != before {
 			n.log.WithField("stuck", stuck).Error("watchdog: no sign of life")
 			n.write("STATUS=stuck: " + stuck)
@@ -118,8 +118,8 @@
 	n.tell(fmt.Sprintf("%s\nEXTEND_TIMEOUT_USEC=%d", daemon.SdNotifyStopping, within.Microseconds()))
 }
 
-// TakesOver tells that this process is the service's main one from now on: a new version beside an old one.
-func (n *Notifier) TakesOver(pid int) { n.tell(fmt.Sprintf("MAINPID=%d", pid)) }
+// SetMainPID tells that this process is the service's main one from now on: a new version beside an old one.
+func (n *Notifier) SetMainPID(pid int) { n.tell(fmt.Sprintf("MAINPID=%d", pid)) }
 
 // Wait waits until the actor has ended, but not for a supervisor whose socket hangs.
 func (n *Notifier) Wait(within time.Duration) {
--- a/internal/operations/sdnotify/supervise_test.go
+++ b/internal/operations/sdnotify/sdnotify_test.go
@@ -45,7 +45,7 @@
 	return log, out
 }
 
-func notifier(t *testing.T, marks *Marks) (*Notifier, context.CancelFunc, *strings.Builder) {
+func notifier(t *testing.T, marks *Monitor) (*Notifier, context.CancelFunc, *strings.Builder) {
 	t.Helper()
 	log, out := quiet()
 	n, err := NewNotifier(marks, func() string { return "two\nlines" }, log)
@@ -61,11 +61,11 @@
 // The messages are those of sd_notify(3), in their order, and what is pending at the end is still told.
 func TestMessages(t *testing.T) {
 	conn := supervisor(t)
-	n, stop, _ := notifier(t, &Marks{})
+	n, stop, _ := notifier(t, &Monitor{})
 	n.Ready()
 	n.Reloading(1234567 * time.Microsecond)
 	n.Ready()
-	n.TakesOver(42)
+	n.SetMainPID(42)
 	n.Stopping(2 * time.Second)
 	stop()
 	for _, want := range []string{"READY=1\nSTATUS=two lines", "RELOADING=1\nMONOTONIC_USEC=1234567", "READY=1\nSTATUS=two lines",
@@ -74,7 +74,7 @@
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
-	if a, b := Monotonic(), Monotonic(); a <= 0 || b < a {
+	if a, b := MonotonicNow(), MonotonicNow(); a <= 0 || b < a {
 		t.Errorf("the clock goes from %v to %v", a, b)
 	}
 }
@@ -84,8 +84,8 @@
 func TestWatchdog(t *testing.T) {
 	conn := supervisor(t)
 	t.Setenv("WATCHDOG_USEC", "200000")
-	marks := &Marks{}
-	list, module := marks.New("list"), marks.New("module")
+	marks := &Monitor{}
+	list, module := marks.AddTask("list"), marks.AddTask("module")
 	_, stop, out := notifier(t, marks)
 	if got := next(t, conn, 5*time.Second); got != "WATCHDOG=1" {
 		t.Fatalf("told %q", got)
@@ -117,28 +117,28 @@
 
 // Stuck is who has been in one turn for longer than the limit, and nobody else.
 func TestStuck(t *testing.T) {
-	marks := &Marks{}
-	a, b, c := marks.New("a"), marks.New("b"), marks.New("b")
+	marks := &Monitor{}
+	a, b, c := marks.AddTask("a"), marks.AddTask("b"), marks.AddTask("b")
 	a.Busy()
 	b.Busy()
 	c.Busy()
 	b.Busy() // a turn that follows at once
 	now := time.Now()
-	if got := marks.Stuck(now.Add(time.Minute), time.Second); !slices.Equal(got, []string{"a", "b"}) {
+	if got := marks.StuckTasks(now.Add(time.Minute), time.Second); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%q", got)
 	}
-	if got := marks.Stuck(now, time.Second); len(got) != 0 {
+	if got := marks.StuckTasks(now, time.Second); len(got) != 0 {
 		t.Errorf("%q", got)
 	}
 	c.Idle()
 	b.Idle()
 	a.Idle()
-	if got := marks.Stuck(now.Add(time.Minute), time.Second); len(got) != 0 {
+	if got := marks.StuckTasks(now.Add(time.Minute), time.Second); len(got) != 0 {
 		t.Errorf("%q", got)
 	}
-	var none *Marks
-	none.New("x").Busy()
-	none.New("x").Idle()
+	var none *Monitor
+	none.AddTask("x").Busy()
+	none.AddTask("x").Idle()
 }
 
 // A supervisor that takes nothing more holds up no caller. Guards the daemon against a socket that hangs: its buffer is
@@ -147,7 +147,7 @@
 	supervisor(t) // nobody reads
 	log, _ := quiet()
 	log.SetOutput(io.Discard)
-	n, err := NewNotifier(&Marks{}, func() string { return strings.Repeat("x", 60000) }, log)
+	n, err := NewNotifier(&Monitor{}, func() string { return strings.Repeat("x", 60000) }, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,14 +172,14 @@
 // Without a supervisor nothing is told and nothing fails; a faulty environment is named.
 func TestNoSupervisor(t *testing.T) {
 	t.Setenv("NOTIFY_SOCKET", "")
-	n, stop, out := notifier(t, &Marks{})
+	n, stop, out := notifier(t, &Monitor{})
 	n.Ready()
 	stop()
 	if out.String() != "" {
 		t.Errorf("logged %q", out)
 	}
 	t.Setenv("WATCHDOG_USEC", "soon")
-	if _, err := NewNotifier(&Marks{}, func() string { return "" }, nil); err == nil || !strings.Contains(err.Error(), "WATCHDOG_USEC") {
+	if _, err := NewNotifier(&Monitor{}, func() string { return "" }, nil); err == nil || !strings.Contains(err.Error(), "WATCHDOG_USEC") {
 		t.Error(err)
 	}
 }
