--- /dev/null
+++ b/internal/codecheck/pages.go
@@ -0,0 +1,251 @@
+package codecheck
+
+import (
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"path"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// Repository knows the files and the declared identifiers of a source tree.
+type Repository struct {
+	files       map[string]bool            // paths of files and folders, slash-separated, relative to the root
+	baseNames   map[string]bool            // the files' last elements
+	identifiers map[string]bool            // every name that some Go source or MIB declares
+	packages    map[string]map[string]bool // by package name: the names that it declares
+}
+
+// ReadRepository reads a source tree. Folders whose name begins with a dot are listed, but .git is not.
+func ReadRepository(root fs.FS) (*Repository, error) {
+	r := &Repository{
+		files: map[string]bool{}, baseNames: map[string]bool{},
+		identifiers: map[string]bool{}, packages: map[string]map[string]bool{},
+	}
+	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if name == ".git" || name == "journal" {
+			r.files[name] = true
+			return fs.SkipDir
+		}
+		r.files[name] = true
+		if entry.IsDir() {
+			return nil
+		}
+		r.baseNames[path.Base(name)] = true
+		return r.addFile(root, name)
+	})
+	return r, err
+}
+
+// addFile notes what a file declares: a Go source its identifiers, a MIB its objects, .gitignore the files that
+// operators make.
+func (r *Repository) addFile(root fs.FS, name string) error {
+	if name != ".gitignore" && path.Ext(name) != ".go" && path.Dir(name) != "mibs" {
+		return nil
+	}
+	text, err := fs.ReadFile(root, name)
+	if err != nil {
+		return err
+	}
+	switch {
+	case name == ".gitignore":
+		for line := range strings.Lines(string(text)) {
+			r.files[strings.Trim(strings.TrimSpace(line), "/")] = true
+		}
+	case path.Ext(name) == ".go":
+		return r.addSource(name, text)
+	default:
+		for _, object := range mibObject.FindAllStringSubmatch(string(text), -1) {
+			r.identifiers[object[1]] = true
+		}
+	}
+	return nil
+}
+
+// addSource notes the identifiers that a Go source declares: at package level, as fields and methods, and as locals.
+func (r *Repository) addSource(name string, source []byte) error {
+	parsed, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	packageName := strings.TrimSuffix(parsed.Name.Name, "_test")
+	declared := r.packages[packageName]
+	if declared == nil {
+		declared = map[string]bool{}
+		r.packages[packageName] = declared
+	}
+	add := func(identifiers ...*ast.Ident) {
+		for _, id := range identifiers {
+			r.identifiers[id.Name] = true
+			declared[id.Name] = true
+		}
+	}
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.FuncDecl:
+			add(n.Name)
+		case *ast.TypeSpec:
+			add(n.Name)
+		case *ast.ValueSpec:
+			add(n.Names...)
+		case *ast.Field:
+			add(n.Names...)
+		case *ast.AssignStmt:
+			for _, left := range n.Lhs {
+				if id, ok := left.(*ast.Ident); ok && n.Tok == token.DEFINE {
+					add(id)
+				}
+			}
+		}
+		return true
+	})
+	return nil
+}
+
+var (
+	link       = regexp.MustCompile(`\]\(([^)#\s]+)`)
+	codeSpan   = regexp.MustCompile("`([^`]+)`")
+	goFile     = regexp.MustCompile(`[\w./-]*\w\.go\b`)
+	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
+	folderPath = regexp.MustCompile(`(?:^|[^\w./-])((?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)/[\w./-]*\w)`)
+	qualified  = regexp.MustCompile(`\b[a-z]+\.[A-Z]\w*(?:\.\w+)*`)
+	mibObject  = regexp.MustCompile(`(?m)^\s*(\w+)\s+(?:OBJECT|MODULE|NOTIFICATION)-`)
+	identifier = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)*$`)
+	innerUpper = regexp.MustCompile(`[a-z][A-Z]`)
+)
+
+// DeadReferences returns what a Markdown page names that does not exist: targets of links, Go files, folders of the
+// repository, tests, and, in code spans, identifiers. A plain word in a code span counts as an identifier if its
+// spelling is mixed case, or if it is qualified by the name of one of the repository's packages.
+func (r *Repository) DeadReferences(page, text string) []Finding {
+	var findings []Finding
+	for i, line := range strings.Split(text, "\n") {
+		report := func(kind, name string) {
+			findings = append(findings, Finding{page, i + 1, fmt.Sprintf("no such %s: %s", kind, name)})
+		}
+		for _, match := range link.FindAllStringSubmatch(line, -1) {
+			target := match[1]
+			if !strings.Contains(target, "://") && !r.files[path.Join(path.Dir(page), target)] {
+				report("link target", target)
+			}
+		}
+		for _, name := range goFile.FindAllString(line, -1) {
+			if !r.hasFile(name) {
+				report("file", name)
+			}
+		}
+		for _, match := range folderPath.FindAllStringSubmatch(line, -1) {
+			if name := match[1]; !strings.HasSuffix(name, ".go") && !r.hasPath(name) {
+				report("path", name)
+			}
+		}
+		for _, name := range testName.FindAllString(line, -1) {
+			if !r.identifiers[name] {
+				report("test", name)
+			}
+		}
+		names := map[string]bool{}
+		for _, match := range codeSpan.FindAllStringSubmatch(line, -1) {
+			names[strings.TrimSuffix(match[1], "()")] = true
+		}
+		for _, name := range qualified.FindAllString(line, -1) {
+			names[name] = true
+		}
+		for _, name := range slices.Sorted(maps.Keys(names)) {
+			if !r.declares(name) {
+				report("identifier", name)
+			}
+		}
+	}
+	return findings
+}
+
+// hasFile reports whether a Go file is there: by its path, or by its last element alone where no folder is named.
+func (r *Repository) hasFile(name string) bool {
+	name = strings.TrimPrefix(name, "./")
+	if !strings.Contains(name, "/") {
+		return r.baseNames[name]
+	}
+	if r.files[name] {
+		return true
+	}
+	for file := range r.files {
+		if strings.HasSuffix(file, "/"+name) {
+			return true
+		}
+	}
+	return false
+}
+
+// hasPath reports whether a path exists; the last element may be the identifier of a package, as in decide/Settings.
+func (r *Repository) hasPath(name string) bool {
+	name = strings.TrimSuffix(strings.TrimSuffix(name, "/..."), "/")
+	if r.files[name] {
+		return true
+	}
+	folder, member, found := strings.Cut(path.Base(name), ".")
+	return found && r.files[path.Join(path.Dir(name), folder)] && r.declares(folder+"."+member)
+}
+
+// declares reports whether a name that looks like an identifier of the repository is declared there. Names that do not
+// look like one are somebody else's: words of a wire, keys of a file, commands.
+func (r *Repository) declares(name string) bool {
+	if !identifier.MatchString(name) {
+		return true
+	}
+	first, rest, found := strings.Cut(name, ".")
+	if !found {
+		return !innerUpper.MatchString(name) || r.identifiers[name]
+	}
+	members := r.packages[first]
+	if members == nil {
+		return !innerUpper.MatchString(first) || r.identifiers[first]
+	}
+	for member := range strings.SplitSeq(rest, ".") {
+		looksLikeGo := innerUpper.MatchString(member) || member[0] >= 'A' && member[0] <= 'Z'
+		if looksLikeGo && !members[member] {
+			return false
+		}
+	}
+	return true
+}
+
+// ErrNoPages is returned where a folder that should hold pages has none.
+var ErrNoPages = errors.New("no pages")
+
+// CheckPages returns the dead references of all Markdown pages directly in the given folders of a tree.
+func CheckPages(root fs.FS, folders ...string) ([]Finding, error) {
+	repository, err := ReadRepository(root)
+	if err != nil {
+		return nil, err
+	}
+	var findings []Finding
+	pages := 0
+	for _, folder := range folders {
+		names, err := fs.Glob(root, path.Join(folder, "*.md"))
+		if err != nil {
+			return nil, err
+		}
+		for _, name := range names {
+			text, err := fs.ReadFile(root, name)
+			if err != nil {
+				return nil, err
+			}
+			pages++
+			findings = append(findings, repository.DeadReferences(name, string(text))...)
+		}
+	}
+	if pages == 0 {
+		return nil, ErrNoPages
+	}
+	return findings, nil
+}
