--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -12,7 +12,7 @@
 // Whatever another process tells as learned, the decision module stays sound: loads are none below 0, and no server is
 // left out for long.
 func FuzzLearned(f *testing.F) {
-	line, err := json.Marshal(learned{decide.LearnedState{Server: 1, Load: 0.4, Age: time.Second, LoadPerConnection: 0.1, ConsecutiveFailures: 2, EjectedFor: time.Second}, "c1"})
+	line, err := json.Marshal(learnedLine{decide.LearnedState{Server: 1, Load: 0.4, Age: time.Second, LoadPerConnection: 0.1, ConsecutiveFailures: 2, EjectedFor: time.Second}, "c1"})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -14,10 +14,10 @@
 // ErrOtherDeployment is told of what was learned under other settings.
 var ErrOtherDeployment = errors.New("learned: under other settings")
 
-// learned is such a line.
-type learned struct {
+// learnedLine is such a line.
+type learnedLine struct {
 	decide.LearnedState
-	Of string `json:"of"` // the settings under which it was learned
+	DeploymentID string `json:"of"` // the settings under which it was learned
 }
 
 // DeploymentID names a customer's settings: what a load, a class or a room server is measured by. Neither the seed nor what
@@ -33,14 +33,14 @@
 
 // ExportLearned tells what the decision module has learned of the room servers, a line for each; nothing where the actor is
 // busy for longer than within.
-func (m *Engine) ExportLearned(within time.Duration) (lines []string) {
+func (e *Engine) ExportLearned(within time.Duration) (lines []string) {
 	told := make(chan []decide.LearnedState, 1)
-	if m.await(within, func() { told <- m.balancer.ExportLearned() }) != nil {
+	if e.await(within, func() { told <- e.balancer.ExportLearned() }) != nil {
 		return nil
 	}
-	mine := DeploymentID(m.cfg.Settings)
+	mine := DeploymentID(e.cfg.Settings)
 	for _, l := range <-told {
-		if raw, err := json.Marshal(learned{l, mine}); err == nil {
+		if raw, err := json.Marshal(learnedLine{l, mine}); err == nil {
 			lines = append(lines, string(raw))
 		}
 	}
@@ -49,11 +49,11 @@
 
 // DecodeLearned reads such a line. Guards against what a process of another customer's at the same address has learned.
 func DecodeLearned(line, customer string) (decide.LearnedState, error) {
-	var l learned
+	var l learnedLine
 	if err := json.Unmarshal([]byte(line), &l); err != nil {
 		return l.LearnedState, fmt.Errorf("learned: %w", err)
 	}
-	if l.Of != customer {
+	if l.DeploymentID != customer {
 		return l.LearnedState, ErrOtherDeployment
 	}
 	return l.LearnedState, nil
--- a/internal/core/literals_test.go
+++ b/internal/core/literals_test.go
@@ -29,7 +29,7 @@
 func TestLearnedStateEncodingIsStable(t *testing.T) {
 	state := decide.LearnedState{Server: 7, Load: 0.5, Age: time.Second, LoadPerConnection: 0.25, ConsecutiveFailures: 2,
 		EjectedFor: 3 * time.Second}
-	raw, err := json.Marshal(learned{state, "c1"})
+	raw, err := json.Marshal(learnedLine{state, "c1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -22,48 +22,48 @@
 }
 
 // ServiceState tells the state as it is; it is published with each change, so that a full mailbox does not delay it.
-func (m *Engine) ServiceState() ServiceState { return m.snapshot.Load().Service }
+func (e *Engine) ServiceState() ServiceState { return e.snapshot.Load().Service }
 
-// enter changes the state and shows it at once.
-func (m *Engine) enter(s ServiceState) {
-	m.service = s
-	m.cfg.Log("service state: " + s.String())
-	m.publish()
+// setServiceState changes the state and shows it at once.
+func (e *Engine) setServiceState(s ServiceState) {
+	e.service = s
+	e.cfg.Log("service state: " + s.String())
+	e.publish()
 	if s == Serving {
-		m.once.Do(func() { close(m.ready) }) // after it is shown
+		e.readyOnce.Do(func() { close(e.ready) }) // after it is shown
 	}
 }
 
 // SetConfigGeneration tells that a configuration was taken over, and which it is.
-func (m *Engine) SetConfigGeneration(n uint64) { m.post(func() { m.generation = n }) }
+func (e *Engine) SetConfigGeneration(n uint64) { e.post(func() { e.generation = n }) }
 
 // Ready is closed once this process has been ready to serve.
-func (m *Engine) Ready() <-chan struct{} { return m.ready }
+func (e *Engine) Ready() <-chan struct{} { return e.ready }
 
 // AwaitsList tells whether clients are to wait for the first list: where lists are pushed, what it says counts already.
-func (m *Engine) AwaitsList() bool { return m.cfg.ListPushed && m.ServiceState() == Starting }
+func (e *Engine) AwaitsList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
 // SkipListWait ends the start without a fresh list: the process that this one was to take over from has ended.
-func (m *Engine) SkipListWait() { m.post(m.started) }
+func (e *Engine) SkipListWait() { e.post(e.finishStarting) }
 
 // SetMaxClients changes how many requests may wait and connections may stand, as Config.MaxChannels does at the start.
-func (m *Engine) SetMaxClients(maxChannels int) { m.post(func() { m.cfg.MaxClients = maxChannels }) }
+func (e *Engine) SetMaxClients(maxChannels int) { e.post(func() { e.cfg.MaxClients = maxChannels }) }
 
-// started ends the start: discovery has answered, or does not.
-func (m *Engine) started() {
-	if m.service == Starting {
-		m.enter(Serving)
+// finishStarting ends the start: discovery has answered, or does not.
+func (e *Engine) finishStarting() {
+	if e.service == Starting {
+		e.setServiceState(Serving)
 	}
 }
 
 // await has the module's actor run a turn and waits for it, but not longer than it is told. A turn that waits in
 // the mailbox by then still runs.
-func (m *Engine) await(within time.Duration, turn func()) error {
+func (e *Engine) await(within time.Duration, turn func()) error {
 	ran := make(chan struct{})
 	late := time.After(within)
 	select {
-	case m.inbox <- func() { turn(); close(ran) }:
-	case <-m.done:
+	case e.inbox <- func() { turn(); close(ran) }:
+	case <-e.done:
 		return errStopping
 	case <-late:
 		return errBusy
@@ -71,7 +71,7 @@
 	select {
 	case <-ran:
 		return nil
-	case <-m.done:
+	case <-e.done:
 		return errStopping
 	case <-late:
 		return errBusy
@@ -79,7 +79,7 @@
 }
 
 // CurrentSnapshot returns a snapshot of now, or the latest published one where the actor is busy for longer than within.
-func (m *Engine) CurrentSnapshot(within time.Duration) *Snapshot {
-	_ = m.await(within, m.publish)
-	return m.snapshot.Load()
+func (e *Engine) CurrentSnapshot(within time.Duration) *Snapshot {
+	_ = e.await(within, e.publish)
+	return e.snapshot.Load()
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -66,53 +66,53 @@
 }
 
 // Snapshot returns the latest published snapshot.
-func (m *Engine) Snapshot() *Snapshot { return m.snapshot.Load() }
+func (e *Engine) Snapshot() *Snapshot { return e.snapshot.Load() }
 
-func (m *Engine) publishLater() {
-	m.publish()
-	m.deadlines.set(m.now+snapshotEvery, m.publishLater)
+func (e *Engine) publishPeriodically() {
+	e.publish()
+	e.timers.set(e.now+snapshotInterval, e.publishPeriodically)
 }
 
-func (m *Engine) publish() {
-	s := &Snapshot{Counters: m.counters, Classes: slices.Clone(m.classes), Service: m.service, Generation: m.generation, SessionsEnabled: m.cfg.StateTimeout > 0, At: m.wall(m.now),
-		Started: m.epoch, ListUpdated: m.wall(m.listAt), Clients: len(m.open), Waiting: m.waiting, Established: m.standing}
+func (e *Engine) publish() {
+	s := &Snapshot{Counters: e.counters, Classes: slices.Clone(e.classes), Service: e.service, Generation: e.generation, SessionsEnabled: e.cfg.StateTimeout > 0, At: e.wallTime(e.now),
+		Started: e.epoch, ListUpdated: e.wallTime(e.listUpdated), Clients: len(e.openCalls), Waiting: e.pendingRequests, Established: e.established}
 	s.StartedOver = maps.Clone(s.StartedOver)
-	for _, c := range m.classes {
+	for _, c := range e.classes {
 		s.Served += c.Served
 		s.Rejected += c.Rejected
 		s.Failed += c.Failed
 		s.Attempts += c.Attempts
 	}
 	s.Failed += s.Malformed
-	s.Listed, s.Ejected = m.listed, m.draining+m.ejected()
-	m.snapshot.Store(s)
-	if d := m.detailed.Load(); d != nil && m.now-d.at > detailKeep {
-		m.detailed.Store(nil) // nobody asks any more
+	s.Listed, s.Ejected = e.listed, e.draining+e.countEjected()
+	e.snapshot.Store(s)
+	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.at > detailedRetention {
+		e.detailedSnapshot.Store(nil) // nobody asks any more
 	}
 }
 
-// mayAvoid notes that the decision module may leave a room server out from now on. It does so only by what it hears of
+// noteEjection notes that the decision module may leave a room server out from now on. It does so only by what it hears of
 // that one, so that the others need no look.
-func (m *Engine) mayAvoid(id decide.ServerID) {
-	if m.balancer.Ejected(id) {
-		m.avoided[id] = struct{}{}
+func (e *Engine) noteEjection(id decide.ServerID) {
+	if e.balancer.Ejected(id) {
+		e.ejectedServers[id] = struct{}{}
 	}
 }
 
-// ejected counts the ready room servers that are left out.
-func (m *Engine) ejected() (n int) {
-	for id := range m.avoided {
-		if !m.balancer.Ejected(id) {
-			delete(m.avoided, id)
-		} else if s := m.subchannels[id]; s != nil && s.state == decide.Ready {
+// countEjected counts the ready room servers that are left out.
+func (e *Engine) countEjected() (n int) {
+	for id := range e.ejectedServers {
+		if !e.balancer.Ejected(id) {
+			delete(e.ejectedServers, id)
+		} else if s := e.upstreams[id]; s != nil && s.state == decide.Ready {
 			n++
 		}
 	}
 	return n
 }
 
-// detail is a snapshot with its rows, which the first that reads them sorts: that is not the actor's work.
-type detail struct {
+// detailedSnapshot is a snapshot with its rows, which the first that reads them sorts: that is not the actor's work.
+type detailedSnapshot struct {
 	snapshot *Snapshot
 	at       time.Duration
 	sort     sync.Once
@@ -121,15 +121,15 @@
 // DetailedSnapshot returns a snapshot with a row for each room server, as they were within the last 250 ms. Where the actor is busy
 // for longer than within, the rows are the last that were asked for. Only for those who ask are rows made, and not for each:
 // they take longer than all else in a snapshot.
-func (m *Engine) DetailedSnapshot(within time.Duration) *Snapshot {
-	d := m.detailed.Load()
-	if d == nil || time.Since(d.snapshot.At) >= snapshotEvery {
-		if m.await(within, m.detail) == nil || d == nil {
-			d = m.detailed.Load()
+func (e *Engine) DetailedSnapshot(within time.Duration) *Snapshot {
+	d := e.detailedSnapshot.Load()
+	if d == nil || time.Since(d.snapshot.At) >= snapshotInterval {
+		if e.await(within, e.publishDetailed) == nil || d == nil {
+			d = e.detailedSnapshot.Load()
 		}
 	}
 	if d == nil {
-		return m.snapshot.Load()
+		return e.snapshot.Load()
 	}
 	d.sort.Do(func() {
 		slices.SortFunc(d.snapshot.Upstreams, func(a, b UpstreamStats) int { return cmp.Compare(a.ID, b.ID) })
@@ -137,18 +137,18 @@
 	return d.snapshot
 }
 
-// detail makes the rows, unless those of another who asked are as good.
-func (m *Engine) detail() {
-	if d := m.detailed.Load(); d != nil && m.now-d.at < snapshotEvery {
+// publishDetailed makes the rows, unless those of another who asked are as good.
+func (e *Engine) publishDetailed() {
+	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.at < snapshotInterval {
 		return
 	}
-	m.publish()
-	s := *m.snapshot.Load()
-	s.Upstreams = make([]UpstreamStats, 0, len(m.subchannels))
-	for _, sub := range m.subchannels {
-		s.Upstreams = append(s.Upstreams, UpstreamStats{sub.Upstream, sub.zone, sub.state, sub.open, sub.attempts, sub.load})
+	e.publish()
+	s := *e.snapshot.Load()
+	s.Upstreams = make([]UpstreamStats, 0, len(e.upstreams))
+	for _, sub := range e.upstreams {
+		s.Upstreams = append(s.Upstreams, UpstreamStats{sub.Upstream, sub.zone, sub.state, sub.connections, sub.attempts, sub.load})
 	}
-	m.detailed.Store(&detail{snapshot: &s, at: m.now})
+	e.detailedSnapshot.Store(&detailedSnapshot{snapshot: &s, at: e.now})
 }
 
-func (m *Engine) wall(at time.Duration) time.Time { return m.epoch.Add(at - clockStart) }
+func (e *Engine) wallTime(at time.Duration) time.Time { return e.epoch.Add(at - clockStart) }
