--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,13 @@
-// Package core runs the decision module of one balancer. It knows no wire: fronts tell it what happens to
-// their channels, it turns that into the module's events, and it hands the module's actions back through
-// the interfaces of this file. One actor, the module's, owns all state here; every deadline of the process
-// stands in its one sorted structure.
+// Package core is the event loop of one balancer. Its Engine owns the decision module (package decide) and all state
+// around it: client requests and their attempts, upstream servers, discovery calls, timers and counters.
+//
+// The package knows no network protocol. Frontends report what happens on their client connections by calling the
+// Engine; it turns these reports into events of the decision module and executes the actions that the module returns
+// through the interfaces ClientConn, Prober and Discovery.
+//
+// One goroutine, the one that calls Engine.Run, owns all state. The methods of an Engine may be called from any other
+// goroutine: unless their comment says otherwise they put a function into the engine's inbox and return before it has
+// run. They block only while the inbox is full.
 package core
 
 import (
@@ -12,147 +18,110 @@
 	"cottonplank/decide"
 )
 
-// ClientConn is the client's side of one request, as a front implements it. The module's actor calls it and
-// must never wait for a peer: an implementation puts the call into its own actor's mailbox and returns.
+// ClientConn is the client's side of one request, implemented by a frontend. The engine calls it from its event loop, so
+// no method may block on a peer: an implementation queues the command for its own goroutine and returns.
 type ClientConn interface {
-	// StartAttempt starts a call attempt. An earlier one has been given up or has ended; its transport is
-	// closed before anything of the new one is sent.
+	// StartAttempt starts an attempt at an upstream server. Any earlier attempt has ended or was cancelled; the
+	// implementation closes its transport before it sends anything of the new one.
 	StartAttempt(Attempt)
-	// CancelAttempt asks for the end of a call attempt that has no answer. The channel alone knows what it has written, so it
-	// decides what became of the attempt and tells it with Module.Ended, once: that it never ran where nothing was sent,
-	// else why. One that has its answer, or whose line is sent while why says that it never ran, goes on.
+	// CancelAttempt asks for the end of attempt n, which has no answer yet. Only the implementation knows what it has
+	// written, so it decides how the attempt ended and reports that once with Engine.AttemptEnded: as NotSent if nothing
+	// was sent, else with code why. An attempt that has its answer goes on, and so does one whose request was sent
+	// meanwhile if why says that it never executed.
 	CancelAttempt(n int, why decide.Code)
-	// Establish passes the room server's answer of attempt n to the client and relays from then on.
+	// Establish passes the server's answer to attempt n on to the client and relays in both directions from then on.
 	Establish(n int)
-	// Reject answers that trying again is harmless, after a while if that is not 0, and closes.
+	// Reject answers that the request was not executed and may be retried, after retryAfter if that is above 0, and
+	// closes the connection.
 	Reject(retryAfter time.Duration)
-	// Fail answers that the request failed and closes.
+	// Fail answers that the request failed and closes the connection.
 	Fail()
-	// Migrate sends the client of a standing connection away politely and closes both sides.
+	// Migrate asks the client of an established connection to reconnect elsewhere and closes both sides.
 	Migrate()
-	// Abort closes whatever is still open, at once.
+	// Abort closes at once whatever is still open.
 	Abort()
 }
 
-// Reason says why a session could not go on, in the word that the client is told.
+// Reason says why a session has to start over. Its text is sent to the client.
 type Reason string
 
-// ReasonStateTimeout is the reason that the core itself gives: the state did not come in time.
+// ReasonStateTimeout means that the session's state was not transferred within Config.StateTimeout.
 const ReasonStateTimeout Reason = "late"
 
-// Resumer is what the channel of a request does besides that goes on with a session. It must not block either.
+// Resumer is implemented by client connections whose request resumes a session. Its methods must not block.
 type Resumer interface {
-	// HolderLocated answers Module.Locate: where the room server is, if that is known.
+	// HolderLocated answers Engine.LocateHolder for attempt n: s is the server that holds the session, if known.
 	HolderLocated(n int, s Upstream, known bool)
-	// StartOver answers that the session cannot go on, and closes.
+	// StartOver answers that the session cannot be resumed and closes the connection.
 	StartOver(why Reason)
 }
 
-// Attempt is one attempt of a request at one room server.
+// Attempt is one attempt of a request at one upstream server.
 type Attempt struct {
-	Number   int
+	// Number counts the attempts of the request from 0.
+	Number int
+	// Upstream is the server to connect to.
 	Upstream Upstream
-	Timeout  time.Duration // how long the core waits for it to stand
+	// Timeout is how long the engine waits for the connection to be established.
+	Timeout time.Duration
 }
 
-// Upstream names a room server and says where it is.
+// Upstream is the identity and address of a server.
 type Upstream struct {
 	ID      decide.ServerID
 	Name    string
 	Address string
 }
 
-// Prober asks room servers for their load reports. Probe must not block; the result goes to Module.Probed
-// unless ctx ends first, and Forget ends what is kept for a server that is gone.
+// Prober sends health checks to servers. Its methods must not block.
 type Prober interface {
+	// Probe requests a load report. The result goes to Engine.ProbeCompleted with the same seq, unless ctx ends first.
 	Probe(ctx context.Context, seq uint64, server Upstream)
+	// Remove releases what is kept for a server that was removed from the endpoint list.
 	Remove(server decide.ServerID)
 }
 
-// Discovery is the source of the endpoint list. Its methods must not block. What it learns goes to an UpdateHandler, with
-// the id of the watch that it came from, until ctx ends.
-type Discovery interface {
-	// SetAddress makes the calls after it go to discovery at another address; the first watch there starts with a snapshot.
-	SetAddress(address string)
-	// Watch opens a watch for changes of the list.
-	Watch(ctx context.Context, watch uint64)
-	// Fetch requests a snapshot of the list once.
-	Fetch(ctx context.Context)
-}
-
-// UpdateHandler receives what a source of the endpoint list learns. Engine implements it.
-type UpdateHandler interface {
-	// EndpointsUpdated delivers a snapshot, a delta or a failed call.
-	EndpointsUpdated(EndpointUpdate)
-	// WatchAlive reports a heartbeat of a watch.
-	WatchAlive(watch uint64)
-}
-
-// Endpoint is one line of a resolver result.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	decide.Server
 	Name    string
 	Address string
-	Started time.Time // zero: long ago
+	// Started is when the server's process started; the zero time means long ago.
+	Started time.Time
 }
 
-// EndpointUpdate is a resolver result: the whole list, changes to it, or a failed call.
+// EndpointUpdate is what a discovery call brought: a snapshot of the endpoint list, changed entries, or a failure.
 type EndpointUpdate struct {
 	Kind      decide.ListKind
 	Endpoints []Endpoint
-	WatchID   uint64 // the watch that failed; 0: another call
+	// WatchID is the watch that failed; 0 if another call failed.
+	WatchID uint64
 }
 
 // Request is what a client asks for.
 type Request struct {
-	ID        string // the client's, one that no other request has; empty: it has none
-	Class     int
-	Key       string
-	Group     string
-	Deadline  time.Time // when the client stops waiting
-	Load      float64   // expected work, in seconds a second; 0: unknown
+	// ID is the client's own identifier, unique among all requests; empty if the client gave none.
+	ID string
+	// Class is an index into decide.Settings.Classes.
+	Class int
+	// Key is the idempotency key.
+	Key string
+	// Group names the group of connections that share work on one server.
+	Group string
+	// Deadline is when the client stops waiting for the answer.
+	Deadline time.Time
+	// Load is the expected work in seconds per second; 0 means unknown.
+	Load float64
+	// Returning says that the client is back after a broken or migrated connection.
 	Returning bool
-	Resumer   Resumer // of a request that goes on with a session; nil: of any other
+	// Resumer is set if the request resumes a session, else nil.
+	Resumer Resumer
 }
 
-// ServerID derives the module's name of a room server from its instance id, equal at all balancers and
-// after a restart, as a group's servers and connection ids depend on it.
+// ServerID derives a server's numeric ID from its instance name. The ID is equal at all balancers and after a restart,
+// because the preferred servers of a group and connection IDs depend on it.
 func ServerID(instance string) decide.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
 	return decide.ServerID(h.Sum32())
 }
-
-// Watchdog hears of an actor's turns, for a watchdog: each begins with Busy and ends with Waits.
-type Watchdog interface {
-	Busy()
-	Idle()
-}
-
-// RunMonitored runs one turn of an actor and lets t hear of it; nil: nobody hears.
-func RunMonitored(t Watchdog, do func()) {
-	if t != nil {
-		t.Busy()
-		defer t.Idle()
-	}
-	do()
-}
-
-// Config is what a Module starts with.
-type Config struct {
-	Settings decide.Settings
-	Known    []Endpoint // the room servers as this balancer last had them
-	// MaxClients bounds the requests that wait for their answer and the connections that stand, all of which hold
-	// a transport on either side; a request past it is unavailable at once.
-	MaxClients int
-	// AwaitList says that this process takes over from one that serves: it is ready once discovery has answered it.
-	AwaitList bool
-	// ListPushed says that a change of the list counts as told when discovery has it, from the process's first moment on:
-	// the list comes before the first client, and a watch that broke is opened anew at once.
-	ListPushed bool
-	Learned    []decide.LearnedState // by that one, of the room servers
-	// StateTimeout is how long a session's state may take to come from its room server; 0: sessions are not resumed.
-	StateTimeout time.Duration
-	Watchdog     Watchdog // hears when the module's actor turns; nil: nobody does
-	Log          func(text string)
-}
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -11,50 +11,52 @@
 	"cottonplank/decide"
 )
 
-// ErrOtherDeployment is told of what was learned under other settings.
-var ErrOtherDeployment = errors.New("learned: under other settings")
+// ErrOtherDeployment means that learned state comes from a process with another DeploymentID.
+var ErrOtherDeployment = errors.New("learned state: from another deployment")
 
-// learnedLine is such a line.
+// learnedLine is the JSON encoding of what was learned about one server. Other versions of the program read it.
 type learnedLine struct {
 	decide.LearnedState
-	DeploymentID string `json:"of"` // the settings under which it was learned
+	// DeploymentID identifies the settings under which the state was learned.
+	DeploymentID string `json:"of"`
 }
 
-// DeploymentID names a customer's settings: what a load, a class or a room server is measured by. Neither the seed nor what
-// may be tuned from one version to the next belongs to it.
+// DeploymentID identifies the settings that give learned state its meaning: the zones and the request classes. It does not
+// depend on the seed, nor on settings that may be tuned from one version to the next.
 func DeploymentID(s decide.Settings) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q %q", s.Zone, s.Zones)
-	for _, c := range s.Classes {
-		fmt.Fprintf(h, " %q %d %d", c.Name, c.Idempotency, c.KeyScope)
+	for _, class := range s.Classes {
+		fmt.Fprintf(h, " %q %d %d", class.Name, class.Idempotency, class.KeyScope)
 	}
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// ExportLearned tells what the decision module has learned of the room servers, a line for each; nothing where the actor is
-// busy for longer than within.
+// ExportLearned returns what the decision module has learned about the servers, encoded as one line for each, for the
+// process that takes over from this one. It returns nil if the event loop does not answer within the given time.
 func (e *Engine) ExportLearned(within time.Duration) (lines []string) {
-	told := make(chan []decide.LearnedState, 1)
-	if e.await(within, func() { told <- e.balancer.ExportLearned() }) != nil {
+	exported := make(chan []decide.LearnedState, 1)
+	if e.await(within, func() { exported <- e.balancer.ExportLearned() }) != nil {
 		return nil
 	}
-	mine := DeploymentID(e.cfg.Settings)
-	for _, l := range <-told {
-		if raw, err := json.Marshal(learnedLine{l, mine}); err == nil {
+	deployment := DeploymentID(e.cfg.Settings)
+	for _, state := range <-exported {
+		if raw, err := json.Marshal(learnedLine{state, deployment}); err == nil {
 			lines = append(lines, string(raw))
 		}
 	}
 	return lines
 }
 
-// DecodeLearned reads such a line. Guards against what a process of another customer's at the same address has learned.
-func DecodeLearned(line, customer string) (decide.LearnedState, error) {
-	var l learnedLine
-	if err := json.Unmarshal([]byte(line), &l); err != nil {
-		return l.LearnedState, fmt.Errorf("learned: %w", err)
+// DecodeLearned decodes a line of ExportLearned. It returns ErrOtherDeployment if the line comes from another deployment,
+// whose process may have run on the same machine, and another error if the line cannot be decoded.
+func DecodeLearned(line, deployment string) (decide.LearnedState, error) {
+	var decoded learnedLine
+	if err := json.Unmarshal([]byte(line), &decoded); err != nil {
+		return decoded.LearnedState, fmt.Errorf("learned state: %w", err)
 	}
-	if l.DeploymentID != customer {
-		return l.LearnedState, ErrOtherDeployment
+	if decoded.DeploymentID != deployment {
+		return decoded.LearnedState, ErrOtherDeployment
 	}
-	return l.LearnedState, nil
+	return decoded.LearnedState, nil
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -143,7 +143,7 @@
 		done := make(chan struct{})
 		engine.post(func() {
 			defer close(done)
-			for _, sub := range engine.upstreams {
+			for _, sub := range engine.upstreams.byID {
 				if sub.state != decide.Removed {
 					listed++
 					if sub.state == decide.Draining || engine.balancer.Ejected(sub.ID) {
@@ -180,7 +180,7 @@
 	engine.openRequest(out, 10*time.Second)
 	out.wait(t, "attempt 0")
 	looked := make(chan int, 1)
-	engine.post(func() { looked <- len(engine.pendingAttempts) })
+	engine.post(func() { looked <- len(engine.calls.attempting) })
 	if n := <-looked; n != 1 {
 		t.Errorf("%d attempts are looked at, want 1", n)
 	}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -5,81 +5,77 @@
 	"time"
 )
 
-var errBusy = errors.New("busy")
+// The management protocol sends the texts of these errors to its clients.
+var (
+	// errBusy means that the event loop did not run a function in time.
+	errBusy = errors.New("busy")
+	// errStopping means that the process is stopping.
+	errStopping = errors.New("stopping")
+)
 
-// ServiceState is what this process is ready for. The module's actor owns it; PING, the drains and the SNMP agent follow it.
+// ServiceState says whether this process serves clients.
 type ServiceState uint8
 
+// The service states.
 const (
-	Starting ServiceState = iota // takes over from a process that serves, and has no fresh list yet
+	// Starting means that the process waits for its first endpoint list.
+	Starting ServiceState = iota
+	// Serving means that the process accepts clients.
 	Serving
-	LameDuck // sends its clients away, until it is called back
-	Stopping // a planned stop: cannot be undone
+	// LameDuck means that the process sends its clients to other balancers until LeaveLameDuck is called.
+	LameDuck
+	// Stopping means that the process is draining and will exit. This state is final.
+	Stopping
 )
 
+// String returns the state's name, as the management protocol and logs show it.
 func (s ServiceState) String() string {
 	return [...]string{"starting", "serving", "lame duck", "stopping"}[s]
 }
 
-// ServiceState tells the state as it is; it is published with each change, so that a full mailbox does not delay it.
+// ServiceState returns the present state. It never waits for the event loop.
 func (e *Engine) ServiceState() ServiceState { return e.snapshot.Load().Service }
 
-// setServiceState changes the state and shows it at once.
+// setServiceState changes the state and publishes it at once.
 func (e *Engine) setServiceState(s ServiceState) {
 	e.service = s
 	e.cfg.Log("service state: " + s.String())
 	e.publish()
 	if s == Serving {
-		e.readyOnce.Do(func() { close(e.ready) }) // after it is shown
+		// After publish: whoever waits for Ready must find the state Serving.
+		e.readyOnce.Do(func() { close(e.ready) })
 	}
 }
 
-// SetConfigGeneration tells that a configuration was taken over, and which it is.
-func (e *Engine) SetConfigGeneration(n uint64) { e.post(func() { e.generation = n }) }
-
-// Ready is closed once this process has been ready to serve.
+// Ready returns a channel that is closed when the state becomes Serving for the first time.
 func (e *Engine) Ready() <-chan struct{} { return e.ready }
 
-// AwaitsList tells whether clients are to wait for the first list: where lists are pushed, what it says counts already.
+// AwaitsList reports whether clients have to wait for the first endpoint list, which is so only where lists are pushed.
 func (e *Engine) AwaitsList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
-// SkipListWait ends the start without a fresh list: the process that this one was to take over from has ended.
+// SkipListWait ends state Starting without an endpoint list, because the process that this one takes over from has ended.
 func (e *Engine) SkipListWait() { e.post(e.finishStarting) }
 
-// SetMaxClients changes how many requests may wait and connections may stand, as Config.MaxChannels does at the start.
-func (e *Engine) SetMaxClients(maxChannels int) { e.post(func() { e.cfg.MaxClients = maxChannels }) }
-
-// finishStarting ends the start: discovery has answered, or does not.
+// finishStarting changes the state from Starting to Serving.
 func (e *Engine) finishStarting() {
 	if e.service == Starting {
 		e.setServiceState(Serving)
 	}
 }
 
-// await has the module's actor run a turn and waits for it, but not longer than it is told. A turn that waits in
-// the mailbox by then still runs.
-func (e *Engine) await(within time.Duration, turn func()) error {
-	ran := make(chan struct{})
-	late := time.After(within)
-	select {
-	case e.inbox <- func() { turn(); close(ran) }:
-	case <-e.done:
-		return errStopping
-	case <-late:
-		return errBusy
-	}
-	select {
-	case <-ran:
-		return nil
-	case <-e.done:
-		return errStopping
-	case <-late:
-		return errBusy
-	}
+// SetMaxClients changes Config.MaxClients.
+func (e *Engine) SetMaxClients(maxClients int) {
+	e.post(func() { e.cfg.MaxClients = maxClients })
+}
+
+// SetConfigGeneration sets the number of the configuration in force, for snapshots.
+func (e *Engine) SetConfigGeneration(generation uint64) {
+	e.post(func() { e.generation = generation })
 }
 
-// CurrentSnapshot returns a snapshot of now, or the latest published one where the actor is busy for longer than within.
+// CurrentSnapshot returns a snapshot of the present state, or the latest published one if the event loop does not answer
+// within the given time.
 func (e *Engine) CurrentSnapshot(within time.Duration) *Snapshot {
-	_ = e.await(within, e.publish)
+	_ = e.await(within, e.publish) // on an error the latest snapshot is good enough
 	return e.snapshot.Load()
 }
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -6,96 +6,70 @@
 	"cottonplank/decide"
 )
 
-// departedRetention is how long the address of a room server that has left the list is known: it may finish what it has, and
-// hand its sessions over, for as long as a process takes to end.
-const departedRetention = 30 * time.Second
-
-// answerReserve is left of the client's time for the answer itself.
+// answerReserve is the part of the client's time that is reserved for the answer itself.
 const answerReserve = 20 * time.Millisecond
 
-// maxDeparted bounds the table of those.
-const maxDeparted = 256
-
-// departedUpstream is a room server that has left the list.
-type departedUpstream struct {
-	Upstream
-	timer *timer
-}
-
-// rememberDeparted keeps the address of a room server that is gone, where sessions are resumed.
-func (e *Engine) rememberDeparted(s Upstream) {
-	if e.cfg.StateTimeout == 0 || len(e.departed) >= maxDeparted {
-		return
-	}
-	if d, ok := e.departed[s.Name]; ok {
-		e.timers.stop(d.timer)
-	}
-	e.departed[s.Name] = departedUpstream{s, e.timers.set(e.now+departedRetention, func() { delete(e.departed, s.Name) })}
-}
-
-// AttemptDialed tells that an attempt has its connection, and that its line is yet to be written.
-func (e *Engine) AttemptDialed(c *Call, n int) {
-	e.post(func() {
-		if c.out && c.n == n {
-			e.timers.stop(c.connect)
-		}
-	})
-}
-
-// LocateHolder asks where the room server is that holds the session of attempt n; Resumer.Holder brings the answer. From the
-// first such question on, the state has StateWait to come. What is asked there is no request: it goes to one that
-// drains too.
+// LocateHolder requests the address of the server that holds the session of attempt n; Resumer.HolderLocated delivers it.
+// From the first such call on, the session's state has Config.StateTimeout to arrive. Servers that are draining or were
+// removed lately are located too, because fetching a session's state is not a new request.
 func (e *Engine) LocateHolder(c *Call, n int, instance string) {
 	e.post(func() {
-		if !c.out || c.n != n || c.phase != phasePending {
+		if !c.isPendingAttempt(n) {
 			return
 		}
 		if c.stateTimer == nil {
 			c.stateTimer = e.timers.set(e.now+e.cfg.StateTimeout, func() { c.startOver(ReasonStateTimeout) })
 		}
-		id := ServerID(instance)
-		if s := e.upstreams[id]; s != nil && s.Name == instance {
-			c.request.Resumer.HolderLocated(n, s.Upstream, true)
-			return
-		}
-		d, known := e.departed[instance]
-		c.request.Resumer.HolderLocated(n, d.Upstream, known)
+		holder, known := e.locate(instance)
+		c.request.Resumer.HolderLocated(n, holder, known)
 	})
 }
 
-// StateFetched tells that the state has come. The attempt's time begins anew, as far as the client waits: what the state took
-// is no fault of the room server that is to have it.
+// locate returns the server with the given instance name, also if it was removed lately.
+func (e *Engine) locate(instance string) (Upstream, bool) {
+	if u := e.upstreams.byID[ServerID(instance)]; u != nil && u.Name == instance {
+		return u.Upstream, true
+	}
+	departed, known := e.upstreams.departed[instance]
+	return departed.Upstream, known
+}
+
+// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, as far as the client's
+// deadline allows: the time that the transfer took must not count against the server that receives the session.
 func (e *Engine) StateFetched(c *Call, n int) {
 	e.post(func() {
-		if c.out && c.n == n && c.phase == phasePending {
-			e.timers.stop(c.wait)
-			c.wait = e.timers.set(e.now+max(min(c.given, c.remaining()-answerReserve), 0), func() { c.cancelAttempt(n, decide.TimedOut) })
-			e.timers.stop(c.stateTimer)
-			c.stateTimer = nil
+		if !c.isPendingAttempt(n) {
+			return
 		}
+		e.timers.stop(c.attempt.timer)
+		timeout := max(min(c.attempt.timeout, c.remaining()-answerReserve), 0)
+		c.attempt.timer = e.timers.set(e.now+timeout, func() { c.cancelAttempt(n, decide.TimedOut) })
+		e.timers.stop(c.stateTimer)
+		c.stateTimer = nil
 	})
 }
 
-// StartOver tells that attempt n found that its session cannot go on: that is the final answer.
+// StartOver reports that the session of attempt n cannot be resumed, which becomes the final answer.
 func (e *Engine) StartOver(c *Call, n int, why Reason) {
 	e.post(func() {
-		if c.out && c.n == n {
+		if c.isActiveAttempt(n) {
 			c.startOver(why)
 		}
 	})
 }
 
-// RetryLater tells that the session of attempt n is held by another request: come again is the final answer.
+// RetryLater reports that another request holds the session of attempt n. The request is answered at once; if it is
+// rejected, the client is told to retry after the given time.
 func (e *Engine) RetryLater(c *Call, n int, after time.Duration) {
 	e.post(func() {
-		if c.out && c.n == n {
+		if c.isActiveAttempt(n) {
 			c.retryAfter = after
 			c.answerNow()
 		}
 	})
 }
 
-// RejectToken tells of a request whose token is refused before anything is asked for it.
+// RejectToken reports a request whose session token is not valid. No attempt is made for it: the client has to start over.
 func (e *Engine) RejectToken(c *Call, r Request, why Reason) {
 	e.post(func() {
 		if c.phase == phaseAccepted && c.bindRequest(r) {
@@ -104,27 +78,14 @@
 	})
 }
 
-// TokenIssued tells that a client was given a token, or was not as no key seals.
+// TokenIssued reports that a client got a session token, or, if sealed is false, that it got none because there is no key
+// to seal one with.
 func (e *Engine) TokenIssued(sealed bool) {
 	e.post(func() {
 		if sealed {
-			e.counters.TokensIssued++
+			e.statistics.counters.TokensIssued++
 		} else {
-			e.counters.TokensUnsealed++
+			e.statistics.counters.TokensUnsealed++
 		}
 	})
 }
-
-// startOver gives the final answer that the session cannot go on. The decision module hears that the attempt was
-// withdrawn: the room server that it chose is not to blame.
-func (c *Call) startOver(why Reason) {
-	if !c.claimFinalAnswer() {
-		return
-	}
-	c.engine.counters.StartedOver[why]++
-	c.request.Resumer.StartOver(why)
-	if c.out {
-		c.attemptEnded(c.n, decide.Cancelled, decide.NoLoadReport)
-	}
-	delete(c.engine.calls, c.id)
-}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,59 +6,66 @@
 	"github.com/google/btree"
 )
 
-// timer is one entry of the sorted structure that holds every deadline of the process.
+// timerTreeDegree is the degree of the B-tree that holds the timers.
+const timerTreeDegree = 16
+
+// timer is one pending callback.
 type timer struct {
-	at  time.Duration
-	seq uint64 // entries of the same moment fall due in the order in which they were set
+	// at is the host-clock time at which the timer expires.
+	at time.Duration
+	// seq orders timers that expire at the same time: the one set first runs first.
+	seq uint64
+	// run is called once the timer has expired.
 	run func()
 }
 
-// timerQueue holds all deadlines, the earliest first. The module's actor owns it and sweeps it each turn.
+// timerQueue holds all timers of the engine, ordered by expiry. The event loop owns it and calls runExpired in each
+// iteration.
 type timerQueue struct {
 	tree *btree.BTreeG[*timer]
 	seq  uint64
 }
 
 func newTimerQueue() *timerQueue {
-	return &timerQueue{tree: btree.NewG(16, func(a, b *timer) bool {
+	return &timerQueue{tree: btree.NewG(timerTreeDegree, func(a, b *timer) bool {
 		return a.at < b.at || a.at == b.at && a.seq < b.seq
 	})}
 }
 
-// set adds a deadline; do runs in the sweep of the first turn at or after it.
-func (d *timerQueue) set(at time.Duration, do func()) *timer {
-	d.seq++
-	x := &timer{at: at, seq: d.seq, run: do}
-	d.tree.ReplaceOrInsert(x)
-	return x
+// set adds a timer whose callback runs in the first iteration of the event loop at or after the given time.
+func (q *timerQueue) set(at time.Duration, run func()) *timer {
+	q.seq++
+	t := &timer{at: at, seq: q.seq, run: run}
+	q.tree.ReplaceOrInsert(t)
+	return t
 }
 
-// stop takes back a deadline that has not fallen due; nil and spent ones are fine.
-func (d *timerQueue) stop(x *timer) {
-	if x != nil {
-		d.tree.Delete(x)
+// stop removes a timer that has not expired. It does nothing if t is nil or has expired.
+func (q *timerQueue) stop(t *timer) {
+	if t != nil {
+		q.tree.Delete(t)
 	}
 }
 
-// runExpired runs what has fallen due. What a deadline sets for the same moment waits for the next turn, so that
-// a deadline that sets itself again cannot keep the actor here.
-func (d *timerQueue) runExpired(now time.Duration) {
-	last := d.seq
+// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set wait for the next
+// call, so that a callback that sets its own timer again cannot keep the event loop here.
+func (q *timerQueue) runExpired(now time.Duration) {
+	last := q.seq
 	for {
-		x, ok := d.tree.Min()
-		if !ok || x.at > now || x.seq > last {
+		t, ok := q.tree.Min()
+		if !ok || t.at > now || t.seq > last {
 			return
 		}
-		d.tree.DeleteMin()
-		x.run()
+		q.tree.DeleteMin()
+		t.run()
 	}
 }
 
-// next tells when the earliest deadline falls due.
-func (d *timerQueue) next() (time.Duration, bool) {
-	x, ok := d.tree.Min()
+// next returns when the earliest timer expires; it reports false if there is none.
+func (q *timerQueue) next() (time.Duration, bool) {
+	t, ok := q.tree.Min()
 	if !ok {
 		return 0, false
 	}
-	return x.at, true
+	return t.at, true
 }
