--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -6,8 +6,8 @@
 	"cottonplank/decide"
 )
 
-// claimFinalAnswer ends the wait for the final answer. It reports true once for each request: the caller then gives the
-// answer.
+// claimFinalAnswer ends the wait for the final answer. It reports true once for each request: the caller then
+// gives the answer.
 func (c *Call) claimFinalAnswer() bool {
 	if c.phase != phasePending {
 		return false
@@ -19,7 +19,8 @@
 	return true
 }
 
-// reject answers that the request was not executed and may be retried, after retryAfter as far as the settings allow it.
+// reject answers that the request was not executed and may be retried, after retryAfter as far as the
+// settings allow it.
 func (c *Call) reject(retryAfter time.Duration) {
 	retryAfter = min(retryAfter, c.engine.cfg.Settings.MaxRetryAfter)
 	if !c.claimFinalAnswer() {
@@ -46,8 +47,8 @@
 	c.releaseRequest(c.answeredAttemptCode())
 }
 
-// startOver answers that the session cannot be resumed. The active attempt ends as cancelled, as the server that it was
-// sent to is not at fault.
+// startOver answers that the session cannot be resumed. The active attempt ends as cancelled, as the server
+// that it was sent to is not at fault.
 func (c *Call) startOver(why Reason) {
 	if !c.claimFinalAnswer() {
 		return
@@ -57,8 +58,9 @@
 	c.releaseRequest(decide.Cancelled)
 }
 
-// releaseRequest ends the active attempt, if there is one, with the given code and removes the request from the table of
-// those that the decision module knows. The client connection closes the attempt's transport with the answer.
+// releaseRequest ends the active attempt, if there is one, with the given code and removes the request from
+// the table of those that the decision module knows. The client connection closes the attempt's transport
+// with the answer.
 func (c *Call) releaseRequest(code decide.Code) {
 	if c.attempt.active {
 		c.attemptEnded(c.attempt.number, code, decide.NoLoadReport)
@@ -66,8 +68,8 @@
 	delete(c.engine.calls.byID, c.id)
 }
 
-// answeredAttemptCode returns how the active attempt ends when the final answer is given: as timed out if its timer has
-// expired at this moment too, else as cancelled.
+// answeredAttemptCode returns how the active attempt ends when the final answer is given: as timed out if its
+// timer has expired at this moment too, else as cancelled.
 func (c *Call) answeredAttemptCode() decide.Code {
 	if t := c.attempt.timer; t != nil && t.at <= c.engine.now {
 		return decide.TimedOut
@@ -75,8 +77,8 @@
 	return decide.Cancelled
 }
 
-// answerNow gives the final answer before the request has expired. The decision module chooses the answer, because an
-// attempt may have been executed.
+// answerNow gives the final answer before the request has expired. The decision module chooses the answer,
+// because an attempt may have been executed.
 func (c *Call) answerNow() {
 	switch {
 	case c.phase != phasePending:
@@ -87,8 +89,8 @@
 	}
 }
 
-// RequestMalformed reports that the first line of a client connection is no request, or that more was sent before the
-// answer. The request fails and its active attempt is cancelled.
+// RequestMalformed reports that the first line of a client connection is no request, or that more was sent
+// before the answer. The request fails and its active attempt is cancelled.
 func (e *Engine) RequestMalformed(c *Call) {
 	e.post(func() {
 		if c.phase == phaseAccepted {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -27,8 +27,8 @@
 	timer *timer
 }
 
-// startAttempt executes an action of the decision module. An attempt at a server that is not known any more ends as not
-// sent.
+// startAttempt executes an action of the decision module. An attempt at a server that is not known any more
+// ends as not sent.
 func (e *Engine) startAttempt(action decide.StartAttempt) {
 	c := e.calls.byID[action.ID]
 	if c == nil {
@@ -58,8 +58,8 @@
 	c.conn.StartAttempt(Attempt{Number: n, Upstream: u.Upstream, Timeout: timeout})
 }
 
-// connectTimeout returns how long a connection to a server may take in an attempt with the given timeout. It ends with the
-// server's drain grace, as nothing may be sent after that.
+// connectTimeout returns how long a connection to a server may take in an attempt with the given timeout. It
+// ends with the server's drain grace, as nothing may be sent after that.
 func (e *Engine) connectTimeout(u *upstreamState, timeout time.Duration) time.Duration {
 	connect := timeout
 	if configured := e.cfg.Settings.ConnectTimeout; configured > 0 && configured < timeout {
@@ -81,9 +81,9 @@
 	return c.isActiveAttempt(n) && c.phase == phasePending
 }
 
-// cancelAttempt cancels an attempt that has timed out. The client connection reports how it ended: an attempt without a
-// connection may have been sent at this very moment. It stays active until then, so that a request never has two active
-// attempts.
+// cancelAttempt cancels an attempt that has timed out. The client connection reports how it ended: an attempt
+// without a connection may have been sent at this very moment. It stays active until then, so that a request
+// never has two active attempts.
 func (c *Call) cancelAttempt(n int, why decide.Code) {
 	if c.isPendingAttempt(n) {
 		c.conn.CancelAttempt(n, why)
@@ -95,8 +95,8 @@
 	e.post(func() { c.stopConnectTimer(n) })
 }
 
-// AttemptSent reports that the request of attempt n was written completely. The attempt counts from here on, even if the
-// request was answered meanwhile, because the server has it.
+// AttemptSent reports that the request of attempt n was written completely. The attempt counts from here on,
+// even if the request was answered meanwhile, because the server has it.
 func (e *Engine) AttemptSent(c *Call, n int) {
 	e.post(func() {
 		if counters := c.classCounters(); counters != nil {
@@ -112,8 +112,8 @@
 	}
 }
 
-// AttemptAccepted reports that the server has accepted attempt n. It is ignored unless n is the active attempt of a pending
-// request.
+// AttemptAccepted reports that the server has accepted attempt n. It is ignored unless n is the active
+// attempt of a pending request.
 func (e *Engine) AttemptAccepted(c *Call, n int) {
 	e.post(func() {
 		if c.isPendingAttempt(n) {
@@ -150,7 +150,8 @@
 	}
 }
 
-// AttemptEnded reports how attempt n, or its established connection, ended. Its transport to the server is closed.
+// AttemptEnded reports how attempt n, or its established connection, ended. Its transport to the server is
+// closed.
 func (e *Engine) AttemptEnded(c *Call, n int, code decide.Code, report decide.LoadReport) {
 	e.post(func() { c.attemptEnded(n, code, report) })
 }
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// firstLineTimeout is when a client connection that has sent nothing is closed. Each health check renews it.
+	// firstLineTimeout is when a client connection that has sent nothing is closed. Each health check renews
+	// it.
 	firstLineTimeout = 2 * time.Second
 	// startedLineTimeout is when a client connection whose first line is still incomplete is closed.
 	startedLineTimeout = 2800 * time.Millisecond
@@ -16,8 +17,8 @@
 	minHealthCheckInterval = time.Second
 	// defaultLinger replaces a Traits.Linger of 0.
 	defaultLinger = 500 * time.Millisecond
-	// requestIDRetention is how long the ID of a finished request stays in use: copies of its first line that were sent
-	// before its end may still wait to be accepted.
+	// requestIDRetention is how long the ID of a finished request stays in use: copies of its first line that
+	// were sent before its end may still wait to be accepted.
 	requestIDRetention = 10 * time.Second
 	// overloadRetryAfter is what clients beyond Config.MaxClients are told to wait.
 	overloadRetryAfter = time.Second
@@ -35,7 +36,8 @@
 	phaseFinished                 // the final answer was given, or the established connection has ended
 )
 
-// Call is one client connection and its request, from Engine.Accept to Engine.ClientClosed. The event loop owns its fields.
+// Call is one client connection and its request, from Engine.Accept to Engine.ClientClosed. The event loop
+// owns its fields.
 type Call struct {
 	engine *Engine
 	conn   ClientConn
@@ -46,7 +48,8 @@
 	request Request
 	attempt attemptState
 	restore restoreState
-	// retryAfter is what the server that holds the client's session has told the client to wait; 0 if nothing.
+	// retryAfter is what the server that holds the client's session has told the client to wait; 0 if
+	// nothing.
 	retryAfter time.Duration
 	// lastActivity is when the client connection last proved to be alive, or when its call finished.
 	lastActivity time.Duration
@@ -66,10 +69,11 @@
 
 // Traits are the properties of a frontend's client connections.
 type Traits struct {
-	// Linger is how long a finished client connection may stay open for the client to read the answer; 0 means 500 ms.
+	// Linger is how long a finished client connection may stay open for the client to read the answer; 0
+	// means 500 ms.
 	Linger time.Duration
-	// Idle closes an established connection without traffic after this time, for transports that do not show the end of a
-	// connection; 0 disables it.
+	// Idle closes an established connection without traffic after this time, for transports that do not show
+	// the end of a connection; 0 disables it.
 	Idle time.Duration
 	// Resumable connections outlive this process: a planned stop leaves them to the process that starts next.
 	Resumable bool
@@ -130,9 +134,9 @@
 	return c
 }
 
-// FirstLineStarted reports that a part of the first line has arrived, and may be called again for further parts. Clients
-// that write slowly get startedLineTimeout, which further parts do not renew, and are shed only after those that have
-// sent nothing.
+// FirstLineStarted reports that a part of the first line has arrived, and may be called again for further
+// parts. Clients that write slowly get startedLineTimeout, which further parts do not renew, and are shed
+// only after those that have sent nothing.
 func (e *Engine) FirstLineStarted(c *Call) {
 	e.post(func() {
 		if c.phase != phaseAccepted {
@@ -140,15 +144,17 @@
 		}
 		if !c.lineStarted {
 			c.lineStarted = true
-			// lastActivity is the accept, or the latest health check: one may request something after a long time.
+			// lastActivity is the accept, or the latest health check: one may request something after a long
+			// time.
 			c.abortAt(c.lastActivity + startedLineTimeout)
 		}
 		c.lastActivity = e.now
 	})
 }
 
-// HealthCheckReceived reports a health check on a client connection that has requested nothing. A connection that goes on
-// sending them stays open. Health checks in a burst do not count: such a connection is closed like one that sent nothing.
+// HealthCheckReceived reports a health check on a client connection that has requested nothing. A connection
+// that goes on sending them stays open. Health checks in a burst do not count: such a connection is closed
+// like one that sent nothing.
 func (e *Engine) HealthCheckReceived(c *Call) {
 	e.post(func() {
 		// What had started to arrive, or was not read yet, was this health check.
@@ -161,8 +167,8 @@
 	})
 }
 
-// RequestReceived reports the request of a client connection. Exactly one final answer follows while the connection is
-// open.
+// RequestReceived reports the request of a client connection. Exactly one final answer follows while the
+// connection is open.
 func (e *Engine) RequestReceived(c *Call, r Request) {
 	e.post(func() {
 		if !c.admit(r) {
@@ -174,8 +180,8 @@
 	})
 }
 
-// ClientClosed reports that a client connection and everything that belonged to it is closed. A client that left before
-// its final answer gets none.
+// ClientClosed reports that a client connection and everything that belonged to it is closed. A client that
+// left before its final answer gets none.
 func (e *Engine) ClientClosed(c *Call) {
 	e.post(func() {
 		e.timers.stop(c.closeTimer)
@@ -206,8 +212,8 @@
 	}
 }
 
-// admit makes the request known to the decision module's table and reports whether it did. Beyond Config.MaxClients, and
-// at the end of a drain, it rejects the request instead.
+// admit makes the request known to the decision module's table and reports whether it did. Beyond
+// Config.MaxClients, and at the end of a drain, it rejects the request instead.
 func (c *Call) admit(r Request) bool {
 	e := c.engine
 	if c.phase != phaseAccepted || !c.bindRequest(r) {
@@ -228,8 +234,8 @@
 	c.engine.calls.byID[c.id] = c
 }
 
-// bindRequest makes the request of an accepted connection pending and reports whether it did. A request whose ID is in use
-// fails instead.
+// bindRequest makes the request of an accepted connection pending and reports whether it did. A request whose
+// ID is in use fails instead.
 func (c *Call) bindRequest(r Request) bool {
 	e := c.engine
 	e.timers.stop(c.closeTimer)
@@ -239,8 +245,8 @@
 		return true
 	}
 	if _, inUse := e.calls.clientIDs[r.ID]; inUse {
-		// Servers tell requests apart by their IDs, so this one must not disturb the other. Without an ID of its own it
-		// does not release the other's when it closes.
+		// Servers tell requests apart by their IDs, so this one must not disturb the other. Without an ID of
+		// its own it does not release the other's when it closes.
 		c.request.ID = ""
 		c.fail()
 		return false
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -12,14 +12,15 @@
 	Settings decide.Settings
 	// Known are the endpoints that this balancer knew before its start.
 	Known []Endpoint
-	// MaxClients bounds the pending requests and established connections together, as each holds a transport on both
-	// sides. A request beyond it is rejected at once.
+	// MaxClients bounds the pending requests and established connections together, as each holds a transport
+	// on both sides. A request beyond it is rejected at once.
 	MaxClients int
-	// AwaitList is set in a process that takes over from a running one: it stays in state Starting until discovery has
-	// delivered a list, for 3 s at most.
+	// AwaitList is set in a process that takes over from a running one: it stays in state Starting until
+	// discovery has delivered a list, for 3 s at most.
 	AwaitList bool
-	// ListPushed is set where a change of the endpoint list is binding as soon as discovery has it. The engine then stays
-	// in state Starting until the first list is there, for 3 s at most, and reopens a broken watch after a short fixed delay.
+	// ListPushed is set where a change of the endpoint list is binding as soon as discovery has it. The
+	// engine then stays in state Starting until the first list is there, for 3 s at most, and reopens a
+	// broken watch after a short fixed delay.
 	ListPushed bool
 	// Learned is what the previous process has learned about the servers.
 	Learned []decide.LearnedState
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// departedRetention is how long the address of a removed server stays known: its process may need as long to end, and
-	// hands its sessions over until then.
+	// departedRetention is how long the address of a removed server stays known: its process may need as long
+	// to end, and hands its sessions over until then.
 	departedRetention = 30 * time.Second
 	// maxDeparted bounds the number of such servers.
 	maxDeparted = 256
--- a/internal/core/detailed_snapshot.go
+++ b/internal/core/detailed_snapshot.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// detailedRetention is how long the last detailed snapshot is kept after it was taken.
+// detailedRetention is how long the last detailed snapshot is kept after its creation.
 const detailedRetention = 10 * time.Second
 
 // detailedSnapshot is a snapshot with an entry for each server.
 type detailedSnapshot struct {
-	snapshot *Snapshot
-	takenAt  time.Duration
+	snapshot  *Snapshot
+	createdAt time.Duration
 	// sortOnce sorts the entries for the first reader, in its goroutine, to spare the event loop that work.
 	sortOnce sync.Once
 }
 
-// DetailedSnapshot returns a snapshot with an entry for each server, at most snapshotInterval old. If the event loop does
-// not answer within the given time, it returns the latest detailed snapshot, or one without entries if there is none.
-// Detailed snapshots are taken on request alone, and one is shared by all requests within snapshotInterval, because their
-// cost grows with the number of servers.
+// DetailedSnapshot returns a snapshot with an entry for each server, at most snapshotInterval old. If the
+// event loop does not answer within the given time, it returns the latest detailed snapshot, or one without
+// entries if there is none. Detailed snapshots are taken on request alone, and one is shared by all requests
+// within snapshotInterval, because their cost grows with the number of servers.
 func (e *Engine) DetailedSnapshot(within time.Duration) *Snapshot {
 	d := e.detailedSnapshot.Load()
 	if d == nil || time.Since(d.snapshot.At) >= snapshotInterval {
@@ -40,7 +40,7 @@
 
 // publishDetailed publishes a detailed snapshot, unless the latest one is recent enough.
 func (e *Engine) publishDetailed() {
-	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.takenAt < snapshotInterval {
+	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.createdAt < snapshotInterval {
 		return
 	}
 	e.publish()
@@ -56,5 +56,5 @@
 			Load:        u.load,
 		})
 	}
-	e.detailedSnapshot.Store(&detailedSnapshot{snapshot: &s, takenAt: e.now})
+	e.detailedSnapshot.Store(&detailedSnapshot{snapshot: &s, createdAt: e.now})
 }
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -14,10 +14,11 @@
 	watchTimeout = 3 * time.Second
 )
 
-// Discovery is the source of the endpoint list. Its methods must not block. What a call brings goes to an UpdateHandler,
-// until ctx ends.
+// Discovery is the source of the endpoint list. Its methods must not block. What a call brings goes to an
+// UpdateHandler, until ctx ends.
 type Discovery interface {
-	// SetAddress directs later calls to discovery at another address. The first watch there starts with a snapshot.
+	// SetAddress directs later calls to discovery at another address. The first watch there starts with a
+	// snapshot.
 	SetAddress(address string)
 	// Watch opens a watch for changes of the list. Its heartbeats and its failure carry the given ID.
 	Watch(ctx context.Context, watch uint64)
@@ -56,7 +57,8 @@
 	timer   *timer
 }
 
-// openWatch opens a watch. A watch that is open already stays until the new one answers, so that no change is missed.
+// openWatch opens a watch. A watch that is open already stays until the new one answers, so that no change is
+// missed.
 func (e *Engine) openWatch() {
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.lists.lastWatchID++
@@ -73,7 +75,8 @@
 	e.discovery.Watch(ctx, watch)
 }
 
-// ensureWatch opens a watch, unless one is pending or the engine is reconnecting to discovery, which ends with a watch.
+// ensureWatch opens a watch, unless one is pending or the engine is reconnecting to discovery, which ends
+// with a watch.
 func (e *Engine) ensureWatch() {
 	if e.lists.pendingWatch == nil && e.reconnect.step == reconnectIdle {
 		e.openWatch()
@@ -92,8 +95,9 @@
 	}
 }
 
-// requestSnapshot fetches a snapshot, unless the engine is reconnecting: the call that ends the reconnect brings all
-// changes. This spares a discovery that is down a further call from each balancer at each time-out.
+// requestSnapshot fetches a snapshot, unless the engine is reconnecting: the call that ends the reconnect
+// brings all changes. This spares a discovery that is down a further call from each balancer at each
+// time-out.
 func (e *Engine) requestSnapshot() {
 	if e.reconnect.step == reconnectIdle {
 		e.fetchSnapshot()
@@ -109,7 +113,8 @@
 	ctx, cancel := context.WithCancel(e.ctx)
 	expiry := e.timers.set(e.now+discoveryTimeout, func() {
 		cancel()
-		// The Discovery may have dropped the call without any report, and the reconnect would wait for it forever.
+		// The Discovery may have dropped the call without any report, and the reconnect would wait for it
+		// forever.
 		if e.reconnect.step == reconnectCalling && !e.cfg.Settings.WatchList {
 			e.discoveryFailed(EndpointUpdate{Kind: decide.ListFailed})
 		}
@@ -118,7 +123,8 @@
 	e.discovery.Fetch(ctx)
 }
 
-// requestList opens a watch or fetches a snapshot, as the settings say, without waiting for the decision module's poll.
+// requestList opens a watch or fetches a snapshot, as the settings say, without waiting for the decision
+// module's poll.
 func (e *Engine) requestList() {
 	if e.cfg.Settings.WatchList {
 		e.openWatch()
@@ -127,8 +133,8 @@
 	}
 }
 
-// SetDiscoveryAddress switches to discovery at another address and opens a watch there at once. The present list stays in
-// force meanwhile, and client connections are not affected.
+// SetDiscoveryAddress switches to discovery at another address and opens a watch there at once. The present
+// list stays in force meanwhile, and client connections are not affected.
 func (e *Engine) SetDiscoveryAddress(address string) {
 	e.post(func() {
 		e.discovery.SetAddress(address)
@@ -138,8 +144,8 @@
 	})
 }
 
-// WatchAlive reports a heartbeat of a watch. If no further one arrives within watchTimeout, a new watch is opened beside
-// the stale one.
+// WatchAlive reports a heartbeat of a watch. If no further one arrives within watchTimeout, a new watch is
+// opened beside the stale one.
 func (e *Engine) WatchAlive(watch uint64) {
 	e.post(func() {
 		e.resolvePendingWatch(watch)
@@ -161,8 +167,8 @@
 	e.lists.updatedAt = e.now
 }
 
-// discoveryFailed handles a failed call and starts to reconnect. The decision module is notified too, but the calls that
-// it asks for are left out until the reconnect has ended.
+// discoveryFailed handles a failed call and starts to reconnect. The decision module is notified too, but the
+// calls that it asks for are left out until the reconnect has ended.
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
@@ -173,7 +179,8 @@
 	e.handle(decide.ListReceived{Kind: update.Kind})
 }
 
-// callStart returns when a failed call was started, or the present time for a watch that had been established.
+// callStart returns when a failed call was started, or the present time for a watch that had been
+// established.
 func (e *Engine) callStart(watch uint64) time.Duration {
 	switch {
 	case e.isPendingWatch(watch):
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -4,7 +4,8 @@
 
 // Times of a planned stop, from the call of Drain on.
 const (
-	// drainAcceptWindow is the least time before the last clients are migrated: new ones still arrive for up to 400 ms.
+	// drainAcceptWindow is the least time before the last clients are migrated: new ones still arrive for up
+	// to 400 ms.
 	drainAcceptWindow = 450 * time.Millisecond
 	// drainAnswerReserve is the part of the budget that remains when the last pending requests are answered.
 	drainAnswerReserve = 300 * time.Millisecond
@@ -14,14 +15,16 @@
 	drainMinDuration = 900 * time.Millisecond
 )
 
-// drain sends all clients to other balancers: in a planned stop, which is final, or as a lame duck, which may be revoked.
-// Clients that arrive at first are served, all pending requests are answered, and all established connections are
-// migrated. The migrations are spread over time, and in a planned stop they begin late: migrating all clients at once, at
-// the signal, would leave clients without a balancer in a rolling restart whose previous balancer is not back yet.
+// drain sends all clients to other balancers: in a planned stop, which is final, or as a lame duck, which may
+// be revoked. Clients that arrive at first are served, all pending requests are answered, and all established
+// connections are migrated. The migrations are spread over time, and in a planned stop they begin late:
+// migrating all clients at once, at the signal, would leave clients without a balancer in a rolling restart
+// whose previous balancer is not back yet.
 type drain struct {
 	// final is set in a planned stop.
 	final bool
-	// migrateAll says that all connections were migrated and that new ones are migrated as soon as they are established.
+	// migrateAll says that all connections were migrated and that new ones are migrated as soon as they are
+	// established.
 	migrateAll bool
 	// rejectNew says that new requests are rejected at once.
 	rejectNew bool
@@ -39,9 +42,10 @@
 	timers []*timer
 }
 
-// Drain starts a planned stop that lasts at most for the given budget. The returned channel is closed when it is complete.
-// While clientsQueued reports that clients wait to be accepted the drain goes on, within the budget; nil means that none
-// do. If a planned stop is in progress already, Drain changes nothing and its channel is never closed.
+// Drain starts a planned stop that lasts at most for the given budget. The returned channel is closed when it
+// is complete. While clientsQueued reports that clients wait to be accepted the drain goes on, within the
+// budget; nil means that none do. If a planned stop is in progress already, Drain changes nothing and its
+// channel is never closed.
 func (e *Engine) Drain(budget time.Duration, clientsQueued func() bool) <-chan struct{} {
 	done := make(chan struct{})
 	e.post(func() {
@@ -97,8 +101,8 @@
 	})
 }
 
-// migrateForDrain migrates an established connection. A planned stop leaves resumable connections to the next process;
-// a lame duck has no next process.
+// migrateForDrain migrates an established connection. A planned stop leaves resumable connections to the next
+// process; a lame duck has no next process.
 func (c *Call) migrateForDrain() {
 	if !c.traits.Resumable || !c.engine.drain.final {
 		c.migrate()
@@ -116,8 +120,8 @@
 // rejectsNewRequests reports whether a drain has come to the point where new requests are rejected.
 func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// finishDrainIfIdle ends a planned stop before its budget is over, once no client waits to be accepted, no first line is
-// awaited, no request is pending, and all connections that remain are resumable.
+// finishDrainIfIdle ends a planned stop before its budget is over, once no client waits to be accepted, no
+// first line is awaited, no request is pending, and all connections that remain are resumable.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
@@ -151,9 +155,10 @@
 	}
 }
 
-// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the connection is
-// too young for that, as its first line may not be read yet. The implementation of ClientConn checks for unread data too
-// and keeps the connection open then, as for one whose first line has started to arrive.
+// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the
+// connection is too young for that, as its first line may not be read yet. The implementation of ClientConn
+// checks for unread data too and keeps the connection open then, as for one whose first line has started to
+// arrive.
 func (c *Call) closeUnusedForDrain() (tooYoung bool) {
 	switch {
 	case c.lineStarted || c.shed:
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// clockStart is the host clock's reading when the engine is created. It is far above 0, so that servers that started
-	// before this process have positive start times.
+	// clockStart is the host clock's reading when the engine is created. It is far above 0, so that servers
+	// that started before this process have positive start times.
 	clockStart = 24 * time.Hour
 	// inboxSize is how many functions the inbox holds before senders block.
 	inboxSize = 1024
-	// startTimeout ends state Starting without an answer of discovery: the engine then serves from the list it has.
+	// startTimeout ends state Starting without an answer of discovery: the engine then serves from the list
+	// it has.
 	startTimeout = 3 * time.Second
 )
 
-// Engine runs the decision module of one balancer and owns all state around it. Create one with New, then call Run.
+// Engine runs the decision module of one balancer and owns all state around it. Create one with New, then
+// call Run.
 type Engine struct {
 	cfg       Config
 	balancer  *decide.Balancer
@@ -70,7 +72,8 @@
 	dispatching bool
 }
 
-// New returns an engine that Run starts. It returns an error if the decision module does not accept the settings.
+// New returns an engine that Run starts. It returns an error if the decision module does not accept the
+// settings.
 func New(cfg Config) (*Engine, error) {
 	balancer, err := decide.New(cfg.Settings)
 	if err != nil {
@@ -150,8 +153,8 @@
 // tick reads the host clock, the only time that the decision module knows.
 func (e *Engine) tick() { e.now = clockStart + time.Since(e.epoch) }
 
-// post puts a function into the inbox and blocks while that is full. The event loop itself must not call it: nothing
-// would empty the inbox.
+// post puts a function into the inbox and blocks while that is full. The event loop itself must not call it:
+// nothing would empty the inbox.
 func (e *Engine) post(do func()) {
 	select {
 	case e.inbox <- do:
@@ -159,8 +162,8 @@
 	}
 }
 
-// await runs a function in the event loop and waits for its end, for at most the given time. It returns errBusy after that,
-// although the function may still run later, and errStopping if the event loop has ended.
+// await runs a function in the event loop and waits for its end, for at most the given time. It returns
+// errBusy after that, although the function may still run later, and errStopping if the event loop has ended.
 func (e *Engine) await(within time.Duration, do func()) error {
 	finished := make(chan struct{})
 	timeout := time.After(within)
@@ -181,8 +184,8 @@
 	}
 }
 
-// handle passes an event to the decision module and executes the actions that it returns. An event that is raised by
-// such an action is handled after the remaining actions of the present one.
+// handle passes an event to the decision module and executes the actions that it returns. An event that is
+// raised by such an action is handled after the remaining actions of the present one.
 func (e *Engine) handle(event decide.Event) {
 	e.events.pending = append(e.events.pending, event)
 	if e.events.dispatching {
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -9,7 +9,8 @@
 const (
 	// responseTimeout is when an established connection is migrated because its server does not respond.
 	responseTimeout = 3 * time.Second
-	// migrationTimeout is when a client that was asked to migrate is disconnected if it reads nothing any more.
+	// migrationTimeout is when a client that was asked to migrate is disconnected if it reads nothing any
+	// more.
 	migrationTimeout = 900 * time.Millisecond
 )
 
@@ -23,12 +24,13 @@
 	e.statistics.counters.Migrations++
 	e.timers.stop(c.responseTimer)
 	c.conn.Migrate()
-	// A client that reads nothing any more must not hold up the migration. An idle timer goes on beside this one.
+	// A client that reads nothing any more must not hold up the migration. An idle timer goes on beside this
+	// one.
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
-// ResponseAwaited reports that the client of an established connection has sent something that the server has not answered
-// yet. Without a response the connection is migrated after responseTimeout.
+// ResponseAwaited reports that the client of an established connection has sent something that the server has
+// not answered yet. Without a response the connection is migrated after responseTimeout.
 func (e *Engine) ResponseAwaited(c *Call) {
 	e.post(func() {
 		if c.phase == phaseEstablished && !c.migrating {
@@ -46,8 +48,8 @@
 	})
 }
 
-// serverUnresponsive migrates the client of a server that has vanished without closing the connection. The decision module
-// is notified of a reset, as TCP may report nothing for a long time.
+// serverUnresponsive migrates the client of a server that has vanished without closing the connection. The
+// decision module is notified of a reset, as TCP may report nothing for a long time.
 func (c *Call) serverUnresponsive() {
 	if c.phase == phaseEstablished && !c.migrating {
 		c.engine.statistics.counters.Unresponsive++
@@ -56,7 +58,8 @@
 	}
 }
 
-// TrafficSeen reports traffic on an established connection. A frontend calls it now and then, not for each packet.
+// TrafficSeen reports traffic on an established connection. A frontend calls it now and then, not for each
+// packet.
 func (e *Engine) TrafficSeen(c *Call) {
 	e.post(func() {
 		if c.phase == phaseEstablished {
@@ -79,8 +82,8 @@
 	})
 }
 
-// HalfClosed reports that one side of an established connection has closed. The other side is aborted if it does not follow
-// within Traits.Linger.
+// HalfClosed reports that one side of an established connection has closed. The other side is aborted if it
+// does not follow within Traits.Linger.
 func (e *Engine) HalfClosed(c *Call) {
 	e.post(func() { c.abortAt(e.now + c.traits.Linger) })
 }
--- a/internal/core/lameduck.go
+++ b/internal/core/lameduck.go
@@ -4,16 +4,17 @@
 
 // Times of a lame duck, from the call of EnterLameDuck on.
 const (
-	// lameDuckMigrationStart is when the first client is migrated: frontends still accept clients for a while.
+	// lameDuckMigrationStart is when the first client is migrated: frontends still accept clients for a
+	// while.
 	lameDuckMigrationStart = 500 * time.Millisecond
-	// lameDuckMigrationEnd is when all clients are migrated. Those that read nothing any more are disconnected
-	// migrationTimeout later.
+	// lameDuckMigrationEnd is when all clients are migrated. Those that read nothing any more are
+	// disconnected migrationTimeout later.
 	lameDuckMigrationEnd = 2500 * time.Millisecond
 )
 
-// EnterLameDuck sends all clients to other balancers while the process stays up: new clients are served at first, and
-// rejected once all are migrated. It changes nothing if a drain is in progress. It waits for the event loop, for at most
-// the given time, and returns an error if that did not run it.
+// EnterLameDuck sends all clients to other balancers while the process stays up: new clients are served at
+// first, and rejected once all are migrated. It changes nothing if a drain is in progress. It waits for the
+// event loop, for at most the given time, and returns an error if that did not run it.
 func (e *Engine) EnterLameDuck(within time.Duration) error {
 	return e.await(within, func() {
 		if e.drain != nil {
@@ -26,8 +27,8 @@
 	})
 }
 
-// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay. It waits for the event loop, for at most
-// the given time, and returns an error if that did not run it or if the process is stopping.
+// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay. It waits for the event loop,
+// for at most the given time, and returns an error if that did not run it or if the process is stopping.
 func (e *Engine) LeaveLameDuck(within time.Duration) error {
 	var refused error
 	err := e.await(within, func() {
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -7,16 +7,18 @@
 	"cottonplank/decide"
 )
 
-// Bounds of the delay before a broken watch is reopened where lists are pushed; between them it is a quarter of the drain
-// grace.
+// Bounds of the delay before a broken watch is reopened where lists are pushed; between them it is a quarter
+// of the drain grace.
 const (
 	maxPushedReconnectDelay = 250 * time.Millisecond
 	minPushedReconnectDelay = 20 * time.Millisecond
 )
 
-// Dialer is implemented by a Discovery that can dial without making a call, to find out whether discovery is reachable.
+// Dialer is implemented by a Discovery that can dial without making a call, to find out whether discovery is
+// reachable.
 type Dialer interface {
-	// Dial must not block. It reports with done whether discovery accepted the connection, unless ctx ends first.
+	// Dial must not block. It reports with done whether discovery accepted the connection, unless ctx ends
+	// first.
 	Dial(ctx context.Context, done func(reachable bool))
 }
 
@@ -37,7 +39,8 @@
 	failedStart time.Duration
 	// dialStart is when the present dial was started.
 	dialStart time.Duration
-	// lastStaleWatchID is the latest watch that was opened before discovery's address changed; 0 if it never has.
+	// lastStaleWatchID is the latest watch that was opened before discovery's address changed; 0 if it never
+	// has.
 	lastStaleWatchID uint64
 	// generation counts the steps, to recognize the result of a dial that was cancelled.
 	generation uint64
@@ -60,7 +63,8 @@
 	}
 }
 
-// startReconnect starts or restarts a reconnect after the failure of an attempt that was started at the given time.
+// startReconnect starts or restarts a reconnect after the failure of an attempt that was started at the given
+// time.
 func (e *Engine) startReconnect(failedStart time.Duration) {
 	e.reconnect.failedStart = failedStart
 	e.scheduleReconnect(e.reconnect.schedule.DialAt(failedStart, e.now), e.dialDiscovery)
@@ -82,15 +86,16 @@
 	r.generation++
 }
 
-// watchConfirmsDiscovery stops the reconnect on a heartbeat of any watch, as one that was open all the time has missed no
-// change. A watch at a former address confirms nothing about the present one.
+// watchConfirmsDiscovery stops the reconnect on a heartbeat of any watch, as one that was open all the time
+// has missed no change. A watch at a former address confirms nothing about the present one.
 func (e *Engine) watchConfirmsDiscovery(watch uint64) {
 	if watch > e.reconnect.lastStaleWatchID {
 		e.stopReconnect()
 	}
 }
 
-// dialDiscovery finds out whether discovery is reachable. A Discovery that is no Dialer is called at once instead.
+// dialDiscovery finds out whether discovery is reachable. A Discovery that is no Dialer is called at once
+// instead.
 func (e *Engine) dialDiscovery() {
 	r := &e.reconnect
 	dialer, ok := e.discovery.(Dialer)
@@ -120,8 +125,8 @@
 	}
 }
 
-// scheduleDiscoveryCall schedules the one call that follows a successful dial; the schedule spreads these calls over the
-// fleet.
+// scheduleDiscoveryCall schedules the one call that follows a successful dial; the schedule spreads these
+// calls over the fleet.
 func (e *Engine) scheduleDiscoveryCall() {
 	e.scheduleReconnect(e.reconnect.schedule.CallAt(e.reconnect.failedStart, e.now), func() {
 		e.stopReconnect()
--- a/internal/core/reconnect_test.go
+++ b/internal/core/reconnect_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"context"
-	"sync"
 	"testing"
 	"time"
 
 	"cottonplank/decide"
 )
 
-// fakeDialer is a resolver whose dials a test answers.
+// fakeDialer is a Discovery whose dials the test answers.
 type fakeDialer struct {
 	fakeDiscovery
 	dials chan dialRequest
@@ -17,40 +16,41 @@
 
 type dialRequest struct {
 	ctx  context.Context
-	done func(bool)
+	done func(reachable bool)
 }
 
-func (d *fakeDialer) Dial(ctx context.Context, done func(bool)) { d.dials <- dialRequest{ctx, done} }
+func (d *fakeDialer) Dial(ctx context.Context, done func(reachable bool)) {
+	d.dials <- dialRequest{ctx, done}
+}
 
+// next waits for the next dial.
 func (d *fakeDialer) next(t *testing.T) dialRequest {
 	t.Helper()
 	select {
-	case o := <-d.dials:
-		return o
+	case dial := <-d.dials:
+		return dial
 	case <-time.After(20 * time.Second):
-		t.Fatal("discovery is not dialled")
+		t.Fatal("discovery is not dialed")
 		return dialRequest{}
 	}
 }
 
+// startDialingEngine runs an engine whose first poll comes at once.
 func startDialingEngine(t *testing.T) (*Engine, *fakeDialer) {
 	t.Helper()
-	engine, err := New(Config{MaxClients: 1, Log: func(string) {}, Settings: decide.Settings{Seed: 3, Zone: "a", WatchList: true,
-		Balancers: 3, Safety: decide.SafetyLimits{MaxPollInterval: 200 * time.Millisecond}, // the first poll comes at once
-		Classes: []decide.Class{{Name: "c", LatencyObjective: time.Second}}}})
-	if err != nil {
-		t.Fatal(err)
-	}
 	f := &fakeDialer{dials: make(chan dialRequest, 10)}
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { engine.Run(ctx, f, f) })
-	t.Cleanup(func() { cancel(); running.Wait() })
+	engine := runEngine(t, Config{MaxClients: 1, Settings: decide.Settings{
+		Seed:      3,
+		Zone:      "a",
+		WatchList: true,
+		Balancers: 3,
+		Safety:    decide.SafetyLimits{MaxPollInterval: 200 * time.Millisecond},
+		Classes:   []decide.Class{{Name: "c", LatencyObjective: time.Second}},
+	}}, f)
 	return engine, f
 }
 
-// A call whose order was left out, which nothing tells, is made again after its wait. Guards against a watch that is waited
-// for for ever.
+// A watch that the Discovery has dropped without any report is opened again after its time-out.
 func TestUnansweredWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	engine, f := startEngineWith(t, Config{Settings: decide.Settings{WatchList: true}})
@@ -58,8 +58,8 @@
 	f.waitForWatches(t, 2)
 }
 
-// While discovery is away it is dialled, not called; a dial that hangs is given up and made again, and what it tells later
-// is nothing. The call comes after the first dial that finds it, once.
+// While discovery is unreachable the engine dials it and makes no calls. A dial that hangs is cancelled and
+// repeated, and its late result is ignored. The first dial that succeeds is followed by one call.
 func TestDiscoveryIsDialedUntilReachable(t *testing.T) {
 	t.Parallel()
 	engine, f := startDialingEngine(t)
@@ -70,14 +70,14 @@
 	hung := f.next(t)
 	again := f.next(t)
 	if hung.ctx.Err() == nil {
-		t.Error("two dials are out at once")
+		t.Error("two dials are in progress at once")
 	}
 	hung.done(true)
-	engine.executeNow(decide.WatchList{}, decide.FetchList{})
+	executeNow(engine, decide.WatchList{}, decide.FetchList{})
 	nextSnapshot(engine)
 	f.mu.Lock()
 	if n := len(f.watchContexts); n != 1 {
-		t.Errorf("%d watches were asked for before a dial found discovery, want the first alone", n)
+		t.Errorf("%d watches were opened before a dial succeeded, want the first alone", n)
 	}
 	f.mu.Unlock()
 	again.done(true)
@@ -88,16 +88,8 @@
 	}
 }
 
-// executeNow carries out actions as if the decision module asked for them now.
-func (e *Engine) executeNow(actions ...decide.Action) {
-	e.post(func() {
-		for _, a := range actions {
-			e.execute(a)
-		}
-	})
-}
-
-// A watch that stands speaks for discovery, as nothing is missed; one of the address that was left does not.
+// A heartbeat of an open watch ends the reconnect, as no change is missed; one of a watch at a former address
+// does not.
 func TestOnlyCurrentWatchesConfirmDiscovery(t *testing.T) {
 	t.Parallel()
 	engine, f := startDialingEngine(t)
@@ -110,11 +102,11 @@
 	f.next(t).done(true)
 	f.waitForWatches(t, 3)
 	engine.WatchAlive(3)
-	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed}) // a list that was fetched beside it
+	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed}) // a fetch beside the watch
 	engine.WatchAlive(3)
 	nextSnapshot(engine)
-	time.Sleep(2 * time.Second) // a dial would come 1.5 s after the failure at the latest
+	time.Sleep(2 * time.Second) // a dial would start 1.5 s after the failure at the latest
 	if n := len(f.dials); n > 0 {
-		t.Errorf("%d dials though a watch is alive", n)
+		t.Errorf("%d dials although a watch is alive", n)
 	}
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -9,8 +9,8 @@
 // restoreRetryInterval is the interval between attempts to restore a connection.
 const restoreRetryInterval = 250 * time.Millisecond
 
-// restoreState describes a connection that was established before this process started and is opened again. Its zero
-// value belongs to all other calls.
+// restoreState describes a connection that was established before this process started and is opened again.
+// Its zero value belongs to all other calls.
 type restoreState struct {
 	active bool
 	server decide.ServerID
@@ -20,8 +20,9 @@
 	firstAttempt int
 }
 
-// RestoreConnection reopens a connection that was established before this process started, at the same server and at no
-// other. It tries for the time of patience, also while the server is not listed; after that the request fails.
+// RestoreConnection reopens a connection that was established before this process started, at the same server
+// and at no other. It tries for the time of patience, also while the server is not listed; after that the
+// request fails.
 func (e *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	e.post(func() {
 		if c.phase != phaseAccepted || !c.bindRequest(r) {
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -50,10 +50,12 @@
 // Ready returns a channel that is closed when the state becomes Serving for the first time.
 func (e *Engine) Ready() <-chan struct{} { return e.ready }
 
-// AwaitsList reports whether clients have to wait for the first endpoint list, which is so only where lists are pushed.
+// AwaitsList reports whether clients have to wait for the first endpoint list, which is so only where lists
+// are pushed.
 func (e *Engine) AwaitsList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
-// SkipListWait ends state Starting without an endpoint list, because the process that this one takes over from has ended.
+// SkipListWait ends state Starting without an endpoint list, because the process that this one takes over
+// from has ended.
 func (e *Engine) SkipListWait() { e.post(e.finishStarting) }
 
 // finishStarting changes the state from Starting to Serving.
@@ -73,8 +75,8 @@
 	e.post(func() { e.generation = generation })
 }
 
-// CurrentSnapshot returns a snapshot of the present state, or the latest published one if the event loop does not answer
-// within the given time.
+// CurrentSnapshot returns a snapshot of the present state, or the latest published one if the event loop does
+// not answer within the given time.
 func (e *Engine) CurrentSnapshot(within time.Duration) *Snapshot {
 	_ = e.await(within, e.publish) // on an error the latest snapshot is good enough
 	return e.snapshot.Load()
--- /dev/null
+++ b/internal/core/service_test.go
@@ -0,0 +1,69 @@
+package core
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"cottonplank/decide"
+)
+
+// A process that takes over becomes ready with the first list, or when the previous process has ended.
+func TestReadyAfterFirstListOrSkip(t *testing.T) {
+	t.Parallel()
+	for name, finishStart := range map[string]func(*Engine){
+		"list":                   func(engine *Engine) { engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListDelta}) },
+		"previous process ended": (*Engine).SkipListWait,
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			f := &fakeDiscovery{}
+			engine := runEngine(t, Config{MaxClients: 1, AwaitList: true, Settings: decide.Settings{
+				Seed:      3,
+				Zone:      "a",
+				WatchList: true,
+				Classes:   []decide.Class{{Name: "c", LatencyObjective: time.Second}},
+			}}, f)
+			engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed})
+			if s := engine.CurrentSnapshot(10 * time.Second); s.Service != Starting {
+				t.Errorf("state before the list: %v", s.Service)
+			}
+			f.mu.Lock()
+			if len(f.requests) != 1 {
+				t.Errorf("requests to discovery are %q, want one at once", f.requests)
+			}
+			f.mu.Unlock()
+			finishStart(engine)
+			select {
+			case <-engine.Ready():
+			case <-time.After(10 * time.Second):
+				t.Fatal("not ready")
+			}
+			if engine.ServiceState() != Serving {
+				t.Errorf("state after it: %v", engine.ServiceState())
+			}
+		})
+	}
+}
+
+// Callers never wait longer than they asked for, even if the event loop hangs or the inbox is full.
+func TestQueriesAreBoundedWhileEngineIsBusy(t *testing.T) {
+	t.Parallel()
+	engine := startEngine(t, 10, readyEndpoint("s-1"))
+	busy, release := make(chan struct{}), make(chan struct{})
+	engine.post(func() { close(busy); <-release })
+	<-busy
+	defer close(release)
+	if s := engine.CurrentSnapshot(50 * time.Millisecond); s.Listed != 1 {
+		t.Errorf("%+v", s)
+	}
+	if err := engine.EnterLameDuck(50 * time.Millisecond); !errors.Is(err, errBusy) {
+		t.Errorf("a function that was not run: %v, want %v", err, errBusy)
+	}
+	for len(engine.inbox) < cap(engine.inbox) {
+		engine.post(func() {})
+	}
+	if err := engine.LeaveLameDuck(50 * time.Millisecond); !errors.Is(err, errBusy) {
+		t.Errorf("a function that did not fit into the inbox: %v, want %v", err, errBusy)
+	}
+}
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -9,9 +9,10 @@
 // answerReserve is the part of the client's time that is reserved for the answer itself.
 const answerReserve = 20 * time.Millisecond
 
-// LocateHolder requests the address of the server that holds the session of attempt n; Resumer.HolderLocated delivers it.
-// From the first such call on, the session's state has Config.StateTimeout to arrive. Servers that are draining or were
-// removed lately are located too, because fetching a session's state is not a new request.
+// LocateHolder requests the address of the server that holds the session of attempt n; Resumer.HolderLocated
+// delivers it. From the first such call on, the session's state has Config.StateTimeout to arrive. Servers
+// that are draining or were removed lately are located too, because fetching a session's state is not a new
+// request.
 func (e *Engine) LocateHolder(c *Call, n int, instance string) {
 	e.post(func() {
 		if !c.isPendingAttempt(n) {
@@ -34,8 +35,9 @@
 	return departed.Upstream, known
 }
 
-// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, as far as the client's
-// deadline allows: the time that the transfer took must not count against the server that receives the session.
+// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, as far as
+// the client's deadline allows: the time that the transfer took must not count against the server that
+// receives the session.
 func (e *Engine) StateFetched(c *Call, n int) {
 	e.post(func() {
 		if !c.isPendingAttempt(n) {
@@ -58,8 +60,8 @@
 	})
 }
 
-// RetryLater reports that another request holds the session of attempt n. The request is answered at once; if it is
-// rejected, the client is told to retry after the given time.
+// RetryLater reports that another request holds the session of attempt n. The request is answered at once; if
+// it is rejected, the client is told to retry after the given time.
 func (e *Engine) RetryLater(c *Call, n int, after time.Duration) {
 	e.post(func() {
 		if c.isActiveAttempt(n) {
@@ -69,7 +71,8 @@
 	})
 }
 
-// RejectToken reports a request whose session token is not valid. No attempt is made for it: the client has to start over.
+// RejectToken reports a request whose session token is not valid. No attempt is made for it: the client has
+// to start over.
 func (e *Engine) RejectToken(c *Call, r Request, why Reason) {
 	e.post(func() {
 		if c.phase == phaseAccepted && c.bindRequest(r) {
@@ -78,8 +81,8 @@
 	})
 }
 
-// TokenIssued reports that a client got a session token, or, if sealed is false, that it got none because there is no key
-// to seal one with.
+// TokenIssued reports that a client got a session token, or, if sealed is false, that it got none because
+// there is no key to seal one with.
 func (e *Engine) TokenIssued(sealed bool) {
 	e.post(func() {
 		if sealed {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -85,7 +85,7 @@
 	s.StartedOver = maps.Clone(s.StartedOver)
 	s.sumClasses()
 	e.snapshot.Store(s)
-	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.takenAt > detailedRetention {
+	if d := e.detailedSnapshot.Load(); d != nil && e.now-d.createdAt > detailedRetention {
 		e.detailedSnapshot.Store(nil)
 	}
 }
@@ -101,8 +101,8 @@
 	s.Failed += s.Malformed
 }
 
-// noteEjection notes whether the decision module has ejected a server. It ejects a server only when an event about that
-// server arrives, so that it suffices to check after these.
+// noteEjection notes whether the decision module has ejected a server. It ejects a server only when an event
+// about that server arrives, so that it suffices to check after these.
 func (e *Engine) noteEjection(id decide.ServerID) {
 	if e.balancer.Ejected(id) {
 		e.upstreams.ejected[id] = struct{}{}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -19,8 +19,8 @@
 	run func()
 }
 
-// timerQueue holds all timers of the engine, ordered by expiry. The event loop owns it and calls runExpired in each
-// iteration.
+// timerQueue holds all timers of the engine, ordered by expiry. The event loop owns it and calls runExpired
+// in each iteration.
 type timerQueue struct {
 	tree *btree.BTreeG[*timer]
 	seq  uint64
@@ -47,8 +47,8 @@
 	}
 }
 
-// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set wait for the next
-// call, so that a callback that sets its own timer again cannot keep the event loop here.
+// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set wait
+// for the next call, so that a callback that sets its own timer again cannot keep the event loop here.
 func (q *timerQueue) runExpired(now time.Duration) {
 	last := q.seq
 	for {
--- /dev/null
+++ b/internal/core/timers_test.go
@@ -0,0 +1,34 @@
+package core
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestTimersExpireInOrder(t *testing.T) {
+	queue := newTimerQueue()
+	var got []string
+	add := func(at time.Duration, name string) *timer {
+		return queue.set(at, func() { got = append(got, name) })
+	}
+	add(3, "c")
+	add(1, "a")
+	stopped := add(2, "stopped")
+	add(1, "b")
+	queue.set(2, func() { add(2, "next run") })
+	queue.stop(stopped)
+	queue.stop(nil)
+	queue.runExpired(2)
+	if !slices.Equal(got, []string{"a", "b"}) {
+		t.Errorf("the first run ran %q", got)
+	}
+	queue.runExpired(2)
+	queue.runExpired(3)
+	if !slices.Equal(got, []string{"a", "b", "next run", "c"}) {
+		t.Errorf("all runs ran %q", got)
+	}
+	if _, ok := queue.next(); ok {
+		t.Error("a timer is left")
+	}
+}
--- a/internal/core/upstreams.go
+++ b/internal/core/upstreams.go
@@ -12,8 +12,8 @@
 	zone    string
 	started time.Time
 	state   decide.State
-	// drainNotifiedAt is when this process learned that the server is draining or was removed; 0 if it is ready, or was not
-	// ready already in the list that was restored at the start.
+	// drainNotifiedAt is when this process learned that the server is draining or was removed; 0 if it is
+	// ready, or was not ready already in the list that was restored at the start.
 	drainNotifiedAt time.Duration
 	// connections counts the established connections.
 	connections int
@@ -27,7 +27,8 @@
 type upstreamTable struct {
 	// byID holds the servers of the endpoint list, and removed ones that still have connections.
 	byID map[decide.ServerID]*upstreamState
-	// ejected holds servers that the decision module has ejected; it may also hold some whose ejection has ended.
+	// ejected holds servers that the decision module has ejected; it may also hold some whose ejection has
+	// ended.
 	ejected map[decide.ServerID]struct{}
 	// departed holds servers that were removed lately, by name.
 	departed map[string]departedUpstream
@@ -115,8 +116,8 @@
 	}
 }
 
-// applyEndpoint applies one entry of the endpoint list. It adds the server to unavailable if that accepts no new requests
-// from now on, or is another process than before.
+// applyEndpoint applies one entry of the endpoint list. It adds the server to unavailable if that accepts no
+// new requests from now on, or is another process than before.
 func (e *Engine) applyEndpoint(endpoint Endpoint, kind decide.ListKind, unavailable map[*upstreamState]bool) {
 	u := e.upstreams.byID[endpoint.ID]
 	if u == nil {
@@ -155,8 +156,8 @@
 	e.upstreams.deleteUnused(u)
 }
 
-// cancelUnsentAttempts cancels the attempts at the given servers whose request was not sent yet. A connection that comes
-// up late would otherwise send a new request to a server after its drain grace.
+// cancelUnsentAttempts cancels the attempts at the given servers whose request was not sent yet. A connection
+// that comes up late would otherwise send a new request to a server after its drain grace.
 func (e *Engine) cancelUnsentAttempts(unavailable map[*upstreamState]bool) {
 	if len(unavailable) == 0 {
 		return
@@ -173,7 +174,8 @@
 	return u.drainNotifiedAt + e.cfg.Settings.Safety.DrainGrace, u.drainNotifiedAt > 0
 }
 
-// closedToAttempts reports whether nothing may be sent to a server any more: it was removed, or its drain grace is over.
+// closedToAttempts reports whether nothing may be sent to a server any more: it was removed, or its drain
+// grace is over.
 func (e *Engine) closedToAttempts(u *upstreamState) bool {
 	graceEnd, draining := e.drainGraceEnd(u)
 	return u.state == decide.Removed || draining && e.now >= graceEnd
--- /dev/null
+++ b/internal/core/upstreams_test.go
@@ -0,0 +1,27 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"cottonplank/decide"
+)
+
+// A removed server stays in the table only while it has established connections.
+func TestRemovedUpstreamsAreDeleted(t *testing.T) {
+	t.Parallel()
+	engine := startEngine(t, 10, readyEndpoint("s-1"), readyEndpoint("s-2"))
+	conn := &fakeClientConn{}
+	c := openRequest(engine, conn, time.Second)
+	conn.wait(t, "attempt 0")
+	engine.AttemptAccepted(c, 0)
+	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot})
+	if s := nextDetailedSnapshot(engine); len(s.Upstreams) != 1 || s.Upstreams[0].Connections != 1 {
+		t.Errorf("while the connection is open: %+v", s.Upstreams)
+	}
+	engine.AttemptEnded(c, 0, decide.OK, decide.NoLoadReport)
+	engine.ClientClosed(c)
+	if s := nextDetailedSnapshot(engine); len(s.Upstreams) != 0 {
+		t.Errorf("after its end: %+v", s.Upstreams)
+	}
+}
--- a/internal/core/watchdog.go
+++ b/internal/core/watchdog.go
@@ -1,6 +1,7 @@
 package core
 
-// Watchdog observes an event loop, to detect one that hangs: each iteration calls Busy at its start and Idle at its end.
+// Watchdog observes an event loop, to detect one that hangs: each iteration calls Busy at its start and Idle
+// at its end.
 type Watchdog interface {
 	Busy()
 	Idle()
