--- a/internal/textline/fuzz_test.go
+++ b/internal/textline/fuzz_test.go
@@ -9,16 +9,19 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// A line is at most 4 KiB and one line; with its end it is what was read.
+// maxLine is the reader's buffer size and so the length limit.
+const maxLine = 4096
+
+// A line that is read is one line within the limit, and with its terminator it is the beginning of the input.
 func FuzzRead(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("PING\r\n"), []byte("LAMEDUCK\n"), bytes.Repeat([]byte("x"), 5000))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		text, err := Read(bufio.NewReaderSize(bytes.NewReader(raw), 4096))
+		text, err := Read(bufio.NewReaderSize(bytes.NewReader(raw), maxLine))
 		switch {
 		case err == nil && !bytes.HasPrefix(raw, []byte(text+"\r\n")),
 			errors.Is(err, ErrBare) && !bytes.HasPrefix(raw, []byte(text+"\n")),
-			errors.Is(err, ErrLong) && bytes.IndexByte(raw[:4096], '\n') >= 0,
-			len(text) > 4096, bytes.Contains([]byte(text), []byte("\n")):
+			errors.Is(err, ErrLong) && bytes.IndexByte(raw[:maxLine], '\n') >= 0,
+			len(text) > maxLine, bytes.Contains([]byte(text), []byte("\n")):
 			t.Errorf("%.60q is read as %.60q, %v", raw, text, err)
 		}
 	})
