--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -1,204 +1,192 @@
 package core
 
-import (
-	"errors"
-	"time"
+import "time"
 
-	"cottonplank/decide"
-)
-
-// Times of a planned stop, from its signal on.
-const (
-	drainGrace = 450 * time.Millisecond // new clients go on coming for up to 400 ms
-	drainSpare = 300 * time.Millisecond // left of the budget when the last requests are refused
-	drainLook  = 10 * time.Millisecond  // apart, looks at whether clients wait to be accepted
-	drainLeast = 900 * time.Millisecond // it does not end sooner, for what comes late
-)
-
-// Times of a lame duck, from the call on.
+// Times of a planned stop, from the call of Drain on.
 const (
-	lameFirst = 500 * time.Millisecond  // the front still sends clients for a while after the first no
-	lameLast  = 2500 * time.Millisecond // all are moved by then, and those that take nothing dropped 0.9 s later
+	// drainAcceptWindow is the least time before the last clients are migrated: new ones still arrive for up
+	// to 400 ms.
+	drainAcceptWindow = 450 * time.Millisecond
+	// drainAnswerReserve is the part of the budget that remains when the last pending requests are answered.
+	drainAnswerReserve = 300 * time.Millisecond
+	// drainRecheckInterval is the interval between checks whether clients still wait to be accepted.
+	drainRecheckInterval = 10 * time.Millisecond
+	// drainMinDuration is the least duration of a drain, for clients that arrive late.
+	drainMinDuration = 900 * time.Millisecond
 )
 
-var errStopping = errors.New("stopping")
-
-// drain sends all clients away: in a planned stop, which is final, or as a lame duck, which may be called back. What
-// arrives at first is served, all is answered, all standing clients are moved, one after the other: the instances
-// that take them over get them in turn. A stop moves them late. All at once, and at once, would leave every client of a
-// rolling restart without a balancer where the one that was restarted before is not back yet.
+// drain sends all clients to other balancers: in a planned stop, which is final, or as a lame duck, which may
+// be revoked. Clients that arrive at first are served, all pending requests are answered, and all established
+// connections are migrated. The migrations are spread over time, and in a planned stop they begin late:
+// migrating all clients at once, at the signal, would leave clients without a balancer in a rolling restart
+// whose previous balancer is not back yet.
 type drain struct {
-	final  bool
-	moving bool // all are sent away, also those that stand from now on
-	ending bool // what comes now is refused at once
-	least  bool
-	done   chan struct{} // of a stop
+	// final is set in a planned stop.
+	final bool
+	// migrateAll says that all connections were migrated and that new ones are migrated as soon as they are
+	// established.
+	migrateAll bool
+	// rejectNew says that new requests are rejected at once.
+	rejectNew bool
+	// minimumElapsed says that drainMinDuration is over.
+	minimumElapsed bool
+	// done is closed at the end of a planned stop.
+	done chan struct{}
+	// closed says that done is closed.
 	closed bool
-	look   *deadline   // the next look at whether it is over
-	waits  func() bool // tells whether clients wait to be accepted; nil: none do
-	due    []*deadline // its steps, which a call back takes back
+	// recheckTimer starts the next check whether the drain is complete.
+	recheckTimer *timer
+	// clientsQueued reports whether clients wait to be accepted; nil means that none do.
+	clientsQueued func() bool
+	// timers are the scheduled steps.
+	timers []*timer
+}
+
+// Drain starts a planned stop that lasts at most for the given budget. The returned channel is closed when it
+// is complete. While clientsQueued reports that clients wait to be accepted the drain goes on, within the
+// budget; nil means that none do. If a planned stop is in progress already, Drain changes nothing and its
+// channel is never closed.
+func (e *Engine) Drain(budget time.Duration, clientsQueued func() bool) <-chan struct{} {
+	done := make(chan struct{})
+	e.post(func() {
+		if e.drain != nil && e.drain.final {
+			return
+		}
+		e.cancelDrain() // of a lame duck
+		e.drain = &drain{final: true, done: done, clientsQueued: clientsQueued}
+		e.setServiceState(Stopping)
+		// A client that reads nothing any more is disconnected before the budget is over.
+		last := max(budget-migrationTimeout, drainAcceptWindow)
+		e.migrateBetween(min(budget/2, last), last)
+		e.scheduleDrainStep(drainMinDuration, func() {
+			e.drain.minimumElapsed = true
+			e.finishDrainIfIdle()
+		})
+		e.scheduleDrainStep(budget-drainAnswerReserve, e.rejectAll)
+		e.scheduleDrainStep(budget, e.finishDrain)
+	})
+	return done
 }
 
-// step sets one step of the drain.
-func (m *Engine) step(after time.Duration, do func()) {
-	m.drain.due = append(m.drain.due, m.deadlines.set(m.now+after, do))
+// scheduleDrainStep schedules a step of the drain in progress.
+func (e *Engine) scheduleDrainStep(after time.Duration, run func()) {
+	e.drain.timers = append(e.drain.timers, e.timers.set(e.now+after, run))
 }
 
-// calledBack takes back what a lame duck still had to do.
-func (m *Engine) calledBack() {
-	if m.drain != nil {
-		for _, d := range m.drain.due {
-			m.deadlines.drop(d)
+// cancelDrain ends the drain in progress, if there is one, and cancels its remaining steps.
+func (e *Engine) cancelDrain() {
+	if e.drain != nil {
+		for _, t := range e.drain.timers {
+			e.timers.stop(t)
 		}
 	}
-	m.drain = nil
+	e.drain = nil
 }
 
-// moveBetween paces the moves of what stands.
-func (m *Engine) moveBetween(first, last time.Duration) {
-	m.step(first, func() {
-		n, pause := 0, (last-first)/time.Duration(max(len(m.open), 1))
-		for c := range m.open {
-			n++
-			m.step(time.Duration(n)*pause, c.sendAway)
+// migrateBetween spreads the migration of all established connections between two times from now.
+func (e *Engine) migrateBetween(first, last time.Duration) {
+	e.scheduleDrainStep(first, func() {
+		interval := (last - first) / time.Duration(max(len(e.calls.open), 1))
+		position := 0
+		for c := range e.calls.open {
+			position++
+			e.scheduleDrainStep(time.Duration(position)*interval, c.migrateForDrain)
 		}
 	})
-	m.step(last, func() {
-		m.drain.moving = true
-		for c := range m.open {
-			c.sendAway()
+	e.scheduleDrainStep(last, func() {
+		e.drain.migrateAll = true
+		for c := range e.calls.open {
+			c.migrateForDrain()
 		}
 	})
 }
 
-// refuseAll answers what waits and what comes from now on.
-func (m *Engine) refuseAll() {
-	m.drain.ending = true
-	for c := range m.open {
-		c.answerNow()
+// migrateForDrain migrates an established connection. A planned stop leaves resumable connections to the next
+// process; a lame duck has no next process.
+func (c *Call) migrateForDrain() {
+	if !c.traits.Resumable || !c.engine.drain.final {
+		c.migrate()
 	}
 }
 
-// answerNow gives the final answer ahead of its time. Whether it may say that trying again is harmless is the decision
-// module's to tell, as an attempt may have run.
-func (c *Call) answerNow() {
-	switch {
-	case c.phase != pending:
-	case c.reopened:
-		c.fail() // its attempt is one at a room server that held the connection before
-	default:
-		c.m.handle(decide.RequestExpired{ID: c.id})
+// rejectAll answers all pending requests and rejects new ones from now on.
+func (e *Engine) rejectAll() {
+	e.drain.rejectNew = true
+	for c := range e.calls.open {
+		c.answerNow()
 	}
 }
 
-// Drain begins a planned stop that must be over within budget; the channel closes when it is, no sooner than waits tells
-// that no client waits to be accepted, if there is time.
-func (m *Engine) Drain(budget time.Duration, waits func() bool) <-chan struct{} {
-	done := make(chan struct{})
-	m.post(func() {
-		if m.drain != nil && m.drain.final {
-			return
-		}
-		m.calledBack() // a lame duck's steps: the stop has its own, and goes on from there
-		m.drain = &drain{final: true, done: done, waits: waits}
-		m.enter(Stopping)
-		last := max(budget-moveWait, drainGrace) // a client that takes nothing is dropped before the budget is over
-		m.moveBetween(min(budget/2, last), last)
-		m.step(drainLeast, func() {
-			m.drain.least = true
-			m.drained()
-		})
-		m.step(budget-drainSpare, m.refuseAll)
-		m.step(budget, m.drainOver)
-	})
-	return done
-}
+// rejectsNewRequests reports whether a drain has come to the point where new requests are rejected.
+func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// EnterLameDuck sends all clients away while the process stays: new ones are served for a while, and refused once all are
-// moved. Called again, or in a stop, it changes nothing.
-func (m *Engine) EnterLameDuck(within time.Duration) error {
-	return m.await(within, func() {
-		if m.drain != nil {
-			return
+// finishDrainIfIdle ends a planned stop before its budget is over, once no client waits to be accepted, no
+// first line is awaited, no request is pending, and all connections that remain are resumable.
+func (e *Engine) finishDrainIfIdle() {
+	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
+		return
+	}
+	idle, recheck := true, false
+	for c := range e.calls.open {
+		if c.blocksDrain() {
+			idle = false
 		}
-		m.drain = &drain{}
-		m.enter(LameDuck)
-		m.moveBetween(lameFirst, lameLast)
-		m.step(lameLast, m.refuseAll)
-	})
-}
-
-// LeaveLameDuck calls a lame duck back: whom it has not sent away yet stays. A stop is final.
-func (m *Engine) LeaveLameDuck(within time.Duration) error {
-	var refused error
-	if err := m.await(within, func() {
-		switch {
-		case m.drain == nil:
-		case m.drain.final:
-			refused = errStopping
-		default:
-			m.calledBack()
-			m.enter(Serving)
+		if c.phase == phaseAccepted && c.closeUnusedForDrain() {
+			recheck = true
 		}
-	}); err != nil {
-		return err
 	}
-	return refused
+	if idle && e.drain.clientsQueued != nil && e.drain.clientsQueued() {
+		idle, recheck = false, true
+	}
+	if idle {
+		e.finishDrain()
+	} else if recheck {
+		e.scheduleDrainRecheck()
+	}
 }
 
-// sendAway ends this process's part in a standing connection. At a stop, one that the next process can go on with is
-// served until the end; a lame duck has no next process.
-func (c *Call) sendAway() {
-	if !c.traits.Resumable || !c.m.drain.final {
-		c.move()
+// blocksDrain reports whether a planned stop must not end before this call.
+func (c *Call) blocksDrain() bool {
+	switch c.phase {
+	case phaseAccepted, phasePending:
+		return true
+	default:
+		return !c.traits.Resumable
 	}
 }
 
-func (m *Engine) drainEnds() bool { return m.drain != nil && m.drain.ending }
+// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the
+// connection is too young for that, as its first line may not be read yet. The implementation of ClientConn
+// checks for unread data too and keeps the connection open then, as for one whose first line has started to
+// arrive.
+func (c *Call) closeUnusedForDrain() (tooYoung bool) {
+	switch {
+	case c.lineStarted || c.shed:
+		return false
+	case c.engine.now-c.lastActivity < minShedAge:
+		return true
+	default:
+		c.shed = true
+		c.conn.Abort()
+		return false
+	}
+}
 
-// drained ends the stop early once no client waits to be accepted, no first line is on its way, no request waits and
-// nothing stands.
-func (m *Engine) drained() {
-	if m.drain == nil || !m.drain.least || m.drain.closed {
+// scheduleDrainRecheck calls finishDrainIfIdle again after drainRecheckInterval.
+func (e *Engine) scheduleDrainRecheck() {
+	if e.drain.recheckTimer != nil {
 		return
 	}
-	over, again := true, false
-	for c := range m.open {
-		switch c.phase {
-		case accepted:
-			over = false
-			// One that has said nothing is closed. Guards a line that is here and was not read yet: the channel looks, and
-			// stays then, as one does whose line has begun to come.
-			switch {
-			case c.begun || c.dropped:
-			case m.now-c.since < shedAfter:
-				again = true
-			default:
-				c.dropped = true
-				c.ch.Abort()
-			}
-		case pending:
-			over = false
-		default:
-			over = over && c.traits.Resumable
-		}
-	}
-	if over && m.drain.waits != nil && m.drain.waits() { // they are accepted in a moment
-		over, again = false, true
-	}
-	if over {
-		m.drainOver()
-	} else if again && m.drain.look == nil {
-		m.drain.look = m.deadlines.set(m.now+drainLook, func() {
-			m.drain.look = nil
-			m.drained()
-		})
-	}
+	e.drain.recheckTimer = e.timers.set(e.now+drainRecheckInterval, func() {
+		e.drain.recheckTimer = nil
+		e.finishDrainIfIdle()
+	})
 }
 
-func (m *Engine) drainOver() {
-	if !m.drain.closed {
-		m.drain.closed = true
-		close(m.drain.done)
+// finishDrain reports the end of a planned stop.
+func (e *Engine) finishDrain() {
+	if !e.drain.closed {
+		e.drain.closed = true
+		close(e.drain.done)
 	}
 }
--- /dev/null
+++ b/internal/core/session.go
@@ -0,0 +1,94 @@
+package core
+
+import (
+	"time"
+
+	"cottonplank/decide"
+)
+
+// answerReserve is the part of the client's time that is reserved for the answer itself.
+const answerReserve = 20 * time.Millisecond
+
+// LocateHolder requests the address of the server that holds the session of attempt n; Resumer.HolderLocated
+// delivers it. From the first such call on, the session's state has Config.StateTimeout to arrive. Servers
+// that are draining or were removed lately are located too, because fetching a session's state is not a new
+// request.
+func (e *Engine) LocateHolder(c *Call, n int, instance string) {
+	e.post(func() {
+		if !c.isPendingAttempt(n) {
+			return
+		}
+		if c.stateTimer == nil {
+			c.stateTimer = e.timers.set(e.now+e.cfg.StateTimeout, func() { c.startOver(ReasonStateTimeout) })
+		}
+		holder, known := e.locate(instance)
+		c.request.Resumer.HolderLocated(n, holder, known)
+	})
+}
+
+// locate returns the server with the given instance name, also if it was removed lately.
+func (e *Engine) locate(instance string) (Upstream, bool) {
+	if u := e.upstreams.byID[ServerID(instance)]; u != nil && u.Name == instance {
+		return u.Upstream, true
+	}
+	departed, known := e.upstreams.departed[instance]
+	return departed.Upstream, known
+}
+
+// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, as far as
+// the client's deadline allows: the time that the transfer took must not count against the server that
+// receives the session.
+func (e *Engine) StateFetched(c *Call, n int) {
+	e.post(func() {
+		if !c.isPendingAttempt(n) {
+			return
+		}
+		e.timers.stop(c.attempt.timer)
+		timeout := max(min(c.attempt.timeout, c.remaining()-answerReserve), 0)
+		c.attempt.timer = e.timers.set(e.now+timeout, func() { c.cancelAttempt(n, decide.TimedOut) })
+		e.timers.stop(c.stateTimer)
+		c.stateTimer = nil
+	})
+}
+
+// StartOver reports that the session of attempt n cannot be resumed, which becomes the final answer.
+func (e *Engine) StartOver(c *Call, n int, why Reason) {
+	e.post(func() {
+		if c.isActiveAttempt(n) {
+			c.startOver(why)
+		}
+	})
+}
+
+// RetryLater reports that another request holds the session of attempt n. The request is answered at once; if
+// it is rejected, the client is told to retry after the given time.
+func (e *Engine) RetryLater(c *Call, n int, after time.Duration) {
+	e.post(func() {
+		if c.isActiveAttempt(n) {
+			c.retryAfter = after
+			c.answerNow()
+		}
+	})
+}
+
+// RejectToken reports a request whose session token is not valid. No attempt is made for it: the client has
+// to start over.
+func (e *Engine) RejectToken(c *Call, r Request, why Reason) {
+	e.post(func() {
+		if c.phase == phaseAccepted && c.bindRequest(r) {
+			c.startOver(why)
+		}
+	})
+}
+
+// TokenIssued reports that a client got a session token, or, if sealed is false, that it got none because
+// there is no key to seal one with.
+func (e *Engine) TokenIssued(sealed bool) {
+	e.post(func() {
+		if sealed {
+			e.statistics.counters.TokensIssued++
+		} else {
+			e.statistics.counters.TokensUnsealed++
+		}
+	})
+}
