--- /dev/null
+++ b/internal/frontend/platform/attempt.go
@@ -0,0 +1,235 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/textproto"
+	"time"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+	"cottonplank/internal/textline"
+)
+
+// upstreamConn is the connection of one attempt to its room server. The goroutine of clientConn.run owns it; once
+// established is closed, relayToClient reads from it and relayToUpstream writes to it.
+type upstreamConn struct {
+	// number is the engine's number of the attempt.
+	number int
+	// cancel ends the dial.
+	cancel context.CancelFunc
+	// conn is nil until the dial has succeeded.
+	conn *net.TCPConn
+	// text reads and writes conn line by line.
+	text *textproto.Conn
+	// acceptLine is the server's acceptance of the request, without its CRLF.
+	acceptLine string
+	// accepted reports whether the engine was told that the server has accepted the request.
+	accepted bool
+	// timeout is how long the engine waits for the server's answer.
+	timeout time.Duration
+	// requestLineSent reports whether the request line was written: the server may have executed the request.
+	requestLineSent bool
+	// established is closed when the relay of this connection begins.
+	established chan struct{}
+}
+
+// errClientNotWaiting ends a dial whose client has closed the connection or has broken the protocol.
+var errClientNotWaiting = errors.New("the client has closed, or has sent more than its request line")
+
+// startAttempt starts to dial the room server of an attempt. The dial has a goroutine of its own; the request line is
+// written by the actor, so that an attempt that was cancelled meanwhile writes nothing.
+func (c *clientConn) startAttempt(ctx context.Context, attempt core.Attempt) {
+	ctx, cancel := context.WithCancel(ctx)
+	up := &upstreamConn{
+		number:      attempt.Number,
+		cancel:      cancel,
+		timeout:     attempt.Timeout,
+		established: make(chan struct{}),
+	}
+	c.upstream = up
+	if c.session != nil {
+		c.session.server = attempt.Upstream
+	}
+	c.frontend.readers.Go(func() {
+		conn, err := c.dialUpstream(ctx, attempt.Upstream.Address)
+		select {
+		case c.events <- dialedEvent{up, conn, err}:
+		case <-c.done:
+			c.frontend.closeServerConn(conn)
+		}
+	})
+}
+
+// dialUpstream connects to a room server as soon as a descriptor is available. It runs outside the actor's goroutine.
+// It returns errClientNotWaiting without dialing if the client has gone: the actor may not have handled that event
+// yet.
+func (c *clientConn) dialUpstream(ctx context.Context, address string) (net.Conn, error) {
+	if err := c.frontend.acquireForDial(ctx); err != nil {
+		return nil, err
+	}
+	if closed, sentMore := c.clientState(); closed || sentMore {
+		c.frontend.releaseDescriptor()
+		return nil, errClientNotWaiting
+	}
+	conn, err := c.frontend.dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		c.frontend.releaseDescriptor()
+		return nil, err
+	}
+	return conn, nil
+}
+
+// handleDialed sends the request line on the new connection, or reports that the dial has failed. It returns false if
+// the actor has to end.
+func (c *clientConn) handleDialed(e dialedEvent) bool {
+	if e.upstream != c.upstream {
+		c.frontend.closeServerConn(e.conn)
+		return true
+	}
+	if errors.Is(e.err, errClientNotWaiting) { // The server is not to blame.
+		_, keepRunning := c.checkClientWaits()
+		return keepRunning
+	}
+	if e.err != nil {
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
+		return true
+	}
+	up := c.upstream
+	up.conn = e.conn.(*net.TCPConn)
+	up.text = textproto.NewConn(up.conn)
+	resuming := c.resumesSession()
+	var keepRunning bool
+	if resuming {
+		keepRunning = c.resumeSession()
+	} else {
+		keepRunning = c.sendRequestLine()
+	}
+	if !keepRunning {
+		return false
+	}
+	if c.upstream != up || !resuming && !up.requestLineSent {
+		return true
+	}
+	c.frontend.readers.Go(func() { c.readUpstream(up, resuming) })
+	return true
+}
+
+// readUpstream reads the server's answer and relays once the connection is established. A server that resumes a session
+// sends several lines before its acceptance. It runs in its own goroutine.
+func (c *clientConn) readUpstream(up *upstreamConn, resuming bool) {
+	for {
+		line, err := textline.Read(up.text.R)
+		c.notify(responseEvent{up, line, err})
+		if !resuming || err != nil || parseResponse(line).accepted {
+			break
+		}
+	}
+	select {
+	case <-up.established:
+		c.relayToClient(up)
+	case <-c.done:
+	}
+}
+
+// sendRequestLine writes the request line, from which on the server may execute the request. Nothing is written for a
+// client that no longer waits. It returns false if the actor has to end.
+func (c *clientConn) sendRequestLine() bool {
+	up := c.upstream
+	if waits, keepRunning := c.checkClientWaits(); !waits {
+		return keepRunning
+	}
+	if err := up.text.PrintfLine("%s", c.formatRequestLine(up.timeout)); err != nil {
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
+		return true
+	}
+	up.requestLineSent = true
+	c.frontend.engine.AttemptSent(c.call, up.number)
+	return true
+}
+
+// cancelAttempt ends the current attempt and reports its outcome. Only this actor writes the request line and handles
+// the answer, so it decides here what the outcome is.
+func (c *clientConn) cancelAttempt(attempt int, code decide.Code) {
+	switch up := c.upstream; {
+	case up == nil || up.number != attempt || up.accepted:
+		// The engine has been told of the attempt's end or of its acceptance.
+	case up.requestLineSent && code.NeverExecuted():
+		// The request line was written as the dial's timeout expired: the attempt continues.
+	case !up.requestLineSent && !code.NeverExecuted():
+		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
+	default:
+		c.endAttempt(code, decide.NoLoadReport)
+	}
+}
+
+// handleResponse handles a line that the room server sent before the connection was established. It returns false if
+// the actor has to end.
+func (c *clientConn) handleResponse(e responseEvent) bool {
+	if e.upstream != c.upstream {
+		return true
+	}
+	if isMalformedLine(e.err) {
+		c.endAttempt(decide.ServerError, decide.NoLoadReport)
+		return true
+	}
+	if e.err != nil {
+		c.endAttempt(c.disconnectCode(), decide.NoLoadReport)
+		return true
+	}
+	answer := parseResponse(e.line)
+	if c.resumesSession() {
+		if answer.accepted {
+			c.upstream.acceptLine = e.line
+			return c.executeStep(c.session.flow.UpstreamAccepted())
+		}
+		if known, keepRunning := c.handleSessionResponse(e.line); known {
+			return keepRunning
+		}
+	}
+	if !answer.accepted {
+		c.endAttempt(answer.code, answer.report)
+		return true
+	}
+	c.upstream.acceptLine = e.line
+	c.reportAccepted()
+	return true
+}
+
+// reportAccepted tells the engine that the room server has accepted the request.
+func (c *clientConn) reportAccepted() {
+	c.upstream.accepted = true
+	c.frontend.engine.AttemptAccepted(c.call, c.upstream.number)
+}
+
+// disconnectCode is the outcome of an attempt whose connection broke: the request may have been executed once its line
+// was written.
+func (c *clientConn) disconnectCode() decide.Code {
+	if c.upstream.requestLineSent {
+		return decide.Reset
+	}
+	return decide.ConnectFailed
+}
+
+// endAttempt closes the attempt's connection, then reports the outcome to the engine.
+func (c *clientConn) endAttempt(code decide.Code, report decide.LoadReport) {
+	attempt := c.upstream.number
+	c.closeUpstream(false)
+	c.frontend.engine.AttemptEnded(c.call, attempt, code, report)
+}
+
+// closeUpstream closes the connection to the room server, if there is one, with a TCP reset if reset is true.
+func (c *clientConn) closeUpstream(reset bool) {
+	if c.upstream == nil {
+		return
+	}
+	c.upstream.cancel()
+	if c.upstream.conn != nil {
+		if reset {
+			c.upstream.conn.SetLinger(0)
+		}
+		c.frontend.closeServerConn(c.upstream.conn)
+	}
+	c.upstream = nil
+}
--- /dev/null
+++ b/internal/frontend/platform/client_reader.go
@@ -0,0 +1,150 @@
+package platform
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"cottonplank/internal/textline"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxPipelinedPings is how many health checks may arrive together; a regular health check waits for each answer.
+const maxPipelinedPings = 8
+
+// maxDiscardedBytes bounds what is read and discarded after a final answer. Unread bytes would make the kernel reset
+// the connection before the client has read the answer; the bound keeps a client that never stops sending cheap.
+const maxDiscardedBytes = 1 << 20
+
+// firstLineStartedInterval is the shortest interval between two reports of a request line that arrives byte by byte.
+const firstLineStartedInterval = 50 * time.Millisecond
+
+// readClient reads from the client: health checks, the request line, then everything else once the connection is
+// established. It runs in its own goroutine until the client closes or the actor ends.
+func (c *clientConn) readClient() {
+	line, err := c.readUntilRequest()
+	if err != nil {
+		c.notify(clientClosedEvent{err})
+		return
+	}
+	c.requestLineRead.Store(true)
+	c.notify(requestLineEvent{line, time.Now()})
+	if _, err := c.text.R.Peek(1); err != nil {
+		c.notify(clientClosedEvent{err})
+		return
+	}
+	c.earlyDataRead.Store(true)
+	c.notify(earlyDataEvent{})
+	select {
+	case up := <-c.relayTo:
+		c.notify(clientClosedEvent{c.relayToUpstream(up)})
+	case <-c.finalAnswerSent:
+		c.discard()
+	case <-c.done:
+	}
+}
+
+// readUntilRequest answers health checks and returns the first other line without its CRLF. A malformed line, or one
+// that came together with more data, is returned as an empty line, which is no valid request.
+func (c *clientConn) readUntilRequest() (string, error) {
+	for pipelined := 0; ; {
+		line, err := c.readRequestLine()
+		if err == nil && line == wordPing && pipelined < maxPipelinedPings {
+			pipelined++
+			if c.text.R.Buffered() == 0 {
+				pipelined = 0
+			}
+			err = c.text.PrintfLine("%s", c.frontend.pingResponse())
+			c.frontend.engine.HealthCheckReceived(c.call)
+			if err == nil {
+				continue
+			}
+		}
+		if isMalformedLine(err) {
+			return "", nil
+		}
+		if err != nil {
+			return "", err
+		}
+		if c.text.R.Buffered() > 0 {
+			return "", nil
+		}
+		return line, nil
+	}
+}
+
+// readRequestLine reads one line and reports to the engine if it arrives in pieces.
+func (c *clientConn) readRequestLine() (string, error) {
+	var reported time.Time
+	for n := 0; ; {
+		if _, err := c.text.R.Peek(n + 1); err != nil {
+			break // textline.Read returns the same error.
+		}
+		n = c.text.R.Buffered()
+		if raw, _ := c.text.R.Peek(n); n == c.text.R.Size() || bytes.IndexByte(raw, '\n') >= 0 {
+			break
+		}
+		if time.Since(reported) >= firstLineStartedInterval {
+			reported = time.Now()
+			c.frontend.engine.FirstLineStarted(c.call)
+		}
+	}
+	return textline.Read(c.text.R)
+}
+
+// isMalformedLine reports whether err says that a line was read which breaks the protocol's form.
+func isMalformedLine(err error) bool {
+	return errors.Is(err, textline.ErrLong) || errors.Is(err, textline.ErrBare)
+}
+
+// discard reads on after a final answer, up to maxDiscardedBytes; the engine aborts the connection after a while.
+func (c *clientConn) discard() {
+	if _, err := io.CopyN(io.Discard, c.conn, maxDiscardedBytes); err != nil {
+		c.notify(clientClosedEvent{err})
+	}
+}
+
+// clientState reports whether a client that waits for its answer has closed the connection, and whether it has sent
+// more data. It asks the kernel, because on a busy machine readClient's events may be behind.
+func (c *clientConn) clientState() (closed, sentMore bool) {
+	n, err := peekSocket(c.conn)
+	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
+		return false, c.earlyDataRead.Load()
+	}
+	return err != nil || n == 0, n > 0
+}
+
+// checkClientWaits reports whether the client still waits for its answer. If it has sent more data instead, the
+// engine is told and answers it. keepRunning is false if the client has closed the connection, which ends the actor.
+func (c *clientConn) checkClientWaits() (waits, keepRunning bool) {
+	closed, sentMore := c.clientState()
+	if sentMore {
+		c.frontend.engine.RequestMalformed(c.call)
+	}
+	return !closed && !sentMore, !closed
+}
+
+// hasUnreadData reports whether the kernel holds received bytes of conn that were not read. It consumes none.
+func hasUnreadData(conn *net.TCPConn) bool {
+	n, err := peekSocket(conn)
+	return err == nil && n > 0
+}
+
+// peekSocket looks at the kernel's receive buffer of conn without waiting and without consuming. It returns 1 if
+// there is data, 0 if the peer has closed its side, EAGAIN if there is neither, or the error that the connection
+// ended with.
+func peekSocket(conn *net.TCPConn) (n int, err error) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	var receiveErr error
+	err = raw.Control(func(fd uintptr) {
+		n, _, receiveErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	})
+	return max(n, 0), cmp.Or(err, receiveErr)
+}
--- /dev/null
+++ b/internal/frontend/platform/commands.go
@@ -0,0 +1,133 @@
+package platform
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+	"cottonplank/internal/session/protocol"
+)
+
+// command is an instruction of the engine to a clientConn. The clientConn's actor executes the commands in the order in
+// which the engine gave them.
+type command interface {
+	// execute carries out the command. It returns false if the actor has to end.
+	execute(ctx context.Context, c *clientConn) (keepRunning bool)
+}
+
+// The commands, one for each method of core.ClientConn and core.Resumer.
+type (
+	startAttemptCommand  struct{ core.Attempt }
+	cancelAttemptCommand struct {
+		attempt int
+		code    decide.Code
+	}
+	establishCommand     struct{ attempt int }
+	rejectCommand        struct{ retryAfter time.Duration }
+	failCommand          struct{}
+	migrateCommand       struct{}
+	abortCommand         struct{}
+	holderLocatedCommand struct {
+		attempt int
+		holder  core.Upstream
+		known   bool
+	}
+	startOverCommand struct{ reason core.Reason }
+)
+
+// enqueue puts a command into the mailbox. The engine must never block, so a connection whose mailbox is full is
+// closed.
+func (c *clientConn) enqueue(cmd command) {
+	select {
+	case c.commands <- cmd:
+	default:
+		c.conn.Close()
+	}
+}
+
+// StartAttempt implements core.ClientConn: it starts an attempt at a room server.
+func (c *clientConn) StartAttempt(attempt core.Attempt) { c.enqueue(startAttemptCommand{attempt}) }
+
+// CancelAttempt implements core.ClientConn: it asks for the end of an attempt that has no answer yet.
+func (c *clientConn) CancelAttempt(attempt int, code decide.Code) {
+	c.enqueue(cancelAttemptCommand{attempt, code})
+}
+
+// Establish implements core.ClientConn: it passes the room server's acceptance to the client and relays from then on.
+func (c *clientConn) Establish(attempt int) { c.enqueue(establishCommand{attempt}) }
+
+// Reject implements core.ClientConn: it answers that a retry is harmless, after retryAfter if that is not 0, and
+// closes.
+func (c *clientConn) Reject(retryAfter time.Duration) { c.enqueue(rejectCommand{retryAfter}) }
+
+// Fail implements core.ClientConn: it answers that the request failed, and closes.
+func (c *clientConn) Fail() { c.enqueue(failCommand{}) }
+
+// Migrate implements core.ClientConn: it tells the client of an established connection to connect again, and closes.
+func (c *clientConn) Migrate() { c.enqueue(migrateCommand{}) }
+
+// Abort implements core.ClientConn: it closes whatever is still open.
+func (c *clientConn) Abort() { c.enqueue(abortCommand{}) }
+
+// HolderLocated implements core.Resumer: it answers the engine's LocateHolder.
+func (c *clientConn) HolderLocated(attempt int, holder core.Upstream, known bool) {
+	c.enqueue(holderLocatedCommand{attempt, holder, known})
+}
+
+// StartOver implements core.Resumer: it answers that the session cannot be resumed, and closes.
+func (c *clientConn) StartOver(reason core.Reason) { c.enqueue(startOverCommand{reason}) }
+
+func (cmd startAttemptCommand) execute(ctx context.Context, c *clientConn) bool {
+	c.closeUpstream(false)
+	c.cancelPendingCall()
+	c.startAttempt(ctx, cmd.Attempt)
+	return true
+}
+
+func (cmd cancelAttemptCommand) execute(_ context.Context, c *clientConn) bool {
+	c.cancelAttempt(cmd.attempt, cmd.code)
+	return true
+}
+
+func (cmd establishCommand) execute(_ context.Context, c *clientConn) bool {
+	return c.establish(cmd.attempt)
+}
+
+func (cmd rejectCommand) execute(_ context.Context, c *clientConn) bool {
+	answer := wordBusy
+	if ms := cmd.retryAfter.Milliseconds(); ms > 0 {
+		answer += " " + strconv.FormatInt(ms, 10)
+	}
+	return c.sendFinalAnswer(answer)
+}
+
+func (failCommand) execute(_ context.Context, c *clientConn) bool { return c.sendFinalAnswer(wordErr) }
+
+func (cmd startOverCommand) execute(_ context.Context, c *clientConn) bool {
+	return c.sendFinalAnswer(protocol.StartOverLine(string(cmd.reason)))
+}
+
+func (cmd holderLocatedCommand) execute(ctx context.Context, c *clientConn) bool {
+	return c.handleHolderLocated(ctx, cmd)
+}
+
+func (migrateCommand) execute(_ context.Context, c *clientConn) bool {
+	// A draining room server closes its connections itself, so this command may come after the connection has ended;
+	// the client has been told then.
+	if c.established && c.upstream != nil {
+		// The reader stops between two lines and sends an event; the actor handles other events and commands until
+		// then.
+		c.upstream.conn.SetReadDeadline(expiredDeadline)
+		// A client that reads nothing must block neither the reader nor this actor in a write, or the process would not
+		// stop in time.
+		c.conn.SetWriteDeadline(time.Now().Add(migrateWriteTimeout))
+	}
+	return true
+}
+
+func (abortCommand) execute(_ context.Context, c *clientConn) bool {
+	// A request that has arrived is served, although a busy machine may read it only after the engine's time limit.
+	return !c.requestSubmitted && (c.requestLineRead.Load() || hasUnreadData(c.conn))
+}
--- /dev/null
+++ b/internal/frontend/platform/frontend.go
@@ -0,0 +1,170 @@
+// Package platform is the frontend for the platform's line protocol: clients and room servers speak lines of text over
+// TCP. It parses, relays and reports what it observes; package core makes the decisions and keeps all timeouts.
+package platform
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/textproto"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cottonplank/internal/core"
+	"cottonplank/internal/operations/hotrestart"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// acceptRetryInterval is the pause after a failed accept.
+	acceptRetryInterval = 5 * time.Millisecond
+	// acceptWarningInterval is the shortest interval between two logged warnings about failed accepts.
+	acceptWarningInterval = time.Second
+)
+
+// Frontend accepts client connections and runs a clientConn for each. Its methods may be called concurrently, except
+// those that have to be called before Serve.
+type Frontend struct {
+	engine *core.Engine
+	// sessions is nil if sessions are not resumed.
+	sessions *SessionResumer
+	names    Names
+	dialer   net.Dialer
+	log      *logrus.Logger
+
+	budget DescriptorBudget
+	// descriptors is a counting semaphore: it holds one element for each descriptor in use.
+	descriptors chan struct{}
+	// descriptorReleased wakes the accept loop when a descriptor is released.
+	descriptorReleased chan struct{}
+	// acceptLimit is the number of descriptors in use up to which clients are accepted.
+	acceptLimit atomic.Int64
+	// reserveTarget tells holdReserve how many descriptors to leave to another process.
+	reserveTarget chan int
+	// reserveEnded is closed when holdReserve returns.
+	reserveEnded chan struct{}
+
+	// watchdog monitors the accept loop; it may be nil.
+	watchdog core.Watchdog
+	// replaced reports whether another process serves clients at the same address.
+	replaced atomic.Bool
+	// actors counts the goroutines of holdReserve and of each clientConn.run.
+	actors sync.WaitGroup
+	// readers counts the goroutines that read, dial or write for a clientConn.
+	readers sync.WaitGroup
+}
+
+// New returns a frontend that reports to engine and accepts the request lines that names allows.
+func New(engine *core.Engine, names Names, budget DescriptorBudget, log *logrus.Logger) *Frontend {
+	f := &Frontend{
+		engine:             engine,
+		names:              names,
+		dialer:             net.Dialer{KeepAlive: -1},
+		log:                log,
+		budget:             budget,
+		descriptors:        make(chan struct{}, budget.Total),
+		descriptorReleased: make(chan struct{}, 1),
+		reserveTarget:      make(chan int),
+		reserveEnded:       make(chan struct{}),
+	}
+	f.acceptLimit.Store(int64(budget.Total - budget.DialReserve))
+	return f
+}
+
+// SetWatchdog sets the watchdog of the accept loop. It must be called before Serve.
+func (f *Frontend) SetWatchdog(watchdog core.Watchdog) { f.watchdog = watchdog }
+
+// EnableSessions lets clients resume sessions. It must be called before Serve.
+func (f *Frontend) EnableSessions(sessions *SessionResumer) { f.sessions = sessions }
+
+// SetReplaced says whether another process serves clients at the same address.
+func (f *Frontend) SetReplaced(replaced bool) { f.replaced.Store(replaced) }
+
+// ClientsWaiting reports whether clients wait in the listener's backlog that only this process can accept.
+func (f *Frontend) ClientsWaiting(listener *net.TCPListener) bool {
+	raw, err := listener.SyscallConn()
+	if err != nil || f.replaced.Load() {
+		return false
+	}
+	ready := 0
+	err = raw.Control(func(fd uintptr) {
+		// A failed poll counts as an empty backlog.
+		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+	})
+	return err == nil && ready > 0
+}
+
+// pingResponse is the answer to a health check: PONG while clients are welcome, BUSY if they are to go elsewhere.
+func (f *Frontend) pingResponse() string {
+	state := f.engine.ServiceState()
+	if state == core.LameDuck || f.engine.AwaitsList() || state == core.Stopping && !f.replaced.Load() {
+		return wordBusy
+	}
+	return wordPong
+}
+
+// Serve accepts clients until ctx ends, then waits for all goroutines of the frontend. While pause holds the listener,
+// accepted connections are served and none is accepted.
+func (f *Frontend) Serve(ctx context.Context, listener *net.TCPListener, pause *hotrestart.Pauser) {
+	f.actors.Go(func() { f.holdReserve(ctx) })
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
+	defer stop()
+	defer f.readers.Wait()
+	defer f.actors.Wait()
+	var warned time.Time
+	for f.acquireForAccept(ctx) {
+		conn, err := listener.AcceptTCP()
+		if err == nil {
+			core.RunMonitored(f.watchdog, func() { f.accept(ctx, conn) })
+			continue
+		}
+		f.releaseDescriptor()
+		if pause.Paused(ctx, err) {
+			continue
+		}
+		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+			return
+		}
+		// Other errors, such as a lack of descriptors, are temporary and must not end the process.
+		if time.Since(warned) > acceptWarningInterval {
+			warned = time.Now()
+			f.log.WithError(err).Warn("accept failed")
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(acceptRetryInterval):
+		}
+	}
+}
+
+// accept starts the actor of an accepted connection.
+func (f *Frontend) accept(ctx context.Context, conn *net.TCPConn) {
+	c := f.newClientConn(conn)
+	c.call = f.engine.Accept(c, core.Traits{Descriptor: true})
+	f.actors.Go(func() { c.run(ctx) })
+}
+
+// newClientConn returns the actor for an accepted connection; the caller sets its call and runs it.
+func (f *Frontend) newClientConn(conn *net.TCPConn) *clientConn {
+	return &clientConn{
+		frontend:        f,
+		conn:            conn,
+		text:            textproto.NewConn(conn),
+		commands:        make(chan command, mailboxSize),
+		events:          make(chan event),
+		done:            make(chan struct{}),
+		relayTo:         make(chan *upstreamConn, 1),
+		finalAnswerSent: make(chan struct{}),
+	}
+}
+
+// closeServerConn closes a connection to a room server and releases its descriptor; it does nothing if conn is nil.
+func (f *Frontend) closeServerConn(conn net.Conn) {
+	if conn != nil {
+		conn.Close()
+		f.releaseDescriptor()
+	}
+}
--- a/internal/frontend/platform/line_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -21,24 +21,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// answerer is a stand-in room server: it treats each connection that brings a first line.
-type answerer struct {
-	name string
-	l    net.Listener
-	mu   sync.Mutex
-	got  []string // first lines
-	came int      // connections, with a first line or without
-	out  int      // connections that are open
-	most int
-}
-
-func newServer(t *testing.T, name string, treat func(conn net.Conn, r *bufio.Reader)) *answerer {
+// fakeServer is a stand-in room server: it treats each connection that brings a first line.
+type fakeServer struct {
+	name         string
+	listener     net.Listener
+	mu           sync.Mutex
+	requestLines []string // first lines
+	accepted     int      // connections, with a first line or without
+	open         int      // connections that are open
+	maxOpen      int
+}
+
+func newFakeServer(t *testing.T, name string, treat func(conn net.Conn, r *bufio.Reader)) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &answerer{name: name, l: l}
+	a := &fakeServer{name: name, listener: l}
 	var all sync.WaitGroup
 	all.Go(func() {
 		for {
@@ -47,7 +47,7 @@
 				return
 			}
 			a.mu.Lock()
-			a.came++
+			a.accepted++
 			a.mu.Unlock()
 			all.Go(func() { a.serve(conn, treat) })
 		}
@@ -56,7 +56,7 @@
 	return a
 }
 
-func (a *answerer) serve(conn net.Conn, treat func(net.Conn, *bufio.Reader)) {
+func (a *fakeServer) serve(conn net.Conn, treat func(net.Conn, *bufio.Reader)) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	line, err := r.ReadString('\n')
@@ -64,29 +64,29 @@
 		return
 	}
 	a.mu.Lock()
-	a.got = append(a.got, line)
-	a.out++
-	a.most = max(a.most, a.out)
+	a.requestLines = append(a.requestLines, line)
+	a.open++
+	a.maxOpen = max(a.maxOpen, a.open)
 	a.mu.Unlock()
 	treat(conn, r)
 	a.mu.Lock()
-	a.out--
+	a.open--
 	a.mu.Unlock()
 }
 
-func (a *answerer) lines() []string {
+func (a *fakeServer) receivedLines() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]string(nil), a.got...)
+	return append([]string(nil), a.requestLines...)
 }
 
-func (a *answerer) instance() core.Endpoint {
-	return core.Endpoint{Name: a.name, Address: a.l.Addr().String(), Server: decide.Server{
+func (a *fakeServer) endpoint() core.Endpoint {
+	return core.Endpoint{Name: a.name, Address: a.listener.Addr().String(), Server: decide.Server{
 		ID: core.ServerID(a.name), Zone: "a"}}
 }
 
-// echo lets a connection stand and answers each line.
-func echo(conn net.Conn, r *bufio.Reader) {
+// serveEcho lets a connection stand and answers each line.
+func serveEcho(conn net.Conn, r *bufio.Reader) {
 	io.WriteString(conn, "UP receipt-1\r\n")
 	for {
 		line, err := r.ReadString('\n')
@@ -97,50 +97,50 @@
 	}
 }
 
-func say(text string) func(net.Conn, *bufio.Reader) {
+func respond(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, _ *bufio.Reader) { io.WriteString(conn, text) }
 }
 
-func hang(conn net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
+func neverRespond(conn net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
 
-type noList struct{}
+type noDiscovery struct{}
 
-func (noList) Watch(context.Context, uint64) {}
-func (noList) Fetch(context.Context)         {}
-func (noList) SetAddress(string)             {}
+func (noDiscovery) Watch(context.Context, uint64) {}
+func (noDiscovery) Fetch(context.Context)         {}
+func (noDiscovery) SetAddress(string)             {}
 
-type noProbes struct{}
+type noProber struct{}
 
-func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
-func (noProbes) Remove(decide.ServerID)                       {}
+func (noProber) Probe(context.Context, uint64, core.Upstream) {}
+func (noProber) Remove(decide.ServerID)                       {}
 
-type balancer struct {
-	module *core.Engine
-	front  *Frontend
-	pause  *hotrestart.Pauser
-	l      *net.TCPListener
-	addr   string
-	stop   func()
+type testBalancer struct {
+	engine   *core.Engine
+	frontend *Frontend
+	pause    *hotrestart.Pauser
+	listener *net.TCPListener
+	addr     string
+	stop     func()
 }
 
-func newBalancer(t *testing.T, servers ...*answerer) *balancer {
+func newTestBalancer(t *testing.T, servers ...*fakeServer) *testBalancer {
 	t.Helper()
-	return budgeted(t, DescriptorBudget{Total: 300, DialReserve: 50}, servers...)
+	return newTestBalancerWithBudget(t, DescriptorBudget{Total: 300, DialReserve: 50}, servers...)
 }
 
-func budgeted(t *testing.T, budget DescriptorBudget, servers ...*answerer) *balancer {
+func newTestBalancerWithBudget(t *testing.T, budget DescriptorBudget, servers ...*fakeServer) *testBalancer {
 	t.Helper()
-	return with(t, budget, func(*decide.Settings) {}, servers...)
+	return newTestBalancerWithSettings(t, budget, func(*decide.Settings) {}, servers...)
 }
 
-// with is a balancer whose settings differ from the usual ones.
-func with(t *testing.T, budget DescriptorBudget, differ func(*decide.Settings), servers ...*answerer) *balancer {
+// newTestBalancerWithSettings is a balancer whose settings differ from the usual ones.
+func newTestBalancerWithSettings(t *testing.T, budget DescriptorBudget, differ func(*decide.Settings), servers ...*fakeServer) *testBalancer {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	known := []core.Endpoint{}
 	for _, s := range servers {
-		known = append(known, s.instance())
+		known = append(known, s.endpoint())
 	}
 	settings := decide.Settings{
 		Seed: 5, Zone: "a", MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
@@ -158,9 +158,9 @@
 	front, pause := New(module, testNames, budget, log), hotrestart.NewPauser(l.SetDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { module.Run(ctx, noProbes{}, noList{}) })
+	running.Go(func() { module.Run(ctx, noProber{}, noDiscovery{}) })
 	running.Go(func() { front.Serve(ctx, l, pause) })
-	b := &balancer{module: module, front: front, pause: pause, l: l, addr: l.Addr().String()}
+	b := &testBalancer{engine: module, frontend: front, pause: pause, listener: l, addr: l.Addr().String()}
 	b.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
 	t.Cleanup(b.stop)
 	return b
@@ -168,39 +168,39 @@
 
 var testNames = Names{Classes: map[string]int{"solo-play": 0}, Tenants: map[string]bool{"familles": true}}
 
-// client is a stand-in client.
-type client struct {
+// testClient is a stand-in client.
+type testClient struct {
 	t    testing.TB
 	conn *net.TCPConn
 	r    *bufio.Reader
 }
 
-func (b *balancer) client(t testing.TB) *client {
+func (b *testBalancer) newClient(t testing.TB) *testClient {
 	t.Helper()
-	c := dial(t, b.addr)
+	c := dialClient(t, b.addr)
 	t.Cleanup(func() { c.conn.Close() })
 	return c
 }
 
-// dial dials a client that its caller closes.
-func dial(t testing.TB, addr string) *client {
+// dialClient dials a client that its caller closes.
+func dialClient(t testing.TB, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(20 * time.Second)) // so that no test hangs
-	return &client{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return &testClient{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-func (c *client) send(text string) {
+func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *client) want(text string) {
+func (c *testClient) wantLine(text string) {
 	c.t.Helper()
 	line, err := c.r.ReadString('\n')
 	if err != nil || line != text {
@@ -208,33 +208,33 @@
 	}
 }
 
-func (c *client) wantEnd() {
+func (c *testClient) wantEOF() {
 	c.t.Helper()
 	if line, err := c.r.ReadString('\n'); !errors.Is(err, io.EOF) || line != "" {
 		c.t.Fatalf("read %q, %v, want the end", line, err)
 	}
 }
 
-var opened atomic.Uint64
+var lastRequestID atomic.Uint64
 
-// opening is a client's first line with a new id.
-func opening() string {
-	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=solo-play,t=familles,d=2000,g=5c0f6e1a\r\n", opened.Add(1))
+// newRequestLine is a client's first line with a new id.
+func newRequestLine() string {
+	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=solo-play,t=familles,d=2000,g=5c0f6e1a\r\n", lastRequestID.Add(1))
 }
 
-func TestServedAndRelayedUnchanged(t *testing.T) {
+func TestRequestForwardedAndRelayedUnchanged(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", echo)
-	c := newBalancer(t, s).client(t)
+	s := newFakeServer(t, "s-1", serveEcho)
+	c := newTestBalancer(t, s).newClient(t)
 	c.send("PING\r\n")
-	c.want("PONG\r\n")
-	open := opening()
+	c.wantLine("PONG\r\n")
+	open := newRequestLine()
 	c.send(open)
-	c.want("UP receipt-1\r\n")
+	c.wantLine("UP receipt-1\r\n")
 	c.send("hello\r\nbare\n")
-	c.want("re hello\r\n")
-	c.want("re bare\n")
-	got := s.lines()[0]
+	c.wantLine("re hello\r\n")
+	c.wantLine("re bare\n")
+	got := s.receivedLines()[0]
 	head, tail, _ := strings.Cut(open, "d=2000")
 	if !strings.HasPrefix(got, head+"d=") || !strings.HasSuffix(got, tail) || got == open {
 		t.Errorf("forwarded %q", got)
@@ -242,82 +242,82 @@
 }
 
 // Bad first lines are answered as failed and never reach a room server; they harm only their peer.
-func TestMalformedFirstLines(t *testing.T) {
+func TestMalformedRequestLines(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", echo)
-	b := newBalancer(t, s)
-	for _, text := range []string{"\r\n", "HELLO\r\n", strings.Replace(opening(), "solo-play", "no-class", 1),
-		strings.Replace(opening(), "familles", "nobody", 1), strings.Replace(opening(), "d=2000", "d=-1", 1),
-		strings.Replace(opening(), ",d=2000", "", 1), strings.Replace(opening(), "\r\n", "\n", 1),
-		strings.Repeat("x", 3*maxLine) + "\r\n", "OPEN \x00 k c=solo-play,d=9\r\n",
-		strings.Replace(opening(), "7f3a9c21e0b4d655", "../key", 1), "OPEN 9b1f k c=solo-play,d=9\r\n",
-		opening() + opening(), strings.Repeat("PING\r\n", 300) + opening()} {
-		c := b.client(t)
+	s := newFakeServer(t, "s-1", serveEcho)
+	b := newTestBalancer(t, s)
+	for _, text := range []string{"\r\n", "HELLO\r\n", strings.Replace(newRequestLine(), "solo-play", "no-class", 1),
+		strings.Replace(newRequestLine(), "familles", "nobody", 1), strings.Replace(newRequestLine(), "d=2000", "d=-1", 1),
+		strings.Replace(newRequestLine(), ",d=2000", "", 1), strings.Replace(newRequestLine(), "\r\n", "\n", 1),
+		strings.Repeat("x", 3*maxLineLength) + "\r\n", "OPEN \x00 k c=solo-play,d=9\r\n",
+		strings.Replace(newRequestLine(), "7f3a9c21e0b4d655", "../key", 1), "OPEN 9b1f k c=solo-play,d=9\r\n",
+		newRequestLine() + newRequestLine(), strings.Repeat("PING\r\n", 300) + newRequestLine()} {
+		c := b.newClient(t)
 		c.send(text)
-		for range min(strings.Count(text, "PING"), pingsAtOnce) {
-			c.want("PONG\r\n")
+		for range min(strings.Count(text, "PING"), maxPipelinedPings) {
+			c.wantLine("PONG\r\n")
 		}
-		c.want("ERR\r\n")
+		c.wantLine("ERR\r\n")
 	}
-	half := b.client(t)
+	half := b.newClient(t)
 	half.send("OPEN 9b1f")
 	half.conn.Close()
-	c := b.client(t)
-	c.send(opening())
-	c.want("UP receipt-1\r\n")
-	if n := len(s.lines()); n != 1 {
+	c := b.newClient(t)
+	c.send(newRequestLine())
+	c.wantLine("UP receipt-1\r\n")
+	if n := len(s.receivedLines()); n != 1 {
 		t.Errorf("%d lines reached the room server, want the good one", n)
 	}
 }
 
 // An id that is open, or was lately, is not taken again: the first request goes on, the other fails at once.
-func TestAnIDIsTakenOnce(t *testing.T) {
+func TestDuplicateRequestIDFails(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, "s-1", echo)
-	b := newBalancer(t, s)
-	line := opening()
-	first := b.client(t)
+	s := newFakeServer(t, "s-1", serveEcho)
+	b := newTestBalancer(t, s)
+	line := newRequestLine()
+	first := b.newClient(t)
 	first.send(line)
-	first.want("UP receipt-1\r\n")
+	first.wantLine("UP receipt-1\r\n")
 	copied := strings.Replace(line, "7f3a9c21e0b4d655", "0000000000000001", 1)
-	second := b.client(t)
+	second := b.newClient(t)
 	second.send(copied)
-	second.want("ERR\r\n")
-	second.wantEnd()
+	second.wantLine("ERR\r\n")
+	second.wantEOF()
 	first.send("x\r\n")
-	first.want("re x\r\n")
+	first.wantLine("re x\r\n")
 	first.conn.Close()
-	third := b.client(t)
+	third := b.newClient(t)
 	third.send(copied)
-	third.want("ERR\r\n")
-	if n := len(s.lines()); n != 1 {
+	third.wantLine("ERR\r\n")
+	if n := len(s.receivedLines()); n != 1 {
 		t.Errorf("%d lines reached the room server, want the first", n)
 	}
 }
 
 // A client that sends more before its answer fails at once, and its attempt is given up.
-func TestMoreBeforeTheAnswer(t *testing.T) {
+func TestDataBeforeAnswerFails(t *testing.T) {
 	t.Parallel()
 	ended := make(chan struct{})
-	s := newServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
-		hang(conn, r)
+	s := newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
+		neverRespond(conn, r)
 		close(ended)
 	})
-	c := newBalancer(t, s).client(t)
-	c.send(opening())
-	for len(s.lines()) == 0 {
+	c := newTestBalancer(t, s).newClient(t)
+	c.send(newRequestLine())
+	for len(s.receivedLines()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	c.send("more\r\n")
-	c.want("ERR\r\n")
-	c.wantEnd()
+	c.wantLine("ERR\r\n")
+	c.wantEOF()
 	<-ended
 }
 
 // A line without end is answered and not read to its end: the answer arrives though the client sends on.
-func TestLineWithoutEnd(t *testing.T) {
+func TestUnterminatedLineFails(t *testing.T) {
 	t.Parallel()
-	c := newBalancer(t, newServer(t, "s-1", echo)).client(t)
+	c := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho)).newClient(t)
 	go func() {
 		for chunk := strings.Repeat("x", 1<<16); ; {
 			if _, err := io.WriteString(c.conn, chunk); err != nil {
@@ -325,44 +325,44 @@
 			}
 		}
 	}()
-	c.want("ERR\r\n")
+	c.wantLine("ERR\r\n")
 	if line, err := c.r.ReadString('\n'); err == nil {
 		t.Errorf("read %q, want the end", line)
 	}
 }
 
 // A channel that says nothing, half a line, or PING once is closed well within 3 s; a health check that goes on stays.
-func TestSilentChannelsEnd(t *testing.T) {
+func TestIdleConnectionsTimeOut(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t, newServer(t, "s-1", echo))
-	silent, half, once, check := b.client(t), b.client(t), b.client(t), b.client(t)
+	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
+	silent, half, once, check := b.newClient(t), b.newClient(t), b.newClient(t), b.newClient(t)
 	half.send("OPEN 9b1f03")
 	once.send("PING\r\n")
-	once.want("PONG\r\n")
+	once.wantLine("PONG\r\n")
 	for range 3 {
 		check.send("PING\r\n")
-		check.want("PONG\r\n")
+		check.wantLine("PONG\r\n")
 		time.Sleep(1200 * time.Millisecond)
 	}
-	for _, c := range []*client{silent, half, once} {
+	for _, c := range []*testClient{silent, half, once} {
 		c.conn.SetDeadline(time.Now().Add(time.Millisecond)) // it has ended by now
-		c.wantEnd()
+		c.wantEOF()
 	}
 	// It has its time for a line in pieces too, however long ago it was accepted.
-	open := opening()
+	open := newRequestLine()
 	check.send(open[:20])
 	time.Sleep(100 * time.Millisecond)
 	check.send(open[20:])
-	check.want("UP receipt-1\r\n")
+	check.wantLine("UP receipt-1\r\n")
 }
 
 // A client that writes its line in pieces over more than 2 s is served, whatever it is cut into.
-func TestSlowLines(t *testing.T) {
+func TestSlowRequestLinesAreServed(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t, newServer(t, "s-1", echo))
+	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
 	var writers sync.WaitGroup
-	for _, cut := range []int{1, 20, len(opening()) - 1} {
-		c, text := b.client(t), opening()
+	for _, cut := range []int{1, 20, len(newRequestLine()) - 1} {
+		c, text := b.newClient(t), newRequestLine()
 		writers.Go(func() {
 			c.conn.Write([]byte(text[:cut]))
 			time.Sleep(2100 * time.Millisecond)
@@ -377,52 +377,52 @@
 
 // Channels that say nothing take no descriptor from those that ask: the longest silent are shed for them, and dials
 // find one. Guards against clients that open connections by hundreds.
-func TestSilentChannelsAreShed(t *testing.T) {
+func TestIdleConnectionsAreShed(t *testing.T) {
 	t.Parallel()
-	b := budgeted(t, DescriptorBudget{Total: 16, DialReserve: 4}, newServer(t, "s-1", echo))
-	standing := b.client(t)
-	standing.send(opening())
-	standing.want("UP receipt-1\r\n")
+	b := newTestBalancerWithBudget(t, DescriptorBudget{Total: 16, DialReserve: 4}, newFakeServer(t, "s-1", serveEcho))
+	standing := b.newClient(t)
+	standing.send(newRequestLine())
+	standing.wantLine("UP receipt-1\r\n")
 	for range 60 {
-		b.client(t)
+		b.newClient(t)
 	}
 	start := time.Now()
 	for range 4 {
-		c := b.client(t)
-		c.send(opening())
-		c.want("UP receipt-1\r\n")
+		c := b.newClient(t)
+		c.send(newRequestLine())
+		c.wantLine("UP receipt-1\r\n")
 	}
-	if d := time.Since(start); d > firstLineMost {
+	if d := time.Since(start); d > maxTimeToServe {
 		t.Errorf("served after %v, as if the silent ones had to go by themselves", d)
 	}
 	standing.send("x\r\n")
-	standing.want("re x\r\n")
+	standing.wantLine("re x\r\n")
 }
 
 // Guards a request whose line is there, but was not read yet, against being shed as a silent channel's: seen on a machine with
 // all cores busy, where one of 675 clients was cut off.
-func TestUnreadLinesAreNotShed(t *testing.T) {
+func TestUnreadRequestIsNotAborted(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t)
+	b := newTestBalancer(t)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := dial(t, l.Addr().String())
+	c := dialClient(t, l.Addr().String())
 	defer c.conn.Close()
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ch := b.front.channel(conn)
-	drop := func() bool { return !ch.execute(t.Context(), dropCommand{}) }
+	ch := b.frontend.newClientConn(conn)
+	drop := func() bool { return !ch.execute(t.Context(), abortCommand{}) }
 	if !drop() {
 		t.Error("a silent channel stays")
 	}
-	c.send(opening())
-	for end := time.Now().Add(10 * time.Second); !unread(conn) && time.Now().Before(end); {
+	c.send(newRequestLine())
+	for end := time.Now().Add(10 * time.Second); !hasUnreadData(conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if drop() {
@@ -431,36 +431,36 @@
 	if line, err := ch.text.R.ReadString('\n'); err != nil || !strings.HasPrefix(line, "OPEN ") {
 		t.Fatalf("read %q, %v: looking took some of it", line, err)
 	}
-	if ch.heard.Store(true); drop() {
+	if ch.requestLineRead.Store(true); drop() {
 		t.Error("one that was read and not handed on is dropped")
 	}
-	if ch.asked = true; !drop() {
+	if ch.requestSubmitted = true; !drop() {
 		t.Error("one that was handed on stays, though the core drops it")
 	}
 }
 
-// firstLineMost is far less than 60 silent channels take to go by themselves, 12 at a time and each after 2 s.
-const firstLineMost = 6 * time.Second
+// maxTimeToServe is far less than 60 silent channels take to go by themselves, 12 at a time and each after 2 s.
+const maxTimeToServe = 6 * time.Second
 
 // Attempts go on to another server after each bad answer, and never overlap.
-func TestNextAttempt(t *testing.T) {
+func TestRetryAfterBadResponse(t *testing.T) {
 	t.Parallel()
 	for name, treat := range map[string]func(net.Conn, *bufio.Reader){
-		"busy": say("BUSY inflight=7\r\n"), "error": say("ERR\r\n"), "breaks": say(""), "half a line": say("UP rec"),
-		"hangs": hang, "unknown answer": say("WHAT\r\n"), "too long": say(strings.Repeat("x", 2*maxLine)),
-		"up without receipt": say("UP\r\n"), "bytes": say("\x00\xff\x80UP receipt-9\r\n"), "two answers": say("ERR\r\nUP receipt-9\r\n"),
-		"bare line ends": say("UP receipt-9\nUP receipt-9\r\n"), "spoilt report": say("BUSY inflight=1e999,x0=-,=,,x0\r\n"),
+		"busy": respond("BUSY inflight=7\r\n"), "error": respond("ERR\r\n"), "breaks": respond(""), "half a line": respond("UP rec"),
+		"hangs": neverRespond, "unknown answer": respond("WHAT\r\n"), "too long": respond(strings.Repeat("x", 2*maxLineLength)),
+		"up without receipt": respond("UP\r\n"), "bytes": respond("\x00\xff\x80UP receipt-9\r\n"), "two answers": respond("ERR\r\nUP receipt-9\r\n"),
+		"bare line ends": respond("UP receipt-9\nUP receipt-9\r\n"), "spoilt report": respond("BUSY inflight=1e999,x0=-,=,,x0\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := newServer(t, "s-1", treat), newServer(t, "s-2", echo)
-			b := newBalancer(t, bad, good)
+			bad, good := newFakeServer(t, "s-1", treat), newFakeServer(t, "s-2", serveEcho)
+			b := newTestBalancer(t, bad, good)
 			for range 3 {
-				c := b.client(t)
-				c.send(opening())
-				c.want("UP receipt-1\r\n")
+				c := b.newClient(t)
+				c.send(newRequestLine())
+				c.wantLine("UP receipt-1\r\n")
 			}
-			if n := len(bad.lines()); n == 0 {
+			if n := len(bad.receivedLines()); n == 0 {
 				t.Error("the bad server was never tried")
 			}
 		})
@@ -468,56 +468,56 @@
 }
 
 // A request that no server takes is refused at once, not near its deadline.
-func TestRefusedAtOnce(t *testing.T) {
+func TestRejectedWithoutWaiting(t *testing.T) {
 	t.Parallel()
-	s1, s2 := newServer(t, "s-1", say("BUSY\r\n")), newServer(t, "s-2", say("BUSY\r\n"))
-	b := newBalancer(t, s1, s2)
-	c := b.client(t)
-	c.send(strings.Replace(opening(), "d=2000", "d=1900", 1))
+	s1, s2 := newFakeServer(t, "s-1", respond("BUSY\r\n")), newFakeServer(t, "s-2", respond("BUSY\r\n"))
+	b := newTestBalancer(t, s1, s2)
+	c := b.newClient(t)
+	c.send(strings.Replace(newRequestLine(), "d=2000", "d=1900", 1))
 	line, err := c.r.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "BUSY") {
 		t.Fatalf("read %q, %v", line, err)
 	}
-	c.wantEnd()
+	c.wantEOF()
 }
 
-func TestReopenedAtItsServerOnly(t *testing.T) {
+func TestConnectionRestoredAtSameServer(t *testing.T) {
 	t.Parallel()
-	s1, s2 := newServer(t, "s-1", echo), newServer(t, "s-2", echo)
-	b := newBalancer(t, s1, s2)
+	s1, s2 := newFakeServer(t, "s-1", serveEcho), newFakeServer(t, "s-2", serveEcho)
+	b := newTestBalancer(t, s1, s2)
 	for i := range 4 {
-		c := b.client(t)
-		c.send(strings.Replace(opening(), "\r\n", ",at=s-2\r\n", 1))
-		c.want("UP receipt-1\r\n")
+		c := b.newClient(t)
+		c.send(strings.Replace(newRequestLine(), "\r\n", ",at=s-2\r\n", 1))
+		c.wantLine("UP receipt-1\r\n")
 		c.send(fmt.Sprintf("%d\r\n", i))
-		c.want(fmt.Sprintf("re %d\r\n", i))
+		c.wantLine(fmt.Sprintf("re %d\r\n", i))
 	}
-	if n := len(s1.lines()); n > 0 {
+	if n := len(s1.receivedLines()); n > 0 {
 		t.Errorf("%d lines went to the other server", n)
 	}
 }
 
 // The end of one side passes on alike: FIN as FIN, RST as RST.
-func TestEndsPassOn(t *testing.T) {
+func TestCloseIsRelayed(t *testing.T) {
 	t.Parallel()
 	t.Run("server's FIN", func(t *testing.T) {
 		t.Parallel()
-		c := newBalancer(t, newServer(t, "s-1", say("UP r\r\nLOAD 5000\r\nBYE\r\n"))).client(t)
-		c.send(opening())
-		c.want("UP r\r\n")
-		c.want("LOAD 5000\r\n")
-		c.want("BYE\r\n")
-		c.wantEnd()
+		c := newTestBalancer(t, newFakeServer(t, "s-1", respond("UP r\r\nLOAD 5000\r\nBYE\r\n"))).newClient(t)
+		c.send(newRequestLine())
+		c.wantLine("UP r\r\n")
+		c.wantLine("LOAD 5000\r\n")
+		c.wantLine("BYE\r\n")
+		c.wantEOF()
 	})
 	t.Run("server's RST", func(t *testing.T) {
 		t.Parallel()
-		c := newBalancer(t, newServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
+		c := newTestBalancer(t, newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
 			io.WriteString(conn, "UP r\r\n")
 			r.ReadString('\n')
 			conn.(*net.TCPConn).SetLinger(0)
-		})).client(t)
-		c.send(opening())
-		c.want("UP r\r\n")
+		})).newClient(t)
+		c.send(newRequestLine())
+		c.wantLine("UP r\r\n")
 		c.send("x\r\n")
 		if _, err := c.r.ReadString('\n'); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("read ended with %v, want a reset", err)
@@ -527,13 +527,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ends := make(chan error, 1)
-			c := newBalancer(t, newServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
+			c := newTestBalancer(t, newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
 				io.WriteString(conn, "UP r\r\n")
 				_, err := io.Copy(io.Discard, r)
 				ends <- err
-			})).client(t)
-			c.send(opening())
-			c.want("UP r\r\n")
+			})).newClient(t)
+			c.send(newRequestLine())
+			c.wantLine("UP r\r\n")
 			if reset {
 				c.conn.SetLinger(0)
 			}
@@ -547,27 +547,27 @@
 
 // A room server that ends a connection after its client has ended it, with BYE or without, has not failed. Guards against
 // servers left out for each client that hangs up, and against a crowd that drops and finds none when it is back.
-func TestClientsEndIsNoFailure(t *testing.T) {
+func TestClientCloseIsNoServerFault(t *testing.T) {
 	t.Parallel()
 	reset := func(conn net.Conn, r *bufio.Reader) {
 		io.WriteString(conn, "UP receipt-1\r\n")
 		io.Copy(io.Discard, r)
 		conn.(*net.TCPConn).SetLinger(0)
 	}
-	for name, treat := range map[string]func(net.Conn, *bufio.Reader){"FIN": echo, "RST": reset} {
+	for name, treat := range map[string]func(net.Conn, *bufio.Reader){"FIN": serveEcho, "RST": reset} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBalancer(t, newServer(t, "s-1", treat), newServer(t, "s-2", treat))
+			b := newTestBalancer(t, newFakeServer(t, "s-1", treat), newFakeServer(t, "s-2", treat))
 			for range 6 {
-				c := b.client(t)
-				c.send(opening())
-				c.want("UP receipt-1\r\n")
+				c := b.newClient(t)
+				c.send(newRequestLine())
+				c.wantLine("UP receipt-1\r\n")
 				c.conn.CloseWrite()
 				for _, err := c.r.ReadString('\n'); err == nil; {
 					_, err = c.r.ReadString('\n')
 				}
 			}
-			if s := b.module.CurrentSnapshot(5 * time.Second); s.Ejected != 0 || s.Listed != 2 {
+			if s := b.engine.CurrentSnapshot(5 * time.Second); s.Ejected != 0 || s.Listed != 2 {
 				t.Errorf("%d of %d room servers are left out", s.Ejected, s.Listed)
 			}
 		})
@@ -576,39 +576,39 @@
 
 // A server that goes silent under a standing connection: its client is moved well within 7 s.
 // The module's order to move and the room server's own end cross each other. The client gets one end, and no second one.
-func TestMoveCrossesTheServersEnd(t *testing.T) {
-	b := newBalancer(t)
-	front := New(b.module, testNames, DescriptorBudget{Total: 300, DialReserve: 50}, logrus.New()) // it accepts nothing
+func TestMigrateCrossesServerClose(t *testing.T) {
+	b := newTestBalancer(t)
+	front := New(b.engine, testNames, DescriptorBudget{Total: 300, DialReserve: 50}, logrus.New()) // it accepts nothing
 	for _, code := range []decide.Code{decide.OK, decide.Cancelled} {
-		ours, client := pair(t)
-		server, _ := pair(t)
-		c := front.channel(ours)
-		c.call = b.module.Accept(c, core.Traits{})
-		front.held <- struct{}{} // the dial's descriptor, which the end gives back
-		c.up = &upstream{conn: server, text: textproto.NewConn(server), cancel: func() {}}
-		c.stands = true
-		if !c.serverEnded(newsServerEnd{code, io.EOF}) {
+		ours, client := newTCPPair(t)
+		server, _ := newTCPPair(t)
+		c := front.newClientConn(ours)
+		c.call = b.engine.Accept(c, core.Traits{})
+		front.descriptors <- struct{}{} // the dial's descriptor, which the end gives back
+		c.upstream = &upstreamConn{conn: server, text: textproto.NewConn(server), cancel: func() {}}
+		c.established = true
+		if !c.handleUpstreamClosed(upstreamClosedEvent{code, io.EOF}) {
 			t.Fatalf("code %v: the actor ended before its client did", code)
 		}
-		if !c.execute(context.Background(), moveCommand{}) {
+		if !c.execute(context.Background(), migrateCommand{}) {
 			t.Fatalf("code %v: the late move ended the actor", code)
 		}
-		client.wantEnd()
-		if n := len(front.held); n != 0 {
+		client.wantEOF()
+		if n := len(front.descriptors); n != 0 {
 			t.Fatalf("code %v: %d descriptors are held after the end", code, n)
 		}
 	}
 }
 
-// pair makes a connection of two ends.
-func pair(t *testing.T) (*net.TCPConn, *client) {
+// newTCPPair makes a connection of two ends.
+func newTCPPair(t *testing.T) (*net.TCPConn, *testClient) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far := dial(t, l.Addr().String())
+	far := dialClient(t, l.Addr().String())
 	near, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -617,19 +617,19 @@
 	return near.(*net.TCPConn), far
 }
 
-func TestSilentServer(t *testing.T) {
+func TestUnresponsiveServerMigratesClient(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t, newServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
+	b := newTestBalancer(t, newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
 		io.WriteString(conn, "UP r\r\n")
 		io.Copy(io.Discard, r)
 	}))
-	c := b.client(t)
-	c.send(opening())
-	c.want("UP r\r\n")
+	c := b.newClient(t)
+	c.send(newRequestLine())
+	c.wantLine("UP r\r\n")
 	start := time.Now()
 	c.send("anyone?\r\n")
-	c.want("MOVE\r\n")
-	c.wantEnd()
+	c.wantLine("MOVE\r\n")
+	c.wantEOF()
 	if d := time.Since(start); d > 7*time.Second {
 		t.Errorf("moved after %v", d)
 	}
@@ -638,18 +638,18 @@
 // A planned stop: standing clients are moved, what comes in the grace is served, then the drain is over.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t, newServer(t, "s-1", echo))
-	old := b.client(t)
-	old.send(opening())
-	old.want("UP receipt-1\r\n")
-	over := b.module.Drain(3400*time.Millisecond, nil)
-	late := b.client(t)
-	late.send(opening())
-	late.want("UP receipt-1\r\n")
-	old.want("MOVE\r\n")
-	old.wantEnd()
-	late.want("MOVE\r\n")
-	late.wantEnd()
+	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
+	old := b.newClient(t)
+	old.send(newRequestLine())
+	old.wantLine("UP receipt-1\r\n")
+	over := b.engine.Drain(3400*time.Millisecond, nil)
+	late := b.newClient(t)
+	late.send(newRequestLine())
+	late.wantLine("UP receipt-1\r\n")
+	old.wantLine("MOVE\r\n")
+	old.wantEOF()
+	late.wantLine("MOVE\r\n")
+	late.wantEOF()
 	old.conn.Close()
 	late.conn.Close()
 	select {
@@ -664,38 +664,38 @@
 // Guards against an instance that still says yes, or holds a connection, when its clients are to be elsewhere.
 func TestLameDuck(t *testing.T) {
 	t.Parallel()
-	b := newBalancer(t, newServer(t, "s-1", echo))
-	check := b.client(t)
+	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
+	check := b.newClient(t)
 	check.send("PING\r\n")
-	check.want("PONG\r\n")
-	var standing []*client
+	check.wantLine("PONG\r\n")
+	var standing []*testClient
 	open := func() {
-		c := b.client(t)
-		c.send(opening())
-		c.want("UP receipt-1\r\n")
+		c := b.newClient(t)
+		c.send(newRequestLine())
+		c.wantLine("UP receipt-1\r\n")
 		standing = append(standing, c)
 	}
 	for range 5 {
 		open()
 	}
 	start := time.Now()
-	if err := b.module.EnterLameDuck(10 * time.Second); err != nil {
+	if err := b.engine.EnterLameDuck(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	check.send("PING\r\n")
-	check.want("BUSY\r\n")
-	if s := b.module.ServiceState(); s != core.LameDuck {
+	check.wantLine("BUSY\r\n")
+	if s := b.engine.ServiceState(); s != core.LameDuck {
 		t.Errorf("the service state is %v", s)
 	}
 	open()
 	for _, c := range standing {
-		c.want("MOVE\r\n")
-		c.wantEnd()
+		c.wantLine("MOVE\r\n")
+		c.wantEOF()
 		c.conn.Close()
 	}
 	for refused := false; !refused; {
-		late := b.client(t)
-		late.send(opening())
+		late := b.newClient(t)
+		late.send(newRequestLine())
 		line, err := late.r.ReadString('\n')
 		if refused = strings.HasPrefix(line, "BUSY "); refused {
 			break
@@ -703,60 +703,60 @@
 		if err != nil || line != "UP receipt-1\r\n" { // before the last step it is served, and moved with it
 			t.Fatalf("a late client reads %q, %v", line, err)
 		}
-		late.want("MOVE\r\n")
+		late.wantLine("MOVE\r\n")
 		late.conn.Close()
 	}
 	if d := time.Since(start); d > 4*time.Second {
 		t.Errorf("all are moved after %v", d)
 	}
-	if err := b.module.LeaveLameDuck(10 * time.Second); err != nil {
+	if err := b.engine.LeaveLameDuck(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	again := b.client(t)
+	again := b.newClient(t)
 	again.send("PING\r\n")
-	again.want("PONG\r\n")
-	again.send(opening())
-	again.want("UP receipt-1\r\n")
+	again.wantLine("PONG\r\n")
+	again.send(newRequestLine())
+	again.wantLine("UP receipt-1\r\n")
 }
 
 // What is left to another process is not used for channels, and comes back; while held, the front serves what it has
 // accepted, accepts nothing more, and answers PING for the process that does.
-func TestBesideAnotherProcess(t *testing.T) {
+func TestServeBesideAnotherProcess(t *testing.T) {
 	t.Parallel()
-	b := budgeted(t, DescriptorBudget{Total: 16, DialReserve: 4}, newServer(t, "s-1", echo))
-	accepted := b.client(t)
+	b := newTestBalancerWithBudget(t, DescriptorBudget{Total: 16, DialReserve: 4}, newFakeServer(t, "s-1", serveEcho))
+	accepted := b.newClient(t)
 	accepted.send("PING\r\n")
-	accepted.want("PONG\r\n")
-	b.front.SetReserve(14)
-	b.front.SetReserve(12) // all but four: the channel, its dial, and one that is accepted
+	accepted.wantLine("PONG\r\n")
+	b.frontend.SetReserve(14)
+	b.frontend.SetReserve(12) // all but four: the channel, its dial, and one that is accepted
 	b.pause.Pause()
-	b.front.SetReplaced(true)
-	b.module.Drain(20*time.Second, nil)
+	b.frontend.SetReplaced(true)
+	b.engine.Drain(20*time.Second, nil)
 	accepted.send("PING\r\n")
-	accepted.want("PONG\r\n")
-	accepted.send(opening())
-	accepted.want("UP receipt-1\r\n")
-	other := b.client(t)
-	other.send(opening())
+	accepted.wantLine("PONG\r\n")
+	accepted.send(newRequestLine())
+	accepted.wantLine("UP receipt-1\r\n")
+	other := b.newClient(t)
+	other.send(newRequestLine())
 	other.conn.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if line, err := other.r.ReadString('\n'); err == nil {
 		t.Errorf("accepted while held: %q", line)
 	}
-	if n := len(b.front.held); n > 16 {
+	if n := len(b.frontend.descriptors); n > 16 {
 		t.Errorf("%d descriptors are held", n)
 	}
-	b.front.SetReplaced(false)
-	b.front.SetReserve(0)
+	b.frontend.SetReplaced(false)
+	b.frontend.SetReserve(0)
 	b.pause.Resume()
 	other.conn.SetDeadline(time.Now().Add(20 * time.Second))
-	other.want("UP receipt-1\r\n")
+	other.wantLine("UP receipt-1\r\n")
 }
 
 // A client that reads nothing holds its server back and harms nobody else.
 func TestBackpressure(t *testing.T) {
 	t.Parallel()
 	sent := make(chan int, 1)
-	b := newBalancer(t, newServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
+	b := newTestBalancer(t, newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
 		io.WriteString(conn, "UP r\r\n")
 		n := 0
 		for conn.SetWriteDeadline(time.Now().Add(time.Second)); ; n++ {
@@ -766,18 +766,18 @@
 		}
 		sent <- n
 	}))
-	slow := b.client(t)
-	slow.send(opening())
-	slow.want("UP r\r\n")
+	slow := b.newClient(t)
+	slow.send(newRequestLine())
+	slow.wantLine("UP r\r\n")
 	if n := <-sent; n > 64<<10 {
 		t.Errorf("%d KiB were taken for a client that reads nothing", n)
 	}
-	other := b.client(t)
-	other.send(opening())
-	other.want("UP r\r\n")
+	other := b.newClient(t)
+	other.send(newRequestLine())
+	other.wantLine("UP r\r\n")
 	// Nor does it hold up a planned stop: the drain and all actors end.
 	select {
-	case <-b.module.Drain(3*time.Second, nil):
+	case <-b.engine.Drain(3*time.Second, nil):
 	case <-time.After(20 * time.Second):
 		t.Fatal("the drain does not end")
 	}
--- a/internal/frontend/platform/idle_bench_test.go
+++ b/internal/frontend/platform/idle_bench_test.go
@@ -15,10 +15,10 @@
 	for i := range all {
 		all[i] = cfg
 	}
-	s := newSite(b, 1, all...)
-	s.balancers[0].front.resuming = nil
+	s := newSessionFixture(b, 1, all...)
+	s.balancers[0].frontend.sessions = nil
 	for range 20 {
-		c := setUp(b, s.balancers[0].addr, opening(), false)
+		c := establish(b, s.balancers[0].addr, newRequestLine(), false)
 		b.Cleanup(func() { c.conn.Close() })
 	}
 	b.ReportAllocs()
--- /dev/null
+++ b/internal/frontend/platform/prober.go
@@ -0,0 +1,83 @@
+package platform
+
+import (
+	"context"
+	"math"
+	"net"
+	"sync"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+)
+
+// probeBacklog is how many probes may wait for one room server; the engine lets further ones time out.
+const probeBacklog = 4
+
+// Prober implements core.Prober: it keeps an actor with one connection for each room server that is probed. Probe and
+// Remove must be called by the engine's goroutine only, which owns all fields.
+type Prober struct {
+	// ctx ends all actors.
+	ctx    context.Context
+	engine *core.Engine
+	dialer net.Dialer
+	conns  map[decide.ServerID]*probeConn
+	// maxConns bounds the number of conns, each of which keeps a descriptor.
+	maxConns int
+	// probeCount is the number of probes so far; it orders the connections by their latest use.
+	probeCount uint64
+	// actors counts the goroutines of the connections.
+	actors sync.WaitGroup
+}
+
+// NewProber returns a prober that keeps at most maxConns connections and whose goroutines end with ctx.
+func NewProber(ctx context.Context, engine *core.Engine, maxConns int) *Prober {
+	return &Prober{
+		ctx:      ctx,
+		engine:   engine,
+		dialer:   net.Dialer{KeepAlive: -1},
+		conns:    map[decide.ServerID]*probeConn{},
+		maxConns: maxConns,
+	}
+}
+
+// Wait waits until all goroutines of the prober have ended.
+func (p *Prober) Wait() { p.actors.Wait() }
+
+// Probe sends a probe to a room server. The result goes to the engine's ProbeCompleted with seq, unless ctx ends first.
+func (p *Prober) Probe(ctx context.Context, seq uint64, server core.Upstream) {
+	conn := p.conns[server.ID]
+	if conn == nil {
+		if len(p.conns) >= p.maxConns {
+			p.Remove(p.leastRecentlyUsed())
+		}
+		conn = &probeConn{prober: p, requests: make(chan probeRequest, probeBacklog)}
+		p.conns[server.ID] = conn
+		p.actors.Go(conn.run)
+	}
+	p.probeCount++
+	conn.lastUsed = p.probeCount
+	select {
+	case conn.requests <- probeRequest{ctx, seq, server}:
+	default:
+	}
+}
+
+// leastRecentlyUsed returns the room server whose latest probe was the earliest. Its connection makes place for another
+// one when the list of servers is longer than maxConns.
+func (p *Prober) leastRecentlyUsed() (id decide.ServerID) {
+	earliest := uint64(math.MaxUint64)
+	for server, conn := range p.conns {
+		if conn.lastUsed < earliest {
+			id, earliest = server, conn.lastUsed
+		}
+	}
+	return id
+}
+
+// Remove ends the actor of a room server and closes its connection.
+func (p *Prober) Remove(server decide.ServerID) {
+	if conn := p.conns[server]; conn != nil {
+		close(conn.requests)
+		delete(p.conns, server)
+	}
+}
--- a/internal/frontend/platform/resume_bench_test.go
+++ b/internal/frontend/platform/session_bench_test.go
@@ -12,9 +12,9 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// setUp makes one request and waits for its answer and, where it asked for one, its token.
-func setUp(b *testing.B, addr, first string, tokens bool) *client {
-	c := dial(b, addr)
+// establish makes one request and waits for its answer and, where it asked for one, its token.
+func establish(b *testing.B, addr, first string, tokens bool) *testClient {
+	c := dialClient(b, addr)
 	io.WriteString(c.conn, first)
 	if line, err := c.r.ReadString('\n'); !strings.HasPrefix(line, "UP ") {
 		b.Fatalf("read %q, %v", line, err)
@@ -27,9 +27,9 @@
 	return c
 }
 
-// BenchmarkSetUp is a connection's set-up and end through one balancer: with the extension off; on, for a client that does
+// BenchmarkEstablish is a connection's set-up and end through one balancer: with the extension off; on, for a client that does
 // not ask; on, for one that gets a token; and with a token whose session moves from one room server to another.
-func BenchmarkSetUp(b *testing.B) {
+func BenchmarkEstablish(b *testing.B) {
 	for _, v := range []struct {
 		name   string
 		off    bool
@@ -38,104 +38,104 @@
 	}{{"off", true, false, false}, {"on", false, false, false}, {"token", false, true, false}, {"move", false, true, true}} {
 		b.Run(v.name, func(b *testing.B) {
 			cfg := emulator.RoomServerConfig{Keeps: true, State: 2048, Capacity: 1000} // so much that the load of what is booked holds none back
-			s := newSite(b, 1, cfg, cfg)
+			s := newSessionFixture(b, 1, cfg, cfg)
 			at := s.balancers[0]
-			stand(b, s)
+			warmUp(b, s)
 			if v.off {
-				at.front.resuming = nil
+				at.frontend.sessions = nil
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				first := opening()
+				first := newRequestLine()
 				if v.tokens {
-					first = resumes("new")
+					first = requestLineWithToken("new")
 				}
 				if !v.moves {
-					setUp(b, at.addr, first, v.tokens).conn.Close()
+					establish(b, at.addr, first, v.tokens).conn.Close()
 					continue
 				}
 				b.StopTimer()
-				s.only(i % 2)
-				c := dial(b, at.addr)
+				s.setOnlyReady(i % 2)
+				c := dialClient(b, at.addr)
 				io.WriteString(c.conn, first)
 				c.r.ReadString('\n')
 				line, _ := c.r.ReadString('\n')
 				c.conn.Close()
-				s.only(1 - i%2)
+				s.setOnlyReady(1 - i%2)
 				b.StartTimer()
-				setUp(b, at.addr, resumes(strings.TrimSpace(strings.TrimPrefix(line, "TOKEN "))), true).conn.Close()
+				establish(b, at.addr, requestLineWithToken(strings.TrimSpace(strings.TrimPrefix(line, "TOKEN "))), true).conn.Close()
 			}
 		})
 	}
 }
 
-// stand has some connections stand at each room server, so that the balancer knows what one loads it with and holds none
+// warmUp has some connections stand at each room server, so that the balancer knows what one loads it with and holds none
 // back meanwhile.
-func stand(b *testing.B, s *site) {
-	for room := range s.rooms {
-		s.only(room)
+func warmUp(b *testing.B, s *sessionFixture) {
+	for room := range s.servers {
+		s.setOnlyReady(room)
 		for range 20 {
-			c := setUp(b, s.balancers[0].addr, strings.Replace(opening(), "g=5c0f6e1a", fmt.Sprintf("g=%d", opened.Load()), 1), false)
+			c := establish(b, s.balancers[0].addr, strings.Replace(newRequestLine(), "g=5c0f6e1a", fmt.Sprintf("g=%d", lastRequestID.Load()), 1), false)
 			b.Cleanup(func() { c.conn.Close() })
 			time.Sleep(40 * time.Millisecond)
 		}
 	}
-	for room := range s.rooms {
-		s.set(room, decide.Ready)
+	for room := range s.servers {
+		s.setState(room, decide.Ready)
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// BenchmarkWaiting is the memory of one channel that stands, and of one whose session's state is on its way.
-func BenchmarkWaiting(b *testing.B) {
+// BenchmarkSessionMemory is the memory of one channel that stands, and of one whose session's state is on its way.
+func BenchmarkSessionMemory(b *testing.B) {
 	for _, state := range []int{0, 2048, 65536} {
 		b.Run(fmt.Sprintf("state=%d", state), func(b *testing.B) {
 			const sessions = 100
-			s := newSite(b, 0, emulator.RoomServerConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
+			s := newSessionFixture(b, 0, emulator.RoomServerConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
 				emulator.RoomServerConfig{Keeps: true, Capacity: 1000})
 			s.limits.MaxState, s.limits.MaxBytes, s.limits.MaxMigrations = 65536, 64<<20, sessions
-			s.balancers = append(s.balancers, s.balancer())
+			s.balancers = append(s.balancers, s.startBalancer())
 			at := s.balancers[0]
-			stand(b, s)
+			warmUp(b, s)
 			for b.Loop() {
 				var tokens []string
-				s.only(0)
+				s.setOnlyReady(0)
 				for range sessions {
-					c := setUp(b, at.addr, resumes("new"), false)
+					c := establish(b, at.addr, requestLineWithToken("new"), false)
 					line, _ := c.r.ReadString('\n')
 					tokens = append(tokens, strings.TrimSpace(strings.TrimPrefix(line, "TOKEN ")))
 					c.conn.Close()
 				}
-				before := heap()
+				before := heapBytes()
 				if state > 0 {
-					s.set(1, decide.Ready)
-					s.only(1)
-					s.rooms[0].Misbehave(emulator.Faults{StallCommit: true})
+					s.setState(1, decide.Ready)
+					s.setOnlyReady(1)
+					s.servers[0].Misbehave(emulator.Faults{StallCommit: true})
 				}
-				var all []*client
+				var all []*testClient
 				for _, tok := range tokens {
-					c := dial(b, at.addr)
+					c := dialClient(b, at.addr)
 					if state > 0 {
-						io.WriteString(c.conn, resumes(tok))
+						io.WriteString(c.conn, requestLineWithToken(tok))
 					} else {
-						io.WriteString(c.conn, opening())
+						io.WriteString(c.conn, newRequestLine())
 					}
 					all = append(all, c)
 				}
 				time.Sleep(300 * time.Millisecond)
-				b.ReportMetric(float64(heap()-before)/sessions, "B/session")
-				held, _ := s.rooms[1].Sessions()
+				b.ReportMetric(float64(heapBytes()-before)/sessions, "B/session")
+				held, _ := s.servers[1].Sessions()
 				b.ReportMetric(float64(held), "held")
 				for _, c := range all {
 					c.conn.Close()
 				}
-				s.rooms[0].Misbehave(emulator.Faults{})
+				s.servers[0].Misbehave(emulator.Faults{})
 			}
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- /dev/null
+++ b/internal/frontend/platform/session_resumer.go
@@ -0,0 +1,50 @@
+package platform
+
+import (
+	"sync/atomic"
+	"time"
+
+	"cottonplank/internal/session/token"
+
+	"golang.org/x/sync/semaphore"
+)
+
+// SessionLimits bound the resources that the migration of sessions may use.
+type SessionLimits struct {
+	// Site is the name of the site; tokens of other sites are rejected.
+	Site string
+	// TokenLifetime is how long a session token is valid.
+	TokenLifetime time.Duration
+	// MaxState is the largest state of one session, in bytes.
+	MaxState int
+	// MaxBytes bounds the sum of all states in flight, in bytes.
+	MaxBytes int64
+	// MaxMigrations bounds the number of states in flight.
+	MaxMigrations int
+}
+
+// SessionResumer holds what all connections share to resume sessions: the limits, the token keys and the resources in
+// use. It is safe for concurrent use.
+type SessionResumer struct {
+	limits SessionLimits
+	// ring holds the keys that seal and open tokens.
+	ring atomic.Pointer[token.Ring]
+	// stateBytes is the semaphore for SessionLimits.MaxBytes.
+	stateBytes *semaphore.Weighted
+	// migrations is the semaphore for SessionLimits.MaxMigrations.
+	migrations *semaphore.Weighted
+}
+
+// NewSessionResumer returns a SessionResumer for Frontend.EnableSessions.
+func NewSessionResumer(limits SessionLimits, ring *token.Ring) *SessionResumer {
+	r := &SessionResumer{
+		limits:     limits,
+		stateBytes: semaphore.NewWeighted(limits.MaxBytes),
+		migrations: semaphore.NewWeighted(int64(limits.MaxMigrations)),
+	}
+	r.ring.Store(ring)
+	return r
+}
+
+// SetKeys replaces the token keys. Tokens that were issued before are opened with the new keys as well.
+func (r *SessionResumer) SetKeys(ring *token.Ring) { r.ring.Store(ring) }
