--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -16,9 +16,9 @@
 // client and the one to the client's room server.
 //
 // The goroutine of run owns every field that has no other owner below. The engine reaches it by commands; the
-// goroutines that read from the two connections reach it by events. Only readClient reads from text; only run's
-// goroutine writes to it until the connection is established, except that readClient answers health checks before the
-// request.
+// goroutines that read from the two connections reach it by events. Only readClient reads from the client. Writes to
+// the client come from one goroutine at a time: from readClient, which answers health checks, until the request line;
+// from relayToClient while the connection is established; from run's goroutine between the two and after the relay.
 type clientConn struct {
 	frontend *Frontend
 	// call is the engine's record of this connection.
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -11,10 +11,11 @@
 	"cottonplank/decide"
 )
 
-// lineRemainderTimeout is how long the rest of a line may take that a migration found half read.
+// lineRemainderTimeout is how long a migration waits for the rest of a line of which a part has been read.
 const lineRemainderTimeout = 300 * time.Millisecond
 
-// migrateWriteTimeout is how long writes to a client may take from the start of its migration on.
+// migrateWriteTimeout is the time from the start of a migration in which the client must accept what is written to it,
+// MOVE included. A wait of up to lineRemainderTimeout is part of it.
 const migrateWriteTimeout = 500 * time.Millisecond
 
 // relayToUpstream forwards the client's bytes as they arrive. It returns the error that ended the client's side, or nil
@@ -90,10 +91,10 @@
 	}
 }
 
-// inspectServerLine reports the load that a line carries to the engine. If the line announces the end of the
+// inspectServerLine tells the engine the connection's load if the line names it. If the line announces the end of the
 // connection, it returns the outcome to report and true.
 func (c *clientConn) inspectServerLine(raw []byte) (code decide.Code, closeAnnounced bool) {
-	word, rest, _ := bytes.Cut(bytes.TrimRight(raw, "\r\n"), []byte{' '})
+	word, rest, _ := bytes.Cut(bytes.TrimRight(raw, lineEnd), []byte{' '})
 	switch string(word) {
 	case wordLoad:
 		if load, err := parseLoad(string(rest)); err == nil {
--- a/internal/frontend/platform/token_issuer.go
+++ b/internal/frontend/platform/token_issuer.go
@@ -9,9 +9,6 @@
 	"cottonplank/internal/session/token"
 )
 
-// lineEnd ends each line of the protocol.
-const lineEnd = "\r\n"
-
 // tokenIssuer issues session tokens to the client of an established connection. The goroutine of relayToClient owns it
 // while that runs, the one of clientConn.run before and after.
 type tokenIssuer struct {
@@ -29,7 +26,7 @@
 // filterLine inspects a complete line of the room server and returns the bytes to write to the client in its place. A
 // token comes in the same write as the line, so that the client gets both or neither.
 func (t *tokenIssuer) filterLine(raw []byte) []byte {
-	line := strings.TrimRight(string(raw), "\r\n")
+	line := strings.TrimRight(string(raw), lineEnd)
 	var epoch, position uint64
 	switch {
 	case !t.enabled && protocol.Parse(line, wordKept, &epoch, &position):
--- a/internal/frontend/platform/wire.go
+++ b/internal/frontend/platform/wire.go
@@ -48,3 +48,6 @@
 
 // maxLineLength is the longest line of the protocol in bytes, its CRLF included.
 const maxLineLength = 4096
+
+// lineEnd ends each line of the protocol.
+const lineEnd = "\r\n"
