--- a/internal/controlplane/encoding_test.go
+++ b/internal/controlplane/encoding_test.go
@@ -24,8 +24,8 @@
 )
 
 // encodedEntry is the encoding of testEntry.
-const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030647a6f6e65616166776569676874fb" +
-	"3ff800000000000065647261696ef5"
+const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030" +
+	"647a6f6e65616166776569676874fb3ff800000000000065647261696ef5"
 
 // Servers and followers of different releases talk to each other, so the encoding of each message is fixed.
 func TestMessageEncodingIsFixed(t *testing.T) {
@@ -36,17 +36,17 @@
 		value any
 		want  string
 	}{
-		{"hello", hello{1, "k1", testClientNonce},
+		{"hello", clientHello{1, "k1", testClientNonce},
 			"a3010102626b310350636c69656e74206e6f6e636520313662"},
-		{"welcome", welcome{testServerNonce}, "a10150736572766572206e6f6e636520313662"},
-		{"subscribe", message{Ask: &has}, "a101820107"},
-		{"heartbeat", message{Beat: &beat{has, 1500}}, "a102a201820107021905dc"},
+		{"welcome", serverHello{testServerNonce}, "a10150736572766572206e6f6e636520313662"},
+		{"subscribe", message{Subscribe: &has}, "a101820107"},
+		{"heartbeat", message{Heartbeat: &heartbeat{has, 1500}}, "a102a201820107021905dc"},
 		{"changes", message{Changes: []replica.Change{{From: has, To: next,
 			Upserted: []endpoint.Entry{testEntry}, Removed: []string{"s-2"}}}}, "a10381a401820107028201080481" +
 			encodedEntry +
 			"058163732d32"},
-		{"snapshot chunk", message{Piece: &replica.SnapshotChunk{Version: next, Index: 1, Last: true, Discovery: "127.0.0.1:8500",
-			Rooms: []endpoint.Entry{testEntry}}},
+		{"snapshot chunk", message{Chunk: &replica.SnapshotChunk{Version: next, Index: 1, Last: true, Discovery: "127.0.0.1:8500",
+			Entries: []endpoint.Entry{testEntry}}},
 			"a104a501820108020103f5046e3132372e302e302e313a383530300581" +
 				encodedEntry},
 	} {
@@ -71,9 +71,9 @@
 		frames   []any
 		want     string
 	}{
-		{"follower", true, []any{message{Ask: &has}},
+		{"follower", true, []any{message{Subscribe: &has}},
 			"00000005a1018201078211d0761b4c8434c453e1dd337cc4fd25f894fd9f4205a36641544fb7ac274e"},
-		{"server", false, []any{message{Beat: &beat{has, 1500}}, message{Beat: &beat{has, 2500}}},
+		{"server", false, []any{message{Heartbeat: &heartbeat{has, 1500}}, message{Heartbeat: &heartbeat{has, 2500}}},
 			"0000000ba102a201820107021905dcf072ebb19cdd120504428929d008e1c855e5b87239f4e9564407a439322b199300" +
 				"00000ba102a201820107021909c443651a4a6415e2eae66e37892f63dc3bf2c20cc4d627164df1cbaff23672c861"},
 	} {
@@ -82,8 +82,8 @@
 			defer theirs.Close()
 			go func() {
 				defer ours.Close()
-				peer := newLink(ours)
-				if err := peer.agree(testSecret, testClientNonce, testServerNonce, "site-1", test.follower); err != nil {
+				peer := newSecureConn(ours)
+				if err := peer.deriveSessionKeys(testSecret, testClientNonce, testServerNonce, "site-1", test.follower); err != nil {
 					t.Error(err)
 				}
 				for _, frame := range test.frames {
@@ -92,7 +92,7 @@
 					}
 				}
 			}()
-			theirs.SetReadDeadline(time.Now().Add(soon))
+			theirs.SetReadDeadline(time.Now().Add(testTimeout))
 			raw, err := io.ReadAll(theirs)
 			if err != nil {
 				t.Fatal(err)
@@ -106,12 +106,12 @@
 
 // The key of a follower's first frame depends on the shared secret and the site alone.
 func TestHelloKeyIsFixed(t *testing.T) {
-	mac, err := derive(testSecret, nil, "hello", "site-1")
+	mac, err := newMAC(testSecret, nil, "hello", "site-1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const want = "8cf6ba00c7a37547411071654bb9008da3749b9ed2f3495d2e6bdc66ddb89a12"
-	if got := hex.EncodeToString(tag(mac, 0, []byte("body"))); got != want {
+	if got := hex.EncodeToString(frameTag(mac, 0, []byte("body"))); got != want {
 		t.Errorf("tag %s, want %s", got, want)
 	}
 }
@@ -119,13 +119,13 @@
 // A state file is read by the releases before and after this one: its bucket, its key and its value are fixed.
 func TestSavedStateIsFixed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
-	s, _ := store(t, path, "site-1")
+	s, _ := newTestStore(t, path, "site-1")
 	state := replica.State{Version: replica.Version{Term: 1, Number: 7},
 		Document: replica.Document{Discovery: "127.0.0.1:8500", Rooms: []endpoint.Entry{testEntry}}}
 	if err := s.Save(state); err != nil {
 		t.Fatal(err)
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: soon})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -11,57 +11,57 @@
 	"github.com/sirupsen/logrus"
 )
 
-const lookEvery = 250 * time.Millisecond
+const staleCheckInterval = 250 * time.Millisecond
 
 // Follower fills a hub from the control machines, one at a time.
 type Follower struct {
-	hub   *Broadcaster
-	keys  *Keyring
-	site  string
-	taken func(replica.State) // called from Run, in the order of the versions
-	log   *logrus.Logger
+	broadcaster *Broadcaster
+	keys        *Keyring
+	site        string
+	onState     func(replica.State) // called from Run, in the order of the versions
+	log         *logrus.Logger
 
-	mu      sync.Mutex
-	seeker  *replica.ServerSelector
-	last    string // why the last machine was left
-	told    string // the machine that the log told of
-	current string
+	mu            sync.Mutex
+	selector      *replica.ServerSelector
+	lastFailure   string // why the last machine was left
+	loggedServer  string // the machine that the log told of
+	currentServer string
 }
 
 // NewFollower returns a follower; those with different seeds spread over the machines. taken hears of each version that is in
 // force, and may take as long as it needs.
 func NewFollower(hub *Broadcaster, machines []replica.Server, region string, seed uint64, keys *Keyring, site string,
 	taken func(replica.State), log *logrus.Logger) *Follower {
-	f := &Follower{hub: hub, keys: keys, site: site, taken: taken, log: log,
-		seeker: replica.NewServerSelector(machines, region, seed, time.Now())}
-	hub.age = f.age
+	f := &Follower{broadcaster: hub, keys: keys, site: site, onState: taken, log: log,
+		selector: replica.NewServerSelector(machines, region, seed, time.Now())}
+	hub.leaderAge = f.leaderAge
 	return f
 }
 
-func (f *Follower) age(now time.Time) time.Duration {
+func (f *Follower) leaderAge(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seeker.LeaderAge(now)
+	return f.selector.LeaderAge(now)
 }
 
 // LeaderStale tells whether nothing has been heard of the writer for replica.Silence.
 func (f *Follower) LeaderStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.look()
+	return f.checkLeaderStale()
 }
 
-// look says when the silence begins and when it ends.
-func (f *Follower) look() bool {
-	silent, turned := f.seeker.LeaderStale(time.Now())
+// checkLeaderStale says when the silence begins and when it ends.
+func (f *Follower) checkLeaderStale() bool {
+	silent, turned := f.selector.LeaderStale(time.Now())
 	if !turned {
 		return silent
 	}
-	entry := f.log.WithField("version", f.hub.State().Version.String())
+	entry := f.log.WithField("version", f.broadcaster.State().Version.String())
 	if silent {
-		entry.WithField("cause", f.last).Warnf("control: nothing heard of the writer for %v, serving on with what is there", replica.LeaderTimeout)
+		entry.WithField("cause", f.lastFailure).Warnf("control: nothing heard of the writer for %v, serving on with what is there", replica.LeaderTimeout)
 	} else {
-		entry.WithField("machine", f.current).Info("control: the writer is heard again")
+		entry.WithField("machine", f.currentServer).Info("control: the writer is heard again")
 	}
 	return silent
 }
@@ -71,7 +71,7 @@
 	var looking sync.WaitGroup
 	defer looking.Wait()
 	looking.Go(func() {
-		tick := time.NewTicker(lookEvery)
+		tick := time.NewTicker(staleCheckInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -84,7 +84,7 @@
 	})
 	for {
 		f.mu.Lock()
-		m, pause := f.seeker.Next()
+		m, pause := f.selector.Next()
 		f.mu.Unlock()
 		select {
 		case <-time.After(pause):
@@ -101,7 +101,7 @@
 		}
 		f.log.WithField("cause", text).Debug("control: on to the next machine")
 		f.mu.Lock()
-		f.last = text
+		f.lastFailure = text
 		f.mu.Unlock()
 	}
 }
@@ -115,15 +115,15 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	peer := newLink(conn)
-	if err := peer.call(f.keys, f.site); err != nil {
+	peer := newSecureConn(conn)
+	if err := peer.clientHandshake(f.keys, f.site); err != nil {
 		return err
 	}
-	has := f.hub.State().Version
-	if err := peer.send(message{Ask: &has}); err != nil {
+	has := f.broadcaster.State().Version
+	if err := peer.send(message{Subscribe: &has}); err != nil {
 		return err
 	}
-	defer f.hub.take(func(r *replica.Replica) (bool, error) { r.DiscardChunks(); return false, nil })
+	defer f.broadcaster.update(func(r *replica.Replica) (bool, error) { r.DiscardChunks(); return false, nil })
 	wait := replica.ReplyTimeout
 	for {
 		var got message
@@ -131,15 +131,15 @@
 			return err
 		}
 		wait = replica.IdleTimeout
-		if got.Beat != nil {
-			if !f.hear(m, *got.Beat) {
+		if got.Heartbeat != nil {
+			if !f.handleHeartbeat(m, *got.Heartbeat) {
 				return nil
 			}
 			continue
 		}
-		state, changed, err := f.hub.take(func(r *replica.Replica) (bool, error) {
-			if got.Piece != nil {
-				return r.ApplyChunk(*got.Piece)
+		state, changed, err := f.broadcaster.update(func(r *replica.Replica) (bool, error) {
+			if got.Chunk != nil {
+				return r.ApplyChunk(*got.Chunk)
 			}
 			return r.ApplyChanges(got.Changes)
 		})
@@ -150,23 +150,23 @@
 		if changed {
 			f.log.WithFields(logrus.Fields{"version": state.Version.String(), "rooms": len(state.Document.Rooms),
 				"discovery": state.Document.Discovery}).Info("control: version taken over")
-			f.taken(state)
+			f.onState(state)
 		}
 	}
 }
 
-func (f *Follower) hear(m replica.Server, b beat) (stays bool) {
-	own := f.hub.State().Version
+func (f *Follower) handleHeartbeat(m replica.Server, b heartbeat) (stays bool) {
+	own := f.broadcaster.State().Version
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	age := time.Duration(min(b.AgeMS, uint64(replica.MaxLeaderAge.Milliseconds()))) * time.Millisecond
-	if stays = f.seeker.HeartbeatReceived(time.Now(), age, b.Version, own); stays {
-		f.current = m.Address
-		if f.told != m.Address {
-			f.told = m.Address
+	age := time.Duration(min(b.LeaderAgeMillis, uint64(replica.MaxLeaderAge.Milliseconds()))) * time.Millisecond
+	if stays = f.selector.HeartbeatReceived(time.Now(), age, b.Version, own); stays {
+		f.currentServer = m.Address
+		if f.loggedServer != m.Address {
+			f.loggedServer = m.Address
 			f.log.WithFields(logrus.Fields{"machine": m.Address, "region": m.Region}).Info("control: following")
 		}
 	}
-	f.look()
+	f.checkLeaderStale()
 	return stays
 }
--- a/internal/controlplane/frame.go
+++ b/internal/controlplane/frame.go
@@ -24,45 +24,45 @@
 )
 
 const (
-	form      = 1 // of the protocol
-	nonceLen  = 16
-	headLen   = 4
-	writeWait = 5 * time.Second // for one frame: a follower that reads more slowly is put out
+	protocolVersion  = 1 // of the protocol
+	nonceBytes       = 16
+	frameHeaderBytes = 4
+	writeTimeout     = 5 * time.Second // for one frame: a follower that reads more slowly is put out
 )
 
 // The reasons for which a connection ends that hold for all that came on it.
 var (
-	errTag  = errors.New("a frame is under another key, of another site, or out of its order")
-	errLong = errors.New("a frame is too long")
-	errForm = errors.New("another form of the protocol")
+	errAuthentication = errors.New("a frame is under another key, of another site, or out of its order")
+	errFrameTooLong   = errors.New("a frame is too long")
+	errProtocol       = errors.New("another form of the protocol")
 )
 
-// hello is a follower's first message, welcome the answer.
-type hello struct {
-	Form  int    `cbor:"1,keyasint"`
-	Key   string `cbor:"2,keyasint"` // its id
-	Nonce []byte `cbor:"3,keyasint"`
+// clientHello is a follower's first message, welcome the answer.
+type clientHello struct {
+	ProtocolVersion int    `cbor:"1,keyasint"`
+	KeyID           string `cbor:"2,keyasint"` // its id
+	Nonce           []byte `cbor:"3,keyasint"`
 }
 
-type welcome struct {
+type serverHello struct {
 	Nonce []byte `cbor:"1,keyasint"`
 }
 
 // message is any that follows. One of its parts is there.
 type message struct {
-	Ask     *replica.Version       `cbor:"1,keyasint,omitempty"` // by a follower, once: what it has
-	Beat    *beat                  `cbor:"2,keyasint,omitempty"`
-	Changes []replica.Change       `cbor:"3,keyasint,omitempty"`
-	Piece   *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
+	Subscribe *replica.Version       `cbor:"1,keyasint,omitempty"` // by a follower, once: what it has
+	Heartbeat *heartbeat             `cbor:"2,keyasint,omitempty"`
+	Changes   []replica.Change       `cbor:"3,keyasint,omitempty"`
+	Chunk     *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
 }
 
-// beat tells what a machine has, and how long ago the writer was there.
-type beat struct {
-	Version replica.Version `cbor:"1,keyasint"`
-	AgeMS   uint64          `cbor:"2,keyasint"`
+// heartbeat tells what a machine has, and how long ago the writer was there.
+type heartbeat struct {
+	Version         replica.Version `cbor:"1,keyasint"`
+	LeaderAgeMillis uint64          `cbor:"2,keyasint"`
 }
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return &Keyring{read: read, last: first}, err
 }
 
-func (k *Keyring) ring() *token.Ring {
+func (k *Keyring) reload() *token.Ring {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now, err := k.read(); err == nil {
@@ -96,7 +96,7 @@
 
 // secret is that of a key which is not retired; an empty id asks for the one that seals.
 func (k *Keyring) secret(id string) (string, []byte, error) {
-	ring, now := k.ring(), time.Now()
+	ring, now := k.reload(), time.Now()
 	if id == "" {
 		id = ring.Sealing(now)
 	}
@@ -108,157 +108,157 @@
 	return "", nil, fmt.Errorf("key %q is unknown or retired", id)
 }
 
-// link is an authenticated connection. Each frame is a length, a body of CBOR, and an HMAC-SHA256 over the frame's number and
+// secureConn is an authenticated connection. Each frame is a length, a body of CBOR, and an HMAC-SHA256 over the frame's number and
 // the body. The key is derived from the shared one, both sides' nonces, the site and the direction, so that no frame is good on
 // another connection, in another place, or sent back.
-type link struct {
-	conn     net.Conn
-	in       *bufio.Reader
-	out      *bufio.Writer
-	sending  hash.Hash // nil: not yet
-	hearing  hash.Hash
-	sent     uint64
-	received uint64
+type secureConn struct {
+	conn            net.Conn
+	reader          *bufio.Reader
+	writer          *bufio.Writer
+	sendMAC         hash.Hash // nil: not yet
+	receiveMAC      hash.Hash
+	sendSequence    uint64
+	receiveSequence uint64
 }
 
-func newLink(conn net.Conn) *link {
-	return &link{conn: conn, in: bufio.NewReader(conn), out: bufio.NewWriter(conn)}
+func newSecureConn(conn net.Conn) *secureConn {
+	return &secureConn{conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}
 }
 
-func derive(secret, salt []byte, purpose, site string) (hash.Hash, error) {
+func newMAC(secret, salt []byte, purpose, site string) (hash.Hash, error) {
 	key, err := hkdf.Key(sha256.New, secret, salt, "cottonplank control "+purpose+" "+site, sha256.Size)
 	return hmac.New(sha256.New, key), err
 }
 
-// agree sets the connection's keys from both nonces.
-func (l *link) agree(secret, theirs, ours []byte, site string, follower bool) error {
+// deriveSessionKeys sets the connection's keys from both nonces.
+func (l *secureConn) deriveSessionKeys(secret, theirs, ours []byte, site string, follower bool) error {
 	salt := append(append([]byte{}, theirs...), ours...)
-	serving, err := derive(secret, salt, "serves", site)
+	serving, err := newMAC(secret, salt, "serves", site)
 	if err != nil {
 		return err
 	}
-	following, err := derive(secret, salt, "follows", site)
+	following, err := newMAC(secret, salt, "follows", site)
 	if err != nil {
 		return err
 	}
-	if l.sending, l.hearing = serving, following; follower {
-		l.sending, l.hearing = following, serving
+	if l.sendMAC, l.receiveMAC = serving, following; follower {
+		l.sendMAC, l.receiveMAC = following, serving
 	}
-	l.sent, l.received = 0, 0
+	l.sendSequence, l.receiveSequence = 0, 0
 	return nil
 }
 
-func tag(mac hash.Hash, number uint64, body []byte) []byte {
+func frameTag(mac hash.Hash, number uint64, body []byte) []byte {
 	mac.Reset()
 	mac.Write(binary.BigEndian.AppendUint64(nil, number))
 	mac.Write(body)
 	return mac.Sum(nil)
 }
 
-func (l *link) send(v any) error {
+func (l *secureConn) send(v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
 	if len(body) > replica.MaxMessageBytes {
-		return errLong
+		return errFrameTooLong
 	}
-	l.conn.SetWriteDeadline(time.Now().Add(writeWait))
-	l.out.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
-	l.out.Write(body)
-	l.out.Write(tag(l.sending, l.sent, body))
-	l.sent++
-	return l.out.Flush()
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	l.writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
+	l.writer.Write(body)
+	l.writer.Write(frameTag(l.sendMAC, l.sendSequence, body))
+	l.sendSequence++
+	return l.writer.Flush()
 }
 
-// body reads a frame; its tag is not checked yet.
-func (l *link) body() (body, sum []byte, err error) {
-	head := make([]byte, headLen)
-	if _, err := io.ReadFull(l.in, head); err != nil {
+// readFrame reads a frame; its tag is not checked yet.
+func (l *secureConn) readFrame() (body, sum []byte, err error) {
+	head := make([]byte, frameHeaderBytes)
+	if _, err := io.ReadFull(l.reader, head); err != nil {
 		return nil, nil, err
 	}
 	n := binary.BigEndian.Uint32(head)
 	if n > replica.MaxMessageBytes {
-		return nil, nil, errLong
+		return nil, nil, errFrameTooLong
 	}
 	raw := make([]byte, int(n)+sha256.Size)
-	if _, err := io.ReadFull(l.in, raw); err != nil {
+	if _, err := io.ReadFull(l.reader, raw); err != nil {
 		return nil, nil, err
 	}
 	return raw[:n], raw[n:], nil
 }
 
-func (l *link) receive(v any, wait time.Duration) error {
+func (l *secureConn) receive(v any, wait time.Duration) error {
 	l.conn.SetReadDeadline(time.Now().Add(wait))
-	body, sum, err := l.body()
+	body, sum, err := l.readFrame()
 	if err != nil {
 		return err
 	}
-	return l.open(body, sum, v)
+	return l.verifyAndDecode(body, sum, v)
 }
 
-func (l *link) open(body, sum []byte, v any) error {
-	if !hmac.Equal(sum, tag(l.hearing, l.received, body)) {
-		return errTag
+func (l *secureConn) verifyAndDecode(body, sum []byte, v any) error {
+	if !hmac.Equal(sum, frameTag(l.receiveMAC, l.receiveSequence, body)) {
+		return errAuthentication
 	}
-	l.received++
-	return decoding.Unmarshal(body, v)
+	l.receiveSequence++
+	return decodeMode.Unmarshal(body, v)
 }
 
-// call is the follower's side of the agreement.
-func (l *link) call(keys *Keyring, site string) error {
+// clientHandshake is the follower's side of the agreement.
+func (l *secureConn) clientHandshake(keys *Keyring, site string) error {
 	id, secret, err := keys.secret("")
 	if err != nil {
 		return err
 	}
-	ours := make([]byte, nonceLen)
+	ours := make([]byte, nonceBytes)
 	rand.Read(ours)
-	if l.sending, err = derive(secret, nil, "hello", site); err != nil {
+	if l.sendMAC, err = newMAC(secret, nil, "hello", site); err != nil {
 		return err
 	}
-	if err := l.send(hello{form, id, ours}); err != nil {
+	if err := l.send(clientHello{protocolVersion, id, ours}); err != nil {
 		return err
 	}
 	l.conn.SetReadDeadline(time.Now().Add(replica.ReplyTimeout))
-	body, sum, err := l.body()
+	body, sum, err := l.readFrame()
 	if err != nil {
 		return err
 	}
-	var w welcome // its nonce is needed for the key that its tag is checked with
-	if err := decoding.Unmarshal(body, &w); err != nil || len(w.Nonce) != nonceLen {
-		return errForm
+	var w serverHello // its nonce is needed for the key that its tag is checked with
+	if err := decodeMode.Unmarshal(body, &w); err != nil || len(w.Nonce) != nonceBytes {
+		return errProtocol
 	}
-	if err := l.agree(secret, ours, w.Nonce, site, true); err != nil {
+	if err := l.deriveSessionKeys(secret, ours, w.Nonce, site, true); err != nil {
 		return err
 	}
-	return l.open(body, sum, &w)
+	return l.verifyAndDecode(body, sum, &w)
 }
 
-// answer is the machine's side of the agreement.
-func (l *link) answer(keys *Keyring, site string) error {
+// serverHandshake is the machine's side of the agreement.
+func (l *secureConn) serverHandshake(keys *Keyring, site string) error {
 	l.conn.SetReadDeadline(time.Now().Add(replica.ReplyTimeout))
-	body, sum, err := l.body()
+	body, sum, err := l.readFrame()
 	if err != nil {
 		return err
 	}
-	var h hello
-	if err := decoding.Unmarshal(body, &h); err != nil || h.Form != form || len(h.Nonce) != nonceLen || h.Key == "" {
-		return errForm
+	var h clientHello
+	if err := decodeMode.Unmarshal(body, &h); err != nil || h.ProtocolVersion != protocolVersion || len(h.Nonce) != nonceBytes || h.KeyID == "" {
+		return errProtocol
 	}
-	_, secret, err := keys.secret(h.Key)
+	_, secret, err := keys.secret(h.KeyID)
 	if err != nil {
 		return err
 	}
-	if l.hearing, err = derive(secret, nil, "hello", site); err != nil {
+	if l.receiveMAC, err = newMAC(secret, nil, "hello", site); err != nil {
 		return err
 	}
-	if err := l.open(body, sum, &h); err != nil {
+	if err := l.verifyAndDecode(body, sum, &h); err != nil {
 		return err
 	}
-	ours := make([]byte, nonceLen)
+	ours := make([]byte, nonceBytes)
 	rand.Read(ours)
-	if err := l.agree(secret, h.Nonce, ours, site, false); err != nil {
+	if err := l.deriveSessionKeys(secret, h.Nonce, ours, site, false); err != nil {
 		return err
 	}
-	return l.send(welcome{ours})
+	return l.send(serverHello{ours})
 }
--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -1,6 +1,9 @@
-// Package replica is how the operator's document reaches the balancers: its versions, the changes that are kept, what a
-// follower that has some version is sent, what it takes, and at which control machine it asks next. Pure: no I/O and no clock.
-// internal/control carries it.
+// Package replica implements the replication of the operator's document from the control plane's leader to
+// its followers.
+//
+// It holds the document's versions, computes and applies the changes between them, splits full snapshots into
+// chunks, and selects the server that a follower connects to. The package is pure: it does no I/O and reads
+// no clock. Package controlplane carries its types over the network.
 package replica
 
 import (
@@ -13,55 +16,74 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// Bounds of a document.
 const (
-	MaxFileBytes = 8 << 20 // bytes of an operator's file
-	maxText      = 128     // bytes of a name, a zone or an address, so that each change and piece fits a frame
+	// MaxFileBytes limits the size of the operator's file.
+	MaxFileBytes = 8 << 20
+
+	// maxFieldBytes limits an entry's name, zone and address, so that each entry fits into one message.
+	maxFieldBytes = 128
 )
 
-// Version is a document's. The writer of a term numbers what it writes from 1 on, so that no two documents have the same
-// one. The zero version is that of no document.
+// Version identifies a document. The leader of a term numbers the documents that it publishes from 1 on, so
+// that no two documents share a version. The zero Version means that there is no document.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
 	Term   uint64
 	Number uint64
 }
 
-// Compare orders versions: first the term, then the number.
-func (v Version) Compare(o Version) int {
-	return cmp.Or(cmp.Compare(v.Term, o.Term), cmp.Compare(v.Number, o.Number))
+// Compare orders versions by term and then by number. It returns -1, 0 or 1, as cmp.Compare does.
+func (v Version) Compare(other Version) int {
+	return cmp.Or(cmp.Compare(v.Term, other.Term), cmp.Compare(v.Number, other.Number))
 }
 
+// String formats the version as TERM.NUMBER.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Term, v.Number) }
 
-// Document is what an operator sets for all balancers. It is not changed after it was checked.
+// Document is the configuration that the operator sets for all balancers. It is immutable once it has been
+// validated.
 type Document struct {
-	Discovery string           `json:"discovery,omitempty"` // its address; empty: each balancer's own configuration says it
-	Rooms     []endpoint.Entry `json:"rooms,omitempty"`     // in place of discovery, ordered by name; none: discovery lists them
+	// Discovery is the address of the discovery service. If it is empty, each balancer uses its own
+	// configuration's.
+	Discovery string `json:"discovery,omitempty"`
+
+	// Rooms is the endpoint list, ordered by name. If it is empty, the discovery service provides the list.
+	Rooms []endpoint.Entry `json:"rooms,omitempty"`
 }
 
-// State is a document with its version.
+// State is a document with its version. Its encoding is part of the state file's format.
 type State struct {
-	Version  Version
-	Document Document
+	Version  Version  `cbor:"Version"`
+	Document Document `cbor:"Document"`
 }
 
-// Parse reads an operator's file. Errors name the key and the value.
-func Parse(raw []byte) (d Document, err error) {
+// Parse decodes and validates an operator's file. Errors name the key and the value at fault.
+func Parse(raw []byte) (Document, error) {
 	if len(raw) > MaxFileBytes {
-		return d, fmt.Errorf("document: is longer than %d bytes", MaxFileBytes)
+		return Document{}, fmt.Errorf("document: is longer than %d bytes", MaxFileBytes)
 	}
-	if err := endpoint.DecodeStrict(raw, &d, "document"); err != nil {
+	var document Document
+	if err := endpoint.DecodeStrict(raw, &document, "document"); err != nil {
 		return Document{}, err
 	}
-	if d.Rooms != nil && len(d.Rooms) == 0 {
+	if document.Rooms != nil && len(document.Rooms) == 0 {
 		return Document{}, errors.New("rooms: is empty, every client would be sent away")
 	}
-	return d.check()
+	return document.validate()
+}
+
+// RestoreState validates a state that was read from a file.
+func RestoreState(state State) (State, error) {
+	if state.Version == (Version{}) {
+		return State{}, errors.New("no version")
+	}
+	document, err := state.Document.validate()
+	return State{state.Version, document}, err
 }
 
-// check tells what is faulty in a document, by form or by meaning, and sorts its room servers in place.
-func (d Document) check() (Document, error) {
+// validate returns the document with its entries sorted by name, which happens in place. Errors name the key
+// and the value at fault.
+func (d Document) validate() (Document, error) {
 	if len(d.Rooms) == 0 && d.Discovery == "" {
 		return d, errors.New("rooms: is missing, and so is discovery: no room server would be left")
 	}
@@ -70,8 +92,8 @@
 			return d, fmt.Errorf("discovery: %q is no address and port", d.Discovery)
 		}
 	}
-	for i, r := range d.Rooms {
-		if err := fits(r); err != nil {
+	for i, entry := range d.Rooms {
+		if err := validateFieldLengths(entry); err != nil {
 			return d, fmt.Errorf("rooms[%d].%w", i, err)
 		}
 	}
@@ -83,111 +105,37 @@
 	return d, nil
 }
 
-// fits tells which text of a room server is too long for a frame.
-func fits(r endpoint.Entry) error {
-	for _, t := range [...]struct{ key, text string }{{"name", r.Name}, {"address", r.Address}, {"zone", r.Zone}} {
-		if len(t.text) > maxText {
-			return fmt.Errorf("%s: is longer than %d bytes", t.key, maxText)
+// validateFieldLengths returns an error that names the first field of an entry that exceeds maxFieldBytes.
+func validateFieldLengths(entry endpoint.Entry) error {
+	fields := [...]struct{ key, text string }{
+		{"name", entry.Name},
+		{"address", entry.Address},
+		{"zone", entry.Zone},
+	}
+	for _, field := range fields {
+		if len(field.text) > maxFieldBytes {
+			return fmt.Errorf("%s: is longer than %d bytes", field.key, maxFieldBytes)
 		}
 	}
 	return nil
 }
 
-// at finds a room server by its name.
-func (d Document) at(name string) (endpoint.Entry, bool) {
-	i, found := slices.BinarySearchFunc(d.Rooms, name, byName)
+// find looks an entry up by its name.
+func (d Document) find(name string) (endpoint.Entry, bool) {
+	i, found := slices.BinarySearchFunc(d.Rooms, name, compareName)
 	if !found {
 		return endpoint.Entry{}, false
 	}
 	return d.Rooms[i], true
 }
 
-// follows tells why a document cannot come after another.
-func (d Document) follows(before Document) error {
-	if len(d.Rooms) == 0 && len(before.Rooms) > 0 {
+// canReplace returns an error if the document must not replace the previous one: an endpoint list that has
+// been published cannot be withdrawn, because every client would lose its server.
+func (d Document) canReplace(previous Document) error {
+	if len(d.Rooms) == 0 && len(previous.Rooms) > 0 {
 		return errors.New("rooms: none is left, every client would be sent away")
 	}
 	return nil
 }
 
-// Change leads from one version to another.
-type Change struct {
-	From      Version          `cbor:"1,keyasint"`
-	To        Version          `cbor:"2,keyasint"`
-	Discovery *string          `cbor:"3,keyasint,omitempty"` // nil: as it was
-	Upserted  []endpoint.Entry `cbor:"4,keyasint,omitempty"`
-	Removed   []string         `cbor:"5,keyasint,omitempty"`
-}
-
-// change tells what leads from one state to another; false: nothing differs.
-func change(before, after State) (c Change, differs bool) {
-	c.From, c.To = before.Version, after.Version
-	if before.Document.Discovery != after.Document.Discovery {
-		c.Discovery = &after.Document.Discovery
-	}
-	old := make(map[string]endpoint.Entry, len(before.Document.Rooms))
-	for _, r := range before.Document.Rooms {
-		old[r.Name] = r
-	}
-	for _, r := range after.Document.Rooms {
-		if o, there := old[r.Name]; !there || o != r {
-			c.Upserted = append(c.Upserted, r)
-		}
-		delete(old, r.Name)
-	}
-	for _, r := range before.Document.Rooms {
-		if _, left := old[r.Name]; left {
-			c.Removed = append(c.Removed, r.Name)
-		}
-	}
-	return c, c.Discovery != nil || len(c.Upserted)+len(c.Removed) > 0
-}
-
-// apply returns the document after a change. What it returns is not checked.
-func (c Change) apply(d Document) Document {
-	if c.Discovery != nil {
-		d.Discovery = *c.Discovery
-	}
-	if len(c.Upserted)+len(c.Removed) == 0 {
-		return d
-	}
-	put := make(map[string]endpoint.Entry, len(c.Upserted))
-	names := slices.Clone(c.Removed)
-	for _, r := range c.Upserted {
-		put[r.Name] = r
-		names = append(names, r.Name)
-	}
-	slices.Sort(names)
-	rooms, rest := make([]endpoint.Entry, 0, len(d.Rooms)+len(c.Upserted)), d.Rooms
-	for _, name := range slices.Compact(names) {
-		i, found := slices.BinarySearchFunc(rest, name, byName)
-		rooms, rest = append(rooms, rest[:i]...), rest[i:]
-		if found {
-			rest = rest[1:]
-		}
-		if r, there := put[name]; there {
-			rooms = append(rooms, r)
-		}
-	}
-	d.Rooms = append(rooms, rest...)
-	return d
-}
-
-func byName(r endpoint.Entry, name string) int { return cmp.Compare(r.Name, name) }
-
-// roomBytes is what a room server takes in a frame, at most.
-func roomBytes(r endpoint.Entry) int { return len(r.Name) + len(r.Address) + len(r.Zone) + 64 }
-
-func (c Change) bytes() int {
-	n := 64
-	if c.Discovery != nil {
-		n += len(*c.Discovery)
-	}
-	for _, r := range c.Upserted {
-		n += roomBytes(r)
-	}
-	for _, name := range c.Removed {
-		n += len(name) + 4
-	}
-	return n
-}
+func compareName(entry endpoint.Entry, name string) int { return cmp.Compare(entry.Name, name) }
--- a/internal/controlplane/replica/encoding_test.go
+++ b/internal/controlplane/replica/encoding_test.go
@@ -11,10 +11,11 @@
 )
 
 // encodedEntry is the encoding of the endpoint entry of these tests.
-const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030647a6f6e65616166776569676874fb" +
-	"3ff800000000000065647261696ef5"
+const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030" +
+	"647a6f6e65616166776569676874fb3ff800000000000065647261696ef5"
 
-// Replicas of different releases exchange these types and read each other's saved states, so their encoding is fixed.
+// Replicas of different releases exchange these types and read each other's saved states, so their encoding
+// is fixed.
 func TestEncodingIsFixed(t *testing.T) {
 	discovery := "127.0.0.1:8500"
 	entry := endpoint.Entry{Name: "s-1", Address: "127.0.0.1:9000", Zone: "a", Weight: 1.5, Drain: true}
@@ -37,7 +38,7 @@
 				"058163732d32"},
 		{"empty change", Change{}, "a20182000002820000"},
 		{"snapshot chunk", SnapshotChunk{Version: Version{Term: 1, Number: 7}, Index: 3, Last: true, Discovery: discovery,
-			Rooms: []endpoint.Entry{entry}},
+			Entries: []endpoint.Entry{entry}},
 			"a501820107020303f5046e3132372e302e302e313a383530300581" +
 				encodedEntry},
 		{"empty snapshot chunk", SnapshotChunk{}, "a2018200000200"},
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,282 +14,312 @@
 	"pgregory.net/rapid"
 )
 
-func room(i, weight int) endpoint.Entry {
-	return endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255), Zone: "a", Weight: float64(weight)}
+// fataler is what the helpers need of testing.T and rapid.T.
+type fataler interface{ Fatal(...any) }
+
+func testEntry(i, weight int) endpoint.Entry {
+	address := fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255)
+	return endpoint.Entry{Name: fmt.Sprintf("s-%05d", i), Address: address, Zone: "a", Weight: float64(weight)}
 }
 
-func document(n, weight int) Document {
-	d := Document{Discovery: "127.0.0.1:8500"}
-	for i := range n {
-		d.Rooms = append(d.Rooms, room(i, weight))
+func testDocument(length, weight int) Document {
+	document := Document{Discovery: "127.0.0.1:8500"}
+	for i := range length {
+		document.Rooms = append(document.Rooms, testEntry(i, weight))
 	}
-	return d
+	return document
 }
 
-// write is what the writer does, less the saving.
-func write(t interface{ Fatal(...any) }, r *Replica, d Document, term uint64) Version {
-	c, next, err := r.Propose(d, term)
-	if err == nil && c != nil {
-		_, err = r.ApplyChanges([]Change{*c})
+// commit proposes and applies a document, as the leader does, but does not save it.
+func commit(t fataler, leader *Replica, document Document, term uint64) Version {
+	change, next, err := leader.Propose(document, term)
+	if err == nil && change != nil {
+		_, err = leader.ApplyChanges([]Change{*change})
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.State().Version != next.Version {
-		t.Fatal("proposed ", next.Version, ", in force ", r.State().Version)
+	if leader.State().Version != next.Version {
+		t.Fatal("proposed ", next.Version, ", current ", leader.State().Version)
 	}
 	return next.Version
 }
 
-// pull has a follower take all that a machine sends it, up to so many messages; it tells how many whole states there were.
-func pull(t interface{ Fatal(...any) }, to, from *Replica, most int) (wholes int) {
-	defer to.DiscardChunks()
-	has := to.State().Version
-	for sent := 0; ; {
-		changes, whole := from.ChangesSince(has)
-		if !whole && len(changes) == 0 {
-			return wholes
+// replicate applies to a follower the messages that a server sends it, up to a limit. It returns the number
+// of snapshots among them.
+func replicate(t fataler, follower, server *Replica, maxMessages int) (snapshots int) {
+	defer follower.DiscardChunks()
+	sentVersion := follower.State().Version
+	for messages := 0; ; {
+		changes, needsSnapshot := server.ChangesSince(sentVersion)
+		if !needsSnapshot && len(changes) == 0 {
+			return snapshots
 		}
-		before := to.State().Version
-		if whole {
-			wholes++
-			for _, p := range from.State().Chunks() {
-				if sent++; sent > most {
-					return wholes
+		before := follower.State().Version
+		if needsSnapshot {
+			snapshots++
+			for _, chunk := range server.State().Chunks() {
+				if messages++; messages > maxMessages {
+					return snapshots
 				}
-				if _, err := to.ApplyChunk(p); err != nil {
+				if _, err := follower.ApplyChunk(chunk); err != nil {
 					t.Fatal(err)
 				}
 			}
-			has = from.State().Version
+			sentVersion = server.State().Version
 		} else {
-			if sent++; sent > most {
-				return wholes
+			if messages++; messages > maxMessages {
+				return snapshots
 			}
-			if _, err := to.ApplyChanges(changes); err != nil {
+			if _, err := follower.ApplyChanges(changes); err != nil {
 				t.Fatal(err)
 			}
-			has = changes[len(changes)-1].To
+			sentVersion = changes[len(changes)-1].To
 		}
-		if to.State().Version.Compare(before) <= 0 {
-			t.Fatal("no way ahead from ", before)
+		if follower.State().Version.Compare(before) <= 0 {
+			t.Fatal("no progress from ", before)
 		}
 	}
 }
 
-// Whatever is written, cut off, restarted and asked in any order: no copy goes back, each has the document that was written
-// under its version, and all have the last one once they can reach somebody who has it.
-func TestModel(t *testing.T) {
+// serverCount is the number of replicas in a cluster that retain changes, the leader among them.
+const serverCount = 3
+
+// cluster is a leader, which is the first replica, with servers and plain followers.
+type cluster struct {
+	replicas  []*Replica
+	term      uint64
+	committed map[Version]Document
+	observed  []Version // by each replica, at the last check
+}
+
+func newCluster() *cluster {
+	c := &cluster{term: 1, committed: map[Version]Document{{}: {}}}
+	for i := range 5 {
+		c.replicas = append(c.replicas, New(State{}, i < serverCount))
+	}
+	c.observed = make([]Version, len(c.replicas))
+	return c
+}
+
+func (c *cluster) leader() *Replica { return c.replicas[0] }
+
+// checkInvariants fails the test if a version has gone back, or if a replica has another document than was
+// committed.
+func (c *cluster) checkInvariants(t *rapid.T) {
+	for i, replica := range c.replicas {
+		state := replica.State()
+		if state.Version.Compare(c.observed[i]) < 0 {
+			t.Fatalf("replica %d goes back from %s to %s", i, c.observed[i], state.Version)
+		}
+		c.observed[i] = state.Version
+		if want := c.committed[state.Version]; !reflect.DeepEqual(state.Document, want) {
+			t.Fatalf("replica %d has another document as %s:\n%v\n%v", i, state.Version, state.Document, want)
+		}
+	}
+}
+
+func (c *cluster) write(t *rapid.T) {
+	addresses := []string{"", "127.0.0.1:1", "127.0.0.1:2"}
+	document := Document{Discovery: rapid.SampledFrom(addresses).Draw(t, "discovery")}
+	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 700), 1, 60, rapid.ID[int]).Draw(t, "entries") {
+		document.Rooms = append(document.Rooms, testEntry(i, rapid.IntRange(0, 2).Draw(t, "weight")))
+	}
+	if rapid.IntRange(0, 9).Draw(t, "long") == 0 { // the change does not fit into one message
+		document.Rooms = testDocument(701, 3).Rooms
+	}
+	version := commit(t, c.leader(), document, c.term)
+	c.committed[version] = c.leader().State().Document
+}
+
+func (c *cluster) pull(t *rapid.T) {
+	follower := rapid.IntRange(1, len(c.replicas)-1).Draw(t, "follower")
+	server := rapid.IntRange(0, serverCount-1).Draw(t, "server")
+	if follower != server {
+		replicate(t, c.replicas[follower], c.replicas[server], rapid.IntRange(0, 6).Draw(t, "messages"))
+	}
+}
+
+func (c *cluster) restart(t *rapid.T) {
+	i := rapid.IntRange(0, len(c.replicas)-1).Draw(t, "replica")
+	c.replicas[i] = New(c.replicas[i].State(), i < serverCount)
+}
+
+// In any order of writes, lost connections, restarts and pulls, no replica goes back, each has the document
+// that was committed under its version, and all have the last one once they reach the leader.
+func TestReplicasConverge(t *testing.T) {
 	flag.Set("rapid.seed", "20261202")
 	flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
-		writer := New(State{}, true)
-		copies := []*Replica{writer, New(State{}, true), New(State{}, true), New(State{}, false), New(State{}, false)}
-		written := map[Version]Document{{}: {}}
-		seen := make([]Version, len(copies))
-		term := uint64(1)
-		sound := func() {
-			for i, c := range copies {
-				s := c.State()
-				if s.Version.Compare(seen[i]) < 0 {
-					t.Fatalf("copy %d goes back from %s to %s", i, seen[i], s.Version)
-				}
-				if seen[i] = s.Version; !reflect.DeepEqual(s.Document, written[s.Version]) {
-					t.Fatalf("copy %d has another document as %s:\n%v\n%v", i, s.Version, s.Document, written[s.Version])
-				}
-			}
-		}
+		c := newCluster()
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { sound() },
-			"write": func(t *rapid.T) {
-				d := Document{Discovery: rapid.SampledFrom([]string{"", "127.0.0.1:1", "127.0.0.1:2"}).Draw(t, "discovery")}
-				for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 700), 1, 60, rapid.ID[int]).Draw(t, "rooms") {
-					d.Rooms = append(d.Rooms, room(i, rapid.IntRange(0, 2).Draw(t, "weight")))
-				}
-				if rapid.IntRange(0, 9).Draw(t, "long") == 0 { // the change does not fit one message
-					d.Rooms = document(701, 3).Rooms
-				}
-				v := write(t, writer, d, term)
-				written[v] = writer.State().Document
-			},
-			"term": func(*rapid.T) { term++ },
-			"pull": func(t *rapid.T) {
-				to := rapid.IntRange(1, len(copies)-1).Draw(t, "to")
-				from := rapid.IntRange(0, 2).Draw(t, "from")
-				if to != from {
-					pull(t, copies[to], copies[from], rapid.IntRange(0, 6).Draw(t, "most"))
-				}
-			},
-			"restart": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(copies)-1).Draw(t, "which")
-				copies[i] = New(copies[i].State(), i < 3)
-				writer = copies[0]
-			},
+			"":        c.checkInvariants,
+			"write":   c.write,
+			"term":    func(*rapid.T) { c.term++ },
+			"pull":    c.pull,
+			"restart": c.restart,
 		})
-		for _, c := range copies[1:] {
-			pull(t, c, writer, math.MaxInt)
-			if c.State().Version != writer.State().Version {
-				t.Fatalf("%s at last, the writer has %s", c.State().Version, writer.State().Version)
+		for _, follower := range c.replicas[1:] {
+			replicate(t, follower, c.leader(), math.MaxInt)
+			if follower.State().Version != c.leader().State().Version {
+				t.Fatalf("%s at last, the leader has %s", follower.State().Version, c.leader().State().Version)
 			}
 		}
-		sound()
+		c.checkInvariants(t)
 	})
 }
 
-// One that was cut off for 100 versions is sent these changes alone, also by a machine that only follows.
-func TestCutOffFor100Versions(t *testing.T) {
-	writer, machine, follower := New(State{}, true), New(State{}, true), New(State{}, false)
-	write(t, writer, document(500, 1), 1)
-	pull(t, machine, writer, math.MaxInt)
-	pull(t, follower, writer, math.MaxInt)
+// A follower that was disconnected for 100 versions receives only those changes, also from a server that is a
+// follower itself.
+func TestCatchUpWith100Changes(t *testing.T) {
+	leader, server, follower := New(State{}, true), New(State{}, true), New(State{}, false)
+	commit(t, leader, testDocument(500, 1), 1)
+	replicate(t, server, leader, math.MaxInt)
+	replicate(t, follower, leader, math.MaxInt)
 	for i := range 100 {
-		d := document(500, 1)
-		d.Rooms[i].Drain = true
-		write(t, writer, d, 1)
-		pull(t, machine, writer, math.MaxInt)
+		document := testDocument(500, 1)
+		document.Rooms[i].Drain = true
+		commit(t, leader, document, 1)
+		replicate(t, server, leader, math.MaxInt)
 	}
-	changes, whole := machine.ChangesSince(follower.State().Version)
-	if whole || len(changes) != 100 {
-		t.Errorf("%d changes, whole %v", len(changes), whole)
+	changes, needsSnapshot := server.ChangesSince(follower.State().Version)
+	if needsSnapshot || len(changes) != 100 {
+		t.Errorf("%d changes, needs a snapshot: %v", len(changes), needsSnapshot)
 	}
-	if wholes := pull(t, follower, machine, math.MaxInt); wholes != 0 || !reflect.DeepEqual(follower.State(), writer.State()) {
-		t.Errorf("%d whole states, at %s", wholes, follower.State().Version)
+	snapshots := replicate(t, follower, server, math.MaxInt)
+	if snapshots != 0 || !reflect.DeepEqual(follower.State(), leader.State()) {
+		t.Errorf("%d snapshots, at %s", snapshots, follower.State().Version)
 	}
 }
 
-// What is kept is bounded in number and in bytes; who is behind it gets the whole, in pieces that fit a frame.
-func TestBehindWhatIsKept(t *testing.T) {
-	writer, follower := New(State{}, true), New(State{}, false)
-	write(t, writer, document(300, 1), 1)
-	pull(t, follower, writer, math.MaxInt)
-	for i := range keepBytes/(250*roomBytes(room(1, 1))) + 10 {
-		d := document(300, 1)
+// Retained changes are limited in number and in bytes. A follower that is further behind gets a snapshot.
+func TestSnapshotWhenChangesAreNotRetained(t *testing.T) {
+	leader, follower := New(State{}, true), New(State{}, false)
+	commit(t, leader, testDocument(300, 1), 1)
+	replicate(t, follower, leader, math.MaxInt)
+	for i := range maxRetainedBytes/(250*maxEncodedEntryBytes(testEntry(1, 1))) + 10 {
+		document := testDocument(300, 1)
 		for j := range 250 {
-			d.Rooms[j].Weight = float64(i + 2)
+			document.Rooms[j].Weight = float64(i + 2)
 		}
-		write(t, writer, d, 1)
+		commit(t, leader, document, 1)
 	}
-	if writer.bytes > keepBytes || len(writer.kept) == 0 {
-		t.Errorf("%d bytes of %d changes are kept", writer.bytes, len(writer.kept))
+	if leader.retainedBytes > maxRetainedBytes || len(leader.retained) == 0 {
+		t.Errorf("%d bytes of %d changes are retained", leader.retainedBytes, len(leader.retained))
 	}
-	if _, whole := writer.ChangesSince(follower.State().Version); !whole {
-		t.Error("changes that are not all kept are sent")
+	if _, needsSnapshot := leader.ChangesSince(follower.State().Version); !needsSnapshot {
+		t.Error("changes are sent although some are no longer retained")
 	}
-	if pull(t, follower, writer, math.MaxInt) != 1 || !reflect.DeepEqual(follower.State(), writer.State()) {
+	if replicate(t, follower, leader, math.MaxInt) != 1 || !reflect.DeepEqual(follower.State(), leader.State()) {
 		t.Errorf("at %s", follower.State().Version)
 	}
-	for i := range keepNumber + 5 {
-		d := document(1, i+1000)
-		write(t, writer, d, 1)
+	for i := range maxRetainedChanges + 5 {
+		commit(t, leader, testDocument(1, i+1000), 1)
 	}
-	if len(writer.kept) != keepNumber {
-		t.Errorf("%d changes are kept", len(writer.kept))
+	if len(leader.retained) != maxRetainedChanges {
+		t.Errorf("%d changes are retained", len(leader.retained))
 	}
 }
 
-// The older of two states that is sent second, whole or as changes, changes nothing.
-func TestOlderIsPassedOver(t *testing.T) {
-	writer, older, follower := New(State{}, true), New(State{}, true), New(State{}, false)
-	write(t, writer, document(10, 1), 1)
-	pull(t, older, writer, math.MaxInt)
-	old, _ := older.ChangesSince(Version{})
-	write(t, writer, document(10, 2), 1)
-	pull(t, follower, writer, math.MaxInt)
-	for _, p := range older.State().Chunks() {
-		if changed, err := follower.ApplyChunk(p); changed || err != nil {
+// A state that is older than the follower's changes nothing, as a snapshot or as changes.
+func TestOlderStateIsIgnored(t *testing.T) {
+	leader, older, follower := New(State{}, true), New(State{}, true), New(State{}, false)
+	commit(t, leader, testDocument(10, 1), 1)
+	replicate(t, older, leader, math.MaxInt)
+	olderChanges, _ := older.ChangesSince(Version{})
+	commit(t, leader, testDocument(10, 2), 1)
+	replicate(t, follower, leader, math.MaxInt)
+	for _, chunk := range older.State().Chunks() {
+		if changed, err := follower.ApplyChunk(chunk); changed || err != nil {
 			t.Error(changed, err)
 		}
 	}
-	if changed, err := follower.ApplyChanges(old); changed || err != nil {
+	if changed, err := follower.ApplyChanges(olderChanges); changed || err != nil {
 		t.Error(changed, err)
 	}
-	if changes, whole := older.ChangesSince(follower.State().Version); whole || len(changes) > 0 {
-		t.Errorf("the older sends %d changes, whole %v", len(changes), whole)
+	if changes, needsSnapshot := older.ChangesSince(follower.State().Version); needsSnapshot || len(changes) > 0 {
+		t.Errorf("the older server sends %d changes, needs a snapshot: %v", len(changes), needsSnapshot)
 	}
-	if !reflect.DeepEqual(follower.State(), writer.State()) {
+	if !reflect.DeepEqual(follower.State(), leader.State()) {
 		t.Errorf("at %s", follower.State().Version)
 	}
 }
 
-// A change or piece that is missing, and a document that is faulty, leave the copy as it was.
-func TestWhatIsNotTaken(t *testing.T) {
-	writer := New(State{}, true)
-	write(t, writer, document(2000, 1), 1)
-	first := New(writer.State(), false)
-	pieces := writer.State().Chunks()
-	if len(pieces) < 3 {
-		t.Fatalf("%d pieces", len(pieces))
-	}
-	fresh := New(State{}, false)
-	fresh.ApplyChunk(pieces[0])
-	if _, err := fresh.ApplyChunk(pieces[2]); !errors.Is(err, ErrGap) {
-		t.Error(err)
+// A chunk that arrives after a gap, or an empty document, is rejected.
+func TestInvalidChunksAreRejected(t *testing.T) {
+	leader := New(State{}, true)
+	commit(t, leader, testDocument(2000, 1), 1)
+	chunks := leader.State().Chunks()
+	if len(chunks) < 3 {
+		t.Fatalf("%d chunks", len(chunks))
 	}
-	if _, err := fresh.ApplyChunk(pieces[1]); !errors.Is(err, ErrGap) { // what came before the gap is dropped
+	follower := New(State{}, false)
+	follower.ApplyChunk(chunks[0])
+	if _, err := follower.ApplyChunk(chunks[2]); !errors.Is(err, ErrGap) {
 		t.Error(err)
 	}
-	v := func(n uint64) Version { return Version{Term: 1, Number: n} }
-	for _, c := range []struct {
-		change Change
-		want   error
-	}{
-		{Change{From: v(2), To: v(3), Upserted: []endpoint.Entry{room(1, 5)}}, ErrGap},
-		{Change{From: v(1), To: v(2), Upserted: []endpoint.Entry{{Name: "x", Address: "nowhere", Zone: "a"}}}, ErrInvalidDocument},
-		{Change{From: v(1), To: v(2), Upserted: []endpoint.Entry{{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}}}, ErrInvalidDocument},
-		{Change{From: v(1), To: v(2), Removed: func() (all []string) {
-			for _, r := range writer.State().Document.Rooms {
-				all = append(all, r.Name)
-			}
-			return all
-		}()}, ErrInvalidDocument},
-	} {
-		if changed, err := first.ApplyChanges([]Change{c.change}); !errors.Is(err, c.want) || first.State().Version != v(1) {
-			t.Errorf("%v: changed %v, %v, at %s", c.change.To, changed, err, first.State().Version)
-		}
+	if _, err := follower.ApplyChunk(chunks[1]); !errors.Is(err, ErrGap) { // the chunks before the gap were discarded
+		t.Error(err)
 	}
-	if _, err := fresh.ApplyChunk(SnapshotChunk{Version: v(9), Last: true}); !errors.Is(err, ErrInvalidDocument) {
+	empty := SnapshotChunk{Version: Version{Term: 1, Number: 9}, Last: true}
+	if _, err := follower.ApplyChunk(empty); !errors.Is(err, ErrInvalidDocument) {
 		t.Errorf("an empty document: %v", err)
 	}
 }
 
-// A file that is faulty by form or by meaning names what is wrong.
-func TestParse(t *testing.T) {
-	long := `{"discovery":"127.0.0.1:1"}` + strings.Repeat(" ", 10<<20)
-	for text, want := range map[string]string{
-		``: "EOF", `{}`: "rooms: is missing", `{"rooms":[]}`: "rooms: is empty", `{"rooms":[],"discovery":"127.0.0.1:1"}`: "rooms: is empty",
-		`{"discovery":"here"}`: `discovery: "here"`, `{"discovery":7}`: "discovery: a string", `{"x":1}`: `"x"`,
-		`{"discovery":"127.0.0.1:1"} 1`: "more follows", long: "longer than 8388608",
-		`{"rooms":[{"name":"a","address":"127.0.0.1:1"}]}`:                                           "rooms[0].zone",
-		`{"rooms":[{"name":"` + strings.Repeat("a", 129) + `","address":"127.0.0.1:1","zone":"a"}]}`: "rooms[0].name",
-	} {
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60q: %v", text, err)
-		}
+// A change that arrives after a gap, or that leads to an invalid document, leaves the replica as it was.
+func TestInvalidChangesAreRejected(t *testing.T) {
+	leader := New(State{}, true)
+	commit(t, leader, testDocument(2000, 1), 1)
+	follower := New(leader.State(), false)
+	var allNames []string
+	for _, entry := range leader.State().Document.Rooms {
+		allNames = append(allNames, entry.Name)
+	}
+	version := func(number uint64) Version { return Version{Term: 1, Number: number} }
+	upsert := func(entry endpoint.Entry) Change {
+		return Change{From: version(1), To: version(2), Upserted: []endpoint.Entry{entry}}
 	}
-	if d, err := Parse([]byte(`{"rooms":[{"name":"b","address":"127.0.0.1:1","zone":"a"},{"name":"a","address":"127.0.0.1:2","zone":"a"}]}`)); err != nil || d.Rooms[0].Name != "a" {
-		t.Error(d, err)
+	for _, test := range []struct {
+		name   string
+		change Change
+		want   error
+	}{
+		{"gap", Change{From: version(2), To: version(3), Upserted: []endpoint.Entry{testEntry(1, 5)}}, ErrGap},
+		{"address", upsert(endpoint.Entry{Name: "x", Address: "nowhere", Zone: "a"}), ErrInvalidDocument},
+		{"weight", upsert(endpoint.Entry{Name: "x", Address: "127.0.0.1:1", Zone: "a", Weight: math.NaN()}),
+			ErrInvalidDocument},
+		{"no entries", Change{From: version(1), To: version(2), Removed: allNames}, ErrInvalidDocument},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			changed, err := follower.ApplyChanges([]Change{test.change})
+			if !errors.Is(err, test.want) || follower.State().Version != version(1) {
+				t.Errorf("changed %v, %v, at %s", changed, err, follower.State().Version)
+			}
+		})
 	}
 }
 
-// A writer whose state was lost writes nothing under versions that followers may have with another document.
-func TestWriterThatLostItsState(t *testing.T) {
-	writer := New(State{}, true)
-	if !writer.ObserveFollower(Version{Term: 1, Number: 50}) {
-		t.Error("a newer version is not seen as one")
+// A leader whose state was lost must not reuse versions that followers may have with another document.
+func TestLeaderThatLostItsState(t *testing.T) {
+	leader := New(State{}, true)
+	if !leader.ObserveFollower(Version{Term: 1, Number: 50}) {
+		t.Error("a newer version is not reported as one")
 	}
-	if _, _, err := writer.Propose(document(3, 1), 1); err == nil || !strings.Contains(err.Error(), "1.50") {
-		t.Errorf("it writes on: %v", err)
+	if _, _, err := leader.Propose(testDocument(3, 1), 1); err == nil || !strings.Contains(err.Error(), "1.50") {
+		t.Errorf("it accepts a proposal in the same term: %v", err)
 	}
-	if v := write(t, writer, document(3, 1), 2); v != (Version{Term: 2, Number: 1}) {
-		t.Error(v)
+	if version := commit(t, leader, testDocument(3, 1), 2); version != (Version{Term: 2, Number: 1}) {
+		t.Error(version)
 	}
-	if _, _, err := writer.Propose(document(4, 1), 1); err == nil {
-		t.Error("it writes in an older term")
+	if _, _, err := leader.Propose(testDocument(4, 1), 1); err == nil {
+		t.Error("it accepts a proposal in an older term")
 	}
-	if _, _, err := writer.Propose(Document{Discovery: "127.0.0.1:1"}, 2); err == nil || !strings.Contains(err.Error(), "rooms: none") {
-		t.Errorf("a document that leaves no room server: %v", err)
+	_, _, err := leader.Propose(Document{Discovery: "127.0.0.1:1"}, 2)
+	if err == nil || !strings.Contains(err.Error(), "rooms: none") {
+		t.Errorf("a document without entries: %v", err)
 	}
-	if c, _, err := writer.Propose(document(3, 1), 2); c != nil || err != nil {
-		t.Errorf("the same once more: %v, %v", c, err)
+	if change, _, err := leader.Propose(testDocument(3, 1), 2); change != nil || err != nil {
+		t.Errorf("the current document again: %v, %v", change, err)
 	}
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -14,62 +14,62 @@
 
 const (
 	maxFollowers = 4096 // at one machine
-	tellEvery    = 10 * time.Second
+	logInterval  = 10 * time.Second
 )
 
 // Broadcaster holds a copy of the document for those that follow it here, and for the one that fills it.
 type Broadcaster struct {
-	mu      sync.Mutex
-	copy    *replica.Replica
-	changed chan struct{}                     // closed when another version is in force
-	age     func(now time.Time) time.Duration // since the writer was there
+	mu        sync.Mutex
+	replica   *replica.Replica
+	changed   chan struct{}                     // closed when another version is in force
+	leaderAge func(now time.Time) time.Duration // since the writer was there
 }
 
 // NewBroadcaster returns a hub with a state. keeps: it is served from here.
 func NewBroadcaster(state replica.State, keeps bool) *Broadcaster {
-	return &Broadcaster{copy: replica.New(state, keeps), changed: make(chan struct{}), age: func(time.Time) time.Duration { return 0 }}
+	return &Broadcaster{replica: replica.New(state, keeps), changed: make(chan struct{}), leaderAge: func(time.Time) time.Duration { return 0 }}
 }
 
 // State is the state in force.
 func (h *Broadcaster) State() replica.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.copy.State()
+	return h.replica.State()
 }
 
-// take lets do change the copy, and tells who follows.
-func (h *Broadcaster) take(do func(*replica.Replica) (bool, error)) (state replica.State, changed bool, err error) {
+// update lets do change the copy, and tells who follows.
+func (h *Broadcaster) update(do func(*replica.Replica) (bool, error)) (state replica.State, changed bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if changed, err = do(h.copy); changed && err == nil {
+	if changed, err = do(h.replica); changed && err == nil {
 		close(h.changed)
 		h.changed = make(chan struct{})
 	}
-	return h.copy.State(), changed && err == nil, err
+	return h.replica.State(), changed && err == nil, err
 }
 
-// since is what a follower with a version is sent now, and what tells of the next change.
-func (h *Broadcaster) since(v replica.Version) (state replica.State, changes []replica.Change, whole bool, next <-chan struct{}) {
+// changesSince is what a follower with a version is sent now, and what tells of the next change.
+func (h *Broadcaster) changesSince(v replica.Version) (state replica.State, changes []replica.Change, whole bool, next <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	changes, whole = h.copy.ChangesSince(v)
-	return h.copy.State(), changes, whole, h.changed
+	changes, whole = h.replica.ChangesSince(v)
+	return h.replica.State(), changes, whole, h.changed
 }
 
 // Server serves a hub's document.
 type Server struct {
-	hub  *Broadcaster
-	keys *Keyring
-	site string
-	log  *logrus.Logger
+	broadcaster *Broadcaster
+	keys        *Keyring
+	site        string
+	log         *logrus.Logger
 
-	aheads, refusals rate.Sometimes
+	newerFollowerLog, rejectionLog rate.Sometimes
 }
 
 // NewServer returns a server of a hub.
 func NewServer(hub *Broadcaster, keys *Keyring, site string, log *logrus.Logger) *Server {
-	return &Server{hub: hub, keys: keys, site: site, log: log, aheads: rate.Sometimes{First: 1, Interval: tellEvery},
-		refusals: rate.Sometimes{First: 1, Interval: tellEvery}}
+	return &Server{broadcaster: hub, keys: keys, site: site, log: log, newerFollowerLog: rate.Sometimes{First: 1, Interval: logInterval},
+		rejectionLog: rate.Sometimes{First: 1, Interval: logInterval}}
 }
 
 // Serve takes followers in until ctx ends.
@@ -101,36 +101,36 @@
 			defer func() { <-seats }()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			peer := newLink(conn)
-			if err := peer.answer(s.keys, s.site); err != nil {
-				s.refusals.Do(func() {
+			peer := newSecureConn(conn)
+			if err := peer.serverHandshake(s.keys, s.site); err != nil {
+				s.rejectionLog.Do(func() {
 					s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Warn("control: a follower was refused")
 				})
 				return
 			}
-			if err := s.follow(ctx, peer); err != nil {
+			if err := s.serveFollower(ctx, peer); err != nil {
 				s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Debug("control: a follower is gone")
 			}
 		})
 	}
 }
 
-// follow sends a follower all that it does not have, from now on.
-func (s *Server) follow(ctx context.Context, peer *link) error {
+// serveFollower sends a follower all that it does not have, from now on.
+func (s *Server) serveFollower(ctx context.Context, peer *secureConn) error {
 	var m message
 	if err := peer.receive(&m, replica.ReplyTimeout); err != nil {
 		return err
 	}
-	if m.Ask == nil {
-		return errForm
+	if m.Subscribe == nil {
+		return errProtocol
 	}
-	has := *m.Ask
-	s.hub.mu.Lock()
-	ahead := s.hub.copy.ObserveFollower(has)
-	s.hub.mu.Unlock()
+	has := *m.Subscribe
+	s.broadcaster.mu.Lock()
+	ahead := s.broadcaster.replica.ObserveFollower(has)
+	s.broadcaster.mu.Unlock()
 	if ahead {
-		s.aheads.Do(func() {
-			s.log.WithFields(logrus.Fields{"theirs": has.String(), "ours": s.hub.State().Version.String()}).
+		s.newerFollowerLog.Do(func() {
+			s.log.WithFields(logrus.Fields{"theirs": has.String(), "ours": s.broadcaster.State().Version.String()}).
 				Warn("control: a follower has a newer version than this machine; if this one writes, its state was lost: raise its term")
 		})
 	}
@@ -138,18 +138,18 @@
 	defer cancel()
 	peer.conn.SetReadDeadline(time.Time{})
 	go func() { // a follower says nothing more: what can be read is its end
-		peer.in.ReadByte()
+		peer.reader.ReadByte()
 		cancel()
 	}()
 	beats := time.NewTicker(replica.HeartbeatInterval)
 	defer beats.Stop()
 	due := true
 	for {
-		state, changes, whole, next := s.hub.since(has)
+		state, changes, whole, next := s.broadcaster.changesSince(has)
 		switch {
 		case whole:
 			for _, p := range state.Chunks() {
-				if err := peer.send(message{Piece: &p}); err != nil {
+				if err := peer.send(message{Chunk: &p}); err != nil {
 					return err
 				}
 			}
@@ -162,7 +162,7 @@
 			has = changes[len(changes)-1].To
 			continue
 		case due:
-			if err := peer.send(message{Beat: &beat{state.Version, uint64(s.hub.age(time.Now()).Milliseconds())}}); err != nil {
+			if err := peer.send(message{Heartbeat: &heartbeat{state.Version, uint64(s.broadcaster.leaderAge(time.Now()).Milliseconds())}}); err != nil {
 				return err
 			}
 			due = false
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	aliveEvery = 2 * time.Second
-	orderSize  = 8
+	watchHeartbeatInterval = 2 * time.Second
+	requestQueueSize       = 8
 )
 
 // DiscoverySource is the list's actor where the document lists no room servers.
@@ -26,64 +26,64 @@
 	Run(context.Context)
 }
 
-// gate lets what discovery tells pass until the document's list takes its place.
-type gate struct {
-	mu     sync.Mutex
-	closed bool
-	sink   core.UpdateHandler
+// detachableHandler lets what discovery tells pass until the document's list takes its place.
+type detachableHandler struct {
+	mu       sync.Mutex
+	detached bool
+	handler  core.UpdateHandler
 }
 
-func (g *gate) EndpointsUpdated(r core.EndpointUpdate) {
+func (g *detachableHandler) EndpointsUpdated(r core.EndpointUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.closed {
-		g.sink.EndpointsUpdated(r)
+	if !g.detached {
+		g.handler.EndpointsUpdated(r)
 	}
 }
 
-func (g *gate) WatchAlive(watch uint64) {
+func (g *detachableHandler) WatchAlive(watch uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.closed {
-		g.sink.WatchAlive(watch)
+	if !g.detached {
+		g.handler.WatchAlive(watch)
 	}
 }
 
-func (g *gate) close() {
+func (g *detachableHandler) detach() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = true
+	g.detached = true
 }
 
 // Source is a balancer's list's actor: discovery, until the document lists room servers; these from then on. It also turns the
 // balancer to the document's discovery.
 type Source struct {
-	hub      *Broadcaster
-	follower *Follower
-	saver    *Persister
-	inner    DiscoverySource
-	gate     *gate
-	sink     core.UpdateHandler
-	turn     func(discovery string)
-	turns    core.Watchdog // nil: nobody hears
-	log      *logrus.Logger
-	orders   chan order
-	states   chan replica.State
+	broadcaster         *Broadcaster
+	follower            *Follower
+	persister           *Persister
+	discovery           DiscoverySource
+	discoveryHandler    *detachableHandler
+	handler             core.UpdateHandler
+	setDiscoveryAddress func(discovery string)
+	watchdog            core.Watchdog // nil: nobody hears
+	log                 *logrus.Logger
+	requests            chan request
+	states              chan replica.State
 
 	// Owned by Run's goroutine.
-	listed    bool             // the document lists room servers,
-	rooms     []endpoint.Entry // these
-	discovery string           // the document's, that the balancer was turned to
-	watch     order            // the latest
-	inside    context.Context  // of the inner actor's watches: it ends when the document's list takes over
-	stopInner context.CancelFunc
+	servesDocument   bool             // the document lists room servers,
+	entries          []endpoint.Entry // these
+	discoveryAddress string           // the document's, that the balancer was turned to
+	watch            request          // the latest
+	discoveryContext context.Context  // of the inner actor's watches: it ends when the document's list takes over
+	stopDiscovery    context.CancelFunc
 }
 
-// order is a call of the core's.
-type order struct {
-	ctx    context.Context
-	watch  uint64     // its number; 0: the list alone is asked for
-	dialed func(bool) // discovery is to be dialled; nil: it is not
+// request is a call of the core's.
+type request struct {
+	ctx      context.Context
+	watchID  uint64     // its number; 0: the list alone is asked for
+	onDialed func(bool) // discovery is to be dialled; nil: it is not
 }
 
 // FollowerConfig says whom a balancer follows.
@@ -98,13 +98,13 @@
 // is the state that the balancer starts with, which is in force already.
 func NewSource(f FollowerConfig, keys *Keyring, store *Store, saved replica.State, inner func(core.UpdateHandler) DiscoverySource, turn func(discovery string),
 	sink core.UpdateHandler, log *logrus.Logger) *Source {
-	s := &Source{hub: NewBroadcaster(saved, false), saver: NewPersister(store), sink: sink, gate: &gate{sink: sink}, turn: turn, log: log,
-		orders: make(chan order, orderSize), states: make(chan replica.State), listed: len(saved.Document.Rooms) > 0,
-		discovery: saved.Document.Discovery, rooms: saved.Document.Rooms}
-	s.inside, s.stopInner = context.WithCancel(context.Background())
-	s.gate.closed = s.listed
-	s.inner = inner(s.gate)
-	s.follower = NewFollower(s.hub, f.Machines, f.Region, f.Seed, keys, f.Site, nil, log)
+	s := &Source{broadcaster: NewBroadcaster(saved, false), persister: NewPersister(store), handler: sink, discoveryHandler: &detachableHandler{handler: sink}, setDiscoveryAddress: turn, log: log,
+		requests: make(chan request, requestQueueSize), states: make(chan replica.State), servesDocument: len(saved.Document.Rooms) > 0,
+		discoveryAddress: saved.Document.Discovery, entries: saved.Document.Rooms}
+	s.discoveryContext, s.stopDiscovery = context.WithCancel(context.Background())
+	s.discoveryHandler.detached = s.servesDocument
+	s.discovery = inner(s.discoveryHandler)
+	s.follower = NewFollower(s.broadcaster, f.Machines, f.Region, f.Seed, keys, f.Site, nil, log)
 	return s
 }
 
@@ -114,25 +114,27 @@
 }
 
 // SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) SetWatchdog(turns core.Watchdog) { s.turns = turns }
+func (s *Source) SetWatchdog(turns core.Watchdog) { s.watchdog = turns }
 
 // SetAddress turns to discovery at another address.
-func (s *Source) SetAddress(address string) { s.inner.SetAddress(address) }
+func (s *Source) SetAddress(address string) { s.discovery.SetAddress(address) }
 
 // Watch answers with the list in force, and from then on with its changes.
-func (s *Source) Watch(ctx context.Context, watch uint64) { s.order(order{ctx: ctx, watch: watch}) }
+func (s *Source) Watch(ctx context.Context, watch uint64) {
+	s.enqueue(request{ctx: ctx, watchID: watch})
+}
 
 // Fetch answers with the list in force.
-func (s *Source) Fetch(ctx context.Context) { s.order(order{ctx: ctx}) }
+func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx: ctx}) }
 
 // Dial finds out whether discovery takes a connection. The document's list takes no call.
 func (s *Source) Dial(ctx context.Context, done func(there bool)) {
-	s.order(order{ctx: ctx, dialed: done})
+	s.enqueue(request{ctx: ctx, onDialed: done})
 }
 
-func (s *Source) order(o order) {
+func (s *Source) enqueue(o request) {
 	select {
-	case s.orders <- o:
+	case s.requests <- o:
 	default: // the module's actor never waits, and asks again
 	}
 }
@@ -141,18 +143,18 @@
 // a newer version may name another, so that the one in force stays.
 func (s *Source) SetFallbackAddress(address string) {
 	switch {
-	case s.hub.State().Document.Discovery != "":
+	case s.broadcaster.State().Document.Discovery != "":
 		s.log.WithField("discovery", address).Info("control: the document names discovery, the file's is not taken over")
 	case s.follower.LeaderStale():
 		s.log.WithField("discovery", address).Warn("control: nothing is heard of the writer, the file's discovery is not taken over")
 	default:
-		s.turn(address)
+		s.setDiscoveryAddress(address)
 	}
 }
 
 // Run is the actor; it ends with ctx.
 func (s *Source) Run(ctx context.Context) {
-	s.follower.taken = func(state replica.State) {
+	s.follower.onState = func(state replica.State) {
 		select {
 		case s.states <- state:
 		case <-ctx.Done():
@@ -161,77 +163,77 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	running.Go(func() { s.follower.Run(ctx) })
-	running.Go(func() { s.saver.Run(ctx) })
-	running.Go(func() { s.inner.Run(ctx) })
-	defer s.stopInner()
-	alive := time.NewTicker(aliveEvery)
+	running.Go(func() { s.persister.Run(ctx) })
+	running.Go(func() { s.discovery.Run(ctx) })
+	defer s.stopDiscovery()
+	alive := time.NewTicker(watchHeartbeatInterval)
 	defer alive.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-s.orders:
-			core.RunMonitored(s.turns, func() { s.answer(o) })
+		case o := <-s.requests:
+			core.RunMonitored(s.watchdog, func() { s.handleRequest(o) })
 		case state := <-s.states:
-			core.RunMonitored(s.turns, func() { s.enforce(state) })
+			core.RunMonitored(s.watchdog, func() { s.applyState(state) })
 		case <-alive.C:
-			if s.listed && s.watch.ctx != nil && s.watch.ctx.Err() == nil {
-				core.RunMonitored(s.turns, func() { s.sink.WatchAlive(s.watch.watch) })
+			if s.servesDocument && s.watch.ctx != nil && s.watch.ctx.Err() == nil {
+				core.RunMonitored(s.watchdog, func() { s.handler.WatchAlive(s.watch.watchID) })
 			}
 		}
 	}
 }
 
-func (s *Source) answer(o order) {
-	if o.dialed != nil {
-		if s.listed {
-			o.dialed(true)
+func (s *Source) handleRequest(o request) {
+	if o.onDialed != nil {
+		if s.servesDocument {
+			o.onDialed(true)
 		} else {
-			s.inner.Dial(o.ctx, o.dialed)
+			s.discovery.Dial(o.ctx, o.onDialed)
 		}
 		return
 	}
-	if o.watch != 0 {
+	if o.watchID != 0 {
 		s.watch = o
 	}
-	if !s.listed {
-		if o.watch == 0 {
-			s.inner.Fetch(o.ctx)
+	if !s.servesDocument {
+		if o.watchID == 0 {
+			s.discovery.Fetch(o.ctx)
 			return
 		}
 		ctx, cancel := context.WithCancel(o.ctx)
-		release := context.AfterFunc(s.inside, cancel)
+		release := context.AfterFunc(s.discoveryContext, cancel)
 		context.AfterFunc(ctx, func() { release() })
-		s.inner.Watch(ctx, o.watch)
+		s.discovery.Watch(ctx, o.watchID)
 		return
 	}
-	if o.watch != 0 {
-		s.sink.WatchAlive(o.watch)
+	if o.watchID != 0 {
+		s.handler.WatchAlive(o.watchID)
 	}
-	s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(replica.Document{Rooms: s.rooms})})
+	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(replica.Document{Rooms: s.entries})})
 }
 
-// enforce puts a version into force, and has it saved then.
-func (s *Source) enforce(state replica.State) {
-	if d := state.Document.Discovery; d != "" && d != s.discovery {
-		s.turn(d)
-		s.discovery = d
+// applyState puts a version into force, and has it saved then.
+func (s *Source) applyState(state replica.State) {
+	if d := state.Document.Discovery; d != "" && d != s.discoveryAddress {
+		s.setDiscoveryAddress(d)
+		s.discoveryAddress = d
 	}
-	before := s.rooms
-	if s.rooms = state.Document.Rooms; len(s.rooms) > 0 {
-		result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: changed(before, s.rooms)}
-		if !s.listed {
+	before := s.entries
+	if s.entries = state.Document.Rooms; len(s.entries) > 0 {
+		result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: changed(before, s.entries)}
+		if !s.servesDocument {
 			result = core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(state.Document)}
-			s.listed = true
-			s.gate.close()
-			s.stopInner()
+			s.servesDocument = true
+			s.discoveryHandler.detach()
+			s.stopDiscovery()
 			if s.watch.ctx != nil {
-				s.sink.WatchAlive(s.watch.watch)
+				s.handler.WatchAlive(s.watch.watchID)
 			}
 		}
-		s.sink.EndpointsUpdated(result)
+		s.handler.EndpointsUpdated(result)
 	}
-	s.saver.Enqueue(state)
+	s.persister.Enqueue(state)
 }
 
 // changed is what differs from one list to the next, both by name. Guards the module against a whole list for each change.
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	savedForm = 1
-	lockWait  = time.Second // another process of the same balancer may be writing
-	saveEvery = time.Second // at a follower, at most
+	stateFileVersion = 1
+	lockTimeout      = time.Second // another process of the same balancer may be writing
+	saveInterval     = time.Second // at a follower, at most
 )
 
 var (
 	bucketName = []byte("control")
 	stateKey   = []byte("state")
-	errTorn    = errors.New("is torn")
+	errCorrupt = errors.New("is torn")
 )
 
-// saved is what is stored: a sum, then this as CBOR.
-type saved struct {
-	Form  int           `cbor:"1,keyasint"`
-	Site  string        `cbor:"2,keyasint"`
-	State replica.State `cbor:"3,keyasint"`
+// savedState is what is stored: a sum, then this as CBOR.
+type savedState struct {
+	FileVersion int           `cbor:"1,keyasint"`
+	Site        string        `cbor:"2,keyasint"`
+	State       replica.State `cbor:"3,keyasint"`
 }
 
 // Store keeps the state in a file, so that a restart asks for changes alone. The file is open only while it is read or
@@ -57,12 +57,12 @@
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		s.log.WithError(err).Warn("control: the saved state is in another process's hands, starting without it")
 	default:
-		s.setAside(err)
+		s.moveAside(err)
 	}
 	return replica.State{}
 }
 
-func (s *Store) setAside(cause error) {
+func (s *Store) moveAside(cause error) {
 	aside := s.path + ".aside"
 	entry := s.log.WithError(cause).WithFields(logrus.Fields{"file": s.path, "aside": aside})
 	if err := os.Rename(s.path, aside); err != nil {
@@ -72,12 +72,12 @@
 	entry.Warn("control: the saved state is of no use and was set aside, the whole state is asked for")
 }
 
-// guarded turns what a torn file does to the library into an error: it maps the file, and follows what is in it.
-func guarded(do func() error) (err error) {
+// recoverFaults turns what a torn file does to the library into an error: it maps the file, and follows what is in it.
+func recoverFaults(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", errTorn, r)
+			err = fmt.Errorf("%w: %v", errCorrupt, r)
 		}
 	}()
 	return do()
@@ -87,8 +87,8 @@
 	if _, err := os.Stat(s.path); err != nil {
 		return state, err
 	}
-	err = guarded(func() error {
-		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockWait})
+	err = recoverFaults(func() error {
+		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 		if err != nil {
 			return err
 		}
@@ -107,18 +107,18 @@
 func (s *Store) decode(tx *bbolt.Tx) (replica.State, error) {
 	b := tx.Bucket(bucketName)
 	if b == nil {
-		return replica.State{}, fmt.Errorf("%w: no state is in it", errTorn)
+		return replica.State{}, fmt.Errorf("%w: no state is in it", errCorrupt)
 	}
 	raw := b.Get(stateKey)
 	if len(raw) < sha256.Size || sha256.Sum256(raw[sha256.Size:]) != [sha256.Size]byte(raw[:sha256.Size]) {
-		return replica.State{}, fmt.Errorf("%w: its sum is another", errTorn)
+		return replica.State{}, fmt.Errorf("%w: its sum is another", errCorrupt)
 	}
-	var in saved
+	var in savedState
 	if err := cbor.Unmarshal(raw[sha256.Size:], &in); err != nil {
 		return replica.State{}, err
 	}
-	if in.Form != savedForm {
-		return replica.State{}, fmt.Errorf("is of form %d, %d is known", in.Form, savedForm)
+	if in.FileVersion != stateFileVersion {
+		return replica.State{}, fmt.Errorf("is of form %d, %d is known", in.FileVersion, stateFileVersion)
 	}
 	if in.Site != s.site {
 		return replica.State{}, fmt.Errorf("is of site %q, this is %q", in.Site, s.site)
@@ -126,20 +126,20 @@
 	return replica.RestoreState(in.State)
 }
 
-func sumOf(body []byte) []byte {
+func checksum(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return sum[:]
 }
 
 // Save writes a state, unless a newer one is there.
 func (s *Store) Save(state replica.State) error {
-	body, err := cbor.Marshal(saved{savedForm, s.site, state})
+	body, err := cbor.Marshal(savedState{stateFileVersion, s.site, state})
 	if err != nil {
 		return err
 	}
-	sum := sumOf(body)
+	sum := checksum(body)
 	write := func() error {
-		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockWait})
+		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 		if err != nil {
 			return err
 		}
@@ -155,14 +155,14 @@
 			return b.Put(stateKey, append(sum, body...))
 		})
 	}
-	if err = guarded(write); err == nil || errors.Is(err, bbolterrors.ErrTimeout) {
+	if err = recoverFaults(write); err == nil || errors.Is(err, bbolterrors.ErrTimeout) {
 		return err
 	}
 	if _, gone := os.Stat(s.path); gone != nil { // no file, and none can be made
 		return err
 	}
-	s.setAside(err)
-	return guarded(write)
+	s.moveAside(err)
+	return recoverFaults(write)
 }
 
 // Persister saves the latest state at intervals, aside from who follows: a disk may be slow.
@@ -198,7 +198,7 @@
 			return
 		}
 		select {
-		case <-time.After(saveEvery):
+		case <-time.After(saveInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	maxFile    = 1 << 25
-	settle     = 100 * time.Millisecond // a file that is being written is left alone for this
-	settleMost = time.Second            // but not for longer than this
-	lookEvery  = 2 * time.Second        // also without a sign: what a symbolic link leads to may change elsewhere
-	aliveEvery = 2 * time.Second
-	orderSize  = 8
+	maxFileBytes           = 1 << 25
+	settleDelay            = 100 * time.Millisecond // a file that is being written is left alone for this
+	maxSettleDelay         = time.Second            // but not for longer than this
+	pollInterval           = 2 * time.Second        // also without a sign: what a symbolic link leads to may change elsewhere
+	watchHeartbeatInterval = 2 * time.Second
+	requestQueueSize       = 8
 )
 
 // Source is the actor.
 type Source struct {
-	path   string
-	sink   core.UpdateHandler
-	log    *logrus.Logger
-	turns  core.Watchdog // nil: nobody hears
-	orders chan order
-	offers chan endpoint.List
+	path      string
+	handler   core.UpdateHandler
+	log       *logrus.Logger
+	watchdog  core.Watchdog // nil: nobody hears
+	requests  chan request
+	proposals chan endpoint.List
 
 	// Owned by Run's goroutine.
-	keeper *endpoint.ChangeGuard
-	watch  order       // the latest
-	failed string      // what was said of the file last
-	read   os.FileInfo // the file when it was read last; nil: it is to be read
+	guard       *endpoint.ChangeGuard
+	watch       request     // the latest
+	lastFailure string      // what was said of the file last
+	read        os.FileInfo // the file when it was read last; nil: it is to be read
 }
 
 // Read reads the file; errors name it and what is wrong in it.
@@ -50,12 +50,12 @@
 		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
-	if len(raw) > maxFile {
-		return endpoint.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFile)
+	if len(raw) > maxFileBytes {
+		return endpoint.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFileBytes)
 	}
 	l, err := endpoint.Parse(raw)
 	if err != nil {
@@ -79,31 +79,31 @@
 
 // New returns the actor of a file, with the list that was read from it.
 func New(path string, first endpoint.List, sink core.UpdateHandler, log *logrus.Logger) *Source {
-	return &Source{path: path, sink: sink, log: log, keeper: endpoint.NewChangeGuard(first), orders: make(chan order, orderSize),
-		offers: make(chan endpoint.List)}
+	return &Source{path: path, handler: sink, log: log, guard: endpoint.NewChangeGuard(first), requests: make(chan request, requestQueueSize),
+		proposals: make(chan endpoint.List)}
 }
 
 // SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) SetWatchdog(turns core.Watchdog) { s.turns = turns }
+func (s *Source) SetWatchdog(turns core.Watchdog) { s.watchdog = turns }
 
 // SetAddress is discovery's; a file has no address.
 func (s *Source) SetAddress(string) {}
 
 // Watch answers with the list in force, and from then on with its changes.
-func (s *Source) Watch(ctx context.Context, watch uint64) { s.order(order{ctx, watch}) }
+func (s *Source) Watch(ctx context.Context, watch uint64) { s.enqueue(request{ctx, watch}) }
 
 // Fetch answers with the list in force.
-func (s *Source) Fetch(ctx context.Context) { s.order(order{ctx, 0}) }
+func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx, 0}) }
 
-// order is a call of the core's.
-type order struct {
-	ctx   context.Context
-	watch uint64 // its number; 0: the list alone is asked for
+// request is a call of the core's.
+type request struct {
+	ctx     context.Context
+	watchID uint64 // its number; 0: the list alone is asked for
 }
 
-func (s *Source) order(o order) {
+func (s *Source) enqueue(o request) {
 	select {
-	case s.orders <- o:
+	case s.requests <- o:
 	default: // the module's actor never waits, and asks again
 	}
 }
@@ -111,7 +111,7 @@
 // Propose brings a list that the operator asked to take over by a signal, and was read from the file.
 func (s *Source) Propose(ctx context.Context, l endpoint.List) {
 	select {
-	case s.offers <- l:
+	case s.proposals <- l:
 	case <-ctx.Done():
 	}
 }
@@ -130,7 +130,7 @@
 	} else {
 		s.log.WithError(err).Warn("rooms: no watch, the file is looked at every 2 s")
 	}
-	look, alive := time.NewTicker(lookEvery), time.NewTicker(aliveEvery)
+	look, alive := time.NewTicker(pollInterval), time.NewTicker(watchHeartbeatInterval)
 	defer look.Stop()
 	defer alive.Stop()
 	read := time.NewTimer(0)
@@ -140,80 +140,80 @@
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-s.orders:
-			core.RunMonitored(s.turns, func() {
-				if o.watch != 0 {
+		case o := <-s.requests:
+			core.RunMonitored(s.watchdog, func() {
+				if o.watchID != 0 {
 					s.watch = o
-					s.sink.WatchAlive(o.watch)
+					s.handler.WatchAlive(o.watchID)
 				}
-				s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(s.keeper.Current())})
+				s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(s.guard.Current())})
 			})
-		case l := <-s.offers:
-			core.RunMonitored(s.turns, func() { s.found(l, true) })
+		case l := <-s.proposals:
+			core.RunMonitored(s.watchdog, func() { s.applyDecision(l, true) })
 		case <-signs:
 			if since.IsZero() {
 				since = time.Now()
 			}
-			read.Reset(min(settle, max(settleMost-time.Since(since), 0)))
+			read.Reset(min(settleDelay, max(maxSettleDelay-time.Since(since), 0)))
 		case err := <-failures:
 			s.log.WithError(err).Warn("rooms: the watch of the file failed once")
-			read.Reset(settle)
+			read.Reset(settleDelay)
 		case <-read.C:
 			since = time.Time{}
-			core.RunMonitored(s.turns, s.take)
+			core.RunMonitored(s.watchdog, s.reload)
 		case <-look.C:
-			core.RunMonitored(s.turns, s.look)
+			core.RunMonitored(s.watchdog, s.poll)
 		case <-alive.C:
 			if s.watch.ctx != nil && s.watch.ctx.Err() == nil {
-				core.RunMonitored(s.turns, func() { s.sink.WatchAlive(s.watch.watch) })
+				core.RunMonitored(s.watchdog, func() { s.handler.WatchAlive(s.watch.watchID) })
 			}
 		}
 	}
 }
 
-// look takes over what the file holds if it is another, or was written, since it was read. Guards the processor: a long
+// poll takes over what the file holds if it is another, or was written, since it was read. Guards the processor: a long
 // list takes longer to read than all else that this process does at rest.
-func (s *Source) look() {
+func (s *Source) poll() {
 	now, err := os.Stat(s.path)
 	if err == nil && s.read != nil && os.SameFile(now, s.read) && now.Size() == s.read.Size() && now.ModTime().Equal(s.read.ModTime()) {
 		return
 	}
-	s.take()
+	s.reload()
 }
 
-// take takes over what the file holds now. A faulty one changes nothing, and is told once.
-func (s *Source) take() {
+// reload takes over what the file holds now. A faulty one changes nothing, and is told once.
+func (s *Source) reload() {
 	s.read = nil
 	// Guards against a write that shows no other time, as the one before is not long past.
-	if now, err := os.Stat(s.path); err == nil && time.Since(now.ModTime()) > lookEvery {
+	if now, err := os.Stat(s.path); err == nil && time.Since(now.ModTime()) > pollInterval {
 		s.read = now // before it is read: what is written meanwhile shows at the next look
 	}
 	l, err := Read(s.path)
 	if err != nil {
 		s.read = nil
-		if err.Error() != s.failed {
+		if err.Error() != s.lastFailure {
 			s.log.WithError(err).Error("rooms: the list is faulty, the one in force stays")
 		}
-		s.failed = err.Error()
+		s.lastFailure = err.Error()
 		return
 	}
-	s.found(l, false)
+	s.applyDecision(l, false)
 }
 
-func (s *Source) found(l endpoint.List, asked bool) {
-	verdict, change := s.keeper.Propose(l, asked)
+func (s *Source) applyDecision(l endpoint.List, asked bool) {
+	verdict, change := s.guard.Propose(l, asked)
 	switch verdict {
 	case endpoint.Unchanged:
-		s.failed = ""
+		s.lastFailure = ""
 	case endpoint.NeedsConfirmation:
 		text := "rooms: held: " + change.String()
-		if text != s.failed || asked {
+		if text != s.lastFailure || asked {
 			s.log.WithField("change", change.String()).Error("rooms: the list takes over half of the room servers away; it is taken when SIGHUP asks for it once more")
 		}
-		s.failed = text
+		s.lastFailure = text
 	case endpoint.Apply:
-		s.failed = ""
+		s.lastFailure = ""
 		s.log.WithField("change", change.String()).Info("rooms: list taken over")
-		s.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(l)})
+		s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(l)})
 	}
 }
--- a/internal/discovery/filesource/source_test.go
+++ b/internal/discovery/filesource/source_test.go
@@ -18,15 +18,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// sink keeps the latest list, and how many came.
-type sink struct {
+// updateRecorder keeps the latest list, and how many came.
+type updateRecorder struct {
 	mu    sync.Mutex
 	names string
 	lists int
 	alive int
 }
 
-func (s *sink) EndpointsUpdated(r core.EndpointUpdate) {
+func (s *updateRecorder) EndpointsUpdated(r core.EndpointUpdate) {
 	var names []string
 	for _, in := range r.Endpoints {
 		name := in.Name
@@ -40,30 +40,30 @@
 	s.names, s.lists = strings.Join(names, " "), s.lists+1
 }
 
-func (s *sink) WatchAlive(uint64) {
+func (s *updateRecorder) WatchAlive(uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.alive++
 }
 
-func (s *sink) get() (string, int, int) {
+func (s *updateRecorder) latest() (string, int, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.names, s.lists, s.alive
 }
 
-func (s *sink) want(t *testing.T, names string) {
+func (s *updateRecorder) waitFor(t *testing.T, names string) {
 	t.Helper()
 	got := ""
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got, _, _ = s.get(); got == names {
+		if got, _, _ = s.latest(); got == names {
 			return
 		}
 	}
 	t.Fatalf("the list is %q, want %q", got, names)
 }
 
-func text(rooms ...string) string {
+func documentOf(rooms ...string) string {
 	var all []string
 	for i, name := range rooms {
 		all = append(all, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%d","zone":"a"}`, name, 9000+i))
@@ -71,7 +71,7 @@
 	return `{"rooms":[` + strings.Join(all, ",") + `]}`
 }
 
-func put(t *testing.T, path, text string) {
+func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	}
 }
 
-func start(t *testing.T, path string) (*Source, *sink) {
+func startSource(t *testing.T, path string) (*Source, *updateRecorder) {
 	t.Helper()
 	first, err := Read(path)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	got := &sink{}
+	got := &updateRecorder{}
 	s := New(path, first, got, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -101,36 +101,36 @@
 
 // A file that is renamed over the old one, written in place, or reached through a link that is turned, is taken over; one
 // that is half-written, empty or gone changes nothing.
-func TestReplaced(t *testing.T) {
+func TestFileChangesAreApplied(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "rooms.json")
-	put(t, path, text("a", "b", "c"))
-	_, got := start(t, path)
-	got.want(t, "a b c")
-	put(t, path, text("a", "b", "c", "d"))
-	got.want(t, "a b c d")
-	whole := text("a", "b", "c", "d", "e")
+	replaceFile(t, path, documentOf("a", "b", "c"))
+	_, got := startSource(t, path)
+	got.waitFor(t, "a b c")
+	replaceFile(t, path, documentOf("a", "b", "c", "d"))
+	got.waitFor(t, "a b c d")
+	whole := documentOf("a", "b", "c", "d", "e")
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	f.WriteString(whole[:len(whole)/2])
-	time.Sleep(3 * settle)
-	if names, _, _ := got.get(); names != "a b c d" {
+	time.Sleep(3 * settleDelay)
+	if names, _, _ := got.latest(); names != "a b c d" {
 		t.Errorf("half a file makes %q", names)
 	}
 	f.WriteString(whole[len(whole)/2:])
-	got.want(t, "a b c d e")
-	put(t, path, `{"rooms":[]}`)
-	time.Sleep(3 * settle)
+	got.waitFor(t, "a b c d e")
+	replaceFile(t, path, `{"rooms":[]}`)
+	time.Sleep(3 * settleDelay)
 	os.Remove(path)
-	time.Sleep(3 * settle)
-	if names, _, _ := got.get(); names != "a b c d e" {
+	time.Sleep(3 * settleDelay)
+	if names, _, _ := got.latest(); names != "a b c d e" {
 		t.Errorf("an empty file, and none, make %q", names)
 	}
-	put(t, path, text("a", "b", "c", "d"))
-	got.want(t, "a b c d")
+	replaceFile(t, path, documentOf("a", "b", "c", "d"))
+	got.waitFor(t, "a b c d")
 }
 
 // A link that leads through a folder which is exchanged as a whole, as configuration is often brought about.
@@ -138,7 +138,7 @@
 	dir := t.TempDir()
 	for name, rooms := range map[string][]string{"one": {"a", "b"}, "two": {"a", "b", "c"}} {
 		os.Mkdir(filepath.Join(dir, name), 0o700)
-		put(t, filepath.Join(dir, name, "rooms.json"), text(rooms...))
+		replaceFile(t, filepath.Join(dir, name, "rooms.json"), documentOf(rooms...))
 	}
 	swap := func(to string) {
 		t.Helper()
@@ -154,65 +154,65 @@
 	if err := os.Symlink(filepath.Join("data", "rooms.json"), path); err != nil {
 		t.Fatal(err)
 	}
-	_, got := start(t, path)
-	got.want(t, "a b")
+	_, got := startSource(t, path)
+	got.waitFor(t, "a b")
 	swap("two")
-	got.want(t, "a b c")
+	got.waitFor(t, "a b c")
 }
 
 // A file that is replaced 100 times a second is looked at now and then, and its last form is in force in the end.
-func TestReplacedAllTheTime(t *testing.T) {
+func TestFileReplacedContinuously(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rooms.json")
-	put(t, path, text("a", "b"))
-	_, got := start(t, path)
-	got.want(t, "a b")
-	_, before, _ := got.get()
+	replaceFile(t, path, documentOf("a", "b"))
+	_, got := startSource(t, path)
+	got.waitFor(t, "a b")
+	_, before, _ := got.latest()
 	begun := time.Now()
 	for i := range 200 {
-		put(t, path, text("a", "b", fmt.Sprintf("c-%d", i)))
+		replaceFile(t, path, documentOf("a", "b", fmt.Sprintf("c-%d", i)))
 		time.Sleep(10 * time.Millisecond)
 	}
-	put(t, path, text("a", "b", "last"))
-	got.want(t, "a b last")
+	replaceFile(t, path, documentOf("a", "b", "last"))
+	got.waitFor(t, "a b last")
 	// By the time it took: a slow disk spreads the files out, and more of them are then left alone for long enough.
-	if _, lists, _ := got.get(); lists-before > 10+int(time.Since(begun)/(4*settle)) {
+	if _, lists, _ := got.latest(); lists-before > 10+int(time.Since(begun)/(4*settleDelay)) {
 		t.Errorf("%d lists for 201 files in %v", lists-before, time.Since(begun))
 	}
 }
 
 // A list that takes over half away waits for the second signal; the core's calls are answered with the one in force meanwhile,
 // and its watch hears that the source lives.
-func TestHeld(t *testing.T) {
+func TestConfirmationOfLargeRemoval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rooms.json")
-	put(t, path, text("a", "b", "c", "d"))
-	s, got := start(t, path)
-	got.want(t, "a b c d")
-	put(t, path, text("a"))
-	time.Sleep(lookEvery + 3*settle)
+	replaceFile(t, path, documentOf("a", "b", "c", "d"))
+	s, got := startSource(t, path)
+	got.waitFor(t, "a b c d")
+	replaceFile(t, path, documentOf("a"))
+	time.Sleep(pollInterval + 3*settleDelay)
 	s.Fetch(t.Context())
 	l, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if names, _, alive := got.get(); names != "a b c d" || alive == 0 {
+	if names, _, alive := got.latest(); names != "a b c d" || alive == 0 {
 		t.Errorf("the list is %q, %d signs of life", names, alive)
 	}
 	s.Propose(t.Context(), l)
-	got.want(t, "a")
+	got.waitFor(t, "a")
 }
 
 // A long list is taken over, and a file that does not change is read no more once its time tells so.
-func TestLongFile(t *testing.T) {
+func TestLongFileIsReadOnce(t *testing.T) {
 	var names []string
 	for i := range 20_000 {
 		names = append(names, fmt.Sprintf("s-%05d", i))
 	}
 	path := filepath.Join(t.TempDir(), "rooms.json")
-	put(t, path, strings.Replace(text(names...), `"zone":"a"`, `"zone": "a"`, 1))
-	s := New(path, endpoint.List{}, &sink{}, logrus.New())
+	replaceFile(t, path, strings.Replace(documentOf(names...), `"zone":"a"`, `"zone": "a"`, 1))
+	s := New(path, endpoint.List{}, &updateRecorder{}, logrus.New())
 	s.log.SetOutput(io.Discard)
-	if s.look(); len(s.keeper.Current().Entries) != 20_000 || s.read != nil {
-		t.Fatalf("%d room servers, and a file that was just written passes for read", len(s.keeper.Current().Entries))
+	if s.poll(); len(s.guard.Current().Entries) != 20_000 || s.read != nil {
+		t.Fatalf("%d room servers, and a file that was just written passes for read", len(s.guard.Current().Entries))
 	}
 	age := func(seconds int) {
 		t.Helper()
@@ -222,18 +222,18 @@
 		}
 	}
 	age(60)
-	s.look()
-	if got := testing.AllocsPerRun(10, s.look); got > 20 {
+	s.poll()
+	if got := testing.AllocsPerRun(10, s.poll); got > 20 {
 		t.Errorf("a look at a file that does not change takes %.0f allocations", got)
 	}
-	put(t, path, text(append(names, "s-20000")...))
+	replaceFile(t, path, documentOf(append(names, "s-20000")...))
 	age(60) // as old, but another file
-	if s.look(); len(s.keeper.Current().Entries) != 20_001 {
-		t.Errorf("%d room servers", len(s.keeper.Current().Entries))
+	if s.poll(); len(s.guard.Current().Entries) != 20_001 {
+		t.Errorf("%d room servers", len(s.guard.Current().Entries))
 	}
-	put(t, path, "{")
+	replaceFile(t, path, "{")
 	age(90)
-	if s.look(); s.read != nil || len(s.keeper.Current().Entries) != 20_001 {
+	if s.poll(); s.read != nil || len(s.guard.Current().Entries) != 20_001 {
 		t.Error("a faulty file passes for read")
 	}
 }
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -18,9 +18,9 @@
 
 // Bounds of a list, so that one that never ends takes no more memory than the longest that is used.
 const (
-	maxEntries = 1 << 16
-	maxEntry   = 1 << 16 // bytes of an entry, or of anything else between two
-	maxList    = 1 << 25 // bytes of the whole: for so many entries three times as much as usual ones have
+	maxEntries    = 1 << 16
+	maxEntryBytes = 1 << 16 // bytes of an entry, or of anything else between two
+	maxListBytes  = 1 << 25 // bytes of the whole: for so many entries three times as much as usual ones have
 )
 
 type wireInstance struct {
@@ -33,7 +33,7 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-var states = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
+var lifecycleStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
 
 // Listing is a decoded list.
 type Listing struct {
@@ -46,7 +46,7 @@
 // room servers that are gone.
 func DecodeListing(raw []byte) (Listing, error) {
 	values := json.NewDecoder(bytes.NewReader(raw))
-	l, err := decodeNext(values, func() {})
+	l, err := decodeListing(values, func() {})
 	if err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
@@ -56,10 +56,10 @@
 	return l, nil
 }
 
-// decodeNext reads the next list of a stream, entry by entry, so that no more of its text is held at once than one
+// decodeListing reads the next list of a stream, entry by entry, so that no more of its text is held at once than one
 // entry; passed hears that what came so far is done with. io.EOF says that nothing begins.
-func decodeNext(values *json.Decoder, passed func()) (l Listing, err error) {
-	if err := opens(values, '{'); err != nil {
+func decodeListing(values *json.Decoder, passed func()) (l Listing, err error) {
+	if err := expectDelim(values, '{'); err != nil {
 		return Listing{}, err
 	}
 	var generation *int64
@@ -67,7 +67,7 @@
 	for values.More() {
 		key, err := values.Token()
 		if err != nil {
-			return Listing{}, ended(err)
+			return Listing{}, unexpectedEOF(err)
 		}
 		switch name, _ := key.(string); { // in any case of letters, as encoding/json takes names
 		case strings.EqualFold(name, "generation"):
@@ -84,12 +84,12 @@
 			err = values.Decode(&unknown)
 		}
 		if err != nil {
-			return Listing{}, ended(err)
+			return Listing{}, unexpectedEOF(err)
 		}
 		passed()
 	}
 	if _, err := values.Token(); err != nil {
-		return Listing{}, ended(err)
+		return Listing{}, unexpectedEOF(err)
 	}
 	if generation == nil {
 		return Listing{}, errors.New("generation is missing")
@@ -98,8 +98,8 @@
 	return l, nil
 }
 
-// opens reads the beginning of an object or an array.
-func opens(values *json.Decoder, want json.Delim) error {
+// expectDelim reads the beginning of an object or an array.
+func expectDelim(values *json.Decoder, want json.Delim) error {
 	got, err := values.Token()
 	if err == nil && got != want {
 		err = fmt.Errorf("%v was found where %v was expected", got, want)
@@ -107,8 +107,8 @@
 	return err
 }
 
-// ended tells half a list from the end of a stream.
-func ended(err error) error {
+// unexpectedEOF tells half a list from the end of a stream.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -132,7 +132,7 @@
 		if err := values.Decode(&w); err != nil {
 			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
 		}
-		x, err := w.decode()
+		x, err := w.endpoint()
 		if err != nil {
 			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
 		}
@@ -147,11 +147,11 @@
 	return all, err
 }
 
-func (w wireInstance) decode() (in core.Endpoint, err error) {
+func (w wireInstance) endpoint() (in core.Endpoint, err error) {
 	if w.InstanceID == "" {
 		return in, errors.New("instanceId is empty")
 	}
-	state, ok := states[w.Lifecycle]
+	state, ok := lifecycleStates[w.Lifecycle]
 	if !ok {
 		return in, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
 	}
--- a/internal/discovery/httpsource/fuzz_test.go
+++ b/internal/discovery/httpsource/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 func FuzzDecode(f *testing.F) {
-	fuzzcorpus.Add(f, []byte(list), []byte(`{"generation":0,"instances":null}`))
+	fuzzcorpus.Add(f, []byte(testList), []byte(`{"generation":0,"instances":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		l, err := DecodeListing(raw)
 		for _, in := range l.Endpoints {
--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	listPath  = "/registry/instances"
-	orderSize = 8
+	listPath         = "/registry/instances"
+	requestQueueSize = 8
 )
 
 // Source is the list's actor.
 type Source struct {
-	client *http.Client
-	sink   core.UpdateHandler
-	log    *logrus.Logger
-	orders chan call
-	moves  chan string
-	news   chan news
-	calls  sync.WaitGroup
-	turns  core.Watchdog // nil: nobody hears
+	client         *http.Client
+	handler        core.UpdateHandler
+	log            *logrus.Logger
+	requests       chan call
+	addressChanges chan string
+	events         chan callEvent
+	calls          sync.WaitGroup
+	watchdog       core.Watchdog // nil: nobody hears
 
 	// Owned by Run's goroutine.
-	address    string
-	url        string
-	era        int   // counts the addresses of discovery; versions of one mean nothing at another
-	generation int64 // the list's version,
-	by         int   // and the call that brought it
-	listed     bool  // the generation is one of this address's
-	lastCall   int
-	watching   int    // the call whose watch is listened to
-	endWatch   func() // ends it
+	address           string
+	url               string
+	addressEpoch      int   // counts the addresses of discovery; versions of one mean nothing at another
+	generation        int64 // the list's version,
+	generationCall    int   // and the call that brought it
+	hasSnapshot       bool  // the generation is one of this address's
+	lastCallNumber    int
+	activeWatch       int    // the call whose watch is listened to
+	cancelActiveWatch func() // ends it
 }
 
 // call is one call to discovery.
 type call struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	watch  bool
-	id     uint64 // the core's number of a watch
-	number int
-	url    string
-	era    int
-	from   int64
-	whole  bool             // a watch that asks for the whole list first
-	dialed func(there bool) // of a dial that no call follows, else nil
+	ctx            context.Context
+	cancel         context.CancelFunc
+	watch          bool
+	watchID        uint64 // the core's number of a watch
+	number         int
+	url            string
+	addressEpoch   int
+	fromGeneration int64
+	snapshotFirst  bool             // a watch that asks for the whole list first
+	onDialed       func(there bool) // of a dial that no call follows, else nil
 }
 
-// news is what a call brought: a list, a sign of life, or its end.
-type news struct {
+// callEvent is what a call brought: a list, a sign of life, or its end.
+type callEvent struct {
 	call    call
 	listing *Listing
 	err     error
@@ -69,10 +69,10 @@
 // New returns a resolver for discovery at an address, with a list of the given version.
 func New(address string, generation int64, sink core.UpdateHandler, log *logrus.Logger) *Source {
 	return &Source{
-		address: address, url: listURL(address), sink: sink, log: log, generation: generation, listed: true,
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
-		orders: make(chan call, orderSize), moves: make(chan string, orderSize), news: make(chan news),
-		endWatch: func() {},
+		address: address, url: listURL(address), handler: sink, log: log, generation: generation, hasSnapshot: true,
+		client:   &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
+		requests: make(chan call, requestQueueSize), addressChanges: make(chan string, requestQueueSize), events: make(chan callEvent),
+		cancelActiveWatch: func() {},
 	}
 }
 
@@ -82,7 +82,7 @@
 // watch that brings its changes, stand until the first of them is answered.
 func (r *Source) SetAddress(address string) {
 	select {
-	case r.moves <- address:
+	case r.addressChanges <- address:
 	default:
 		r.log.WithField("discovery", address).Warn("discovery: too many moves wait, one is left out")
 	}
@@ -90,27 +90,27 @@
 
 // Watch asks for what has changed and for all changes from then on.
 func (r *Source) Watch(ctx context.Context, watch uint64) {
-	r.order(call{ctx: ctx, watch: true, id: watch})
+	r.enqueue(call{ctx: ctx, watch: true, watchID: watch})
 }
 
 // Fetch asks for the whole list once.
-func (r *Source) Fetch(ctx context.Context) { r.order(call{ctx: ctx}) }
+func (r *Source) Fetch(ctx context.Context) { r.enqueue(call{ctx: ctx}) }
 
 // Dial finds out whether discovery takes a connection, without a call.
 func (r *Source) Dial(ctx context.Context, done func(there bool)) {
-	r.order(call{ctx: ctx, dialed: done})
+	r.enqueue(call{ctx: ctx, onDialed: done})
 }
 
-func (r *Source) order(c call) {
+func (r *Source) enqueue(c call) {
 	select {
-	case r.orders <- c:
+	case r.requests <- c:
 	default: // guards the module's actor: it never waits, and asks again when nothing comes
 		r.log.Warn("discovery: too many calls wait, one is left out")
 	}
 }
 
 // SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (r *Source) SetWatchdog(turns core.Watchdog) { r.turns = turns }
+func (r *Source) SetWatchdog(turns core.Watchdog) { r.watchdog = turns }
 
 // Run is the actor; it ends with ctx and with all its calls.
 func (r *Source) Run(ctx context.Context) {
@@ -119,43 +119,43 @@
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-r.orders:
-			core.RunMonitored(r.turns, func() { r.begin(ctx, c) })
-		case n := <-r.news:
-			core.RunMonitored(r.turns, func() { r.hear(n) })
+		case c := <-r.requests:
+			core.RunMonitored(r.watchdog, func() { r.startCall(ctx, c) })
+		case n := <-r.events:
+			core.RunMonitored(r.watchdog, func() { r.handleEvent(n) })
 		}
 	}
 }
 
-// begin makes a call.
-func (r *Source) begin(ctx context.Context, c call) {
-	r.takeMoves() // those ordered before this call come before it
-	if c.dialed != nil {
+// startCall makes a call.
+func (r *Source) startCall(ctx context.Context, c call) {
+	r.applyAddressChanges() // those ordered before this call come before it
+	if c.onDialed != nil {
 		address := r.address
-		r.calls.Go(func() { c.dialed(r.there(c.ctx, address)) })
+		r.calls.Go(func() { c.onDialed(r.canConnect(c.ctx, address)) })
 		return
 	}
-	r.lastCall++
-	c.number, c.url, c.era, c.from = r.lastCall, r.url, r.era, r.generation
-	c.whole = c.watch && !r.listed
+	r.lastCallNumber++
+	c.number, c.url, c.addressEpoch, c.fromGeneration = r.lastCallNumber, r.url, r.addressEpoch, r.generation
+	c.snapshotFirst = c.watch && !r.hasSnapshot
 	c.ctx, c.cancel = context.WithCancel(c.ctx)
 	r.calls.Go(func() { r.call(ctx, c) })
 }
 
-func (r *Source) takeMoves() {
+func (r *Source) applyAddressChanges() {
 	for {
 		select {
-		case address := <-r.moves:
-			r.address, r.url, r.listed = address, listURL(address), false
-			r.era++
+		case address := <-r.addressChanges:
+			r.address, r.url, r.hasSnapshot = address, listURL(address), false
+			r.addressEpoch++
 		default:
 			return
 		}
 	}
 }
 
-// there dials and lets go at once: discovery has no work with it.
-func (r *Source) there(ctx context.Context, address string) bool {
+// canConnect dials and lets go at once: discovery has no work with it.
+func (r *Source) canConnect(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
@@ -164,13 +164,13 @@
 	return true
 }
 
-// hear takes a list, a sign of life or the end of a call. A watch goes on until the first answer of a newer one,
+// handleEvent takes a list, a sign of life or the end of a call. A watch goes on until the first answer of a newer one,
 // which ends it; what it still says then is old.
-func (r *Source) hear(n news) {
-	if n.call.watch && n.call.number < r.watching {
+func (r *Source) handleEvent(n callEvent) {
+	if n.call.watch && n.call.number < r.activeWatch {
 		return
 	}
-	if n.call.era != r.era && (n.err != nil || n.call.number != r.watching) {
+	if n.call.addressEpoch != r.addressEpoch && (n.err != nil || n.call.number != r.activeWatch) {
 		// Guards the list against an address that was left: only the watch that stands there still counts, and
 		// that it ends says nothing of discovery at the new address.
 		n.call.cancel()
@@ -178,15 +178,15 @@
 	}
 	if n.err != nil {
 		r.log.WithError(n.err).Warn("discovery: call failed")
-		r.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListFailed, WatchID: n.call.id})
+		r.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListFailed, WatchID: n.call.watchID})
 		return
 	}
 	if n.call.watch {
-		if n.call.number > r.watching {
-			r.endWatch()
-			r.watching, r.endWatch = n.call.number, n.call.cancel
+		if n.call.number > r.activeWatch {
+			r.cancelActiveWatch()
+			r.activeWatch, r.cancelActiveWatch = n.call.number, n.call.cancel
 		}
-		r.sink.WatchAlive(n.call.id)
+		r.handler.WatchAlive(n.call.watchID)
 	}
 	l := n.listing
 	if l == nil {
@@ -197,51 +197,51 @@
 		result.Kind = decide.ListSnapshot
 	}
 	switch {
-	case n.call.era != r.era: // the old address's watch: its changes count, its versions do not
-	case r.listed && l.Generation < r.generation && (!n.call.watch || n.call.number != r.by && (!l.Reset || l.Generation >= n.call.from)):
+	case n.call.addressEpoch != r.addressEpoch: // the old address's watch: its changes count, its versions do not
+	case r.hasSnapshot && l.Generation < r.generation && (!n.call.watch || n.call.number != r.generationCall && (!l.Reset || l.Generation >= n.call.fromGeneration)):
 		// Guards against what another call has overtaken, a whole list or the changes after the version with which a
 		// watch was opened: it would bring back what drains. A whole list before that version, or one of the watch that
 		// brought the version in force, is of a discovery that has begun anew.
 		result = core.EndpointUpdate{Kind: decide.ListDelta}
 	default:
-		r.generation, r.by, r.listed = l.Generation, n.call.number, r.listed || l.Reset
+		r.generation, r.generationCall, r.hasSnapshot = l.Generation, n.call.number, r.hasSnapshot || l.Reset
 	}
-	r.sink.EndpointsUpdated(result)
+	r.handler.EndpointsUpdated(result)
 }
 
 // call makes one call and brings what it says to the actor.
 func (r *Source) call(ctx context.Context, c call) {
 	defer c.cancel()
-	from := c.from
+	from := c.fromGeneration
 	heard := func(l *Listing) {
 		if l != nil {
 			from = l.Generation
 		}
-		r.tell(ctx, news{call: c, listing: l})
+		r.emit(ctx, callEvent{call: c, listing: l})
 	}
 	var err error
-	if !c.watch || c.whole {
-		err = r.read(c, c.url, 1, heard)
+	if !c.watch || c.snapshotFirst {
+		err = r.readListings(c, c.url, 1, heard)
 	}
 	if err == nil && c.watch {
-		if err = r.read(c, c.url+"?watch=1&from="+strconv.FormatInt(from, 10), 0, heard); err == nil {
+		if err = r.readListings(c, c.url+"?watch=1&from="+strconv.FormatInt(from, 10), 0, heard); err == nil {
 			err = errors.New("watch ended")
 		}
 	}
 	if err != nil {
-		r.tell(ctx, news{call: c, err: err})
+		r.emit(ctx, callEvent{call: c, err: err})
 	}
 }
 
-func (r *Source) tell(ctx context.Context, n news) {
+func (r *Source) emit(ctx context.Context, n callEvent) {
 	select {
-	case r.news <- n:
+	case r.events <- n:
 	case <-ctx.Done():
 	}
 }
 
-// read makes one HTTP call and hands on so many lists of its answer, 0: all, and nil for each empty line.
-func (r *Source) read(c call, url string, most int, heard func(*Listing)) error {
+// readListings makes one HTTP call and hands on so many lists of its answer, 0: all, and nil for each empty line.
+func (r *Source) readListings(c call, url string, most int, heard func(*Listing)) error {
 	req, err := http.NewRequestWithContext(c.ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("list request: %w", err)
@@ -257,10 +257,10 @@
 	// Lists are values in a stream, however they are broken into lines. Guards against garbage, half a value and one
 	// that never ends: the old list stands and the call ends, for a later value would take the version past the change
 	// that could not be read. The module asks again.
-	in := &stream{from: resp.Body, blank: true, empty: func() { heard(nil) }}
+	in := &boundedReader{source: resp.Body, atLineStart: true, onEmptyLine: func() { heard(nil) }}
 	values := json.NewDecoder(in)
 	for n := 1; ; n++ {
-		l, err := decodeNext(values, func() { in.passed(values.InputOffset()) })
+		l, err := decodeListing(values, func() { in.markConsumed(values.InputOffset()) })
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
@@ -270,62 +270,62 @@
 		if n == most {
 			return nil
 		}
-		in.next(values.Buffered())
+		in.startNextValue(values.Buffered())
 	}
 }
 
-// stream is what a call reads its values from. It hears of the empty lines between two values, and bounds each value and
+// boundedReader is what a call reads its values from. It hears of the empty lines between two values, and bounds each value and
 // its parts.
-type stream struct {
-	from   io.Reader
-	empty  func()
-	handed int64 // bytes that the reader of the values has been given,
-	value  int64 // those of the value that comes,
-	part   int64 // and of them those that are not done with
-	begun  bool  // of a value something has come
-	blank  bool  // so has the end of a line, and nothing on the next
+type boundedReader struct {
+	source         io.Reader
+	onEmptyLine    func()
+	deliveredBytes int64 // bytes that the reader of the values has been given,
+	valueBytes     int64 // those of the value that comes,
+	partBytes      int64 // and of them those that are not done with
+	valueStarted   bool  // of a value something has come
+	atLineStart    bool  // so has the end of a line, and nothing on the next
 }
 
 // Read keeps the blanks before a value to itself: its reader would keep them all.
-func (s *stream) Read(p []byte) (int, error) {
+func (s *boundedReader) Read(p []byte) (int, error) {
 	for {
-		room := min(maxEntry-s.part, maxList-s.value)
+		room := min(maxEntryBytes-s.partBytes, maxListBytes-s.valueBytes)
 		if room <= 0 {
-			return 0, fmt.Errorf("a value is longer than %d bytes, or a part of it than %d", maxList, maxEntry)
+			return 0, fmt.Errorf("a value is longer than %d bytes, or a part of it than %d", maxListBytes, maxEntryBytes)
 		}
-		n, err := s.from.Read(p[:min(int64(len(p)), room)])
-		s.see(p[:n])
-		if s.begun || err != nil {
-			s.handed += int64(n)
+		n, err := s.source.Read(p[:min(int64(len(p)), room)])
+		s.scan(p[:n])
+		if s.valueStarted || err != nil {
+			s.deliveredBytes += int64(n)
 			return n, err
 		}
 	}
 }
 
-func (s *stream) see(raw []byte) {
-	s.value += int64(len(raw))
-	s.part += int64(len(raw))
+func (s *boundedReader) scan(raw []byte) {
+	s.valueBytes += int64(len(raw))
+	s.partBytes += int64(len(raw))
 	for _, c := range raw {
 		switch {
-		case s.begun:
+		case s.valueStarted:
 			return
-		case c == '\n' && s.blank:
-			s.empty()
-			s.value, s.part = 0, 0
+		case c == '\n' && s.atLineStart:
+			s.onEmptyLine()
+			s.valueBytes, s.partBytes = 0, 0
 		case c == '\n':
-			s.blank = true
+			s.atLineStart = true
 		case c != ' ' && c != '\t' && c != '\r':
-			s.begun = true
+			s.valueStarted = true
 		}
 	}
 }
 
-// passed tells that what was handed on is done with up to an offset.
-func (s *stream) passed(offset int64) { s.part = s.handed - offset }
+// markConsumed tells that what was handed on is done with up to an offset.
+func (s *boundedReader) markConsumed(offset int64) { s.partBytes = s.deliveredBytes - offset }
 
-// next begins a value; of what follows the last one something may have been read already. It ends in its own line.
-func (s *stream) next(read io.Reader) {
-	s.value, s.part, s.begun, s.blank = 0, 0, false, false
+// startNextValue begins a value; of what follows the last one something may have been read already. It ends in its own line.
+func (s *boundedReader) startNextValue(read io.Reader) {
+	s.valueBytes, s.partBytes, s.valueStarted, s.atLineStart = 0, 0, false, false
 	raw, _ := io.ReadAll(read) // of the memory
-	s.see(raw)
+	s.scan(raw)
 }
--- a/internal/discovery/httpsource/source_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -21,13 +21,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-const entry = `{"instanceId":"s-5be2a07c","hostPort":"10.1.0.18:9000","zone":"a","machineType":"m2","cell":3,` +
+const testEntry = `{"instanceId":"s-5be2a07c","hostPort":"10.1.0.18:9000","zone":"a","machineType":"m2","cell":3,` +
 	`"lifecycle":"active","weight":1.0,"startedAtMs":1700000000000}`
 
-const list = `{"generation":41,"reset":true,"instances":[` + entry + `]}`
+const testList = `{"generation":41,"reset":true,"instances":[` + testEntry + `]}`
 
-// long is a list of many entries, each of its own name and derived number.
-func long(n int) string {
+// longList is a list of many entries, each of its own name and derived number.
+func longList(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"generation":41,"reset":true,"instances":[`)
 	used := map[decide.ServerID]bool{}
@@ -39,7 +39,7 @@
 		if used[core.ServerID(name)] = true; len(used) > 1 {
 			b.WriteByte(',')
 		}
-		b.WriteString(strings.Replace(entry, "s-5be2a07c", name, 1))
+		b.WriteString(strings.Replace(testEntry, "s-5be2a07c", name, 1))
 	}
 	return b.String() + "]}"
 }
@@ -47,27 +47,27 @@
 // A list of 20,000 room servers is taken, from the stream and from the configuration, and so are the changes after it. What an entry
 // takes to read does not grow with the list.
 func TestLongLists(t *testing.T) {
-	whole := long(20_000)
-	r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
-		io.WriteString(w, whole+"\n\n"+strings.Replace(strings.Replace(list, "41", "42", 1), "true", "false", 1)+"\n"+whole+"\n")
+	whole := longList(20_000)
+	r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
+		io.WriteString(w, whole+"\n\n"+strings.Replace(strings.Replace(testList, "41", "42", 1), "true", "false", 1)+"\n"+whole+"\n")
 		w.(http.Flusher).Flush()
 		<-req.Context().Done()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.Watch(ctx, 1)
-	s.want(t, decide.ListSnapshot, 20_000)
-	s.want(t, decide.ListDelta, 1)
-	s.want(t, decide.ListSnapshot, 20_000)
+	s.expect(t, decide.ListSnapshot, 20_000)
+	s.expect(t, decide.ListDelta, 1)
+	s.expect(t, decide.ListSnapshot, 20_000)
 	if l, err := DecodeListing([]byte(whole)); err != nil || len(l.Endpoints) != 20_000 {
 		t.Errorf("%d entries, %v", len(l.Endpoints), err)
 	}
 	each := func(n int) (allocations, bytes float64) {
-		raw := long(n)
-		return taken(func() {
-			values := &stream{from: strings.NewReader(raw), empty: func() {}}
+		raw := longList(n)
+		return allocatedPer(func() {
+			values := &boundedReader{source: strings.NewReader(raw), onEmptyLine: func() {}}
 			in := json.NewDecoder(values)
-			if _, err := decodeNext(in, func() { values.passed(in.InputOffset()) }); err != nil {
+			if _, err := decodeListing(in, func() { values.markConsumed(in.InputOffset()) }); err != nil {
 				t.Fatal(err)
 			}
 		}, n)
@@ -81,8 +81,8 @@
 	}
 }
 
-// taken is what do takes of the memory in all, divided by n.
-func taken(do func(), n int) (allocations, bytes float64) {
+// allocatedPer is what do takes of the memory in all, divided by n.
+func allocatedPer(do func(), n int) (allocations, bytes float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	do()
@@ -91,53 +91,53 @@
 }
 
 // What is held of a list that is being read is an entry of it, and of empty lines nothing: they come for as long as a watch stands.
-func TestLittleIsHeld(t *testing.T) {
+func TestBufferedBytesAreBounded(t *testing.T) {
 	for name, v := range map[string]struct{ head, more string }{
-		"empty lines": {"", "\r\n"}, "entries": {list[:len(list)-2], "," + entry}, "spaces": {list[:len(list)-2], " "},
+		"empty lines": {"", "\r\n"}, "entries": {testList[:len(testList)-2], "," + testEntry}, "spaces": {testList[:len(testList)-2], " "},
 	} {
-		in := &endless{text: v.head, more: v.more, most: 8 << 20}
-		values := &stream{from: in, blank: true, empty: func() {}}
+		in := &endlessReader{text: v.head, repeated: v.more, remaining: 8 << 20}
+		values := &boundedReader{source: in, atLineStart: true, onEmptyLine: func() {}}
 		decoder := json.NewDecoder(values)
 		largest := 0
-		_, err := decodeNext(decoder, func() {
+		_, err := decodeListing(decoder, func() {
 			if b, ok := decoder.Buffered().(*bytes.Reader); ok {
 				largest = max(largest, b.Len())
 			}
-			values.passed(decoder.InputOffset())
+			values.markConsumed(decoder.InputOffset())
 		})
-		if left, _ := io.ReadAll(decoder.Buffered()); err == nil || largest > maxEntry || len(left) > maxEntry {
+		if left, _ := io.ReadAll(decoder.Buffered()); err == nil || largest > maxEntryBytes || len(left) > maxEntryBytes {
 			t.Errorf("%s: %d bytes are held, and %d at the end, %v", name, largest, len(left), err)
 		}
 	}
 }
 
-// endless is a text, then more of it up to so many bytes in all.
-type endless struct {
-	text, more string
-	most       int
+// endlessReader is a text, then more of it up to so many bytes in all.
+type endlessReader struct {
+	text, repeated string
+	remaining      int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if e.most <= 0 {
+func (e *endlessReader) Read(p []byte) (int, error) {
+	if e.remaining <= 0 {
 		return 0, io.EOF
 	}
 	if len(e.text) < len(p) {
-		e.text += strings.Repeat(e.more, len(p)/len(e.more)+1)
+		e.text += strings.Repeat(e.repeated, len(p)/len(e.repeated)+1)
 	}
 	n := copy(p, e.text)
-	e.text, e.most = e.text[n:], e.most-n
+	e.text, e.remaining = e.text[n:], e.remaining-n
 	return n, nil
 }
 
 // Whatever a list is, it is taken as encoding/json takes the whole of it, but for entries that are there twice.
-func TestDecodeTakesWhatJSONTakes(t *testing.T) {
-	for _, raw := range []string{list, `{"generation":0,"instances":null}`, `{"GENERATION":3,"Reset":true,"inSTances":[]}`, `null`, ``, ` `,
+func TestDecodeAgreesWithEncodingJSON(t *testing.T) {
+	for _, raw := range []string{testList, `{"generation":0,"instances":null}`, `{"GENERATION":3,"Reset":true,"inSTances":[]}`, `null`, ``, ` `,
 		`{"generation":1}`, `{"generation":null}`, `{"generation":1,"generation":2}`, `{"generation":1.5}`, `{"generation":1,"reset":1}`,
 		`{"generation":1,"reset":null,"x":{"y":[{}]}}`, `{"generation":1,}`, `{"generation":1} {}`, `{"generation":1}x`, `[]`, `3`,
 		`{"generation":1 "reset":true}`, `{"generation":1,"instances":[,]}`, `{"generation":1,"instances":{}}`, `{"generation":1,"instances":3}`,
 		`{"generation":1,"instances":[}`, `{"generation":1,"instances":[null]}`, `{"generation":1,"instances":[[]]}`, `{3:1}`,
-		`{"generation":1,"instances":[` + entry + `,]}`, `{"generation":1,"instances":[` + entry + entry + `]}`,
-		`{"generation":1,"instances":[` + entry + `}`, `{"generation":1,"instances":[` + entry + `]`} {
+		`{"generation":1,"instances":[` + testEntry + `,]}`, `{"generation":1,"instances":[` + testEntry + testEntry + `]}`,
+		`{"generation":1,"instances":[` + testEntry + `}`, `{"generation":1,"instances":[` + testEntry + `]`} {
 		var want struct {
 			Generation *int64
 			Reset      bool
@@ -145,7 +145,7 @@
 		}
 		sound := json.Unmarshal([]byte(raw), &want) == nil && want.Generation != nil
 		for _, w := range want.Instances {
-			if _, err := w.decode(); err != nil {
+			if _, err := w.endpoint(); err != nil {
 				sound = false
 			}
 		}
@@ -158,7 +158,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	l, err := DecodeListing([]byte(list))
+	l, err := DecodeListing([]byte(testList))
 	if err != nil || l.Generation != 41 || !l.Reset || len(l.Endpoints) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
@@ -171,22 +171,22 @@
 		{`"active"`, `"asleep"`}, {`"s-5be2a07c"`, `""`}, {`10.1.0.18:9000`, `nowhere`}, {`1.0`, `-1`},
 		{`"generation":41,`, ``}, {`}]}`, `}]`}, {`"cell":3`, `"cell":"x"`},
 	} {
-		if l, err := DecodeListing([]byte(strings.Replace(list, bad.old, bad.new, 1))); err == nil {
+		if l, err := DecodeListing([]byte(strings.Replace(testList, bad.old, bad.new, 1))); err == nil {
 			t.Errorf("%s for %s: taken as %+v", bad.new, bad.old, l)
 		}
 	}
 }
 
-// sink keeps what comes.
-type sink struct {
+// updateRecorder keeps what comes.
+type updateRecorder struct {
 	results chan core.EndpointUpdate
 	alive   chan uint64 // nil: nobody looks
 }
 
-func (s *sink) EndpointsUpdated(r core.EndpointUpdate) { s.results <- r }
-func (s *sink) WatchAlive(watch uint64)                { s.alive <- watch }
+func (s *updateRecorder) EndpointsUpdated(r core.EndpointUpdate) { s.results <- r }
+func (s *updateRecorder) WatchAlive(watch uint64)                { s.alive <- watch }
 
-func (s *sink) want(t *testing.T, kind decide.ListKind, lines int) {
+func (s *updateRecorder) expect(t *testing.T, kind decide.ListKind, lines int) {
 	t.Helper()
 	select {
 	case r := <-s.results:
@@ -198,11 +198,11 @@
 	}
 }
 
-// discovery is a stand-in whose answers a test gives.
-func discovery(t *testing.T, answer http.HandlerFunc) (*Source, *sink) {
+// startSource is a stand-in whose answers a test gives.
+func startSource(t *testing.T, answer http.HandlerFunc) (*Source, *updateRecorder) {
 	t.Helper()
 	server := httptest.NewServer(answer)
-	s := &sink{results: make(chan core.EndpointUpdate, 10), alive: make(chan uint64, 100)}
+	s := &updateRecorder{results: make(chan core.EndpointUpdate, 10), alive: make(chan uint64, 100)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := New(strings.TrimPrefix(server.URL, "http://"), 40, s, log)
@@ -216,9 +216,9 @@
 func TestFetchAndWatch(t *testing.T) {
 	more := make(chan string)
 	from := make(chan string, 10)
-	r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
+	r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("watch") == "" {
-			io.WriteString(w, list)
+			io.WriteString(w, testList)
 			return
 		}
 		from <- req.URL.Query().Get("from")
@@ -238,34 +238,34 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.Fetch(ctx)
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 	r.Watch(ctx, 1)
 	if got := <-from; got != "41" {
 		t.Errorf("watch from %s", got)
 	}
 	more <- `{"generation":42,"reset":false,"instances":[]}`
-	s.want(t, decide.ListDelta, 0)
+	s.expect(t, decide.ListDelta, 0)
 	more <- ``
-	more <- strings.Replace(strings.Replace(list, "41", "43", 1), "true", "false", 1)
-	s.want(t, decide.ListDelta, 1)
+	more <- strings.Replace(strings.Replace(testList, "41", "43", 1), "true", "false", 1)
+	s.expect(t, decide.ListDelta, 1)
 	r.Fetch(ctx) // its answer is older than what the watch brought: it changes nothing
-	s.want(t, decide.ListDelta, 0)
+	s.expect(t, decide.ListDelta, 0)
 	more <- `garbage` // the watch ends there, and the next one asks from the last version that was read
-	s.want(t, decide.ListFailed, 0)
+	s.expect(t, decide.ListFailed, 0)
 	r.Watch(ctx, 1)
 	if got := <-from; got != "43" {
 		t.Errorf("watch after garbage from %s", got)
 	}
 	close(more)
-	s.want(t, decide.ListFailed, 0)
+	s.expect(t, decide.ListFailed, 0)
 }
 
 // At a move the list that stands and its watch go on until the new address answers with a whole list; versions of
 // the old address mean nothing there, and that the old one ends is no failed call.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	old, cut := make(chan string), make(chan struct{})
-	r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
-		io.WriteString(w, strings.Replace(list, "41", "400", 1)+"\n")
+	r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
+		io.WriteString(w, strings.Replace(testList, "41", "400", 1)+"\n")
 		for w.(http.Flusher).Flush(); ; w.(http.Flusher).Flush() {
 			select {
 			case text := <-old:
@@ -278,12 +278,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.Watch(ctx, 1)
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 	asked, answer := make(chan string, 10), make(chan struct{})
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		asked <- req.URL.RawQuery
 		<-answer
-		io.WriteString(w, strings.Replace(list, "41", "7", 1)+"\n")
+		io.WriteString(w, strings.Replace(testList, "41", "7", 1)+"\n")
 		w.(http.Flusher).Flush()
 		if req.URL.RawQuery != "" {
 			<-req.Context().Done()
@@ -295,16 +295,16 @@
 	if got := <-asked; got != "" {
 		t.Errorf("the first call at the new address asks for %q, want the whole list", got)
 	}
-	old <- strings.Replace(strings.Replace(list, "41", "401", 1), "true", "false", 1)
-	s.want(t, decide.ListDelta, 1)
+	old <- strings.Replace(strings.Replace(testList, "41", "401", 1), "true", "false", 1)
+	s.expect(t, decide.ListDelta, 1)
 	close(cut)
 	answer <- struct{}{}
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 	if got := <-asked; got != "watch=1&from=7" {
 		t.Errorf("then it asks for %q", got)
 	}
 	close(answer)
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 }
 
 // Errors, garbage and a call that hangs are failed calls and nothing worse.
@@ -313,48 +313,48 @@
 		"503":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
 		"garbage": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "<html>") },
 		"too long": func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Repeat(" ", maxEntry+1)+list)
+			io.WriteString(w, strings.Repeat(" ", maxEntryBytes+1)+testList)
 		},
 		"an entry too long": func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Replace(list, `"m2"`, `"`+strings.Repeat("m", maxEntry)+`"`, 1))
+			io.WriteString(w, strings.Replace(testList, `"m2"`, `"`+strings.Repeat("m", maxEntryBytes)+`"`, 1))
 		},
 		"something else too long": func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Replace(list, `{"gen`, `{"note":"`+strings.Repeat("x", maxEntry)+`","gen`, 1))
+			io.WriteString(w, strings.Replace(testList, `{"gen`, `{"note":"`+strings.Repeat("x", maxEntryBytes)+`","gen`, 1))
 		},
-		"too many entries": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, long(maxEntries+1)) },
+		"too many entries": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, longList(maxEntries+1)) },
 		"entries twice": func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Replace(list, `]}`, `],"instances":[]}`, 1))
+			io.WriteString(w, strings.Replace(testList, `]}`, `],"instances":[]}`, 1))
 		},
-		"cut off": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, list[:len(list)/2]) },
+		"cut off": func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, testList[:len(testList)/2]) },
 		"cut short of its length": func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", strconv.Itoa(2*len(list)))
-			io.WriteString(w, list[:len(list)-1])
+			w.Header().Set("Content-Length", strconv.Itoa(2*len(testList)))
+			io.WriteString(w, testList[:len(testList)-1])
 		},
 		"one bad line of many": func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Replace(list, entry, entry+","+strings.Replace(entry, "10.1.0.18:9000", "nowhere", 1), 1))
+			io.WriteString(w, strings.Replace(testList, testEntry, testEntry+","+strings.Replace(testEntry, "10.1.0.18:9000", "nowhere", 1), 1))
 		},
 		"reset": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"hangs": func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, s := discovery(t, answer)
+			r, s := startSource(t, answer)
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
 			r.Watch(ctx, 1)
-			s.want(t, decide.ListFailed, 0)
+			s.expect(t, decide.ListFailed, 0)
 			r.Fetch(ctx)
-			s.want(t, decide.ListFailed, 0)
+			s.expect(t, decide.ListFailed, 0)
 		})
 	}
 }
 
 // A list may be broken into lines and pieces in any way; empty lines between two are signs of life, those within one and
 // half a list are none. Each piece is sent when what the one before it brings has come.
-func TestListsInPieces(t *testing.T) {
-	indented := strings.NewReplacer(`{"`, "{\n  \"", `,"`, ",\r\n\r\n\t\"", `[{`, "[\n{", `}]`, "}\n]").Replace(list)
-	changes := strings.Replace(strings.Replace(list, "41", "42", 1), "true", "false", 1)
+func TestListsInFragments(t *testing.T) {
+	indented := strings.NewReplacer(`{"`, "{\n  \"", `,"`, ",\r\n\r\n\t\"", `[{`, "[\n{", `}]`, "}\n]").Replace(testList)
+	changes := strings.Replace(strings.Replace(testList, "41", "42", 1), "true", "false", 1)
 	pieces := make(chan string)
-	r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
+	r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
 		for text := range pieces {
 			io.WriteString(w, text)
 			w.(http.Flusher).Flush()
@@ -384,20 +384,20 @@
 	for _, text := range strings.SplitAfter(indented, "\n") {
 		pieces <- text
 	}
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 	alive(1)
 	pieces <- "\r\n\r\n"
 	alive(1)
 	pieces <- changes + changes + "\n\n" + changes[:40]
-	s.want(t, decide.ListDelta, 1)
-	s.want(t, decide.ListDelta, 1)
+	s.expect(t, decide.ListDelta, 1)
+	s.expect(t, decide.ListDelta, 1)
 	alive(3)
 	pieces <- changes[40:] + "\n"
-	s.want(t, decide.ListDelta, 1)
+	s.expect(t, decide.ListDelta, 1)
 	alive(1)
 	pieces <- changes[:len(changes)-1] + "\n\n\n"
 	close(pieces) // half a list, and the end
-	s.want(t, decide.ListFailed, 0)
+	s.expect(t, decide.ListFailed, 0)
 	alive(0)
 }
 
@@ -405,14 +405,14 @@
 func TestEndlessLists(t *testing.T) {
 	for name, more := range map[string]string{
 		"blanks": strings.Repeat(" ", 4096), "a text": strings.Repeat("x", 4096), "empty lines": strings.Repeat("\n", 4096),
-		"entries": "\n{" + entry[1:] + ",", "lists in a list": list + "\n" + list,
+		"entries": "\n{" + testEntry[1:] + ",", "lists in a list": testList + "\n" + testList,
 	} {
 		t.Run(name, func(t *testing.T) {
-			head := list[:strings.Index(list, "[")+1]
+			head := testList[:strings.Index(testList, "[")+1]
 			if name == "a text" {
 				head = `{"generation":41,"name":"`
 			}
-			r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
+			r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
 				io.WriteString(w, head)
 				for {
 					if _, err := io.WriteString(w, more); err != nil {
@@ -423,7 +423,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			r.Watch(ctx, 1)
-			s.want(t, decide.ListFailed, 0)
+			s.expect(t, decide.ListFailed, 0)
 			if len(s.alive) > 0 {
 				t.Error("it counts as alive")
 			}
@@ -434,16 +434,16 @@
 // Discovery that was started anew counts its versions from the beginning: the whole list that it gives counts.
 // A watch is opened beside one that goes on to bring changes, and then tells them again, from where it was opened: as changes
 // or as a whole list of that age. Nothing goes back, and what is new after that counts.
-func TestAWatchThatWasOvertaken(t *testing.T) {
+func TestOvertakenWatch(t *testing.T) {
 	for name, old := range map[string]string{
-		"changes":      strings.Replace(list, `"reset":true`, `"reset":false`, 1),
-		"a whole list": list,
+		"changes":      strings.Replace(testList, `"reset":true`, `"reset":false`, 1),
+		"a whole list": testList,
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := make(chan string), make(chan string)
 			came := make(chan string, 2)
 			came <- "1"
-			r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
+			r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
 				more := second
 				select {
 				case <-came:
@@ -462,39 +462,39 @@
 				}
 			})
 			at := func(version string) string { // as old, but of another version, and draining there
-				return strings.NewReplacer("41", version, `"reset":true`, `"reset":false`, "active", "leaving").Replace(list)
+				return strings.NewReplacer("41", version, `"reset":true`, `"reset":false`, "active", "leaving").Replace(testList)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			r.Watch(ctx, 1)
-			first <- list
-			s.want(t, decide.ListSnapshot, 1)
+			first <- testList
+			s.expect(t, decide.ListSnapshot, 1)
 			r.Watch(ctx, 2)
 			if from := <-came; from != "41" {
 				t.Fatalf("the second watch asks from %s", from)
 			}
 			first <- at("43")
-			s.want(t, decide.ListDelta, 1)
+			s.expect(t, decide.ListDelta, 1)
 			second <- old
-			s.want(t, decide.ListDelta, 0)
+			s.expect(t, decide.ListDelta, 0)
 			second <- at("42")
-			s.want(t, decide.ListDelta, 0)
+			s.expect(t, decide.ListDelta, 0)
 			second <- at("44")
-			s.want(t, decide.ListDelta, 1)
+			s.expect(t, decide.ListDelta, 1)
 		})
 	}
 }
 
-func TestALowerVersion(t *testing.T) {
-	r, s := discovery(t, func(w http.ResponseWriter, req *http.Request) {
-		io.WriteString(w, strings.Replace(list, "41", "3", 1)+"\n")
+func TestLowerGenerationAfterRestart(t *testing.T) {
+	r, s := startSource(t, func(w http.ResponseWriter, req *http.Request) {
+		io.WriteString(w, strings.Replace(testList, "41", "3", 1)+"\n")
 		w.(http.Flusher).Flush()
 		<-req.Context().Done()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.Watch(ctx, 1)
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 	r.Fetch(ctx)
-	s.want(t, decide.ListSnapshot, 1)
+	s.expect(t, decide.ListSnapshot, 1)
 }
