--- /dev/null
+++ b/internal/controlplane/connection_test.go
@@ -0,0 +1,127 @@
+package controlplane
+
+import (
+	"encoding/binary"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"cottonplank/internal/controlplane/replica"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// sealFrame returns a frame with a snapshot of a state.
+func sealFrame(t *testing.T, peer *secureConn, state replica.State) []byte {
+	t.Helper()
+	body, err := cbor.Marshal(message{Chunk: &state.Chunks()[0]})
+	if err != nil {
+		t.Error(err)
+	}
+	header := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
+	return append(append(header, body...), frameTag(peer.sendMAC, peer.sendSequence, body)...)
+}
+
+// startInvalidServer accepts followers and answers each subscription with the bytes that invalidFrame
+// returns. The result of each answer is sent to the channel.
+func startInvalidServer(
+	t *testing.T, keys *Keyring, invalidFrame func(peer *secureConn) []byte,
+) (replica.Server, <-chan error) {
+	t.Helper()
+	listener, answered := listen(t), make(chan error, 100)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			peer := newSecureConn(conn)
+			var received message
+			if err = peer.serverHandshake(keys, "x"); err == nil {
+				err = peer.receive(&received, time.Second)
+			}
+			if err == nil {
+				_, err = conn.Write(invalidFrame(peer))
+			}
+			select {
+			case answered <- err:
+			default:
+			}
+			time.Sleep(50 * time.Millisecond)
+			conn.Close()
+		}
+	}()
+	return serverAt(listener, "a"), answered
+}
+
+// A follower rejects invalid frames, although they contain a newer version, and goes on to a valid server.
+func TestInvalidFramesAreRejected(t *testing.T) {
+	t.Parallel()
+	keys, valid := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
+	want := publishDocument(t, valid, documentOf(3, 1))
+	newer := publishDocument(t, NewBroadcaster(replica.State{}, true), documentOf(5, 1))
+	newer.Version.Term = 9
+	for _, test := range []struct {
+		name         string
+		invalidFrame func(t *testing.T, peer *secureConn) []byte
+	}{
+		{"truncated", func(t *testing.T, peer *secureConn) []byte {
+			frame := sealFrame(t, peer, newer)
+			return frame[:len(frame)-1]
+		}},
+		{"modified", func(t *testing.T, peer *secureConn) []byte {
+			frame := sealFrame(t, peer, newer)
+			frame[len(frame)/2] ^= 1
+			return frame
+		}},
+		{"out of sequence", func(t *testing.T, peer *secureConn) []byte {
+			peer.sendSequence += 3
+			return sealFrame(t, peer, newer)
+		}},
+		{"too long", func(*testing.T, *secureConn) []byte {
+			return binary.BigEndian.AppendUint32(nil, replica.MaxMessageBytes+1)
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			invalidServer, answered := startInvalidServer(t, keys, func(peer *secureConn) []byte {
+				return test.invalidFrame(t, peer)
+			})
+			validServer, _ := startServer(t, valid, keys, "x")
+			validServer.Region = "b"
+			follower := startFollower(t, replica.State{}, keys, "x", invalidServer, validServer)
+			waitUntil(t, "the valid state", atVersion(follower.broadcaster, want.Version))
+			if err := <-answered; err != nil {
+				t.Error(err)
+			}
+			// The broadcaster has a version a moment before the follower calls onState.
+			select {
+			case applied := <-follower.states:
+				if applied.Version != want.Version {
+					t.Errorf("version %s was applied, want %s", applied.Version, want.Version)
+				}
+			case <-time.After(testTimeout):
+				t.Error("no state was applied")
+			}
+			if len(follower.states) > 0 {
+				t.Errorf("%d more states were applied", len(follower.states))
+			}
+		})
+	}
+}
+
+// A frame that is too long is rejected before memory is allocated for it.
+func TestFrameLength(t *testing.T) {
+	t.Parallel()
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	go remote.Write(binary.BigEndian.AppendUint32(nil, replica.MaxMessageBytes+1))
+	local.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, _, err := newSecureConn(local).readFrame(); !errors.Is(err, errFrameTooLong) {
+		t.Error(err)
+	}
+	if err := newSecureConn(local).send(make([]byte, replica.MaxMessageBytes+1)); !errors.Is(err, errFrameTooLong) {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/detachable_handler.go
@@ -0,0 +1,41 @@
+package controlplane
+
+import (
+	"sync"
+
+	"cottonplank/internal/core"
+)
+
+// detachableHandler forwards the discovery service's updates to a handler until it is detached.
+type detachableHandler struct {
+	handler core.UpdateHandler
+
+	// mu is held during each call of handler, so that none is in progress when detach returns.
+	mu       sync.Mutex
+	detached bool
+}
+
+// EndpointsUpdated implements core.UpdateHandler.
+func (h *detachableHandler) EndpointsUpdated(update core.EndpointUpdate) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.detached {
+		h.handler.EndpointsUpdated(update)
+	}
+}
+
+// WatchAlive implements core.UpdateHandler.
+func (h *detachableHandler) WatchAlive(watch uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.detached {
+		h.handler.WatchAlive(watch)
+	}
+}
+
+// detach drops all later updates.
+func (h *detachableHandler) detach() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.detached = true
+}
--- a/internal/controlplane/encoding_test.go
+++ b/internal/controlplane/encoding_test.go
@@ -45,8 +45,8 @@
 			Upserted: []endpoint.Entry{testEntry}, Removed: []string{"s-2"}}}}, "a10381a401820107028201080481" +
 			encodedEntry +
 			"058163732d32"},
-		{"snapshot chunk", message{Chunk: &replica.SnapshotChunk{Version: next, Index: 1, Last: true, Discovery: "127.0.0.1:8500",
-			Entries: []endpoint.Entry{testEntry}}},
+		{"snapshot chunk", message{Chunk: &replica.SnapshotChunk{Version: next, Index: 1, Last: true,
+			Discovery: "127.0.0.1:8500", Entries: []endpoint.Entry{testEntry}}},
 			"a104a501820108020103f5046e3132372e302e302e313a383530300581" +
 				encodedEntry},
 	} {
@@ -83,7 +83,8 @@
 			go func() {
 				defer ours.Close()
 				peer := newSecureConn(ours)
-				if err := peer.deriveSessionKeys(testSecret, testClientNonce, testServerNonce, "site-1", test.follower); err != nil {
+				err := peer.deriveSessionKeys(testSecret, testClientNonce, testServerNonce, "site-1", test.follower)
+				if err != nil {
 					t.Error(err)
 				}
 				for _, frame := range test.frames {
@@ -119,7 +120,7 @@
 // A state file is read by the releases before and after this one: its bucket, its key and its value are fixed.
 func TestSavedStateIsFixed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
-	s, _ := newTestStore(t, path, "site-1")
+	s, _ := newTestStore(path, "site-1")
 	state := replica.State{Version: replica.Version{Term: 1, Number: 7},
 		Document: replica.Document{Discovery: "127.0.0.1:8500", Rooms: []endpoint.Entry{testEntry}}}
 	if err := s.Save(state); err != nil {
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -11,31 +13,45 @@
 	"github.com/sirupsen/logrus"
 )
 
+// staleCheckInterval is the time between two checks whether the leader is stale.
 const staleCheckInterval = 250 * time.Millisecond
 
-// Follower fills a hub from the control machines, one at a time.
+// errServerLagging says that the selector has decided to leave a server.
+var errServerLagging = errors.New("no contact to the leader, or lags behind")
+
+// Follower replicates the document into a broadcaster, from one control-plane server at a time.
 type Follower struct {
 	broadcaster *Broadcaster
 	keys        *Keyring
 	site        string
-	onState     func(replica.State) // called from Run, in the order of the versions
 	log         *logrus.Logger
 
-	mu            sync.Mutex
+	// onState is called from Run for each new state, in the order of the versions.
+	onState func(replica.State)
+
+	mu            sync.Mutex // guards the fields below
 	selector      *replica.ServerSelector
-	lastFailure   string // why the last machine was left
-	loggedServer  string // the machine that the log told of
-	currentServer string
+	lastFailure   string // why the last server was left
+	loggedServer  string // address of the server that the log named last
+	currentServer string // address of the server that sent the last good heartbeat
 }
 
-// NewFollower returns a follower; those with different seeds spread over the machines. taken hears of each version that is in
-// force, and may take as long as it needs.
-func NewFollower(hub *Broadcaster, machines []replica.Server, region string, seed uint64, keys *Keyring, site string,
-	taken func(replica.State), log *logrus.Logger) *Follower {
-	f := &Follower{broadcaster: hub, keys: keys, site: site, onState: taken, log: log,
-		selector: replica.NewServerSelector(machines, region, seed, time.Now())}
-	hub.leaderAge = f.leaderAge
-	return f
+// NewFollower returns a follower that calls onState for each new state. onState may block. Followers with
+// different seeds spread over the servers.
+func NewFollower(
+	broadcaster *Broadcaster, servers []replica.Server, region string, seed uint64, keys *Keyring, site string,
+	onState func(replica.State), log *logrus.Logger,
+) *Follower {
+	follower := &Follower{
+		broadcaster: broadcaster,
+		keys:        keys,
+		site:        site,
+		log:         log,
+		onState:     onState,
+		selector:    replica.NewServerSelector(servers, region, seed, time.Now()),
+	}
+	broadcaster.setLeaderAge(follower.leaderAge)
+	return follower
 }
 
 func (f *Follower) leaderAge(now time.Time) time.Duration {
@@ -44,72 +60,80 @@
 	return f.selector.LeaderAge(now)
 }
 
-// LeaderStale tells whether nothing has been heard of the writer for replica.Silence.
+// LeaderStale reports whether there has been no contact to the leader for replica.LeaderTimeout.
 func (f *Follower) LeaderStale() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.checkLeaderStale()
 }
 
-// checkLeaderStale says when the silence begins and when it ends.
+// checkLeaderStale reports whether the leader is stale, and logs each transition. The caller holds mu.
 func (f *Follower) checkLeaderStale() bool {
-	silent, turned := f.selector.LeaderStale(time.Now())
-	if !turned {
-		return silent
+	stale, changed := f.selector.LeaderStale(time.Now())
+	if !changed {
+		return stale
 	}
 	entry := f.log.WithField("version", f.broadcaster.State().Version.String())
-	if silent {
-		entry.WithField("cause", f.lastFailure).Warnf("control: nothing heard of the writer for %v, serving on with what is there", replica.LeaderTimeout)
+	if stale {
+		entry.WithField("cause", f.lastFailure).
+			Warnf("control: no contact to the leader for %v, continuing with the current version", replica.LeaderTimeout)
 	} else {
-		entry.WithField("machine", f.currentServer).Info("control: the writer is heard again")
+		entry.WithField("server", f.currentServer).Info("control: contact to the leader restored")
 	}
-	return silent
+	return stale
 }
 
-// Run follows until ctx ends.
+// Run replicates until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var looking sync.WaitGroup
-	defer looking.Wait()
-	looking.Go(func() {
-		tick := time.NewTicker(staleCheckInterval)
-		defer tick.Stop()
-		for {
-			select {
-			case <-tick.C:
-				f.LeaderStale()
-			case <-ctx.Done():
-				return
-			}
-		}
-	})
+	var monitor sync.WaitGroup
+	defer monitor.Wait()
+	monitor.Go(func() { f.monitorLeader(ctx) })
 	for {
-		f.mu.Lock()
-		m, pause := f.selector.Next()
-		f.mu.Unlock()
+		server, backoff := f.nextServer()
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return
 		}
-		err := f.follow(ctx, m)
+		err := f.replicateFrom(ctx, server)
 		if ctx.Err() != nil {
 			return
 		}
-		text := m.Address + ": has not heard the writer, or is behind"
-		if err != nil {
-			text = m.Address + ": " + err.Error()
+		f.recordFailure(fmt.Sprintf("%s: %v", server.Address, err))
+	}
+}
+
+// monitorLeader checks periodically whether the leader is stale, until ctx ends.
+func (f *Follower) monitorLeader(ctx context.Context) {
+	ticker := time.NewTicker(staleCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			f.LeaderStale()
+		case <-ctx.Done():
+			return
 		}
-		f.log.WithField("cause", text).Debug("control: on to the next machine")
-		f.mu.Lock()
-		f.lastFailure = text
-		f.mu.Unlock()
 	}
 }
 
-// follow takes what one machine sends, until it is lost or left.
-func (f *Follower) follow(ctx context.Context, m replica.Server) error {
+func (f *Follower) nextServer() (replica.Server, time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.selector.Next()
+}
+
+func (f *Follower) recordFailure(failure string) {
+	f.log.WithField("cause", failure).Debug("control: trying the next server")
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastFailure = failure
+}
+
+// replicateFrom applies what a server sends. It returns the reason for which the server was left or lost.
+func (f *Follower) replicateFrom(ctx context.Context, server replica.Server) error {
 	dialer := net.Dialer{Timeout: replica.ReplyTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", m.Address)
+	conn, err := dialer.DialContext(ctx, "tcp", server.Address)
 	if err != nil {
 		return err
 	}
@@ -119,54 +143,70 @@
 	if err := peer.clientHandshake(f.keys, f.site); err != nil {
 		return err
 	}
-	has := f.broadcaster.State().Version
-	if err := peer.send(message{Subscribe: &has}); err != nil {
+	version := f.broadcaster.State().Version
+	if err := peer.send(message{Subscribe: &version}); err != nil {
 		return err
 	}
-	defer f.broadcaster.update(func(r *replica.Replica) (bool, error) { r.DiscardChunks(); return false, nil })
-	wait := replica.ReplyTimeout
+	defer f.broadcaster.discardChunks()
+	timeout := replica.ReplyTimeout
 	for {
-		var got message
-		if err := peer.receive(&got, wait); err != nil {
+		var received message
+		if err := peer.receive(&received, timeout); err != nil {
 			return err
 		}
-		wait = replica.IdleTimeout
-		if got.Heartbeat != nil {
-			if !f.handleHeartbeat(m, *got.Heartbeat) {
-				return nil
-			}
-			continue
-		}
-		state, changed, err := f.broadcaster.update(func(r *replica.Replica) (bool, error) {
-			if got.Chunk != nil {
-				return r.ApplyChunk(*got.Chunk)
-			}
-			return r.ApplyChanges(got.Changes)
-		})
-		if err != nil {
-			f.log.WithError(err).WithField("machine", m.Address).Error("control: what a machine sent is not taken over")
+		timeout = replica.IdleTimeout
+		if err := f.handleMessage(server, received); err != nil {
 			return err
 		}
-		if changed {
-			f.log.WithFields(logrus.Fields{"version": state.Version.String(), "rooms": len(state.Document.Rooms),
-				"discovery": state.Document.Discovery}).Info("control: version taken over")
-			f.onState(state)
-		}
 	}
 }
 
-func (f *Follower) handleHeartbeat(m replica.Server, b heartbeat) (stays bool) {
+// handleMessage applies a message. It returns errServerLagging if the server is to be left.
+func (f *Follower) handleMessage(server replica.Server, received message) error {
+	if received.Heartbeat != nil {
+		return f.handleHeartbeat(server, *received.Heartbeat)
+	}
+	var state replica.State
+	var changed bool
+	var err error
+	if received.Chunk != nil {
+		state, changed, err = f.broadcaster.applyChunk(*received.Chunk)
+	} else {
+		state, changed, err = f.broadcaster.applyChanges(received.Changes)
+	}
+	if err != nil {
+		f.log.WithError(err).WithField("server", server.Address).Error("control: update from a server rejected")
+		return err
+	}
+	if changed {
+		f.log.WithFields(logrus.Fields{
+			"version":   state.Version.String(),
+			"endpoints": len(state.Document.Rooms),
+			"discovery": state.Document.Discovery,
+		}).Info("control: version applied")
+		f.onState(state)
+	}
+	return nil
+}
+
+// handleHeartbeat records a heartbeat. It returns errServerLagging if the server is to be left.
+func (f *Follower) handleHeartbeat(server replica.Server, received heartbeat) error {
 	own := f.broadcaster.State().Version
+	ageMillis := min(received.LeaderAgeMillis, uint64(replica.MaxLeaderAge.Milliseconds()))
+	leaderAge := time.Duration(ageMillis) * time.Millisecond
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	age := time.Duration(min(b.LeaderAgeMillis, uint64(replica.MaxLeaderAge.Milliseconds()))) * time.Millisecond
-	if stays = f.selector.HeartbeatReceived(time.Now(), age, b.Version, own); stays {
-		f.currentServer = m.Address
-		if f.loggedServer != m.Address {
-			f.loggedServer = m.Address
-			f.log.WithFields(logrus.Fields{"machine": m.Address, "region": m.Region}).Info("control: following")
+	stays := f.selector.HeartbeatReceived(time.Now(), leaderAge, received.Version, own)
+	if stays {
+		f.currentServer = server.Address
+		if f.loggedServer != server.Address {
+			f.loggedServer = server.Address
+			f.log.WithFields(logrus.Fields{"server": server.Address, "region": server.Region}).Info("control: replicating")
 		}
 	}
 	f.checkLeaderStale()
-	return stays
+	if !stays {
+		return errServerLagging
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/controlplane/leader_test.go
@@ -0,0 +1,94 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"cottonplank/internal/controlplane/replica"
+)
+
+// replaceFile replaces a file in one step.
+func replaceFile(t *testing.T, path, content string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// documentFile returns an operator's file with endpoints of the given names.
+func documentFile(names ...string) string {
+	var entries []string
+	for i, name := range names {
+		entries = append(entries, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%d","zone":"a"}`, name, 9000+i))
+	}
+	return `{"rooms":[` + strings.Join(entries, ",") + `]}`
+}
+
+// A changed file is saved and published. A file that is invalid, too long, leaves no endpoint or removes most
+// of them is not, and each reason is logged once.
+func TestLeader(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	path := filepath.Join(dir, "document.json")
+	replaceFile(t, path, documentFile("a", "b", "c"))
+	log, output := newTestLogger()
+	store := NewStore(filepath.Join(dir, "state.db"), "x", log)
+	broadcaster, reloads := NewBroadcaster(store.Load(), true), make(chan os.Signal)
+	leader := NewLeader(path, 1, broadcaster, store, log)
+	stop := startUntilCleanup(t, func(ctx context.Context) { leader.Run(ctx, reloads) })
+	waitUntil(t, "the first version", atVersion(broadcaster, version(1)))
+	for _, rejected := range []struct{ file, want string }{
+		{`{"rooms":[]}`, "rooms: is empty"},
+		{`{"discovery":"127.0.0.1:1"}`, "rooms: none is left"},
+		{`{"rooms`, "EOF"},
+		{documentFile("a", "b") + strings.Repeat(" ", 10<<20), "longer than"},
+		{documentFile("a"), "pending: removes or drains over half"},
+	} {
+		replaceFile(t, path, rejected.file)
+		waitUntil(t, rejected.want, output.contains(rejected.want))
+	}
+	time.Sleep(2 * filePollInterval)
+	if n := strings.Count(output.String(), "document rejected"); n != 5 || broadcaster.State().Version != version(1) {
+		t.Errorf("logged %d times, at %s, log:\n%s", n, broadcaster.State().Version, output)
+	}
+	reloads <- nil
+	waitUntil(t, "the pending list after its confirmation", atVersion(broadcaster, version(2)))
+	if got := store.Load(); !reflect.DeepEqual(got, broadcaster.State()) {
+		t.Errorf("saved %s", got.Version)
+	}
+	replaceFile(t, path, documentFile("a", "b"))
+	waitUntil(t, "a change", atVersion(broadcaster, version(3)))
+	stop()
+	// A leader that starts again continues after its last version, whatever the file contains.
+	replaceFile(t, path, documentFile("a", "b", "c"))
+	broadcaster = NewBroadcaster(store.Load(), true)
+	leader = NewLeader(path, 1, broadcaster, store, log)
+	startUntilCleanup(t, func(ctx context.Context) { leader.Run(ctx, reloads) })
+	waitUntil(t, "the version after the restart", atVersion(broadcaster, version(4)))
+}
+
+// A state that cannot be saved is not published: after a restart its version would be given to another document.
+func TestLeaderSavesBeforePublishing(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "document.json")
+	if err := os.WriteFile(path, []byte(`{"discovery":"127.0.0.1:1"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	log, output := newTestLogger()
+	broadcaster := NewBroadcaster(replica.State{}, true)
+	store := NewStore(filepath.Join(dir, "nowhere", "state.db"), "x", log)
+	startUntilCleanup(t, func(ctx context.Context) { NewLeader(path, 1, broadcaster, store, log).Run(ctx, nil) })
+	waitUntil(t, "the log of the failure", output.contains("document rejected"))
+	if got := broadcaster.State().Version; got != (replica.Version{}) {
+		t.Errorf("published as %s", got)
+	}
+}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -13,73 +13,46 @@
 )
 
 const (
-	maxFollowers = 4096 // at one machine
-	logInterval  = 10 * time.Second
-)
-
-// Broadcaster holds a copy of the document for those that follow it here, and for the one that fills it.
-type Broadcaster struct {
-	mu        sync.Mutex
-	replica   *replica.Replica
-	changed   chan struct{}                     // closed when another version is in force
-	leaderAge func(now time.Time) time.Duration // since the writer was there
-}
-
-// NewBroadcaster returns a hub with a state. keeps: it is served from here.
-func NewBroadcaster(state replica.State, keeps bool) *Broadcaster {
-	return &Broadcaster{replica: replica.New(state, keeps), changed: make(chan struct{}), leaderAge: func(time.Time) time.Duration { return 0 }}
-}
-
-// State is the state in force.
-func (h *Broadcaster) State() replica.State {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.replica.State()
-}
+	maxFollowers = 4096 // at one server
 
-// update lets do change the copy, and tells who follows.
-func (h *Broadcaster) update(do func(*replica.Replica) (bool, error)) (state replica.State, changed bool, err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if changed, err = do(h.replica); changed && err == nil {
-		close(h.changed)
-		h.changed = make(chan struct{})
-	}
-	return h.replica.State(), changed && err == nil, err
-}
+	// acceptBackoff is the time between failed calls of Accept: file descriptors may have run out.
+	acceptBackoff = 100 * time.Millisecond
 
-// changesSince is what a follower with a version is sent now, and what tells of the next change.
-func (h *Broadcaster) changesSince(v replica.Version) (state replica.State, changes []replica.Change, whole bool, next <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	changes, whole = h.replica.ChangesSince(v)
-	return h.replica.State(), changes, whole, h.changed
-}
+	// logInterval is the least time between two equal warnings that a follower can cause.
+	logInterval = 10 * time.Second
+)
 
-// Server serves a hub's document.
+// Server sends a broadcaster's document to followers.
 type Server struct {
 	broadcaster *Broadcaster
 	keys        *Keyring
 	site        string
 	log         *logrus.Logger
 
-	newerFollowerLog, rejectionLog rate.Sometimes
+	newerFollowerLog rate.Sometimes
+	rejectionLog     rate.Sometimes
 }
 
-// NewServer returns a server of a hub.
-func NewServer(hub *Broadcaster, keys *Keyring, site string, log *logrus.Logger) *Server {
-	return &Server{broadcaster: hub, keys: keys, site: site, log: log, newerFollowerLog: rate.Sometimes{First: 1, Interval: logInterval},
-		rejectionLog: rate.Sometimes{First: 1, Interval: logInterval}}
+// NewServer returns a server of a broadcaster's document. Followers need a key of the keyring and the same site.
+func NewServer(broadcaster *Broadcaster, keys *Keyring, site string, log *logrus.Logger) *Server {
+	return &Server{
+		broadcaster:      broadcaster,
+		keys:             keys,
+		site:             site,
+		log:              log,
+		newerFollowerLog: rate.Sometimes{First: 1, Interval: logInterval},
+		rejectionLog:     rate.Sometimes{First: 1, Interval: logInterval},
+	}
 }
 
-// Serve takes followers in until ctx ends.
-func (s *Server) Serve(ctx context.Context, l net.Listener) {
-	defer context.AfterFunc(ctx, func() { l.Close() })()
-	var all sync.WaitGroup
-	defer all.Wait()
-	seats := make(chan struct{}, maxFollowers)
+// Serve accepts followers until ctx ends. It closes the listener, and returns when all connections have ended.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) {
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	var connections sync.WaitGroup
+	defer connections.Wait()
+	slots := make(chan struct{}, maxFollowers)
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if ctx.Err() != nil {
 			return
 		}
@@ -87,92 +60,128 @@
 			s.log.WithError(err).Warn("control: a connection could not be accepted")
 			select {
 			case <-ctx.Done():
-			case <-time.After(100 * time.Millisecond): // descriptors may have run out
+			case <-time.After(acceptBackoff):
 			}
 			continue
 		}
 		select {
-		case seats <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			conn.Close() // the follower asks another machine
+			conn.Close() // the follower tries another server
 			continue
 		}
-		all.Go(func() {
-			defer func() { <-seats }()
-			defer conn.Close()
-			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			peer := newSecureConn(conn)
-			if err := peer.serverHandshake(s.keys, s.site); err != nil {
-				s.rejectionLog.Do(func() {
-					s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Warn("control: a follower was refused")
-				})
-				return
-			}
-			if err := s.serveFollower(ctx, peer); err != nil {
-				s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Debug("control: a follower is gone")
-			}
+		connections.Go(func() {
+			defer func() { <-slots }()
+			s.serveConnection(ctx, conn)
 		})
 	}
 }
 
-// serveFollower sends a follower all that it does not have, from now on.
-func (s *Server) serveFollower(ctx context.Context, peer *secureConn) error {
-	var m message
-	if err := peer.receive(&m, replica.ReplyTimeout); err != nil {
-		return err
+// serveConnection serves one follower until its connection or ctx ends.
+func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	peer := newSecureConn(conn)
+	if err := peer.serverHandshake(s.keys, s.site); err != nil {
+		s.rejectionLog.Do(func() {
+			s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Warn("control: follower rejected")
+		})
+		return
 	}
-	if m.Subscribe == nil {
-		return errProtocol
+	if err := s.serveFollower(ctx, peer); err != nil {
+		s.log.WithError(err).WithField("peer", conn.RemoteAddr().String()).Debug("control: follower disconnected")
 	}
-	has := *m.Subscribe
-	s.broadcaster.mu.Lock()
-	ahead := s.broadcaster.replica.ObserveFollower(has)
-	s.broadcaster.mu.Unlock()
-	if ahead {
-		s.newerFollowerLog.Do(func() {
-			s.log.WithFields(logrus.Fields{"theirs": has.String(), "ours": s.broadcaster.State().Version.String()}).
-				Warn("control: a follower has a newer version than this machine; if this one writes, its state was lost: raise its term")
-		})
+}
+
+// serveFollower sends a follower what it is missing, then each change, and heartbeats in between.
+func (s *Server) serveFollower(ctx context.Context, peer *secureConn) error {
+	sentVersion, err := s.receiveSubscription(peer)
+	if err != nil {
+		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	peer.conn.SetReadDeadline(time.Time{})
-	go func() { // a follower says nothing more: what can be read is its end
-		peer.reader.ReadByte()
+	var monitor sync.WaitGroup
+	monitor.Go(func() {
+		waitForDisconnect(peer)
 		cancel()
-	}()
-	beats := time.NewTicker(replica.HeartbeatInterval)
-	defer beats.Stop()
-	due := true
+	})
+	defer monitor.Wait()
+	defer peer.conn.Close() // ends the monitor
+
+	ticker := time.NewTicker(replica.HeartbeatInterval)
+	defer ticker.Stop()
+	heartbeatDue := true
 	for {
-		state, changes, whole, next := s.broadcaster.changesSince(has)
-		switch {
-		case whole:
-			for _, p := range state.Chunks() {
-				if err := peer.send(message{Chunk: &p}); err != nil {
-					return err
-				}
-			}
-			has = state.Version
-			continue
-		case len(changes) > 0:
-			if err := peer.send(message{Changes: changes}); err != nil {
+		update := s.broadcaster.updateSince(sentVersion)
+		if update.needsSnapshot || len(update.changes) > 0 {
+			if sentVersion, err = sendUpdate(peer, update); err != nil {
 				return err
 			}
-			has = changes[len(changes)-1].To
 			continue
-		case due:
-			if err := peer.send(message{Heartbeat: &heartbeat{state.Version, uint64(s.broadcaster.leaderAge(time.Now()).Milliseconds())}}); err != nil {
+		}
+		if heartbeatDue {
+			if err := s.sendHeartbeat(peer, update.state.Version); err != nil {
 				return err
 			}
-			due = false
+			heartbeatDue = false
 		}
 		select {
-		case <-next:
-		case <-beats.C:
-			due = true
+		case <-update.nextChange:
+		case <-ticker.C:
+			heartbeatDue = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
+
+// receiveSubscription returns the version that a follower has.
+func (s *Server) receiveSubscription(peer *secureConn) (replica.Version, error) {
+	var received message
+	if err := peer.receive(&received, replica.ReplyTimeout); err != nil {
+		return replica.Version{}, err
+	}
+	if received.Subscribe == nil {
+		return replica.Version{}, errProtocol
+	}
+	version := *received.Subscribe
+	if s.broadcaster.observeFollower(version) {
+		s.newerFollowerLog.Do(func() {
+			s.log.WithFields(logrus.Fields{
+				"follower_version": version.String(),
+				"version":          s.broadcaster.State().Version.String(),
+			}).Warn("control: a follower has a newer version than this server; " +
+				"if this server is the leader, its state was lost: raise its term")
+		})
+	}
+	return version, nil
+}
+
+// waitForDisconnect returns when the connection ends. A follower sends nothing after its subscription.
+func waitForDisconnect(peer *secureConn) {
+	peer.conn.SetReadDeadline(time.Time{})
+	peer.reader.ReadByte()
+}
+
+// sendUpdate sends changes or a snapshot. It returns the version that the follower has after them.
+func sendUpdate(peer *secureConn, update pendingUpdate) (replica.Version, error) {
+	if !update.needsSnapshot {
+		err := peer.send(message{Changes: update.changes})
+		return update.changes[len(update.changes)-1].To, err
+	}
+	for _, chunk := range update.state.Chunks() {
+		if err := peer.send(message{Chunk: &chunk}); err != nil {
+			return replica.Version{}, err
+		}
+	}
+	return update.state.Version, nil
+}
+
+func (s *Server) sendHeartbeat(peer *secureConn, version replica.Version) error {
+	leaderAge := s.broadcaster.currentLeaderAge()
+	return peer.send(message{Heartbeat: &heartbeat{
+		Version:         version,
+		LeaderAgeMillis: uint64(leaderAge.Milliseconds()),
+	}})
+}
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -15,144 +15,156 @@
 )
 
 const (
+	// watchHeartbeatInterval is the time between two reports that the watch is alive.
 	watchHeartbeatInterval = 2 * time.Second
-	requestQueueSize       = 8
+
+	// requestQueueSize is the number of the core's requests that wait for Run.
+	requestQueueSize = 8
 )
 
-// DiscoverySource is the list's actor where the document lists no room servers.
+// DiscoverySource provides the endpoint list where the document contains none.
 type DiscoverySource interface {
 	core.Discovery
 	core.Dialer
 	Run(context.Context)
 }
 
-// detachableHandler lets what discovery tells pass until the document's list takes its place.
-type detachableHandler struct {
-	mu       sync.Mutex
-	detached bool
-	handler  core.UpdateHandler
-}
+// Source is a balancer's source of the endpoint list. It forwards the discovery service's list until the
+// document contains one, and from then on serves the document's. It also applies the document's discovery
+// address.
+type Source struct {
+	broadcaster *Broadcaster
+	follower    *Follower
+	persister   *Persister
+	log         *logrus.Logger
+	watchdog    core.Watchdog // nil: none
 
-func (g *detachableHandler) EndpointsUpdated(r core.EndpointUpdate) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.detached {
-		g.handler.EndpointsUpdated(r)
-	}
-}
+	// handler receives the list's updates.
+	handler core.UpdateHandler
 
-func (g *detachableHandler) WatchAlive(watch uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.detached {
-		g.handler.WatchAlive(watch)
-	}
-}
+	// discovery provides the list while the document contains none. It reports to discoveryHandler.
+	discovery        DiscoverySource
+	discoveryHandler *detachableHandler
 
-func (g *detachableHandler) detach() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.detached = true
-}
+	// setDiscoveryAddress tells the core the discovery service's address. The core then calls SetAddress.
+	setDiscoveryAddress func(address string)
 
-// Source is a balancer's list's actor: discovery, until the document lists room servers; these from then on. It also turns the
-// balancer to the document's discovery.
-type Source struct {
-	broadcaster         *Broadcaster
-	follower            *Follower
-	persister           *Persister
-	discovery           DiscoverySource
-	discoveryHandler    *detachableHandler
-	handler             core.UpdateHandler
-	setDiscoveryAddress func(discovery string)
-	watchdog            core.Watchdog // nil: nobody hears
-	log                 *logrus.Logger
-	requests            chan request
-	states              chan replica.State
-
-	// Owned by Run's goroutine.
-	servesDocument   bool             // the document lists room servers,
-	entries          []endpoint.Entry // these
-	discoveryAddress string           // the document's, that the balancer was turned to
-	watch            request          // the latest
-	discoveryContext context.Context  // of the inner actor's watches: it ends when the document's list takes over
+	requests chan request
+	states   chan replica.State // from the follower
+
+	// discoveryContext is the parent of the discovery's watches. stopDiscovery ends it when the document's
+	// list replaces the discovery's.
+	discoveryContext context.Context
 	stopDiscovery    context.CancelFunc
+
+	// The fields below are owned by Run's goroutine.
+
+	servesDocument   bool             // the document contains a list
+	entries          []endpoint.Entry // the document's list
+	discoveryAddress string           // the last one that the document set
+	watch            request          // the latest one with a watch ID
 }
 
-// request is a call of the core's.
+// request is a call of the core that waits for Run.
 type request struct {
 	ctx      context.Context
-	watchID  uint64     // its number; 0: the list alone is asked for
-	onDialed func(bool) // discovery is to be dialled; nil: it is not
+	watchID  uint64               // 0: no watch, only the current list
+	onDialed func(reachable bool) // set if the discovery service is to be dialled
 }
 
-// FollowerConfig says whom a balancer follows.
+// FollowerConfig configures the replication of a balancer.
 type FollowerConfig struct {
 	Machines []replica.Server
 	Region   string
 	Site     string
-	Seed     uint64
+	Seed     uint64 // followers with different seeds spread over the servers
 }
 
-// NewSource returns the actor. inner makes the actor of discovery for a sink; turn turns the module to another discovery. saved
-// is the state that the balancer starts with, which is in force already.
-func NewSource(f FollowerConfig, keys *Keyring, store *Store, saved replica.State, inner func(core.UpdateHandler) DiscoverySource, turn func(discovery string),
-	sink core.UpdateHandler, log *logrus.Logger) *Source {
-	s := &Source{broadcaster: NewBroadcaster(saved, false), persister: NewPersister(store), handler: sink, discoveryHandler: &detachableHandler{handler: sink}, setDiscoveryAddress: turn, log: log,
-		requests: make(chan request, requestQueueSize), states: make(chan replica.State), servesDocument: len(saved.Document.Rooms) > 0,
-		discoveryAddress: saved.Document.Discovery, entries: saved.Document.Rooms}
-	s.discoveryContext, s.stopDiscovery = context.WithCancel(context.Background())
-	s.discoveryHandler.detached = s.servesDocument
-	s.discovery = inner(s.discoveryHandler)
-	s.follower = NewFollower(s.broadcaster, f.Machines, f.Region, f.Seed, keys, f.Site, nil, log)
-	return s
+// NewSource returns a source that starts with a saved state, which the core uses already. newDiscovery
+// creates the discovery's source for a handler. setDiscoveryAddress tells the core the discovery service's
+// address.
+func NewSource(
+	config FollowerConfig, keys *Keyring, store *Store, saved replica.State,
+	newDiscovery func(core.UpdateHandler) DiscoverySource, setDiscoveryAddress func(address string),
+	handler core.UpdateHandler, log *logrus.Logger,
+) *Source {
+	servesDocument := len(saved.Document.Rooms) > 0
+	broadcaster := NewBroadcaster(saved, false)
+	discoveryHandler := &detachableHandler{handler: handler, detached: servesDocument}
+	// onState is set by Run.
+	follower := NewFollower(broadcaster, config.Machines, config.Region, config.Seed, keys, config.Site, nil, log)
+	discoveryContext, stopDiscovery := context.WithCancel(context.Background())
+	return &Source{
+		broadcaster:         broadcaster,
+		follower:            follower,
+		persister:           NewPersister(store),
+		log:                 log,
+		handler:             handler,
+		discovery:           newDiscovery(discoveryHandler),
+		discoveryHandler:    discoveryHandler,
+		setDiscoveryAddress: setDiscoveryAddress,
+		requests:            make(chan request, requestQueueSize),
+		states:              make(chan replica.State),
+		discoveryContext:    discoveryContext,
+		stopDiscovery:       stopDiscovery,
+		servesDocument:      servesDocument,
+		entries:             saved.Document.Rooms,
+		discoveryAddress:    saved.Document.Discovery,
+	}
 }
 
-// Endpoints are a document's room servers as the core has them; none: discovery lists them.
-func Endpoints(d replica.Document) []core.Endpoint {
-	return filesource.Endpoints(endpoint.List{Entries: d.Rooms})
+// Endpoints returns a document's endpoint list as the core represents it. It is empty if the discovery
+// service provides the list.
+func Endpoints(document replica.Document) []core.Endpoint {
+	return filesource.Endpoints(endpoint.List{Entries: document.Rooms})
 }
 
-// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) SetWatchdog(turns core.Watchdog) { s.watchdog = turns }
+// SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
+func (s *Source) SetWatchdog(watchdog core.Watchdog) { s.watchdog = watchdog }
 
-// SetAddress turns to discovery at another address.
+// SetAddress sets the discovery service's address.
 func (s *Source) SetAddress(address string) { s.discovery.SetAddress(address) }
 
-// Watch answers with the list in force, and from then on with its changes.
+// Watch requests the current list and all later changes.
 func (s *Source) Watch(ctx context.Context, watch uint64) {
 	s.enqueue(request{ctx: ctx, watchID: watch})
 }
 
-// Fetch answers with the list in force.
+// Fetch requests the current list once.
 func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx: ctx}) }
 
-// Dial finds out whether discovery takes a connection. The document's list takes no call.
-func (s *Source) Dial(ctx context.Context, done func(there bool)) {
+// Dial calls done with whether the discovery service accepts a connection. It always does if the document
+// contains a list.
+func (s *Source) Dial(ctx context.Context, done func(reachable bool)) {
 	s.enqueue(request{ctx: ctx, onDialed: done})
 }
 
-func (s *Source) enqueue(o request) {
+// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
+// block, and the core repeats requests that have no answer.
+func (s *Source) enqueue(r request) {
 	select {
-	case s.requests <- o:
-	default: // the module's actor never waits, and asks again
+	case s.requests <- r:
+	default:
 	}
 }
 
-// SetFallbackAddress is a reload's turn to the discovery of the balancer's own file. The document's comes before that; and in silence
-// a newer version may name another, so that the one in force stays.
+// SetFallbackAddress applies the discovery address of a balancer's own configuration after a reload. The
+// document's address takes precedence. While the leader is stale, the current address stays, because a newer
+// document may set another.
 func (s *Source) SetFallbackAddress(address string) {
 	switch {
 	case s.broadcaster.State().Document.Discovery != "":
-		s.log.WithField("discovery", address).Info("control: the document names discovery, the file's is not taken over")
+		s.log.WithField("discovery", address).
+			Info("control: the document sets discovery, the configuration's address is ignored")
 	case s.follower.LeaderStale():
-		s.log.WithField("discovery", address).Warn("control: nothing is heard of the writer, the file's discovery is not taken over")
+		s.log.WithField("discovery", address).
+			Warn("control: no contact to the leader, the configuration's discovery address is ignored")
 	default:
 		s.setDiscoveryAddress(address)
 	}
 }
 
-// Run is the actor; it ends with ctx.
+// Run serves requests and applies new states until ctx ends.
 func (s *Source) Run(ctx context.Context) {
 	s.follower.onState = func(state replica.State) {
 		select {
@@ -166,17 +178,17 @@
 	running.Go(func() { s.persister.Run(ctx) })
 	running.Go(func() { s.discovery.Run(ctx) })
 	defer s.stopDiscovery()
-	alive := time.NewTicker(watchHeartbeatInterval)
-	defer alive.Stop()
+	ticker := time.NewTicker(watchHeartbeatInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-s.requests:
-			core.RunMonitored(s.watchdog, func() { s.handleRequest(o) })
+		case r := <-s.requests:
+			core.RunMonitored(s.watchdog, func() { s.handleRequest(r) })
 		case state := <-s.states:
 			core.RunMonitored(s.watchdog, func() { s.applyState(state) })
-		case <-alive.C:
+		case <-ticker.C:
 			if s.servesDocument && s.watch.ctx != nil && s.watch.ctx.Err() == nil {
 				core.RunMonitored(s.watchdog, func() { s.handler.WatchAlive(s.watch.watchID) })
 			}
@@ -184,77 +196,88 @@
 	}
 }
 
-func (s *Source) handleRequest(o request) {
-	if o.onDialed != nil {
-		if s.servesDocument {
-			o.onDialed(true)
-		} else {
-			s.discovery.Dial(o.ctx, o.onDialed)
-		}
+// handleRequest answers a request, or passes it on to the discovery's source.
+func (s *Source) handleRequest(r request) {
+	if r.onDialed != nil {
+		s.handleDial(r)
 		return
 	}
-	if o.watchID != 0 {
-		s.watch = o
+	if r.watchID != 0 {
+		s.watch = r
 	}
 	if !s.servesDocument {
-		if o.watchID == 0 {
-			s.discovery.Fetch(o.ctx)
-			return
-		}
-		ctx, cancel := context.WithCancel(o.ctx)
-		release := context.AfterFunc(s.discoveryContext, cancel)
-		context.AfterFunc(ctx, func() { release() })
-		s.discovery.Watch(ctx, o.watchID)
+		s.forward(r)
 		return
 	}
-	if o.watchID != 0 {
-		s.handler.WatchAlive(o.watchID)
+	if r.watchID != 0 {
+		s.handler.WatchAlive(r.watchID)
 	}
-	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(replica.Document{Rooms: s.entries})})
+	s.sendSnapshot()
 }
 
-// applyState puts a version into force, and has it saved then.
+func (s *Source) handleDial(r request) {
+	if s.servesDocument {
+		r.onDialed(true)
+		return
+	}
+	s.discovery.Dial(r.ctx, r.onDialed)
+}
+
+// forward passes a request on to the discovery's source. A watch ends early if the document's list replaces the
+// discovery's.
+func (s *Source) forward(r request) {
+	if r.watchID == 0 {
+		s.discovery.Fetch(r.ctx)
+		return
+	}
+	ctx, cancel := context.WithCancel(r.ctx)
+	release := context.AfterFunc(s.discoveryContext, cancel)
+	context.AfterFunc(ctx, func() { release() })
+	s.discovery.Watch(ctx, r.watchID)
+}
+
+// sendSnapshot sends the document's list to the handler.
+func (s *Source) sendSnapshot() {
+	endpoints := Endpoints(replica.Document{Rooms: s.entries})
+	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: endpoints})
+}
+
+// applyState applies a new state and has it saved.
 func (s *Source) applyState(state replica.State) {
-	if d := state.Document.Discovery; d != "" && d != s.discoveryAddress {
-		s.setDiscoveryAddress(d)
-		s.discoveryAddress = d
+	if address := state.Document.Discovery; address != "" && address != s.discoveryAddress {
+		s.setDiscoveryAddress(address)
+		s.discoveryAddress = address
 	}
-	before := s.entries
-	if s.entries = state.Document.Rooms; len(s.entries) > 0 {
-		result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: changed(before, s.entries)}
-		if !s.servesDocument {
-			result = core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(state.Document)}
-			s.servesDocument = true
-			s.discoveryHandler.detach()
-			s.stopDiscovery()
-			if s.watch.ctx != nil {
-				s.handler.WatchAlive(s.watch.watchID)
-			}
-		}
-		s.handler.EndpointsUpdated(result)
+	previous := s.entries
+	s.entries = state.Document.Rooms
+	switch {
+	case len(s.entries) == 0: // the discovery service provides the list
+	case s.servesDocument:
+		s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: delta(previous, s.entries)})
+	default:
+		s.replaceDiscovery()
 	}
 	s.persister.Enqueue(state)
 }
 
-// changed is what differs from one list to the next, both by name. Guards the module against a whole list for each change.
-func changed(before, after []endpoint.Entry) (all []core.Endpoint) {
-	var put, gone []endpoint.Entry
-	i := 0
-	for _, r := range after {
-		for ; i < len(before) && before[i].Name < r.Name; i++ {
-			gone = append(gone, before[i])
-		}
-		if i < len(before) && before[i].Name == r.Name {
-			if i++; before[i-1] == r {
-				continue
-			}
-		}
-		put = append(put, r)
+// replaceDiscovery ends the discovery's watches and serves the document's list from now on.
+func (s *Source) replaceDiscovery() {
+	s.servesDocument = true
+	s.discoveryHandler.detach()
+	s.stopDiscovery()
+	if s.watch.ctx != nil {
+		s.handler.WatchAlive(s.watch.watchID)
 	}
-	gone = append(gone, before[i:]...)
-	all = filesource.Endpoints(endpoint.List{Entries: gone})
-	for i := range all {
-		all[i].State = decide.Removed
+	s.sendSnapshot()
+}
+
+// delta returns the endpoints that differ between two lists that are ordered by name. The core is spared a
+// snapshot for each change.
+func delta(before, after []endpoint.Entry) []core.Endpoint {
+	upserted, removed := endpoint.DiffEntries(before, after)
+	endpoints := filesource.Endpoints(endpoint.List{Entries: removed})
+	for i := range endpoints {
+		endpoints[i].State = decide.Removed
 	}
-	return append(all, filesource.Endpoints(endpoint.List{Entries: put})...)
+	return append(endpoints, filesource.Endpoints(endpoint.List{Entries: upserted})...)
 }
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -1,13 +1,14 @@
 package controlplane
 
 import (
-	"context"
+	"bytes"
 	"crypto/sha256"
 	"errors"
 	"fmt"
 	"io/fs"
 	"os"
 	"runtime/debug"
+	"slices"
 	"time"
 
 	"cottonplank/internal/controlplane/replica"
@@ -20,75 +21,91 @@
 
 const (
 	stateFileVersion = 1
-	lockTimeout      = time.Second // another process of the same balancer may be writing
-	saveInterval     = time.Second // at a follower, at most
+	stateFileMode    = 0o600
+
+	// asideSuffix is appended to the name of an unusable state file.
+	asideSuffix = ".aside"
+
+	// lockTimeout limits the wait for the file's lock. During a hot restart, two processes use the file.
+	lockTimeout = time.Second
 )
 
+// The bucket and the key of the state file's only value: a SHA-256 checksum, then a savedState as CBOR.
 var (
 	bucketName = []byte("control")
 	stateKey   = []byte("state")
-	errCorrupt = errors.New("is torn")
 )
 
-// savedState is what is stored: a sum, then this as CBOR.
+// errCorrupt says that a state file is damaged.
+var errCorrupt = errors.New("is corrupt")
+
+// savedState is the content of a state file.
 type savedState struct {
 	FileVersion int           `cbor:"1,keyasint"`
 	Site        string        `cbor:"2,keyasint"`
 	State       replica.State `cbor:"3,keyasint"`
 }
 
-// Store keeps the state in a file, so that a restart asks for changes alone. The file is open only while it is read or
-// written: in an upgrade two processes share it.
+// Store keeps the latest state in a file, so that after a restart only the changes since then are
+// transferred. The file is open, and locked, only while it is read or written.
 type Store struct {
-	path, site string
-	log        *logrus.Logger
+	path string
+	site string
+	log  *logrus.Logger
 }
 
-// NewStore returns the store of a file.
-func NewStore(path, site string, log *logrus.Logger) *Store { return &Store{path, site, log} }
+// NewStore returns a store that uses the file at a path.
+func NewStore(path, site string, log *logrus.Logger) *Store {
+	return &Store{path: path, site: site, log: log}
+}
 
-// Load returns the saved state; there is none where the file is not there. A file that is torn, of another site or of another
-// form is set aside, and the log says so.
+// Load returns the saved state, or the zero State if there is none. It renames a file that is corrupt, of
+// another site or of another file version, and logs that.
 func (s *Store) Load() replica.State {
 	state, err := s.read()
 	switch {
 	case err == nil || errors.Is(err, fs.ErrNotExist):
 		return state
 	case errors.Is(err, bbolterrors.ErrTimeout):
-		s.log.WithError(err).Warn("control: the saved state is in another process's hands, starting without it")
+		s.log.WithError(err).Warn("control: the saved state is locked by another process, starting without it")
 	default:
-		s.moveAside(err)
+		s.renameUnusable(err)
 	}
 	return replica.State{}
 }
 
-func (s *Store) moveAside(cause error) {
-	aside := s.path + ".aside"
+// renameUnusable renames an unusable state file.
+func (s *Store) renameUnusable(cause error) {
+	aside := s.path + asideSuffix
 	entry := s.log.WithError(cause).WithFields(logrus.Fields{"file": s.path, "aside": aside})
 	if err := os.Rename(s.path, aside); err != nil {
-		entry.WithField("rename", err.Error()).Error("control: the saved state is of no use and cannot be set aside")
+		entry.WithField("rename", err.Error()).Error("control: the saved state is unusable and cannot be moved aside")
 		return
 	}
-	entry.Warn("control: the saved state is of no use and was set aside, the whole state is asked for")
+	entry.Warn("control: the saved state is unusable and was moved aside, requesting a snapshot")
 }
 
-// recoverFaults turns what a torn file does to the library into an error: it maps the file, and follows what is in it.
-func recoverFaults(do func() error) (err error) {
+// recoverFaults calls access and returns panics and memory faults as errors: bbolt maps the file into memory,
+// and follows the offsets in a corrupt file without checks.
+func recoverFaults(access func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", errCorrupt, r)
 		}
 	}()
-	return do()
+	return access()
 }
 
-func (s *Store) read() (state replica.State, err error) {
+// read returns the saved state. The error wraps fs.ErrNotExist if there is no file, and
+// bbolterrors.ErrTimeout if it is locked.
+func (s *Store) read() (replica.State, error) {
 	if _, err := os.Stat(s.path); err != nil {
-		return state, err
+		return replica.State{}, err
 	}
-	err = recoverFaults(func() error {
-		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
+	var state replica.State
+	err := recoverFaults(func() error {
+		db, err := bbolt.Open(s.path, stateFileMode, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 		if err != nil {
 			return err
 		}
@@ -104,26 +121,31 @@
 	return state, nil
 }
 
+// decode reads and validates the state in a transaction.
 func (s *Store) decode(tx *bbolt.Tx) (replica.State, error) {
-	b := tx.Bucket(bucketName)
-	if b == nil {
-		return replica.State{}, fmt.Errorf("%w: no state is in it", errCorrupt)
+	bucket := tx.Bucket(bucketName)
+	if bucket == nil {
+		return replica.State{}, fmt.Errorf("%w: contains no state", errCorrupt)
+	}
+	raw := bucket.Get(stateKey)
+	if len(raw) < sha256.Size {
+		return replica.State{}, fmt.Errorf("%w: contains no checksum", errCorrupt)
 	}
-	raw := b.Get(stateKey)
-	if len(raw) < sha256.Size || sha256.Sum256(raw[sha256.Size:]) != [sha256.Size]byte(raw[:sha256.Size]) {
-		return replica.State{}, fmt.Errorf("%w: its sum is another", errCorrupt)
+	body := raw[sha256.Size:]
+	if !bytes.Equal(checksum(body), raw[:sha256.Size]) {
+		return replica.State{}, fmt.Errorf("%w: checksum mismatch", errCorrupt)
 	}
-	var in savedState
-	if err := cbor.Unmarshal(raw[sha256.Size:], &in); err != nil {
+	var saved savedState
+	if err := cbor.Unmarshal(body, &saved); err != nil {
 		return replica.State{}, err
 	}
-	if in.FileVersion != stateFileVersion {
-		return replica.State{}, fmt.Errorf("is of form %d, %d is known", in.FileVersion, stateFileVersion)
+	if saved.FileVersion != stateFileVersion {
+		return replica.State{}, fmt.Errorf("has file version %d, only %d is supported", saved.FileVersion, stateFileVersion)
 	}
-	if in.Site != s.site {
-		return replica.State{}, fmt.Errorf("is of site %q, this is %q", in.Site, s.site)
+	if saved.Site != s.site {
+		return replica.State{}, fmt.Errorf("is of site %q, this is %q", saved.Site, s.site)
 	}
-	return replica.RestoreState(in.State)
+	return replica.RestoreState(saved.State)
 }
 
 func checksum(body []byte) []byte {
@@ -131,81 +153,40 @@
 	return sum[:]
 }
 
-// Save writes a state, unless a newer one is there.
+// Save writes a state unless the file contains one that is not older. It replaces an unusable file.
 func (s *Store) Save(state replica.State) error {
-	body, err := cbor.Marshal(savedState{stateFileVersion, s.site, state})
+	body, err := cbor.Marshal(savedState{FileVersion: stateFileVersion, Site: s.site, State: state})
 	if err != nil {
 		return err
 	}
-	sum := checksum(body)
-	write := func() error {
-		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
-		if err != nil {
-			return err
-		}
-		defer db.Close()
-		return db.Update(func(tx *bbolt.Tx) error {
-			if there, err := s.decode(tx); err == nil && there.Version.Compare(state.Version) >= 0 {
-				return nil
-			}
-			b, err := tx.CreateBucketIfNotExists(bucketName)
-			if err != nil {
-				return err
-			}
-			return b.Put(stateKey, append(sum, body...))
-		})
-	}
-	if err = recoverFaults(write); err == nil || errors.Is(err, bbolterrors.ErrTimeout) {
+	value := slices.Concat(checksum(body), body)
+	write := func() error { return s.write(state.Version, value) }
+	err = recoverFaults(write)
+	if err == nil || errors.Is(err, bbolterrors.ErrTimeout) {
 		return err
 	}
-	if _, gone := os.Stat(s.path); gone != nil { // no file, and none can be made
+	if _, statErr := os.Stat(s.path); statErr != nil { // there is no file, and none can be created
 		return err
 	}
-	s.moveAside(err)
+	s.renameUnusable(err)
 	return recoverFaults(write)
 }
 
-// Persister saves the latest state at intervals, aside from who follows: a disk may be slow.
-type Persister struct {
-	store *Store
-	next  chan replica.State
-}
-
-// NewPersister returns a saver to a store.
-func NewPersister(store *Store) *Persister { return &Persister{store, make(chan replica.State, 1)} }
-
-// Enqueue has a state saved. It does not wait; only one goroutine calls it.
-func (s *Persister) Enqueue(state replica.State) {
-	select {
-	case <-s.next: // the newer one is enough
-	default:
+// write stores the encoded state of a version unless the file contains one that is not older.
+func (s *Store) write(version replica.Version, value []byte) error {
+	db, err := bbolt.Open(s.path, stateFileMode, &bbolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return err
 	}
-	s.next <- state
-}
-
-// Run saves until ctx ends, and then what is left.
-func (s *Persister) Run(ctx context.Context) {
-	for {
-		select {
-		case state := <-s.next:
-			s.save(state)
-		case <-ctx.Done():
-			select {
-			case state := <-s.next:
-				s.save(state)
-			default:
-			}
-			return
+	defer db.Close()
+	return db.Update(func(tx *bbolt.Tx) error {
+		if existing, err := s.decode(tx); err == nil && existing.Version.Compare(version) >= 0 {
+			return nil
 		}
-		select {
-		case <-time.After(saveInterval):
-		case <-ctx.Done():
+		bucket, err := tx.CreateBucketIfNotExists(bucketName)
+		if err != nil {
+			return err
 		}
-	}
-}
-
-func (s *Persister) save(state replica.State) {
-	if err := s.store.Save(state); err != nil {
-		s.store.log.WithError(err).Error("control: the state could not be saved, a restart asks for the whole")
-	}
+		return bucket.Put(stateKey, value)
+	})
 }
