--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -1,12 +1,11 @@
-// Package filesource is the list's actor where an operator's file takes the place of discovery. It reads the file when that is
-// replaced, and answers the core's calls from the list in force. internal/roomlist decides what is taken over.
+// Package filesource provides the endpoint list from an operator's file in place of the discovery service. It
+// reads the file again when it changes, and answers the core's requests with the current list. Package
+// endpoint decides which changes of the file are applied.
 package filesource
 
 import (
 	"context"
 	"fmt"
-	"io"
-	"os"
 	"path/filepath"
 	"time"
 
@@ -19,151 +18,163 @@
 )
 
 const (
-	maxFileBytes           = 1 << 25
-	settleDelay            = 100 * time.Millisecond // a file that is being written is left alone for this
-	maxSettleDelay         = time.Second            // but not for longer than this
-	pollInterval           = 2 * time.Second        // also without a sign: what a symbolic link leads to may change elsewhere
+	maxFileBytes = 1 << 25
+
+	// settleDelay is how long the file must go without an event before it is read, so that it is not read
+	// while it is being written.
+	settleDelay = 100 * time.Millisecond
+
+	// maxSettleDelay limits the time from the first event to the read.
+	maxSettleDelay = time.Second
+
+	// pollInterval is the time between two checks of the file without any event. The target of a symbolic
+	// link can change in a directory that is not watched.
+	pollInterval = 2 * time.Second
+
+	// watchHeartbeatInterval is the time between two reports that the watch is alive.
 	watchHeartbeatInterval = 2 * time.Second
-	requestQueueSize       = 8
+
+	// requestQueueSize is the number of the core's requests that wait for Run.
+	requestQueueSize = 8
 )
 
-// Source is the actor.
+// Source provides the endpoint list of a file to the core.
 type Source struct {
 	path      string
 	handler   core.UpdateHandler
 	log       *logrus.Logger
-	watchdog  core.Watchdog // nil: nobody hears
+	watchdog  core.Watchdog // nil: none
 	requests  chan request
 	proposals chan endpoint.List
 
-	// Owned by Run's goroutine.
+	// The fields below are owned by Run's goroutine.
+
 	guard       *endpoint.ChangeGuard
-	watch       request     // the latest
-	lastFailure string      // what was said of the file last
-	read        os.FileInfo // the file when it was read last; nil: it is to be read
+	file        *FileTracker
+	watch       request // the latest one with a watch ID
+	lastFailure string  // the last logged failure; empty after a success
+}
+
+// request is a call of the core that waits for Run.
+type request struct {
+	ctx     context.Context
+	watchID uint64 // 0: no watch, only the current list
 }
 
-// Read reads the file; errors name it and what is wrong in it.
+// Read reads and validates the list in a file. Errors name the file and what is wrong in it.
 func Read(path string) (endpoint.List, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
-	}
-	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	raw, err := ReadLimited(path, maxFileBytes)
 	if err != nil {
 		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
 	if len(raw) > maxFileBytes {
 		return endpoint.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFileBytes)
 	}
-	l, err := endpoint.Parse(raw)
+	list, err := endpoint.Parse(raw)
 	if err != nil {
-		return l, fmt.Errorf("rooms: %s: %w", path, err)
+		return list, fmt.Errorf("rooms: %s: %w", path, err)
 	}
-	return l, nil
+	return list, nil
 }
 
-// Endpoints are a list's room servers as the core has them.
-func Endpoints(l endpoint.List) (all []core.Endpoint) {
-	for _, r := range l.Entries {
+// Endpoints returns a list's entries as the core represents them.
+func Endpoints(list endpoint.List) []core.Endpoint {
+	var endpoints []core.Endpoint
+	for _, entry := range list.Entries {
 		state := decide.Ready
-		if r.Drain {
+		if entry.Drain {
 			state = decide.Draining
 		}
-		all = append(all, core.Endpoint{Name: r.Name, Address: r.Address, Server: decide.Server{ID: core.ServerID(r.Name),
-			Zone: r.Zone, State: state, Weight: r.Weight}})
+		endpoints = append(endpoints, core.Endpoint{
+			Name:    entry.Name,
+			Address: entry.Address,
+			Server: decide.Server{
+				ID:     core.ServerID(entry.Name),
+				Zone:   entry.Zone,
+				State:  state,
+				Weight: entry.Weight,
+			},
+		})
 	}
-	return all
+	return endpoints
 }
 
-// New returns the actor of a file, with the list that was read from it.
-func New(path string, first endpoint.List, sink core.UpdateHandler, log *logrus.Logger) *Source {
-	return &Source{path: path, handler: sink, log: log, guard: endpoint.NewChangeGuard(first), requests: make(chan request, requestQueueSize),
-		proposals: make(chan endpoint.List)}
+// New returns a source of the file at a path, whose list the caller has read already.
+func New(path string, first endpoint.List, handler core.UpdateHandler, log *logrus.Logger) *Source {
+	return &Source{
+		path:      path,
+		handler:   handler,
+		log:       log,
+		guard:     endpoint.NewChangeGuard(first),
+		file:      NewFileTracker(path, pollInterval),
+		requests:  make(chan request, requestQueueSize),
+		proposals: make(chan endpoint.List),
+	}
 }
 
-// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (s *Source) SetWatchdog(turns core.Watchdog) { s.watchdog = turns }
+// SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
+func (s *Source) SetWatchdog(watchdog core.Watchdog) { s.watchdog = watchdog }
 
-// SetAddress is discovery's; a file has no address.
+// SetAddress does nothing: it sets the address of the discovery service, and a file has none.
 func (s *Source) SetAddress(string) {}
 
-// Watch answers with the list in force, and from then on with its changes.
+// Watch requests the current list and all later changes.
 func (s *Source) Watch(ctx context.Context, watch uint64) { s.enqueue(request{ctx, watch}) }
 
-// Fetch answers with the list in force.
+// Fetch requests the current list once.
 func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx, 0}) }
 
-// request is a call of the core's.
-type request struct {
-	ctx     context.Context
-	watchID uint64 // its number; 0: the list alone is asked for
-}
-
-func (s *Source) enqueue(o request) {
+// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
+// block, and the core repeats requests that have no answer.
+func (s *Source) enqueue(r request) {
 	select {
-	case s.requests <- o:
-	default: // the module's actor never waits, and asks again
+	case s.requests <- r:
+	default:
 	}
 }
 
-// Propose brings a list that the operator asked to take over by a signal, and was read from the file.
-func (s *Source) Propose(ctx context.Context, l endpoint.List) {
+// Propose passes on a list that was read because the operator requested it by a signal. It returns when Run
+// has received the list or ctx has ended.
+func (s *Source) Propose(ctx context.Context, list endpoint.List) {
 	select {
-	case s.proposals <- l:
+	case s.proposals <- list:
 	case <-ctx.Done():
 	}
 }
 
-// Run is the actor; it ends with ctx.
+// Run serves requests and applies changes of the file until ctx ends.
 func (s *Source) Run(ctx context.Context) {
-	var signs <-chan fsnotify.Event
-	var failures <-chan error
-	// The folder is watched, not the file: one that is renamed over it is another file.
-	if w, err := fsnotify.NewWatcher(); err == nil {
-		defer w.Close()
-		if err := w.Add(filepath.Dir(s.path)); err != nil {
-			s.log.WithError(err).Warn("rooms: the folder cannot be watched, the file is looked at every 2 s")
-		}
-		signs, failures = w.Events, w.Errors
-	} else {
-		s.log.WithError(err).Warn("rooms: no watch, the file is looked at every 2 s")
-	}
-	look, alive := time.NewTicker(pollInterval), time.NewTicker(watchHeartbeatInterval)
-	defer look.Stop()
-	defer alive.Stop()
-	read := time.NewTimer(0)
-	read.Stop()
-	var since time.Time // of the first sign that is not looked into yet
+	events, watchErrors, stopWatching := s.watchDirectory()
+	defer stopWatching()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	watchHeartbeat := time.NewTicker(watchHeartbeatInterval)
+	defer watchHeartbeat.Stop()
+	settled := time.NewTimer(0)
+	settled.Stop()
+	var firstEvent time.Time // of those after the last read; zero: none
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-s.requests:
-			core.RunMonitored(s.watchdog, func() {
-				if o.watchID != 0 {
-					s.watch = o
-					s.handler.WatchAlive(o.watchID)
-				}
-				s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(s.guard.Current())})
-			})
-		case l := <-s.proposals:
-			core.RunMonitored(s.watchdog, func() { s.applyDecision(l, true) })
-		case <-signs:
-			if since.IsZero() {
-				since = time.Now()
+		case r := <-s.requests:
+			core.RunMonitored(s.watchdog, func() { s.handleRequest(r) })
+		case list := <-s.proposals:
+			core.RunMonitored(s.watchdog, func() { s.propose(list, true) })
+		case <-events:
+			if firstEvent.IsZero() {
+				firstEvent = time.Now()
 			}
-			read.Reset(min(settleDelay, max(maxSettleDelay-time.Since(since), 0)))
-		case err := <-failures:
-			s.log.WithError(err).Warn("rooms: the watch of the file failed once")
-			read.Reset(settleDelay)
-		case <-read.C:
-			since = time.Time{}
+			settled.Reset(min(settleDelay, max(maxSettleDelay-time.Since(firstEvent), 0)))
+		case err := <-watchErrors:
+			s.log.WithError(err).Warn("rooms: the file watch reported an error")
+			settled.Reset(settleDelay)
+		case <-settled.C:
+			firstEvent = time.Time{}
 			core.RunMonitored(s.watchdog, s.reload)
-		case <-look.C:
-			core.RunMonitored(s.watchdog, s.poll)
-		case <-alive.C:
+		case <-poll.C:
+			core.RunMonitored(s.watchdog, s.reloadIfChanged)
+		case <-watchHeartbeat.C:
 			if s.watch.ctx != nil && s.watch.ctx.Err() == nil {
 				core.RunMonitored(s.watchdog, func() { s.handler.WatchAlive(s.watch.watchID) })
 			}
@@ -171,49 +182,73 @@
 	}
 }
 
-// poll takes over what the file holds if it is another, or was written, since it was read. Guards the processor: a long
-// list takes longer to read than all else that this process does at rest.
-func (s *Source) poll() {
-	now, err := os.Stat(s.path)
-	if err == nil && s.read != nil && os.SameFile(now, s.read) && now.Size() == s.read.Size() && now.ModTime().Equal(s.read.ModTime()) {
-		return
+// watchDirectory watches the file's directory rather than the file, because a file that is renamed over it is
+// another one. If there can be no watch, the channels are nil.
+func (s *Source) watchDirectory() (events <-chan fsnotify.Event, watchErrors <-chan error, stop func()) {
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		s.log.WithError(err).Warnf("rooms: no file watch, polling the file every %v", pollInterval)
+		return nil, nil, func() {}
 	}
-	s.reload()
+	if err := watcher.Add(filepath.Dir(s.path)); err != nil {
+		s.log.WithError(err).Warnf("rooms: the directory cannot be watched, polling the file every %v", pollInterval)
+	}
+	return watcher.Events, watcher.Errors, func() { watcher.Close() }
 }
 
-// reload takes over what the file holds now. A faulty one changes nothing, and is told once.
-func (s *Source) reload() {
-	s.read = nil
-	// Guards against a write that shows no other time, as the one before is not long past.
-	if now, err := os.Stat(s.path); err == nil && time.Since(now.ModTime()) > pollInterval {
-		s.read = now // before it is read: what is written meanwhile shows at the next look
+// handleRequest answers a request with the current list.
+func (s *Source) handleRequest(r request) {
+	if r.watchID != 0 {
+		s.watch = r
+		s.handler.WatchAlive(r.watchID)
 	}
-	l, err := Read(s.path)
+	s.sendSnapshot()
+}
+
+// sendSnapshot sends the current list to the handler.
+func (s *Source) sendSnapshot() {
+	endpoints := Endpoints(s.guard.Current())
+	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: endpoints})
+}
+
+func (s *Source) reloadIfChanged() {
+	if !s.file.Unchanged() {
+		s.reload()
+	}
+}
+
+// reload reads the file and proposes its list. An invalid file changes nothing, and is logged once.
+func (s *Source) reload() {
+	s.file.BeginRead()
+	list, err := Read(s.path)
 	if err != nil {
-		s.read = nil
+		s.file.Invalidate()
 		if err.Error() != s.lastFailure {
-			s.log.WithError(err).Error("rooms: the list is faulty, the one in force stays")
+			s.log.WithError(err).Error("rooms: invalid list rejected, keeping the current one")
 		}
 		s.lastFailure = err.Error()
 		return
 	}
-	s.applyDecision(l, false)
+	s.propose(list, false)
 }
 
-func (s *Source) applyDecision(l endpoint.List, asked bool) {
-	verdict, change := s.guard.Propose(l, asked)
-	switch verdict {
+// propose proposes a list to the guard and applies its decision. requested says that the operator requested
+// the reload.
+func (s *Source) propose(list endpoint.List, requested bool) {
+	decision, change := s.guard.Propose(list, requested)
+	switch decision {
 	case endpoint.Unchanged:
 		s.lastFailure = ""
 	case endpoint.NeedsConfirmation:
-		text := "rooms: held: " + change.String()
-		if text != s.lastFailure || asked {
-			s.log.WithField("change", change.String()).Error("rooms: the list takes over half of the room servers away; it is taken when SIGHUP asks for it once more")
+		failure := "rooms: pending: " + change.String()
+		if failure != s.lastFailure || requested {
+			s.log.WithField("change", change.String()).
+				Error("rooms: list pending: removes or drains over half of the active endpoints; send SIGHUP to confirm")
 		}
-		s.lastFailure = text
+		s.lastFailure = failure
 	case endpoint.Apply:
 		s.lastFailure = ""
-		s.log.WithField("change", change.String()).Info("rooms: list taken over")
-		s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: Endpoints(l)})
+		s.log.WithField("change", change.String()).Info("rooms: list applied")
+		s.sendSnapshot()
 	}
 }
