--- /dev/null
+++ b/internal/discovery/httpsource/bounded_reader.go
@@ -0,0 +1,80 @@
+package httpsource
+
+import (
+	"fmt"
+	"io"
+)
+
+// boundedReader reads a stream of JSON values for a json.Decoder. It limits the size of each value and of
+// each of its parts, so that a value without an end does not exhaust the memory, and it reports the empty
+// lines between two values.
+type boundedReader struct {
+	source      io.Reader
+	onEmptyLine func()
+
+	// deliveredBytes counts the bytes that Read has returned. It corresponds to the decoder's input offset.
+	deliveredBytes int64
+
+	// valueBytes counts the bytes of the current value, with the white space before it.
+	valueBytes int64
+
+	// partBytes counts those of them that the decoder has not consumed yet.
+	partBytes int64
+
+	// valueStarted says that the current value's first byte has been read.
+	valueStarted bool
+
+	// atLineStart says that only white space has been read since the last line break.
+	atLineStart bool
+}
+
+// Read implements io.Reader. It does not deliver the white space before a value, because the decoder would
+// buffer all of it.
+func (r *boundedReader) Read(p []byte) (int, error) {
+	for {
+		limit := min(maxEntryBytes-r.partBytes, maxListBytes-r.valueBytes)
+		if limit <= 0 {
+			return 0, fmt.Errorf("a value is longer than %d bytes, or a part of it than %d", maxListBytes, maxEntryBytes)
+		}
+		n, err := r.source.Read(p[:min(int64(len(p)), limit)])
+		r.scan(p[:n])
+		if r.valueStarted || err != nil {
+			r.deliveredBytes += int64(n)
+			return n, err
+		}
+	}
+}
+
+// scan counts bytes that have been read, and reports the empty lines in them up to the beginning of a value.
+func (r *boundedReader) scan(raw []byte) {
+	r.valueBytes += int64(len(raw))
+	r.partBytes += int64(len(raw))
+	for _, char := range raw {
+		switch {
+		case r.valueStarted:
+			return
+		case char == '\n' && r.atLineStart:
+			r.onEmptyLine()
+			r.valueBytes = 0
+			r.partBytes = 0
+		case char == '\n':
+			r.atLineStart = true
+		case char != ' ' && char != '\t' && char != '\r':
+			r.valueStarted = true
+		}
+	}
+}
+
+// markConsumed records that the decoder has consumed all bytes before an input offset.
+func (r *boundedReader) markConsumed(offset int64) { r.partBytes = r.deliveredBytes - offset }
+
+// startNextValue begins a value. buffered contains what the decoder has read beyond the end of the last one.
+// The rest of the last value's line does not count as an empty line.
+func (r *boundedReader) startNextValue(buffered io.Reader) {
+	r.valueBytes = 0
+	r.partBytes = 0
+	r.valueStarted = false
+	r.atLineStart = false
+	raw, _ := io.ReadAll(buffered) // from memory, which does not fail
+	r.scan(raw)
+}
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -1,5 +1,3 @@
-// Package httpsource asks discovery, over HTTP/1.1, for the list of room servers and watches its changes. Its
-// actor owns the list's version; what comes goes to the core as resolver results.
 package httpsource
 
 import (
@@ -16,13 +14,14 @@
 	"cottonplank/internal/core"
 )
 
-// Bounds of a list, so that one that never ends takes no more memory than the longest that is used.
+// Limits of a list, which bound the memory that an endless one takes.
 const (
 	maxEntries    = 1 << 16
-	maxEntryBytes = 1 << 16 // bytes of an entry, or of anything else between two
-	maxListBytes  = 1 << 25 // bytes of the whole: for so many entries three times as much as usual ones have
+	maxEntryBytes = 1 << 16 // of an entry, or of anything else between two of them
+	maxListBytes  = 1 << 25 // three times what maxEntries entries of usual length have
 )
 
+// wireInstance is an entry of the list in the discovery service's form.
 type wireInstance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -30,84 +29,91 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"`
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds
 }
 
-var lifecycleStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
+// lifecycleStates maps the values of wireInstance.Lifecycle.
+var lifecycleStates = map[string]decide.State{
+	"active":  decide.Ready,
+	"leaving": decide.Draining,
+	"left":    decide.Removed,
+}
 
 // Listing is a decoded list.
 type Listing struct {
 	Generation int64
-	Reset      bool // the whole list, not only changes
+	Reset      bool // a full snapshot rather than a delta
 	Endpoints  []core.Endpoint
 }
 
-// DecodeListing reads a list in discovery's form. One bad line spoils the whole of it: half a list would look like
-// room servers that are gone.
+// DecodeListing decodes a list in the discovery service's form. A single invalid entry makes the list
+// invalid, because the endpoints that are left out would look removed.
 func DecodeListing(raw []byte) (Listing, error) {
-	values := json.NewDecoder(bytes.NewReader(raw))
-	l, err := decodeListing(values, func() {})
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	listing, err := decodeListing(decoder, func() {})
 	if err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
-	if _, err := values.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return Listing{}, errors.New("list: more follows it")
 	}
-	return l, nil
+	return listing, nil
 }
 
-// decodeListing reads the next list of a stream, entry by entry, so that no more of its text is held at once than one
-// entry; passed hears that what came so far is done with. io.EOF says that nothing begins.
-func decodeListing(values *json.Decoder, passed func()) (l Listing, err error) {
-	if err := expectDelim(values, '{'); err != nil {
+// decodeListing decodes the next list of a stream. It decodes entry by entry, so that the decoder buffers no
+// more than one, and calls onConsumed after each part. It returns io.EOF if the stream has ended.
+func decodeListing(decoder *json.Decoder, onConsumed func()) (Listing, error) {
+	if err := expectDelim(decoder, '{'); err != nil {
 		return Listing{}, err
 	}
-	var generation *int64
-	listed := false
-	for values.More() {
-		key, err := values.Token()
+	var listing Listing
+	var generation *int64 // nil: missing
+	hasInstances := false
+	for decoder.More() {
+		key, err := decoder.Token()
 		if err != nil {
 			return Listing{}, unexpectedEOF(err)
 		}
-		switch name, _ := key.(string); { // in any case of letters, as encoding/json takes names
+		name, _ := key.(string)
+		switch { // names match in any case of letters, as in encoding/json
 		case strings.EqualFold(name, "generation"):
-			err = values.Decode(&generation)
+			err = decoder.Decode(&generation)
 		case strings.EqualFold(name, "reset"):
-			err = values.Decode(&l.Reset)
-		case strings.EqualFold(name, "instances") && listed:
+			err = decoder.Decode(&listing.Reset)
+		case strings.EqualFold(name, "instances") && hasInstances:
 			err = errors.New("instances are there twice")
 		case strings.EqualFold(name, "instances"):
-			listed = true
-			l.Endpoints, err = decodeInstances(values, passed)
+			hasInstances = true
+			listing.Endpoints, err = decodeInstances(decoder, onConsumed)
 		default:
 			var unknown json.RawMessage
-			err = values.Decode(&unknown)
+			err = decoder.Decode(&unknown)
 		}
 		if err != nil {
 			return Listing{}, unexpectedEOF(err)
 		}
-		passed()
+		onConsumed()
 	}
-	if _, err := values.Token(); err != nil {
+	if _, err := decoder.Token(); err != nil {
 		return Listing{}, unexpectedEOF(err)
 	}
 	if generation == nil {
 		return Listing{}, errors.New("generation is missing")
 	}
-	l.Generation = *generation
-	return l, nil
+	listing.Generation = *generation
+	return listing, nil
 }
 
 // expectDelim reads the beginning of an object or an array.
-func expectDelim(values *json.Decoder, want json.Delim) error {
-	got, err := values.Token()
+func expectDelim(decoder *json.Decoder, want json.Delim) error {
+	got, err := decoder.Token()
 	if err == nil && got != want {
 		err = fmt.Errorf("%v was found where %v was expected", got, want)
 	}
 	return err
 }
 
-// unexpectedEOF tells half a list from the end of a stream.
+// unexpectedEOF replaces io.EOF, which means the end of the stream between two lists, by io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -115,56 +121,73 @@
 	return err
 }
 
-func decodeInstances(values *json.Decoder, passed func()) (all []core.Endpoint, err error) {
-	first, err := values.Token()
-	if err != nil || first == nil { // null: none
+// decodeInstances decodes the entries of a list. null is an empty list. Two entries whose names have the same
+// server ID are an error.
+func decodeInstances(decoder *json.Decoder, onConsumed func()) ([]core.Endpoint, error) {
+	first, err := decoder.Token()
+	if err != nil || first == nil {
 		return nil, err
 	}
 	if first != json.Delim('[') {
 		return nil, fmt.Errorf("instances: %v was found where a list was expected", first)
 	}
-	named := map[decide.ServerID]string{}
-	for values.More() {
-		if len(all) == maxEntries {
+	var endpoints []core.Endpoint
+	nameByID := map[decide.ServerID]string{}
+	for decoder.More() {
+		if len(endpoints) == maxEntries {
 			return nil, fmt.Errorf("instances: more than %d", maxEntries)
 		}
-		var w wireInstance
-		if err := values.Decode(&w); err != nil {
-			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
-		}
-		x, err := w.endpoint()
+		decoded, err := decodeInstance(decoder)
 		if err != nil {
-			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
+			return nil, fmt.Errorf("instances[%d]: %w", len(endpoints), err)
 		}
-		if other, ok := named[x.ID]; ok && other != x.Name {
-			return nil, fmt.Errorf("instances %q and %q share a derived number", other, x.Name)
+		if other, ok := nameByID[decoded.ID]; ok && other != decoded.Name {
+			return nil, fmt.Errorf("instances %q and %q share a derived number", other, decoded.Name)
 		}
-		named[x.ID] = x.Name
-		all = append(all, x)
-		passed()
+		nameByID[decoded.ID] = decoded.Name
+		endpoints = append(endpoints, decoded)
+		onConsumed()
+	}
+	_, err = decoder.Token()
+	return endpoints, err
+}
+
+func decodeInstance(decoder *json.Decoder) (core.Endpoint, error) {
+	var instance wireInstance
+	if err := decoder.Decode(&instance); err != nil {
+		return core.Endpoint{}, err
 	}
-	_, err = values.Token()
-	return all, err
+	return instance.endpoint()
 }
 
-func (w wireInstance) endpoint() (in core.Endpoint, err error) {
+// endpoint validates an entry and returns it as the core represents it.
+func (w wireInstance) endpoint() (core.Endpoint, error) {
 	if w.InstanceID == "" {
-		return in, errors.New("instanceId is empty")
+		return core.Endpoint{}, errors.New("instanceId is empty")
 	}
 	state, ok := lifecycleStates[w.Lifecycle]
 	if !ok {
-		return in, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
+		return core.Endpoint{}, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
 	}
 	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && state != decide.Removed {
-		return in, fmt.Errorf("hostPort: %q is no address and port", w.HostPort)
+		return core.Endpoint{}, fmt.Errorf("hostPort: %q is no address and port", w.HostPort)
 	}
 	if w.Weight < 0 || w.StartedAtMs < 0 {
-		return in, errors.New("weight or startedAtMs is below 0")
+		return core.Endpoint{}, errors.New("weight or startedAtMs is below 0")
+	}
+	decoded := core.Endpoint{
+		Name:    w.InstanceID,
+		Address: w.HostPort,
+		Server: decide.Server{
+			ID:     core.ServerID(w.InstanceID),
+			Zone:   w.Zone,
+			Cell:   w.Cell,
+			State:  state,
+			Weight: w.Weight,
+		},
 	}
-	in = core.Endpoint{Name: w.InstanceID, Address: w.HostPort, Server: decide.Server{
-		ID: core.ServerID(w.InstanceID), Zone: w.Zone, Cell: w.Cell, State: state, Weight: w.Weight}}
 	if w.StartedAtMs > 0 {
-		in.Started = time.UnixMilli(w.StartedAtMs)
+		decoded.Started = time.UnixMilli(w.StartedAtMs)
 	}
-	return in, nil
+	return decoded, nil
 }
--- /dev/null
+++ b/internal/discovery/httpsource/outage_test.go
@@ -0,0 +1,193 @@
+package httpsource_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"sync"
+	"testing"
+	"time"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
+
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	// observedWithin is the time within which a balancer has to observe a change, after the discovery service
+	// has it and can be reached.
+	observedWithin = 6 * time.Second
+
+	// drainGrace is the time after which a draining endpoint must get nothing new.
+	drainGrace = 500 * time.Millisecond
+
+	balancers = 12
+
+	// fleetSize is the number of balancers that the settings of a test name, unless the test is about that
+	// number.
+	fleetSize = 300
+)
+
+// noProbes is a prober that does nothing.
+type noProbes struct{}
+
+func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
+func (noProbes) Remove(decide.ServerID)                       {}
+
+// watchingConfig returns a configuration with a watch.
+func watchingConfig(fleetSize int) core.Config {
+	return core.Config{Settings: decide.Settings{WatchList: true, Balancers: fleetSize}}
+}
+
+// pushedConfig returns a configuration with a watch for a list whose changes count at once.
+func pushedConfig() core.Config {
+	config := watchingConfig(fleetSize)
+	config.ListPushed = true
+	return config
+}
+
+// startBalancers runs engines that each have a source of the discovery service at an address.
+func startBalancers(t *testing.T, address string, config core.Config) []*core.Engine {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+	config.MaxClients = 10
+	config.Log = func(string) {}
+	config.Settings.Zone = "a"
+	config.Settings.Classes = []decide.Class{{Name: "c", LatencyObjective: time.Second}}
+	config.Settings.Safety.DrainGrace = drainGrace
+	config.Settings.Safety.MaxPollInterval = 10 * time.Second
+	var engines []*core.Engine
+	for i := range balancers {
+		config.Settings.Seed = uint64(i + 1)
+		engine, err := core.New(config)
+		if err != nil {
+			t.Fatal(err)
+		}
+		source := httpsource.New(address, 0, engine, log)
+		running.Go(func() { source.Run(ctx) })
+		running.Go(func() { engine.Run(ctx, noProbes{}, source) })
+		engines = append(engines, engine)
+	}
+	return engines
+}
+
+// waitForList waits until each engine has a list of the given length, and returns how long the last one took.
+func waitForList(t *testing.T, engines []*core.Engine, length int) time.Duration {
+	t.Helper()
+	start, last := time.Now(), time.Duration(0)
+	for _, engine := range engines {
+		for engine.CurrentSnapshot(time.Second).Listed != length {
+			if time.Since(start) > 60*time.Second {
+				t.Fatalf("a list has %d entries, want %d", engine.Snapshot().Listed, length)
+			}
+			time.Sleep(10 * time.Millisecond)
+		}
+		last = max(last, time.Since(start))
+	}
+	return last
+}
+
+func setOutage(t *testing.T, listener *emulator.FaultyListener, outage emulator.Outage) {
+	t.Helper()
+	if err := listener.SetOutage(outage); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func newFaultyListener(t *testing.T, service *emulator.Discovery, callTime time.Duration) *emulator.FaultyListener {
+	t.Helper()
+	handler := service.Handler("any")
+	if callTime > 0 {
+		handler = emulator.InTurn(handler, callTime, time.Second)
+	}
+	listener, err := emulator.NewFaultyListener(handler)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(listener.Close)
+	return listener
+}
+
+// After an outage of any kind, all balancers observe in time a change that the discovery service has at its
+// return. The service runs on real sockets: calls are refused, reset, answered 503 or not at all, the host is
+// unreachable, or the service handles one call after the other and rejects those that wait too long.
+func TestDiscoveryReturns(t *testing.T) {
+	t.Parallel()
+	const downtime = 9 * time.Second
+	for _, test := range []struct {
+		name     string
+		outage   emulator.Outage
+		callTime time.Duration // for which a call keeps the service busy; 0: calls are concurrent
+		config   core.Config
+		within   time.Duration
+	}{
+		{"refused", emulator.Refuses, 0, watchingConfig(fleetSize), observedWithin},
+		{"reset", emulator.Resets, 0, watchingConfig(fleetSize), observedWithin},
+		{"503", emulator.Unavailable, 0, watchingConfig(fleetSize), observedWithin},
+		{"hung", emulator.Hangs, 0, watchingConfig(fleetSize), observedWithin},
+		{"cut off", emulator.CutOff, 0, watchingConfig(fleetSize), observedWithin},
+		{"sequential", emulator.Refuses, 250 * time.Millisecond, watchingConfig(fleetSize), observedWithin},
+		{"2300", emulator.Refuses, 0, watchingConfig(2300), observedWithin},
+		{"polled", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, observedWithin},
+		// The change counts at once, and no new work may be sent after the grace.
+		{"pushed", emulator.Refuses, 0, pushedConfig(), drainGrace},
+		{"pushed, 503", emulator.Unavailable, 0, pushedConfig(), drainGrace},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+			service.Tell("s-1", "127.0.0.1:9", "a", "active")
+			listener := newFaultyListener(t, service, test.callTime)
+			engines := startBalancers(t, listener.Address(), test.config)
+			waitForList(t, engines, 1)
+			setOutage(t, listener, test.outage)
+			service.Tell("s-2", "127.0.0.1:9", "a", "active")
+			time.Sleep(downtime)
+			dials, calls := listener.Dials.Load(), listener.Calls.Load()
+			setOutage(t, listener, emulator.Open)
+			last := waitForList(t, engines, 2)
+			t.Logf("last observed after %v; %d connections and %d calls during the outage", last, dials, calls)
+			if last > test.within {
+				t.Errorf("the last balancer observes the change %v after the return, want %v", last, test.within)
+			}
+		})
+	}
+}
+
+// The address changes during an outage. Changes count from when the service at the new address can be reached.
+func TestSetAddressDuringOutage(t *testing.T) {
+	t.Parallel()
+	service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+	service.Tell("s-1", "127.0.0.1:9", "a", "active")
+	oldListener, newListener := newFaultyListener(t, service, 0), newFaultyListener(t, service, 0)
+	engines := startBalancers(t, oldListener.Address(), watchingConfig(fleetSize))
+	waitForList(t, engines, 1)
+	setOutage(t, oldListener, emulator.Refuses)
+	setOutage(t, newListener, emulator.Refuses)
+	time.Sleep(4 * time.Second)
+	for _, engine := range engines {
+		engine.SetDiscoveryAddress(newListener.Address())
+	}
+	time.Sleep(4 * time.Second)
+	for i := range 4 {
+		service.Tell(fmt.Sprint("t-", i), "127.0.0.1:9", "a", "active")
+	}
+	setOutage(t, newListener, emulator.Open)
+	if last := waitForList(t, engines, 5); last > observedWithin {
+		t.Errorf("the last balancer observes the changes %v after the return, want %v", last, observedWithin)
+	}
+	if calls := oldListener.Calls.Load(); calls > 3*balancers {
+		t.Errorf("the previous address got %d calls", calls)
+	}
+}
