--- a/internal/discovery/httpsource/decode_test.go
+++ b/internal/discovery/httpsource/decode_test.go
@@ -51,9 +51,12 @@
 
 func TestDecode(t *testing.T) {
 	listing, err := DecodeListing([]byte(testList))
-	if err != nil || listing.Generation != 41 || !listing.Reset || len(listing.Endpoints) != 1 {
+	if err != nil || len(listing.Endpoints) != 1 {
 		t.Fatalf("%+v, %v", listing, err)
 	}
+	if listing.Generation != 41 || !listing.Reset {
+		t.Errorf("generation %d, reset %v", listing.Generation, listing.Reset)
+	}
 	decoded := listing.Endpoints[0]
 	if decoded.Name != "s-5be2a07c" || decoded.ID != core.ServerID(decoded.Name) || decoded.Zone != "a" ||
 		decoded.Cell != 3 || decoded.State != decide.Ready || !decoded.Started.Equal(time.UnixMilli(1700000000000)) {
--- a/internal/discovery/httpsource/source_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -206,6 +206,32 @@
 	recorder.expect(t, decide.ListSnapshot, 1)
 }
 
+// Dial reports whether the service accepts a connection, without a call.
+func TestDial(t *testing.T) {
+	source, _ := startSource(t, func(http.ResponseWriter, *http.Request) { t.Error("the service is called") })
+	dial := func() bool {
+		t.Helper()
+		result := make(chan bool, 1)
+		source.Dial(t.Context(), func(reachable bool) { result <- reachable })
+		select {
+		case reachable := <-result:
+			return reachable
+		case <-time.After(waitTimeout):
+			t.Fatal("timed out waiting for the dial")
+			return false
+		}
+	}
+	if !dial() {
+		t.Error("a service that is up is not reachable")
+	}
+	down := httptest.NewServer(http.NotFoundHandler())
+	down.Close()
+	source.SetAddress(strings.TrimPrefix(down.URL, "http://"))
+	if dial() {
+		t.Error("a service that is down is reachable")
+	}
+}
+
 // Errors, invalid answers and calls that hang are reported as failed calls.
 func TestFailedCalls(t *testing.T) {
 	for _, test := range []struct {
