--- a/internal/controlplane/connection_test.go
+++ b/internal/controlplane/connection_test.go
@@ -55,6 +55,23 @@
 	return serverAt(listener, "a"), answered
 }
 
+// expectOnlyState fails the test unless a follower has applied exactly one state, with the given version.
+func expectOnlyState(t *testing.T, follower testFollower, want replica.Version) {
+	t.Helper()
+	// The broadcaster has a version a moment before the follower calls onState.
+	select {
+	case applied := <-follower.states:
+		if applied.Version != want {
+			t.Errorf("version %s was applied, want %s", applied.Version, want)
+		}
+	case <-time.After(testTimeout):
+		t.Error("no state was applied")
+	}
+	if len(follower.states) > 0 {
+		t.Errorf("%d more states were applied", len(follower.states))
+	}
+}
+
 // A follower rejects invalid frames, although they contain a newer version, and goes on to a valid server.
 func TestInvalidFramesAreRejected(t *testing.T) {
 	t.Parallel()
@@ -94,18 +111,7 @@
 			if err := <-answered; err != nil {
 				t.Error(err)
 			}
-			// The broadcaster has a version a moment before the follower calls onState.
-			select {
-			case applied := <-follower.states:
-				if applied.Version != want.Version {
-					t.Errorf("version %s was applied, want %s", applied.Version, want.Version)
-				}
-			case <-time.After(testTimeout):
-				t.Error("no state was applied")
-			}
-			if len(follower.states) > 0 {
-				t.Errorf("%d more states were applied", len(follower.states))
-			}
+			expectOnlyState(t, follower, want.Version)
 		})
 	}
 }
--- a/internal/discovery/httpsource/decode_test.go
+++ b/internal/discovery/httpsource/decode_test.go
@@ -83,39 +83,42 @@
 	}
 }
 
+// jsonLists are lists that are valid, invalid in form, or invalid in content.
+var jsonLists = []string{
+	testList,
+	`{"generation":0,"instances":null}`,
+	`{"GENERATION":3,"Reset":true,"inSTances":[]}`,
+	`null`,
+	``,
+	` `,
+	`{"generation":1}`,
+	`{"generation":null}`,
+	`{"generation":1,"generation":2}`,
+	`{"generation":1.5}`,
+	`{"generation":1,"reset":1}`,
+	`{"generation":1,"reset":null,"x":{"y":[{}]}}`,
+	`{"generation":1,}`,
+	`{"generation":1} {}`,
+	`{"generation":1}x`,
+	`[]`,
+	`3`,
+	`{"generation":1 "reset":true}`,
+	`{"generation":1,"instances":[,]}`,
+	`{"generation":1,"instances":{}}`,
+	`{"generation":1,"instances":3}`,
+	`{"generation":1,"instances":[}`,
+	`{"generation":1,"instances":[null]}`,
+	`{"generation":1,"instances":[[]]}`,
+	`{3:1}`,
+	`{"generation":1,"instances":[` + testEntry + `,]}`,
+	`{"generation":1,"instances":[` + testEntry + testEntry + `]}`,
+	`{"generation":1,"instances":[` + testEntry + `}`,
+	`{"generation":1,"instances":[` + testEntry + `]`,
+}
+
 // A list is accepted if encoding/json accepts the whole of it, except for one whose entries are there twice.
 func TestDecodeAgreesWithEncodingJSON(t *testing.T) {
-	for _, raw := range []string{
-		testList,
-		`{"generation":0,"instances":null}`,
-		`{"GENERATION":3,"Reset":true,"inSTances":[]}`,
-		`null`,
-		``,
-		` `,
-		`{"generation":1}`,
-		`{"generation":null}`,
-		`{"generation":1,"generation":2}`,
-		`{"generation":1.5}`,
-		`{"generation":1,"reset":1}`,
-		`{"generation":1,"reset":null,"x":{"y":[{}]}}`,
-		`{"generation":1,}`,
-		`{"generation":1} {}`,
-		`{"generation":1}x`,
-		`[]`,
-		`3`,
-		`{"generation":1 "reset":true}`,
-		`{"generation":1,"instances":[,]}`,
-		`{"generation":1,"instances":{}}`,
-		`{"generation":1,"instances":3}`,
-		`{"generation":1,"instances":[}`,
-		`{"generation":1,"instances":[null]}`,
-		`{"generation":1,"instances":[[]]}`,
-		`{3:1}`,
-		`{"generation":1,"instances":[` + testEntry + `,]}`,
-		`{"generation":1,"instances":[` + testEntry + testEntry + `]}`,
-		`{"generation":1,"instances":[` + testEntry + `}`,
-		`{"generation":1,"instances":[` + testEntry + `]`,
-	} {
+	for _, raw := range jsonLists {
 		t.Run(raw, func(t *testing.T) {
 			var want struct {
 				Generation *int64
