--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -1,14 +1,10 @@
+// Package httpsource requests the endpoint list from the discovery service over HTTP/1.1 and watches it for
+// changes.
 package httpsource
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"strconv"
 	"sync"
 
 	"cottonplank/decide"
@@ -17,315 +13,206 @@
 	"github.com/sirupsen/logrus"
 )
 
-const (
-	listPath  = "/registry/instances"
-	orderSize = 8
-)
+// requestQueueSize is the number of the core's requests, and of changes of the address, that wait for Run.
+const requestQueueSize = 8
 
-// Source is the list's actor.
+// Source provides the discovery service's endpoint list to the core.
 type Source struct {
-	client *http.Client
-	sink   core.UpdateHandler
-	log    *logrus.Logger
-	orders chan call
-	moves  chan string
-	news   chan news
-	calls  sync.WaitGroup
-	turns  core.Watchdog // nil: nobody hears
+	client         *http.Client
+	handler        core.UpdateHandler
+	log            *logrus.Logger
+	watchdog       core.Watchdog // nil: none
+	requests       chan call
+	addressChanges chan string
+	events         chan callEvent // from the goroutines of calls
+	calls          sync.WaitGroup
 
-	// Owned by Run's goroutine.
-	address    string
-	url        string
-	era        int   // counts the addresses of discovery; versions of one mean nothing at another
-	generation int64 // the list's version,
-	by         int   // and the call that brought it
-	listed     bool  // the generation is one of this address's
-	lastCall   int
-	watching   int    // the call whose watch is listened to
-	endWatch   func() // ends it
-}
+	// The fields below are owned by Run's goroutine.
 
-// call is one call to discovery.
-type call struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	watch  bool
-	id     uint64 // the core's number of a watch
-	number int
-	url    string
-	era    int
-	from   int64
-	whole  bool             // a watch that asks for the whole list first
-	dialed func(there bool) // of a dial that no call follows, else nil
-}
+	address string
 
-// news is what a call brought: a list, a sign of life, or its end.
-type news struct {
-	call    call
-	listing *Listing
-	err     error
-}
+	// addressEpoch counts the changes of the address. Generations of different addresses cannot be compared.
+	addressEpoch int
 
-// New returns a resolver for discovery at an address, with a list of the given version.
-func New(address string, generation int64, sink core.UpdateHandler, log *logrus.Logger) *Source {
-	return &Source{
-		address: address, url: listURL(address), sink: sink, log: log, generation: generation, listed: true,
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
-		orders: make(chan call, orderSize), moves: make(chan string, orderSize), news: make(chan news),
-		endWatch: func() {},
-	}
-}
+	// generation is the list's version, and generationCall the number of the call that delivered it.
+	generation     int64
+	generationCall int
 
-func listURL(address string) string { return "http://" + address + listPath }
+	// hasSnapshot says that generation is one of the current address.
+	hasSnapshot bool
 
-// SetAddress turns to discovery at another address, for the calls that are ordered after it. The list as it is, and the
-// watch that brings its changes, stand until the first of them is answered.
-func (r *Source) SetAddress(address string) {
+	lastCallNumber int
+
+	// activeWatch is the number of the call whose watch is in use, and cancelActiveWatch ends that call.
+	activeWatch       int
+	cancelActiveWatch func()
+}
+
+// New returns a source of the discovery service at an address, for a core that has the list of the given
+// generation.
+func New(address string, generation int64, handler core.UpdateHandler, log *logrus.Logger) *Source {
+	return &Source{
+		client:            &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
+		handler:           handler,
+		log:               log,
+		requests:          make(chan call, requestQueueSize),
+		addressChanges:    make(chan string, requestQueueSize),
+		events:            make(chan callEvent),
+		address:           address,
+		generation:        generation,
+		hasSnapshot:       true,
+		cancelActiveWatch: func() {},
+	}
+}
+
+// SetAddress sets the discovery service's address for all later requests. The current list, and the watch of
+// the previous address, stay in use until the first of those requests is answered.
+func (s *Source) SetAddress(address string) {
 	select {
-	case r.moves <- address:
+	case s.addressChanges <- address:
 	default:
-		r.log.WithField("discovery", address).Warn("discovery: too many moves wait, one is left out")
+		s.log.WithField("discovery", address).Warn("discovery: address queue is full, dropping a change")
 	}
 }
 
-// Watch asks for what has changed and for all changes from then on.
-func (r *Source) Watch(ctx context.Context, watch uint64) {
-	r.order(call{ctx: ctx, watch: true, id: watch})
+// Watch requests all changes since the current generation, and those to come.
+func (s *Source) Watch(ctx context.Context, watch uint64) {
+	s.enqueue(call{ctx: ctx, watch: true, watchID: watch})
 }
 
-// Fetch asks for the whole list once.
-func (r *Source) Fetch(ctx context.Context) { r.order(call{ctx: ctx}) }
+// Fetch requests a snapshot of the list once.
+func (s *Source) Fetch(ctx context.Context) { s.enqueue(call{ctx: ctx}) }
 
-// Dial finds out whether discovery takes a connection, without a call.
-func (r *Source) Dial(ctx context.Context, done func(there bool)) {
-	r.order(call{ctx: ctx, dialed: done})
+// Dial calls done with whether the discovery service accepts a connection. It makes no HTTP call.
+func (s *Source) Dial(ctx context.Context, done func(reachable bool)) {
+	s.enqueue(call{ctx: ctx, onDialed: done})
 }
 
-func (r *Source) order(c call) {
+// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
+// block, and the core repeats requests that have no answer.
+func (s *Source) enqueue(c call) {
 	select {
-	case r.orders <- c:
-	default: // guards the module's actor: it never waits, and asks again when nothing comes
-		r.log.Warn("discovery: too many calls wait, one is left out")
+	case s.requests <- c:
+	default:
+		s.log.Warn("discovery: request queue is full, dropping a request")
 	}
 }
 
-// SetWatchdog lets a watchdog hear of the actor's turns; it is called before Run.
-func (r *Source) SetWatchdog(turns core.Watchdog) { r.turns = turns }
+// SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
+func (s *Source) SetWatchdog(watchdog core.Watchdog) { s.watchdog = watchdog }
 
-// Run is the actor; it ends with ctx and with all its calls.
-func (r *Source) Run(ctx context.Context) {
-	defer r.calls.Wait()
+// Run serves requests until ctx ends, and returns when all calls have ended.
+func (s *Source) Run(ctx context.Context) {
+	defer s.calls.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-r.orders:
-			core.RunMonitored(r.turns, func() { r.begin(ctx, c) })
-		case n := <-r.news:
-			core.RunMonitored(r.turns, func() { r.hear(n) })
+		case c := <-s.requests:
+			core.RunMonitored(s.watchdog, func() { s.startCall(ctx, c) })
+		case event := <-s.events:
+			core.RunMonitored(s.watchdog, func() { s.handleEvent(event) })
 		}
 	}
 }
 
-// begin makes a call.
-func (r *Source) begin(ctx context.Context, c call) {
-	r.takeMoves() // those ordered before this call come before it
-	if c.dialed != nil {
-		address := r.address
-		r.calls.Go(func() { c.dialed(r.there(c.ctx, address)) })
+// startCall starts a call or a dial in a goroutine of its own.
+func (s *Source) startCall(ctx context.Context, c call) {
+	s.applyAddressChanges() // those that were requested before this call
+	address := s.address
+	if c.onDialed != nil {
+		s.calls.Go(func() { c.onDialed(canConnect(c.ctx, address)) })
 		return
 	}
-	r.lastCall++
-	c.number, c.url, c.era, c.from = r.lastCall, r.url, r.era, r.generation
-	c.whole = c.watch && !r.listed
+	s.lastCallNumber++
+	c.number = s.lastCallNumber
+	c.url = listURL(address)
+	c.addressEpoch = s.addressEpoch
+	c.fromGeneration = s.generation
+	c.snapshotFirst = c.watch && !s.hasSnapshot
 	c.ctx, c.cancel = context.WithCancel(c.ctx)
-	r.calls.Go(func() { r.call(ctx, c) })
+	s.calls.Go(func() { s.run(ctx, c) })
 }
 
-func (r *Source) takeMoves() {
+// applyAddressChanges applies all changes of the address that wait.
+func (s *Source) applyAddressChanges() {
 	for {
 		select {
-		case address := <-r.moves:
-			r.address, r.url, r.listed = address, listURL(address), false
-			r.era++
+		case address := <-s.addressChanges:
+			s.address = address
+			s.addressEpoch++
+			s.hasSnapshot = false
 		default:
 			return
 		}
 	}
 }
 
-// there dials and lets go at once: discovery has no work with it.
-func (r *Source) there(ctx context.Context, address string) bool {
-	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
-	if err != nil {
-		return false
-	}
-	conn.Close()
-	return true
-}
-
-// hear takes a list, a sign of life or the end of a call. A watch goes on until the first answer of a newer one,
-// which ends it; what it still says then is old.
-func (r *Source) hear(n news) {
-	if n.call.watch && n.call.number < r.watching {
+// handleEvent handles a listing, a heartbeat or the end of a call. The first answer of a newer watch ends the
+// active one, whose later events are ignored.
+func (s *Source) handleEvent(event callEvent) {
+	c := event.call
+	if c.watch && c.number < s.activeWatch {
 		return
 	}
-	if n.call.era != r.era && (n.err != nil || n.call.number != r.watching) {
-		// Guards the list against an address that was left: only the watch that stands there still counts, and
-		// that it ends says nothing of discovery at the new address.
-		n.call.cancel()
+	if c.addressEpoch != s.addressEpoch && (event.err != nil || c.number != s.activeWatch) {
+		// The address has changed. Only the active watch of the previous address still counts, and its end
+		// says nothing about the service at the new address.
+		c.cancel()
 		return
 	}
-	if n.err != nil {
-		r.log.WithError(n.err).Warn("discovery: call failed")
-		r.sink.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListFailed, WatchID: n.call.id})
+	if event.err != nil {
+		s.log.WithError(event.err).Warn("discovery: call failed")
+		s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListFailed, WatchID: c.watchID})
 		return
 	}
-	if n.call.watch {
-		if n.call.number > r.watching {
-			r.endWatch()
-			r.watching, r.endWatch = n.call.number, n.call.cancel
+	if c.watch {
+		if c.number > s.activeWatch {
+			s.cancelActiveWatch()
+			s.activeWatch = c.number
+			s.cancelActiveWatch = c.cancel
 		}
-		r.sink.WatchAlive(n.call.id)
+		s.handler.WatchAlive(c.watchID)
 	}
-	l := n.listing
-	if l == nil {
-		return
+	if event.listing != nil {
+		s.handleListing(c, *event.listing)
 	}
-	result := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: l.Endpoints}
-	if l.Reset {
-		result.Kind = decide.ListSnapshot
-	}
-	switch {
-	case n.call.era != r.era: // the old address's watch: its changes count, its versions do not
-	case r.listed && l.Generation < r.generation && (!n.call.watch || n.call.number != r.by && (!l.Reset || l.Generation >= n.call.from)):
-		// Guards against what another call has overtaken, a whole list or the changes after the version with which a
-		// watch was opened: it would bring back what drains. A whole list before that version, or one of the watch that
-		// brought the version in force, is of a discovery that has begun anew.
-		result = core.EndpointUpdate{Kind: decide.ListDelta}
-	default:
-		r.generation, r.by, r.listed = l.Generation, n.call.number, r.listed || l.Reset
-	}
-	r.sink.EndpointsUpdated(result)
 }
 
-// call makes one call and brings what it says to the actor.
-func (r *Source) call(ctx context.Context, c call) {
-	defer c.cancel()
-	from := c.from
-	heard := func(l *Listing) {
-		if l != nil {
-			from = l.Generation
-		}
-		r.tell(ctx, news{call: c, listing: l})
-	}
-	var err error
-	if !c.watch || c.whole {
-		err = r.read(c, c.url, 1, heard)
-	}
-	if err == nil && c.watch {
-		if err = r.read(c, c.url+"?watch=1&from="+strconv.FormatInt(from, 10), 0, heard); err == nil {
-			err = errors.New("watch ended")
-		}
-	}
-	if err != nil {
-		r.tell(ctx, news{call: c, err: err})
+// handleListing passes a listing on to the handler, without its endpoints if it is overtaken.
+func (s *Source) handleListing(c call, listing Listing) {
+	update := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: listing.Endpoints}
+	if listing.Reset {
+		update.Kind = decide.ListSnapshot
 	}
-}
-
-func (r *Source) tell(ctx context.Context, n news) {
-	select {
-	case r.news <- n:
-	case <-ctx.Done():
+	switch {
+	case c.addressEpoch != s.addressEpoch:
+		// The active watch of the previous address: its changes count, but not its generations.
+	case s.overtaken(c, listing):
+		update = core.EndpointUpdate{Kind: decide.ListDelta}
+	default:
+		s.generation = listing.Generation
+		s.generationCall = c.number
+		s.hasSnapshot = s.hasSnapshot || listing.Reset
 	}
+	s.handler.EndpointsUpdated(update)
 }
 
-// read makes one HTTP call and hands on so many lists of its answer, 0: all, and nil for each empty line.
-func (r *Source) read(c call, url string, most int, heard func(*Listing)) error {
-	req, err := http.NewRequestWithContext(c.ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return fmt.Errorf("list request: %w", err)
-	}
-	resp, err := r.client.Do(req)
-	if err != nil {
-		return fmt.Errorf("list call: %w", err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("list call: status %d", resp.StatusCode)
-	}
-	// Lists are values in a stream, however they are broken into lines. Guards against garbage, half a value and one
-	// that never ends: the old list stands and the call ends, for a later value would take the version past the change
-	// that could not be read. The module asks again.
-	in := &stream{from: resp.Body, blank: true, empty: func() { heard(nil) }}
-	values := json.NewDecoder(in)
-	for n := 1; ; n++ {
-		l, err := decodeNext(values, func() { in.passed(values.InputOffset()) })
-		if errors.Is(err, io.EOF) {
-			return nil
-		} else if err != nil {
-			return fmt.Errorf("list answer: %w", err)
-		}
-		heard(&l)
-		if n == most {
-			return nil
-		}
-		in.next(values.Buffered())
+// overtaken reports whether another call has delivered a newer list than a listing. Such a listing must not
+// be applied: it would, for example, make a draining endpoint ready again.
+//
+// A lower generation alone does not show that, because the discovery service may have restarted, and then
+// counts from the beginning. It has restarted if the watch that delivered the current generation now delivers
+// a lower one, or if a watch gets a snapshot that is older than the generation that it asked for.
+func (s *Source) overtaken(c call, listing Listing) bool {
+	if !s.hasSnapshot || listing.Generation >= s.generation {
+		return false
 	}
-}
-
-// stream is what a call reads its values from. It hears of the empty lines between two values, and bounds each value and
-// its parts.
-type stream struct {
-	from   io.Reader
-	empty  func()
-	handed int64 // bytes that the reader of the values has been given,
-	value  int64 // those of the value that comes,
-	part   int64 // and of them those that are not done with
-	begun  bool  // of a value something has come
-	blank  bool  // so has the end of a line, and nothing on the next
-}
-
-// Read keeps the blanks before a value to itself: its reader would keep them all.
-func (s *stream) Read(p []byte) (int, error) {
-	for {
-		room := min(maxEntry-s.part, maxList-s.value)
-		if room <= 0 {
-			return 0, fmt.Errorf("a value is longer than %d bytes, or a part of it than %d", maxList, maxEntry)
-		}
-		n, err := s.from.Read(p[:min(int64(len(p)), room)])
-		s.see(p[:n])
-		if s.begun || err != nil {
-			s.handed += int64(n)
-			return n, err
-		}
+	if !c.watch {
+		return true
 	}
-}
-
-func (s *stream) see(raw []byte) {
-	s.value += int64(len(raw))
-	s.part += int64(len(raw))
-	for _, c := range raw {
-		switch {
-		case s.begun:
-			return
-		case c == '\n' && s.blank:
-			s.empty()
-			s.value, s.part = 0, 0
-		case c == '\n':
-			s.blank = true
-		case c != ' ' && c != '\t' && c != '\r':
-			s.begun = true
-		}
+	if c.number == s.generationCall {
+		return false
 	}
-}
-
-// passed tells that what was handed on is done with up to an offset.
-func (s *stream) passed(offset int64) { s.part = s.handed - offset }
-
-// next begins a value; of what follows the last one something may have been read already. It ends in its own line.
-func (s *stream) next(read io.Reader) {
-	s.value, s.part, s.begun, s.blank = 0, 0, false, false
-	raw, _ := io.ReadAll(read) // of the memory
-	s.see(raw)
+	return !listing.Reset || listing.Generation >= c.fromGeneration
 }
