--- /dev/null
+++ b/cmd/cottonplank/configuration.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"cottonplank/internal/config"
+	"cottonplank/internal/discovery/filesource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/session/token"
+
+	"github.com/sirupsen/logrus"
+)
+
+// loadConfig reads the configuration and the fronts file.
+func loadConfig(frontsFile string) (*config.Config, config.Fronts, error) {
+	cfg, err := config.Load()
+	if err != nil {
+		return nil, config.Fronts{}, err
+	}
+	fronts, err := config.LoadFronts(frontsFile, cfg.Settings.Classes)
+	if err == nil {
+		err = cfg.ReserveFlows(fronts)
+	}
+	return cfg, fronts, err
+}
+
+// loadConfig reads all files that the balancer starts with and applies the limit on processor cores.
+func (d *daemon) loadConfig() error {
+	var err error
+	if d.cfg, d.fronts, err = loadConfig(d.frontsFile); err != nil {
+		return err
+	}
+	if d.sessionKeys, err = loadSessionKeys(d.fronts.Sessions); err != nil {
+		return err
+	}
+	if d.fronts.EndpointFile != "" {
+		if d.initialEndpoints, err = filesource.Read(d.fronts.EndpointFile); err != nil {
+			return frontsError(err)
+		}
+		d.cfg.KnownEndpoints = filesource.Endpoints(d.initialEndpoints)
+	}
+	d.cfg.ApplyCores()
+	d.log = logrus.New()
+	d.log.SetOutput(os.Stderr)
+	if d.configReplica, err = newConfigReplica(d.cfg, d.fronts.ControlPlane, d.log); err != nil {
+		return frontsError(config.InSection("control", err))
+	}
+	return nil
+}
+
+// loadSessionKeys returns nil if sessions are not resumed.
+func loadSessionKeys(sessions config.Sessions) (*token.Ring, error) {
+	ring, err := sessions.LoadRing()
+	if err != nil {
+		return nil, frontsError(config.InSection("resume", err))
+	}
+	return ring, nil
+}
+
+// frontsError says that the fronts file is the source of err.
+func frontsError(err error) error { return fmt.Errorf("fronts: %w", err) }
+
+// classNames returns the names of the request classes, by class index.
+func classNames(cfg *config.Config) []string {
+	var names []string
+	for _, class := range cfg.Settings.Classes {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
+// protocolNames returns the classes and tenants that a client's request may name.
+func protocolNames(cfg *config.Config) platform.Names {
+	names := platform.Names{Classes: map[string]int{}, Tenants: map[string]bool{}}
+	for i, class := range cfg.Settings.Classes {
+		names.Classes[class.Name] = i
+	}
+	for _, tenant := range cfg.Tenants {
+		names.Tenants[tenant] = true
+	}
+	return names
+}
--- a/cmd/cottonplank/control_test.go
+++ b/cmd/cottonplank/controlplane_test.go
@@ -14,17 +14,17 @@
 	"cottonplank/internal/config"
 )
 
-// argumentsVariable has the test's program run as a command with these arguments.
-const argumentsVariable = "COTTONPLANK_TEST_ARGUMENTS"
+// argumentsEnvironment has the test's program run as a command with these arguments.
+const argumentsEnvironment = "COTTONPLANK_TEST_ARGUMENTS"
 
-// told is how long a change of the operator's file may take to all balancers.
-const told = 6 * time.Second
+// maxPropagationDelay is how long a change of the operator's file may take to all balancers.
+const maxPropagationDelay = 6 * time.Second
 
 // startCommand starts the test's program with arguments; its log may be read once it has ended.
 func startCommand(t *testing.T, environment []string, arguments ...string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	c, logged := exec.Command(os.Args[0]), &bytes.Buffer{}
-	c.Env = append(append(os.Environ(), argumentsVariable+"="+strings.Join(arguments, " ")), environment...)
+	c.Env = append(append(os.Environ(), argumentsEnvironment+"="+strings.Join(arguments, " ")), environment...)
 	c.Stderr = logged
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	return c, logged
 }
 
-func roomsText(n int) string {
+func endpointsJSON(n int) string {
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprintf(`{"name":"s-%d","address":"127.0.0.1:%d","zone":"a"}`, i, 20+i))
@@ -44,7 +44,7 @@
 // A control machine that writes, one that follows it, and two balancers: a change of the file is in force at both within 6 s;
 // the machine that they follow is killed, and the next change finds them at the other one. A balancer that starts again while no
 // machine is there has its last version.
-func TestControl(t *testing.T) {
+func TestControlPlaneFailover(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
@@ -52,10 +52,10 @@
 	if run([]string{"keys", "new", "--file", in("keys.json")}, &out, &out) != 0 {
 		t.Fatal(out.String())
 	}
-	writes, follows := ownAddress(t), ownAddress(t)
-	replace(t, in("document.json"), roomsText(3))
-	replace(t, in("writes.json"), fmt.Sprintf(`{"listen":%q,"region":"a","site":"x","keys":"keys.json","state":"writes.db","term":1,"file":"document.json"}`, writes))
-	replace(t, in("follows.json"), fmt.Sprintf(`{"listen":%q,"region":"b","site":"x","keys":"keys.json","state":"follows.db","machines":[{"address":%q,"region":"a"}]}`,
+	writes, follows := reservedAddress(t), reservedAddress(t)
+	replaceFile(t, in("document.json"), endpointsJSON(3))
+	replaceFile(t, in("writes.json"), fmt.Sprintf(`{"listen":%q,"region":"a","site":"x","keys":"keys.json","state":"writes.db","term":1,"file":"document.json"}`, writes))
+	replaceFile(t, in("follows.json"), fmt.Sprintf(`{"listen":%q,"region":"b","site":"x","keys":"keys.json","state":"follows.db","machines":[{"address":%q,"region":"a"}]}`,
 		follows, writes))
 	for _, name := range []string{"writes.json", "follows.json"} {
 		out.Reset()
@@ -67,13 +67,13 @@
 	second, _ := startCommand(t, nil, "control", "--file", in("follows.json"))
 	serve := func(i int) *process {
 		fronts := in(fmt.Sprint("fronts", i, ".json"))
-		replace(t, fronts, fmt.Sprintf(`{"control":{"region":"b","site":"x","keys":"keys.json","state":"balancer%d.db","machines":[
+		replaceFile(t, fronts, fmt.Sprintf(`{"control":{"region":"b","site":"x","keys":"keys.json","state":"balancer%d.db","machines":[
 {"address":%q,"region":"a"},{"address":%q,"region":"b"}]}}`, i, writes, follows))
 		path := in(fmt.Sprint("config", i, ".json"))
-		replace(t, path, fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:9","seed":"%d","settings":{"zone":"a",
-"membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, i, ownAddress(t), i+1))
-		p := &process{t: t, management: ownAddress(t)}
-		p.command, p.logged = startCommand(t, []string{"PROXY_CONFIG=" + path, "PROXY_MANAGEMENT=" + p.management, "TMPDIR=" + t.TempDir()},
+		replaceFile(t, path, fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:9","seed":"%d","settings":{"zone":"a",
+"membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, i, reservedAddress(t), i+1))
+		p := &process{t: t, management: reservedAddress(t)}
+		p.command, p.logs = startCommand(t, []string{"PROXY_CONFIG=" + path, "PROXY_MANAGEMENT=" + p.management, "TMPDIR=" + t.TempDir()},
 			"serve", "--fronts", fronts)
 		return p
 	}
@@ -82,43 +82,43 @@
 		t.Helper()
 		start := time.Now()
 		for _, p := range balancers {
-			p.hears(rooms)
+			p.waitListed(rooms)
 		}
 		took := time.Since(start)
 		t.Logf("%d room servers are listed at both after %v", rooms, took)
-		if took > told {
+		if took > maxPropagationDelay {
 			t.Errorf("%d room servers are listed at both after %v", rooms, took)
 		}
 	}
 	for _, p := range balancers {
-		p.hears(3)
+		p.waitListed(3)
 	}
-	replace(t, in("document.json"), roomsText(4))
+	replaceFile(t, in("document.json"), endpointsJSON(4))
 	all(4)
 	second.Process.Signal(syscall.SIGKILL)
-	replace(t, in("document.json"), roomsText(5))
+	replaceFile(t, in("document.json"), endpointsJSON(5))
 	all(5)
 	first.Process.Signal(syscall.SIGKILL)
 	time.Sleep(1200 * time.Millisecond) // a state is saved a second after the one before
 	balancers[0].command.Process.Signal(syscall.SIGTERM)
-	balancers[0].ended()
-	if text := balancers[0].logged.String(); !strings.Contains(text, "version=1.3") || !strings.Contains(text, writes) {
+	balancers[0].waitExit()
+	if text := balancers[0].logs.String(); !strings.Contains(text, "version=1.3") || !strings.Contains(text, writes) {
 		t.Errorf("log:\n%s", text)
 	}
-	serve(0).hears(5)
+	serve(0).waitListed(5)
 }
 
-// Without the section there is nothing that would follow.
-func TestControlIsOff(t *testing.T) {
-	if f, err := follows(nil, config.Control{}, nil); f != nil || err != nil {
+// No servers are configured.
+func TestNoReplicaWithoutControlPlane(t *testing.T) {
+	if f, err := newConfigReplica(nil, config.ControlPlane{}, nil); f != nil || err != nil {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
 // The examples are sound, but for the keys, which nobody ships.
-func TestCheckOfControl(t *testing.T) {
+func TestCheckControlPlane(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	replace(t, path, `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c","settings":{"zone":"a",
+	replaceFile(t, path, `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c","settings":{"zone":"a",
 "membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1.2,"repeat":"idempotent"}]}}`)
 	t.Setenv("PROXY_CONFIG", path)
 	dir := t.TempDir()
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		replace(t, filepath.Join(dir, name), string(raw))
+		replaceFile(t, filepath.Join(dir, name), string(raw))
 	}
 	var out bytes.Buffer
 	check := func(arguments ...string) (int, string) {
--- a/cmd/cottonplank/ready_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -25,12 +25,12 @@
 const (
 	manyProcesses = 30
 	manyServers   = 20000
-	readyWithin   = 10 * time.Second
-	readyMost     = 30 * time.Second // one that takes longer has failed to start
+	maxReadyTime  = 10 * time.Second
+	maxStartTime  = 30 * time.Second // one that takes longer has failed to start
 )
 
-// longList is a list of so many room servers.
-func longList() []byte {
+// listOfManyServers is a list of so many room servers.
+func listOfManyServers() []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"generation":1,"reset":true,"instances":[`)
 	for i := range manyServers {
@@ -44,8 +44,8 @@
 	return b.Bytes()
 }
 
-// fleet is processes that are started all at once.
-type fleet struct {
+// processFleet is processes that are started all at once.
+type processFleet struct {
 	t       *testing.T
 	program string
 	config  string
@@ -54,20 +54,20 @@
 	dir     string
 }
 
-func newFleet(t *testing.T, program string, known []byte) *fleet {
+func newFleet(t *testing.T, program string, known []byte) *processFleet {
 	t.Helper()
-	f := &fleet{t: t, program: program, dir: t.TempDir()}
+	f := &processFleet{t: t, program: program, dir: t.TempDir()}
 	f.config = filepath.Join(f.dir, "config.json")
-	replace(t, f.config, fmt.Sprintf(`{"name":"n3","seed":"8c","known":%s,"settings":{"zone":"a","balancers":%d,"membership_mode":"subscribe",
+	replaceFile(t, f.config, fmt.Sprintf(`{"name":"n3","seed":"8c","known":%s,"settings":{"zone":"a","balancers":%d,"membership_mode":"subscribe",
 "rules":{"must_ask_in_s":1},"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, known, manyProcesses))
 	for i := range manyProcesses {
-		f.listen[i], f.manage[i] = freeAt(t, i), freeAt(t, i)
+		f.listen[i], f.manage[i] = freeAddressOfProcess(t, i), freeAddressOfProcess(t, i)
 	}
 	return f
 }
 
-// freeAt is an address of a process's own IP address: nobody dials from there, so that its port stays free.
-func freeAt(t *testing.T, i int) string {
+// freeAddressOfProcess is an address of a process's own IP address: nobody dials from there, so that its port stays free.
+func freeAddressOfProcess(t *testing.T, i int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.9.0.%d:0", i+1))
 	if err != nil {
@@ -77,19 +77,19 @@
 	return l.Addr().String()
 }
 
-// processes are the fleet's, of one start.
-type processes struct {
-	*fleet
-	commands [manyProcesses]*exec.Cmd
-	logs     [manyProcesses]string
-	took     [manyProcesses]time.Duration
+// fleetRun are the fleet's, of one start.
+type fleetRun struct {
+	*processFleet
+	commands   [manyProcesses]*exec.Cmd
+	logs       [manyProcesses]string
+	readyAfter [manyProcesses]time.Duration
 }
 
 // start starts all at once and waits until they are ready, as the front layer sees it. Nine in ten have to be within the
 // term, the others as far as that is no failure.
-func (f *fleet) start(discovery string) *processes {
+func (f *processFleet) start(discovery string) *fleetRun {
 	f.t.Helper()
-	p := &processes{fleet: f}
+	p := &fleetRun{processFleet: f}
 	f.t.Cleanup(p.kill)
 	var all sync.WaitGroup
 	for i := range manyProcesses {
@@ -109,23 +109,23 @@
 		}
 		p.commands[i] = c
 		all.Go(func() {
-			for time.Since(start) < readyMost && !pongs(f.listen[i]) {
+			for time.Since(start) < maxStartTime && !answersPing(f.listen[i]) {
 				time.Sleep(20 * time.Millisecond)
 			}
-			p.took[i] = time.Since(start)
+			p.readyAfter[i] = time.Since(start)
 		})
 	}
 	all.Wait()
 	late, most := 0, time.Duration(0)
-	for i, took := range p.took {
+	for i, took := range p.readyAfter {
 		most = max(most, took)
-		if took > readyWithin {
+		if took > maxReadyTime {
 			late++
 			f.t.Logf("process %d is ready after %v, log:\n%.2000s", i, took, p.log(i))
 		}
 	}
-	if late*10 > manyProcesses || most > readyMost {
-		f.t.Errorf("%d of %d are ready after more than %v, the last after %v", late, manyProcesses, readyWithin, most)
+	if late*10 > manyProcesses || most > maxStartTime {
+		f.t.Errorf("%d of %d are ready after more than %v, the last after %v", late, manyProcesses, maxReadyTime, most)
 	}
 	rss, sum := 0, 0
 	for _, c := range p.commands {
@@ -136,7 +136,7 @@
 	return p
 }
 
-func (p *processes) log(i int) string {
+func (p *fleetRun) log(i int) string {
 	raw, err := os.ReadFile(p.logs[i])
 	if err != nil {
 		p.t.Error(err)
@@ -145,7 +145,7 @@
 }
 
 // kill ends them as a crash does.
-func (p *processes) kill() {
+func (p *fleetRun) kill() {
 	for i, c := range p.commands {
 		if c != nil {
 			c.Process.Kill()
@@ -155,8 +155,8 @@
 	}
 }
 
-// pongs tells whether a process answers the front layer's health check.
-func pongs(address string) bool {
+// answersPing tells whether a process answers the front layer's health check.
+func answersPing(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -168,20 +168,20 @@
 	return line == "PONG\r\n"
 }
 
-var peak = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
+var peakPattern = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
 
 func peakRSS(pid int) (kib int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if m := peak.FindSubmatch(raw); m != nil {
+	if m := peakPattern.FindSubmatch(raw); m != nil {
 		fmt.Sscan(string(m[1]), &kib)
 	}
 	return kib
 }
 
-// listed waits until a process has so many room servers in force.
-func (p *processes) listed(i, want int) bool {
+// waitListed waits until a process has so many room servers in force.
+func (p *fleetRun) waitListed(i, want int) bool {
 	watched := &process{t: p.t, management: p.manage[i]}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(maxReadyTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if strings.Contains(watched.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", want)) {
 			return true
 		}
@@ -190,13 +190,13 @@
 }
 
 // Thirty processes of one machine are killed and started anew at once, with a list of 20000 room servers.
-func TestRestartsAreReady(t *testing.T) {
+func TestCrashRestarts(t *testing.T) {
 	// As it is deployed, without the race detector: that one's memory and time are no process's.
 	program := filepath.Join(t.TempDir(), "cottonplank")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	long := longList()
+	long := listOfManyServers()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("from") != "1" {
 			w.Write(long)
@@ -216,9 +216,9 @@
 	t.Run("known, discovery down, torn state", func(t *testing.T) {
 		f := newFleet(t, program, long)
 		f.start(freeAddress(t)).kill()
-		f.tear()
+		f.corruptRestartSockets()
 		p := f.start(freeAddress(t))
-		if !p.listed(0, manyServers) {
+		if !p.waitListed(0, manyServers) {
 			t.Error("the list is not in force")
 		}
 		p.kill()
@@ -227,23 +227,23 @@
 				t.Errorf("process %d logs:\n%.2000s", i, p.log(i))
 			}
 		}
-		f.tornList()
+		f.checkInvalidList()
 	})
 	t.Run("from discovery", func(t *testing.T) {
 		f := newFleet(t, program, []byte(`{"generation":0,"reset":true,"instances":[]}`))
 		f.start(discovery).kill()
 		p := f.start(discovery)
 		for i := range manyProcesses {
-			if !p.listed(i, manyServers) {
+			if !p.waitListed(i, manyServers) {
 				t.Errorf("process %d: the list is not in force, log:\n%.2000s", i, p.log(i))
 			}
 		}
 	})
 }
 
-// tear spoils what processes find of those that were killed: a path that nobody listens at, as it is; one where nobody
+// corruptRestartSockets spoils what processes find of those that were killed: a path that nobody listens at, as it is; one where nobody
 // answers; one whose process ends within a line of what it has learned.
-func (f *fleet) tear() {
+func (f *processFleet) corruptRestartSockets() {
 	f.t.Helper()
 	for i, listen := range f.listen {
 		path := hotrestart.SocketPath(f.dir, listen)
@@ -260,15 +260,15 @@
 		}
 		f.t.Cleanup(func() { l.Close() })
 		if i%3 == 2 {
-			go tornPredecessor(l, listen)
+			go serveTruncatedState(l, listen)
 		}
 	}
 }
 
-// tornList: a torn list in the configuration is an error that names it, also where a process is started anew.
-func (f *fleet) tornList() {
+// checkInvalidList: a torn list in the configuration is an error that names it, also where a process is started anew.
+func (f *processFleet) checkInvalidList() {
 	f.t.Helper()
-	replace(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c","known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1"}]},
+	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c","known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1"}]},
 "settings":{"zone":"a","membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`)
 	c := exec.Command(f.program, "serve")
 	c.Env = append(os.Environ(), "PROXY_CONFIG="+f.config, "TMPDIR="+f.dir, "PROXY_DISCOVERY=127.0.0.1:1")
@@ -277,8 +277,8 @@
 	}
 }
 
-// tornPredecessor hands its socket over and ends within a line of what it has learned.
-func tornPredecessor(l *net.UnixListener, listen string) {
+// serveTruncatedState hands its socket over and ends within a line of what it has learned.
+func serveTruncatedState(l *net.UnixListener, listen string) {
 	conn, err := l.AcceptUnix()
 	if err != nil {
 		return
--- /dev/null
+++ b/cmd/cottonplank/daemon.go
@@ -0,0 +1,143 @@
+package main
+
+import (
+	"context"
+	"net"
+	"os"
+	"os/signal"
+	"sync"
+	"syscall"
+
+	"cottonplank/internal/cluster/gossip"
+	"cottonplank/internal/config"
+	"cottonplank/internal/core"
+	"cottonplank/internal/discovery/endpoint"
+	"cottonplank/internal/discovery/filesource"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/frontend/quic"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/operations/sdnotify"
+	"cottonplank/internal/operations/snmp"
+	"cottonplank/internal/session/token"
+
+	"github.com/sirupsen/logrus"
+)
+
+// daemon is the balancer process: its configuration and its subsystems. The fields are set before the subsystems run and
+// are not assigned afterwards.
+type daemon struct {
+	// Configuration.
+	cfg              *config.Config
+	fronts           config.Fronts
+	frontsFile       string         // path of the fronts file; empty if there is none
+	sessionKeys      *token.Ring    // nil if sessions are not resumed
+	initialEndpoints endpoint.List  // contents of the endpoint file at the start, if one replaces discovery
+	configReplica    *configReplica // nil if no control plane is configured
+	log              *logrus.Logger
+
+	// Hot restart.
+	restartPath string // of the Unix socket at which a replacement process asks for the sockets
+	sockets     *hotrestart.Sockets
+	previous    *hotrestart.PreviousProcess // nil if no process hands its sockets over
+
+	// Subsystems.
+	monitor            *sdnotify.Monitor
+	engine             *core.Engine
+	cluster            *gossip.Cluster // nil if the instance is not a member of a cluster
+	clientListener     *net.TCPListener
+	clientPauser       *hotrestart.Pauser
+	managementListener *net.TCPListener // nil if the management address is off
+	quicFrontend       *quic.Frontend   // nil if the QUIC frontend is off
+	quicPauser         *hotrestart.Pauser
+	snmpAgent          *snmp.Agent // nil if the SNMP agent is off
+	snmpPauser         *hotrestart.Pauser
+	notifier           *sdnotify.Notifier
+	prober             *platform.Prober
+	discovery          endpointSource
+	endpointFile       *filesource.Source // nil if the endpoint list does not come from a file
+	frontend           *platform.Frontend
+	sessions           *platform.SessionResumer // nil if sessions are not resumed
+	restart            *restartCoordinator
+
+	// setDiscoveryAddress applies the discovery address of a reloaded configuration.
+	setDiscoveryAddress func(address string)
+	// running counts the goroutines that shutdown waits for.
+	running sync.WaitGroup
+}
+
+// serve runs the balancer until SIGTERM or SIGINT has stopped it.
+func serve(frontsFile string) error {
+	// The signals are caught before anything else and until the process ends, also during a graceful shutdown: uncaught,
+	// either would end the process with accepted requests unanswered.
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	stop, unregister := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer unregister()
+
+	d, err := newDaemon(frontsFile)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if err := d.build(ctx); err != nil {
+		return err
+	}
+	d.start(ctx, hangup)
+	<-stop.Done()
+	d.shutdown(cancel)
+	return nil
+}
+
+// newDaemon reads the configuration, takes over the sockets of a running process and opens those that are missing.
+func newDaemon(frontsFile string) (*daemon, error) {
+	d := &daemon{frontsFile: frontsFile, monitor: &sdnotify.Monitor{}}
+	if err := d.loadConfig(); err != nil {
+		return nil, err
+	}
+	d.takeOverSockets()
+	if err := d.newEngine(); err != nil {
+		return nil, err
+	}
+	var err error
+	d.cluster, err = newCluster(d.fronts.Membership, d.cfg.Settings, d.engine.SetFleetSize, d.log)
+	if err != nil {
+		return nil, err
+	}
+	if err := d.openListeners(); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// build creates the subsystems that run until ctx ends; nothing but the prober uses ctx before start.
+func (d *daemon) build(ctx context.Context) error {
+	var err error
+	d.notifier, err = sdnotify.NewNotifier(d.monitor, func() string { return statusLine(d.engine.Snapshot()) }, d.log)
+	if err != nil {
+		return err
+	}
+	d.prober = platform.NewProber(ctx, d.engine, d.cfg.MaxProbeConns)
+	d.newDiscovery()
+	d.newFrontend()
+	return nil
+}
+
+// start runs all subsystems until ctx ends.
+func (d *daemon) start(ctx context.Context, hangup <-chan os.Signal) {
+	d.running.Go(func() { d.discovery.Run(ctx) })
+	d.running.Go(func() { d.engine.Run(ctx, d.prober, d.discovery); d.prober.Wait() })
+	d.startHotRestart(ctx)
+	d.running.Go(func() { d.frontend.Serve(ctx, d.clientListener, d.clientPauser) })
+	d.startManagement(ctx)
+	d.startCluster(ctx)
+	d.startReloader(ctx, hangup)
+	go d.notifier.Run(ctx) // shutdown waits for it with a limit of its own: a supervisor's socket may hang
+	d.running.Go(func() { notifyReady(ctx, d.engine, d.notifier, d.previous != nil) })
+	d.startDatagramServers(ctx)
+	d.log.WithFields(logrus.Fields{
+		"name":            d.cfg.Name,
+		"listen":          d.cfg.Listen,
+		"known_endpoints": len(d.cfg.KnownEndpoints),
+	}).Info("serving")
+}
--- a/cmd/cottonplank/return_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -20,14 +20,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// toldAfter is when a change counts as told, after discovery had it and could be reached.
-const toldAfter = 6 * time.Second
+// maxListDelay is when a change counts as told, after discovery had it and could be reached.
+const maxListDelay = 6 * time.Second
 
-// withDoor is a deployment whose discovery can go down.
-func withDoor(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
+// newDeploymentWithFaultyDiscovery is a deployment whose discovery can go down.
+func newDeploymentWithFaultyDiscovery(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
 	t.Helper()
 	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
-	d.listen = ownAddress(t)
+	d.listen = reservedAddress(t)
 	discovery.Tell("s-1", d.server, "a", "active")
 	door, err := emulator.NewFaultyListener(discovery.Handler("any"))
 	if err != nil {
@@ -37,8 +37,8 @@
 	return d, discovery, door
 }
 
-// ownAddress is a free one whose port no client's socket takes meanwhile: these have another IP address.
-func ownAddress(t *testing.T) string {
+// reservedAddress is a free one whose port no client's socket takes meanwhile: these have another IP address.
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.78.0.1:0")
 	if err != nil {
@@ -48,8 +48,8 @@
 	return l.Addr().String()
 }
 
-// startOf starts one of a fleet of 300, with so many descriptors.
-func (d *deployment) startOf(door *emulator.FaultyListener, name, listen, mode string, sockets uint64) *process {
+// startLimited starts one of a fleet of 300, with so many descriptors.
+func (d *deployment) startLimited(door *emulator.FaultyListener, name, listen, mode string, sockets uint64) *process {
 	d.t.Helper()
 	dir := filepath.Join(d.dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -57,15 +57,15 @@
 	}
 	path := filepath.Join(dir, "config.json")
 	seed := fmt.Sprintf("%x", len(name)*1000+int(name[len(name)-1]))
-	replace(d.t, path, fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":%q,"limits":{"sockets":%d},
+	replaceFile(d.t, path, fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":%q,"limits":{"sockets":%d},
 "known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","lifecycle":"active"}]},
 "settings":{"zone":"a","membership_mode":%q,"balancers":300,"rules":{"must_ask_in_s":10,"drain_grace_s":0.5},
 "profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, name, listen, door.Address(), seed, sockets,
 		d.server, mode))
-	p := &process{t: d.t, command: exec.Command(os.Args[0]), management: ownAddress(d.t), logged: &bytes.Buffer{}}
-	p.command.Env = append(os.Environ(), serveVariable+"=1", "PROXY_CONFIG="+path, "PROXY_MANAGEMENT="+p.management,
+	p := &process{t: d.t, command: exec.Command(os.Args[0]), management: reservedAddress(d.t), logs: &bytes.Buffer{}}
+	p.command.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_MANAGEMENT="+p.management,
 		"TMPDIR="+dir)
-	p.command.Stderr = p.logged
+	p.command.Stderr = p.logs
 	if err := p.command.Start(); err != nil {
 		d.t.Fatal(err)
 	}
@@ -76,12 +76,12 @@
 	return p
 }
 
-// hears waits until a process lists so many room servers.
-func (p *process) hears(entries int) (after time.Duration) {
+// waitListed waits until a process lists so many room servers.
+func (p *process) waitListed(entries int) (after time.Duration) {
 	p.t.Helper()
 	start := time.Now()
 	for !strings.Contains(p.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", entries)) {
-		if time.Since(start) > 2*soon {
+		if time.Since(start) > 2*testTimeout {
 			p.t.Errorf("%d room servers are never listed", entries)
 			return time.Since(start)
 		}
@@ -90,7 +90,7 @@
 	return time.Since(start)
 }
 
-func turn(t *testing.T, door *emulator.FaultyListener, to emulator.Outage) {
+func setOutage(t *testing.T, door *emulator.FaultyListener, to emulator.Outage) {
 	t.Helper()
 	if err := door.SetOutage(to); err != nil {
 		t.Fatal(err)
@@ -99,32 +99,32 @@
 
 // Twelve processes of a fleet of 300: discovery goes down under their watches and resets every call. What has changed
 // meanwhile is with each of them before it counts as told.
-func TestProcessesHearOfDiscoverysReturn(t *testing.T) {
+func TestListAfterDiscoveryOutage(t *testing.T) {
 	t.Parallel()
-	d, discovery, door := withDoor(t)
+	d, discovery, door := newDeploymentWithFaultyDiscovery(t)
 	var all []*process
 	for i := range 12 {
-		all = append(all, d.startOf(door, fmt.Sprint("n", i), ownAddress(t), "subscribe", 1024))
+		all = append(all, d.startLimited(door, fmt.Sprint("n", i), reservedAddress(t), "subscribe", 1024))
 	}
 	for _, p := range all {
-		p.ready()
-		p.hears(1)
+		p.waitReady()
+		p.waitListed(1)
 	}
 	waitForCalls(t, door, 12)
-	turn(t, door, emulator.Resets)
+	setOutage(t, door, emulator.Resets)
 	discovery.Tell("s-2", "127.0.0.1:9", "a", "active")
 	time.Sleep(12 * time.Second)
-	turn(t, door, emulator.Open)
+	setOutage(t, door, emulator.Open)
 	took := make([]time.Duration, len(all))
 	var waiting sync.WaitGroup
 	for i, p := range all {
-		waiting.Go(func() { took[i] = p.hears(2) })
+		waiting.Go(func() { took[i] = p.waitListed(2) })
 	}
 	waiting.Wait()
 	t.Logf("heard after %v", took)
 	for i, d := range took {
-		if d > toldAfter {
-			t.Errorf("process %d heard %v after the return, it counts as told after %v", i, d, toldAfter)
+		if d > maxListDelay {
+			t.Errorf("process %d heard %v after the return, it counts as told after %v", i, d, maxListDelay)
 		}
 	}
 }
@@ -132,15 +132,15 @@
 // waitForCalls waits until discovery has had so many: each process's first poll may be seconds away.
 func waitForCalls(t *testing.T, door *emulator.FaultyListener, n uint64) {
 	t.Helper()
-	for end := time.Now().Add(soon); door.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); door.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("discovery had %d calls, want %d", door.Calls.Load(), n)
 		}
 	}
 }
 
-// idle keeps so many clients connected that say nothing, or only PING, and come again when they are put out.
-func (d *deployment) idle(ctx context.Context, n int) {
+// connectIdleClients keeps so many clients connected that say nothing, or only PING, and come again when they are put out.
+func (d *deployment) connectIdleClients(ctx context.Context, n int) {
 	var all sync.WaitGroup
 	d.t.Cleanup(all.Wait)
 	for i := range n {
@@ -161,8 +161,8 @@
 	}
 }
 
-// descriptors are how many a process has open.
-func (p *process) descriptors() int {
+// openDescriptors are how many a process has open.
+func (p *process) openDescriptors() int {
 	p.t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	if err != nil {
@@ -173,29 +173,29 @@
 
 // Idle clients fill the descriptors while discovery is down: the call to discovery, the management address and the next
 // client each find one, and the list is back before it counts as told.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			const sockets = 128
-			d, discovery, door := withDoor(t)
-			p := d.startOf(door, "n7", d.listen, mode, sockets).ready()
+			d, discovery, door := newDeploymentWithFaultyDiscovery(t)
+			p := d.startLimited(door, "n7", d.listen, mode, sockets).waitReady()
 			waitForCalls(t, door, 1)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			turn(t, door, emulator.Resets)
+			setOutage(t, door, emulator.Resets)
 			discovery.Tell("s-2", "127.0.0.1:9", "a", "leaving")
-			d.idle(ctx, 2*sockets)
+			d.connectIdleClients(ctx, 2*sockets)
 			most := 0
 			for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-				most = max(most, p.descriptors())
+				most = max(most, p.openDescriptors())
 				if got := p.call("PING"); got != "200 serving\r\n" {
 					t.Errorf("PING at the management address brings %q", got)
 				}
 				start := time.Now()
 				c := d.open()
-				d.says(c, "x", "x")
+				d.exchange(c, "x", "x")
 				c.Close()
 				if took := time.Since(start); took > 3*time.Second {
 					t.Errorf("the next client waited %v", took)
@@ -205,20 +205,20 @@
 			if dials < 5 {
 				t.Errorf("only %d connections came to discovery", dials)
 			}
-			turn(t, door, emulator.Open)
-			took := p.hears(2)
+			setOutage(t, door, emulator.Open)
+			took := p.waitListed(2)
 			t.Logf("%d of %d descriptors were open at most, %d connections came while it was down, heard after %v", most, sockets,
 				dials, took)
-			if took > toldAfter {
-				t.Errorf("it heard %v after the return, it counts as told after %v", took, toldAfter)
+			if took > maxListDelay {
+				t.Errorf("it heard %v after the return, it counts as told after %v", took, maxListDelay)
 			}
 			if most < sockets/2 {
 				t.Errorf("only %d of %d descriptors were open", most, sockets)
 			}
 			p.command.Process.Kill()
 			p.command.Wait() // its log is whole then
-			if strings.Contains(p.logged.String(), "too many open files") {
-				t.Errorf("descriptors ran out:\n%s", p.logged)
+			if strings.Contains(p.logs.String(), "too many open files") {
+				t.Errorf("descriptors ran out:\n%s", p.logs)
 			}
 		})
 	}
--- /dev/null
+++ b/cmd/cottonplank/engine.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"errors"
+	"time"
+
+	"cottonplank/decide"
+	"cottonplank/internal/config"
+	"cottonplank/internal/core"
+	"cottonplank/internal/operations/hotrestart"
+
+	"github.com/sirupsen/logrus"
+)
+
+// Names of the event loops that the watchdog monitors. A service supervisor shows the name of one that is stuck, and
+// operators' alerts match on it.
+const (
+	engineTask    = "module"
+	discoveryTask = "list"
+	frontendTask  = "clients' front"
+	quicTask      = "quic front"
+)
+
+// newEngine creates the engine with the learned state of the previous process, if there is one.
+func (d *daemon) newEngine() error {
+	engine, err := core.New(core.Config{
+		Settings:     d.cfg.Settings,
+		Known:        d.cfg.KnownEndpoints,
+		MaxClients:   d.cfg.MaxClients,
+		AwaitList:    d.previous != nil,
+		ListPushed:   d.cfg.ListPushed,
+		StateTimeout: sessionStateTimeout(d.fronts.Sessions),
+		Watchdog:     d.monitor.AddTask(engineTask),
+		Learned:      decodeLearned(d.previous, core.DeploymentID(d.cfg.Settings), d.log),
+		Log:          func(text string) { d.log.Info(text) },
+	})
+	d.engine = engine
+	return err
+}
+
+// sessionStateTimeout returns 0 if sessions are not resumed.
+func sessionStateTimeout(sessions config.Sessions) time.Duration {
+	if sessions.KeysFile == "" {
+		return 0
+	}
+	return sessions.StateTimeout
+}
+
+// decodeLearned decodes what the previous process has learned about the room servers. A malformed line is skipped; the
+// state of another deployment is ignored as a whole.
+func decodeLearned(previous *hotrestart.PreviousProcess, deployment string, log *logrus.Logger) []decide.LearnedState {
+	if previous == nil {
+		return nil
+	}
+	var states []decide.LearnedState
+	for _, line := range previous.Learned {
+		state, err := core.DecodeLearned(line, deployment)
+		if errors.Is(err, core.ErrOtherDeployment) {
+			log.Warn("hot restart: ignoring the previous process's learned state: its settings or its version differ")
+			return nil
+		}
+		if err != nil {
+			log.WithError(err).Warn("hot restart: skipping a malformed line of learned state")
+			continue
+		}
+		states = append(states, state)
+	}
+	return states
+}
--- a/cmd/cottonplank/stale_test.go
+++ b/cmd/cottonplank/firstpoll_test.go
@@ -11,7 +11,7 @@
 
 // A process starts with a list that is out of date: its room server was told to drain while it was away. What discovery has counts as
 // told 6 s after it was made, part of which is over by then, so that the process asks at once, whatever its seed.
-func TestStaleStart(t *testing.T) {
+func TestPollAfterStart(t *testing.T) {
 	const most = 2500 * time.Millisecond // 1 s, a tick, and a busy machine
 	heard := make(chan time.Time, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -32,7 +32,7 @@
 	}
 	var ready time.Time
 	for _, p := range processes {
-		p.ready()
+		p.waitReady()
 		ready = time.Now()
 	}
 	for range processes {
--- /dev/null
+++ b/cmd/cottonplank/frontends.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"cottonplank/internal/config"
+	"cottonplank/internal/core"
+	"cottonplank/internal/frontend/platform"
+	"cottonplank/internal/frontend/quic"
+	"cottonplank/internal/operations/management"
+
+	"github.com/sirupsen/logrus"
+)
+
+// detailedSnapshotTimeout is how long the engine may take to report on each room server. Past it the SNMP agent shows
+// older values.
+const detailedSnapshotTimeout = 200 * time.Millisecond
+
+// newFrontend creates the frontend of the platform's line protocol, with session resumption if there are keys for it.
+func (d *daemon) newFrontend() {
+	budget := platform.DescriptorBudget{Total: d.cfg.ConnDescriptors, DialReserve: d.cfg.DialReserve}
+	d.frontend = platform.New(d.engine, protocolNames(d.cfg), budget, d.log)
+	d.frontend.SetWatchdog(d.monitor.AddTask(frontendTask))
+	if d.sessionKeys == nil {
+		return
+	}
+	settings := d.fronts.Sessions
+	d.sessions = platform.NewSessionResumer(platform.SessionLimits{
+		Site:          settings.Site,
+		TokenLifetime: settings.TokenLifetime,
+		MaxState:      settings.MaxStateBytes,
+		MaxBytes:      settings.MaxBytesInFlight,
+		MaxMigrations: settings.MaxMigrations,
+	}, d.sessionKeys)
+	d.frontend.EnableSessions(d.sessions)
+}
+
+func newQUICFrontend(cfg *config.Config, settings config.QUIC, conn *net.UDPConn, engine *core.Engine,
+	log *logrus.Logger) (*quic.Frontend, error) {
+	ids, err := quic.NewIDFormat(settings.ConfigID, settings.NonceLength, settings.IDKey)
+	if err != nil {
+		return nil, fmt.Errorf("quic front: %w", err)
+	}
+	return quic.New(quic.Config{
+		Conn:     conn,
+		IDs:      ids,
+		ResetKey: settings.ResetKey,
+		Class:    settings.ClassIndex,
+		Timeout:  cfg.Settings.Classes[settings.ClassIndex].ClientTimeout,
+		Idle:     settings.IdleTimeout,
+		MaxFlows: settings.MaxFlows,
+	}, engine, log), nil
+}
+
+// startManagement serves the management address, if there is one.
+func (d *daemon) startManagement(ctx context.Context) {
+	if d.managementListener == nil {
+		return
+	}
+	server := management.New(d.engine, classNames(d.cfg), d.cfg.MaxManagementConns, d.log)
+	if d.cluster != nil {
+		server.AddMetrics(func() []management.Metric { return clusterMetrics(d.cluster.Stats(), d.cluster.View()) })
+	}
+	d.running.Go(func() { server.Serve(ctx, d.managementListener) })
+}
+
+// startDatagramServers serves QUIC and SNMP, where they are on.
+func (d *daemon) startDatagramServers(ctx context.Context) {
+	if d.quicFrontend != nil {
+		d.running.Go(func() { d.quicFrontend.Serve(ctx, d.quicPauser) })
+	}
+	if d.snmpAgent != nil {
+		d.running.Go(func() { d.snmpAgent.Serve(ctx, d.snmpPauser) })
+	}
+}
--- a/cmd/cottonplank/upgrade_test.go
+++ b/cmd/cottonplank/hotrestart_test.go
@@ -18,11 +18,11 @@
 	"time"
 )
 
-// soon bounds what a test waits for, so that none hangs.
-const soon = 20 * time.Second
+// testTimeout bounds what a test waits for, so that none hangs.
+const testTimeout = 20 * time.Second
 
-// serves is a stand-in that treats each connection.
-func serves(t *testing.T, treat func(net.Conn)) (address string) {
+// startTCPServer is a stand-in that treats each connection.
+func startTCPServer(t *testing.T, treat func(net.Conn)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,9 +44,9 @@
 	return l.Addr().String()
 }
 
-// room is a stand-in room server that lets connections stand and answers each line.
-func room(t *testing.T) string {
-	return serves(t, func(conn net.Conn) {
+// startEchoServer is a stand-in room server that lets connections stand and answers each line.
+func startEchoServer(t *testing.T) string {
+	return startTCPServer(t, func(conn net.Conn) {
 		for r := bufio.NewReader(conn); ; {
 			text, err := r.ReadString('\n')
 			if err != nil {
@@ -67,11 +67,11 @@
 	listen string
 	server string
 	seed   string
-	ids    int
+	lastID int
 }
 
 func newDeployment(t *testing.T) *deployment {
-	return &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), server: room(t), seed: "8c"}
+	return &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), server: startEchoServer(t), seed: "8c"}
 }
 
 func freeAddress(t *testing.T) string {
@@ -84,8 +84,8 @@
 	return l.Addr().String()
 }
 
-// lists is a stand-in for discovery that tells of the room server, or hangs.
-func (d *deployment) lists(hangs bool) string {
+// startDiscovery is a stand-in for discovery that tells of the room server, or hangs.
+func (d *deployment) startDiscovery(hangs bool) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !hangs {
 			fmt.Fprintf(w, `{"generation":3,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","lifecycle":"active"}]}`+"\n", d.server)
@@ -104,19 +104,19 @@
 	t          *testing.T
 	command    *exec.Cmd
 	management string
-	logged     *bytes.Buffer
+	logs       *bytes.Buffer
 }
 
 func (d *deployment) start(discovery string) *process {
 	d.t.Helper()
 	path := filepath.Join(d.dir, "config.json")
-	replace(d.t, path, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":%q,"known":{"generation":1,"reset":true,
+	replaceFile(d.t, path, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":%q,"known":{"generation":1,"reset":true,
 "instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","lifecycle":"active"}]},"settings":{"zone":"a","membership_mode":"subscribe",
 "profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, d.listen, discovery, d.seed, d.server))
-	p := &process{t: d.t, command: exec.Command(os.Args[0]), management: freeAddress(d.t), logged: &bytes.Buffer{}}
-	p.command.Env = append(os.Environ(), serveVariable+"=1", "PROXY_CONFIG="+path, "PROXY_MANAGEMENT="+p.management,
+	p := &process{t: d.t, command: exec.Command(os.Args[0]), management: freeAddress(d.t), logs: &bytes.Buffer{}}
+	p.command.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_MANAGEMENT="+p.management,
 		"TMPDIR="+d.dir)
-	p.command.Stderr = p.logged
+	p.command.Stderr = p.logs
 	if err := p.command.Start(); err != nil {
 		d.t.Fatal(err)
 	}
@@ -131,10 +131,10 @@
 	}
 }
 
-// ready waits for the process's yes.
-func (p *process) ready() *process {
+// waitReady waits for the process's yes.
+func (p *process) waitReady() *process {
 	p.t.Helper()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if p.call("PING") == "200 serving\r\n" {
 			return p
 		}
@@ -149,76 +149,76 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(soon))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, call+"\r\n")
 	answer, _ := io.ReadAll(conn)
 	return string(answer)
 }
 
-// ended waits for the end of a planned stop.
-func (p *process) ended() {
+// waitExit waits for the end of a planned stop.
+func (p *process) waitExit() {
 	p.t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- p.command.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
-			p.t.Errorf("ended with %v, log:\n%s", err, p.logged)
+			p.t.Errorf("ended with %v, log:\n%s", err, p.logs)
 		}
-	case <-time.After(soon):
+	case <-time.After(testTimeout):
 		p.t.Error("does not end")
 	}
 }
 
-// player is a stand-in client that stands.
-type player struct {
+// testClient is a stand-in client that stands.
+type testClient struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (d *deployment) dial() player {
+func (d *deployment) dial() testClient {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", d.listen)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(soon))
-	return player{conn, bufio.NewReader(conn)}
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return testClient{conn, bufio.NewReader(conn)}
 }
 
-func (d *deployment) open() player {
+func (d *deployment) open() testClient {
 	d.t.Helper()
 	p := d.dial()
-	d.opens(p)
+	d.sendOpen(p)
 	return p
 }
 
-func (d *deployment) opens(p player) {
+func (d *deployment) sendOpen(p testClient) {
 	d.t.Helper()
-	d.says(p, d.opening(), "UP receipt")
+	d.exchange(p, d.openLine(), "UP receipt")
 }
 
-// opening is a first line with a new id, without its end.
-func (d *deployment) opening() string {
-	d.ids++
-	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=solo-play,d=2000", d.ids)
+// openLine is a first line with a new id, without its end.
+func (d *deployment) openLine() string {
+	d.lastID++
+	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=solo-play,d=2000", d.lastID)
 }
 
-func (d *deployment) says(p player, text, want string) {
+func (d *deployment) exchange(p testClient, text, want string) {
 	d.t.Helper()
 	if _, err := io.WriteString(p, text+"\r\n"); err != nil {
 		d.t.Fatal(err)
 	}
-	if line, err := p.r.ReadString('\n'); err != nil || line != want+"\r\n" {
+	if line, err := p.reader.ReadString('\n'); err != nil || line != want+"\r\n" {
 		d.t.Fatalf("%q brings %q, %v, want %q", text, line, err, want)
 	}
 }
 
-// moved wants a connection's polite end.
-func (d *deployment) moved(p player) {
+// expectMigrate wants a connection's polite end.
+func (d *deployment) expectMigrate(p testClient) {
 	d.t.Helper()
-	if line, err := p.r.ReadString('\n'); err != nil || line != "MOVE\r\n" {
+	if line, err := p.reader.ReadString('\n'); err != nil || line != "MOVE\r\n" {
 		d.t.Errorf("the standing one reads %q, %v", line, err)
 	}
 	p.Close()
@@ -227,47 +227,47 @@
 // One version takes over from another, twice in a row, under clients that come all the time: each is served, those that
 // stand are moved, and one that was accepted before the stop is served though its line comes after it. Guards against
 // queues that close with what they hold, and against stops that cut off what was accepted.
-func TestUpgradeTwiceInARow(t *testing.T) {
+func TestHotRestartTwice(t *testing.T) {
 	d := newDeployment(t)
-	discovery := d.lists(false)
-	running := d.start(discovery).ready()
+	discovery := d.startDiscovery(false)
+	running := d.start(discovery).waitReady()
 	for range 2 {
 		standing, slow := d.open(), d.dial()
-		d.says(slow, "PING", "PONG") // accepted by the old one
-		next := d.start(discovery).ready()
-		d.says(standing, "still here", "still here")
+		d.exchange(slow, "PING", "PONG") // accepted by the old one
+		next := d.start(discovery).waitReady()
+		d.exchange(standing, "still here", "still here")
 		next.signal(syscall.SIGHUP)
 		running.signal(syscall.SIGTERM)
 		time.Sleep(100 * time.Millisecond)
-		d.opens(slow)
+		d.sendOpen(slow)
 		for range 50 {
-			d.says(d.open(), "x", "x")
+			d.exchange(d.open(), "x", "x")
 		}
-		d.moved(standing)
-		d.moved(slow)
-		running.ended()
+		d.expectMigrate(standing)
+		d.expectMigrate(slow)
+		running.waitExit()
 		if n := strings.Count(next.call("INFO"), "fulfilled.solo-play=50"); n != 1 {
 			t.Errorf("the new one did not serve the 50 clients: %q", next.call("INFO"))
 		}
 		running = next
 	}
 	running.signal(syscall.SIGTERM)
-	running.ended()
+	running.waitExit()
 }
 
 // A new version that dies half-way, before its yes and after it, leaves the old one serving as before, and the next one
 // still takes over. One without an answer of discovery says yes all the same.
-func TestNewVersionDies(t *testing.T) {
+func TestReplacementProcessDies(t *testing.T) {
 	d := newDeployment(t)
-	hung, sound := d.lists(true), d.lists(false)
-	old := d.start(sound).ready()
+	hung, sound := d.startDiscovery(true), d.startDiscovery(false)
+	old := d.start(sound).waitReady()
 	standing := d.open()
 	for _, late := range []bool{false, true} {
 		next := d.start(hung)
 		if late {
-			next.ready()
+			next.waitReady()
 		} else {
-			for end := time.Now().Add(soon); next.call("PING") != "400 starting\r\n"; time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(testTimeout); next.call("PING") != "400 starting\r\n"; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("it is not seen starting")
 				}
@@ -276,26 +276,26 @@
 		next.signal(syscall.SIGKILL)
 		next.command.Wait()
 		for range 5 {
-			d.says(d.open(), "x", "x")
+			d.exchange(d.open(), "x", "x")
 		}
-		d.says(standing, "x", "x")
+		d.exchange(standing, "x", "x")
 	}
-	last := d.start(sound).ready()
+	last := d.start(sound).waitReady()
 	old.signal(syscall.SIGTERM)
-	d.moved(standing)
-	old.ended()
-	d.says(d.open(), "x", "x")
+	d.expectMigrate(standing)
+	old.waitExit()
+	d.exchange(d.open(), "x", "x")
 	last.signal(syscall.SIGTERM)
-	last.ended()
+	last.waitExit()
 }
 
 // Where the old version hangs, the new one opens the address itself and serves; where it was killed, too.
-func TestOldVersionHangsOrWasKilled(t *testing.T) {
+func TestPreviousProcessHangsOrWasKilled(t *testing.T) {
 	d := newDeployment(t)
-	discovery := d.lists(false)
-	old := d.start(discovery).ready()
+	discovery := d.startDiscovery(false)
+	old := d.start(discovery).waitReady()
 	old.signal(syscall.SIGSTOP)
-	d.start(discovery).ready()
+	d.start(discovery).waitReady()
 	old.signal(syscall.SIGKILL)
 	old.command.Wait()
 	var all sync.WaitGroup
@@ -309,5 +309,5 @@
 		})
 	}
 	all.Wait()
-	d.says(d.open(), "x", "x")
+	d.exchange(d.open(), "x", "x")
 }
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -16,57 +16,72 @@
 	"github.com/spf13/cobra"
 )
 
-// keyCommands make and list the keys of tokens. No secret is ever printed.
-func keyCommands(command func(use, short string, do func(io.Writer) error) *cobra.Command) *cobra.Command {
-	keys := &cobra.Command{Use: "keys", Short: "Make and list the keys that seal tokens", Args: noArguments,
-		RunE: func(*cobra.Command, []string) error { return errors.New("new or list is expected") }}
+const (
+	// defaultKeyLifetime is how long a new key seals unless --for says otherwise.
+	defaultKeyLifetime = 30 * 24 * time.Hour
+	// minKeyLifetime is the least that --for may say.
+	minKeyLifetime = time.Minute
+	// keysFileMode keeps the secrets from everybody but the file's owner.
+	keysFileMode fs.FileMode = 0o600
+)
+
+// newKeysCommand returns the commands that create and list keys. None of them prints a secret.
+func newKeysCommand(out io.Writer) *cobra.Command {
+	keys := &cobra.Command{
+		Use:   "keys",
+		Short: "Make and list the keys that seal tokens",
+		Args:  noArguments,
+		RunE:  func(*cobra.Command, []string) error { return errors.New("new or list is expected") },
+	}
 	var file string
-	var after, life time.Duration
-	add := command("new", "Add a key to a file, which is made where there is none",
-		func(out io.Writer) error { return newKey(out, file, after, life) })
-	add.Flags().DurationVar(&after, "after", 0, "when it begins to seal; leave all balancers the time to read it")
-	add.Flags().DurationVar(&life, "for", 30*24*time.Hour, "how long it seals")
-	list := command("list", "Tell what each key of a file does now",
+	var delay, lifetime time.Duration
+	create := newCommand(out, "new", "Add a key to a file, which is made where there is none",
+		func(out io.Writer) error { return createKey(out, file, delay, lifetime) })
+	create.Flags().DurationVar(&delay, "after", 0, "when it begins to seal; leave all balancers the time to read it")
+	create.Flags().DurationVar(&lifetime, "for", defaultKeyLifetime, "how long it seals")
+	list := newCommand(out, "list", "Tell what each key of a file does now",
 		func(out io.Writer) error { return listKeys(out, file) })
-	for _, c := range []*cobra.Command{add, list} {
-		c.Flags().StringVar(&file, "file", "", "keys `file` (required)")
-		c.MarkFlagRequired("file")
+	for _, command := range []*cobra.Command{create, list} {
+		command.Flags().StringVar(&file, "file", "", "keys `file` (required)")
+		command.MarkFlagRequired("file")
 	}
-	keys.AddCommand(add, list)
+	keys.AddCommand(create, list)
 	return keys
 }
 
-func newKey(out io.Writer, file string, after, life time.Duration) error {
-	if after < 0 || life < time.Minute {
-		return fmt.Errorf("--after %v is below 0 or --for %v below a minute", after, life)
+// createKey adds a key to the file, which it creates if there is none. The key seals tokens from delay on, for lifetime.
+func createKey(out io.Writer, file string, delay, lifetime time.Duration) error {
+	if delay < 0 || lifetime < minKeyLifetime {
+		return fmt.Errorf("--after %v is below 0 or --for %v below a minute", delay, lifetime)
 	}
-	all, err := config.ReadKeys(file)
+	keys, err := config.LoadKeys(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	from := time.Now().Add(after)
-	key, err := token.NewKey(from, from.Add(life), rand.Reader)
+	notBefore := time.Now().Add(delay)
+	key, err := token.NewKey(notBefore, notBefore.Add(lifetime), rand.Reader)
 	if err != nil {
 		return err
 	}
-	all = append(all, key)
-	if _, err := token.NewRing(all, token.MaxLifetime); err != nil {
+	keys = append(keys, key)
+	if _, err := token.NewRing(keys, token.MaxLifetime); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	raw, err := token.FormatKeys(all)
+	raw, err := token.FormatKeys(keys)
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(file, raw, 0o600, renameio.IgnoreUmask()); err != nil {
+	if err := renameio.WriteFile(file, raw, keysFileMode, renameio.IgnoreUmask()); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: key %s seals from %s to %s\n", file, key.ID, key.NotBefore.UTC().Format(time.RFC3339),
-		key.NotAfter.UTC().Format(time.RFC3339))
+	_, err = fmt.Fprintf(out, "%s: key %s seals from %s to %s\n", file, key.ID, formatTime(key.NotBefore),
+		formatTime(key.NotAfter))
 	return err
 }
 
+// listKeys prints the file's keys and what each is used for now.
 func listKeys(out io.Writer, file string) error {
-	keys, err := config.ReadKeys(file)
+	keys, err := config.LoadKeys(file)
 	if err != nil {
 		return err
 	}
@@ -77,9 +92,11 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "KEY\tNOW\tNOT BEFORE\tNOT AFTER")
 	now := time.Now()
-	for _, k := range ring.Keys() {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", k.ID, ring.Use(k.ID, now), k.NotBefore.UTC().Format(time.RFC3339),
-			k.NotAfter.UTC().Format(time.RFC3339))
+	for _, key := range ring.Keys() {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", key.ID, ring.Use(key.ID, now), formatTime(key.NotBefore),
+			formatTime(key.NotAfter))
 	}
 	return table.Flush()
 }
+
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
--- a/cmd/cottonplank/keys_test.go
+++ b/cmd/cottonplank/keys_test.go
@@ -30,7 +30,7 @@
 	call(0, "seals from", "keys", "new", "--file", file)
 	call(0, "seals from", "keys", "new", "--file", file, "--after", "1h")
 	call(0, "waits", "keys", "list", "--file", file)
-	keys, err := config.ReadKeys(file)
+	keys, err := config.LoadKeys(file)
 	if err != nil || len(keys) != 2 {
 		t.Fatal(keys, err)
 	}
--- a/cmd/cottonplank/cost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -20,11 +20,11 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// programVariable names another program whose costs are to be measured, one of an older state say.
-const programVariable = "COTTONPLANK_TEST_PROGRAM"
+// programEnvironment names another program whose costs are to be measured, one of an older state say.
+const programEnvironment = "COTTONPLANK_TEST_PROGRAM"
 
-// entries are room servers of two zones that do not run. No two names share a derived number: such a list is refused.
-func entries(n int) (all []emulator.Entry) {
+// endpointEntries are room servers of two zones that do not run. No two names share a derived number: such a list is refused.
+func endpointEntries(n int) (all []emulator.Entry) {
 	used := map[decide.ServerID]bool{}
 	for i := 0; len(all) < n; i++ {
 		name := fmt.Sprintf("s-%08x", uint32(i)*2654435761)
@@ -37,14 +37,14 @@
 	return all
 }
 
-// instanceProcess is a balancer in a process of its own.
-type instanceProcess struct {
+// balancerProcess is a balancer in a process of its own.
+type balancerProcess struct {
 	*exec.Cmd
 	management string
 }
 
-// begin starts one with a discovery, and with a list as it was before.
-func begin(t testing.TB, discovery string, known json.RawMessage) *instanceProcess {
+// startBalancer starts one with a discovery, and with a list as it was before.
+func startBalancer(t testing.TB, discovery string, known json.RawMessage) *balancerProcess {
 	t.Helper()
 	free := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	p := &instanceProcess{management: free()}
+	p := &balancerProcess{management: free()}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	raw, err := json.Marshal(map[string]any{"name": "n3", "listen": free(), "management": p.management, "discovery": discovery, "seed": "8c",
@@ -70,12 +70,12 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	program := os.Getenv(programVariable)
+	program := os.Getenv(programEnvironment)
 	p.Cmd = exec.Command(program, "serve")
 	if program == "" {
 		p.Cmd = exec.Command(os.Args[0])
 	}
-	p.Env = append(os.Environ(), serveVariable+"=1", "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
+	p.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
 		"PROXY_MANAGEMENT=", "NOTIFY_SOCKET=", "TMPDIR="+dir)
 	var log bytes.Buffer
 	p.Stderr = &log
@@ -92,8 +92,8 @@
 	return p
 }
 
-// listed waits until it tells of so many room servers.
-func (p *instanceProcess) listed(t testing.TB, want int, within time.Duration) bool {
+// waitListed waits until it tells of so many room servers.
+func (p *balancerProcess) waitListed(t testing.TB, want int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if figures, err := management.ParseMetrics(t.Context(), p.management); err == nil && figures["registry_entries"] == uint64(want) {
@@ -103,8 +103,8 @@
 	return false
 }
 
-// used is the processor time so far, by proc_pid_stat(5); the clock ticks 100 times a second there.
-func (p *instanceProcess) used(t testing.TB) time.Duration {
+// processorTime is the processor time so far, by proc_pid_stat(5); the clock ticks 100 times a second there.
+func (p *balancerProcess) processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 	if err != nil {
@@ -116,8 +116,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// peak is the largest resident size so far, in MB.
-func (p *instanceProcess) peak(t testing.TB) float64 {
+// peakMemoryMB is the largest resident size so far, in MB.
+func (p *balancerProcess) peakMemoryMB(t testing.TB) float64 {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	if err != nil {
@@ -129,17 +129,17 @@
 }
 
 // A list of 20,000 room servers is taken whole from discovery, which is not asked again and again for it.
-func TestLongListIsTaken(t *testing.T) {
+func TestLongListFromDiscovery(t *testing.T) {
 	const n = 20_000
 	d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 	defer d.Stop()
-	d.Put(entries(n)...)
+	d.Put(endpointEntries(n)...)
 	address, err := d.For("n3")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := begin(t, address, nil)
-	if !p.listed(t, n, 20*time.Second) {
+	p := startBalancer(t, address, nil)
+	if !p.waitListed(t, n, 20*time.Second) {
 		t.Fatalf("no list after %d calls", d.Calls())
 	}
 	if calls := d.Calls(); calls > 4 {
@@ -155,39 +155,39 @@
 			const over = 20 * time.Second
 			d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
 			defer d.Stop()
-			all := entries(n)
+			all := endpointEntries(n)
 			d.Put(all...)
 			address, err := d.For("n3")
 			if err != nil {
 				b.Fatal(err)
 			}
 			for range b.N {
-				first, calls := begin(b, address, nil), d.Calls()
+				first, calls := startBalancer(b, address, nil), d.Calls()
 				for d.Calls() == calls { // it asks from an offset of its own
 					time.Sleep(time.Millisecond)
 				}
 				begun := time.Now()
-				if first.listed(b, n, 15*time.Second) {
+				if first.waitListed(b, n, 15*time.Second) {
 					b.ReportMetric(time.Since(begun).Seconds(), "list-s")
 				}
-				b.ReportMetric(first.peak(b), "peak-MB")
+				b.ReportMetric(first.peakMemoryMB(b), "peak-MB")
 				first.Process.Kill()
-				p := begin(b, address, d.Known())
-				if !p.listed(b, n, 20*time.Second) {
+				p := startBalancer(b, address, d.Known())
+				if !p.waitListed(b, n, 20*time.Second) {
 					b.Fatal("does not start")
 				}
 				time.Sleep(time.Second)
-				before := p.used(b)
+				before := p.processorTime(b)
 				time.Sleep(over)
-				b.ReportMetric(float64((p.used(b)-before).Milliseconds())/over.Seconds(), "rest-ms/s")
-				before = p.used(b)
+				b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/over.Seconds(), "rest-ms/s")
+				before = p.processorTime(b)
 				for i := range int(over / time.Second) {
 					e := all[0]
 					e.Weight = float64(2 - i%2)
 					d.Put(e)
 					time.Sleep(time.Second)
 				}
-				b.ReportMetric(float64((p.used(b)-before).Milliseconds())/over.Seconds(), "changes-ms/s")
+				b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/over.Seconds(), "changes-ms/s")
 			}
 		})
 	}
--- /dev/null
+++ b/cmd/cottonplank/listeners.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"net"
+	"os"
+
+	"cottonplank/internal/core"
+	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/operations/management"
+	"cottonplank/internal/operations/sdnotify"
+	"cottonplank/internal/operations/snmp"
+)
+
+// Names under which sockets are passed on by a service supervisor and between processes.
+const (
+	clientSocket = "clients"
+	quicSocket   = "quic"
+	snmpSocket   = "snmp"
+)
+
+// takeOverSockets asks a running process for its sockets, adds those that a service supervisor has passed on, and
+// applies the memory limit, of which both processes get a part while they run beside each other.
+func (d *daemon) takeOverSockets() {
+	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
+	d.sockets, d.previous = hotrestart.TakeOver(d.restartPath, d.log)
+	d.sockets.AddInherited(sdnotify.InheritedSockets())
+	d.cfg.ProcessLimits(d.previous != nil).ApplyMemory()
+}
+
+// openListeners opens the sockets of all frontends, with those taken over where name and address match.
+func (d *daemon) openListeners() error {
+	listener, err := d.sockets.ListenTCP(clientSocket, d.cfg.Listen)
+	if err != nil {
+		return err
+	}
+	d.clientListener = listener
+	d.clientPauser = hotrestart.NewPauser(listener.SetDeadline)
+	if d.cfg.Management != "" {
+		if d.managementListener, err = management.Listen(d.cfg.Management); err != nil {
+			return err
+		}
+	}
+	if err := d.openQUIC(); err != nil {
+		return err
+	}
+	if err := d.openSNMP(); err != nil {
+		return err
+	}
+	for _, name := range d.sockets.Unused() {
+		d.log.WithField("socket", name).Warn("inherited socket is not used: no listener has this name and address")
+	}
+	return nil
+}
+
+func (d *daemon) openQUIC() error {
+	settings := d.fronts.QUIC
+	if settings.Listen == "" {
+		return nil
+	}
+	conn, err := d.sockets.ListenUDP(quicSocket, settings.Listen)
+	if err != nil {
+		return err
+	}
+	if d.quicFrontend, err = newQUICFrontend(d.cfg, settings, conn, d.engine, d.log); err != nil {
+		return err
+	}
+	d.quicFrontend.SetWatchdog(d.monitor.AddTask(quicTask))
+	d.quicPauser = newDatagramPauser(conn)
+	return nil
+}
+
+func (d *daemon) openSNMP() error {
+	settings := d.fronts.SNMP
+	if settings.Listen == "" {
+		return nil
+	}
+	conn, err := d.sockets.ListenUDP(snmpSocket, settings.Listen)
+	if err != nil {
+		return err
+	}
+	detailed := func() *core.Snapshot { return d.engine.DetailedSnapshot(detailedSnapshotTimeout) }
+	d.snmpAgent = snmp.New(conn, settings.Community, d.cfg.Name, classNames(d.cfg), d.engine.Snapshot, detailed, d.log)
+	d.snmpPauser = newDatagramPauser(conn)
+	return nil
+}
+
+func newDatagramPauser(conn *net.UDPConn) *hotrestart.Pauser {
+	return hotrestart.NewPauser(conn.SetReadDeadline)
+}
+
+// datagramPausers returns the pausers of the UDP sockets that are open.
+func (d *daemon) datagramPausers() []*hotrestart.Pauser {
+	var pausers []*hotrestart.Pauser
+	if d.quicPauser != nil {
+		pausers = append(pausers, d.quicPauser)
+	}
+	if d.snmpPauser != nil {
+		pausers = append(pausers, d.snmpPauser)
+	}
+	return pausers
+}
--- a/cmd/cottonplank/main_test.go
+++ b/cmd/cottonplank/main_test.go
@@ -25,14 +25,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serveVariable makes the test's program serve, so that tests can send signals to a process of its own.
-const serveVariable = "COTTONPLANK_TEST_SERVE"
+// serveEnvironment makes the test's program serve, so that tests can send signals to a process of its own.
+const serveEnvironment = "COTTONPLANK_TEST_SERVE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(serveVariable) != "" {
+	if os.Getenv(serveEnvironment) != "" {
 		os.Exit(run([]string{"serve"}, os.Stdout, os.Stderr))
 	}
-	if arguments := os.Getenv(argumentsVariable); arguments != "" {
+	if arguments := os.Getenv(argumentsEnvironment); arguments != "" {
 		os.Exit(run(strings.Fields(arguments), os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
@@ -73,8 +73,8 @@
 	}
 }
 
-// discovery is a stand-in that answers each call with an empty list and tells of it.
-func discovery(t *testing.T) (address string, calls chan string) {
+// startEmptyDiscovery is a stand-in that answers each call with an empty list and tells of it.
+func startEmptyDiscovery(t *testing.T) (address string, calls chan string) {
 	calls = make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.WriteString(w, `{"generation":3,"reset":true,"instances":[]}`+"\n")
@@ -88,7 +88,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-func replace(t *testing.T, path, text string) {
+func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -99,18 +99,18 @@
 }
 
 // A reload is of all files or of none: a keys file that is faulty, or open to others, keeps the old discovery as well.
-func TestReloadIsAllOrNothing(t *testing.T) {
+func TestReloadIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path, keys := filepath.Join(dir, "config.json"), filepath.Join(dir, "keys.json")
-	replace(t, path, `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c","settings":{"zone":"a",
+	replaceFile(t, path, `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c","settings":{"zone":"a",
 "membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1.2,"repeat":"idempotent"}]}}`)
 	t.Setenv("PROXY_CONFIG", path)
-	resume := config.Resume{KeysFile: keys, Site: "armor", Life: time.Hour}
+	resume := config.Sessions{KeysFile: keys, Site: "armor", TokenLifetime: time.Hour}
 	var out bytes.Buffer
 	if run([]string{"keys", "new", "--file", keys}, &out, &out) != 0 {
 		t.Fatal(out.String())
 	}
-	ring, err := resume.Ring()
+	ring, err := resume.LoadRing()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,19 +118,19 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	t.Setenv("NOTIFY_SOCKET", "")
-	supervisor, err := sdnotify.NewNotifier(&sdnotify.Monitor{}, func() string { return "" }, log)
+	notifier, err := sdnotify.NewNotifier(&sdnotify.Monitor{}, func() string { return "" }, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	hangup, taken, generations := make(chan os.Signal), make(chan string, 10), make(chan uint64, 10)
 	rooms := filepath.Join(dir, "rooms.json")
-	replace(t, rooms, `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"}]}`)
+	replaceFile(t, rooms, `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"}]}`)
 	first, err := filesource.Read(rooms)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &reloader{fronts: config.Fronts{Resume: resume, Rooms: rooms}, rediscover: func(address string) { taken <- address },
-		resuming: resuming, generation: func(n uint64) { generations <- n }, supervisor: supervisor, log: log}
+	r := &reloader{fronts: config.Fronts{Sessions: resume, EndpointFile: rooms}, setDiscoveryAddress: func(address string) { taken <- address },
+		sessions: resuming, reportGeneration: func(n uint64) { generations <- n }, notifier: notifier, log: log}
 	go r.run(t.Context(), hangup)
 	if n := <-generations; n != 1 {
 		t.Errorf("generation %d at the start", n)
@@ -157,7 +157,7 @@
 	reload(0)
 	os.Remove(keys)
 	reload(0)
-	replace(t, keys, `{"keys":[]}`)
+	replaceFile(t, keys, `{"keys":[]}`)
 	reload(0)
 	for n := uint64(2); len(generations) > 0; n++ {
 		if got := <-generations; got != n {
@@ -171,13 +171,13 @@
 		t.Fatal(out.String())
 	}
 	got := make(chan core.EndpointUpdate, 10)
-	r.rooms = filesource.New(rooms, first, results(got), log)
-	go r.rooms.Run(t.Context())
-	replace(t, rooms, `{"rooms":[]}`)
+	r.endpointFile = filesource.New(rooms, first, updateRecorder(got), log)
+	go r.endpointFile.Run(t.Context())
+	replaceFile(t, rooms, `{"rooms":[]}`)
 	if err := r.reload(t.Context()); err == nil || !strings.Contains(err.Error(), "rooms: 0") {
 		t.Errorf("an empty list: %v", err)
 	}
-	replace(t, rooms, `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"},{"name":"s-2","address":"127.0.0.1:8","zone":"a"}]}`)
+	replaceFile(t, rooms, `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"},{"name":"s-2","address":"127.0.0.1:8","zone":"a"}]}`)
 	if err := r.reload(t.Context()); err != nil {
 		t.Error(err)
 	}
@@ -186,27 +186,27 @@
 	}
 }
 
-// results is a sink of lists.
-type results chan core.EndpointUpdate
+// updateRecorder is a sink of lists.
+type updateRecorder chan core.EndpointUpdate
 
-func (r results) EndpointsUpdated(list core.EndpointUpdate) { r <- list }
-func (results) WatchAlive(uint64)                           {}
+func (r updateRecorder) EndpointsUpdated(list core.EndpointUpdate) { r <- list }
+func (updateRecorder) WatchAlive(uint64)                           {}
 
 // SIGHUP turns the running program to the discovery that the file now names, before PROXY_DISCOVERY; a client's
 // connection stays. A faulty file changes nothing, and SIGHUP in a planned stop is harmless.
-func TestReload(t *testing.T) {
-	first, firstCalls := discovery(t)
-	second, secondCalls := discovery(t)
+func TestReloadChangesDiscovery(t *testing.T) {
+	first, firstCalls := startEmptyDiscovery(t)
+	second, secondCalls := startEmptyDiscovery(t)
 	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c","settings":{"zone":"a","membership_mode":
 "subscribe","rules":{"must_ask_in_s":0.2},"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1,"repeat":"idempotent"}]}}`, listen, discovery)
 	}
-	replace(t, path, text(first))
+	replaceFile(t, path, text(first))
 	var logged bytes.Buffer
 	program := exec.Command(os.Args[0])
-	program.Env = append(os.Environ(), serveVariable+"=1", "PROXY_CONFIG="+path, "PROXY_DISCOVERY="+first,
+	program.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_DISCOVERY="+first,
 		"TMPDIR="+t.TempDir())
 	program.Stderr = &logged
 	if err := program.Start(); err != nil {
@@ -248,10 +248,10 @@
 	}
 	ping()
 	called(firstCalls)
-	replace(t, path, `{"discovery":"nowhere"`)
+	replaceFile(t, path, `{"discovery":"nowhere"`)
 	hangUp()
 	ping()
-	replace(t, path, text(second))
+	replaceFile(t, path, text(second))
 	hangUp()
 	hangUp()
 	called(secondCalls)
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"time"
 
@@ -17,76 +16,116 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloader takes over what SIGHUP may change: discovery's address, the keys of tokens and of the membership, the list
-// of room servers. One reload is of all of them or of none: where one file is faulty, all that was in force stays.
+// reloader applies what SIGHUP may change: the discovery address, the session and cluster keys, and the endpoint file.
+// A reload is atomic: if one of the files is invalid, all of the previous configuration stays in force.
 type reloader struct {
-	fronts     config.Fronts
-	cluster    *gossip.Cluster // nil: this instance is no member
-	rediscover func(address string)
-	resuming   *platform.SessionResumer // nil: sessions are not resumed
-	rooms      *filesource.Source       // nil: the list is discovery's
-	generation func(uint64)             // tells how many have been taken over, the start as the first
-	supervisor *sdnotify.Notifier
-	log        *logrus.Logger
+	fronts              config.Fronts
+	cluster             *gossip.Cluster // nil if the instance is not a member of a cluster
+	setDiscoveryAddress func(address string)
+	sessions            *platform.SessionResumer // nil if sessions are not resumed
+	endpointFile        *filesource.Source       // nil if the endpoint list comes from elsewhere
+	reportGeneration    func(generation uint64)  // called with 1 at the start and after each reload that succeeded
+	notifier            *sdnotify.Notifier
+	log                 *logrus.Logger
+}
+
+// reloadedFiles are the files of one reload, all of them valid.
+type reloadedFiles struct {
+	discovery   string
+	sessionKeys *token.Ring // nil if sessions are not resumed
+	clusterKeys *token.Ring // nil if the instance is not a member of a cluster
+	endpoints   endpoint.List
+}
+
+// startReloader reloads the configuration at each signal of hangup.
+func (d *daemon) startReloader(ctx context.Context, hangup <-chan os.Signal) {
+	r := &reloader{
+		fronts:              d.fronts,
+		cluster:             d.cluster,
+		setDiscoveryAddress: d.setDiscoveryAddress,
+		sessions:            d.sessions,
+		endpointFile:        d.endpointFile,
+		reportGeneration:    func(uint64) {},
+		notifier:            d.notifier,
+		log:                 d.log,
+	}
+	if d.frontsFile != "" { // without a fronts file INFO has only the keys that the platform specifies
+		r.reportGeneration = d.engine.SetConfigGeneration
+	}
+	d.running.Go(func() { r.run(ctx, hangup) })
 }
 
 // run reloads at each signal, one after the other, until ctx ends.
 func (r *reloader) run(ctx context.Context, hangup <-chan os.Signal) {
 	generation := uint64(1)
-	r.generation(generation)
+	r.reportGeneration(generation)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		}
-		r.supervisor.Reloading(sdnotify.MonotonicNow())
+		r.notifier.Reloading(sdnotify.MonotonicNow())
 		if err := r.reload(ctx); err != nil {
-			r.log.WithError(err).Error("configuration is faulty, the one in force stays")
+			r.log.WithError(err).Error("reload failed: the configuration is invalid, keeping the previous one")
 		} else {
 			generation++
-			r.generation(generation)
-			r.log.WithField("generation", generation).Info("configuration read again")
+			r.reportGeneration(generation)
+			r.log.WithField("generation", generation).Info("configuration reloaded")
 		}
-		r.supervisor.Ready()
+		r.notifier.Ready()
 	}
 }
 
-// reload reads all files before it takes any over.
+// reload reads all files before it applies any of them.
 func (r *reloader) reload(ctx context.Context) error {
-	cfg, err := config.Reload()
+	files, err := r.readFiles()
 	if err != nil {
 		return err
 	}
-	var ring *token.Ring
-	if r.resuming != nil {
-		if ring, err = r.fronts.Resume.Ring(); err != nil {
-			return err
+	r.apply(ctx, files)
+	return nil
+}
+
+func (r *reloader) readFiles() (reloadedFiles, error) {
+	var files reloadedFiles
+	cfg, err := config.Reload()
+	if err != nil {
+		return files, err
+	}
+	files.discovery = cfg.Discovery
+	if r.sessions != nil {
+		if files.sessionKeys, err = r.fronts.Sessions.LoadRing(); err != nil {
+			return files, err
 		}
 	}
-	var rooms endpoint.List
-	if r.rooms != nil {
-		if rooms, err = filesource.Read(r.fronts.Rooms); err != nil {
-			return err
+	if r.endpointFile != nil {
+		if files.endpoints, err = filesource.Read(r.fronts.EndpointFile); err != nil {
+			return files, err
 		}
 	}
-	var members *token.Ring
 	if r.cluster != nil {
-		if members, err = r.fronts.Membership.Ring(); err != nil {
-			return fmt.Errorf("membership.%w", err)
+		if files.clusterKeys, err = r.fronts.Membership.LoadRing(); err != nil {
+			return files, config.InSection("membership", err)
 		}
 	}
-	if members != nil {
-		r.cluster.SetKeys(members)
+	return files, nil
+}
+
+func (r *reloader) apply(ctx context.Context, files reloadedFiles) {
+	if files.clusterKeys != nil {
+		r.cluster.SetKeys(files.clusterKeys)
 	}
-	if ring != nil {
-		r.resuming.SetKeys(ring)
-		r.log.WithFields(logrus.Fields{"seals": ring.Sealing(time.Now()), "keys": len(ring.Keys())}).Info("keys taken over")
+	if files.sessionKeys != nil {
+		r.sessions.SetKeys(files.sessionKeys)
+		r.log.WithFields(logrus.Fields{
+			"sealing_key": files.sessionKeys.Sealing(time.Now()),
+			"keys":        len(files.sessionKeys.Keys()),
+		}).Info("session keys reloaded")
 	}
-	if r.rooms != nil {
-		r.rooms.Propose(ctx, rooms)
+	if r.endpointFile != nil {
+		r.endpointFile.Propose(ctx, files.endpoints)
 	} else {
-		r.rediscover(cfg.Discovery)
+		r.setDiscoveryAddress(files.discovery)
 	}
-	return nil
 }
--- a/cmd/cottonplank/status_test.go
+++ b/cmd/cottonplank/status_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// instanceAt is a stand-in for a management address: INFO's counts rise by ten with each call.
-func instanceAt(t *testing.T, state string) string {
+// startManagementEmulator is a stand-in for a management address: INFO's counts rise by ten with each call.
+func startManagementEmulator(t *testing.T, state string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 
 // Each instance has a line, one that does not answer too, and then the status is 1; rates are of the counts' rise.
 func TestStatus(t *testing.T) {
-	one, two := instanceAt(t, "200 serving"), instanceAt(t, "400 lame duck")
+	one, two := startManagementEmulator(t, "200 serving"), startManagementEmulator(t, "400 lame duck")
 	var out bytes.Buffer
 	if status := run([]string{"status", "--over", "100ms", one, two}, &out, &out); status != 0 || strings.Count(out.String(), "\n") != 3 ||
 		!strings.Contains(out.String(), "serving") || !strings.Contains(out.String(), "lame duck  3           5     4      1") {
--- a/cmd/cottonplank/supervise_test.go
+++ b/cmd/cottonplank/supervisor_test.go
@@ -17,7 +17,7 @@
 
 // Under a supervisor, the program's own process: it serves from the supervisor's socket, says when it is ready, gives
 // signs of life, tells of reloads and of its stop; and the queue outlives it. Guards the service unit of deploy/.
-func TestSupervised(t *testing.T) {
+func TestServiceSupervisor(t *testing.T) {
 	dir := t.TempDir()
 	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: filepath.Join(dir, "notify"), Net: "unixgram"})
 	if err != nil {
@@ -44,14 +44,14 @@
 		t.Fatal(err)
 	}
 	defer stray.Close()
-	asked, _ := discovery(t)
+	asked, _ := startEmptyDiscovery(t)
 	config := filepath.Join(dir, "config.json")
-	replace(t, config, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c","settings":{"zone":"a","membership_mode":
+	replaceFile(t, config, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c","settings":{"zone":"a","membership_mode":
 "subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1,"repeat":"idempotent"}]}}`, l.Addr(), asked))
 	var logged bytes.Buffer
 	// A supervisor sets LISTEN_PID between fork and exec; the shell does so here.
 	program := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0])
-	program.Env = append(os.Environ(), serveVariable+"=1", "PROXY_CONFIG="+config, "TMPDIR="+dir, "LISTEN_FDS=2",
+	program.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+config, "TMPDIR="+dir, "LISTEN_FDS=2",
 		"LISTEN_FDNAMES=clients:metrics", "NOTIFY_SOCKET="+filepath.Join(dir, "notify"), "WATCHDOG_USEC=400000")
 	program.ExtraFiles = []*os.File{socket, stray}
 	program.Stderr = &logged
@@ -64,7 +64,7 @@
 		t.Helper()
 		buf := make([]byte, 4096)
 		for {
-			notify.SetReadDeadline(time.Now().Add(soon))
+			notify.SetReadDeadline(time.Now().Add(testTimeout))
 			n, err := notify.Read(buf)
 			if err != nil {
 				t.Fatalf("not told %s: %v", want, err)
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(soon))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, "PING\r\n")
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "PONG\r\n" {
 		t.Errorf("PING brings %q, %v", line, err)
--- /dev/null
+++ b/internal/config/controlplane.go
@@ -0,0 +1,172 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"cottonplank/internal/controlplane/replica"
+	"cottonplank/internal/session/token"
+)
+
+// ControlPlane configures how to follow the control-plane servers. No servers: off.
+type ControlPlane struct {
+	Servers   []replica.Server
+	Region    string // the own region, whose servers are preferred
+	Site      string // the same at all that share the keys
+	KeysFile  string
+	StateFile string // keeps the last version over a restart
+}
+
+// ControlServer is the configuration of a control-plane server: the leader, which reads a document, or a follower of
+// other servers.
+type ControlServer struct {
+	Listen       string
+	DocumentFile string // empty at a follower
+	Term         uint64 // the leader's term; 0 at a follower
+	ControlPlane
+}
+
+// maxControlServers bounds the control-plane servers of a configuration.
+const maxControlServers = 64
+
+// controlPlaneFile is the section control of a fronts file.
+type controlPlaneFile struct {
+	Servers []controlServerAddress `json:"machines"`
+	Region  string                 `json:"region"`
+	Site    string                 `json:"site"`
+	Keys    string                 `json:"keys"`
+	State   string                 `json:"state"`
+}
+
+type controlServerAddress struct {
+	Address string `json:"address"`
+	Region  string `json:"region"`
+}
+
+// controlServerFile is the configuration file of a control-plane server; unknown keys are rejected. It repeats the keys of
+// controlPlaneFile: the JSON decoder's errors would name an embedded struct as part of the key.
+type controlServerFile struct {
+	Servers  []controlServerAddress `json:"machines"`
+	Region   string                 `json:"region"`
+	Site     string                 `json:"site"`
+	Keys     string                 `json:"keys"`
+	State    string                 `json:"state"`
+	Listen   string                 `json:"listen"`
+	Document string                 `json:"file"`
+	Term     uint64                 `json:"term"`
+}
+
+func (f controlServerFile) controlPlane() controlPlaneFile {
+	return controlPlaneFile{Servers: f.Servers, Region: f.Region, Site: f.Site, Keys: f.Keys, State: f.State}
+}
+
+// decode validates the section; paths in it are relative to base.
+func (f controlPlaneFile) decode(base string) (ControlPlane, error) {
+	for _, required := range []struct{ key, value string }{{"region", f.Region}, {"keys", f.Keys}, {"state", f.State}} {
+		if required.value == "" {
+			return ControlPlane{}, missing(required.key)
+		}
+	}
+	if err := checkSite(f.Site); err != nil {
+		return ControlPlane{}, err
+	}
+	servers, err := f.decodeServers()
+	if err != nil {
+		return ControlPlane{}, err
+	}
+	return ControlPlane{
+		Servers:   servers,
+		Region:    f.Region,
+		Site:      f.Site,
+		KeysFile:  resolvePath(base, f.Keys),
+		StateFile: resolvePath(base, f.State),
+	}, nil
+}
+
+func (f controlPlaneFile) decodeServers() ([]replica.Server, error) {
+	if len(f.Servers) > maxControlServers {
+		return nil, invalid("machines", len(f.Servers), fmt.Sprintf("of them, %d at most", maxControlServers))
+	}
+	var servers []replica.Server
+	seen := map[string]bool{}
+	for i, server := range f.Servers {
+		addressKey := fmt.Sprintf("machines[%d].address", i)
+		if err := checkAddress(addressKey, server.Address); err != nil {
+			return nil, err
+		}
+		if seen[server.Address] {
+			return nil, invalid(addressKey, server.Address, "is there twice")
+		}
+		if server.Region == "" {
+			return nil, missing(fmt.Sprintf("machines[%d].region", i))
+		}
+		seen[server.Address] = true
+		servers = append(servers, replica.Server{Address: server.Address, Region: server.Region})
+	}
+	return servers, nil
+}
+
+// LoadControlServer reads a control-plane server's configuration; the paths in it are relative to its folder.
+func LoadControlServer(path string) (ControlServer, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return ControlServer{}, fmt.Errorf("control: %w", err)
+	}
+	server, err := parseControlServer(raw, filepath.Dir(path))
+	if err != nil {
+		return ControlServer{}, fmt.Errorf("control: %s: %w", path, err)
+	}
+	return server, nil
+}
+
+func parseControlServer(raw []byte, base string) (ControlServer, error) {
+	var file controlServerFile
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
+		return ControlServer{}, decodeError(err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return ControlServer{}, errors.New("more follows the configuration")
+	}
+	if err := checkAddress("listen", file.Listen); err != nil {
+		return ControlServer{}, err
+	}
+	controlPlane, err := file.controlPlane().decode(base)
+	if err != nil {
+		return ControlServer{}, err
+	}
+	server := ControlServer{
+		Listen:       file.Listen,
+		DocumentFile: resolvePath(base, file.Document),
+		Term:         file.Term,
+		ControlPlane: controlPlane,
+	}
+	return server, server.checkRole()
+}
+
+// checkRole accepts either a leader, which has a document and a term, or a follower, which has other servers to follow.
+func (s ControlServer) checkRole() error {
+	isLeader := s.DocumentFile != ""
+	if isLeader == (len(s.Servers) > 0) {
+		reason := "one of both is expected: what it writes, or whom it follows"
+		return &FieldError{Key: "file, machines", Reason: reason}
+	}
+	if isLeader != (s.Term > 0) {
+		return invalid("term", s.Term, "is invalid: above 0 is expected beside file, and nothing beside machines")
+	}
+	for i, other := range s.Servers {
+		if other.Address == s.Listen {
+			return invalid(fmt.Sprintf("machines[%d].address", i), other.Address, "is its own")
+		}
+	}
+	return nil
+}
+
+// LoadRing reads the keys that control-plane servers and their followers share.
+func (c ControlPlane) LoadRing() (*token.Ring, error) { return loadRing(c.KeysFile, peerKeyGrace) }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -9,9 +9,9 @@
 
 // What is taken has what the program cannot do without.
 func FuzzParse(f *testing.F) {
-	fuzzcorpus.Add(f, []byte(good))
+	fuzzcorpus.Add(f, []byte(validConfig))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := Parse(raw, noEnv)
+		c, err := Parse(raw, emptyEnvironment)
 		if err == nil && (len(c.Settings.Classes) == 0 || c.MaxClients <= 0 || c.Listen == "") {
 			t.Errorf("%q is taken as %+v", raw, c)
 		}
@@ -19,10 +19,10 @@
 }
 
 func FuzzParseFronts(f *testing.F) {
-	fuzzcorpus.Add(f, []byte(goodFronts))
+	fuzzcorpus.Add(f, []byte(validFronts))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		q, err := ParseFronts(raw, []decide.Class{{Name: "solo-play"}}, "/etc")
-		if err == nil && q.QUIC.Listen != "" && (len(q.QUIC.ResetKey) < minResetKey || q.QUIC.Idle <= 0) {
+		if err == nil && q.QUIC.Listen != "" && (len(q.QUIC.ResetKey) < minResetKeyLength || q.QUIC.IdleTimeout <= 0) {
 			t.Errorf("%q is taken as %+v", raw, q)
 		}
 	})
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 	"time"
@@ -10,18 +9,19 @@
 	"cottonplank/internal/session/token"
 )
 
-// Membership lets an instance be a member of the balancers' cluster. An empty Listen is off.
+// Membership configures the instance as a member of the balancers' cluster. An empty Name is off.
 type Membership struct {
-	Name          string // unique in the cluster
-	Listen        netip.AddrPort
+	Name          string         // unique in the cluster
+	Listen        netip.AddrPort // gossip address, at which the other members reach this one
 	Zone          string
 	Region        string
-	Seeds         []netip.AddrPort
+	Seeds         []netip.AddrPort // members through which the instance joins
 	KeysFile      string
-	Via           map[netip.AddrPort]netip.AddrPort // by which address a peer is reached, where that is another one
-	PartitionHold time.Duration                     // no cut lasts longer
+	Via           map[netip.AddrPort]netip.AddrPort // address to dial for a peer, where it is not the peer's own
+	PartitionHold time.Duration                     // how long lost members of a partition count; no partition lasts longer
 }
 
+// membershipFile is the section membership of a fronts file.
 type membershipFile struct {
 	Name          string            `json:"name"`
 	Listen        string            `json:"listen"`
@@ -33,51 +33,53 @@
 	PartitionHold float64           `json:"partition_hold_s"`
 }
 
-// Bounds and defaults of the membership.
+// Defaults and bounds of the section; times in seconds.
 const (
-	maxMemberName        = 64 // bytes; names, zones and regions travel in each member's description, which the library bounds
+	maxMemberName        = 64 // bytes of a name, zone or region: gossip carries them with each member and bounds the sum
 	maxSeeds             = 64
 	defaultPartitionHold = 3600.0
 	minPartitionHold     = 240.0 // twice the detection time of 2,300 members, with a margin
 	maxPartitionHold     = 7 * 24 * 3600.0
 )
 
-// membership checks the section; base is the folder of the file that it stands in.
-func (w membershipFile) membership(base string) (m Membership, err error) {
-	m = Membership{Name: w.Name, Zone: w.Zone, Region: w.Region, KeysFile: within(base, w.Keys)}
-	for _, must := range []struct{ key, value string }{{"name", w.Name}, {"zone", w.Zone}, {"region", w.Region}} {
-		if !isMemberName(must.value) {
-			return m, fmt.Errorf("%s: %q is not 1 to %d printable bytes long", must.key, must.value, maxMemberName)
+// decode validates the section; paths in it are relative to base.
+func (f membershipFile) decode(base string) (Membership, error) {
+	for _, name := range []struct{ key, value string }{{"name", f.Name}, {"zone", f.Zone}, {"region", f.Region}} {
+		if !isMemberName(name.value) {
+			reason := fmt.Sprintf("is not 1 to %d printable bytes long", maxMemberName)
+			return Membership{}, invalid(name.key, name.value, reason)
 		}
 	}
-	if w.Keys == "" {
-		return m, errors.New("keys: is missing")
+	if f.Keys == "" {
+		return Membership{}, missing("keys")
 	}
-	if m.Listen, err = netip.ParseAddrPort(w.Listen); err != nil || m.Listen.Addr().IsUnspecified() || m.Listen.Port() == 0 {
-		return m, fmt.Errorf("listen: %q is not the address and port at which the other members reach it", w.Listen)
+	listen, err := netip.ParseAddrPort(f.Listen)
+	if err != nil || listen.Addr().IsUnspecified() || listen.Port() == 0 {
+		reason := "is not the address and port at which the other members reach it"
+		return Membership{}, invalid("listen", f.Listen, reason)
 	}
-	if len(w.Seeds) > maxSeeds {
-		return m, fmt.Errorf("seeds: %d of them, %d at most", len(w.Seeds), maxSeeds)
+	seeds, err := parseSeeds(f.Seeds)
+	if err != nil {
+		return Membership{}, err
 	}
-	for i, text := range w.Seeds {
-		seed, err := netip.ParseAddrPort(text)
-		if err != nil {
-			return m, fmt.Errorf("seeds[%d]: %q is no address and port", i, text)
-		}
-		m.Seeds = append(m.Seeds, seed)
+	via, err := parseVia(f.Via)
+	if err != nil {
+		return Membership{}, err
 	}
-	if m.Via, err = parseVia(w.Via); err != nil {
-		return m, err
-	}
-	hold := w.PartitionHold
-	if hold == 0 {
-		hold = defaultPartitionHold
+	hold, err := f.partitionHold()
+	if err != nil {
+		return Membership{}, err
 	}
-	if !(hold >= minPartitionHold && hold <= maxPartitionHold) {
-		return m, fmt.Errorf("partition_hold_s: %v is not within %v to %v", hold, minPartitionHold, maxPartitionHold)
-	}
-	m.PartitionHold = seconds(hold)
-	return m, nil
+	return Membership{
+		Name:          f.Name,
+		Listen:        listen,
+		Zone:          f.Zone,
+		Region:        f.Region,
+		Seeds:         seeds,
+		KeysFile:      resolvePath(base, f.Keys),
+		Via:           via,
+		PartitionHold: hold,
+	}, nil
 }
 
 func isMemberName(text string) bool {
@@ -92,21 +94,48 @@
 	return true
 }
 
+func parseSeeds(texts []string) ([]netip.AddrPort, error) {
+	if len(texts) > maxSeeds {
+		return nil, invalid("seeds", len(texts), fmt.Sprintf("of them, %d at most", maxSeeds))
+	}
+	var seeds []netip.AddrPort
+	for i, text := range texts {
+		seed, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, invalid(fmt.Sprintf("seeds[%d]", i), text, reasonNoAddress)
+		}
+		seeds = append(seeds, seed)
+	}
+	return seeds, nil
+}
+
 func parseVia(texts map[string]string) (map[netip.AddrPort]netip.AddrPort, error) {
 	via := map[netip.AddrPort]netip.AddrPort{}
-	for peer, text := range texts {
-		from, err := netip.ParseAddrPort(peer)
+	for peerText, dialText := range texts {
+		peer, err := netip.ParseAddrPort(peerText)
 		if err != nil {
-			return nil, fmt.Errorf("via: %q is no address and port", peer)
+			return nil, invalid("via", peerText, reasonNoAddress)
 		}
-		to, err := netip.ParseAddrPort(text)
+		dial, err := netip.ParseAddrPort(dialText)
 		if err != nil {
-			return nil, fmt.Errorf("via[%q]: %q is no address and port", peer, text)
+			return nil, invalid(fmt.Sprintf("via[%q]", peerText), dialText, reasonNoAddress)
 		}
-		via[from] = to
+		via[peer] = dial
 	}
 	return via, nil
 }
 
-// Ring reads the keys that the section names. A key is taken for a minute after its end, and the clocks' leeway.
-func (m Membership) Ring() (*token.Ring, error) { return ringOf(m.KeysFile) }
+func (f membershipFile) partitionHold() (time.Duration, error) {
+	hold := f.PartitionHold
+	if hold == 0 {
+		hold = defaultPartitionHold
+	}
+	if !(hold >= minPartitionHold && hold <= maxPartitionHold) {
+		reason := fmt.Sprintf("is not within %v to %v", minPartitionHold, maxPartitionHold)
+		return 0, invalid("partition_hold_s", hold, reason)
+	}
+	return seconds(hold), nil
+}
+
+// LoadRing reads the keys that the members of the cluster share.
+func (m Membership) LoadRing() (*token.Ring, error) { return loadRing(m.KeysFile, peerKeyGrace) }
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-const soundMembership = `{"name":"b-17","listen":"10.0.0.17:7946","zone":"a","region":"x","seeds":["10.0.0.1:7946"],
+const validMembership = `{"name":"b-17","listen":"10.0.0.17:7946","zone":"a","region":"x","seeds":["10.0.0.1:7946"],
 "keys":"membership-keys.json","via":{"10.0.0.1:7946":"127.0.0.1:9001"}}`
 
-func TestMembershipSection(t *testing.T) {
-	f, err := ParseFronts([]byte(`{"membership":`+soundMembership+`}`), nil, "/etc/balancer")
+func TestParseMembershipSection(t *testing.T) {
+	f, err := ParseFronts([]byte(`{"membership":`+validMembership+`}`), nil, "/etc/balancer")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFaultyMembershipIsRefusedByKeyAndValue(t *testing.T) {
+func TestMembershipSectionReportsInvalidKeys(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"b-17"`, `""`, `membership.name: ""`},
 		{`"b-17"`, `"b 17"`, `membership.name: "b 17"`},
@@ -36,7 +36,7 @@
 		{`"127.0.0.1:9001"`, `"b"`, `membership.via["10.0.0.1:7946"]: "b"`},
 		{`"zone":"a"`, `"zone":"a","partition_hold_s":5`, `membership.partition_hold_s: 5`},
 	} {
-		text := strings.Replace(soundMembership, c.old, c.new, 1)
+		text := strings.Replace(validMembership, c.old, c.new, 1)
 		_, err := ParseFronts([]byte(`{"membership":`+text+`}`), nil, "")
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %s", c.new, err, c.want)
--- /dev/null
+++ b/internal/config/sessions.go
@@ -0,0 +1,112 @@
+package config
+
+import (
+	"fmt"
+	"time"
+
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/session/token"
+)
+
+// Sessions configures the resumption of sessions at another room server, by session tokens. An empty KeysFile is off.
+type Sessions struct {
+	KeysFile         string
+	Site             string
+	TokenLifetime    time.Duration
+	StateTimeout     time.Duration // for a session's state to arrive, from the first request for it
+	MaxStateBytes    int           // size of one session's state
+	MaxBytesInFlight int64         // size of all states that are being migrated
+	MaxMigrations    int           // states that are being migrated
+}
+
+// sessionsFile is the section resume of a fronts file.
+type sessionsFile struct {
+	Keys             string  `json:"keys"`
+	Site             string  `json:"site"`
+	TokenLifetime    float64 `json:"token_life_s"`
+	StateTimeout     float64 `json:"state_wait_s"`
+	MaxStateBytes    int     `json:"max_state_bytes"`
+	MaxBytesInFlight int64   `json:"max_bytes_in_flight"`
+	MaxMigrations    int     `json:"max_moves"`
+}
+
+// Defaults and bounds of the section; times in seconds.
+const (
+	defaultTokenLifetime    = 3600.0
+	minTokenLifetime        = 10.0
+	defaultStateTimeout     = 0.4
+	minStateTimeout         = 0.01
+	maxStateTimeout         = 10.0
+	defaultMaxStateBytes    = 64 << 10
+	defaultMaxBytesInFlight = 4 << 20
+	defaultMaxMigrations    = 64
+)
+
+// decode validates the section; paths in it are relative to base.
+func (f sessionsFile) decode(base string) (Sessions, error) {
+	if err := checkSite(f.Site); err != nil {
+		return Sessions{}, err
+	}
+	f.setDefaults()
+	if err := f.check(); err != nil {
+		return Sessions{}, err
+	}
+	return Sessions{
+		KeysFile:         resolvePath(base, f.Keys),
+		Site:             f.Site,
+		TokenLifetime:    seconds(f.TokenLifetime),
+		StateTimeout:     seconds(f.StateTimeout),
+		MaxStateBytes:    f.MaxStateBytes,
+		MaxBytesInFlight: f.MaxBytesInFlight,
+		MaxMigrations:    f.MaxMigrations,
+	}, nil
+}
+
+func (f *sessionsFile) setDefaults() {
+	if f.TokenLifetime == 0 {
+		f.TokenLifetime = defaultTokenLifetime
+	}
+	if f.StateTimeout == 0 {
+		f.StateTimeout = defaultStateTimeout
+	}
+	if f.MaxStateBytes == 0 {
+		f.MaxStateBytes = defaultMaxStateBytes
+	}
+	if f.MaxBytesInFlight == 0 {
+		f.MaxBytesInFlight = max(defaultMaxBytesInFlight, int64(f.MaxStateBytes))
+	}
+	if f.MaxMigrations == 0 {
+		f.MaxMigrations = defaultMaxMigrations
+	}
+}
+
+func (f *sessionsFile) check() error {
+	maxLifetime := token.MaxLifetime.Seconds()
+	if !(f.TokenLifetime >= minTokenLifetime && f.TokenLifetime <= maxLifetime) {
+		return invalid("token_life_s", f.TokenLifetime, fmt.Sprintf("is not within %v to %v", minTokenLifetime, maxLifetime))
+	}
+	if !(f.StateTimeout >= minStateTimeout && f.StateTimeout <= maxStateTimeout) {
+		reason := fmt.Sprintf("is not within %v to %v", minStateTimeout, maxStateTimeout)
+		return invalid("state_wait_s", f.StateTimeout, reason)
+	}
+	if f.MaxStateBytes < 1 || f.MaxStateBytes > protocol.MaxState {
+		return invalid("max_state_bytes", f.MaxStateBytes, fmt.Sprintf("is not within 1 to %d", protocol.MaxState))
+	}
+	if f.MaxBytesInFlight < int64(f.MaxStateBytes) {
+		reason := fmt.Sprintf("is less than max_state_bytes %d", f.MaxStateBytes)
+		return invalid("max_bytes_in_flight", f.MaxBytesInFlight, reason)
+	}
+	if f.MaxMigrations < 1 {
+		return invalid("max_moves", f.MaxMigrations, "is below 1")
+	}
+	return nil
+}
+
+// LoadRing reads the session keys; it returns nil if sessions are not resumed. A key is accepted as long as the tokens
+// that it has sealed live.
+func (s Sessions) LoadRing() (*token.Ring, error) {
+	if s.KeysFile == "" {
+		return nil, nil
+	}
+	return loadRing(s.KeysFile, s.TokenLifetime)
+}
--- a/internal/operations/management/client.go
+++ b/internal/operations/management/client.go
@@ -12,10 +12,16 @@
 	"time"
 )
 
-// Query makes one call at an instance's management address and returns the lines of its answer. It waits until ctx ends, 2 s
-// at most.
-func Query(ctx context.Context, address, call string) (lines []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+// metricPrefix begins each metric's name in the response to INFO.
+const metricPrefix = "svc."
+
+// errEmptyResponse says that the instance closed the connection without a response.
+var errEmptyResponse = errors.New("closed without an answer")
+
+// Query sends one command to an instance's management address and returns the lines of the response. It gives up when
+// ctx ends, or after 2 s.
+func Query(ctx context.Context, address, command string) (lines []string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -23,40 +29,42 @@
 		return nil, err
 	}
 	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
-	if _, err := io.WriteString(conn, call+"\r\n"); err != nil {
+	stopWatching := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	defer stopWatching()
+	if _, err := io.WriteString(conn, command+"\r\n"); err != nil {
 		return nil, err
 	}
-	all := bufio.NewScanner(conn)
-	for all.Scan() {
-		lines = append(lines, strings.TrimSuffix(all.Text(), "\r"))
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
+		lines = append(lines, strings.TrimSuffix(scanner.Text(), "\r"))
 	}
-	if err := all.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
 	if len(lines) == 0 {
-		return nil, errors.New("closed without an answer")
+		return nil, errEmptyResponse
 	}
 	return lines, nil
 }
 
-// ParseMetrics asks for INFO and returns its counts by name, without the part svc.
+// ParseMetrics queries INFO and returns the metrics by name, without the prefix "svc.".
 func ParseMetrics(ctx context.Context, address string) (map[string]uint64, error) {
-	lines, err := Query(ctx, address, string(callInfo))
+	lines, err := Query(ctx, address, string(commandInfo))
 	if err != nil {
 		return nil, err
 	}
-	if !strings.HasPrefix(lines[0], "200 ") || lines[len(lines)-1] != "EOF" {
-		return nil, fmt.Errorf("INFO brings %q to %q, want 200 to EOF", lines[0], lines[len(lines)-1])
+	first, last := lines[0], lines[len(lines)-1]
+	if !strings.HasPrefix(first, statusOK) || last != infoEnd {
+		return nil, fmt.Errorf("INFO brings %q to %q, want 200 to EOF", first, last)
 	}
-	figures := map[string]uint64{}
+	metrics := map[string]uint64{}
 	for _, line := range lines[1 : len(lines)-1] {
-		name, value, ok := strings.Cut(strings.TrimPrefix(line, "svc."), "=")
+		name, value, found := strings.Cut(strings.TrimPrefix(line, metricPrefix), "=")
 		n, err := strconv.ParseUint(value, 10, 64)
-		if !ok || err != nil {
+		if !found || err != nil {
 			return nil, fmt.Errorf("INFO brings the line %q", line)
 		}
-		figures[name] = n
+		metrics[name] = n
 	}
-	return figures, nil
+	return metrics, nil
 }
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -17,16 +17,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-type nothing struct{}
+type discardPlatform struct{}
 
-func (nothing) Probe(context.Context, uint64, core.Upstream) {}
-func (nothing) Remove(decide.ServerID)                       {}
-func (nothing) Watch(context.Context, uint64)                {}
-func (nothing) Fetch(context.Context)                        {}
-func (nothing) SetAddress(string)                            {}
+func (discardPlatform) Probe(context.Context, uint64, core.Upstream) {}
+func (discardPlatform) Remove(decide.ServerID)                       {}
+func (discardPlatform) Watch(context.Context, uint64)                {}
+func (discardPlatform) Fetch(context.Context)                        {}
+func (discardPlatform) SetAddress(string)                            {}
 
-// start returns the address of a server that holds most callers.
-func start(t *testing.T, most int) string {
+// startServer returns the address of a server that holds most callers.
+func startServer(t *testing.T, most int) string {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -43,7 +43,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { module.Run(ctx, nothing{}, nothing{}) })
+	running.Go(func() { module.Run(ctx, discardPlatform{}, discardPlatform{}) })
 	server := New(module, []string{"solo-play", "team-play"}, most, log)
 	running.Go(func() { server.Serve(ctx, l) })
 	t.Cleanup(func() { cancel(); running.Wait() })
@@ -63,8 +63,8 @@
 	return conn
 }
 
-// ask makes one call and reads all that comes.
-func ask(t *testing.T, address, call string) string {
+// request makes one call and reads all that comes.
+func request(t *testing.T, address, call string) string {
 	t.Helper()
 	conn := dial(t, address)
 	io.WriteString(conn, call)
@@ -75,15 +75,15 @@
 	return string(answer)
 }
 
-func TestCalls(t *testing.T) {
+func TestCommands(t *testing.T) {
 	t.Parallel()
-	address := start(t, 20)
+	address := startServer(t, 20)
 	for _, v := range []struct{ call, want string }{
 		{"PING\r\n", "200"}, {"PING\n", "200"}, {"REJOIN\r\n", "200"}, {"LAMEDUCK\r\n", "200"}, {"LAMEDUCK\r\n", "200"},
 		{"PING\r\n", "400"}, {"REJOIN\r\n", "200"}, {"PING\r\n", "200"}, {"ping\r\n", "400"}, {"PING x\r\n", "400"},
 		{"\r\n", "400"}, {"DANCE\r\n", "400"}, {strings.Repeat("x", 5000) + "\r\n", "400"},
 	} {
-		got := ask(t, address, v.call)
+		got := request(t, address, v.call)
 		if !strings.HasPrefix(got, v.want+" ") || strings.Count(got, "\r\n") != 1 || !strings.HasSuffix(got, "\r\n") {
 			t.Errorf("%.20q brings %q, want one line with %s", v.call, got, v.want)
 		}
@@ -91,31 +91,31 @@
 	const want = "200 figures\r\nsvc.fulfilled.solo-play=0\r\nsvc.throttled.solo-play=0\r\nsvc.faulted.solo-play=0\r\n" +
 		"svc.relayed.solo-play=0\r\nsvc.fulfilled.team-play=0\r\nsvc.throttled.team-play=0\r\nsvc.faulted.team-play=0\r\n" +
 		"svc.relayed.team-play=0\r\nsvc.open_requests=0\r\nsvc.registry_entries=2\r\nsvc.out_of_rotation=1\r\nEOF\r\n"
-	if got := ask(t, address, "INFO\r\n"); got != want {
+	if got := request(t, address, "INFO\r\n"); got != want {
 		t.Errorf("INFO brings %q, want %q", got, want)
 	}
 }
 
 // What came of tokens is told where sessions are resumed, and only there.
-func TestInfoOfTokens(t *testing.T) {
+func TestSessionMetrics(t *testing.T) {
 	s := &core.Snapshot{SessionsEnabled: true, Generation: 4}
 	s.TokensIssued, s.Resumed, s.StartedOver = 3, 2, map[core.Reason]uint64{"gone": 4, "forged": 5}
 	server := New(nil, nil, 1, nil)
 	for _, want := range []string{"svc.tokens_given=3\r\n", "svc.resumed=2\r\n", "svc.started_over.gone=4\r\n",
 		"svc.token_refused.forged=5\r\n", "svc.started_over.late=0\r\n", "svc.generation=4\r\n"} {
-		if got := server.info(s); !strings.Contains(got, want) {
+		if got := server.formatMetrics(s); !strings.Contains(got, want) {
 			t.Errorf("%q lacks %q", got, want)
 		}
 	}
-	if s.SessionsEnabled = false; strings.Contains(server.info(s), "token") {
+	if s.SessionsEnabled = false; strings.Contains(server.formatMetrics(s), "token") {
 		t.Error("told where it is off")
 	}
 }
 
 // Callers that send nothing, or half a call, hold up nobody, however many they are, and are put out.
-func TestSilentCallers(t *testing.T) {
+func TestSilentConnections(t *testing.T) {
 	t.Parallel()
-	address := start(t, 3)
+	address := startServer(t, 3)
 	var silent []net.Conn
 	for i := range 12 {
 		conn := dial(t, address)
@@ -123,7 +123,7 @@
 			io.WriteString(conn, "PIN")
 		}
 		silent = append(silent, conn)
-		if got := ask(t, address, "PING\r\n"); !strings.HasPrefix(got, "200") {
+		if got := request(t, address, "PING\r\n"); !strings.HasPrefix(got, "200") {
 			t.Fatalf("PING brings %q", got)
 		}
 	}
@@ -140,10 +140,10 @@
 }
 
 // What is taken as a call is one of the four, to the letter.
-func FuzzParseCall(f *testing.F) {
+func FuzzParseCommand(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("PING"), []byte("INFO"), []byte("LAMEDUCK"), []byte("REJOIN"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := parseCall(string(raw))
+		c, err := parseCommand(string(raw))
 		if known := strings.Contains(" PING INFO LAMEDUCK REJOIN ", " "+string(raw)+" ") && !strings.Contains(string(raw), " ") &&
 			len(raw) > 0; known != (err == nil) || err == nil && string(c) != string(raw) {
 			t.Errorf("%q is taken as %q, %v", raw, c, err)
