--- a/cmd/cottonplank/cluster_test.go
+++ b/cmd/cottonplank/cluster_test.go
@@ -1,33 +1,31 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
+	"cottonplank/internal/cluster/gossip"
+	"cottonplank/internal/cluster/membership"
 	"cottonplank/internal/operations/management"
 )
 
-// clusterFleet is processes that are members of one cluster.
+// clusterFleet is a fleet of processes that are members of one cluster.
 type clusterFleet struct {
 	t               *testing.T
 	dir             string
-	gossipAddresses []string // of the gossip
-	clientAddresses []string // of the clients
+	gossipAddresses []string
+	clientAddresses []string
 }
 
 func newClusterFleet(t *testing.T, n int) *clusterFleet {
 	f := &clusterFleet{t: t, dir: t.TempDir()}
-	var out bytes.Buffer
-	if run([]string{"keys", "new", "--file", filepath.Join(f.dir, "keys.json")}, &out, &out) != 0 {
-		t.Fatal(out.String())
-	}
+	createTestKey(t, filepath.Join(f.dir, "keys.json"))
 	for range n {
 		f.gossipAddresses = append(f.gossipAddresses, reservedAddress(t))
 		f.clientAddresses = append(f.clientAddresses, reservedAddress(t))
@@ -35,37 +33,23 @@
 	return f
 }
 
-// start runs the i-th instance; beside a live one of the same number it takes over from that.
+// start runs the i-th instance; it takes over from a running process of the same number.
 func (f *clusterFleet) start(i int) *process {
 	f.t.Helper()
 	dir := filepath.Join(f.dir, fmt.Sprint(i))
 	os.MkdirAll(dir, 0o700)
 	fronts, path := filepath.Join(f.dir, fmt.Sprintf("fronts%d.json", i)), filepath.Join(dir, "config.json")
-	replaceFile(f.t, fronts, fmt.Sprintf(`{"membership":{"name":"b-%d","listen":%q,"zone":"a","region":"x","seeds":[%q],"keys":"keys.json"}}`,
-		i, f.gossipAddresses[i], f.gossipAddresses[0]))
-	replaceFile(f.t, path, fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:9","seed":"%d","settings":{"zone":"a","balancers":%d,
-"membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`,
+	replaceFile(f.t, fronts, fmt.Sprintf(`{"membership":{"name":"b-%d","listen":%q,"zone":"a","region":"x",
+"seeds":[%q],"keys":"keys.json"}}`, i, f.gossipAddresses[i], f.gossipAddresses[0]))
+	replaceFile(f.t, path, fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:9","seed":"%d",
+"settings":{"zone":"a","balancers":%d,"membership_mode":"subscribe",
+"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`,
 		i, f.clientAddresses[i], i+1, len(f.gossipAddresses)))
-	p := &process{t: f.t, management: reservedAddress(f.t), logs: &bytes.Buffer{}, command: exec.Command(os.Args[0])}
-	p.command.Env = append(os.Environ(), argumentsEnvironment+"=serve --fronts "+fronts, "PROXY_CONFIG="+path,
-		"PROXY_MANAGEMENT="+p.management, "TMPDIR="+dir)
-	p.command.Stderr = p.logs
-	if err := p.command.Start(); err != nil {
-		f.t.Fatal(err)
-	}
-	f.t.Cleanup(func() { p.command.Process.Kill(); p.command.Wait() })
-	return p
+	return startProcess(f.t, reservedAddress(f.t), argumentsEnvironment+"=serve --fronts "+fronts, "PROXY_CONFIG="+path,
+		"TMPDIR="+dir)
 }
 
-func (p *process) metrics() map[string]uint64 {
-	figures, err := management.ParseMetrics(p.t.Context(), p.management)
-	if err != nil {
-		return map[string]uint64{}
-	}
-	return figures
-}
-
-// waitMembersAlive waits until a process has so many members alive, and tells how long that took.
+// waitMembersAlive waits until the process sees so many members alive, and returns how long that took.
 func (p *process) waitMembersAlive(alive uint64, within time.Duration) time.Duration {
 	p.t.Helper()
 	began := time.Now()
@@ -78,75 +62,108 @@
 	return time.Since(began)
 }
 
-// Processes find each other; a pause of one fails nobody on either side; a planned stop, a lame duck and one that is
-// called back are told at once; a new version takes the member over; a killed one is found.
+// Processes find each other. A process that is paused fails nobody and is failed by nobody. A shutdown, a lame duck and
+// one that rejoins are announced at once; a replacement process takes the member over; a killed process is detected.
 func TestClusterOfProcesses(t *testing.T) {
 	t.Parallel()
 	const n = 5
 	f := newClusterFleet(t, n)
-	var all []*process
+	var processes []*process
 	for i := range n {
-		all = append(all, f.start(i))
+		processes = append(processes, f.start(i))
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		p.waitReady().waitMembersAlive(n, testTimeout)
 	}
+	observer := processes[0]
 
-	all[1].signal(syscall.SIGSTOP)
-	time.Sleep(5 * time.Second)
-	all[1].signal(syscall.SIGCONT)
-	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for i, p := range all {
-			if failed := p.metrics()["members_failed"]; failed > 0 {
-				t.Fatalf("process %d has %d failed after a pause of 5 s", i, failed)
-			}
-		}
-	}
+	checkPause(t, processes, processes[1])
 
-	if answer := all[2].call("LAMEDUCK"); !strings.HasPrefix(answer, "200") {
-		t.Fatalf("LAMEDUCK brings %q", answer)
+	lameDuck := processes[2]
+	if response := lameDuck.call("LAMEDUCK"); !strings.HasPrefix(response, "200") {
+		t.Fatalf("LAMEDUCK brings %q", response)
 	}
-	t.Logf("a lame duck is told after %v", all[0].waitMembersAlive(n-1, 2*time.Second))
-	if _, is := all[2].metrics()["members_alive"]; is {
-		t.Error("the lame duck is a member still")
+	t.Logf("a lame duck has left after %v", observer.waitMembersAlive(n-1, 2*time.Second))
+	if _, isMember := lameDuck.metrics()["members_alive"]; isMember {
+		t.Error("the lame duck is still a member")
 	}
-	all[2].call("REJOIN")
-	all[0].waitMembersAlive(n, testTimeout)
+	lameDuck.call("REJOIN")
+	observer.waitMembersAlive(n, testTimeout)
 
 	next := f.start(3)
 	next.waitReady()
-	all[3].signal(syscall.SIGTERM)
-	all[3].waitExit()
+	processes[3].signal(syscall.SIGTERM)
+	processes[3].waitExit()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if figures := all[0].metrics(); figures["members_alive"]+figures["members_suspect"] != n {
-			t.Fatalf("the hand-over is seen: %v", figures)
+		if metrics := observer.metrics(); metrics["members_alive"]+metrics["members_suspect"] != n {
+			t.Fatalf("the hot restart is seen: %v", metrics)
 		}
 	}
 	next.waitMembersAlive(n, testTimeout)
 
-	all[4].signal(syscall.SIGTERM)
-	t.Logf("a planned stop is told after %v", all[0].waitMembersAlive(n-1, 2*time.Second))
-	all[4].waitExit()
+	processes[4].signal(syscall.SIGTERM)
+	t.Logf("a process that shuts down has left after %v", observer.waitMembersAlive(n-1, 2*time.Second))
+	processes[4].waitExit()
 	next.signal(syscall.SIGKILL)
+	t.Logf("a killed process is detected after %v", waitFailed(t, observer))
+}
+
+// checkPause pauses a process for 5 s: no process may have a failed member then.
+func checkPause(t *testing.T, processes []*process, paused *process) {
+	t.Helper()
+	paused.signal(syscall.SIGSTOP)
+	time.Sleep(5 * time.Second)
+	paused.signal(syscall.SIGCONT)
+	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		for i, p := range processes {
+			if failed := p.metrics()["members_failed"]; failed > 0 {
+				t.Fatalf("process %d has %d failed after a pause of 5 s", i, failed)
+			}
+		}
+	}
+}
+
+// waitFailed waits until the observer has one failed member, and returns how long that took.
+func waitFailed(t *testing.T, observer *process) time.Duration {
+	t.Helper()
 	began := time.Now()
-	for all[0].metrics()["members_failed"] != 1 {
+	for observer.metrics()["members_failed"] != 1 {
 		if time.Since(began) > 2*testTimeout {
-			t.Fatalf("the killed one is not found: %v", all[0].metrics())
+			t.Fatalf("the killed process is not detected: %v", observer.metrics())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Logf("a killed one is found after %v", time.Since(began))
+	return time.Since(began)
 }
 
-// Without the section there is no figure of a membership.
+// Without the section there are no cluster metrics.
 func TestMetricsWithoutMembership(t *testing.T) {
 	d := newDeployment(t)
 	p := d.start(d.startDiscovery(false)).waitReady()
 	for name := range p.metrics() {
 		if strings.Contains(name, "members") || strings.Contains(name, "gossip") || strings.Contains(name, "fleet") {
-			t.Errorf("INFO tells %s", name)
+			t.Errorf("INFO reports %s", name)
 		}
 	}
 	p.signal(syscall.SIGTERM)
 	p.waitExit()
 }
+
+// The names are part of the management protocol, as is their order.
+func TestClusterMetricNames(t *testing.T) {
+	stats := gossip.Stats{BytesSent: 1, FramesSent: 99, TooLong: 2, Replayed: 3, Rejected: 4}
+	view := &membership.View{Version: 13, Alive: 5, Suspect: 6, Failed: 7, Isolated: true, Partitioned: true,
+		Divisors: membership.BudgetDivisors{Cluster: 8, Zone: 9, Admitted: true}}
+	frames := []management.Metric{{Name: "gossip_bytes_sent", Value: 1}, {Name: "frames_too_long", Value: 2},
+		{Name: "frames_replayed", Value: 3}, {Name: "frames_refused", Value: 4}}
+	members := []management.Metric{{Name: "members_alive", Value: 5}, {Name: "members_suspect", Value: 6},
+		{Name: "members_failed", Value: 7}, {Name: "fleet_size", Value: 8}, {Name: "zone_size", Value: 9},
+		{Name: "isolated", Value: 1}, {Name: "partitioned", Value: 1}, {Name: "admitted", Value: 1},
+		{Name: "view_version", Value: 13}}
+	if got := clusterMetrics(stats, nil); !slices.Equal(got, frames) {
+		t.Errorf("without a view: %v", got)
+	}
+	if got := clusterMetrics(stats, view); !slices.Equal(got, append(frames, members...)) {
+		t.Errorf("with a view: %v", got)
+	}
+}
--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -19,8 +19,10 @@
 // commandError is the failure of a command that was called correctly. Any other error of a command is a usage error.
 type commandError struct{ err error }
 
+// Error returns the text of the failure.
 func (e *commandError) Error() string { return e.err.Error() }
 
+// Unwrap returns the failure.
 func (e *commandError) Unwrap() error { return e.err }
 
 // run executes the command that args name and returns the exit status.
--- /dev/null
+++ b/cmd/cottonplank/command_test.go
@@ -0,0 +1,44 @@
+package main
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestUsage(t *testing.T) {
+	t.Setenv("PROXY_CONFIG", "")
+	for _, test := range []struct {
+		name   string
+		args   []string
+		status int
+		output string
+	}{
+		{"no command", nil, 2, "Usage"},
+		{"unknown command", []string{"dance"}, 2, `unknown command "dance"`},
+		{"unexpected argument", []string{"serve", "x"}, 2, `"x"`},
+		{"flag of another command", []string{"version", "-fronts", "f"}, 2, "fronts"},
+		{"unknown flag", []string{"check", "-x"}, 2, "-x"},
+		{"check without configuration", []string{"check"}, 1, "PROXY_CONFIG is not set"},
+		{"serve without configuration", []string{"serve"}, 1, "PROXY_CONFIG is not set"},
+		{"version", []string{"version"}, 0, "cottonplank"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if status, output := runCommand(test.args...); status != test.status || !strings.Contains(output, test.output) {
+				t.Errorf("%q: status %d, output %q", test.args, status, output)
+			}
+		})
+	}
+}
+
+// The example of the fronts file is valid.
+func TestCheckWithFronts(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	replaceFile(t, path, validConfig)
+	t.Setenv("PROXY_CONFIG", path)
+	status, output := runCommand("check", "-fronts", "../../deploy/fronts.json")
+	if status != 0 || !strings.Contains(output, `quic "127.0.0.1:4433"`) ||
+		!strings.Contains(output, "SIGHUP takes over: discovery") {
+		t.Errorf("status %d, output %q", status, output)
+	}
+}
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -80,7 +80,8 @@
 		r.log)
 }
 
-// followerSeed derives the seed of a follower's choice of server from its name, which spreads followers over the servers.
+// followerSeed derives the seed of a follower's choice of server from its name, which spreads followers over the
+// servers.
 func followerSeed(name string) uint64 {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -25,26 +24,27 @@
 const (
 	manyProcesses = 30
 	manyServers   = 20000
-	maxReadyTime  = 10 * time.Second
-	maxStartTime  = 30 * time.Second // one that takes longer has failed to start
+	maxReadyTime  = 10 * time.Second // within which nine in ten processes have to be ready
+	maxStartTime  = 30 * time.Second // past which a process has failed to start
 )
 
-// listOfManyServers is a list of so many room servers.
+// listOfManyServers is a discovery listing of manyServers room servers.
 func listOfManyServers() []byte {
-	var b bytes.Buffer
-	b.WriteString(`{"generation":1,"reset":true,"instances":[`)
+	var list bytes.Buffer
+	list.WriteString(`{"generation":1,"reset":true,"instances":[`)
 	for i := range manyServers {
 		if i > 0 {
-			b.WriteByte(',')
+			list.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"instanceId":"s-%08x","hostPort":"127.%d.%d.%d:9000","zone":"%c","machineType":"m2","cell":%d,"lifecycle":"active","weight":1.0,"startedAtMs":0}`,
+		fmt.Fprintf(&list, `{"instanceId":"s-%08x","hostPort":"127.%d.%d.%d:9000","zone":"%c","machineType":"m2","cell":%d,`,
 			i, 16+i>>14, i>>7&127, i&127, 'a'+i%3, i%12)
+		list.WriteString(`"lifecycle":"active","weight":1.0,"startedAtMs":0}`)
 	}
-	b.WriteString("]}\n")
-	return b.Bytes()
+	list.WriteString("]}\n")
+	return list.Bytes()
 }
 
-// processFleet is processes that are started all at once.
+// processFleet is a fleet of processes that are started all at once.
 type processFleet struct {
 	t       *testing.T
 	program string
@@ -58,104 +58,108 @@
 	t.Helper()
 	f := &processFleet{t: t, program: program, dir: t.TempDir()}
 	f.config = filepath.Join(f.dir, "config.json")
-	replaceFile(t, f.config, fmt.Sprintf(`{"name":"n3","seed":"8c","known":%s,"settings":{"zone":"a","balancers":%d,"membership_mode":"subscribe",
-"rules":{"must_ask_in_s":1},"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, known, manyProcesses))
+	replaceFile(t, f.config, fmt.Sprintf(`{"name":"n3","seed":"8c","known":%s,"settings":{"zone":"a","balancers":%d,
+"membership_mode":"subscribe","rules":{"must_ask_in_s":1},
+"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, known, manyProcesses))
 	for i := range manyProcesses {
-		f.listen[i], f.manage[i] = freeAddressOfProcess(t, i), freeAddressOfProcess(t, i)
+		// An IP address of its own: nobody dials from there, so that its port stays free.
+		host := fmt.Sprintf("127.9.0.%d", i+1)
+		f.listen[i], f.manage[i] = freeAddressOn(t, host), freeAddressOn(t, host)
 	}
 	return f
 }
 
-// freeAddressOfProcess is an address of a process's own IP address: nobody dials from there, so that its port stays free.
-func freeAddressOfProcess(t *testing.T, i int) string {
-	t.Helper()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.9.0.%d:0", i+1))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-// fleetRun are the fleet's, of one start.
+// fleetRun is one start of all processes of a fleet.
 type fleetRun struct {
 	*processFleet
 	commands   [manyProcesses]*exec.Cmd
-	logs       [manyProcesses]string
+	logFiles   [manyProcesses]string
 	readyAfter [manyProcesses]time.Duration
 }
 
-// start starts all at once and waits until they are ready, as the front layer sees it. Nine in ten have to be within the
-// term, the others as far as that is no failure.
+// start starts all processes at once and waits until they are ready, as the load balancer before them sees it.
 func (f *processFleet) start(discovery string) *fleetRun {
 	f.t.Helper()
-	p := &fleetRun{processFleet: f}
-	f.t.Cleanup(p.kill)
-	var all sync.WaitGroup
+	run := &fleetRun{processFleet: f}
+	f.t.Cleanup(run.kill)
+	var starts sync.WaitGroup
 	for i := range manyProcesses {
-		c := exec.Command(f.program, "serve")
-		c.Env = append(os.Environ(), "PROXY_CONFIG="+f.config, "PROXY_LISTEN="+f.listen[i], "PROXY_MANAGEMENT="+f.manage[i],
-			"PROXY_DISCOVERY="+discovery, "TMPDIR="+f.dir)
-		p.logs[i] = filepath.Join(f.t.TempDir(), "log")
-		log, err := os.Create(p.logs[i])
-		if err != nil {
-			f.t.Fatal(err)
-		}
-		c.Stderr = log
-		defer log.Close()
 		start := time.Now()
-		if err := c.Start(); err != nil {
-			f.t.Fatal(err)
-		}
-		p.commands[i] = c
-		all.Go(func() {
+		run.startProcess(i, discovery)
+		starts.Go(func() {
 			for time.Since(start) < maxStartTime && !answersPing(f.listen[i]) {
 				time.Sleep(20 * time.Millisecond)
 			}
-			p.readyAfter[i] = time.Since(start)
+			run.readyAfter[i] = time.Since(start)
 		})
 	}
-	all.Wait()
-	late, most := 0, time.Duration(0)
-	for i, took := range p.readyAfter {
-		most = max(most, took)
-		if took > maxReadyTime {
+	starts.Wait()
+	last := run.checkReadyTimes()
+	largest, sum := 0, 0
+	for _, command := range run.commands {
+		kib := peakRSS(command.Process.Pid)
+		largest, sum = max(largest, kib), sum+kib
+	}
+	f.t.Logf("the last is ready after %v; peak RSS %d MiB at most, %d MiB in all", last.Round(time.Millisecond),
+		largest>>10, sum>>10)
+	return run
+}
+
+func (r *fleetRun) startProcess(i int, discovery string) {
+	r.t.Helper()
+	command := exec.Command(r.program, "serve")
+	command.Env = append(os.Environ(), "PROXY_CONFIG="+r.config, "PROXY_LISTEN="+r.listen[i],
+		"PROXY_MANAGEMENT="+r.manage[i], "PROXY_DISCOVERY="+discovery, "TMPDIR="+r.dir)
+	r.logFiles[i] = filepath.Join(r.t.TempDir(), "log")
+	logFile, err := os.Create(r.logFiles[i])
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer logFile.Close()
+	command.Stderr = logFile
+	if err := command.Start(); err != nil {
+		r.t.Fatal(err)
+	}
+	r.commands[i] = command
+}
+
+// checkReadyTimes returns when the last process was ready.
+func (r *fleetRun) checkReadyTimes() (last time.Duration) {
+	r.t.Helper()
+	late := 0
+	for i, after := range r.readyAfter {
+		last = max(last, after)
+		if after > maxReadyTime {
 			late++
-			f.t.Logf("process %d is ready after %v, log:\n%.2000s", i, took, p.log(i))
+			r.t.Logf("process %d is ready after %v, log:\n%.2000s", i, after, r.log(i))
 		}
 	}
-	if late*10 > manyProcesses || most > maxStartTime {
-		f.t.Errorf("%d of %d are ready after more than %v, the last after %v", late, manyProcesses, maxReadyTime, most)
-	}
-	rss, sum := 0, 0
-	for _, c := range p.commands {
-		kib := peakRSS(c.Process.Pid)
-		rss, sum = max(rss, kib), sum+kib
+	if late*10 > manyProcesses || last > maxStartTime {
+		r.t.Errorf("%d of %d are ready after more than %v, the last after %v", late, manyProcesses, maxReadyTime, last)
 	}
-	f.t.Logf("the last is ready after %v; peak RSS %d MiB at most, %d MiB in all", most.Round(time.Millisecond), rss>>10, sum>>10)
-	return p
+	return last
 }
 
-func (p *fleetRun) log(i int) string {
-	raw, err := os.ReadFile(p.logs[i])
+func (r *fleetRun) log(i int) string {
+	raw, err := os.ReadFile(r.logFiles[i])
 	if err != nil {
-		p.t.Error(err)
+		r.t.Error(err)
 	}
 	return string(raw)
 }
 
-// kill ends them as a crash does.
-func (p *fleetRun) kill() {
-	for i, c := range p.commands {
-		if c != nil {
-			c.Process.Kill()
-			c.Wait()
-			p.commands[i] = nil
+// kill ends all processes as a crash does.
+func (r *fleetRun) kill() {
+	for i, command := range r.commands {
+		if command != nil {
+			command.Process.Kill()
+			command.Wait()
+			r.commands[i] = nil
 		}
 	}
 }
 
-// answersPing tells whether a process answers the front layer's health check.
+// answersPing reports whether a process answers the health check at its client address.
 func answersPing(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -170,123 +174,130 @@
 
 var peakPattern = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
 
+// peakRSS returns the largest resident size of a process so far.
 func peakRSS(pid int) (kib int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if m := peakPattern.FindSubmatch(raw); m != nil {
-		fmt.Sscan(string(m[1]), &kib)
+	if match := peakPattern.FindSubmatch(raw); match != nil {
+		fmt.Sscan(string(match[1]), &kib)
 	}
 	return kib
 }
 
-// waitListed waits until a process has so many room servers in force.
-func (p *fleetRun) waitListed(i, want int) bool {
-	watched := &process{t: p.t, management: p.manage[i]}
+// waitListed waits until a process has a list of so many room servers; it reports false if that takes too long.
+func (r *fleetRun) waitListed(i, servers int) bool {
+	p := &process{t: r.t, management: r.manage[i]}
 	for end := time.Now().Add(maxReadyTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if strings.Contains(watched.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", want)) {
+		if strings.Contains(p.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", servers)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Thirty processes of one machine are killed and started anew at once, with a list of 20000 room servers.
+// Thirty processes of one machine are killed and started again at once, with a list of 20000 room servers.
 func TestCrashRestarts(t *testing.T) {
-	// As it is deployed, without the race detector: that one's memory and time are no process's.
+	// As it is deployed, without the race detector, whose memory and time would be measured.
 	program := filepath.Join(t.TempDir(), "cottonplank")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	long := listOfManyServers()
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if req.URL.Query().Get("from") != "1" {
-			w.Write(long)
-		}
-		for req.URL.Query().Has("watch") && req.Context().Err() == nil {
-			io.WriteString(w, "\n")
-			w.(http.Flusher).Flush()
-			select {
-			case <-req.Context().Done():
-			case <-time.After(time.Second):
-			}
-		}
-	}))
-	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	discovery := strings.TrimPrefix(server.URL, "http://")
+	list := listOfManyServers()
 
-	t.Run("known, discovery down, torn state", func(t *testing.T) {
-		f := newFleet(t, program, long)
+	t.Run("known list, corrupt state", func(t *testing.T) {
+		f := newFleet(t, program, list)
 		f.start(freeAddress(t)).kill()
 		f.corruptRestartSockets()
-		p := f.start(freeAddress(t))
-		if !p.waitListed(0, manyServers) {
+		run := f.start(freeAddress(t))
+		if !run.waitListed(0, manyServers) {
 			t.Error("the list is not in force")
 		}
-		p.kill()
+		run.kill()
 		for i := range manyProcesses {
-			if torn := strings.Contains(p.log(i), "nothing was learned"); torn != (i%3 == 2) {
-				t.Errorf("process %d logs:\n%.2000s", i, p.log(i))
+			if truncated := strings.Contains(run.log(i), "nothing was learned"); truncated != (i%3 == 2) {
+				t.Errorf("process %d logs:\n%.2000s", i, run.log(i))
 			}
 		}
 		f.checkInvalidList()
 	})
 	t.Run("from discovery", func(t *testing.T) {
+		discovery := startHTTPServer(t, serveList(list))
 		f := newFleet(t, program, []byte(`{"generation":0,"reset":true,"instances":[]}`))
 		f.start(discovery).kill()
-		p := f.start(discovery)
+		run := f.start(discovery)
 		for i := range manyProcesses {
-			if !p.waitListed(i, manyServers) {
-				t.Errorf("process %d: the list is not in force, log:\n%.2000s", i, p.log(i))
+			if !run.waitListed(i, manyServers) {
+				t.Errorf("process %d: the list is not in force, log:\n%.2000s", i, run.log(i))
 			}
 		}
 	})
 }
 
-// corruptRestartSockets spoils what processes find of those that were killed: a path that nobody listens at, as it is; one where nobody
-// answers; one whose process ends within a line of what it has learned.
+// serveList is a discovery service whose list never changes: a watch gets heartbeats.
+func serveList(list []byte) http.HandlerFunc {
+	return func(w http.ResponseWriter, req *http.Request) {
+		if req.URL.Query().Get("from") != "1" {
+			w.Write(list)
+		}
+		for req.URL.Query().Has("watch") && req.Context().Err() == nil {
+			io.WriteString(w, "\n")
+			w.(http.Flusher).Flush()
+			select {
+			case <-req.Context().Done():
+			case <-time.After(time.Second):
+			}
+		}
+	}
+}
+
+// corruptRestartSockets changes what processes find of those that were killed. A third find the Unix socket as it was
+// left, a third one where nobody answers, and a third one whose process ends within a line of its learned state.
 func (f *processFleet) corruptRestartSockets() {
 	f.t.Helper()
 	for i, listen := range f.listen {
 		path := hotrestart.SocketPath(f.dir, listen)
 		if i%3 == 0 {
 			if _, err := os.Stat(path); err != nil {
-				f.t.Error(err) // the killed one has left none
+				f.t.Error(err) // the killed process has left none
 			}
 			continue
 		}
 		os.Remove(path)
-		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+		listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.t.Cleanup(func() { l.Close() })
+		f.t.Cleanup(func() { listener.Close() })
 		if i%3 == 2 {
-			go serveTruncatedState(l, listen)
+			go serveTruncatedState(listener, listen)
 		}
 	}
 }
 
-// checkInvalidList: a torn list in the configuration is an error that names it, also where a process is started anew.
+// checkInvalidList: an invalid list in the configuration is an error that names its key, also after a crash.
 func (f *processFleet) checkInvalidList() {
 	f.t.Helper()
-	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c","known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1"}]},
-"settings":{"zone":"a","membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`)
-	c := exec.Command(f.program, "serve")
-	c.Env = append(os.Environ(), "PROXY_CONFIG="+f.config, "TMPDIR="+f.dir, "PROXY_DISCOVERY=127.0.0.1:1")
-	if out, err := c.CombinedOutput(); err == nil || !strings.Contains(string(out), "known: list: instances[0]") {
-		f.t.Errorf("a torn list: %v, %s", err, out)
+	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c",
+"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1"}]},
+"settings":{"zone":"a","membership_mode":"subscribe",
+"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`)
+	command := exec.Command(f.program, "serve")
+	command.Env = append(os.Environ(), "PROXY_CONFIG="+f.config, "TMPDIR="+f.dir, "PROXY_DISCOVERY=127.0.0.1:1")
+	out, err := command.CombinedOutput()
+	if err == nil || !strings.Contains(string(out), "known: list: instances[0]") {
+		f.t.Errorf("an invalid list: %v, %s", err, out)
 	}
 }
 
-// serveTruncatedState hands its socket over and ends within a line of what it has learned.
-func serveTruncatedState(l *net.UnixListener, listen string) {
-	conn, err := l.AcceptUnix()
+// serveTruncatedState is a process that hands its socket over and ends within a line of its learned state.
+func serveTruncatedState(listener *net.UnixListener, listen string) {
+	conn, err := listener.AcceptUnix()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	l.Close()
-	r := bufio.NewReader(conn)
-	r.ReadString('\n') // TAKE
+	listener.Close()
+	reader := bufio.NewReader(conn)
+	reader.ReadString('\n') // TAKE
 	clients, err := net.Listen("tcp", listen)
 	if err != nil {
 		return
@@ -298,6 +309,6 @@
 	}
 	defer file.Close()
 	conn.WriteMsgUnix([]byte("SOCKETS clients\r\n"), unix.UnixRights(int(file.Fd())), nil)
-	r.ReadString('\n') // LEARNED
+	reader.ReadString('\n') // LEARNED
 	io.WriteString(conn, "L {\"server\":\"s-1\"}\r\nL {\"ser")
 }
--- a/cmd/cottonplank/daemon.go
+++ b/cmd/cottonplank/daemon.go
@@ -23,8 +23,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// daemon is the balancer process: its configuration and its subsystems. The fields are set before the subsystems run and
-// are not assigned afterwards.
+// daemon is the balancer process: its configuration and its subsystems. The fields are set before the subsystems run
+// and are not assigned afterwards.
 type daemon struct {
 	// Configuration.
 	cfg              *config.Config
@@ -95,7 +95,7 @@
 	if err := d.loadConfig(); err != nil {
 		return nil, err
 	}
-	d.takeOverSockets()
+	d.inheritSockets()
 	if err := d.newEngine(); err != nil {
 		return nil, err
 	}
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -49,7 +49,8 @@
 	return keys
 }
 
-// createKey adds a key to the file, which it creates if there is none. The key seals tokens from delay on, for lifetime.
+// createKey adds a key to the file, which it creates if there is none. The key seals tokens from delay on, for
+// lifetime.
 func createKey(out io.Writer, file string, delay, lifetime time.Duration) error {
 	if delay < 0 || lifetime < minKeyLifetime {
 		return fmt.Errorf("--after %v is below 0 or --for %v below a minute", delay, lifetime)
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -20,63 +19,53 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// programEnvironment names another program whose costs are to be measured, one of an older state say.
+// programEnvironment names another program whose costs are to be measured, an older version for example.
 const programEnvironment = "COTTONPLANK_TEST_PROGRAM"
 
-// endpointEntries are room servers of two zones that do not run. No two names share a derived number: such a list is refused.
-func endpointEntries(n int) (all []emulator.Entry) {
+// endpointEntries returns n room servers of two zones that do not run. No two names have the same ServerID: such a list
+// is rejected.
+func endpointEntries(n int) []emulator.Entry {
+	var entries []emulator.Entry
 	used := map[decide.ServerID]bool{}
-	for i := 0; len(all) < n; i++ {
+	for i := 0; len(entries) < n; i++ {
 		name := fmt.Sprintf("s-%08x", uint32(i)*2654435761)
-		if id := core.ServerID(name); !used[id] {
-			used[id] = true
-			all = append(all, emulator.Entry{Instance: name, Zone: []string{"a", "b"}[i%2], Lifecycle: "active", Weight: 1,
-				Started: 1_700_000_000_000, Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255)})
+		id := core.ServerID(name)
+		if used[id] {
+			continue
 		}
+		used[id] = true
+		entries = append(entries, emulator.Entry{
+			Instance:  name,
+			Zone:      []string{"a", "b"}[i%2],
+			Lifecycle: "active",
+			Weight:    1,
+			Started:   1_700_000_000_000,
+			Address:   fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255),
+		})
 	}
-	return all
+	return entries
 }
 
-// balancerProcess is a balancer in a process of its own.
+// balancerProcess is a balancer in a process of its own, for a test or a benchmark.
 type balancerProcess struct {
 	*exec.Cmd
 	management string
 }
 
-// startBalancer starts one with a discovery, and with a list as it was before.
+// startBalancer starts a balancer with a discovery service and the list that it knows before the start.
 func startBalancer(t testing.TB, discovery string, known json.RawMessage) *balancerProcess {
 	t.Helper()
-	free := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer l.Close()
-		return l.Addr().String()
-	}
-	p := &balancerProcess{management: free()}
+	p := &balancerProcess{management: freeAddress(t)}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
-	raw, err := json.Marshal(map[string]any{"name": "n3", "listen": free(), "management": p.management, "discovery": discovery, "seed": "8c",
-		"known": known, "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"settings": map[string]any{"zone": "a", "areas": []string{"a", "b"}, "balancers": 3, "membership_mode": "subscribe",
-			"profiles": []any{map[string]any{"name": "solo-play", "aim_s": 0.3, "give_up_s": 1.2, "repeat": "idempotent"}},
-			"limits":   map[string]any{"connect_timeout_s": 0.25, "retry_after": true, "max_retry_after_s": 1.5, "most_tries": 3},
-			"rules": map[string]any{"must_ask_in_s": 10, "drain_grace_s": 1, "cold_share": 0.4, "cold_s": 6,
-				"fall_multiple": 4, "fall_s": 1}}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	replaceFile(t, path, balancerConfig(t, p.management, discovery, known))
 	program := os.Getenv(programEnvironment)
 	p.Cmd = exec.Command(program, "serve")
 	if program == "" {
 		p.Cmd = exec.Command(os.Args[0])
 	}
-	p.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
-		"PROXY_MANAGEMENT=", "NOTIFY_SOCKET=", "TMPDIR="+dir)
+	p.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=",
+		"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "NOTIFY_SOCKET=", "TMPDIR="+dir)
 	var log bytes.Buffer
 	p.Stderr = &log
 	if err := p.Start(); err != nil {
@@ -92,18 +81,39 @@
 	return p
 }
 
-// waitListed waits until it tells of so many room servers.
-func (p *balancerProcess) waitListed(t testing.TB, want int, within time.Duration) bool {
+func balancerConfig(t testing.TB, managementAddress, discovery string, known json.RawMessage) string {
+	t.Helper()
+	type object = map[string]any
+	raw, err := json.Marshal(object{
+		"name": "n3", "listen": freeAddress(t), "management": managementAddress, "discovery": discovery, "seed": "8c",
+		"known": known, "limits": object{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"settings": object{
+			"zone": "a", "areas": []string{"a", "b"}, "balancers": 3, "membership_mode": "subscribe",
+			"profiles": []any{object{"name": "solo-play", "aim_s": 0.3, "give_up_s": 1.2, "repeat": "idempotent"}},
+			"limits":   object{"connect_timeout_s": 0.25, "retry_after": true, "max_retry_after_s": 1.5, "most_tries": 3},
+			"rules": object{"must_ask_in_s": 10, "drain_grace_s": 1, "cold_share": 0.4, "cold_s": 6,
+				"fall_multiple": 4, "fall_s": 1},
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+// waitListed waits until the balancer has a list of so many room servers; it reports false if that takes too long.
+func (p *balancerProcess) waitListed(t testing.TB, servers int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if figures, err := management.ParseMetrics(t.Context(), p.management); err == nil && figures["registry_entries"] == uint64(want) {
+		metrics, err := management.ParseMetrics(t.Context(), p.management)
+		if err == nil && metrics["registry_entries"] == uint64(servers) {
 			return true
 		}
 	}
 	return false
 }
 
-// processorTime is the processor time so far, by proc_pid_stat(5); the clock ticks 100 times a second there.
+// processorTime returns the processor time so far, by proc_pid_stat(5), whose clock ticks 100 times per second.
 func (p *balancerProcess) processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
@@ -116,7 +126,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// peakMemoryMB is the largest resident size so far, in MB.
+// peakMemoryMB returns the largest resident size so far, in MB.
 func (p *balancerProcess) peakMemoryMB(t testing.TB) float64 {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
@@ -128,67 +138,78 @@
 	return float64(kb) / 1024
 }
 
-// A list of 20,000 room servers is taken whole from discovery, which is not asked again and again for it.
+// A list of 20,000 room servers is received from discovery in one piece, which is not polled again and again for it.
 func TestLongListFromDiscovery(t *testing.T) {
 	const n = 20_000
-	d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
-	defer d.Stop()
-	d.Put(endpointEntries(n)...)
-	address, err := d.For("n3")
+	discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+	defer discovery.Stop()
+	discovery.Put(endpointEntries(n)...)
+	address, err := discovery.For("n3")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := startBalancer(t, address, nil)
 	if !p.waitListed(t, n, 20*time.Second) {
-		t.Fatalf("no list after %d calls", d.Calls())
+		t.Fatalf("no list after %d calls", discovery.Calls())
 	}
-	if calls := d.Calls(); calls > 4 {
+	if calls := discovery.Calls(); calls > 4 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// What a listed room server costs a process where nothing stands: ms/s at rest, ms/s with one change a second, the time from the
-// first call until the whole list is known, and the memory at most by then. Of -benchtime=1x each size takes 45 s.
+// Measures what a listed room server costs a process without clients: processor time at rest and with one change per
+// second, the time from the first call until the whole list is known, and the peak memory by then. With -benchtime=1x
+// each size takes 45 s.
 func BenchmarkListedServer(b *testing.B) {
 	for _, n := range []int{600, 5000, 8000, 20_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			const over = 20 * time.Second
-			d := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
-			defer d.Stop()
-			all := endpointEntries(n)
-			d.Put(all...)
-			address, err := d.For("n3")
+			discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+			defer discovery.Stop()
+			entries := endpointEntries(n)
+			discovery.Put(entries...)
+			address, err := discovery.For("n3")
 			if err != nil {
 				b.Fatal(err)
 			}
 			for range b.N {
-				first, calls := startBalancer(b, address, nil), d.Calls()
-				for d.Calls() == calls { // it asks from an offset of its own
-					time.Sleep(time.Millisecond)
-				}
-				begun := time.Now()
-				if first.waitListed(b, n, 15*time.Second) {
-					b.ReportMetric(time.Since(begun).Seconds(), "list-s")
-				}
-				b.ReportMetric(first.peakMemoryMB(b), "peak-MB")
-				first.Process.Kill()
-				p := startBalancer(b, address, d.Known())
-				if !p.waitListed(b, n, 20*time.Second) {
-					b.Fatal("does not start")
-				}
-				time.Sleep(time.Second)
-				before := p.processorTime(b)
-				time.Sleep(over)
-				b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/over.Seconds(), "rest-ms/s")
-				before = p.processorTime(b)
-				for i := range int(over / time.Second) {
-					e := all[0]
-					e.Weight = float64(2 - i%2)
-					d.Put(e)
-					time.Sleep(time.Second)
-				}
-				b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/over.Seconds(), "changes-ms/s")
+				measureFirstList(b, discovery, address, n)
+				measureProcessorTime(b, discovery, address, entries)
 			}
 		})
 	}
 }
+
+// measureFirstList reports the time until a process that knows no list has it, and the peak memory.
+func measureFirstList(b *testing.B, discovery *emulator.Discovery, address string, servers int) {
+	p, calls := startBalancer(b, address, nil), discovery.Calls()
+	for discovery.Calls() == calls { // its first poll comes after a random delay
+		time.Sleep(time.Millisecond)
+	}
+	began := time.Now()
+	if p.waitListed(b, servers, 15*time.Second) {
+		b.ReportMetric(time.Since(began).Seconds(), "list-s")
+	}
+	b.ReportMetric(p.peakMemoryMB(b), "peak-MB")
+	p.Process.Kill()
+}
+
+// measureProcessorTime reports the processor time at rest, and with a change of the list each second.
+func measureProcessorTime(b *testing.B, discovery *emulator.Discovery, address string, entries []emulator.Entry) {
+	const interval = 20 * time.Second
+	p := startBalancer(b, address, discovery.Known())
+	if !p.waitListed(b, len(entries), 20*time.Second) {
+		b.Fatal("does not start")
+	}
+	time.Sleep(time.Second)
+	before := p.processorTime(b)
+	time.Sleep(interval)
+	b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/interval.Seconds(), "rest-ms/s")
+	before = p.processorTime(b)
+	for i := range int(interval / time.Second) {
+		changed := entries[0]
+		changed.Weight = float64(2 - i%2)
+		discovery.Put(changed)
+		time.Sleep(time.Second)
+	}
+	b.ReportMetric(float64((p.processorTime(b)-before).Milliseconds())/interval.Seconds(), "changes-ms/s")
+}
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -18,9 +18,9 @@
 	snmpSocket   = "snmp"
 )
 
-// takeOverSockets asks a running process for its sockets, adds those that a service supervisor has passed on, and
+// inheritSockets asks a running process for its sockets, adds those that a service supervisor has passed on, and
 // applies the memory limit, of which both processes get a part while they run beside each other.
-func (d *daemon) takeOverSockets() {
+func (d *daemon) inheritSockets() {
 	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
 	d.sockets, d.previous = hotrestart.TakeOver(d.restartPath, d.log)
 	d.sockets.AddInherited(sdnotify.InheritedSockets())
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -35,8 +35,8 @@
 	abandonedCluster  bool // a replacement process has this instance's place in the cluster
 }
 
-// newRestartCoordinator returns the coordinator of d. With a previous process, the sockets are paused from here on until
-// this process is ready.
+// newRestartCoordinator returns the coordinator of d. With a previous process, the sockets are paused from here on
+// until this process is ready.
 func newRestartCoordinator(d *daemon) *restartCoordinator {
 	c := &restartCoordinator{
 		cfg:       d.cfg,
@@ -69,7 +69,7 @@
 	server := hotrestart.NewServer(d.restartPath, d.sockets, exportLearned, d.restart.setReplacements, d.log)
 	d.running.Go(func() { d.restart.run(ctx) })
 	d.running.Go(func() {
-		if d.previous == nil || d.restart.takeOver(ctx, d.previous) {
+		if d.previous == nil || d.restart.replacePrevious(ctx, d.previous) {
 			server.Serve(ctx)
 		}
 	})
@@ -100,9 +100,9 @@
 	}
 }
 
-// takeOver waits until this process can serve in place of the previous one and tells it so. It reports false if ctx
-// ended first.
-func (c *restartCoordinator) takeOver(ctx context.Context, previous *hotrestart.PreviousProcess) bool {
+// replacePrevious waits until this process can serve in place of the previous one and tells it so. It reports false
+// if ctx ended first.
+func (c *restartCoordinator) replacePrevious(ctx context.Context, previous *hotrestart.PreviousProcess) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -130,7 +130,8 @@
 	c.post(func() { c.replacements = n })
 }
 
-// beginShutdown begins a graceful shutdown: if a replacement accepts from the same listener, this process stops accepting.
+// beginShutdown begins a graceful shutdown: if a replacement accepts from the same listener, this process stops
+// accepting.
 func (c *restartCoordinator) beginShutdown() {
 	c.post(func() { c.stopping = true })
 }
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -14,8 +14,8 @@
 	notifierTimeout = exitTimeout / 3
 )
 
-// shutdown stops the balancer gracefully: it answers what it has accepted and migrates the established connections, then
-// cancels the context of all subsystems and waits for them for a short time.
+// shutdown stops the balancer gracefully: it answers what it has accepted and migrates the established connections,
+// then cancels the context of all subsystems and waits for them for a short time.
 func (d *daemon) shutdown(cancel context.CancelFunc) {
 	d.log.Info("stopping: answering pending requests and migrating established connections")
 	d.notifier.Stopping(d.cfg.ShutdownBudget + exitTimeout)
--- a/cmd/cottonplank/status_test.go
+++ b/cmd/cottonplank/status_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -9,52 +10,73 @@
 	"testing"
 )
 
-// startManagementEmulator is a stand-in for a management address: INFO's counts rise by ten with each call.
-func startManagementEmulator(t *testing.T, state string) string {
+// startManagementEmulator starts a management address whose counters rise by ten with each INFO.
+func startManagementEmulator(t *testing.T, pingResponse string) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for n := 0; ; {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			call := make([]byte, 100)
-			got, _ := conn.Read(call)
-			if string(call[:got]) == "INFO\r\n" {
+			request := make([]byte, 100)
+			length, _ := conn.Read(request)
+			if string(request[:length]) == "INFO\r\n" {
 				n += 10
-				fmt.Fprintf(conn, "200 figures\r\nsvc.fulfilled.a=%d\r\nsvc.fulfilled.b=%d\r\nsvc.throttled.a=7\r\nsvc.generation=3\r\n"+
-					"svc.open_requests=5\r\nsvc.registry_entries=4\r\nsvc.out_of_rotation=1\r\nEOF\r\n", n, 2*n)
+				fmt.Fprintf(conn, "200 figures\r\nsvc.fulfilled.a=%d\r\nsvc.fulfilled.b=%d\r\nsvc.throttled.a=7\r\n", n, 2*n)
+				io.WriteString(conn, "svc.generation=3\r\nsvc.open_requests=5\r\nsvc.registry_entries=4\r\n"+
+					"svc.out_of_rotation=1\r\nEOF\r\n")
 			} else {
-				io.WriteString(conn, state+"\r\n")
+				io.WriteString(conn, pingResponse+"\r\n")
 			}
 			conn.Close()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// Each instance has a line, one that does not answer too, and then the status is 1; rates are of the counts' rise.
+// Each instance has a row. One that does not answer has one too, and then the exit status is 1. Rates are the growth of
+// the counters.
 func TestStatus(t *testing.T) {
-	one, two := startManagementEmulator(t, "200 serving"), startManagementEmulator(t, "400 lame duck")
-	var out bytes.Buffer
-	if status := run([]string{"status", "--over", "100ms", one, two}, &out, &out); status != 0 || strings.Count(out.String(), "\n") != 3 ||
-		!strings.Contains(out.String(), "serving") || !strings.Contains(out.String(), "lame duck  3           5     4      1") {
-		t.Errorf("status %d\n%s", status, &out)
+	serving := startManagementEmulator(t, "200 serving")
+	lameDuck := startManagementEmulator(t, "400 lame duck")
+	var out, errs bytes.Buffer
+	status := run([]string{"status", "--over", "100ms", serving, lameDuck}, &out, &errs)
+	if text := out.String() + errs.String(); status != 0 || strings.Count(text, "\n") != 3 ||
+		!strings.Contains(text, "serving") || !strings.Contains(text, "lame duck  3           5     4      1") {
+		t.Errorf("status %d\n%s", status, text)
 	}
 	out.Reset()
-	var errs bytes.Buffer
-	silent := freeAddress(t)
-	if status := run([]string{"status", "--json", "--over", "100ms", one, silent}, &out, &errs); status != 1 ||
-		!strings.Contains(errs.String(), "no status of "+silent) || !strings.Contains(out.String(), `"refused_per_s":0,`) ||
-		!strings.Contains(out.String(), `"generation":3`) || !strings.Contains(out.String(), "refused") || strings.Count(out.String(), "\n") != 1 {
+	errs.Reset()
+	unreachable := freeAddress(t)
+	status = run([]string{"status", "--json", "--over", "100ms", serving, unreachable}, &out, &errs)
+	if status != 1 || !strings.Contains(errs.String(), "no status of "+unreachable) ||
+		!strings.Contains(out.String(), `"refused_per_s":0,`) || !strings.Contains(out.String(), `"generation":3`) ||
+		!strings.Contains(out.String(), "refused") || strings.Count(out.String(), "\n") != 1 {
 		t.Errorf("status %d\n%s\n%s", status, &out, &errs)
 	}
 	if status := run([]string{"status"}, &out, &errs); status != 2 {
 		t.Errorf("no address: status %d", status)
 	}
 }
+
+// The keys are an interface for operators' tools.
+func TestStatusJSONKeys(t *testing.T) {
+	instance := instanceStatus{Address: "a", State: "s", Error: "e", Generation: 1, Open: 2, Listed: 3, Ejected: 4,
+		Served: 5, Rejected: 6, Failed: 7, Resumed: 8}
+	const keys = `{"address":"a","state":"s","error":"e","generation":1,"open_requests":2,"registry_entries":3,` +
+		`"out_of_rotation":4,"served_per_s":5,"refused_per_s":6,"failed_per_s":7,"resumed_per_s":8`
+	const clusterKeys = `,"members":{"alive":1,"suspect":2,"failed":3,"fleet_size":4,"isolated":true,"partitioned":true}`
+	if raw, err := json.Marshal(instance); err != nil || string(raw) != keys+"}" {
+		t.Errorf("%s, %v", raw, err)
+	}
+	instance.Cluster = &clusterStatus{Alive: 1, Suspect: 2, Failed: 3, FleetSize: 4, Isolated: true, Partitioned: true}
+	if raw, err := json.Marshal(instance); err != nil || string(raw) != keys+clusterKeys+"}" {
+		t.Errorf("%s, %v", raw, err)
+	}
+}
--- a/cmd/cottonplank/supervisor.go
+++ b/cmd/cottonplank/supervisor.go
@@ -24,6 +24,6 @@
 
 // statusLine is the text that a service supervisor shows for this process.
 func statusLine(s *core.Snapshot) string {
-	return fmt.Sprintf("%s: %d connections stand, %d requests wait, %d room servers listed, %d of them left out", s.Service,
-		s.Established, s.Waiting, s.Listed, s.Ejected)
+	return fmt.Sprintf("%s: %d connections stand, %d requests wait, %d room servers listed, %d of them left out",
+		s.Service, s.Established, s.Waiting, s.Listed, s.Ejected)
 }
--- a/cmd/cottonplank/supervisor_test.go
+++ b/cmd/cottonplank/supervisor_test.go
@@ -15,72 +15,95 @@
 	"time"
 )
 
-// Under a supervisor, the program's own process: it serves from the supervisor's socket, says when it is ready, gives
-// signs of life, tells of reloads and of its stop; and the queue outlives it. Guards the service unit of deploy/.
-func TestServiceSupervisor(t *testing.T) {
-	dir := t.TempDir()
-	notify, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: filepath.Join(dir, "notify"), Net: "unixgram"})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer notify.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// notifySocket receives what a process sends to its service supervisor.
+type notifySocket struct {
+	t          *testing.T
+	conn       *net.UnixConn
+	path       string
+	heartbeats int
+}
+
+func newNotifySocket(t *testing.T, path string) *notifySocket {
+	t.Helper()
+	conn, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	socket, err := l.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
+	t.Cleanup(func() { conn.Close() })
+	return &notifySocket{t: t, conn: conn, path: path}
+}
+
+// wait skips heartbeats and status lines until the notification that begins with want; any other fails the test.
+func (s *notifySocket) wait(want string) {
+	s.t.Helper()
+	buffer := make([]byte, 4096)
+	for {
+		s.conn.SetReadDeadline(time.Now().Add(testTimeout))
+		n, err := s.conn.Read(buffer)
+		if err != nil {
+			s.t.Fatalf("no notification %s: %v", want, err)
+		}
+		switch got := string(buffer[:n]); {
+		case strings.HasPrefix(got, want):
+			return
+		case got == "WATCHDOG=1":
+			s.heartbeats++
+		case !strings.HasPrefix(got, "STATUS="):
+			s.t.Fatalf("notification %q, want %s", got, want)
+		}
 	}
-	defer socket.Close()
-	other, err := net.Listen("tcp", "127.0.0.1:0")
+}
+
+// listenSocket opens a listener and returns it with its file, as a service supervisor passes it on.
+func listenSocket(t *testing.T) (net.Listener, *os.File) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	stray, err := other.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stray.Close()
-	asked, _ := startEmptyDiscovery(t)
-	config := filepath.Join(dir, "config.json")
-	replaceFile(t, config, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c","settings":{"zone":"a","membership_mode":
-"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1,"repeat":"idempotent"}]}}`, l.Addr(), asked))
-	var logged bytes.Buffer
+	t.Cleanup(func() { file.Close() })
+	return listener, file
+}
+
+// startSupervised runs the program with the sockets "clients" and "metrics" of a service supervisor.
+func startSupervised(t *testing.T, notify *notifySocket, configFile string,
+	sockets ...*os.File) (*exec.Cmd, *bytes.Buffer) {
+	t.Helper()
 	// A supervisor sets LISTEN_PID between fork and exec; the shell does so here.
-	program := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0])
-	program.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+config, "TMPDIR="+dir, "LISTEN_FDS=2",
-		"LISTEN_FDNAMES=clients:metrics", "NOTIFY_SOCKET="+filepath.Join(dir, "notify"), "WATCHDOG_USEC=400000")
-	program.ExtraFiles = []*os.File{socket, stray}
-	program.Stderr = &logged
+	program, logs := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0]), &bytes.Buffer{}
+	program.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+configFile,
+		"TMPDIR="+filepath.Dir(configFile), "LISTEN_FDS=2", "LISTEN_FDNAMES=clients:metrics",
+		"NOTIFY_SOCKET="+notify.path, "WATCHDOG_USEC=400000")
+	program.ExtraFiles = sockets
+	program.Stderr = logs
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer program.Process.Kill()
-	signs := 0
-	wait := func(want string) {
-		t.Helper()
-		buf := make([]byte, 4096)
-		for {
-			notify.SetReadDeadline(time.Now().Add(testTimeout))
-			n, err := notify.Read(buf)
-			if err != nil {
-				t.Fatalf("not told %s: %v", want, err)
-			}
-			switch got := string(buf[:n]); {
-			case strings.HasPrefix(got, want):
-				return
-			case got == "WATCHDOG=1":
-				signs++
-			case !strings.HasPrefix(got, "STATUS="):
-				t.Fatalf("told %q, want %s", got, want)
-			}
-		}
-	}
-	wait("READY=1\nSTATUS=serving: 0 connections stand")
-	conn, err := net.Dial("tcp", l.Addr().String())
+	t.Cleanup(func() { program.Process.Kill() })
+	return program, logs
+}
+
+// Under a service supervisor the program serves from the supervisor's socket, notifies it when it is ready, sends
+// heartbeats, and announces reloads and its shutdown; and the listener's backlog outlives it. Guards the service unit
+// of deploy/.
+func TestServiceSupervisor(t *testing.T) {
+	dir := t.TempDir()
+	notify := newNotifySocket(t, filepath.Join(dir, "notify"))
+	listener, socket := listenSocket(t)
+	_, unusedSocket := listenSocket(t)
+	discovery, _ := startEmptyDiscovery(t)
+	configFile := filepath.Join(dir, "config.json")
+	replaceFile(t, configFile, fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c","settings":{"zone":"a",
+"membership_mode":"subscribe","profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1,"repeat":"idempotent"}]}}`,
+		listener.Addr(), discovery))
+	program, logs := startSupervised(t, notify, configFile, socket, unusedSocket)
+	notify.wait("READY=1\nSTATUS=serving: 0 connections stand")
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,24 +114,24 @@
 		t.Errorf("PING brings %q, %v", line, err)
 	}
 	conn.Close()
-	for signs < 3 {
-		wait("WATCHDOG=1")
-		signs++
+	for notify.heartbeats < 3 {
+		notify.wait("WATCHDOG=1")
+		notify.heartbeats++
 	}
 	program.Process.Signal(syscall.SIGHUP)
-	wait("RELOADING=1\nMONOTONIC_USEC=")
-	wait("READY=1")
+	notify.wait("RELOADING=1\nMONOTONIC_USEC=")
+	notify.wait("READY=1")
 	program.Process.Signal(syscall.SIGTERM)
-	wait("STOPPING=1\nEXTEND_TIMEOUT_USEC=")
+	notify.wait("STOPPING=1\nEXTEND_TIMEOUT_USEC=")
 	if err := program.Wait(); err != nil {
-		t.Errorf("ended with %v, log:\n%s", err, &logged)
+		t.Errorf("ended with %v, log:\n%s", err, logs)
 	}
-	if !strings.Contains(logged.String(), "socket=metrics") {
-		t.Errorf("a socket without use is not told of:\n%s", &logged)
+	if !strings.Contains(logs.String(), "socket=metrics") {
+		t.Errorf("the log does not name the unused socket:\n%s", logs)
 	}
-	after, err := net.Dial("tcp", l.Addr().String())
+	after, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
-		t.Fatalf("the queue is gone with the process: %v", err)
+		t.Fatalf("the backlog is gone with the process: %v", err)
 	}
 	after.Close()
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -48,8 +48,8 @@
 	Region  string `json:"region"`
 }
 
-// controlServerFile is the configuration file of a control-plane server; unknown keys are rejected. It repeats the keys of
-// controlPlaneFile: the JSON decoder's errors would name an embedded struct as part of the key.
+// controlServerFile is the configuration file of a control-plane server; unknown keys are rejected. It repeats the
+// keys of controlPlaneFile: the JSON decoder's errors would name an embedded struct as part of the key.
 type controlServerFile struct {
 	Servers  []controlServerAddress `json:"machines"`
 	Region   string                 `json:"region"`
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/session/token"
 )
 
-// peerKeyGrace is how long keys between peers, and between control-plane servers and followers, are accepted after their
-// end; the ring adds a margin for clocks that differ.
+// peerKeyGrace is how long keys between peers, and between control-plane servers and followers, are accepted after
+// their end; the ring adds a margin for clocks that differ.
 const peerKeyGrace = time.Minute
 
 // othersAccess are the permissions that give others than its owner access to a file.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -15,8 +15,8 @@
 	minDescriptorLimit     = 128
 )
 
-// goMemoryShare is the part of the memory limit that the Go runtime gets; the rest is memory that it does not count.
-const goMemoryShare = 0.7
+// goMemoryFraction is the part of the memory limit that the Go runtime gets; the rest is memory that it does not count.
+const goMemoryFraction = 0.7
 
 // The division of the file descriptors.
 const (
@@ -114,7 +114,7 @@
 func (c *Config) ProcessLimits(shared bool) ProcessLimits {
 	limits := ProcessLimits{
 		MaxClients:  c.MaxClients,
-		MemoryBytes: int64(float64(c.MemoryMB) * goMemoryShare * (1 << 20)),
+		MemoryBytes: int64(float64(c.MemoryMB) * goMemoryFraction * (1 << 20)),
 	}
 	if !shared {
 		return limits
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,7 +13,7 @@
 	maxAttempts       = 100
 	maxOverloadFactor = 1000.0
 	maxCost           = 1
-	maxShare          = 1
+	maxFraction       = 1
 )
 
 // settingsFile is the section of the configuration file that the platform calls settings.
@@ -106,7 +106,7 @@
 		{"limits.most_tries", float64(s.Limits.MaxAttempts), maxAttempts},
 		{"rules.must_ask_in_s", s.Rules.MaxPollInterval, maxSeconds},
 		{"rules.drain_grace_s", s.Rules.DrainGrace, maxSeconds},
-		{"rules.cold_share", s.Rules.SlowStartShare, maxShare},
+		{"rules.cold_share", s.Rules.SlowStartShare, maxFraction},
 		{"rules.cold_s", s.Rules.SlowStartDuration, maxSeconds},
 		{"rules.fall_multiple", s.Rules.OverloadFactor, maxOverloadFactor},
 		{"rules.fall_s", s.Rules.OverloadWindow, maxSeconds},
