--- a/cmd/cottonplank/daemon.go
+++ b/cmd/cottonplank/daemon.go
@@ -23,8 +23,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// daemon is the balancer process: its configuration and its subsystems. The fields are set before the subsystems run
-// and are not assigned afterwards.
+// daemon is the balancer process: its configuration and its subsystems. The fields are set while it is built and
+// started, by one goroutine, and are not assigned afterwards.
 type daemon struct {
 	// Configuration.
 	cfg              *config.Config
