--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -38,7 +38,7 @@
 
 // Defaults and bounds of the section; times in seconds.
 const (
-	maxMemberName            = 64 // bytes of a name, zone or region: gossip carries them with each member and bounds the sum
+	maxMemberName            = 64 // bytes of a name, zone or region: gossip bounds a member's description
 	maxSeeds                 = 64
 	defaultPartitionHoldDown = 3600.0
 	minPartitionHoldDown     = 240.0 // twice the detection time of 2,300 members, with a margin
