--- /dev/null
+++ b/cmd/cottonplank/controlplane_test.go
@@ -0,0 +1,172 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cottonplank/internal/config"
+)
+
+// maxPropagationDelay is how long a change of the document may take to reach all balancers.
+const maxPropagationDelay = 6 * time.Second
+
+// startCommand runs the program with arguments; its log may be read once it has ended.
+func startCommand(t *testing.T, environment []string, arguments ...string) (*exec.Cmd, *bytes.Buffer) {
+	t.Helper()
+	command, logs := exec.Command(os.Args[0]), &bytes.Buffer{}
+	command.Env = append(append(os.Environ(), argumentsEnvironment+"="+strings.Join(arguments, " ")), environment...)
+	command.Stderr = logs
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		command.Process.Kill()
+		command.Wait()
+	})
+	return command, logs
+}
+
+// endpointsJSON is a document, or an endpoint file, with n room servers.
+func endpointsJSON(n int) string {
+	var endpoints []string
+	for i := range n {
+		endpoints = append(endpoints, fmt.Sprintf(`{"name":"s-%d","address":"127.0.0.1:%d","zone":"a"}`, i, 20+i))
+	}
+	return `{"rooms":[` + strings.Join(endpoints, ",") + `]}`
+}
+
+// controlPlaneFleet is a leader and a follower of the control plane, and the balancers that follow them.
+type controlPlaneFleet struct {
+	t                              *testing.T
+	dir                            string
+	leaderAddress, followerAddress string
+	leaderProcess, followerProcess *exec.Cmd
+	balancers                      []*process
+}
+
+func (f *controlPlaneFleet) path(name string) string { return filepath.Join(f.dir, name) }
+
+func (f *controlPlaneFleet) writeDocument(servers int) {
+	f.t.Helper()
+	replaceFile(f.t, f.path("document.json"), endpointsJSON(servers))
+}
+
+// newControlPlaneFleet starts the leader, with a document of three room servers, and the follower.
+func newControlPlaneFleet(t *testing.T) *controlPlaneFleet {
+	t.Helper()
+	f := &controlPlaneFleet{t: t, dir: t.TempDir(), leaderAddress: reservedAddress(t), followerAddress: reservedAddress(t)}
+	createTestKey(t, f.path("keys.json"))
+	f.writeDocument(3)
+	replaceFile(t, f.path("leader.json"), fmt.Sprintf(`{"listen":%q,"region":"a","site":"x","keys":"keys.json",
+"state":"leader.db","term":1,"file":"document.json"}`, f.leaderAddress))
+	replaceFile(t, f.path("follower.json"), fmt.Sprintf(`{"listen":%q,"region":"b","site":"x","keys":"keys.json",
+"state":"follower.db","machines":[{"address":%q,"region":"a"}]}`, f.followerAddress, f.leaderAddress))
+	for _, name := range []string{"leader.json", "follower.json"} {
+		status, output := runCommand("check", "--control", f.path(name))
+		if status != 0 || !strings.Contains(output, `site "x"`) {
+			t.Fatalf("check of %s: %d, %s", name, status, output)
+		}
+	}
+	f.leaderProcess, _ = startCommand(t, nil, "control", "--file", f.path("leader.json"))
+	f.followerProcess, _ = startCommand(t, nil, "control", "--file", f.path("follower.json"))
+	return f
+}
+
+// startBalancer starts the i-th balancer, which keeps its saved state if it is started again.
+func (f *controlPlaneFleet) startBalancer(i int) *process {
+	f.t.Helper()
+	fronts := f.path(fmt.Sprint("fronts", i, ".json"))
+	replaceFile(f.t, fronts, fmt.Sprintf(`{"control":{"region":"b","site":"x","keys":"keys.json","state":"balancer%d.db",
+"machines":[{"address":%q,"region":"a"},{"address":%q,"region":"b"}]}}`, i, f.leaderAddress, f.followerAddress))
+	path := f.path(fmt.Sprint("config", i, ".json"))
+	replaceFile(f.t, path, fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":"127.0.0.1:9","seed":"%d",
+"settings":{"zone":"a","membership_mode":"subscribe",
+"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, i, reservedAddress(f.t), i+1))
+	p := &process{t: f.t, management: reservedAddress(f.t)}
+	environment := []string{"PROXY_CONFIG=" + path, "PROXY_MANAGEMENT=" + p.management, "TMPDIR=" + f.t.TempDir()}
+	p.command, p.logs = startCommand(f.t, environment, "serve", "--fronts", fronts)
+	return p
+}
+
+// expectListed checks that all balancers list so many room servers in time.
+func (f *controlPlaneFleet) expectListed(servers int) {
+	f.t.Helper()
+	start := time.Now()
+	for _, p := range f.balancers {
+		p.waitListed(servers)
+	}
+	delay := time.Since(start)
+	f.t.Logf("%d room servers are listed at all balancers after %v", servers, delay)
+	if delay > maxPropagationDelay {
+		f.t.Errorf("%d room servers are listed at all balancers after %v", servers, delay)
+	}
+}
+
+// A change of the leader's document is in force at two balancers within 6 s. When the server that they follow is
+// killed, the next change reaches them through the other one. A balancer that restarts while no server runs has the
+// last version.
+func TestControlPlaneFailover(t *testing.T) {
+	t.Parallel()
+	f := newControlPlaneFleet(t)
+	f.balancers = []*process{f.startBalancer(0), f.startBalancer(1)}
+	for _, p := range f.balancers {
+		p.waitListed(3)
+	}
+	f.writeDocument(4)
+	f.expectListed(4)
+	f.followerProcess.Process.Signal(syscall.SIGKILL)
+	f.writeDocument(5)
+	f.expectListed(5)
+	f.leaderProcess.Process.Signal(syscall.SIGKILL)
+	time.Sleep(1200 * time.Millisecond) // a state is saved a second after the one before
+	first := f.balancers[0]
+	first.command.Process.Signal(syscall.SIGTERM)
+	first.waitExit()
+	if text := first.logs.String(); !strings.Contains(text, "version=1.3") || !strings.Contains(text, f.leaderAddress) {
+		t.Errorf("log:\n%s", text)
+	}
+	f.startBalancer(0).waitListed(5)
+}
+
+// No servers are configured.
+func TestNoReplicaWithoutControlPlane(t *testing.T) {
+	if replica, err := newConfigReplica(nil, config.ControlPlane{}, nil); replica != nil || err != nil {
+		t.Errorf("%+v, %v", replica, err)
+	}
+}
+
+// The examples are valid except for the keys, which no package ships.
+func TestCheckControlPlane(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	replaceFile(t, path, validConfig)
+	t.Setenv("PROXY_CONFIG", path)
+	dir := t.TempDir()
+	for _, name := range []string{"fronts-control.json", "control.json", "control-follows.json", "control-document.json"} {
+		copyFile(t, filepath.Join("../../deploy", name), filepath.Join(dir, name))
+	}
+	fronts := filepath.Join(dir, "fronts-control.json")
+	status, output := runCommand("check", "--fronts", fronts)
+	if status != 1 || !strings.Contains(output, "control.keys") {
+		t.Errorf("without keys: %d, %s", status, output)
+	}
+	createTestKey(t, filepath.Join(dir, "control-keys.json"))
+	status, output = runCommand("check", "--fronts", fronts)
+	if status != 0 || !strings.Contains(output, `control: site "example"`) {
+		t.Errorf("%d, %s", status, output)
+	}
+	for name, want := range map[string]string{"control.json": "writes term 1", "control-follows.json": "2 machines"} {
+		t.Run(name, func(t *testing.T) {
+			status, output := runCommand("check", "--control", filepath.Join(dir, name))
+			if status != 0 || !strings.Contains(output, want) {
+				t.Errorf("%s: %d, %s", name, status, output)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -0,0 +1,201 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cottonplank/internal/testbench/emulator"
+	"cottonplank/internal/testbench/invariants"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxListDelay is when a change counts as observed, after discovery had it and could be reached.
+const maxListDelay = 6 * time.Second
+
+// newDeploymentWithFaultyDiscovery returns a deployment whose discovery service can go down.
+func newDeploymentWithFaultyDiscovery(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
+	t.Helper()
+	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+	d.listen = reservedAddress(t)
+	discovery.Tell("s-1", d.server, "a", "active")
+	listener, err := emulator.NewFaultyListener(discovery.Handler("any"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(listener.Close)
+	return d, discovery, listener
+}
+
+// startLimited starts one process of a fleet of 300, with so many file descriptors.
+func (d *deployment) startLimited(discovery *emulator.FaultyListener, name, listen, mode string,
+	descriptors uint64) *process {
+	d.t.Helper()
+	dir := filepath.Join(d.dir, name)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		d.t.Fatal(err)
+	}
+	path := filepath.Join(dir, "config.json")
+	seed := fmt.Sprintf("%x", len(name)*1000+int(name[len(name)-1]))
+	replaceFile(d.t, path, fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":%q,"limits":{"sockets":%d},
+"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a","lifecycle":"active"}]},
+"settings":{"zone":"a","membership_mode":%q,"balancers":300,"rules":{"must_ask_in_s":10,"drain_grace_s":0.5},
+"profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`,
+		name, listen, discovery.Address(), seed, descriptors, d.server, mode))
+	p := startProcess(d.t, reservedAddress(d.t), serveEnvironment+"=1", "PROXY_CONFIG="+path, "TMPDIR="+dir)
+	limit := &unix.Rlimit{Cur: descriptors, Max: descriptors}
+	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_NOFILE, limit, nil); err != nil {
+		d.t.Fatal(err)
+	}
+	return p
+}
+
+func setOutage(t *testing.T, discovery *emulator.FaultyListener, outage emulator.Outage) {
+	t.Helper()
+	if err := discovery.SetOutage(outage); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Twelve processes of a fleet of 300: discovery goes down while they watch it, and resets every call. What has
+// changed in the meantime reaches each of them before it counts as observed.
+func TestListAfterDiscoveryOutage(t *testing.T) {
+	t.Parallel()
+	d, discovery, listener := newDeploymentWithFaultyDiscovery(t)
+	var processes []*process
+	for i := range 12 {
+		processes = append(processes, d.startLimited(listener, fmt.Sprint("n", i), reservedAddress(t), "subscribe", 1024))
+	}
+	for _, p := range processes {
+		p.waitReady()
+		p.waitListed(1)
+	}
+	waitForCalls(t, listener, 12)
+	setOutage(t, listener, emulator.Resets)
+	discovery.Tell("s-2", "127.0.0.1:9", "a", "active")
+	time.Sleep(12 * time.Second)
+	setOutage(t, listener, emulator.Open)
+	delays := make([]time.Duration, len(processes))
+	var waits sync.WaitGroup
+	for i, p := range processes {
+		waits.Go(func() { delays[i] = p.waitListed(2) })
+	}
+	waits.Wait()
+	t.Logf("listed after %v", delays)
+	for i, delay := range delays {
+		if delay > maxListDelay {
+			t.Errorf("process %d listed it %v after the outage, it counts as observed after %v", i, delay, maxListDelay)
+		}
+	}
+}
+
+// waitForCalls waits until discovery has had so many calls: each process's first poll may be seconds away.
+func waitForCalls(t *testing.T, discovery *emulator.FaultyListener, n uint64) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); discovery.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("discovery had %d calls, want %d", discovery.Calls.Load(), n)
+		}
+	}
+}
+
+// connectIdleClients keeps n clients connected until ctx ends. They send nothing, or only PING, and reconnect when they
+// are disconnected.
+func (d *deployment) connectIdleClients(ctx context.Context, n int) {
+	var clients sync.WaitGroup
+	d.t.Cleanup(clients.Wait)
+	for i := range n {
+		clients.Go(func() {
+			for ctx.Err() == nil {
+				d.holdConnection(ctx, i%2 == 0)
+				time.Sleep(200 * time.Millisecond)
+			}
+		})
+	}
+}
+
+// holdConnection connects and waits until the connection or ctx ends.
+func (d *deployment) holdConnection(ctx context.Context, ping bool) {
+	conn, err := net.DialTimeout("tcp", d.listen, time.Second)
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	if ping {
+		io.WriteString(conn, "PING\r\n")
+	}
+	io.Copy(io.Discard, conn)
+}
+
+// Idle clients take the descriptors while discovery is down: the call to discovery, the management address and the next
+// client each find one, and the list is back before it counts as observed.
+func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
+	t.Parallel()
+	for _, mode := range []string{"subscribe", "automatic"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			testIdleClientsDuringOutage(t, mode)
+		})
+	}
+}
+
+func testIdleClientsDuringOutage(t *testing.T, mode string) {
+	const descriptors = 128
+	d, discovery, listener := newDeploymentWithFaultyDiscovery(t)
+	p := d.startLimited(listener, "n7", d.listen, mode, descriptors).waitReady()
+	waitForCalls(t, listener, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	setOutage(t, listener, emulator.Resets)
+	discovery.Tell("s-2", "127.0.0.1:9", "a", "leaving")
+	d.connectIdleClients(ctx, 2*descriptors)
+	maxOpen := 0
+	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		maxOpen = max(maxOpen, p.openDescriptors())
+		d.checkServed(p)
+	}
+	dials := listener.Dials.Load()
+	if dials < 5 {
+		t.Errorf("only %d connections came to discovery", dials)
+	}
+	setOutage(t, listener, emulator.Open)
+	delay := p.waitListed(2)
+	t.Logf("%d of %d descriptors were open at most, %d connections came during the outage, listed after %v", maxOpen,
+		descriptors, dials, delay)
+	if delay > maxListDelay {
+		t.Errorf("listed %v after the outage, it counts as observed after %v", delay, maxListDelay)
+	}
+	if maxOpen < descriptors/2 {
+		t.Errorf("only %d of %d descriptors were open", maxOpen, descriptors)
+	}
+	p.command.Process.Kill()
+	p.command.Wait() // its log is complete then
+	if strings.Contains(p.logs.String(), "too many open files") {
+		t.Errorf("descriptors ran out:\n%s", p.logs)
+	}
+}
+
+// checkServed checks that the management address and a new client are answered.
+func (d *deployment) checkServed(p *process) {
+	d.t.Helper()
+	if response := p.call("PING"); response != "200 serving\r\n" {
+		d.t.Errorf("PING at the management address brings %q", response)
+	}
+	start := time.Now()
+	client := d.open()
+	d.exchange(client, "x", "x")
+	client.Close()
+	if waited := time.Since(start); waited > 3*time.Second {
+		d.t.Errorf("the next client waited %v", waited)
+	}
+}
