--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// rooms makes n ready lines in three zones, of a few sizes.
-func rooms(n int) (list []Server) {
+// serverList makes n ready lines in three zones, of a few sizes.
+func serverList(n int) (list []Server) {
 	for i := range n {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: []string{"a", "b", "c"}[i%3], Cell: i / 20, Started: time.Second,
 			Weight: []float64{1, 1, 2, 4}[i/3%4]})
@@ -14,8 +14,8 @@
 	return list
 }
 
-// fleet is a balancer that knows so many servers; it holds the connections that are asked for.
-func fleet(t testing.TB, set Settings, n, conns int) *Balancer {
+// newBalancerWithList is a balancer that knows so many servers; it holds the connections that are asked for.
+func newBalancerWithList(t testing.TB, set Settings, n, conns int) *Balancer {
 	set.Zones, set.ProbingAllowed = []string{"a", "b", "c"}, true
 	bal, err := New(set)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	now := 100 * time.Second
 	bal.Handle(now, Started{}, nil)
-	bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: rooms(n)}, nil)
+	bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: serverList(n)}, nil)
 	for i := range conns {
 		bal.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%300 + 1)}, nil)
 	}
@@ -33,18 +33,18 @@
 	return bal
 }
 
-// sizes runs a benchmark for lists of several lengths.
-func sizes(b *testing.B, set Settings, conns int, run func(b *testing.B, bal *Balancer, n int)) {
+// benchmarkSizes runs a benchmark for lists of several lengths.
+func benchmarkSizes(b *testing.B, set Settings, conns int, run func(b *testing.B, bal *Balancer, n int)) {
 	for _, n := range []int{600, 5000, 20_000} {
 		b.Run(name("", n), func(b *testing.B) {
-			bal := fleet(b, set, n, conns)
+			bal := newBalancerWithList(b, set, n, conns)
 			b.ReportAllocs()
 			run(b, bal, n)
 		})
 	}
 }
 
-func requests(group func(i int) string) func(b *testing.B, bal *Balancer, n int) {
+func benchmarkRequests(group func(i int) string) func(b *testing.B, bal *Balancer, n int) {
 	return func(b *testing.B, bal *Balancer, n int) {
 		var out []Action
 		now, i := 101*time.Second, 0
@@ -59,7 +59,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	sizes(b, settings(), 500, requests(func(int) string { return "" }))
+	benchmarkSizes(b, settings(), 500, benchmarkRequests(func(int) string { return "" }))
 }
 
 var groupNames = func() (names []string) {
@@ -70,14 +70,14 @@
 }()
 
 func BenchmarkRequestOfFewGroups(b *testing.B) {
-	sizes(b, groups(), 500, requests(func(i int) string { return groupNames[i%500] }))
+	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(func(i int) string { return groupNames[i%500] }))
 }
 
 func BenchmarkRequestOfManyGroups(b *testing.B) {
-	sizes(b, groups(), 500, requests(func(i int) string { return groupNames[i%len(groupNames)] }))
+	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(func(i int) string { return groupNames[i%len(groupNames)] }))
 }
 
-func ticks(b *testing.B, bal *Balancer, n int) {
+func benchmarkTicks(b *testing.B, bal *Balancer, n int) {
 	var out []Action
 	now := 101 * time.Second
 	for b.Loop() {
@@ -86,13 +86,13 @@
 	}
 }
 
-func BenchmarkTickAtRest(b *testing.B) { sizes(b, settings(), 0, ticks) }
+func BenchmarkTickAtRest(b *testing.B) { benchmarkSizes(b, settings(), 0, benchmarkTicks) }
 
-func BenchmarkTickWithConnections(b *testing.B) { sizes(b, settings(), 500, ticks) }
+func BenchmarkTickWithConnections(b *testing.B) { benchmarkSizes(b, settings(), 500, benchmarkTicks) }
 
 func BenchmarkOneChange(b *testing.B) {
-	sizes(b, groups(), 500, func(b *testing.B, bal *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, affinitySettings(), 500, func(b *testing.B, bal *Balancer, n int) {
+		list := serverList(n)
 		var out []Action
 		now, i := 101*time.Second, 0
 		for b.Loop() {
@@ -106,8 +106,8 @@
 }
 
 func BenchmarkWholeListUnchanged(b *testing.B) {
-	sizes(b, settings(), 500, func(b *testing.B, bal *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, settings(), 500, func(b *testing.B, bal *Balancer, n int) {
+		list := serverList(n)
 		var out []Action
 		now := 101 * time.Second
 		for b.Loop() {
@@ -118,8 +118,8 @@
 }
 
 func BenchmarkFirstList(b *testing.B) {
-	sizes(b, settings(), 0, func(b *testing.B, _ *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, settings(), 0, func(b *testing.B, _ *Balancer, n int) {
+		list := serverList(n)
 		for b.Loop() {
 			bal, err := New(settings())
 			if err != nil {
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -11,242 +11,242 @@
 	"time"
 )
 
-// coldCase is a fleet whose modules share nothing, before room servers of two zones, some of which start cold in the
+// slowStartCase is a fleet whose modules share nothing, before room servers of two zones, some of which start cold in the
 // middle of it. What is sent to each cold one is counted over all modules.
-type coldCase struct {
-	name     string
-	modules  int
-	told     int           // settings.balancers; 0: the truth, below 0: not told
-	counted  bool          // the membership counts them, whatever the settings say,
-	barred   bool          // and admits none
-	rooms    int           // warm ones of each zone
-	cold     int           // of zone a
-	lostFor  time.Duration // so long these were lost, and their clients with them; 0: they join beside the others
-	groups   int           // of requests; 0: they have none
-	holds    float64       // connections of mean life that fill a warm room server
-	life     time.Duration // of a connection, in the mean
-	load     float64       // of the warm room servers before the start
-	burst    float64       // what comes from then on, as a multiple of what came before
-	uneven   bool          // some modules see several times the mean
-	crowds   bool          // what comes then comes in crowds, within 50 ms of every second
-	restarts float64       // part of the modules that are replaced in the middle, evenly over the cold time
-	learned  bool          // the new ones are given what the old ones have learned
-	warmUp   time.Duration // how long the fleet stands before; 0: 12 s
-	late     float64       // part of the modules that are told of the start 3 s late
-	drop     int           // so many warm ones of zone a drop all that they hold, 2 s after the start
-	seed     uint64
+type slowStartCase struct {
+	name                string
+	balancers           int
+	configuredBalancers int           // settings.balancers; 0: the truth, below 0: not told
+	membershipCounts    bool          // the membership counts them, whatever the settings say,
+	notAdmitted         bool          // and admits none
+	warmServers         int           // warm ones of each zone
+	warmingServers      int           // of zone a
+	lostFor             time.Duration // so long these were lost, and their clients with them; 0: they join beside the others
+	groups              int           // of requests; 0: they have none
+	serverCapacity      float64       // connections of mean life that fill a warm room server
+	meanLifetime        time.Duration // of a connection, in the mean
+	load                float64       // of the warm room servers before the start
+	demandFactor        float64       // what comes from then on, as a multiple of what came before
+	uneven              bool          // some modules see several times the mean
+	synchronized        bool          // what comes then comes in crowds, within 50 ms of every second
+	restartedFraction   float64       // part of the modules that are replaced in the middle, evenly over the cold time
+	learned             bool          // the new ones are given what the old ones have learned
+	warmUp              time.Duration // how long the fleet stands before; 0: 12 s
+	lateFraction        float64       // part of the modules that are told of the start 3 s late
+	droppingServers     int           // so many warm ones of zone a drop all that they hold, 2 s after the start
+	seed                uint64
 }
 
-type coldSent struct {
-	at   time.Duration
-	told bool // the module had been told of the start
+type placementRecord struct {
+	at            time.Duration
+	observedStart bool // the module had been told of the start
 }
 
-type coldRoom struct {
+type simulatedServer struct {
 	Server
-	holds  float64
-	conns  int
-	past   []int // of those, one a step, newest last
-	sent   []coldSent
-	isCold bool // it is watched
-	isGone bool
+	capacity          float64
+	connections       int
+	connectionHistory []int // of those, one a step, newest last
+	attempts          []placementRecord
+	watched           bool // it is watched
+	removed           bool
 }
 
-type coldEvent struct {
-	at     time.Duration
-	seq    int
-	module *coldModule
-	ev     Event
-	client RequestID // its connection ends then
-	comes  string    // a client of that group comes again
-	isNew  bool
+type scheduledEvent struct {
+	at             time.Duration
+	seq            int
+	balancer       *simulatedBalancer
+	ev             Event
+	client         RequestID // its connection ends then
+	reconnectGroup string    // a client of that group comes again
+	replacement    bool
 }
 
-type coldHeap []coldEvent
+type eventHeap []scheduledEvent
 
-func (h coldHeap) Len() int { return len(h) }
-func (h coldHeap) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h coldHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *coldHeap) Push(x any)   { *h = append(*h, x.(coldEvent)) }
-func (h *coldHeap) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
+func (h *eventHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// coldModule is one balancer; a replaced one is dead and hears nothing more.
-type coldModule struct {
+// simulatedBalancer is one balancer; a replaced one is dead and hears nothing more.
+type simulatedBalancer struct {
 	*Balancer
-	zone  string
-	dead  bool
-	late  bool
-	knows bool // it was told of the start
-	conns map[RequestID]*coldRoom
-	tries map[RequestID]int
-	group map[RequestID]string
+	zone          string
+	stopped       bool
+	late          bool
+	observedStart bool // it was told of the start
+	connections   map[RequestID]*simulatedServer
+	attempts      map[RequestID]int
+	group         map[RequestID]string
 }
 
-type coldFleet struct {
-	coldCase
-	set     Settings
-	now     time.Duration
-	rng     *rand.Rand
-	modules []*coldModule
-	weights []float64 // running sums of what each module sees
-	rooms   map[ServerID]*coldRoom
-	list    []Server
-	due     coldHeap
-	seq     int
-	next    int
-	refused int
-	seeds   uint64
+type slowStartSimulation struct {
+	slowStartCase
+	settings  Settings
+	now       time.Duration
+	rng       *rand.Rand
+	balancers []*simulatedBalancer
+	weights   []float64 // running sums of what each module sees
+	servers   map[ServerID]*simulatedServer
+	list      []Server
+	due       eventHeap
+	seq       int
+	next      int
+	rejected  int
+	seeds     uint64
 }
 
 const (
-	coldStep   = 20 * time.Millisecond
-	coldLag    = 200 * time.Millisecond
-	coldWarmUp = 12 * time.Second
+	slowStartStep        = 20 * time.Millisecond
+	slowStartReportDelay = 200 * time.Millisecond
+	defaultWarmUp        = 12 * time.Second
 )
 
-func newColdFleet(t *testing.T, c coldCase, set Settings) *coldFleet {
-	f := &coldFleet{coldCase: c, set: set, now: 1000 * time.Second, rng: rand.New(rand.NewPCG(11, c.seed)),
-		rooms: map[ServerID]*coldRoom{}}
-	f.set.Balancers, f.set.GroupAffinity = max(c.told, 0), c.groups > 0
-	if c.told == 0 {
-		f.set.Balancers = c.modules
+func newSlowStartSimulation(t *testing.T, c slowStartCase, set Settings) *slowStartSimulation {
+	f := &slowStartSimulation{slowStartCase: c, settings: set, now: 1000 * time.Second, rng: rand.New(rand.NewPCG(11, c.seed)),
+		servers: map[ServerID]*simulatedServer{}}
+	f.settings.Balancers, f.settings.GroupAffinity = max(c.configuredBalancers, 0), c.groups > 0
+	if c.configuredBalancers == 0 {
+		f.settings.Balancers = c.balancers
 	}
-	for _, s := range servers(c.rooms, c.rooms) {
-		f.rooms[s.ID] = &coldRoom{Server: s, holds: c.holds}
+	for _, s := range servers(c.warmServers, c.warmServers) {
+		f.servers[s.ID] = &simulatedServer{Server: s, capacity: c.serverCapacity}
 		f.list = append(f.list, s)
 	}
 	sum := 0.0
-	for i := range c.modules {
+	for i := range c.balancers {
 		w := 1.0
 		if c.uneven {
 			w = f.rng.ExpFloat64() * f.rng.ExpFloat64()
 		}
 		sum += w
 		f.weights = append(f.weights, sum)
-		f.modules = append(f.modules, f.module(t, []string{"a", "b"}[i%2]))
+		f.balancers = append(f.balancers, f.newBalancer(t, []string{"a", "b"}[i%2]))
 	}
-	for i, m := range f.modules {
-		m.late = float64(i) < c.late*float64(c.modules)
+	for i, m := range f.balancers {
+		m.late = float64(i) < c.lateFraction*float64(c.balancers)
 	}
 	return f
 }
 
-// module starts one with a seed of its own, which knows nothing but the list.
-func (f *coldFleet) module(t *testing.T, zone string) *coldModule {
+// newBalancer starts one with a seed of its own, which knows nothing but the list.
+func (f *slowStartSimulation) newBalancer(t *testing.T, zone string) *simulatedBalancer {
 	f.seeds++
-	f.set.Seed, f.set.Zone = mix(f.seed, f.seeds), zone
-	b, err := New(f.set)
+	f.settings.Seed, f.settings.Zone = mix(f.seed, f.seeds), zone
+	b, err := New(f.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &coldModule{Balancer: b, zone: zone, conns: map[RequestID]*coldRoom{}, tries: map[RequestID]int{}, group: map[RequestID]string{}}
+	m := &simulatedBalancer{Balancer: b, zone: zone, connections: map[RequestID]*simulatedServer{}, attempts: map[RequestID]int{}, group: map[RequestID]string{}}
 	f.handle(m, Started{})
-	if f.counted {
-		f.handle(m, FleetSize{Fleet: f.coldCase.modules, Zone: (f.coldCase.modules + 1) / 2, Admitted: !f.barred})
+	if f.membershipCounts {
+		f.handle(m, FleetSize{Fleet: f.slowStartCase.balancers, Zone: (f.slowStartCase.balancers + 1) / 2, Admitted: !f.notAdmitted})
 	}
 	f.handle(m, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	return m
 }
 
-func (f *coldFleet) later(e coldEvent, wait time.Duration) {
+func (f *slowStartSimulation) schedule(e scheduledEvent, wait time.Duration) {
 	f.seq++
 	e.at, e.seq = f.now+wait, f.seq
 	heap.Push(&f.due, e)
 }
 
-// part is what a room server can do now of what it does when warm.
-func (f *coldFleet) part(s *coldRoom, at time.Duration) float64 {
-	if age := at - s.Started; s.Started > 0 && age < f.set.Safety.SlowStartDuration {
-		return f.set.Safety.SlowStartShare + (1-f.set.Safety.SlowStartShare)*max(0, float64(age)/float64(f.set.Safety.SlowStartDuration))
+// capacityFraction is what a room server can do now of what it does when warm.
+func (f *slowStartSimulation) capacityFraction(s *simulatedServer, at time.Duration) float64 {
+	if age := at - s.Started; s.Started > 0 && age < f.settings.Safety.SlowStartDuration {
+		return f.settings.Safety.SlowStartShare + (1-f.settings.Safety.SlowStartShare)*max(0, float64(age)/float64(f.settings.Safety.SlowStartDuration))
 	}
 	return 1
 }
 
-func (f *coldFleet) handle(m *coldModule, ev Event) {
+func (f *slowStartSimulation) handle(m *simulatedBalancer, ev Event) {
 	for _, a := range m.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
-			f.later(coldEvent{module: m, ev: TimerFired{Token: a.Token}}, a.Delay)
+			f.schedule(scheduledEvent{balancer: m, ev: TimerFired{Token: a.Token}}, a.Delay)
 		case Probe:
-			s := f.rooms[a.Server]
-			if s.isGone {
-				f.later(coldEvent{module: m, ev: ProbeCompleted{Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, coldStep)
+			s := f.servers[a.Server]
+			if s.removed {
+				f.schedule(scheduledEvent{balancer: m, ev: ProbeCompleted{Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
 				continue
 			}
 			held := 0
-			if n := len(s.past) - int(coldLag/coldStep); n >= 0 {
-				held = s.past[n]
+			if n := len(s.connectionHistory) - int(slowStartReportDelay/slowStartStep); n >= 0 {
+				held = s.connectionHistory[n]
 			}
-			load := float64(held) / (s.holds * f.part(s, f.now))
-			f.later(coldEvent{module: m, ev: ProbeCompleted{Server: a.Server, Code: OK, Report: LoadReport{Load: load, Connections: float64(held)}}}, coldStep)
+			load := float64(held) / (s.capacity * f.capacityFraction(s, f.now))
+			f.schedule(scheduledEvent{balancer: m, ev: ProbeCompleted{Server: a.Server, Code: OK, Report: LoadReport{Load: load, Connections: float64(held)}}}, slowStartStep)
 		case StartAttempt:
-			s := f.rooms[a.Server]
-			try := m.tries[a.ID]
-			m.tries[a.ID]++
-			if s.isGone {
-				f.later(coldEvent{module: m, ev: AttemptEnded{ID: a.ID, Attempt: try, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, coldStep)
+			s := f.servers[a.Server]
+			try := m.attempts[a.ID]
+			m.attempts[a.ID]++
+			if s.removed {
+				f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: a.ID, Attempt: try, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
 				continue
 			}
-			if s.isCold && f.part(s, f.now) < 1 {
-				s.sent = append(s.sent, coldSent{f.now, m.knows})
+			if s.watched && f.capacityFraction(s, f.now) < 1 {
+				s.attempts = append(s.attempts, placementRecord{f.now, m.observedStart})
 			}
-			s.conns++
-			m.conns[a.ID] = s
-			f.later(coldEvent{module: m, ev: Established{ID: a.ID, Server: a.Server, Elapsed: coldStep}}, coldStep)
-			f.later(coldEvent{module: m, client: a.ID}, coldStep+time.Duration(f.rng.ExpFloat64()*float64(f.life)))
+			s.connections++
+			m.connections[a.ID] = s
+			f.schedule(scheduledEvent{balancer: m, ev: Established{ID: a.ID, Server: a.Server, Elapsed: slowStartStep}}, slowStartStep)
+			f.schedule(scheduledEvent{balancer: m, client: a.ID}, slowStartStep+time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)))
 		case Reject, Fail:
-			f.refused++
+			f.rejected++
 			id := RequestID("")
 			if r, ok := a.(Reject); ok {
 				id = r.ID
 			} else {
 				id = a.(Fail).ID
 			}
-			f.comeAgain(m, id)
+			f.reconnectLater(m, id)
 		case Migrate:
 			f.end(m, a.ID, Cancelled)
-			f.comeAgain(m, a.ID)
+			f.reconnectLater(m, a.ID)
 		}
 	}
 }
 
-// comeAgain has a client come to any balancer a little later.
-func (f *coldFleet) comeAgain(m *coldModule, id RequestID) {
-	f.later(coldEvent{comes: m.group[id], isNew: true}, 50*time.Millisecond+time.Duration(f.rng.Int64N(int64(950*time.Millisecond))))
+// reconnectLater has a client come to any balancer a little later.
+func (f *slowStartSimulation) reconnectLater(m *simulatedBalancer, id RequestID) {
+	f.schedule(scheduledEvent{reconnectGroup: m.group[id], replacement: true}, 50*time.Millisecond+time.Duration(f.rng.Int64N(int64(950*time.Millisecond))))
 }
 
 // end ends a connection that stands; false: there is none.
-func (f *coldFleet) end(m *coldModule, id RequestID, code Code) bool {
-	s := m.conns[id]
+func (f *slowStartSimulation) end(m *simulatedBalancer, id RequestID, code Code) bool {
+	s := m.connections[id]
 	if s == nil {
 		return false
 	}
-	delete(m.conns, id)
-	s.conns--
-	if !m.dead {
-		f.later(coldEvent{module: m, ev: AttemptEnded{ID: id, Server: s.ID, Attempt: m.tries[id] - 1, Code: code, Final: true, Report: NoLoadReport}}, 0)
+	delete(m.connections, id)
+	s.connections--
+	if !m.stopped {
+		f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: id, Server: s.ID, Attempt: m.attempts[id] - 1, Code: code, Final: true, Report: NoLoadReport}}, 0)
 	}
 	return true
 }
 
-func (f *coldFleet) arrive(group string) {
+func (f *slowStartSimulation) arrive(group string) {
 	f.next++
 	id := RequestID(name("c", f.next))
 	at := f.rng.Float64() * f.weights[len(f.weights)-1]
 	i, _ := slices.BinarySearch(f.weights, at)
-	m := f.modules[i]
+	m := f.balancers[i]
 	m.group[id] = group
 	f.handle(m, RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
-func (f *coldFleet) anyGroup() string {
+func (f *slowStartSimulation) anyGroup() string {
 	if f.groups == 0 {
 		return ""
 	}
@@ -255,16 +255,16 @@
 }
 
 // run lets time pass while so many clients come a second.
-func (f *coldFleet) run(d time.Duration, rate float64, crowds bool) {
+func (f *slowStartSimulation) run(d time.Duration, rate float64, crowds bool) {
 	for end := f.now + d; f.now < end; {
-		f.now += coldStep
-		for _, s := range f.rooms {
-			s.past = append(s.past, s.conns)
+		f.now += slowStartStep
+		for _, s := range f.servers {
+			s.connectionHistory = append(s.connectionHistory, s.connections)
 		}
-		n := rate * coldStep.Seconds()
+		n := rate * slowStartStep.Seconds()
 		if crowds {
 			n = 0
-			if f.now%time.Second < 2*coldStep {
+			if f.now%time.Second < 2*slowStartStep {
 				n = rate / 2
 			}
 		}
@@ -274,55 +274,55 @@
 			}
 		}
 		for len(f.due) > 0 && f.due[0].at <= f.now {
-			e := heap.Pop(&f.due).(coldEvent)
+			e := heap.Pop(&f.due).(scheduledEvent)
 			switch {
-			case e.isNew:
-				f.arrive(e.comes)
+			case e.replacement:
+				f.arrive(e.reconnectGroup)
 			case e.client != "":
-				f.end(e.module, e.client, OK)
-			case !e.module.dead:
-				f.handle(e.module, e.ev)
+				f.end(e.balancer, e.client, OK)
+			case !e.balancer.stopped:
+				f.handle(e.balancer, e.ev)
 			}
 		}
 	}
 }
 
-// tell gives the list to those that hear in time, or to the others.
-func (f *coldFleet) tell(late bool) {
-	for _, m := range f.modules {
+// reportAll gives the list to those that hear in time, or to the others.
+func (f *slowStartSimulation) reportAll(late bool) {
+	for _, m := range f.balancers {
 		if m.late == late {
-			m.knows = true
+			m.observedStart = true
 			f.handle(m, ListReceived{Kind: ListSnapshot, Servers: f.list})
 		}
 	}
 }
 
 // restart replaces the i-th module. Its clients come again through the others.
-func (f *coldFleet) restart(t *testing.T, i int) {
-	old := f.modules[i]
+func (f *slowStartSimulation) restart(t *testing.T, i int) {
+	old := f.balancers[i]
 	learned := old.ExportLearned()
-	old.dead = true
+	old.stopped = true
 	var ids []RequestID
-	for id := range old.conns {
+	for id := range old.connections {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		f.end(old, id, Reset)
-		f.comeAgain(old, id)
+		f.reconnectLater(old, id)
 	}
-	f.modules[i] = f.module(t, old.zone)
-	f.modules[i].knows = true
+	f.balancers[i] = f.newBalancer(t, old.zone)
+	f.balancers[i].observedStart = true
 	if f.learned {
-		f.modules[i].ImportLearned(learned)
+		f.balancers[i].ImportLearned(learned)
 	}
 }
 
-// empty cuts off what a room server holds; the clients come again.
-func (f *coldFleet) empty(s *coldRoom) {
-	for _, m := range f.modules {
+// disconnectAll cuts off what a room server holds; the clients come again.
+func (f *slowStartSimulation) disconnectAll(s *simulatedServer) {
+	for _, m := range f.balancers {
 		var ids []RequestID
-		for id, at := range m.conns {
+		for id, at := range m.connections {
 			if at == s {
 				ids = append(ids, id)
 			}
@@ -330,13 +330,13 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			f.end(m, id, Reset)
-			f.comeAgain(m, id)
+			f.reconnectLater(m, id)
 		}
 	}
 }
 
-// coldResult is what the cold room servers saw.
-type coldResult struct {
+// slowStartResult is what the cold room servers saw.
+type slowStartResult struct {
 	servers, falls, broken int
 	most                   float64 // largest window, as a part of its allowance
 	use                    float64 // of the budget, in the mean of the cold time
@@ -344,78 +344,78 @@
 	refused                int
 }
 
-func (r coldResult) String() string {
+func (r slowStartResult) String() string {
 	return fmt.Sprintf("%d falls (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, least %d requests, all %d, %d refused",
 		r.falls, r.broken, r.servers, r.most, r.use, r.least, r.all, r.refused)
 }
 
 // play runs a case, and counts every window at each cold room server.
-func (c coldCase) play(t *testing.T, set Settings) coldResult {
-	f := newColdFleet(t, c, set)
+func (c slowStartCase) play(t *testing.T, set Settings) slowStartResult {
+	f := newSlowStartSimulation(t, c, set)
 	rules := set.Safety
 	// What keeps the warm ones at their load; it is reached sooner as the first clients come faster.
-	steady := c.load * c.holds * 2 * float64(c.rooms) / c.life.Seconds()
+	steady := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
 	fill := 4 * time.Second
-	f.run(fill, steady*(c.life.Seconds()/fill.Seconds())*0.9, false)
-	f.run(cmp.Or(c.warmUp, coldWarmUp), steady, false)
+	f.run(fill, steady*(c.meanLifetime.Seconds()/fill.Seconds())*0.9, false)
+	f.run(cmp.Or(c.warmUp, defaultWarmUp), steady, false)
 	if c.lostFor > 0 {
-		for i := range f.list[:c.cold] {
+		for i := range f.list[:c.warmingServers] {
 			f.list[i].State = Removed
-			f.rooms[f.list[i].ID].isGone = true
-			f.empty(f.rooms[f.list[i].ID])
+			f.servers[f.list[i].ID].removed = true
+			f.disconnectAll(f.servers[f.list[i].ID])
 		}
-		f.tell(false)
-		f.tell(true)
+		f.reportAll(false)
+		f.reportAll(true)
 		f.run(c.lostFor, steady, false)
-		for i := range f.list[:c.cold] {
+		for i := range f.list[:c.warmingServers] {
 			f.list[i].State, f.list[i].Started = Ready, f.now
-			s := f.rooms[f.list[i].ID]
-			s.Server, s.isGone, s.isCold = f.list[i], false, true
+			s := f.servers[f.list[i].ID]
+			s.Server, s.removed, s.watched = f.list[i], false, true
 		}
 	} else {
-		for i := range c.cold {
+		for i := range c.warmingServers {
 			s := Server{ID: ServerID(50 + i), Zone: "a", Started: f.now}
 			f.list = append(f.list, s)
-			f.rooms[s.ID] = &coldRoom{Server: s, holds: c.holds, isCold: true}
+			f.servers[s.ID] = &simulatedServer{Server: s, capacity: c.serverCapacity, watched: true}
 		}
 	}
-	for _, m := range f.modules {
-		m.knows = false
+	for _, m := range f.balancers {
+		m.observedStart = false
 	}
-	before := f.refused
+	before := f.rejected
 	started := f.now
-	f.tell(false)
+	f.reportAll(false)
 	const turns = 20
 	replaced := 0
 	for turn := range turns {
-		if c.late > 0 && turn == turns*3/int(rules.SlowStartDuration.Seconds()) {
-			f.tell(true)
+		if c.lateFraction > 0 && turn == turns*3/int(rules.SlowStartDuration.Seconds()) {
+			f.reportAll(true)
 		}
-		if c.drop > 0 && turn == turns*2/int(rules.SlowStartDuration.Seconds()) {
-			for _, s := range f.list[c.rooms-c.drop : c.rooms] {
-				f.empty(f.rooms[s.ID])
+		if c.droppingServers > 0 && turn == turns*2/int(rules.SlowStartDuration.Seconds()) {
+			for _, s := range f.list[c.warmServers-c.droppingServers : c.warmServers] {
+				f.disconnectAll(f.servers[s.ID])
 			}
 		}
-		for ; replaced < int(c.restarts*float64(c.modules)*float64(turn+1)/turns); replaced++ {
+		for ; replaced < int(c.restartedFraction*float64(c.balancers)*float64(turn+1)/turns); replaced++ {
 			f.restart(t, replaced)
 		}
-		f.run(rules.SlowStartDuration/turns, steady*max(c.burst, 1), c.crowds)
+		f.run(rules.SlowStartDuration/turns, steady*max(c.demandFactor, 1), c.synchronized)
 	}
-	res := coldResult{least: math.MaxInt, refused: f.refused - before}
-	for _, id := range sortedIDs(f.rooms) {
-		s := f.rooms[id]
-		if !s.isCold {
+	res := slowStartResult{least: math.MaxInt, refused: f.rejected - before}
+	for _, id := range sortedIDs(f.servers) {
+		s := f.servers[id]
+		if !s.watched {
 			continue
 		}
 		budget := 0.0
 		for at := started; at < started+rules.SlowStartDuration; at += 100 * time.Millisecond {
-			budget += rules.OverloadFactor * c.holds / c.life.Seconds() * f.part(s, at) * 0.1
+			budget += rules.OverloadFactor * c.serverCapacity / c.meanLifetime.Seconds() * f.capacityFraction(s, at) * 0.1
 		}
 		res.servers++
-		res.all += len(s.sent)
-		res.least = min(res.least, len(s.sent))
-		res.use += float64(len(s.sent)) / budget
-		most, fell, broke := f.windows(s)
+		res.all += len(s.attempts)
+		res.least = min(res.least, len(s.attempts))
+		res.use += float64(len(s.attempts)) / budget
+		most, fell, broke := f.worstWindow(s)
 		res.most = max(res.most, most)
 		if fell {
 			res.falls++
@@ -428,19 +428,19 @@
 	return res
 }
 
-// windows gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the window's
+// worstWindow gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the window's
 // start; whether it fell, and whether over two thirds of what first felled it came from modules that had been told.
-func (f *coldFleet) windows(s *coldRoom) (most float64, fell, broke bool) {
-	rules := f.set.Safety
-	for i, x := range s.sent {
-		n := rules.OverloadFactor * s.holds / f.life.Seconds() * f.part(s, x.at) * rules.OverloadWindow.Seconds()
+func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, fell, broke bool) {
+	rules := f.settings.Safety
+	for i, x := range s.attempts {
+		n := rules.OverloadFactor * s.capacity / f.meanLifetime.Seconds() * f.capacityFraction(s, x.at) * rules.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
-		for _, y := range s.sent[i:] {
+		for _, y := range s.attempts[i:] {
 			if y.at >= x.at+rules.OverloadWindow {
 				break
 			}
 			all++
-			if y.told {
+			if y.observedStart {
 				told++
 			}
 		}
@@ -453,7 +453,7 @@
 	return most, fell, broke
 }
 
-func sortedIDs(rooms map[ServerID]*coldRoom) (ids []ServerID) {
+func sortedIDs(rooms map[ServerID]*simulatedServer) (ids []ServerID) {
 	for id := range rooms {
 		ids = append(ids, id)
 	}
@@ -461,66 +461,66 @@
 	return ids
 }
 
-// coldSettings are those of a fleet of rooms, with probes.
-func coldSettings() Settings {
+// slowStartSettings are those of a fleet of rooms, with probes.
+func slowStartSettings() Settings {
 	set := settings()
 	set.ProbingAllowed = true
 	set.Safety.SlowStartDuration, set.Safety.SlowStartShare, set.Safety.OverloadFactor, set.Safety.OverloadWindow = 8*time.Second, 0.37, 4, time.Second
 	return set
 }
 
-var coldCases = []coldCase{
-	{name: "3", modules: 3, rooms: 6, cold: 1, groups: 20, holds: 60, load: 0.5, burst: 2},
-	{name: "3 none grouped", modules: 3, rooms: 6, cold: 1, holds: 60, load: 0.5, burst: 2},
-	{name: "20 lost", modules: 20, rooms: 6, cold: 3, lostFor: 5 * time.Second, groups: 20, holds: 60, load: 0.5, burst: 1},
-	{name: "20 lost none grouped", modules: 20, rooms: 6, cold: 3, lostFor: 5 * time.Second, holds: 60, load: 0.5, burst: 1},
-	{name: "30", modules: 30, rooms: 10, cold: 1, groups: 20, holds: 60, load: 0.5, burst: 2},
-	{name: "30 none grouped", modules: 30, rooms: 10, cold: 1, holds: 60, load: 0.5, burst: 2},
-	{name: "30 full none grouped", modules: 30, rooms: 10, cold: 1, holds: 60, load: 0.7, burst: 3},
-	{name: "80 lost", modules: 80, rooms: 10, cold: 5, lostFor: 5 * time.Second, groups: 30, holds: 60, load: 0.5, burst: 1},
-	{name: "80 crowds uneven", modules: 80, rooms: 10, cold: 2, groups: 30, holds: 60, load: 0.5, burst: 3, uneven: true, crowds: true},
-	{name: "300", modules: 300, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 none grouped", modules: 300, rooms: 15, cold: 2, holds: 60, load: 0.5, burst: 2},
-	{name: "300 large none grouped", modules: 300, rooms: 15, cold: 1, holds: 400, load: 0.6, burst: 2},
-	{name: "300 uneven crowds none grouped", modules: 300, rooms: 15, cold: 2, holds: 60, load: 0.6, burst: 3, uneven: true, crowds: true},
-	{name: "300 restarts", modules: 300, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2, restarts: 0.5},
-	{name: "300 restarts learned", modules: 300, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2, restarts: 0.5, learned: true},
-	{name: "300 lost restarts", modules: 300, rooms: 15, cold: 7, lostFor: 5 * time.Second, groups: 40, holds: 60, load: 0.5, burst: 1, restarts: 0.3},
-	{name: "300 late lost", modules: 300, rooms: 15, cold: 7, lostFor: 5 * time.Second, groups: 40, holds: 60, load: 0.5, burst: 1, late: 0.3},
-	{name: "300 told 30", modules: 300, told: 30, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 told 100", modules: 300, told: 100, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 told 900", modules: 300, told: 900, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 told 3000", modules: 300, told: 3000, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 not told", modules: 300, told: -1, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 long lives", modules: 300, rooms: 15, cold: 2, groups: 40, holds: 200, life: 150 * time.Second, load: 0.5, burst: 2},
-	{name: "300 long lives drop none grouped", modules: 300, rooms: 15, cold: 2, holds: 200, life: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5, burst: 1, drop: 3},
-	{name: "300 drop", modules: 300, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 1, drop: 7},
-	{name: "300 drop told 30", modules: 300, told: 30, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 1, drop: 7},
-	{name: "300 drop none grouped", modules: 300, rooms: 15, cold: 2, holds: 60, load: 0.5, burst: 1, drop: 7},
-	{name: "300 full told 30 none grouped", modules: 300, told: 30, rooms: 15, cold: 2, holds: 60, load: 0.7, burst: 3},
-	{name: "300 counted", modules: 300, told: 30, counted: true, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2},
-	{name: "300 counted uneven crowds none grouped", modules: 300, told: 30, counted: true, rooms: 15, cold: 2, holds: 60, load: 0.6, burst: 3, uneven: true, crowds: true},
-	{name: "300 counted told 3000 restarts", modules: 300, told: 3000, counted: true, rooms: 15, cold: 2, groups: 40, holds: 60, load: 0.5, burst: 2, restarts: 0.5},
-	{name: "300 counted drop none grouped", modules: 300, told: 30, counted: true, rooms: 15, cold: 2, holds: 60, load: 0.5, burst: 1, drop: 7},
-	{name: "3 counted told 30", modules: 3, told: 30, counted: true, rooms: 6, cold: 1, groups: 20, holds: 60, load: 0.5, burst: 2},
-	{name: "3 told 30", modules: 3, told: 30, rooms: 6, cold: 1, groups: 20, holds: 60, load: 0.5, burst: 2},
-	{name: "30 told 3", modules: 30, told: 3, rooms: 10, cold: 1, groups: 20, holds: 60, load: 0.5, burst: 2},
-	{name: "30 told 3 none grouped", modules: 30, told: 3, rooms: 10, cold: 1, holds: 60, load: 0.5, burst: 2},
-	{name: "2300", modules: 2300, rooms: 12, warmUp: 8 * time.Second, cold: 2, groups: 40, holds: 200, load: 0.5, burst: 2},
-	{name: "2300 none grouped", modules: 2300, rooms: 12, warmUp: 8 * time.Second, cold: 2, holds: 200, load: 0.5, burst: 2},
-	{name: "2300 told 230", modules: 2300, told: 230, rooms: 12, warmUp: 8 * time.Second, cold: 2, groups: 40, holds: 200, load: 0.5, burst: 2},
+var slowStartCases = []slowStartCase{
+	{name: "3", balancers: 3, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "3 none grouped", balancers: 3, warmServers: 6, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "20 lost", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "20 lost none grouped", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second, serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "30", balancers: 30, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 full none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.7, demandFactor: 3},
+	{name: "80 lost", balancers: 80, warmServers: 10, warmingServers: 5, lostFor: 5 * time.Second, groups: 30, serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "80 crowds uneven", balancers: 80, warmServers: 10, warmingServers: 2, groups: 30, serverCapacity: 60, load: 0.5, demandFactor: 3, uneven: true, synchronized: true},
+	{name: "300", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 large none grouped", balancers: 300, warmServers: 15, warmingServers: 1, serverCapacity: 400, load: 0.6, demandFactor: 2},
+	{name: "300 uneven crowds none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.6, demandFactor: 3, uneven: true, synchronized: true},
+	{name: "300 restarts", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5},
+	{name: "300 restarts learned", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5, learned: true},
+	{name: "300 lost restarts", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, restartedFraction: 0.3},
+	{name: "300 late lost", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, lateFraction: 0.3},
+	{name: "300 told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 100", balancers: 300, configuredBalancers: 100, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 900", balancers: 300, configuredBalancers: 900, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 3000", balancers: 300, configuredBalancers: 3000, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 not told", balancers: 300, configuredBalancers: -1, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 long lives", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200, meanLifetime: 150 * time.Second, load: 0.5, demandFactor: 2},
+	{name: "300 long lives drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5, demandFactor: 1, droppingServers: 3},
+	{name: "300 drop", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "300 drop told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "300 drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "300 full told 30 none grouped", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.7, demandFactor: 3},
+	{name: "300 counted", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 counted uneven crowds none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.6, demandFactor: 3, uneven: true, synchronized: true},
+	{name: "300 counted told 3000 restarts", balancers: 300, configuredBalancers: 3000, membershipCounts: true, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5},
+	{name: "300 counted drop none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "3 counted told 30", balancers: 3, configuredBalancers: 30, membershipCounts: true, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "3 told 30", balancers: 3, configuredBalancers: 30, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 told 3", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 told 3 none grouped", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "2300", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "2300 none grouped", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "2300 told 230", balancers: 2300, configuredBalancers: 230, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
 }
 
 // Guards a cold room server against the sum of all modules, each of which keeps to what it takes for its part.
 func TestColdServerUnderTheSumOfAllModules(t *testing.T) {
 	t.Parallel()
-	for _, c := range coldCases {
-		if c.life == 0 {
-			c.life = 30 * time.Second
+	for _, c := range slowStartCases {
+		if c.meanLifetime == 0 {
+			c.meanLifetime = 30 * time.Second
 		}
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := c.play(t, coldSettings())
+			r := c.play(t, slowStartSettings())
 			t.Log(r)
 			if r.broken > 0 {
 				t.Errorf("%d of %d cold room servers fell", r.broken, r.servers)
@@ -538,9 +538,9 @@
 func TestColdServersUnderAStormOfLongLives(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		c := coldCase{modules: 300, rooms: 15, cold: 2, groups: 40, holds: 200, life: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
-			burst: 1, drop: 3, seed: seed}
-		r := c.play(t, coldSettings())
+		c := slowStartCase{balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
+			demandFactor: 1, droppingServers: 3, seed: seed}
+		r := c.play(t, slowStartSettings())
 		t.Logf("seed %d: %v", seed, r)
 		if r.broken > 0 {
 			t.Errorf("seed %d: %d of %d cold room servers fell", seed, r.broken, r.servers)
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// holds lists servers that hold so many each at half load, and gives the balancer so many connections of its own.
-func holds(t *testing.T, told, each, own int) *world {
+// newReportingHarness lists servers that hold so many each at half load, and gives the balancer so many connections of its own.
+func newReportingHarness(t *testing.T, told, each, own int) *harness {
 	t.Helper()
 	set := settings()
 	set.Zones, set.Balancers = []string{"a"}, told
-	w := newWorld(t, set)
+	w := newHarness(t, set)
 	list := servers(10, 0)
-	w.full(list)
+	w.replaceList(list)
 	for i := range own {
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: list[i%len(list)].ID})
 	}
@@ -38,7 +38,7 @@
 		{name: "alone", told: 1, each: 10, own: 100, least: 1, most: 1},
 		{name: "nothing reported", told: 7, each: 0, own: 40, least: 7, most: 7},
 	} {
-		if got := holds(t, c.told, c.each, c.own).b.sharers(); got < c.least || got > c.most {
+		if got := newReportingHarness(t, c.told, c.each, c.own).b.estimatedZoneBalancers(); got < c.least || got > c.most {
 			t.Errorf("%s: %.1f, wanted %.0f to %.0f", c.name, got, c.least, c.most)
 		}
 	}
@@ -46,35 +46,35 @@
 
 // Guards cold servers where connections stand far longer than the usual ones: a server that holds many takes few a second.
 func TestLifeOfConnectionsIsLearned(t *testing.T) {
-	w := holds(t, 1, 10, 100)
-	if got := w.b.life(); got != usualLife.Seconds() {
+	w := newReportingHarness(t, 1, 10, 100)
+	if got := w.b.meanLifetime(); got != defaultLifetime.Seconds() {
 		t.Errorf("%.0f s before any has left", got)
 	}
 	w.tick(30 * time.Second)
 	for i := range 10 { // one in ten within 30 s: 300 s
-		w.end(name("o", i), 0, ServerID(i%10+1), OK, true)
+		w.endAttempt(name("o", i), 0, ServerID(i%10+1), OK, true)
 	}
-	if got := w.b.life(); math.Abs(got-300) > 40 {
+	if got := w.b.meanLifetime(); math.Abs(got-300) > 40 {
 		t.Errorf("%.0f s, of which one in ten left in 30 s", got)
 	}
-	before := w.b.life()
+	before := w.b.meanLifetime()
 	for i := range 10 { // cut off
-		w.end(name("o", 10+i), 0, ServerID(i%10+1), Reset, true)
+		w.endAttempt(name("o", 10+i), 0, ServerID(i%10+1), Reset, true)
 	}
-	if got := w.b.life(); got != before {
+	if got := w.b.meanLifetime(); got != before {
 		t.Errorf("%.0f s, %.0f before some were cut off", got, before)
 	}
 }
 
 // Guards cold servers after an outage: a rate at which all clients came within seconds says nothing of what a server takes.
 func TestStormTellsNothingOfWhatAServerTakes(t *testing.T) {
-	w := holds(t, 1, 10, 100)
+	w := newReportingHarness(t, 1, 10, 100)
 	w.b.capacity = 50
-	if got := w.b.takes(); math.Abs(got-100.0/(30*10*0.5)) > 0.1 {
+	if got := w.b.serverCapacity(); math.Abs(got-100.0/(30*10*0.5)) > 0.1 {
 		t.Errorf("%.2f connections a second, 100 stand for 30 s at 10 servers half full", got)
 	}
 	w.b.capacity = 0.1
-	if got := w.b.takes(); got != 0.1 {
+	if got := w.b.serverCapacity(); got != 0.1 {
 		t.Errorf("%.2f a second where the rate of late tells less", got)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestOwnZoneFirst(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 8))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 8))
 	for i := range 8 {
-		if s := w.stand(name("r", i), safe); zoneOf(s) != "a" {
+		if s := w.establish(name("r", i), idempotentClass); zoneOf(s) != "a" {
 			t.Fatalf("request %d went to zone b's server %d", i, s)
 		}
 	}
@@ -23,65 +23,65 @@
 func TestGroupsWithoutALocalServer(t *testing.T) {
 	set := settings()
 	set.GroupAffinity, set.ProbingAllowed = true, true
-	w := newWorld(t, set)
-	w.full(servers(0, 6))
+	w := newHarness(t, set)
+	w.replaceList(servers(0, 6))
 	used := map[ServerID]bool{}
 	for i := range 12 {
-		acts := w.send(RequestArrived{ID: RequestID(name("r", i)), Class: safe, Group: "room", Remaining: 2 * time.Second})
-		for _, p := range find[Probe](acts) {
-			w.report(p.Server, 0.2)
+		acts := w.send(RequestArrived{ID: RequestID(name("r", i)), Class: idempotentClass, Group: "room", Remaining: 2 * time.Second})
+		for _, p := range actionsOf[Probe](acts) {
+			w.reportLoad(p.Server, 0.2)
 		}
-		if len(find[StartAttempt](acts)) == 0 {
-			w.now += askWait
-			acts = w.send(TimerFired{Token: timerHeld})
+		if len(actionsOf[StartAttempt](acts)) == 0 {
+			w.now += onDemandProbeTimeout
+			acts = w.send(TimerFired{Token: timerRetryWaiting})
 		}
-		id := w.placed(acts)
+		id := w.wantAttempt(acts)
 		used[id] = true
 		w.send(Established{ID: RequestID(name("r", i)), Server: id})
 	}
-	if len(used) > homeCount {
+	if len(used) > maxPreferredServers {
 		t.Errorf("one group went to %d servers, all with room", len(used))
 	}
 }
 
 func TestPoolPicksTheLightestFreshAnswer(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(6, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(6, 0))
 	for id, load := range map[ServerID]float64{1: 0.6, 2: 0.5, 3: 0.2, 4: 0.4} {
-		w.report(id, load)
+		w.reportLoad(id, load)
 	}
-	if s := w.placed(w.ask("r", safe)); s != 3 {
+	if s := w.wantAttempt(w.request("r", idempotentClass)); s != 3 {
 		t.Fatalf("went to %d, the lightest is 3", s)
 	}
 }
 
 func TestPoolForgetsOldAnswers(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	w.report(1, 0.1)
-	w.now += poolAge + time.Second
-	w.report(2, 0.5)
-	if s := w.placed(w.ask("r", safe)); s != 2 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	w.reportLoad(1, 0.1)
+	w.now += maxReportAge + time.Second
+	w.reportLoad(2, 0.5)
+	if s := w.wantAttempt(w.request("r", idempotentClass)); s != 2 {
 		t.Fatal("an answer beyond its age was used")
 	}
 }
 
 // Guards against the herd: an answer that looks light serves only a few placements.
 func TestPoolAnswerIsUsedAFewTimes(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(6, 0))
-	w.report(1, 0.01)
+	w := newHarness(t, settings())
+	w.replaceList(servers(6, 0))
+	w.reportLoad(1, 0.01)
 	for id := range ServerID(5) {
-		w.report(id+2, 0.6)
+		w.reportLoad(id+2, 0.6)
 	}
 	count := 0
 	for i := range 8 {
-		if w.stand(name("r", i), safe) == 1 {
+		if w.establish(name("r", i), idempotentClass) == 1 {
 			count++
 		}
 	}
-	if count == 0 || count > poolUses {
-		t.Fatalf("server 1 got %d of 8 on one answer, want 1 to %d", count, poolUses)
+	if count == 0 || count > maxPlacementsPerReport {
+		t.Fatalf("server 1 got %d of 8 on one answer, want 1 to %d", count, maxPlacementsPerReport)
 	}
 }
 
@@ -90,15 +90,15 @@
 	for _, c := range []struct {
 		after time.Duration
 		want  ServerID
-	}{{reportLag / 2, 2}, {2 * reportLag, 1}} {
-		w := newWorld(t, settings())
-		w.full(servers(2, 0))
-		w.report(1, 0.30)
-		w.stand("r0", safe)
+	}{{maxReportLag / 2, 2}, {2 * maxReportLag, 1}} {
+		w := newHarness(t, settings())
+		w.replaceList(servers(2, 0))
+		w.reportLoad(1, 0.30)
+		w.establish("r0", idempotentClass)
 		w.now += c.after
-		w.report(1, 0.30)
-		w.report(2, 0.301)
-		if s := w.stand("r1", safe); s != c.want {
+		w.reportLoad(1, 0.30)
+		w.reportLoad(2, 0.301)
+		if s := w.establish("r1", idempotentClass); s != c.want {
 			t.Fatalf("%v after the placement: went to %d", c.after, s)
 		}
 	}
@@ -106,25 +106,25 @@
 
 // Guards against the rush: while requests are held, all balancers go to any room that is shown.
 func TestAnswerIsUsedOnceWhileRequestsAreHeld(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	w.report(1, 0.95)
-	w.report(2, 0.95)
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	w.reportLoad(1, 0.95)
+	w.reportLoad(2, 0.95)
 	for i := range 5 {
-		w.none(w.ask(name("r", i), safe), "no server has room")
+		w.wantNoAttempt(w.request(name("r", i), idempotentClass), "no server has room")
 	}
-	if p := find[StartAttempt](w.report(2, 0.1)); len(p) != 1 {
+	if p := actionsOf[StartAttempt](w.reportLoad(2, 0.1)); len(p) != 1 {
 		t.Fatalf("%d of the held requests went to the room shown, want 1", len(p))
 	}
 }
 
 func TestOwnPlacementsAreCharged(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	w.report(1, 0.30)
-	w.report(2, 0.301)
-	a := w.stand("r0", safe)
-	if b := w.stand("r1", safe); a != 1 || b != 2 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	w.reportLoad(1, 0.30)
+	w.reportLoad(2, 0.301)
+	a := w.establish("r0", idempotentClass)
+	if b := w.establish("r1", idempotentClass); a != 1 || b != 2 {
 		t.Fatalf("went to %d then %d: the first placement was not charged", a, b)
 	}
 }
@@ -134,9 +134,9 @@
 	for seed := range uint64(8) {
 		set := settings()
 		set.Seed = seed
-		w := newWorld(t, set)
-		w.full(servers(8, 0))
-		firsts[w.placed(w.ask("r", safe))] = true
+		w := newHarness(t, set)
+		w.replaceList(servers(8, 0))
+		firsts[w.wantAttempt(w.request("r", idempotentClass))] = true
 	}
 	if len(firsts) < 3 {
 		t.Fatalf("eight balancers began with only %v", firsts)
@@ -145,19 +145,19 @@
 
 func TestDialThatFailsGoesOnUntilTriesRunOut(t *testing.T) {
 	for _, code := range []Code{ServerError, Rejected, TimedOut, ConnectFailed, Reset} {
-		w := newWorld(t, settings())
-		w.full(servers(8, 0))
-		s := w.placed(w.ask("r", safe))
+		w := newHarness(t, settings())
+		w.replaceList(servers(8, 0))
+		s := w.wantAttempt(w.request("r", idempotentClass))
 		seen := []ServerID{s}
 		for attempt := range 2 {
-			s = w.placed(w.end("r", attempt, s, code, false))
+			s = w.wantAttempt(w.endAttempt("r", attempt, s, code, false))
 			if slices.Contains(seen, s) {
 				t.Fatalf("code %d: server %d tried twice", code, s)
 			}
 			seen = append(seen, s)
 		}
-		acts := w.end("r", 2, s, code, false)
-		if refused, failed := answers(acts); refused != 1 || failed != 0 || len(find[StartAttempt](acts)) > 0 {
+		acts := w.endAttempt("r", 2, s, code, false)
+		if refused, failed := countAnswers(acts); refused != 1 || failed != 0 || len(actionsOf[StartAttempt](acts)) > 0 {
 			t.Fatalf("code %d: tries ran out, got %v", code, acts)
 		}
 	}
@@ -178,14 +178,14 @@
 		{Cancelled, goesOn, goesOn, failed, goesOn},
 		{NotSent, goesOn, goesOn, goesOn, goesOn},
 	} {
-		for class, want := range map[int]string{safe: c.safe, keyed: c.keyedZone, unsafe: c.unsafe, keyedAll: c.keyedAl} {
-			w := newWorld(t, settings())
-			w.full(servers(8, 4))
-			acts := w.end("r", 0, w.placed(w.ask("r", class)), c.code, false)
+		for class, want := range map[int]string{idempotentClass: c.safe, zoneKeyedClass: c.keyedZone, unsafeClass: c.unsafe, fleetKeyedClass: c.keyedAl} {
+			w := newHarness(t, settings())
+			w.replaceList(servers(8, 4))
+			acts := w.endAttempt("r", 0, w.wantAttempt(w.request("r", class)), c.code, false)
 			got := "nothing"
-			r, f := answers(acts)
+			r, f := countAnswers(acts)
 			switch {
-			case len(find[StartAttempt](acts)) == 1 && r+f == 0:
+			case len(actionsOf[StartAttempt](acts)) == 1 && r+f == 0:
 				got = goesOn
 			case r == 1 && f == 0:
 				got = refused
@@ -200,124 +200,124 @@
 }
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(1, 4)) // no second server in zone a
-	acts := w.end("r", 0, w.placed(w.ask("r", keyed)), ServerError, false)
-	w.none(acts, "a keyed request left its zone")
-	if r, f := answers(acts); r != 0 || f != 1 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 4)) // no second server in zone a
+	acts := w.endAttempt("r", 0, w.wantAttempt(w.request("r", zoneKeyedClass)), ServerError, false)
+	w.wantNoAttempt(acts, "a keyed request left its zone")
+	if r, f := countAnswers(acts); r != 0 || f != 1 {
 		t.Fatalf("want a failure, got %v", acts)
 	}
 
-	w = newWorld(t, settings())
-	w.full(servers(6, 0)) // cells of two: 1 2, 3 4, 5 6
-	s := w.placed(w.ask("c", keyedCell))
-	if n := w.placed(w.end("c", 0, s, Reset, false)); (n+1)/2 != (s+1)/2 {
+	w = newHarness(t, settings())
+	w.replaceList(servers(6, 0)) // cells of two: 1 2, 3 4, 5 6
+	s := w.wantAttempt(w.request("c", cellKeyedClass))
+	if n := w.wantAttempt(w.endAttempt("c", 0, s, Reset, false)); (n+1)/2 != (s+1)/2 {
 		t.Fatalf("a request keyed by cell went from %d to %d", s, n)
 	}
 
 	set := settings()
-	set.Classes[keyedAll].DedupWindow = time.Second
-	w = newWorld(t, set)
-	w.full(servers(6, 0))
-	s = w.placed(w.ask("w", keyedAll))
+	set.Classes[fleetKeyedClass].DedupWindow = time.Second
+	w = newHarness(t, set)
+	w.replaceList(servers(6, 0))
+	s = w.wantAttempt(w.request("w", fleetKeyedClass))
 	w.now += 1500 * time.Millisecond
-	w.none(w.end("w", 0, s, ServerError, false), "sent again outside the window")
+	w.wantNoAttempt(w.endAttempt("w", 0, s, ServerError, false), "sent again outside the window")
 }
 
 func TestUnsafeMayBeRefusedOnlyWhenNothingRan(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
-	s := w.placed(w.ask("r", unsafe))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
+	s := w.wantAttempt(w.request("r", unsafeClass))
 	w.now += 2 * time.Second // still out at the deadline
-	if r, f := answers(w.send(TimerFired{Token: w.b.requests["r"].seq})); r != 0 || f != 1 {
+	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests["r"].timerToken})); r != 0 || f != 1 {
 		t.Fatal("an unsafe request that is out must fail, not be refused")
 	}
 	_ = s
-	w.full(nil)
-	w.ask("n", unsafe) // never sent
+	w.replaceList(nil)
+	w.request("n", unsafeClass) // never sent
 	w.now += 2 * time.Second
-	if r, f := answers(w.send(TimerFired{Token: w.b.requests["n"].seq})); r != 1 || f != 0 {
+	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests["n"].timerToken})); r != 1 || f != 0 {
 		t.Fatal("an unsafe request that was never sent is refused")
 	}
 }
 
 func TestAnswerNeverOwedPastTheDeadline(t *testing.T) {
 	for _, list := range [][]Server{nil, servers(3, 0)} {
-		w := newWorld(t, settings())
-		w.full(list)
-		acts := w.ask("r", safe)
-		timers := find[SetTimer](acts)
+		w := newHarness(t, settings())
+		w.replaceList(list)
+		acts := w.request("r", idempotentClass)
+		timers := actionsOf[SetTimer](acts)
 		if len(timers) != 1 || timers[0].Delay != 2*time.Second {
 			t.Fatalf("want a timer at the deadline, got %v", acts)
 		}
 		w.now += timers[0].Delay
-		if r, f := answers(w.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
+		if r, f := countAnswers(w.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
 			t.Fatalf("%d servers: no answer at the deadline", len(list))
 		}
-		if r, f := answers(w.send(TimerFired{Token: timers[0].Token})); r+f != 0 {
+		if r, f := countAnswers(w.send(TimerFired{Token: timers[0].Token})); r+f != 0 {
 			t.Fatal("answered twice")
 		}
 	}
 }
 
 func TestNoDeadlineOnceAConnectionStands(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(3, 0))
-	acts := w.ask("r", safe)
-	w.send(Established{ID: "r", Server: w.placed(acts)})
+	w := newHarness(t, settings())
+	w.replaceList(servers(3, 0))
+	acts := w.request("r", idempotentClass)
+	w.send(Established{ID: "r", Server: w.wantAttempt(acts)})
 	w.now += 2 * time.Second
-	if got := w.send(TimerFired{Token: find[SetTimer](acts)[0].Token}); len(got) != 0 {
+	if got := w.send(TimerFired{Token: actionsOf[SetTimer](acts)[0].Token}); len(got) != 0 {
 		t.Fatalf("a standing connection was answered: %v", got)
 	}
 }
 
 func TestTimeoutsLeaveRoomForTheTriesLeft(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(8, 0))
-	acts := w.ask("r", safe)
+	w := newHarness(t, settings())
+	w.replaceList(servers(8, 0))
+	acts := w.request("r", idempotentClass)
 	left := 2 * time.Second
 	for try := range 3 {
-		p := find[StartAttempt](acts)[0]
+		p := actionsOf[StartAttempt](acts)[0]
 		if p.Timeout <= 0 || p.Timeout > left/time.Duration(3-try) {
 			t.Fatalf("try %d: waits %v of %v", try, p.Timeout, left)
 		}
 		w.now += p.Timeout
 		left -= p.Timeout
-		acts = w.end("r", try, p.Server, TimedOut, false)
+		acts = w.endAttempt("r", try, p.Server, TimedOut, false)
 	}
 }
 
 // Guards against time-outs that a slow store causes on all servers: another server would not be quicker.
 func TestDialsWaitLongerWhereSetUpsTakeLong(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(8, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(8, 0))
 	for i := range 30 {
 		id := name("r", i)
-		s := w.placed(w.ask(id, safe))
+		s := w.wantAttempt(w.request(id, idempotentClass))
 		w.send(Established{ID: RequestID(id), Server: s, Elapsed: 500 * time.Millisecond})
 	}
-	if p := find[StartAttempt](w.ask("r", safe)); len(p) != 1 || p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
+	if p := actionsOf[StartAttempt](w.request("r", idempotentClass)); len(p) != 1 || p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
 		t.Fatalf("set-ups take 0.5 s, yet %v", p)
 	}
 }
 
 func TestNothingNewToADrainingOrGoneServer(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
-		w := newWorld(t, settings())
-		w.full(servers(2, 0))
-		w.report(1, 0.1)
+		w := newHarness(t, settings())
+		w.replaceList(servers(2, 0))
+		w.reportLoad(1, 0.1)
 		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
 		for i := range 4 {
-			if s := w.stand(name("r", i), safe); s == 1 {
+			if s := w.establish(name("r", i), idempotentClass); s == 1 {
 				t.Fatalf("state %d: server 1 still used", state)
 			}
 		}
 	}
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	w.full(servers(1, 0)) // absence is removal
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	w.replaceList(servers(1, 0)) // absence is removal
 	for i := range 4 {
-		if s := w.stand(name("r", i), safe); s == 2 {
+		if s := w.establish(name("r", i), idempotentClass); s == 2 {
 			t.Fatal("a server absent from the complete list is still used")
 		}
 	}
@@ -328,13 +328,13 @@
 		after time.Duration
 		want  bool
 	}{{100 * time.Millisecond, true}, {600 * time.Millisecond, false}} {
-		w := newWorld(t, settings())
-		w.full(servers(4, 0))
-		s := w.stand("r", safe)
-		w.end("r", 0, s, Cancelled, true) // its packets went to another balancer
+		w := newHarness(t, settings())
+		w.replaceList(servers(4, 0))
+		s := w.establish("r", idempotentClass)
+		w.endAttempt("r", 0, s, Cancelled, true) // its packets went to another balancer
 		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
 		w.now += c.after
-		got := w.placed(w.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
+		got := w.wantAttempt(w.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
 		if (got == s) != c.want {
 			t.Fatalf("%v after the drain: went to %d, its server is %d", c.after, got, s)
 		}
@@ -342,66 +342,66 @@
 }
 
 func TestReturningClientIsKeptOffTheServerItLost(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	s := w.stand("r", safe)
-	w.end("r", 0, s, Reset, true)
-	w.now += ejectMost + time.Second // no longer ejected
-	w.report(s, 0.05)
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	s := w.establish("r", idempotentClass)
+	w.endAttempt("r", 0, s, Reset, true)
+	w.now += maxEjectionTime + time.Second // no longer ejected
+	w.reportLoad(s, 0.05)
 	back := RequestArrived{ID: "again", Key: "key-r", Remaining: time.Second, Returning: true}
-	if got := w.placed(w.send(back)); got == s {
+	if got := w.wantAttempt(w.send(back)); got == s {
 		t.Fatal("the client came back to the server it lost")
 	}
 	other := RequestArrived{ID: "other", Key: "key-other", Remaining: time.Second}
-	if got := w.placed(w.send(other)); got != s {
+	if got := w.wantAttempt(w.send(other)); got != s {
 		t.Fatal("only that client is kept off")
 	}
 }
 
 func TestMemoryOfClientsIsBounded(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
-	for i := range rememberMost + 50 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
+	for i := range maxClientRecords + 50 {
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Key: name("k", i)}, Server: 1})
-		w.end(name("o", i), 0, 1, Reset, true)
+		w.endAttempt(name("o", i), 0, 1, Reset, true)
 	}
-	if len(w.b.memories) > rememberMost || len(w.b.memOrder) > rememberMost {
-		t.Fatalf("%d keys kept", len(w.b.memories))
+	if len(w.b.clients) > maxClientRecords || len(w.b.clientOrder) > maxClientRecords {
+		t.Fatalf("%d keys kept", len(w.b.clients))
 	}
-	w.tick(rememberFor + time.Second)
-	if len(w.b.memories) != 0 {
-		t.Fatalf("%d keys kept after %v", len(w.b.memories), rememberFor)
+	w.tick(recordRetention + time.Second)
+	if len(w.b.clients) != 0 {
+		t.Fatalf("%d keys kept after %v", len(w.b.clients), recordRetention)
 	}
 }
 
 func TestOutlierEjectionAndReturn(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(3, 0))
-	w.report(1, 0.01)
-	s := w.placed(w.ask("r", safe))
-	w.end("r", 0, s, ServerError, false)
-	w.report(1, 0.01) // it looks light, as servers that fail fast do
+	w := newHarness(t, settings())
+	w.replaceList(servers(3, 0))
+	w.reportLoad(1, 0.01)
+	s := w.wantAttempt(w.request("r", idempotentClass))
+	w.endAttempt("r", 0, s, ServerError, false)
+	w.reportLoad(1, 0.01) // it looks light, as servers that fail fast do
 	for i := range 4 {
-		if w.stand(name("q", i), safe) == 1 {
+		if w.establish(name("q", i), idempotentClass) == 1 {
 			t.Fatal("a server that fails fast was used at once")
 		}
 	}
-	w.now += ejectFirst + time.Second
-	w.report(1, 0.01)
-	if w.stand("later", safe) != 1 {
+	w.now += baseEjectionTime + time.Second
+	w.reportLoad(1, 0.01)
+	if w.establish("later", idempotentClass) != 1 {
 		t.Fatal("the server did not come back")
 	}
 }
 
 func TestEjectionLeavesPartOfTheCache(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
 	for id := ServerID(1); id <= 4; id++ {
 		w.send(ProbeCompleted{Server: id, Code: TimedOut, Report: NoLoadReport})
 	}
 	out := 0
 	for _, s := range w.b.ready {
-		if w.now < s.ejected {
+		if w.now < s.ejectedUntil {
 			out++
 		}
 	}
@@ -411,23 +411,23 @@
 }
 
 func TestFullZoneSpillsOnlyWhereThereIsRoom(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 2))
-	w.report(1, 0.95)
-	w.report(2, 0.95)
-	w.report(101, 0.95)
-	w.none(w.ask("r", safe), "no server has room: the request is held")
-	if got := w.placed(w.report(102, 0.3)); got != 102 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 2))
+	w.reportLoad(1, 0.95)
+	w.reportLoad(2, 0.95)
+	w.reportLoad(101, 0.95)
+	w.wantNoAttempt(w.request("r", idempotentClass), "no server has room: the request is held")
+	if got := w.wantAttempt(w.reportLoad(102, 0.3)); got != 102 {
 		t.Fatalf("went to %d", got)
 	}
 }
 
 func TestNoSpillWhileTheOwnZoneHasRoom(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 2))
-	w.report(1, 0.6)
-	w.report(101, 0.0)
-	if got := w.placed(w.ask("r", safe)); got != 1 {
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 2))
+	w.reportLoad(1, 0.6)
+	w.reportLoad(101, 0.0)
+	if got := w.wantAttempt(w.request("r", idempotentClass)); got != 1 {
 		t.Fatalf("went to %d though zone a has room", got)
 	}
 }
@@ -439,79 +439,79 @@
 	}{{0.16, 0.6, 1}, {0.16, 0.5, 101}, {0.32, 0.5, 1}, {0.32, 0.3, 101}, {0.08, 0.66, 1}, {0.08, 0.6, 101}} {
 		set := settings()
 		set.Costs.CrossZone = c.price
-		w := newWorld(t, set)
-		w.full(servers(1, 1))
-		w.report(1, 0.75)
-		w.report(101, c.away)
-		if s := w.placed(w.ask("r", safe)); s != c.want {
+		w := newHarness(t, set)
+		w.replaceList(servers(1, 1))
+		w.reportLoad(1, 0.75)
+		w.reportLoad(101, c.away)
+		if s := w.wantAttempt(w.request("r", idempotentClass)); s != c.want {
 			t.Fatalf("price %.2f, own zone at 0.75, the other at %.2f: went to %d", c.price, c.away, s)
 		}
 	}
 }
 
 func TestOtherZonesServeWhenTheOwnIsLost(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 6))
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 6))
 	for id := ServerID(1); id <= 2; id++ {
 		w.send(ProbeCompleted{Server: id, Code: ConnectFailed, Report: NoLoadReport})
 	}
-	if s := w.placed(w.ask("r", safe)); zoneOf(s) != "b" {
+	if s := w.wantAttempt(w.request("r", idempotentClass)); zoneOf(s) != "b" {
 		t.Fatalf("went to %d", s)
 	}
 }
 
 // Guards against retry storms on what all servers share: most dials fail wherever they go.
 func TestThrottleHoldsDialsWhileMostFail(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(40, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(40, 0))
 	sent := 0
 	for i := range 60 {
-		acts := w.ask(name("r", i), safe)
+		acts := w.request(name("r", i), idempotentClass)
 		for attempt := 0; ; attempt++ {
-			p := find[StartAttempt](acts)
+			p := actionsOf[StartAttempt](acts)
 			if len(p) == 0 {
 				break
 			}
 			sent++
-			acts = w.end(name("r", i), attempt, p[0].Server, ServerError, false)
+			acts = w.endAttempt(name("r", i), attempt, p[0].Server, ServerError, false)
 		}
 	}
 	if sent > 10 {
 		t.Fatalf("%d dials sent while none stood", sent)
 	}
-	w.tick(fadeTime)
-	w.placed(w.ask("later", safe)) // it is tried again when the failures have faded
+	w.tick(attemptDecayTime)
+	w.wantAttempt(w.request("later", idempotentClass)) // it is tried again when the failures have faded
 }
 
 func TestBootstrapAfterTheTimeout(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
 	fail := func(i int) []Action {
 		return w.send(ProbeCompleted{Server: ServerID(i%4 + 1), Code: TimedOut, Report: NoLoadReport})
 	}
 	fail(0)
-	w.now += deadAfter / 2
-	if len(find[FetchList](fail(1))) > 0 {
+	w.now += bootstrapTimeout / 2
+	if len(actionsOf[FetchList](fail(1))) > 0 {
 		t.Fatal("bootstrap before the timeout")
 	}
-	w.now += deadAfter
+	w.now += bootstrapTimeout
 	acts := fail(2)
-	if len(find[FetchList](acts)) != 1 || len(find[Log](acts)) != 1 {
+	if len(actionsOf[FetchList](acts)) != 1 || len(actionsOf[Log](acts)) != 1 {
 		t.Fatalf("no bootstrap: %v", acts)
 	}
-	w.placed(w.ask("r", safe)) // the last list's ready servers serve meanwhile
+	w.wantAttempt(w.request("r", idempotentClass)) // the last list's ready servers serve meanwhile
 }
 
 func TestASignOfLifeKeepsTheCache(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
 	for i := range 10 {
-		w.now += deadAfter / 2
+		w.now += bootstrapTimeout / 2
 		acts := w.send(ProbeCompleted{Server: 1, Code: TimedOut, Report: NoLoadReport})
-		if len(find[FetchList](acts)) > 0 {
+		if len(actionsOf[FetchList](acts)) > 0 {
 			t.Fatalf("bootstrap in round %d though server 2 answers", i)
 		}
-		w.report(2, 0.5)
+		w.reportLoad(2, 0.5)
 	}
 }
 
@@ -520,14 +520,14 @@
 	for seed := range uint64(6) {
 		set := settings()
 		set.Seed = seed
-		w := newWorld(t, set)
-		w.full(servers(3, 0))
+		w := newHarness(t, set)
+		w.replaceList(servers(3, 0))
 		start, calls := w.now, 0
-		for w.now < start+5*w.b.period() {
-			if n := len(find[WatchList](w.tick(tick))); n > 0 {
+		for w.now < start+5*w.b.pollInterval() {
+			if n := len(actionsOf[WatchList](w.tick(tick))); n > 0 {
 				if calls == 0 {
 					firsts[w.now-start] = true
-					if w.now-start > pollFirst+tick { // what has changed since the list was written counts as told soon
+					if w.now-start > maxFirstPollDelay+tick { // what has changed since the list was written counts as told soon
 						t.Fatalf("first poll only after %v", w.now-start)
 					}
 				}
@@ -546,9 +546,9 @@
 func TestPollFetchesWhereChangesArePushed(t *testing.T) {
 	set := settings()
 	set.WatchList = false
-	w := newWorld(t, set)
-	acts := w.tick(3 * w.b.period())
-	if len(find[FetchList](acts)) == 0 || len(find[WatchList](acts)) != 0 {
+	w := newHarness(t, set)
+	acts := w.tick(3 * w.b.pollInterval())
+	if len(actionsOf[FetchList](acts)) == 0 || len(actionsOf[WatchList](acts)) != 0 {
 		t.Fatal("want fetches of the list only")
 	}
 }
@@ -556,19 +556,19 @@
 func TestPeriodGrowsWithTheBalancers(t *testing.T) {
 	small, big := settings(), settings()
 	big.Balancers = 200
-	if a, b := newWorld(t, small).b.period(), newWorld(t, big).b.period(); b < a+15*time.Second {
+	if a, b := newHarness(t, small).b.pollInterval(), newHarness(t, big).b.pollInterval(); b < a+15*time.Second {
 		t.Fatalf("period %v with 4 balancers, %v with 200", a, b)
 	}
 }
 
 func TestFailedPollIsRetriedWithBackoff(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(3, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(3, 0))
 	var waits []time.Duration
 	for range 5 {
 		w.send(ListReceived{Kind: ListFailed})
 		from := w.now
-		for len(find[WatchList](w.tick(tick))) == 0 {
+		for len(actionsOf[WatchList](w.tick(tick))) == 0 {
 		}
 		waits = append(waits, w.now-from)
 	}
@@ -576,7 +576,7 @@
 	for seed := range uint64(4) {
 		other := settings()
 		other.Seed = seed
-		v := newWorld(t, other)
+		v := newHarness(t, other)
 		v.send(ListReceived{Kind: ListFailed})
 		again[v.b.pollAt] = true
 	}
@@ -588,12 +588,12 @@
 	}
 }
 
-// cold lists n warm servers and one just started, and makes the balancer's rate known.
-func cold(t *testing.T, set Settings, n int) *world {
-	w := newWorld(t, set)
-	w.full(servers(n, 0))
+// warmingHarness lists n warm servers and one just started, and makes the balancer's rate known.
+func warmingHarness(t *testing.T, set Settings, n int) *harness {
+	w := newHarness(t, set)
+	w.replaceList(servers(n, 0))
 	for i := range 200 { // ten connections a second
-		w.stand(name("warm", i), safe)
+		w.establish(name("warm", i), idempotentClass)
 		w.now += 100 * time.Millisecond
 		if i%2 == 0 {
 			w.now -= tick / 2
@@ -603,28 +603,28 @@
 	}
 	list := servers(n, 0)
 	list = append(list, Server{ID: 50, Zone: "a", Started: w.now})
-	w.full(list)
+	w.replaceList(list)
 	return w
 }
 
 // Guards against a cold server pushed over: redials count, and a burst cannot spend what time has not earned.
 func TestColdServerGetsOnlyThisBalancersShare(t *testing.T) {
-	w := cold(t, settings(), 9)
+	w := warmingHarness(t, settings(), 9)
 	got := 0
 	for i := range 300 {
-		w.report(50, 0) // idle, so the pool would have it
-		if w.stand(name("c", i), safe) == 50 {
+		w.reportLoad(50, 0) // idle, so the pool would have it
+		if w.establish(name("c", i), idempotentClass) == 50 {
 			got++
 		}
 	}
 	rules := settings().Safety
-	if most := 1 + coldSafety*rules.OverloadFactor*rules.SlowStartShare*w.b.capacity*rules.OverloadWindow.Seconds(); float64(got) > most {
+	if most := 1 + slowStartSafetyFactor*rules.OverloadFactor*rules.SlowStartShare*w.b.capacity*rules.OverloadWindow.Seconds(); float64(got) > most {
 		t.Fatalf("%d of a burst of 300 went to the cold server, this balancer's part is %.1f", got, most)
 	}
 	for i := range 40 {
 		w.now += 200 * time.Millisecond
-		w.report(50, 0)
-		if w.stand(name("d", i), safe) == 50 {
+		w.reportLoad(50, 0)
+		if w.establish(name("d", i), idempotentClass) == 50 {
 			got++
 		}
 	}
@@ -632,8 +632,8 @@
 		t.Fatalf("%d of 40 in 8 s went to the warming server", got)
 	}
 	w.now += settings().Safety.SlowStartDuration
-	w.report(50, 0)
-	if w.stand("warm-now", safe) != 50 {
+	w.reportLoad(50, 0)
+	if w.establish("warm-now", idempotentClass) != 50 {
 		t.Fatal("warm by now, yet kept out")
 	}
 }
@@ -645,11 +645,11 @@
 	for seed := range uint64(balancers) {
 		set := settings()
 		set.Seed, set.Balancers = seed, balancers
-		w := cold(t, set, 9)
+		w := warmingHarness(t, set, 9)
 		w.b.capacity = 1.0 / balancers // the server can take one connection a second when warm
 		w.now += 5 * time.Second       // half warm
-		w.report(50, 0)
-		if w.stand("r", safe) == 50 {
+		w.reportLoad(50, 0)
+		if w.establish("r", idempotentClass) == 50 {
 			sent++
 		}
 	}
@@ -660,40 +660,40 @@
 
 // Guards against new servers that stay idle while the others fill: no answer from them is waited for.
 func TestColdServerIsUsedUnaskedWhenTheOthersFill(t *testing.T) {
-	w := cold(t, settings(), 4)
+	w := warmingHarness(t, settings(), 4)
 	for id := ServerID(1); id <= 4; id++ {
-		w.report(id, 0.78)
+		w.reportLoad(id, 0.78)
 	}
-	if s := w.stand("r", safe); s != 50 {
+	if s := w.establish("r", idempotentClass); s != 50 {
 		t.Fatalf("went to %d, the cold server is idle", s)
 	}
 }
 
 // Guards a cold server against the balancers of all zones: only its own zone's share its budget.
 func TestColdServersOfOtherZonesAreLeftAlone(t *testing.T) {
-	w := cold(t, settings(), 4)
+	w := warmingHarness(t, settings(), 4)
 	list := servers(4, 0)
 	list = append(list, Server{ID: 150, Zone: "b", Started: w.now})
-	w.full(list)
+	w.replaceList(list)
 	for id := ServerID(1); id <= 4; id++ {
-		w.report(id, 0.95)
+		w.reportLoad(id, 0.95)
 	}
-	w.report(150, 0)
+	w.reportLoad(150, 0)
 	for i := range 20 {
-		w.none(w.ask(name("c", i), safe), "the cold server of another zone")
+		w.wantNoAttempt(w.request(name("c", i), idempotentClass), "the cold server of another zone")
 	}
 }
 
 func TestAllColdHoldsRatherThanPushesOver(t *testing.T) {
-	w := newWorld(t, settings())
+	w := newHarness(t, settings())
 	list := servers(4, 0)
 	for i := range list {
 		list[i].Started = w.now - time.Millisecond
 	}
-	w.full(list)
+	w.replaceList(list)
 	sent := 0
 	for i := range 100 {
-		sent += len(find[StartAttempt](w.ask(name("r", i), safe)))
+		sent += len(actionsOf[StartAttempt](w.request(name("r", i), idempotentClass)))
 	}
 	if sent > len(list) {
 		t.Fatalf("%d requests at once to %d cold servers", sent, len(list))
@@ -701,12 +701,12 @@
 }
 
 func TestRestartVoidsWhatWasKnown(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
-	w.report(1, 0.1)
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	w.reportLoad(1, 0.1)
 	w.now += time.Second
 	w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", Started: w.now}}})
-	if s := w.b.servers[1]; s.at != 0 || !w.b.cold(s) {
+	if s := w.b.servers[1]; s.reportedAt != 0 || !w.b.warming(s) {
 		t.Fatal("a restarted server's old answer counts")
 	}
 }
@@ -715,16 +715,16 @@
 	rate := func(price float64) (n int) {
 		set := settings()
 		set.Costs.Probe, set.ProbingAllowed = price, true
-		w := newWorld(t, set)
-		w.full(servers(20, 20))
+		w := newHarness(t, set)
+		w.replaceList(servers(20, 20))
 		for i := range 100 {
-			for _, p := range find[Probe](w.tick(tick)) {
+			for _, p := range actionsOf[Probe](w.tick(tick)) {
 				n++
 				if zoneOf(p.Server) != "a" {
 					t.Fatalf("probed %d of another zone", p.Server)
 				}
 			}
-			w.stand(name("r", i), safe)
+			w.establish(name("r", i), idempotentClass)
 		}
 		return n
 	}
@@ -734,55 +734,55 @@
 	}
 	set := settings()
 	set.ProbingAllowed = false
-	w := newWorld(t, set)
-	w.full(servers(5, 5))
-	if len(find[Probe](w.tick(20*time.Second))) > 0 {
+	w := newHarness(t, set)
+	w.replaceList(servers(5, 5))
+	if len(actionsOf[Probe](w.tick(20*time.Second))) > 0 {
 		t.Fatal("probed where probes are not allowed")
 	}
 }
 
 // Where the zone's only server fails, its clients go where reports of other zones show room, a group's together.
 func TestZoneWhoseServersFail(t *testing.T) {
-	set := groups()
-	w := newWorld(t, set)
-	w.full(servers(1, 8))
-	w.end("x", 0, 1, ServerError, false)
-	if w.now >= w.b.servers[1].ejected {
+	set := affinitySettings()
+	w := newHarness(t, set)
+	w.replaceList(servers(1, 8))
+	w.endAttempt("x", 0, 1, ServerError, false)
+	if w.now >= w.b.servers[1].ejectedUntil {
 		t.Fatal("the failing server is not left out")
 	}
 	used := map[ServerID]bool{}
 	for i := range 12 {
 		id := name("r", i)
-		acts := w.askGroup(id, "taxi-7")
-		for _, p := range find[Probe](acts) {
-			w.report(p.Server, 0.2)
+		acts := w.requestInGroup(id, "taxi-7")
+		for _, p := range actionsOf[Probe](acts) {
+			w.reportLoad(p.Server, 0.2)
 		}
-		if len(find[StartAttempt](acts)) == 0 {
-			w.now += askWait
-			acts = w.send(TimerFired{Token: timerHeld})
+		if len(actionsOf[StartAttempt](acts)) == 0 {
+			w.now += onDemandProbeTimeout
+			acts = w.send(TimerFired{Token: timerRetryWaiting})
 		}
-		s := w.placed(acts)
+		s := w.wantAttempt(acts)
 		used[s] = true
 		w.send(Established{ID: RequestID(id), Server: s})
 	}
-	if used[1] || len(used) > homeCount {
+	if used[1] || len(used) > maxPreferredServers {
 		t.Errorf("a group went to %v", used)
 	}
 }
 
 // Placements that a report may not show yet are booked, but nothing is moved for them.
 func TestBookedPlacementsAreNotMoved(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(1, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
 	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
 	for i := range 6 {
-		w.stand(name("r", i), safe)
+		w.establish(name("r", i), idempotentClass)
 	}
 	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
-	if s := w.b.servers[1]; s.load < moveLoad {
+	if s := w.b.servers[1]; s.load < migrationLoad {
 		t.Fatalf("load %.2f, want it booked above the limit", s.load)
 	}
-	if n := len(find[Migrate](w.tick(tick))); n > 0 {
+	if n := len(actionsOf[Migrate](w.tick(tick))); n > 0 {
 		t.Errorf("%d moved off a server that reports 0.7", n)
 	}
 }
@@ -792,15 +792,15 @@
 	count := func(price float64) (hot, cool int) {
 		set := settings()
 		set.Costs.Probe, set.ProbingAllowed = price, true
-		w := newWorld(t, set)
-		w.full(servers(6, 0))
+		w := newHarness(t, set)
+		w.replaceList(servers(6, 0))
 		for i := range 30 {
 			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%6 + 1)})
 		}
 		for range 40 {
-			w.report(1, 0.9)
-			w.report(2, 0.3)
-			for _, p := range find[Probe](w.tick(3 * tick)) {
+			w.reportLoad(1, 0.9)
+			w.reportLoad(2, 0.3)
+			for _, p := range actionsOf[Probe](w.tick(3 * tick)) {
 				switch p.Server {
 				case 1:
 					hot++
@@ -821,11 +821,11 @@
 
 // A placement is booked with what one connection loads that server, as its report tells.
 func TestPlacementsAreBookedByTheReport(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(1, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
 	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.4, Connections: 8}})
 	for i := range 4 {
-		w.stand(name("r", i), safe)
+		w.establish(name("r", i), idempotentClass)
 	}
 	if got := w.b.servers[1].load; got < 0.55 || got > 0.65 {
 		t.Errorf("load %.2f is booked after four placements, want 0.4 and four times 0.05", got)
@@ -834,21 +834,21 @@
 
 // Guards against a server that serves badly all that it holds: the excess is moved off, by all alike.
 func TestRebalanceMovesTheExcess(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
 	for i := range 200 {
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
 	}
-	w.report(1, moveLoad)
-	if n := len(find[Migrate](w.tick(tick))); n != 0 {
+	w.reportLoad(1, migrationLoad)
+	if n := len(actionsOf[Migrate](w.tick(tick))); n != 0 {
 		t.Fatalf("%d moved at the limit", n)
 	}
-	w.report(1, 1.4)
-	if n := len(find[Migrate](w.tick(tick))); n < 60 || n > 140 {
+	w.reportLoad(1, 1.4)
+	if n := len(actionsOf[Migrate](w.tick(tick))); n < 60 || n > 140 {
 		t.Fatalf("%d of 200 moved at load 1.4, want about half", n)
 	}
-	w.report(1, 1.4) // a report that cannot show the moves yet
-	if n := len(find[Migrate](w.tick(tick))); n != 0 {
+	w.reportLoad(1, 1.4) // a report that cannot show the moves yet
+	if n := len(actionsOf[Migrate](w.tick(tick))); n != 0 {
 		t.Fatalf("%d moved again before the report settled", n)
 	}
 }
@@ -856,51 +856,51 @@
 func TestSlowMessagesAreProbedAndMovedEarlier(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newWorld(t, set)
-	w.full(servers(4, 0))
+	w := newHarness(t, set)
+	w.replaceList(servers(4, 0))
 	for i := range 100 {
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
 	}
 	w.tick(time.Second)
 	acts := w.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
-	if p := find[Probe](acts); len(p) != 1 || p[0].Server != 2 {
+	if p := actionsOf[Probe](acts); len(p) != 1 || p[0].Server != 2 {
 		t.Fatalf("want a probe of server 2, got %v", acts)
 	}
-	w.report(2, 0.9)
-	if n := len(find[Migrate](w.tick(tick))); n < 8 || n > 45 {
+	w.reportLoad(2, 0.9)
+	if n := len(actionsOf[Migrate](w.tick(tick))); n < 8 || n > 45 {
 		t.Fatalf("%d of 100 moved at load 0.9 with slow messages", n)
 	}
-	w.report(1, 0.6) // heavier than server 2's next, stale-looking answer
-	w.report(2, 0.1)
-	if s := w.stand("r", safe); s == 2 {
+	w.reportLoad(1, 0.6) // heavier than server 2's next, stale-looking answer
+	w.reportLoad(2, 0.1)
+	if s := w.establish("r", idempotentClass); s == 2 {
 		t.Fatal("placed where messages are slow")
 	}
 }
 
-func groups() Settings {
+func affinitySettings() Settings {
 	set := settings()
 	set.GroupAffinity, set.ProbingAllowed = true, true
 	return set
 }
 
-func (w *world) askGroup(id, group string) []Action {
+func (w *harness) requestInGroup(id, group string) []Action {
 	return w.send(RequestArrived{ID: RequestID(id), Group: group, Remaining: 2 * time.Second})
 }
 
 func TestGroupsKeepTogetherAcrossBalancers(t *testing.T) {
 	homes := map[ServerID]bool{}
 	for seed := range uint64(6) {
-		set := groups()
+		set := affinitySettings()
 		set.Seed = seed
-		w := newWorld(t, set)
-		w.full(servers(12, 0))
-		acts := w.askGroup("r", "taxi-7")
-		w.none(acts, "the group's servers are asked first")
-		for _, p := range find[Probe](acts) {
-			w.report(p.Server, 0.3)
+		w := newHarness(t, set)
+		w.replaceList(servers(12, 0))
+		acts := w.requestInGroup("r", "taxi-7")
+		w.wantNoAttempt(acts, "the group's servers are asked first")
+		for _, p := range actionsOf[Probe](acts) {
+			w.reportLoad(p.Server, 0.3)
 		}
-		w.now += askWait
-		homes[w.placed(w.send(TimerFired{Token: timerHeld}))] = true
+		w.now += onDemandProbeTimeout
+		homes[w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting}))] = true
 	}
 	if len(homes) != 1 {
 		t.Fatalf("six balancers put one group on %v", homes)
@@ -908,14 +908,14 @@
 }
 
 func TestHotGroupGoesOnToItsNextServer(t *testing.T) {
-	w := newWorld(t, groups())
-	w.full(servers(12, 0))
+	w := newHarness(t, affinitySettings())
+	w.replaceList(servers(12, 0))
 	r := &request{RequestArrived: RequestArrived{Group: "taxi-7"}}
-	homes := w.b.homes(r, w.b.near)
-	w.report(homes[0].ID, 0.85)
-	w.report(homes[1].ID, 0.4)
-	w.report(homes[2].ID, 0.1)
-	if s := w.placed(w.askGroup("r", "taxi-7")); s != homes[1].ID {
+	homes := w.b.preferredInZone(r, w.b.localZone)
+	w.reportLoad(homes[0].ID, 0.85)
+	w.reportLoad(homes[1].ID, 0.4)
+	w.reportLoad(homes[2].ID, 0.1)
+	if s := w.wantAttempt(w.requestInGroup("r", "taxi-7")); s != homes[1].ID {
 		t.Fatalf("went to %d, want the group's second server %d", s, homes[1].ID)
 	}
 }
@@ -923,19 +923,19 @@
 // The own zone first: a group's second server here has room, so its first one elsewhere is left alone, and comes
 // before one here that is nearly full.
 func TestGroupStaysInItsZoneWhileThereIsRoom(t *testing.T) {
-	w := newWorld(t, groups())
-	w.full(servers(6, 6))
+	w := newHarness(t, affinitySettings())
+	w.replaceList(servers(6, 6))
 	r := &request{RequestArrived: RequestArrived{Group: "taxi-7"}}
-	homes, away := w.b.homes(r, w.b.near), w.b.homes(r, w.b.far)
+	homes, away := w.b.preferredInZone(r, w.b.localZone), w.b.preferredInZone(r, w.b.remoteZone)
 	for i, load := range []float64{0.75, 0.5, 0.78} {
-		w.report(homes[i].ID, load)
-		w.report(away[i].ID, 0.1)
+		w.reportLoad(homes[i].ID, load)
+		w.reportLoad(away[i].ID, 0.1)
 	}
-	if s := w.placed(w.askGroup("r", "taxi-7")); s != homes[1].ID {
+	if s := w.wantAttempt(w.requestInGroup("r", "taxi-7")); s != homes[1].ID {
 		t.Errorf("went to %d, want the zone's second server %d", s, homes[1].ID)
 	}
-	w.report(homes[1].ID, 0.79)
-	if s := w.placed(w.askGroup("r2", "taxi-7")); s != away[0].ID {
+	w.reportLoad(homes[1].ID, 0.79)
+	if s := w.wantAttempt(w.requestInGroup("r2", "taxi-7")); s != away[0].ID {
 		t.Errorf("went to %d, want the first one elsewhere %d", s, away[0].ID)
 	}
 }
@@ -943,25 +943,25 @@
 // A server pays for a group that it opens as for several connections. Guards against a crowd that opens its groups at every
 // home that shows room for one connection, until a third of the fleet's work is for groups.
 func TestOpeningAGroupIsPriced(t *testing.T) {
-	set := groups()
+	set := affinitySettings()
 	set.Balancers = 1
-	w := newWorld(t, set)
-	w.full(servers(6, 0))
-	homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)
+	w := newHarness(t, set)
+	w.replaceList(servers(6, 0))
+	homes := w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.localZone)
 	for i := range 25 {
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Group: "taxi-7"}, Server: homes[1].ID})
 	}
 	for i, load := range []float64{0.55, 0.6, 0.9} {
 		w.send(ProbeCompleted{Server: homes[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}}) // each loads it with 0.04 or so
 	}
-	if s := w.placed(w.askGroup("r", "taxi-7")); s != homes[1].ID {
+	if s := w.wantAttempt(w.requestInGroup("r", "taxi-7")); s != homes[1].ID {
 		t.Errorf("went to %d at 0.55, which holds none of the group; %d at 0.6 does", s, homes[1].ID)
 	}
 	w.send(ProbeCompleted{Server: homes[0].ID, Code: OK, Report: LoadReport{Load: 0.3, Connections: 10}})
-	if s := w.placed(w.askGroup("r2", "taxi-7")); s != homes[0].ID {
+	if s := w.wantAttempt(w.requestInGroup("r2", "taxi-7")); s != homes[0].ID {
 		t.Fatalf("went to %d, though its first server has room for it and its group", s)
 	}
-	if got, want := homes[0].load, 0.3+(openGroup+1)*0.03; math.Abs(got-want) > 1e-9 {
+	if got, want := homes[0].load, 0.3+(groupOpeningConnections+1)*0.03; math.Abs(got-want) > 1e-9 {
 		t.Errorf("booked: load %v, want %v", got, want)
 	}
 }
@@ -969,32 +969,32 @@
 // A group is opened once: what comes while the first of it is being set up is booked for itself. And what few reports tell
 // of a usual connection is a guess, which prices nothing. Guards a whole group that a drain sends away at once.
 func TestAGroupIsOpenedOnce(t *testing.T) {
-	set := groups()
+	set := affinitySettings()
 	set.Balancers = 1
-	w := newWorld(t, set)
-	w.full(servers(2, 0))
-	home := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)[0]
+	w := newHarness(t, set)
+	w.replaceList(servers(2, 0))
+	home := w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.localZone)[0]
 	w.send(ProbeCompleted{Server: home.ID, Code: OK, Report: LoadReport{Load: 0.1, Connections: 20}})
 	for i := range 16 {
-		if s := w.placed(w.askGroup(name("r", i), "taxi-7")); s != home.ID {
+		if s := w.wantAttempt(w.requestInGroup(name("r", i), "taxi-7")); s != home.ID {
 			t.Fatalf("request %d went to %d", i, s)
 		}
 	}
-	if got, want := home.load, 0.1+(openGroup+16)*0.005; math.Abs(got-want) > 1e-9 {
+	if got, want := home.load, 0.1+(groupOpeningConnections+16)*0.005; math.Abs(got-want) > 1e-9 {
 		t.Errorf("load %v with 16 booked, want %v", got, want)
 	}
-	home.each = 0
-	if _, guess := w.b.usual(home); !guess {
+	home.loadPerConnection = 0
+	if _, guess := w.b.connectionLoad(home); !guess {
 		t.Error("one report is taken for a mean")
 	}
 }
 
 // The server stops paying soonest for a group of which it holds few.
 func TestMovesEmptySmallGroupsFirst(t *testing.T) {
-	set := groups()
+	set := affinitySettings()
 	set.Balancers = 1
-	w := newWorld(t, set)
-	w.full(servers(4, 0))
+	w := newHarness(t, set)
+	w.replaceList(servers(4, 0))
 	for i := range 12 {
 		group := "large"
 		if i%6 == 0 {
@@ -1002,8 +1002,8 @@
 		}
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
 	}
-	w.report(1, 1.05)
-	moves := find[Migrate](w.tick(tick))
+	w.reportLoad(1, 1.05)
+	moves := actionsOf[Migrate](w.tick(tick))
 	if len(moves) < 2 || !strings.HasPrefix(string(moves[0].ID), "small") || !strings.HasPrefix(string(moves[1].ID), "small") {
 		t.Errorf("moved %v, the two of the small group first wanted", moves)
 	}
@@ -1011,45 +1011,45 @@
 
 // Guards against groups spread over many servers, each of which pays for the group once more.
 func TestGroupStaysOnItsServersUntilTheyAreFull(t *testing.T) {
-	w := newWorld(t, groups())
-	w.full(servers(12, 0))
-	homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.near)
+	w := newHarness(t, affinitySettings())
+	w.replaceList(servers(12, 0))
+	homes := w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, w.b.localZone)
 	for _, s := range w.b.local {
-		w.report(s.ID, 0.1)
+		w.reportLoad(s.ID, 0.1)
 	}
 	for _, s := range homes {
-		w.report(s.ID, 0.75)
+		w.reportLoad(s.ID, 0.75)
 	}
-	if s := w.placed(w.askGroup("r", "taxi-7")); s != homes[0].ID {
+	if s := w.wantAttempt(w.requestInGroup("r", "taxi-7")); s != homes[0].ID {
 		t.Fatalf("went to %d, the group is at home at %d", s, homes[0].ID)
 	}
 	for _, s := range homes {
-		w.report(s.ID, 0.95)
+		w.reportLoad(s.ID, 0.95)
 	}
-	w.none(w.askGroup("r2", "taxi-7"), "all servers of the group are full, yet it is strewn further")
+	w.wantNoAttempt(w.requestInGroup("r2", "taxi-7"), "all servers of the group are full, yet it is strewn further")
 }
 
 // Guards what all servers share: time-outs close the window on dials that are out, set-ups open it.
 func TestTimeoutsCloseTheWindowOfDials(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(60, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(60, 0))
 	for i := range 60 {
-		w.stand(name("r", i), safe)
+		w.establish(name("r", i), idempotentClass)
 	}
-	open := w.b.window
+	open := w.b.dialWindow
 	for i := range 6 {
 		id := name("t", i)
-		s := w.placed(w.ask(id, safe))
+		s := w.wantAttempt(w.request(id, idempotentClass))
 		w.now += 300 * time.Millisecond
-		w.end(id, 0, s, TimedOut, false)
+		w.endAttempt(id, 0, s, TimedOut, false)
 		w.send(ClientDisconnected{ID: RequestID(id)})
 	}
-	if w.b.window > open/16 || w.b.dialing != 0 {
-		t.Fatalf("window %.1f of %.1f, %d dials out", w.b.window, open, w.b.dialing)
+	if w.b.dialWindow > open/16 || w.b.dialing != 0 {
+		t.Fatalf("window %.1f of %.1f, %d dials out", w.b.dialWindow, open, w.b.dialing)
 	}
 	out := 0
 	for i := range 20 {
-		out += len(find[StartAttempt](w.ask(name("q", i), safe)))
+		out += len(actionsOf[StartAttempt](w.request(name("q", i), idempotentClass)))
 	}
 	if out == 0 || out > int(open/16)+1 {
 		t.Fatalf("%d dials out at once", out)
@@ -1063,32 +1063,32 @@
 		code Code
 		held bool
 	}{{Rejected, false}, {ConnectFailed, false}, {TimedOut, true}, {Reset, true}} {
-		w := newWorld(t, settings())
-		w.full(servers(6, 0))
+		w := newHarness(t, settings())
+		w.replaceList(servers(6, 0))
 		for i := range 8 {
 			id := name("r", i)
-			for _, p := range find[StartAttempt](w.ask(id, safe)) {
-				w.end(id, 0, p.Server, c.code, false)
+			for _, p := range actionsOf[StartAttempt](w.request(id, idempotentClass)) {
+				w.endAttempt(id, 0, p.Server, c.code, false)
 			}
 			w.send(ClientDisconnected{ID: RequestID(id)})
 		}
-		w.full([]Server{{ID: 50, Zone: "a"}})
-		if out := len(find[StartAttempt](w.ask("late", safe))); (out == 0) != c.held {
+		w.replaceList([]Server{{ID: 50, Zone: "a"}})
+		if out := len(actionsOf[StartAttempt](w.request("late", idempotentClass))); (out == 0) != c.held {
 			t.Errorf("after eight that ended with %v, %d were placed at a server that just came", c.code, out)
 		}
 	}
 }
 
 func TestHomesWeighSizeAndMoveLittle(t *testing.T) {
-	w := newWorld(t, groups())
+	w := newHarness(t, affinitySettings())
 	list := servers(10, 0)
 	list[0].Weight = 4
-	w.full(list)
+	w.replaceList(list)
 	firsts := func() map[string]ServerID {
 		m := map[string]ServerID{}
 		for i := range 400 {
 			g := name("g", i)
-			m[g] = w.b.homes(&request{RequestArrived: RequestArrived{Group: g}}, w.b.near)[0].ID
+			m[g] = w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: g}}, w.b.localZone)[0].ID
 		}
 		return m
 	}
@@ -1101,7 +1101,7 @@
 	if big < 80 || big > 170 {
 		t.Fatalf("the server of weight 4 among 10 is first for %d of 400 groups", big)
 	}
-	w.full(list[:9])
+	w.replaceList(list[:9])
 	for g, id := range firsts() {
 		if id != before[g] && before[g] != 10 {
 			t.Fatalf("group %s left server %d though only 10 went", g, before[g])
@@ -1110,42 +1110,42 @@
 }
 
 func TestStateIsFreed(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(6, 2))
+	w := newHarness(t, settings())
+	w.replaceList(servers(6, 2))
 	for i := range 50 {
 		id := name("r", i)
-		s := w.stand(id, safe)
+		s := w.establish(id, idempotentClass)
 		switch i % 3 {
 		case 0:
-			w.end(id, 0, s, OK, true)
+			w.endAttempt(id, 0, s, OK, true)
 		case 1:
 			w.send(ClientDisconnected{ID: RequestID(id)})
-			w.end(id, 0, s, Cancelled, true)
+			w.endAttempt(id, 0, s, Cancelled, true)
 		default:
-			w.end(id, 0, s, Reset, true)
+			w.endAttempt(id, 0, s, Reset, true)
 		}
 	}
-	w.ask("held", safe)
+	w.request("held", idempotentClass)
 	w.send(ClientDisconnected{ID: "held"})
-	if len(w.b.requests)+len(w.b.bySeq)+len(w.b.waiting) != 0 {
-		t.Fatalf("%d requests, %d timers, %d waiting kept", len(w.b.requests), len(w.b.bySeq), len(w.b.waiting))
+	if len(w.b.requests)+len(w.b.requestsByToken)+len(w.b.waiting) != 0 {
+		t.Fatalf("%d requests, %d timers, %d waiting kept", len(w.b.requests), len(w.b.requestsByToken), len(w.b.waiting))
 	}
 	for _, s := range w.b.ready {
-		if len(s.conns) != 0 {
-			t.Fatalf("server %d keeps %d connections", s.ID, len(s.conns))
+		if len(s.connections) != 0 {
+			t.Fatalf("server %d keeps %d connections", s.ID, len(s.connections))
 		}
 	}
-	w.full(servers(1, 0))
-	w.now += rememberFor + time.Second
-	w.full(servers(1, 0))
+	w.replaceList(servers(1, 0))
+	w.now += recordRetention + time.Second
+	w.replaceList(servers(1, 0))
 	if len(w.b.servers) != 1 {
 		t.Fatalf("%d servers kept, one is listed", len(w.b.servers))
 	}
 }
 
 func TestEventsForWhatIsNotHeldAreIgnored(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(2, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
 	for _, ev := range []Event{
 		Established{ID: "x", Server: 1}, AttemptEnded{ID: "x", Server: 1, Code: Reset}, ClientDisconnected{ID: "x"},
 		LoadChanged{ID: "x", Load: 1}, MessageDelayReported{ID: "x", Server: 1, Delay: time.Second},
@@ -1161,24 +1161,24 @@
 func TestRequestAsksWhereNothingIsKnown(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newWorld(t, set)
-	w.full(servers(8, 8))
-	acts := w.ask("r", safe)
-	w.none(acts, "nothing is known yet")
-	probes := find[Probe](acts)
-	if len(probes) != askCount {
-		t.Fatalf("want %d probes, got %v", askCount, acts)
-	}
-	w.report(probes[0].Server, 0.6)
-	w.report(probes[1].Server, 0.2)
-	w.now += askWait
-	if s := w.placed(w.send(TimerFired{Token: timerHeld})); s != probes[1].Server {
+	w := newHarness(t, set)
+	w.replaceList(servers(8, 8))
+	acts := w.request("r", idempotentClass)
+	w.wantNoAttempt(acts, "nothing is known yet")
+	probes := actionsOf[Probe](acts)
+	if len(probes) != onDemandProbes {
+		t.Fatalf("want %d probes, got %v", onDemandProbes, acts)
+	}
+	w.reportLoad(probes[0].Server, 0.6)
+	w.reportLoad(probes[1].Server, 0.2)
+	w.now += onDemandProbeTimeout
+	if s := w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting})); s != probes[1].Server {
 		t.Fatalf("went to %d, the lightest asked is %d", s, probes[1].Server)
 	}
-	w.now += poolAge
-	w.ask("silent", safe) // no answer comes: it is placed all the same
-	w.now += askWait
-	w.placed(w.send(TimerFired{Token: timerHeld}))
+	w.now += maxReportAge
+	w.request("silent", idempotentClass) // no answer comes: it is placed all the same
+	w.now += onDemandProbeTimeout
+	w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting}))
 }
 
 func TestSettingsAreChecked(t *testing.T) {
@@ -1210,11 +1210,11 @@
 
 func TestEqualEventsGiveEqualActionsAlsoInterleaved(t *testing.T) {
 	play := func(n int) [][]Action {
-		worlds := make([]*world, n)
+		worlds := make([]*harness, n)
 		logs := make([][]Action, n)
 		for i := range worlds {
-			worlds[i] = newWorld(t, groups())
-			worlds[i].full(servers(9, 9))
+			worlds[i] = newHarness(t, affinitySettings())
+			worlds[i].replaceList(servers(9, 9))
 		}
 		for step := range 300 {
 			for i, w := range worlds {
@@ -1235,19 +1235,19 @@
 }
 
 // scriptStep plays one of many kinds of event, the same for each world.
-func scriptStep(w *world, step int) []Action {
+func scriptStep(w *harness, step int) []Action {
 	id := name("s", step)
 	switch step % 5 {
 	case 0:
 		return w.send(RequestArrived{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
 	case 1:
-		return w.report(ServerID(step%9+1), float64(step%13)/10)
+		return w.reportLoad(ServerID(step%9+1), float64(step%13)/10)
 	case 2:
 		return w.tick(2 * tick)
 	case 3:
 		return w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
 	default:
-		return w.end(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
+		return w.endAttempt(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
 	}
 }
 
@@ -1256,14 +1256,14 @@
 func TestOverloadElsewhereIsSeen(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newWorld(t, set)
-	w.full(servers(3, 3))
+	w := newHarness(t, set)
+	w.replaceList(servers(3, 3))
 	for i := range 20 {
-		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: safe}, Server: 102})
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: idempotentClass}, Server: 102})
 	}
 	moved := 0
 	for range 20 {
-		for _, p := range find[Probe](w.tick(time.Second)) {
+		for _, p := range actionsOf[Probe](w.tick(time.Second)) {
 			load := 0.3
 			if p.Server > 100 {
 				load = 1.4
@@ -1271,9 +1271,9 @@
 					t.Fatalf("server %d of another zone holds nothing and is probed", p.Server)
 				}
 			}
-			moved += len(find[Migrate](w.report(p.Server, load)))
+			moved += len(actionsOf[Migrate](w.reportLoad(p.Server, load)))
 		}
-		moved += len(find[Migrate](w.tick(tick)))
+		moved += len(actionsOf[Migrate](w.tick(tick)))
 	}
 	if moved == 0 {
 		t.Error("no connection was moved off the overloaded server")
@@ -1286,10 +1286,10 @@
 	for _, most := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
 		set := settings()
 		set.MaxAttempts, set.MaxRetryAfter = 1, most
-		w := newWorld(t, set)
-		w.full(servers(1, 0))
-		w.placed(w.ask("r", safe))
-		refused := find[Reject](w.end("r", 0, 1, Rejected, false))
+		w := newHarness(t, set)
+		w.replaceList(servers(1, 0))
+		w.wantAttempt(w.request("r", idempotentClass))
+		refused := actionsOf[Reject](w.endAttempt("r", 0, 1, Rejected, false))
 		if len(refused) != 1 || refused[0].RetryAfter > most || (refused[0].RetryAfter == 0) != (most == 0) {
 			t.Errorf("at most %v: %+v", most, refused)
 		}
@@ -1298,17 +1298,17 @@
 
 // What is told of the servers that are left out follows the ejection, and asking changes nothing.
 func TestAvoidsFollowsTheEjection(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
-	s := w.placed(w.ask("r", safe))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
+	s := w.wantAttempt(w.request("r", idempotentClass))
 	if w.b.Ejected(s) || w.b.Ejected(99) {
 		t.Error("left out without a cause")
 	}
-	w.end("r", 0, s, ServerError, false)
+	w.endAttempt("r", 0, s, ServerError, false)
 	if !w.b.Ejected(s) {
 		t.Error("a server that failed is not told as left out")
 	}
-	w.tick(ejectFirst + tick)
+	w.tick(baseEjectionTime + tick)
 	if w.b.Ejected(s) {
 		t.Error("still told as left out after its time")
 	}
@@ -1319,23 +1319,23 @@
 func TestBookingsExpireOneByOne(t *testing.T) {
 	set := settings()
 	set.Balancers = 1
-	w := newWorld(t, set)
-	w.full(servers(1, 0))
+	w := newHarness(t, set)
+	w.replaceList(servers(1, 0))
 	for i := range 2 {
-		w.report(1, 0.1)
-		w.stand(name("old", i), safe)
-	}
-	old := w.b.servers[1].unseen(w.now)
-	w.now += reportLag * 3 / 4
-	w.report(1, 0.1)
-	w.stand("new", safe)
-	w.now += reportLag / 2
-	w.report(1, 0.4)
+		w.reportLoad(1, 0.1)
+		w.establish(name("old", i), idempotentClass)
+	}
+	old := w.b.servers[1].pendingReservations(w.now)
+	w.now += maxReportLag * 3 / 4
+	w.reportLoad(1, 0.1)
+	w.establish("new", idempotentClass)
+	w.now += maxReportLag / 2
+	w.reportLoad(1, 0.4)
 	if s := w.b.servers[1]; s.load-0.4 > old/2 || s.load <= 0.4 {
 		t.Errorf("load %.2f after a report of 0.40, with %.2f booked long before it", s.load, old)
 	}
-	if reportLag > time.Second {
-		t.Errorf("a placement counts %v on top of reports that are no older than half a second", reportLag)
+	if maxReportLag > time.Second {
+		t.Errorf("a placement counts %v on top of reports that are no older than half a second", maxReportLag)
 	}
 }
 
@@ -1346,13 +1346,13 @@
 	for seed := range uint64(30) {
 		set := settings()
 		set.Seed = seed
-		w := newWorld(t, set)
-		w.full(servers(2, 0))
+		w := newHarness(t, set)
+		w.replaceList(servers(2, 0))
 		for i := range held {
 			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
 		}
-		w.report(1, 1)
-		if n := len(find[Migrate](w.tick(tick))); n != want {
+		w.reportLoad(1, 1)
+		if n := len(actionsOf[Migrate](w.tick(tick))); n != want {
 			t.Errorf("seed %d: %d of %d clients moved off a server at 1.0, want %d", seed, n, held, want)
 		}
 	}
@@ -1364,18 +1364,18 @@
 	const groupsHeld, each = 6, 2
 	moved := map[string]int{}
 	for seed := range uint64(20) {
-		set := groups()
+		set := affinitySettings()
 		set.Seed = seed
-		w := newWorld(t, set)
-		w.full(servers(4, 0))
+		w := newHarness(t, set)
+		w.replaceList(servers(4, 0))
 		in := map[RequestID]string{}
 		for i := range groupsHeld * each {
 			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
 			in[id] = group
 			w.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
 		}
-		w.report(1, 1.05)
-		for _, m := range find[Migrate](w.tick(tick)) {
+		w.reportLoad(1, 1.05)
+		for _, m := range actionsOf[Migrate](w.tick(tick)) {
 			moved[in[m.ID]]++
 		}
 	}
@@ -1392,18 +1392,18 @@
 // request is given up by what waits before it.
 func TestThoseThatCameLastAreGivenUpFirst(t *testing.T) {
 	const held = 15
-	w := newWorld(t, settings())
-	w.full(servers(1, 0))
-	w.report(1, 0.95)
-	w.b.stood = 100 // ten a second
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
+	w.reportLoad(1, 0.95)
+	w.b.recentEstablished = 100 // ten a second
 	for i := range held {
-		if n := len(find[Reject](w.ask(name("r", i), safe))); n != 0 {
+		if n := len(actionsOf[Reject](w.request(name("r", i), idempotentClass))); n != 0 {
 			t.Fatalf("request %d of %d was refused, though 20 come to stand in its time", i, held)
 		}
 	}
 	w.now += 1250 * time.Millisecond
 	refused := map[RequestID]bool{}
-	for _, r := range find[Reject](w.tick(tick)) {
+	for _, r := range actionsOf[Reject](w.tick(tick)) {
 		refused[r.ID] = true
 	}
 	if len(refused) == 0 || refused["r0"] || !refused[RequestID(name("r", held-1))] {
@@ -1414,9 +1414,9 @@
 // Guards against small zones where every group is at home at each server, so that each pays for all of them.
 func TestGroupsAreKeptApartInSmallZones(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 6: 3, 30: 3} {
-		w := newWorld(t, groups())
-		w.full(servers(n, 0))
-		if got := len(w.b.homes(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.near)); got != want {
+		w := newHarness(t, affinitySettings())
+		w.replaceList(servers(n, 0))
+		if got := len(w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.localZone)); got != want {
 			t.Errorf("a group has %d servers of %d, want %d", got, n, want)
 		}
 	}
@@ -1430,15 +1430,15 @@
 		load      float64
 		goes      bool // to the first
 	}{{2, 0.65, true}, {300, 0.65, false}, {300, 0.55, true}} {
-		set := groups()
+		set := affinitySettings()
 		set.Balancers = c.balancers
-		w := newWorld(t, set)
-		w.full(servers(4, 0))
-		homes := w.b.homes(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.near)
+		w := newHarness(t, set)
+		w.replaceList(servers(4, 0))
+		homes := w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.localZone)
 		for i, s := range homes {
-			w.report(s.ID, []float64{c.load, 0.2, 0.2}[i])
+			w.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
 		}
-		if got := w.placed(w.askGroup("r", "g")); (got == homes[0].ID) != c.goes {
+		if got := w.wantAttempt(w.requestInGroup("r", "g")); (got == homes[0].ID) != c.goes {
 			t.Errorf("%d balancers, the first at %.2f: went to %d, the group's are %d, %d", c.balancers, c.load, got, homes[0].ID, homes[1].ID)
 		}
 	}
@@ -1447,30 +1447,30 @@
 // A client that was moved off an overloaded server does not come straight back to it, though it is its group's first and
 // looks lighter while the client is away. Guards against moves that cost the clients a break and change nothing.
 func TestMovedClientsDoNotComeStraightBack(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(4, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
 	for id := range ServerID(4) {
-		w.report(id+1, 0.3)
+		w.reportLoad(id+1, 0.3)
 	}
 	ask := func(id, key string) ServerID {
-		return w.placed(w.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
+		return w.wantAttempt(w.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
 	}
 	for i := range 8 {
 		home := ask(name("r", i), name("key", i))
 		w.send(Established{ID: RequestID(name("r", i)), Server: home})
-		w.report(home, 0.3)
+		w.reportLoad(home, 0.3)
 	}
-	home := w.b.requests["r0"].srv.ID
-	w.now += moveSettle
-	w.report(home, 1.2)
-	moves := find[Migrate](w.tick(tick))
+	home := w.b.requests["r0"].server.ID
+	w.now += migrationSettlePeriod
+	w.reportLoad(home, 1.2)
+	moves := actionsOf[Migrate](w.tick(tick))
 	if len(moves) == 0 {
 		t.Fatal("nobody was moved")
 	}
 	for _, m := range moves {
 		key := w.b.requests[m.ID].Key
-		w.end(string(m.ID), 0, home, Cancelled, true)
-		w.report(home, 0.3)
+		w.endAttempt(string(m.ID), 0, home, Cancelled, true)
+		w.reportLoad(home, 0.3)
 		if s := ask("again-"+string(m.ID), key); s == home {
 			t.Errorf("%s came back to server %d", key, s)
 		}
@@ -1480,34 +1480,34 @@
 // What one balancer has learned of a server holds at the one that takes over: a server that is left out stays out, though
 // it looks empty, and a fresh report counts. What is told of unknown servers, or makes no sense, changes nothing.
 func TestLearnedIsTakenOver(t *testing.T) {
-	old, next := newWorld(t, settings()), newWorld(t, settings())
-	for _, w := range []*world{old, next} {
-		w.full(servers(4, 0))
+	old, next := newHarness(t, settings()), newHarness(t, settings())
+	for _, w := range []*harness{old, next} {
+		w.replaceList(servers(4, 0))
 	}
 	for id := range ServerID(4) {
-		old.report(id+1, 0.2)
+		old.reportLoad(id+1, 0.2)
 	}
-	bad := old.placed(old.ask("r", safe))
-	old.end("r", 0, bad, ServerError, false)
+	bad := old.wantAttempt(old.request("r", idempotentClass))
+	old.endAttempt("r", 0, bad, ServerError, false)
 	told := append(old.b.ExportLearned(), LearnedState{Server: 77, ConsecutiveFailures: 1, EjectedFor: time.Hour})
 	next.now += time.Second
-	next.send(TimerFired{Token: timerHeld})
+	next.send(TimerFired{Token: timerRetryWaiting})
 	next.b.ImportLearned(told)
 	if !next.b.Ejected(bad) || next.b.Ejected(77) {
 		t.Error("the server that is left out is not, or an unknown one is")
 	}
 	for id, s := range next.b.servers {
-		if s.load != 0.2 || s.at == 0 {
-			t.Errorf("server %d: load %.2f, reported at %v", id, s.load, s.at)
+		if s.load != 0.2 || s.reportedAt == 0 {
+			t.Errorf("server %d: load %.2f, reported at %v", id, s.load, s.reportedAt)
 		}
 	}
 	for i := range 12 {
-		if s := next.stand(name("r", i), safe); s == bad {
+		if s := next.establish(name("r", i), idempotentClass); s == bad {
 			t.Error("a client went to the server that is left out")
 		}
 	}
 	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4, EjectedFor: -1}})
-	if s := next.b.servers[1]; s.load < 0 || s.each > 1 {
+	if s := next.b.servers[1]; s.load < 0 || s.loadPerConnection > 1 {
 		t.Errorf("nonsense was taken over: %+v", s)
 	}
 }
@@ -1515,30 +1515,30 @@
 // Guards against a discovery that comes back empty: all is gone then, so nothing is sent, each request has its one answer
 // in its time, and what stands is neither moved nor forgotten. The list that comes next is used at once.
 func TestEmptyList(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(3, 0))
-	held := w.stand("s", safe)
-	w.full(nil)
+	w := newHarness(t, settings())
+	w.replaceList(servers(3, 0))
+	held := w.establish("s", idempotentClass)
+	w.replaceList(nil)
 	for i := range 10 {
-		w.none(w.ask(name("x", i), safe), "no server is left")
+		w.wantNoAttempt(w.request(name("x", i), idempotentClass), "no server is left")
 	}
 	acts := w.tick(time.Second)
-	if len(find[Migrate](acts)) > 0 {
+	if len(actionsOf[Migrate](acts)) > 0 {
 		t.Errorf("moved: %v", acts)
 	}
 	for _, r := range w.b.requests {
-		if !r.stands {
-			acts = append(acts, w.send(TimerFired{Token: r.seq})...)
+		if !r.established {
+			acts = append(acts, w.send(TimerFired{Token: r.timerToken})...)
 		}
 	}
-	if refused, failed := answers(acts); refused+failed > 10 || failed > 0 || len(w.b.requests) != 1 {
+	if refused, failed := countAnswers(acts); refused+failed > 10 || failed > 0 || len(w.b.requests) != 1 {
 		t.Errorf("%d refused, %d failed, %d left of 10", refused, failed, len(w.b.requests))
 	}
-	w.ask("y", safe)
-	if s := w.placed(w.full(servers(3, 0))); s > 3 {
+	w.request("y", idempotentClass)
+	if s := w.wantAttempt(w.replaceList(servers(3, 0))); s > 3 {
 		t.Errorf("placed at %d", s)
 	}
-	if w.end("s", 0, held, OK, true); len(w.b.requests) != 1 {
+	if w.endAttempt("s", 0, held, OK, true); len(w.b.requests) != 1 {
 		t.Errorf("%d requests left, only y wanted", len(w.b.requests))
 	}
 }
@@ -1548,13 +1548,13 @@
 	set := settings()
 	set.ProbingAllowed = true
 	probes := func(n int) int {
-		w := newWorld(t, set)
-		w.full(servers(9, 0))
+		w := newHarness(t, set)
+		w.replaceList(servers(9, 0))
 		w.tick(5 * time.Second)
-		w.full(servers(n, 0))
-		return len(find[Probe](w.tick(20 * time.Second)))
+		w.replaceList(servers(n, 0))
+		return len(actionsOf[Probe](w.tick(20 * time.Second)))
 	}
-	if few, many := probes(9), probes(90); many > few+2*poolSize {
+	if few, many := probes(9), probes(90); many > few+2*maxAnswers {
 		t.Errorf("%d probes in 20 s at 90 servers, %d at 9", many, few)
 	}
 }
@@ -1563,20 +1563,20 @@
 // makes it look free.
 func TestSpoiltReports(t *testing.T) {
 	for _, load := range []float64{-3, 101, 1e300, math.Inf(1), math.NaN()} {
-		w := newWorld(t, settings())
-		w.full(servers(2, 0))
-		w.report(1, 0.5)
+		w := newHarness(t, settings())
+		w.replaceList(servers(2, 0))
+		w.reportLoad(1, 0.5)
 		s := w.b.servers[1]
 		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
-		if s.load != 0.5 || s.reported != 0.5 || s.each != 0 {
+		if s.load != 0.5 || s.reportedLoad != 0.5 || s.loadPerConnection != 0 {
 			t.Errorf("a load of %v is taken: %+v", load, s)
 		}
 	}
 	for _, held := range []float64{-7, 1e9, math.Inf(1), math.NaN()} {
-		w := newWorld(t, settings())
-		w.full(servers(2, 0))
+		w := newHarness(t, settings())
+		w.replaceList(servers(2, 0))
 		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: held}})
-		if s := w.b.servers[1]; s.each != 0 || s.load != 0.5 {
+		if s := w.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
 			t.Errorf("%v connections are taken: %+v", held, s)
 		}
 	}
@@ -1585,16 +1585,16 @@
 // A booking ends with its connection. Guards against a server that looks full by clients that have long left it: it is
 // asked for nothing, so that no report tells.
 func TestBookingsEndWithTheirConnections(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(1, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
 	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.2, Connections: 10}})
 	for i := range 40 {
 		id := name("c", i)
-		w.stand(id, safe)
+		w.establish(id, idempotentClass)
 		w.now += 20 * time.Millisecond
-		w.end(id, 0, 1, OK, true)
+		w.endAttempt(id, 0, 1, OK, true)
 	}
-	if s := w.b.servers[1]; math.Abs(s.load-0.2) > 1e-9 || len(s.booked) > 0 {
-		t.Errorf("load %v, %d bookings of connections that have ended", s.load, len(s.booked))
+	if s := w.b.servers[1]; math.Abs(s.load-0.2) > 1e-9 || len(s.reservations) > 0 {
+		t.Errorf("load %v, %d bookings of connections that have ended", s.load, len(s.reservations))
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -10,81 +10,81 @@
 	"time"
 )
 
-// manyBalancers runs many balancers against one small set of servers, whose loads are what all of them together send:
+// fleetSimulation runs many balancers against one small set of servers, whose loads are what all of them together send:
 // one unit a connection and groupLoad for each group that a server holds any of. Reports are fleetLag
 // old. Connections stand until they are moved; a client that was moved comes again through the front, to any balancer.
-type manyBalancers struct {
-	now        time.Duration
-	rng        *rand.Rand
-	balancers  []*Balancer
-	due        [][]dueEvent    // of each balancer
-	soonest    []time.Duration // of those
-	servers    map[ServerID]*fleetServer
-	list       []Server
-	sent       map[ServerID][]time.Duration // attempts, as the servers see them
-	probes     int
-	idleProbes int // at servers where the asker holds nothing
-	refused    int
-	came       map[RequestID]time.Duration
-	held       []time.Duration // refused requests, until then
-	next       int
-	groups     map[RequestID]string
-	moved      map[ServerID][]time.Duration // connections moved off, or sent away by their server
-	standing   map[RequestID]standing
-	back       []returning // clients that come again
-	fails      map[ServerID]bool
-	life       time.Duration // mean of a connection's; 0: they stand for good
-	store      float64       // set-ups a second that what all servers share can take; 0: any number
-	storeBusy  time.Duration // until then it is at work
-	late       int           // set-ups that choked
-	ends       []ending
-	again      map[RequestID]int
-}
-
-type ending struct {
+type fleetSimulation struct {
+	now             time.Duration
+	rng             *rand.Rand
+	balancers       []*Balancer
+	due             [][]dueEvent    // of each balancer
+	nextDue         []time.Duration // of those
+	servers         map[ServerID]*simulatedFleetServer
+	list            []Server
+	attempts        map[ServerID][]time.Duration // attempts, as the servers see them
+	probes          int
+	idleProbes      int // at servers where the asker holds nothing
+	rejected        int
+	arrivedAt       map[RequestID]time.Duration
+	rejectionDelays []time.Duration // refused requests, until then
+	nextRequest     int
+	groups          map[RequestID]string
+	migratedOff     map[ServerID][]time.Duration // connections moved off, or sent away by their server
+	established     map[RequestID]establishedConnection
+	reconnects      []reconnectingClient // clients that come again
+	failing         map[ServerID]bool
+	meanLifetime    time.Duration // mean of a connection's; 0: they stand for good
+	sharedStoreRate float64       // set-ups a second that what all servers share can take; 0: any number
+	storeBusyUntil  time.Duration // until then it is at work
+	setupTimeouts   int           // set-ups that choked
+	connectionEnds  []connectionEnd
+	reconnectCount  map[RequestID]int
+}
+
+type connectionEnd struct {
 	at time.Duration
 	id RequestID
 }
 
-// chokeLoad is the load above which a server sets up nothing in time.
-const chokeLoad = 1.3
+// overloadedLoad is the load above which a server sets up nothing in time.
+const overloadedLoad = 1.3
 
 type dueEvent struct {
 	at time.Duration
 	ev Event
 }
 
-type standing struct {
+type establishedConnection struct {
 	balancer int
 	server   ServerID
 }
 
-type returning struct {
-	at    time.Duration
-	group string
-	tries int // before
+type reconnectingClient struct {
+	at         time.Duration
+	group      string
+	reconnects int // before
 }
 
-type fleetServer struct {
-	capacity float64 // units of load it bears when warm
-	groups   map[string]int
-	conns    int
-	past     []float64 // loads, one a step, newest last
+type simulatedFleetServer struct {
+	capacity    float64 // units of load it bears when warm
+	groups      map[string]int
+	connections int
+	loadHistory []float64 // loads, one a step, newest last
 }
 
 const (
-	fleetStep = 10 * time.Millisecond
-	fleetLag  = 200 * time.Millisecond
-	groupLoad = 3.0
+	simulationStep = 10 * time.Millisecond
+	reportDelay    = 200 * time.Millisecond
+	groupLoad      = 3.0
 )
 
-// newFleet makes n balancers in zone a of settings of their own, and lets them take the list.
-func newFleet(t *testing.T, set Settings, n int, list []Server, capacity float64) *manyBalancers {
-	f := &manyBalancers{now: 1000 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), due: make([][]dueEvent, n), soonest: make([]time.Duration, n), list: list,
-		servers: map[ServerID]*fleetServer{}, sent: map[ServerID][]time.Duration{}, groups: map[RequestID]string{}, came: map[RequestID]time.Duration{},
-		moved: map[ServerID][]time.Duration{}, standing: map[RequestID]standing{}, fails: map[ServerID]bool{}, again: map[RequestID]int{}}
+// newFleetSimulation makes n balancers in zone a of settings of their own, and lets them take the list.
+func newFleetSimulation(t *testing.T, set Settings, n int, list []Server, capacity float64) *fleetSimulation {
+	f := &fleetSimulation{now: 1000 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), due: make([][]dueEvent, n), nextDue: make([]time.Duration, n), list: list,
+		servers: map[ServerID]*simulatedFleetServer{}, attempts: map[ServerID][]time.Duration{}, groups: map[RequestID]string{}, arrivedAt: map[RequestID]time.Duration{},
+		migratedOff: map[ServerID][]time.Duration{}, established: map[RequestID]establishedConnection{}, failing: map[ServerID]bool{}, reconnectCount: map[RequestID]int{}}
 	for _, s := range list {
-		f.servers[s.ID] = &fleetServer{capacity: capacity, groups: map[string]int{}}
+		f.servers[s.ID] = &simulatedFleetServer{capacity: capacity, groups: map[string]int{}}
 	}
 	for i := range n {
 		set.Seed, set.Balancers = uint64(i+1), n
@@ -102,15 +102,15 @@
 	return f
 }
 
-func (f *manyBalancers) load(id ServerID) float64 {
+func (f *fleetSimulation) load(id ServerID) float64 {
 	s := f.servers[id]
-	units := float64(s.conns) + groupLoad*float64(len(s.groups))
-	return units / (s.capacity * f.part(id))
+	units := float64(s.connections) + groupLoad*float64(len(s.groups))
+	return units / (s.capacity * f.capacityFraction(id))
 }
 
-// part is what a server can do now of what it does when warm.
-func (f *manyBalancers) part(id ServerID) float64 {
-	rules := f.balancers[0].set.Safety
+// capacityFraction is what a server can do now of what it does when warm.
+func (f *fleetSimulation) capacityFraction(id ServerID) float64 {
+	rules := f.balancers[0].settings.Safety
 	for _, s := range f.list {
 		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < rules.SlowStartDuration {
 			return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartDuration)
@@ -119,122 +119,122 @@
 	return 1
 }
 
-func (f *manyBalancers) later(i int, at time.Duration, ev Event) {
+func (f *fleetSimulation) schedule(i int, at time.Duration, ev Event) {
 	f.due[i] = append(f.due[i], dueEvent{at, ev})
-	f.soonest[i] = min(f.soonest[i], at)
+	f.nextDue[i] = min(f.nextDue[i], at)
 }
 
-func (f *manyBalancers) handle(i int, ev Event) {
+func (f *fleetSimulation) handle(i int, ev Event) {
 	for _, a := range f.balancers[i].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
-			f.later(i, f.now+a.Delay, TimerFired{Token: a.Token})
+			f.schedule(i, f.now+a.Delay, TimerFired{Token: a.Token})
 		case Probe:
 			f.probes++
-			if len(f.balancers[i].servers[a.Server].conns) == 0 {
+			if len(f.balancers[i].servers[a.Server].connections) == 0 {
 				f.idleProbes++
 			}
 			s := f.servers[a.Server]
-			r := LoadReport{Load: 0, Connections: float64(s.conns)}
-			if n := len(s.past) - int(fleetLag/fleetStep); n >= 0 {
-				r.Load = s.past[n]
+			r := LoadReport{Load: 0, Connections: float64(s.connections)}
+			if n := len(s.loadHistory) - int(reportDelay/simulationStep); n >= 0 {
+				r.Load = s.loadHistory[n]
 			}
-			f.later(i, f.now+fleetStep, ProbeCompleted{Server: a.Server, Code: OK, Report: r})
+			f.schedule(i, f.now+simulationStep, ProbeCompleted{Server: a.Server, Code: OK, Report: r})
 		case StartAttempt:
-			f.sent[a.Server] = append(f.sent[a.Server], f.now)
-			if choked := f.load(a.Server) > chokeLoad; f.fails[a.Server] || choked {
-				if choked && !f.fails[a.Server] {
-					f.late++
-					f.later(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests[a.ID].tries - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
+			f.attempts[a.Server] = append(f.attempts[a.Server], f.now)
+			if choked := f.load(a.Server) > overloadedLoad; f.failing[a.Server] || choked {
+				if choked && !f.failing[a.Server] {
+					f.setupTimeouts++
+					f.schedule(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests[a.ID].attempts - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
 					continue
 				}
-				at := f.balancers[i].requests[a.ID].tries - 1
-				f.later(i, f.now+fleetStep, AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport})
+				at := f.balancers[i].requests[a.ID].attempts - 1
+				f.schedule(i, f.now+simulationStep, AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport})
 				continue
 			}
 			s := f.servers[a.Server]
-			s.conns++
+			s.connections++
 			s.groups[f.groups[a.ID]]++
-			f.standing[a.ID] = standing{i, a.Server}
-			took := fleetStep
-			if f.store > 0 {
-				f.storeBusy = max(f.storeBusy, f.now) + time.Duration(float64(time.Second)/f.store)
-				took += f.storeBusy - f.now
+			f.established[a.ID] = establishedConnection{i, a.Server}
+			took := simulationStep
+			if f.sharedStoreRate > 0 {
+				f.storeBusyUntil = max(f.storeBusyUntil, f.now) + time.Duration(float64(time.Second)/f.sharedStoreRate)
+				took += f.storeBusyUntil - f.now
 			}
-			f.later(i, f.now+took, Established{ID: a.ID, Server: a.Server, Elapsed: took})
-			if f.life > 0 {
-				f.ends = append(f.ends, ending{f.now + took + time.Duration(f.rng.ExpFloat64()*float64(f.life)), a.ID})
+			f.schedule(i, f.now+took, Established{ID: a.ID, Server: a.Server, Elapsed: took})
+			if f.meanLifetime > 0 {
+				f.connectionEnds = append(f.connectionEnds, connectionEnd{f.now + took + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)), a.ID})
 			}
 		case Fail:
 			f.finish(a.ID, Cancelled)
 		case Reject:
 			f.finish(a.ID, Cancelled) // one that stood too late is closed
-			f.refused++
-			f.held = append(f.held, f.now-f.came[a.ID])
-			if f.again[a.ID] < 2 && f.life > 0 { // a client comes again by itself, twice
-				f.back = append(f.back, returning{f.now + a.RetryAfter, f.groups[a.ID], f.again[a.ID] + 1})
+			f.rejected++
+			f.rejectionDelays = append(f.rejectionDelays, f.now-f.arrivedAt[a.ID])
+			if f.reconnectCount[a.ID] < 2 && f.meanLifetime > 0 { // a client comes again by itself, twice
+				f.reconnects = append(f.reconnects, reconnectingClient{f.now + a.RetryAfter, f.groups[a.ID], f.reconnectCount[a.ID] + 1})
 			}
 		case Migrate:
-			f.sendAway(a.ID)
+			f.reconnectLater(a.ID)
 		}
 	}
 }
 
-// sendAway ends a connection that stands; its client comes again within 52 to 1000 ms.
-func (f *manyBalancers) sendAway(id RequestID) {
-	at, group := f.standing[id], f.groups[id]
+// reconnectLater ends a connection that stands; its client comes again within 52 to 1000 ms.
+func (f *fleetSimulation) reconnectLater(id RequestID) {
+	at, group := f.established[id], f.groups[id]
 	if !f.finish(id, Cancelled) {
 		return
 	}
-	f.moved[at.server] = append(f.moved[at.server], f.now)
-	f.back = append(f.back, returning{f.now + 52*time.Millisecond + time.Duration(f.rng.Int64N(int64(948*time.Millisecond))), group, 0})
+	f.migratedOff[at.server] = append(f.migratedOff[at.server], f.now)
+	f.reconnects = append(f.reconnects, reconnectingClient{f.now + 52*time.Millisecond + time.Duration(f.rng.Int64N(int64(948*time.Millisecond))), group, 0})
 }
 
 // finish ends a connection that stands.
-func (f *manyBalancers) finish(id RequestID, code Code) bool {
-	at, ok := f.standing[id]
+func (f *fleetSimulation) finish(id RequestID, code Code) bool {
+	at, ok := f.established[id]
 	if !ok {
 		return false
 	}
-	delete(f.standing, id)
+	delete(f.established, id)
 	s, group := f.servers[at.server], f.groups[id]
-	s.conns--
+	s.connections--
 	if s.groups[group]--; s.groups[group] == 0 {
 		delete(s.groups, group)
 	}
 	if r := f.balancers[at.balancer].requests[id]; r != nil {
-		f.later(at.balancer, f.now+fleetStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true, Report: NoLoadReport, Attempt: r.tries - 1})
+		f.schedule(at.balancer, f.now+simulationStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true, Report: NoLoadReport, Attempt: r.attempts - 1})
 	}
 	return true
 }
 
 // run lets time pass; with every step, perStep requests come in the mean, to any balancer, of one of the groups.
-func (f *manyBalancers) run(d time.Duration, perStep float64, groups []string) {
+func (f *fleetSimulation) run(d time.Duration, perStep float64, groups []string) {
 	for end := f.now + d; f.now < end; {
-		f.now += fleetStep
+		f.now += simulationStep
 		for id, s := range f.servers {
-			s.past = append(s.past, f.load(id))
+			s.loadHistory = append(s.loadHistory, f.load(id))
 		}
 		for n := perStep; n > 0; n-- {
 			if n >= 1 || f.rng.Float64() < n {
 				f.arrive(groups[f.rng.IntN(len(groups))])
 			}
 		}
-		f.back = slices.DeleteFunc(f.back, func(r returning) bool {
+		f.reconnects = slices.DeleteFunc(f.reconnects, func(r reconnectingClient) bool {
 			if f.now >= r.at {
 				f.arrive(r.group)
-				f.again[RequestID(name("f", f.next))] = r.tries
+				f.reconnectCount[RequestID(name("f", f.nextRequest))] = r.reconnects
 			}
 			return f.now >= r.at
 		})
-		f.ends = slices.DeleteFunc(f.ends, func(e ending) bool {
+		f.connectionEnds = slices.DeleteFunc(f.connectionEnds, func(e connectionEnd) bool {
 			if f.now >= e.at {
 				f.finish(e.id, OK)
 			}
 			return f.now >= e.at
 		})
 		for i := range f.balancers {
-			if f.soonest[i] > f.now {
+			if f.nextDue[i] > f.now {
 				continue
 			}
 			for k := 0; k < len(f.due[i]); k++ {
@@ -244,48 +244,48 @@
 					f.handle(i, e.ev)
 				}
 			}
-			f.soonest[i] = math.MaxInt64
+			f.nextDue[i] = math.MaxInt64
 			for _, e := range f.due[i] {
-				f.soonest[i] = min(f.soonest[i], e.at)
+				f.nextDue[i] = min(f.nextDue[i], e.at)
 			}
 		}
 	}
 }
 
-// startCold lists n servers that start now, from id on, and gives the connections that one of them bears within the
+// startWarming lists n servers that start now, from id on, and gives the connections that one of them bears within the
 // fall time, in the mean of its first seconds. Life is taken as usualLife: 26 connections are 26/30 of one a second.
-func (f *manyBalancers) startCold(id ServerID, n int, capacity float64) (bears float64) {
+func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (bears float64) {
 	for end := id + ServerID(n); id < end; id++ {
 		f.list = append(f.list, Server{ID: id, Zone: "a", Started: f.now})
-		f.servers[id] = &fleetServer{capacity: capacity, groups: map[string]int{}}
+		f.servers[id] = &simulatedFleetServer{capacity: capacity, groups: map[string]int{}}
 	}
-	f.tell()
-	rules := f.balancers[0].set.Safety
-	return rules.OverloadFactor * rules.OverloadWindow.Seconds() * capacity / usualLife.Seconds() * (rules.SlowStartShare + 0.28)
+	f.reportAll()
+	rules := f.balancers[0].settings.Safety
+	return rules.OverloadFactor * rules.OverloadWindow.Seconds() * capacity / defaultLifetime.Seconds() * (rules.SlowStartShare + 0.28)
 }
 
-func (f *manyBalancers) arrive(group string) {
-	f.next++
-	id := RequestID(name("f", f.next))
-	f.groups[id], f.came[id] = group, f.now
+func (f *fleetSimulation) arrive(group string) {
+	f.nextRequest++
+	id := RequestID(name("f", f.nextRequest))
+	f.groups[id], f.arrivedAt[id] = group, f.now
 	f.handle(f.rng.IntN(len(f.balancers)), RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
-// pairs counts on how many servers groups are, all groups together.
-func (f *manyBalancers) pairs() (n int) {
+// groupPlacements counts on how many servers groups are, all groups together.
+func (f *fleetSimulation) groupPlacements() (n int) {
 	for _, s := range f.servers {
 		n += len(s.groups)
 	}
 	return n
 }
 
-// most is the largest number of attempts that a server saw within any window.
-func (f *manyBalancers) most(id ServerID, window time.Duration) int {
-	return within(f.sent[id], window)
+// maxPlacements is the largest number of attempts that a server saw within any window.
+func (f *fleetSimulation) maxPlacements(id ServerID, window time.Duration) int {
+	return maxInWindow(f.attempts[id], window)
 }
 
-// within is the largest number of times within any window.
-func within(sent []time.Duration, window time.Duration) (most int) {
+// maxInWindow is the largest number of times within any window.
+func maxInWindow(sent []time.Duration, window time.Duration) (most int) {
 	for i, at := range sent {
 		n := 0
 		for _, later := range sent[i:] {
@@ -301,7 +301,7 @@
 var fleetGroups = []string{"g1", "g2", "g3", "g4", "g5", "g6", "g7"}
 
 func fleetSettings() Settings {
-	set := groups()
+	set := affinitySettings()
 	set.ProbingAllowed = true
 	return set
 }
@@ -311,13 +311,13 @@
 func TestCrowdDoesNotStrewItsGroups(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 80} {
-		f := newFleet(t, fleetSettings(), n, servers(9, 0), 26)
+		f := newFleetSimulation(t, fleetSettings(), n, servers(9, 0), 26)
 		f.run(10*time.Second, 0.1, fleetGroups) // a hundred stand
 		f.run(3*time.Second, 0.6, fleetGroups)  // and more come than there is room for
-		if p, most := f.pairs(), homeCount*len(fleetGroups); p > most {
+		if p, most := f.groupPlacements(), maxPreferredServers*len(fleetGroups); p > most {
 			t.Errorf("%d balancers: %d groups are on %d servers, at most %d wanted", n, len(fleetGroups), p, most)
 		}
-		if f.refused == 0 {
+		if f.rejected == 0 {
 			t.Errorf("%d balancers: the crowd was to be larger than the room", n)
 		}
 		over := 0
@@ -335,17 +335,17 @@
 // Guards against a fleet that holds a crowd until its time is up though it cannot serve it, and has it back the next moment.
 func TestCrowdBeyondTheRoomIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, fleetSettings(), 3, servers(9, 0), 26)
+	f := newFleetSimulation(t, fleetSettings(), 3, servers(9, 0), 26)
 	f.run(10*time.Second, 0.1, fleetGroups)
 	f.run(6*time.Second, 1, fleetGroups) // several times the room
 	atOnce := 0
-	for _, d := range f.held {
-		if d <= 2*askWait {
+	for _, d := range f.rejectionDelays {
+		if d <= 2*onDemandProbeTimeout {
 			atOnce++
 		}
 	}
-	if len(f.held) < 200 || atOnce < len(f.held)*8/10 {
-		t.Errorf("%d of %d refused requests were answered at once, 8 in 10 wanted", atOnce, len(f.held))
+	if len(f.rejectionDelays) < 200 || atOnce < len(f.rejectionDelays)*8/10 {
+		t.Errorf("%d of %d refused requests were answered at once, 8 in 10 wanted", atOnce, len(f.rejectionDelays))
 	}
 }
 
@@ -354,11 +354,11 @@
 	t.Parallel()
 	for _, n := range []int{3, 30, 80, 300} {
 		set := fleetSettings()
-		f := newFleet(t, set, n, servers(6, 0), 26)
+		f := newFleetSimulation(t, set, n, servers(6, 0), 26)
 		f.run(20*time.Second, 0.055, fleetGroups)
-		bears, rules := f.startCold(50, 1, 26), set.Safety
+		bears, rules := f.startWarming(50, 1, 26), set.Safety
 		f.run(4*time.Second, 0.6, fleetGroups)
-		got := f.most(50, rules.OverloadWindow)
+		got := f.maxPlacements(50, rules.OverloadWindow)
 		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, rules.OverloadWindow, bears)
 		if float64(got) > bears+3 {
 			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", n, got, rules.OverloadWindow, bears)
@@ -372,17 +372,17 @@
 	t.Parallel()
 	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // as many new as old ones
 		set := fleetSettings()
-		f := newFleet(t, set, c.n, servers(c.old, 0), 26)
+		f := newFleetSimulation(t, set, c.n, servers(c.old, 0), 26)
 		var groups []string
 		for i := range c.old {
 			groups = append(groups, name("g", i))
 		}
 		f.run(20*time.Second, 0.008*float64(c.old), groups)
-		bears, rules := f.startCold(500, c.old, 26), set.Safety
+		bears, rules := f.startWarming(500, c.old, 26), set.Safety
 		f.run(4*time.Second, 0.03*float64(c.old), groups)
 		all, most := 0, 0
 		for _, s := range f.list[c.old:] {
-			all, most = all+len(f.sent[s.ID]), max(most, f.most(s.ID, rules.OverloadWindow))
+			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, rules.OverloadWindow))
 		}
 		part := float64(all) / (4 / rules.OverloadWindow.Seconds() * bears * float64(c.old))
 		t.Logf("%d balancers: %.2f of what the cold servers bear in 4 s, %d within %v at one, which bears %.1f",
@@ -405,7 +405,7 @@
 		most float64 // probes a second at all servers, and the part of them that went where the asker holds nothing
 		idle float64
 	}{{3, 45, 1}, {80, 80, 0.35}, {300, 95, 0.35}} {
-		f := newFleet(t, fleetSettings(), c.n, servers(9, 0), 26)
+		f := newFleetSimulation(t, fleetSettings(), c.n, servers(9, 0), 26)
 		f.run(15*time.Second, 0.06, fleetGroups)
 		f.probes, f.idleProbes = 0, 0
 		f.run(10*time.Second, 0, fleetGroups)
@@ -420,13 +420,13 @@
 	}
 }
 
-// standingFleet is a fleet of n whose old servers have been sent what makes the given load, in as many groups.
-func standingFleet(t *testing.T, n, old int, load float64) (f *manyBalancers, groups []string) {
+// establishedFleet is a fleet of n whose old servers have been sent what makes the given load, in as many groups.
+func establishedFleet(t *testing.T, n, old int, load float64) (f *fleetSimulation, groups []string) {
 	t.Helper()
 	for i := range old {
 		groups = append(groups, name("g", i))
 	}
-	f = newFleet(t, fleetSettings(), n, servers(old, 0), 26)
+	f = newFleetSimulation(t, fleetSettings(), n, servers(old, 0), 26)
 	f.run(20*time.Second, load*26*float64(old)/2000, groups)
 	return f, groups
 }
@@ -438,14 +438,14 @@
 func TestColdServersWhileOthersDrain(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
-		f, groups := standingFleet(t, c.n, c.old, 0.4)
-		fall := f.balancers[0].set.Safety.OverloadWindow
-		bears := f.startCold(500, c.old/3, 26)
+		f, groups := establishedFleet(t, c.n, c.old, 0.4)
+		fall := f.balancers[0].settings.Safety.OverloadWindow
+		bears := f.startWarming(500, c.old/3, 26)
 		f.drain(1, c.old/3)
 		f.run(4*time.Second, 0.01*float64(c.old), groups)
 		most, all := 0, 0
 		for _, s := range f.list[c.old:] {
-			all, most = all+len(f.sent[s.ID]), max(most, f.most(s.ID, fall))
+			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, fall))
 		}
 		t.Logf("%d balancers: %d at %d cold servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, bears)
 		if float64(most) > bears+3 || all < c.old/6 {
@@ -459,17 +459,17 @@
 func TestOneFreshServerIsNoHerdsGoal(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
-		f, groups := standingFleet(t, c.n, c.old, 0.8)
-		drains, id := f.busiest(), f.fresh(groups)
-		f.tell()
+		f, groups := establishedFleet(t, c.n, c.old, 0.8)
+		drains, id := f.busiest(), f.leastLoadedServer(groups)
+		f.reportAll()
 		f.drain(drains, 1)
 		most := 0.0
 		for range 40 {
 			f.run(100*time.Millisecond, 0.01*float64(c.old), groups)
 			most = max(most, f.load(id))
 		}
-		t.Logf("%d balancers: the fresh server got %d, %d within 0.5 s, its load %.2f at most", c.n, len(f.sent[id]),
-			f.most(id, 500*time.Millisecond), most)
+		t.Logf("%d balancers: the fresh server got %d, %d within 0.5 s, its load %.2f at most", c.n, len(f.attempts[id]),
+			f.maxPlacements(id, 500*time.Millisecond), most)
 		bound := 1.1
 		if c.n == 3 { // most of what comes is their own, and booked at once
 			bound = 0.8
@@ -485,22 +485,22 @@
 func TestMovesOfManyTakeWhatIsTooMuch(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
-		f, groups := standingFleet(t, c.n, c.old, 0.5)
+		f, groups := establishedFleet(t, c.n, c.old, 0.5)
 		id := f.busiest()
 		f.servers[id].capacity /= 3 // it turns slow
-		before, held := f.load(id), f.servers[id].conns
+		before, held := f.load(id), f.servers[id].connections
 		f.run(2*time.Second, 0, groups)
-		first := len(f.moved[id])
+		first := len(f.migratedOff[id])
 		f.run(8*time.Second, 0, groups)
-		most := within(f.moved[id], 500*time.Millisecond)
+		most := maxInWindow(f.migratedOff[id], 500*time.Millisecond)
 		t.Logf("%d balancers: load %.2f of %d; %d moved within 2 s, %d at one time, %d within 10 s, load %.2f", c.n, before, held,
-			first, most, len(f.moved[id]), f.load(id))
+			first, most, len(f.migratedOff[id]), f.load(id))
 		// At a mean load of its connections the excess is 0.69 of them. One in each balancer's hands may be too many.
-		excess := float64(held) * (1 - moveTarget/before)
+		excess := float64(held) * (1 - migrationTargetLoad/before)
 		if float64(first) > excess+3 || f.load(id) > 1.1 {
 			t.Errorf("%d balancers: %d of %d moved within 2 s where %.0f are too much, load %.2f after 10 s", c.n, first, held, excess, f.load(id))
 		}
-		if f.servers[id].conns == 0 {
+		if f.servers[id].connections == 0 {
 			t.Errorf("%d balancers: all were moved off a server that can bear some", c.n)
 		}
 	}
@@ -514,13 +514,13 @@
 	// no memory of their own can help: balancers share nothing.
 	most := map[int]int{3: 12, 80: 48, 300: 60}
 	for _, c := range fleetSizes {
-		f, groups := standingFleet(t, c.n, c.old, 0.4)
-		id := f.fresh(groups)
-		f.fails[id] = true
-		f.tell()
-		before, came := len(f.sent[id]), f.next
+		f, groups := establishedFleet(t, c.n, c.old, 0.4)
+		id := f.leastLoadedServer(groups)
+		f.failing[id] = true
+		f.reportAll()
+		before, came := len(f.attempts[id]), f.nextRequest
 		f.run(10*time.Second, 0.01*float64(c.old), groups)
-		there, all := len(f.sent[id])-before, f.next-came
+		there, all := len(f.attempts[id])-before, f.nextRequest-came
 		t.Logf("%d balancers: %d attempts at the failing server, %d requests", c.n, there, all)
 		if there > most[c.n] || there == 0 {
 			t.Errorf("%d balancers: %d attempts at the failing server for %d requests, %d at most", c.n, there, all, most[c.n])
@@ -529,19 +529,19 @@
 }
 
 // busiest is the server that holds most.
-func (f *manyBalancers) busiest() ServerID {
-	return slices.MaxFunc(f.list, func(x, y Server) int { return f.servers[x.ID].conns - f.servers[y.ID].conns }).ID
+func (f *fleetSimulation) busiest() ServerID {
+	return slices.MaxFunc(f.list, func(x, y Server) int { return f.servers[x.ID].connections - f.servers[y.ID].connections }).ID
 }
 
-// fresh lists one more server, empty and warm: of a hundred ids the one at which most groups are first at home.
-func (f *manyBalancers) fresh(groups []string) (best ServerID) {
+// leastLoadedServer lists one more server, empty and warm: of a hundred ids the one at which most groups are first at home.
+func (f *fleetSimulation) leastLoadedServer(groups []string) (best ServerID) {
 	firsts := map[ServerID]int{}
 	for _, g := range groups {
 		nearest := slices.MinFunc(f.list, func(x, y Server) int {
-			return cmp.Compare(distance(hash(g), &server{Server: x}), distance(hash(g), &server{Server: y}))
+			return cmp.Compare(rendezvousDistance(hashString(g), &server{Server: x}), rendezvousDistance(hashString(g), &server{Server: y}))
 		})
 		for id := ServerID(500); id < 600; id++ {
-			if distance(hash(g), &server{Server: Server{ID: id}}) < distance(hash(g), &server{Server: nearest}) {
+			if rendezvousDistance(hashString(g), &server{Server: Server{ID: id}}) < rendezvousDistance(hashString(g), &server{Server: nearest}) {
 				firsts[id]++
 			}
 		}
@@ -552,41 +552,41 @@
 		}
 	}
 	f.list = append(f.list, Server{ID: best, Zone: "a"})
-	f.servers[best] = &fleetServer{capacity: 26, groups: map[string]int{}}
+	f.servers[best] = &simulatedFleetServer{capacity: 26, groups: map[string]int{}}
 	return best
 }
 
-// tell gives all balancers the list.
-func (f *manyBalancers) tell() {
+// reportAll gives all balancers the list.
+func (f *fleetSimulation) reportAll() {
 	for i := range f.balancers {
 		f.handle(i, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	}
 }
 
 // drain takes n servers out, from id on: they are told to drain and send their clients away.
-func (f *manyBalancers) drain(id ServerID, n int) {
+func (f *fleetSimulation) drain(id ServerID, n int) {
 	for i := range f.list {
 		if s := &f.list[i]; s.ID >= id && s.ID < id+ServerID(n) {
 			s.State = Draining
 		}
 	}
-	f.tell()
-	for _, r := range slices.Sorted(maps.Keys(f.standing)) {
-		if at := f.standing[r]; at.server >= id && at.server < id+ServerID(n) {
-			f.sendAway(r)
+	f.reportAll()
+	for _, r := range slices.Sorted(maps.Keys(f.established)) {
+		if at := f.established[r]; at.server >= id && at.server < id+ServerID(n) {
+			f.reconnectLater(r)
 		}
 	}
 }
 
-// served is how many connections stand at servers that bear them, in the mean of a time that passes.
-func (f *manyBalancers) served(d time.Duration, perStep float64, groups []string) float64 {
+// averageServed is how many connections stand at servers that bear them, in the mean of a time that passes.
+func (f *fleetSimulation) averageServed(d time.Duration, perStep float64, groups []string) float64 {
 	const look = 100 * time.Millisecond
 	sum := 0
 	for range d / look {
 		f.run(look, perStep, groups)
 		for id, s := range f.servers {
-			if !f.fails[id] && f.load(id) <= 1 {
-				sum += s.conns
+			if !f.failing[id] && f.load(id) <= 1 {
+				sum += s.connections
 			}
 		}
 	}
@@ -605,23 +605,23 @@
 		}
 	}
 	for _, store := range []float64{0, 40} {
-		f := newFleet(t, fleetSettings(), 3, servers(6, 6), 26)
-		f.life, f.store = 30*time.Second, store
+		f := newFleetSimulation(t, fleetSettings(), 3, servers(6, 6), 26)
+		f.meanLifetime, f.sharedStoreRate = 30*time.Second, store
 		f.run(25*time.Second, 0.2, zipf)
-		before, pairs := f.served(5*time.Second, 0.2, zipf), f.pairs()
+		before, pairs := f.averageServed(5*time.Second, 0.2, zipf), f.groupPlacements()
 		for id := ServerID(1); id <= 6; id++ {
-			f.fails[id] = true
+			f.failing[id] = true
 		}
-		for _, id := range slices.Sorted(maps.Keys(f.standing)) {
-			if f.fails[f.standing[id].server] {
-				f.sendAway(id)
+		for _, id := range slices.Sorted(maps.Keys(f.established)) {
+			if f.failing[f.established[id].server] {
+				f.reconnectLater(id)
 			}
 		}
-		during := f.served(12*time.Second, 0.2, zipf)
-		clear(f.fails)
-		back := []float64{f.served(5*time.Second, 0.2, zipf), f.served(5*time.Second, 0.2, zipf), f.served(5*time.Second, 0.2, zipf)}
+		during := f.averageServed(12*time.Second, 0.2, zipf)
+		clear(f.failing)
+		back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf)}
 		t.Logf("store %v: %.0f served well before, %.0f meanwhile, %.0f in each 5 s after; %d and %d pairs; %d set-ups choked, %d refused",
-			store, before, during, back, pairs, f.pairs(), f.late, f.refused)
+			store, before, during, back, pairs, f.groupPlacements(), f.setupTimeouts, f.rejected)
 		// Without a price on opening a group: 143 and 150 before, 130 and 137 at last, 34 and 36 pairs.
 		if back[2] < 0.85*before || before < 155 || pairs > 30 {
 			t.Errorf("store %v: %.0f served well 10 to 15 s after the cause has gone, %.0f before it, %d pairs of group and server", store,
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// world feeds a Balancer events and keeps what it asked for.
-type world struct {
-	t   *testing.T
-	b   *Balancer
-	now time.Duration
-	all []Action // of the latest event
+// harness feeds a Balancer events and keeps what it asked for.
+type harness struct {
+	t       *testing.T
+	b       *Balancer
+	now     time.Duration
+	actions []Action // of the latest event
 }
 
 // settings are a small deployment's; a test changes what it is about.
@@ -33,31 +33,31 @@
 }
 
 const (
-	safe = iota
-	keyed
-	unsafe
-	keyedAll
-	keyedCell
+	idempotentClass = iota
+	zoneKeyedClass
+	unsafeClass
+	fleetKeyedClass
+	cellKeyedClass
 )
 
-func newWorld(t *testing.T, set Settings) *world {
+func newHarness(t *testing.T, set Settings) *harness {
 	t.Helper()
 	b, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, b: b, now: 1000 * time.Second}
+	w := &harness{t: t, b: b, now: 1000 * time.Second}
 	w.send(Started{})
 	return w
 }
 
-func (w *world) send(ev Event) []Action {
-	w.all = w.b.Handle(w.now, ev, nil)
-	return w.all
+func (w *harness) send(ev Event) []Action {
+	w.actions = w.b.Handle(w.now, ev, nil)
+	return w.actions
 }
 
 // tick advances the clock and fires the periodic timer.
-func (w *world) tick(d time.Duration) (acts []Action) {
+func (w *harness) tick(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += tick
 		acts = append(acts, w.send(TimerFired{Token: timerTick})...)
@@ -76,36 +76,36 @@
 	return list
 }
 
-func (w *world) full(list []Server) []Action {
+func (w *harness) replaceList(list []Server) []Action {
 	return w.send(ListReceived{Kind: ListSnapshot, Servers: list})
 }
 
-func (w *world) report(id ServerID, load float64) []Action {
+func (w *harness) reportLoad(id ServerID, load float64) []Action {
 	return w.send(ProbeCompleted{Server: id, Code: OK, Report: LoadReport{Load: load, Connections: -1}})
 }
 
-func (w *world) ask(id string, class int) []Action {
+func (w *harness) request(id string, class int) []Action {
 	return w.send(RequestArrived{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
 }
 
-func (w *world) end(id string, attempt int, s ServerID, code Code, final bool) []Action {
+func (w *harness) endAttempt(id string, attempt int, s ServerID, code Code, final bool) []Action {
 	return w.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoLoadReport})
 }
 
-// stand places a request and lets its connection stand.
-func (w *world) stand(id string, class int) ServerID {
+// establish places a request and lets its connection stand.
+func (w *harness) establish(id string, class int) ServerID {
 	w.t.Helper()
-	acts := w.ask(id, class)
-	if len(find[StartAttempt](acts)) == 0 { // it waits for answers that do not come
-		w.now += askWait
-		acts = w.send(TimerFired{Token: timerHeld})
+	acts := w.request(id, class)
+	if len(actionsOf[StartAttempt](acts)) == 0 { // it waits for answers that do not come
+		w.now += onDemandProbeTimeout
+		acts = w.send(TimerFired{Token: timerRetryWaiting})
 	}
-	s := w.placed(acts)
+	s := w.wantAttempt(acts)
 	w.send(Established{ID: RequestID(id), Server: s})
 	return s
 }
 
-func find[T Action](acts []Action) (found []T) {
+func actionsOf[T Action](acts []Action) (found []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			found = append(found, x)
@@ -114,26 +114,26 @@
 	return found
 }
 
-// placed wants exactly one Place among the actions.
-func (w *world) placed(acts []Action) ServerID {
+// wantAttempt wants exactly one Place among the actions.
+func (w *harness) wantAttempt(acts []Action) ServerID {
 	w.t.Helper()
-	p := find[StartAttempt](acts)
+	p := actionsOf[StartAttempt](acts)
 	if len(p) != 1 {
 		w.t.Fatalf("want one Place, got %v", acts)
 	}
 	return p[0].Server
 }
 
-func (w *world) none(acts []Action, why string) {
+func (w *harness) wantNoAttempt(acts []Action, why string) {
 	w.t.Helper()
-	if p := find[StartAttempt](acts); len(p) > 0 {
+	if p := actionsOf[StartAttempt](acts); len(p) > 0 {
 		w.t.Fatalf("%s: unwanted %v", why, p)
 	}
 }
 
-// answers counts final answers.
-func answers(acts []Action) (refused, failed int) {
-	return len(find[Reject](acts)), len(find[Fail](acts))
+// countAnswers counts final answers.
+func countAnswers(acts []Action) (refused, failed int) {
+	return len(actionsOf[Reject](acts)), len(actionsOf[Fail](acts))
 }
 
 func zoneOf(id ServerID) string {
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"path/filepath"
 	"reflect"
 	"regexp"
 	"slices"
@@ -12,29 +13,29 @@
 	"time"
 )
 
-// pair drives the present Balancer and the one that walks all servers with the same events, and compares every action.
-type pair struct {
-	t       *testing.T
-	rng     *rand.Rand
-	b       *Balancer
-	ref     *refBalancer
-	now     time.Duration
-	trace   string
-	events  int
-	actions map[string]int
-	lines   map[ServerID]Server // the list as it is told
-	ids     []ServerID          // of lines, and of those that went
-	out     []StartAttempt      // attempts that are out
-	stand   []StartAttempt      // connections that stand
-	timers  []timerDue
-	probes  []ServerID
-	nextID  int
-	plant   func(*Balancer) bool // spoils the present one, and tells whether it could
+// comparison drives the present Balancer and the one that walks all servers with the same events, and compares every action.
+type comparison struct {
+	t           *testing.T
+	rng         *rand.Rand
+	b           *Balancer
+	ref         *refBalancer
+	now         time.Duration
+	trace       string
+	events      int
+	actions     map[string]int
+	lines       map[ServerID]Server // the list as it is told
+	ids         []ServerID          // of lines, and of those that went
+	inFlight    []StartAttempt      // attempts that are out
+	established []StartAttempt      // connections that stand
+	timers      []timerDue
+	probes      []ServerID
+	nextID      int
+	injectFault func(*Balancer) bool // spoils the present one, and tells whether it could
 }
 
-func (p *pair) give(ev Event) (same bool) {
-	if p.events > 400 && p.plant != nil && p.plant(p.b) {
-		p.plant = nil
+func (p *comparison) send(ev Event) (same bool) {
+	if p.events > 400 && p.injectFault != nil && p.injectFault(p.b) {
+		p.injectFault = nil
 	}
 	got, want := p.b.Handle(p.now, ev, nil), p.ref.Handle(p.now, ev, nil)
 	p.events++
@@ -47,7 +48,7 @@
 		p.actions[reflect.TypeOf(a).Name()]++
 		switch a := a.(type) {
 		case StartAttempt:
-			p.out = append(p.out, a)
+			p.inFlight = append(p.inFlight, a)
 		case Probe:
 			p.probes = append(p.probes, a.Server)
 		case SetTimer:
@@ -71,8 +72,8 @@
 	return ""
 }
 
-// line draws a server's line.
-func (p *pair) line(id ServerID, weights int) Server {
+// randomServer draws a server's line.
+func (p *comparison) randomServer(id ServerID, weights int) Server {
 	s := Server{ID: id, Zone: []string{"a", "a", "b", "c"}[p.rng.IntN(4)], Cell: p.rng.IntN(9)}
 	switch {
 	case weights == 1:
@@ -87,14 +88,14 @@
 }
 
 // change alters some lines and tells these, or all.
-func (p *pair) change(n, weights int) bool {
+func (p *comparison) change(n, weights int) bool {
 	var told []Server
 	for range n {
 		id := p.ids[p.rng.IntN(len(p.ids))]
 		s, listed := p.lines[id]
 		switch k := p.rng.IntN(10); {
 		case !listed || k == 0: // back, or moved elsewhere
-			s = p.line(id, weights)
+			s = p.randomServer(id, weights)
 		case k < 3:
 			s.State = Draining
 		case k < 5:
@@ -103,7 +104,7 @@
 			s.State, s.Started = Ready, p.now
 		case k == 7:
 			id = ServerID(1<<20 + p.rng.IntN(1<<20))
-			s = p.line(id, weights)
+			s = p.randomServer(id, weights)
 			p.ids = append(p.ids, id)
 		default:
 			s.State = Ready
@@ -115,24 +116,24 @@
 		}
 	}
 	if p.rng.IntN(4) > 0 {
-		return p.give(ListReceived{Kind: ListDelta, Servers: told})
+		return p.send(ListReceived{Kind: ListDelta, Servers: told})
 	}
-	return p.whole(func(Server) bool { return true })
+	return p.sendSnapshot(func(Server) bool { return true })
 }
 
-// whole tells those lines of the list that are asked for.
-func (p *pair) whole(want func(Server) bool) bool {
+// sendSnapshot tells those lines of the list that are asked for.
+func (p *comparison) sendSnapshot(want func(Server) bool) bool {
 	var told []Server
 	for _, id := range p.ids {
 		if s, ok := p.lines[id]; ok && want(s) {
 			told = append(told, s)
 		}
 	}
-	return p.give(ListReceived{Kind: ListSnapshot, Servers: told})
+	return p.send(ListReceived{Kind: ListSnapshot, Servers: told})
 }
 
 // step gives one random event.
-func (p *pair) step(weights int) bool {
+func (p *comparison) step(weights int) bool {
 	pick := func(list *[]StartAttempt) (StartAttempt, bool) {
 		if len(*list) == 0 {
 			return StartAttempt{}, false
@@ -154,44 +155,44 @@
 		if p.rng.IntN(3) > 0 {
 			ev.Group = name("g", p.rng.IntN(30))
 		}
-		return p.give(ev)
+		return p.send(ev)
 	case k < 65:
 		p.nextID++
 		a := StartAttempt{ID: RequestID(name("o", p.nextID)), Server: anyServer()}
 		if p.rng.IntN(5) == 0 {
 			a.Server = ServerID(1<<21 + p.rng.IntN(9)) // one that no list has named
 		}
-		p.stand = append(p.stand, a)
-		return p.give(ConnectionRestored{Request: RequestArrived{ID: a.ID, Group: name("g", p.rng.IntN(30))}, Server: a.Server})
+		p.established = append(p.established, a)
+		return p.send(ConnectionRestored{Request: RequestArrived{ID: a.ID, Group: name("g", p.rng.IntN(30))}, Server: a.Server})
 	case k < 100:
-		a, ok := pick(&p.out)
+		a, ok := pick(&p.inFlight)
 		if !ok {
 			return true
 		}
 		attempt := 0
 		if r := p.ref.requests[a.ID]; r != nil {
-			attempt = r.tries - 1
+			attempt = r.attempts - 1
 		}
 		if p.rng.IntN(3) > 0 {
-			p.stand = append(p.stand, a)
-			return p.give(Established{ID: a.ID, Attempt: attempt, Server: a.Server, Elapsed: 50 * time.Millisecond})
+			p.established = append(p.established, a)
+			return p.send(Established{ID: a.ID, Attempt: attempt, Server: a.Server, Elapsed: 50 * time.Millisecond})
 		}
-		return p.give(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: Code(p.rng.IntN(8)), Report: NoLoadReport,
+		return p.send(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: Code(p.rng.IntN(8)), Report: NoLoadReport,
 			Elapsed: 100 * time.Millisecond})
 	case k < 115:
-		a, ok := pick(&p.stand)
+		a, ok := pick(&p.established)
 		if !ok {
 			return true
 		}
 		attempt := 0
 		if r := p.ref.requests[a.ID]; r != nil {
-			attempt = r.tries - 1
+			attempt = r.attempts - 1
 		}
-		return p.give(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: []Code{OK, Reset, Cancelled}[p.rng.IntN(3)],
+		return p.send(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: []Code{OK, Reset, Cancelled}[p.rng.IntN(3)],
 			Final: true, Report: NoLoadReport})
 	case k < 118:
-		if a, ok := pick(&p.out); ok {
-			return p.give(ClientDisconnected{ID: a.ID})
+		if a, ok := pick(&p.inFlight); ok {
+			return p.send(ClientDisconnected{ID: a.ID})
 		}
 	case k < 150:
 		id := anyServer()
@@ -202,28 +203,28 @@
 		if p.rng.IntN(12) == 0 {
 			ev.Code, ev.Report = Code(p.rng.IntN(8)), NoLoadReport
 		}
-		return p.give(ev)
+		return p.send(ev)
 	case k < 154:
-		if len(p.stand) > 0 {
-			a := p.stand[p.rng.IntN(len(p.stand))]
-			return p.give(MessageDelayReported{ID: a.ID, Server: a.Server, Delay: time.Duration(p.rng.IntN(90)) * time.Millisecond}) &&
-				p.give(LoadChanged{ID: a.ID, Load: p.rng.Float64()})
+		if len(p.established) > 0 {
+			a := p.established[p.rng.IntN(len(p.established))]
+			return p.send(MessageDelayReported{ID: a.ID, Server: a.Server, Delay: time.Duration(p.rng.IntN(90)) * time.Millisecond}) &&
+				p.send(LoadChanged{ID: a.ID, Load: p.rng.Float64()})
 		}
 	case k < 158:
 		return p.change(1+p.rng.IntN(3), weights)
 	case k == 158 && p.rng.IntN(3) == 0:
 		switch p.rng.IntN(4) {
 		case 0:
-			return p.whole(func(s Server) bool { return s.Zone != "a" }) // the own zone is emptied
+			return p.sendSnapshot(func(s Server) bool { return s.Zone != "a" }) // the own zone is emptied
 		case 1:
-			return p.whole(func(Server) bool { return p.rng.IntN(3) > 0 })
+			return p.sendSnapshot(func(Server) bool { return p.rng.IntN(3) > 0 })
 		case 2:
 			return p.change(len(p.ids)/3+1, weights)
 		default:
-			return p.give(ListReceived{Kind: ListFailed})
+			return p.send(ListReceived{Kind: ListFailed})
 		}
 	case k == 159:
-		return p.whole(func(Server) bool { return true })
+		return p.sendSnapshot(func(Server) bool { return true })
 	case k == 160: // a while without anything but the timers
 		return p.advance(time.Duration(p.rng.IntN(15_000)) * time.Millisecond)
 	default:
@@ -233,7 +234,7 @@
 }
 
 // advance moves the clock and fires what falls due, in its order.
-func (p *pair) advance(d time.Duration) bool {
+func (p *comparison) advance(d time.Duration) bool {
 	for end := p.now + d; ; {
 		i := -1
 		for j, x := range p.timers {
@@ -248,13 +249,13 @@
 		x := p.timers[i]
 		p.timers = slices.Delete(p.timers, i, i+1)
 		p.now = max(p.now, x.at)
-		if !p.give(TimerFired{Token: x.token}) {
+		if !p.send(TimerFired{Token: x.token}) {
 			return false
 		}
 	}
 }
 
-func newPair(t *testing.T, seed uint64, set Settings) *pair {
+func newComparison(t *testing.T, seed uint64, set Settings) *comparison {
 	t.Helper()
 	b, err := New(set)
 	if err != nil {
@@ -264,17 +265,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &pair{t: t, rng: rand.New(rand.NewPCG(seed, 3)), b: b, ref: ref, now: 500 * time.Second,
+	return &comparison{t: t, rng: rand.New(rand.NewPCG(seed, 3)), b: b, ref: ref, now: 500 * time.Second,
 		actions: map[string]int{}, lines: map[ServerID]Server{}}
 }
 
 // run drives both through so many steps with a list of n servers, until they differ.
-func (p *pair) run(n, weights, steps int) bool {
+func (p *comparison) run(n, weights, steps int) bool {
 	for i := range n {
 		id := ServerID(i + 1)
-		p.ids, p.lines[id] = append(p.ids, id), p.line(id, weights)
+		p.ids, p.lines[id] = append(p.ids, id), p.randomServer(id, weights)
 	}
-	if !p.give(Started{}) || !p.whole(func(Server) bool { return true }) {
+	if !p.send(Started{}) || !p.sendSnapshot(func(Server) bool { return true }) {
 		return false
 	}
 	var learned []LearnedState
@@ -289,9 +290,9 @@
 		learned = append(learned, l)
 	}
 	p.b.ImportLearned(learned)
-	p.ref.Learn(learned)
+	p.ref.ImportLearned(learned)
 	for i := range steps {
-		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.ref.Learned()) {
+		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.ref.ExportLearned()) {
 			p.trace = "what it has learned differs"
 			return false
 		}
@@ -302,8 +303,8 @@
 	return true
 }
 
-// pairSettings differ in all that the lists matter to.
-func pairSettings(seed uint64) Settings {
+// comparisonSettings differ in all that the lists matter to.
+func comparisonSettings(seed uint64) Settings {
 	set := settings()
 	set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%3 != 0, seed%2 == 0, seed%5 != 4
 	set.Zones, set.Balancers = []string{"a", "b", "c"}, []int{1, 4, 40, 300}[seed%4]
@@ -320,7 +321,7 @@
 	for i, n := range []int{1, 3, 10, 11, 25, 40, 90, 150, 300, 600, 1200, 3000} {
 		for j, weights := range []int{0, 9, 4000} {
 			seed := uint64(i*3 + j)
-			p := newPair(t, seed, pairSettings(seed))
+			p := newComparison(t, seed, comparisonSettings(seed))
 			if !p.run(n, weights, steps/(1+n/300)) {
 				t.Fatalf("seed %d, %d servers: %s", seed, n, p.trace)
 			}
@@ -340,45 +341,51 @@
 // The comparison finds what is spoilt in any of the lists.
 func TestPlantedDifferencesAreFound(t *testing.T) {
 	plants := map[string]func(b *Balancer) bool{
-		"held": func(b *Balancer) bool { b.held = b.held[:len(b.held)/2]; return true },
+		"held": func(b *Balancer) bool { b.connected = b.connected[:len(b.connected)/2]; return true },
 		"far": func(b *Balancer) bool {
-			b.far.held = nil
-			return len(b.held) >= len(b.local)
+			b.remoteZone.connected = nil
+			return len(b.connected) >= len(b.local)
 		},
-		"unseen": func(b *Balancer) bool { b.far.unseen = nil; return true },
-		"cold":   func(b *Balancer) bool { b.near.cold = b.near.cold[:len(b.near.cold)/2]; return true },
-		"laden":  func(b *Balancer) bool { b.near.laden = nil; return true },
+		"unseen": func(b *Balancer) bool { b.remoteZone.unprobed = nil; return true },
+		"cold": func(b *Balancer) bool {
+			b.localZone.warming = b.localZone.warming[:len(b.localZone.warming)/2]
+			return true
+		},
+		"laden": func(b *Balancer) bool { b.localZone.busy = nil; return true },
 		"order": func(b *Balancer) bool {
 			b.local = slices.Clone(b.local)
 			slices.Reverse(b.local)
 			return len(b.local) > 2
 		},
-		"ejected": func(b *Balancer) bool { b.outs += len(b.ready); return true },
-		"each":    func(b *Balancer) bool { b.eachSum *= 50; return b.eachTold > 0 && len(b.near.cold) > 0 },
-		"turns":   func(b *Balancer) bool { b.turns.Clear(false); return true },
-		"leaves":  func(b *Balancer) bool { b.leaves.Clear(false); return true },
+		"ejected": func(b *Balancer) bool { b.ejectedCount += len(b.ready); return true },
+		"each": func(b *Balancer) bool {
+			b.loadUnitsSum *= 50
+			return b.loadUnitsCount > 0 && len(b.localZone.warming) > 0
+		},
+		"turns":  func(b *Balancer) bool { b.reindexQueue.Clear(false); return true },
+		"leaves": func(b *Balancer) bool { b.dropQueue.Clear(false); return true },
 		"homes": func(b *Balancer) bool {
-			for _, h := range b.near.recent {
+			for _, h := range b.localZone.recentGroups {
 				h.servers[0], h.servers[1] = h.servers[1], h.servers[0]
 			}
-			return len(b.near.recent) > 3
+			return len(b.localZone.recentGroups) > 3
 		},
-		"change of homes": func(b *Balancer) bool { clear(b.near.log[:]); return true },
+		"change of homes": func(b *Balancer) bool { clear(b.localZone.changeLog[:]); return true },
 		"weight": func(b *Balancer) bool {
-			for i := range b.near.keys {
-				b.near.keys[i].weight /= 64
+			for i := range b.localZone.rankingKeys {
+				b.localZone.rankingKeys[i].weight /= 64
 			}
-			b.near.recent, b.near.older = nil, nil
-			return len(b.near.keys) > 20
+			b.localZone.recentGroups, b.localZone.olderGroups = nil, nil
+			return len(b.localZone.rankingKeys) > 20
 		},
 	}
 	for what, plant := range plants {
 		found := false
 		for seed := uint64(0); seed < 24 && !found; seed++ {
-			set := pairSettings(seed)
+			set := comparisonSettings(seed)
 			set.GroupAffinity, set.ProbingAllowed = true, true
-			p := newPair(t, seed, set)
-			p.plant = plant
+			p := newComparison(t, seed, set)
+			p.injectFault = plant
 			found = !p.run(60, 9, 4000)
 		}
 		if !found {
@@ -401,21 +408,21 @@
 	}
 	for kind, weight := range weights {
 		for _, n := range []int{1, 2, 5, 7, 40, 1000} {
-			set := groups()
+			set := affinitySettings()
 			set.Zones = []string{"a", "b", "c"}
-			p := newPair(t, uint64(n), set)
+			p := newComparison(t, uint64(n), set)
 			for i := range n {
 				id := ServerID(i + 1)
-				s := p.line(id, 0)
+				s := p.randomServer(id, 0)
 				s.Weight = weight(p.rng)
 				p.ids, p.lines[id] = append(p.ids, id), s
 			}
-			p.whole(func(Server) bool { return true })
+			p.sendSnapshot(func(Server) bool { return true })
 			for round := range 12 {
 				for g := range 40 {
 					group := RequestArrived{Group: name("g", g*round/4)}
-					near, far := p.b.ranked(&request{RequestArrived: group})
-					refNear, refFar := p.ref.ranked(&refRequest{RequestArrived: group})
+					near, far := p.b.preferredServers(&request{RequestArrived: group})
+					refNear, refFar := p.ref.preferredServers(&refRequest{RequestArrived: group})
 					for i, got := range [2][]*server{near, far} {
 						want := [2][]*refServer{refNear, refFar}[i]
 						if !slices.EqualFunc(got, want, func(x *server, y *refServer) bool { return x.ID == y.ID }) {
@@ -431,7 +438,7 @@
 						s.Weight = weight(p.rng)
 					}
 					p.lines[id] = s
-					p.give(ListReceived{Servers: []Server{s}})
+					p.send(ListReceived{Servers: []Server{s}})
 				}
 			}
 		}
@@ -449,12 +456,12 @@
 	}{
 		"a tick at rest": {0, func(b *Balancer, _, _ int) { b.Handle(now, TimerFired{Token: timerTick}, nil) }},
 		"a change": {0, func(b *Balancer, n, i int) {
-			s := rooms(20)[i/2%20]
+			s := serverList(20)[i/2%20]
 			s.State = State(1 - i%2)
 			b.Handle(now, ListReceived{Servers: []Server{s}}, nil)
 		}},
 		"a restart": {1, func(b *Balancer, n, i int) {
-			s := rooms(20)[i%20]
+			s := serverList(20)[i%20]
 			s.Started = now
 			b.Handle(now, ListReceived{Servers: []Server{s}}, nil)
 		}},
@@ -474,8 +481,8 @@
 		}},
 	} {
 		for _, n := range []int{600, 5000, 20_000} {
-			set := groups()
-			b := fleet(t, set, n, 0)
+			set := affinitySettings()
+			b := newBalancerWithList(t, set, n, 0)
 			b.Handle(now, RequestArrived{ID: "first", Group: "g", Remaining: time.Second}, nil)
 			b.Handle(now, ClientDisconnected{ID: "first"}, nil)
 			before := b.visits
@@ -490,7 +497,7 @@
 		}
 	}
 	for _, n := range []int{600, 5000, 20_000} {
-		b := fleet(t, groups(), n, 0)
+		b := newBalancerWithList(t, affinitySettings(), n, 0)
 		before := b.visits
 		b.Handle(now, RequestArrived{ID: "r", Group: "new", Remaining: time.Second}, nil)
 		if visits := b.visits - before; visits > n+12 {
@@ -503,7 +510,7 @@
 func TestAllocationsDoNotGrowWithTheList(t *testing.T) {
 	var short float64
 	for _, n := range []int{600, 20_000} {
-		b := fleet(t, groups(), n, 0)
+		b := newBalancerWithList(t, affinitySettings(), n, 0)
 		now, out := 101*time.Second, make([]Action, 0, 100)
 		if allocs := testing.AllocsPerRun(100, func() {
 			now += tick
@@ -526,19 +533,28 @@
 // All walks over whole lists are known, each with its reason: one more would make something grow with the list again.
 func TestWalksOverWholeListsAreKnown(t *testing.T) {
 	known := map[string]string{
-		"list":          "a whole list has just come",
-		"rebuild":       "so much has changed",
-		"reindexAll":    "of those that it is told of",
+		"applyList":     "a full snapshot has just come",
+		"rebuild":       "many servers have changed at once",
+		"reindexAll":    "walks the servers that it is given",
 		"bootstrap":     "no server has answered for seconds",
-		"rank":          "a group that is not known: one quick pass",
-		"pick":          "until the first fit one; all only where none is fit",
-		"ExportLearned": "once, for the process that takes over",
-		"ImportLearned": "it was told of them all",
-		"keep":          "memory is moved, no server is looked at",
-	}
-	walk := regexp.MustCompile(`(range|slices\.\w+\(|first\(|least\(|lightest\(|inTurn\(\S+) ?b?z?\.?(near\.|far\.)?(ready|local|remote|servers|keys|all)\b`)
+		"rank":          "a group that is not cached: one quick pass",
+		"pick":          "until the first eligible server; all only where none is eligible",
+		"ExportLearned": "once, for the replacement process",
+		"ImportLearned": "walks what it is given",
+		"apply":         "the few servers that are cached for one group",
+		"setReady":      "memory is moved, no server is looked at",
+	}
+	walk := regexp.MustCompile(`(range|slices\.\w+\(|firstMatching\(|minimum\(|leastLoaded\(|nextInOrder\(\S+)` +
+		` ?(\w+\.)*(ready|local|remote|servers|rankingKeys|all)\b`)
 	found := map[string]bool{}
-	for _, file := range []string{"decide.go", "state.go", "index.go", "learned.go"} {
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
@@ -564,23 +580,23 @@
 // Records of servers that are gone, and of those that no list has named, are dropped a while later, at a list that need not
 // tell of them; those that are back, or hold connections, are kept.
 func TestRecordsOfGoneServersAreDropped(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(40, 0))
+	w := newHarness(t, settings())
+	w.replaceList(servers(40, 0))
 	w.send(ConnectionRestored{Request: RequestArrived{ID: "held"}, Server: 1})
 	w.send(ConnectionRestored{Request: RequestArrived{ID: "unlisted"}, Server: 99})
-	w.end("unlisted", 0, 99, OK, true)
-	w.end("unknown", 0, 98, OK, true)
-	w.full(servers(40, 0)[20:])
-	w.now += rememberFor / 2
+	w.endAttempt("unlisted", 0, 99, OK, true)
+	w.endAttempt("unknown", 0, 98, OK, true)
+	w.replaceList(servers(40, 0)[20:])
+	w.now += recordRetention / 2
 	back := servers(2, 0)[1]
 	w.send(ListReceived{Servers: []Server{back}})
-	w.now += rememberFor/2 + time.Second
+	w.now += recordRetention/2 + time.Second
 	w.tick(time.Second)
 	w.send(ListReceived{})
 	if len(w.b.servers) != 22 || w.b.servers[1] == nil || w.b.servers[2] == nil {
 		t.Fatalf("%d records kept, want those of 20 listed, one that is back and one that holds a connection", len(w.b.servers))
 	}
-	w.end("held", 0, 1, OK, true)
+	w.endAttempt("held", 0, 1, OK, true)
 	w.send(ListReceived{})
 	if len(w.b.servers) != 21 {
 		t.Fatalf("%d records kept, want 21", len(w.b.servers))
@@ -589,19 +605,19 @@
 
 // Guards a server that is back under its name against what ends late at its record of before.
 func TestLateEndAtADroppedRecord(t *testing.T) {
-	w := newWorld(t, settings())
-	w.full(servers(1, 0))
-	s := w.placed(w.send(RequestArrived{ID: "r", Remaining: time.Hour}))
-	w.full(nil)
-	w.now += rememberFor + time.Second
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
+	s := w.wantAttempt(w.send(RequestArrived{ID: "r", Remaining: time.Hour}))
+	w.replaceList(nil)
+	w.now += recordRetention + time.Second
 	w.send(ListReceived{})
 	if len(w.b.servers) != 0 {
 		t.Fatal("the record was not dropped")
 	}
-	w.full(servers(1, 0))
+	w.replaceList(servers(1, 0))
 	w.send(Established{ID: "r", Server: s})
 	w.send(ClientDisconnected{ID: "r"})
-	w.now += rememberFor + time.Second
+	w.now += recordRetention + time.Second
 	w.send(ListReceived{})
 	if b := w.b; b.servers[s] == nil || len(b.local) != 1 || b.servers[s].State != Ready {
 		t.Fatal("the server that is back was dropped")
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -15,9 +15,9 @@
 // ExportLearned tells what was learned of the listed servers. It looks only.
 func (b *Balancer) ExportLearned() (all []LearnedState) {
 	for _, s := range b.ready {
-		l := LearnedState{Server: s.ID, Load: s.reported, Age: -1, LoadPerConnection: s.each, ConsecutiveFailures: s.streak, EjectedFor: max(s.ejected-b.now, 0)}
-		if s.at > 0 {
-			l.Age = b.now - s.at
+		l := LearnedState{Server: s.ID, Load: s.reportedLoad, Age: -1, LoadPerConnection: s.loadPerConnection, ConsecutiveFailures: s.consecutiveFailures, EjectedFor: max(s.ejectedUntil-b.now, 0)}
+		if s.reportedAt > 0 {
+			l.Age = b.now - s.reportedAt
 		}
 		all = append(all, l)
 	}
@@ -33,13 +33,13 @@
 			continue
 		}
 		if l.ConsecutiveFailures > 0 && l.EjectedFor > 0 {
-			s.streak, s.ejected = l.ConsecutiveFailures, b.now+min(l.EjectedFor, ejectMost)
+			s.consecutiveFailures, s.ejectedUntil = l.ConsecutiveFailures, b.now+min(l.EjectedFor, maxEjectionTime)
 		}
 		if l.LoadPerConnection > 0 && l.LoadPerConnection < 1 {
-			s.each = l.LoadPerConnection
+			s.loadPerConnection = l.LoadPerConnection
 		}
-		if l.Age >= 0 && l.Age < poolAge && l.Load >= 0 {
-			s.load, s.reported, s.at = l.Load, l.Load, b.now-l.Age
+		if l.Age >= 0 && l.Age < maxReportAge && l.Load >= 0 {
+			s.load, s.reportedLoad, s.reportedAt = l.Load, l.Load, b.now-l.Age
 		}
 	}
 	b.reindexAll(b.ready)
--- a/decide/legal_test.go
+++ b/decide/legal_test.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// host plays the obligations of a host with random legal events: it models no
+// randomHost plays the obligations of a host with random legal events: it models no
 // server and measures nothing. It checks the rules on every action.
-type host struct {
-	*world
-	rng     *rand.Rand
-	live    map[RequestID]*tracked
-	ids     []RequestID // of live, in order of arrival
-	timers  []timerDue
-	known   map[ServerID]bool          // was in a list
-	told    map[ServerID]time.Duration // told draining or gone
-	listed  []Server
-	nextID  int
-	nextSrv ServerID
+type randomHost struct {
+	*harness
+	rng           *rand.Rand
+	live          map[RequestID]*trackedRequest
+	ids           []RequestID // of live, in order of arrival
+	timers        []timerDue
+	everListed    map[ServerID]bool          // was in a list
+	notReadySince map[ServerID]time.Duration // told draining or gone
+	listed        []Server
+	nextID        int
+	nextSrv       ServerID
 }
 
-type tracked struct {
-	class    int
-	deadline time.Duration
-	attempts []attemptSeen
-	answered bool // a final answer or the client's end
-	stands   bool
+type trackedRequest struct {
+	class       int
+	deadline    time.Duration
+	attempts    []trackedAttempt
+	answered    bool // a final answer or the client's end
+	established bool
 }
 
-type attemptSeen struct {
-	server ServerID
-	sent   time.Duration
-	wait   time.Duration
-	ended  bool
-	code   Code
+type trackedAttempt struct {
+	server  ServerID
+	sent    time.Duration
+	timeout time.Duration
+	ended   bool
+	code    Code
 }
 
 type timerDue struct {
@@ -42,7 +42,7 @@
 	token uint64
 }
 
-func (h *host) give(ev Event) {
+func (h *randomHost) sendChecked(ev Event) {
 	h.t.Helper()
 	for _, a := range h.send(ev) {
 		h.check(a)
@@ -50,14 +50,14 @@
 }
 
 // check holds an action against the rules.
-func (h *host) check(a Action) {
+func (h *randomHost) check(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
-		h.checkPlace(a)
+		h.checkAttempt(a)
 	case Reject:
-		r := h.owed(a.ID)
-		if class := h.b.set.Classes[r.class]; class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.KeyScope != ScopeAll {
+		r := h.wantUnanswered(a.ID)
+		if class := h.b.settings.Classes[r.class]; class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.KeyScope != ScopeAll {
 			for _, at := range r.attempts {
 				if !at.ended || !at.code.NeverExecuted() {
 					h.t.Fatalf("%s refused though it may have run", a.ID)
@@ -66,13 +66,13 @@
 		}
 		r.answered = true
 	case Fail:
-		h.owed(a.ID).answered = true
+		h.wantUnanswered(a.ID).answered = true
 	case Migrate:
-		if r := h.live[a.ID]; r == nil || !r.stands {
+		if r := h.live[a.ID]; r == nil || !r.established {
 			h.t.Fatalf("moved %s, which does not stand", a.ID)
 		}
 	case Probe:
-		if !h.known[a.Server] {
+		if !h.everListed[a.Server] {
 			h.t.Fatalf("probed unknown server %d", a.Server)
 		}
 	case SetTimer:
@@ -83,32 +83,32 @@
 	}
 }
 
-// owed wants a request that still waits for its answer.
-func (h *host) owed(id RequestID) *tracked {
+// wantUnanswered wants a request that still waits for its answer.
+func (h *randomHost) wantUnanswered(id RequestID) *trackedRequest {
 	h.t.Helper()
 	r := h.live[id]
-	if r == nil || r.answered || r.stands {
+	if r == nil || r.answered || r.established {
 		h.t.Fatalf("answered %s, to which nothing is owed", id)
 	}
 	return r
 }
 
-func (h *host) checkPlace(a StartAttempt) {
+func (h *randomHost) checkAttempt(a StartAttempt) {
 	h.t.Helper()
-	r := h.owed(a.ID)
+	r := h.wantUnanswered(a.ID)
 	if h.now > r.deadline {
 		h.t.Fatalf("%s placed after its deadline", a.ID)
 	}
-	if !h.known[a.Server] {
+	if !h.everListed[a.Server] {
 		h.t.Fatalf("%s placed on unknown server %d", a.ID, a.Server)
 	}
-	if at, ok := h.told[a.Server]; ok && h.now > at+h.b.set.Safety.DrainGrace {
+	if at, ok := h.notReadySince[a.Server]; ok && h.now > at+h.b.settings.Safety.DrainGrace {
 		h.t.Fatalf("%s placed on server %d, draining for %v", a.ID, a.Server, h.now-at)
 	}
-	if len(r.attempts) >= h.b.set.MaxAttempts {
+	if len(r.attempts) >= h.b.settings.MaxAttempts {
 		h.t.Fatalf("%s placed a %d. time", a.ID, len(r.attempts)+1)
 	}
-	class := h.b.set.Classes[r.class]
+	class := h.b.settings.Classes[r.class]
 	for i, at := range r.attempts {
 		if !at.ended {
 			h.t.Fatalf("%s has two attempts out", a.ID)
@@ -125,36 +125,36 @@
 			h.t.Fatalf("keyed %s sent again outside its group or window", a.ID)
 		}
 	}
-	r.attempts = append(r.attempts, attemptSeen{server: a.Server, sent: h.now, wait: a.Timeout})
+	r.attempts = append(r.attempts, trackedAttempt{server: a.Server, sent: h.now, timeout: a.Timeout})
 }
 
 // advance moves the clock, fires what is due and ends what has timed out.
-func (h *host) advance(d time.Duration) {
+func (h *randomHost) advance(d time.Duration) {
 	h.now += d
 	due := h.timers
 	h.timers = nil
 	for _, t := range due {
 		if t.at <= h.now {
-			h.give(TimerFired{Token: t.token})
+			h.sendChecked(TimerFired{Token: t.token})
 		} else {
 			h.timers = append(h.timers, t)
 		}
 	}
 	for _, id := range h.ids {
 		r := h.live[id]
-		if n := len(r.attempts); n > 0 && !r.stands && !r.attempts[n-1].ended {
-			if at := r.attempts[n-1]; h.now >= min(at.sent+at.wait, r.deadline) {
+		if n := len(r.attempts); n > 0 && !r.established && !r.attempts[n-1].ended {
+			if at := r.attempts[n-1]; h.now >= min(at.sent+at.timeout, r.deadline) {
 				h.finish(id, TimedOut)
 			}
 		}
-		if !r.answered && !r.stands && h.now > r.deadline+20*time.Millisecond {
+		if !r.answered && !r.established && h.now > r.deadline+20*time.Millisecond {
 			h.t.Fatalf("%s still owed %v after its deadline", id, h.now-r.deadline)
 		}
 	}
 	h.prune()
 }
 
-func (h *host) prune() {
+func (h *randomHost) prune() {
 	kept := h.ids[:0]
 	for _, id := range h.ids {
 		r := h.live[id]
@@ -169,22 +169,22 @@
 }
 
 // finish gives the outcome of a request's latest attempt.
-func (h *host) finish(id RequestID, code Code) {
+func (h *randomHost) finish(id RequestID, code Code) {
 	r := h.live[id]
 	n := len(r.attempts) - 1
 	r.attempts[n].ended, r.attempts[n].code = true, code
-	final := r.answered || r.stands || code == OK
-	if r.stands || code == OK {
+	final := r.answered || r.established || code == OK
+	if r.established || code == OK {
 		r.answered = true
 	}
-	h.give(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final, Report: NoLoadReport})
-	r.stands = false
+	h.sendChecked(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final, Report: NoLoadReport})
+	r.established = false
 }
 
-func (h *host) listEvent() {
+func (h *randomHost) listEvent() {
 	switch h.rng.IntN(6) {
 	case 0:
-		h.give(ListReceived{Kind: ListFailed})
+		h.sendChecked(ListReceived{Kind: ListFailed})
 	case 1: // some drain, go or restart
 		var lines []Server
 		for i := range h.listed {
@@ -194,10 +194,10 @@
 				lines = append(lines, h.listed[i])
 			}
 		}
-		h.tell(ListDelta, lines)
+		h.sendList(ListDelta, lines)
 	case 2: // all vanish
 		h.listed = nil
-		h.tell(ListSnapshot, nil)
+		h.sendList(ListSnapshot, nil)
 	default: // replaced ids, a new complete list
 		h.listed = nil
 		for range h.rng.IntN(8) + 1 {
@@ -208,29 +208,29 @@
 			zone := []string{"a", "b"}[id%2]
 			h.listed = append(h.listed, Server{ID: id, Zone: zone, Cell: int(id % 5), Weight: float64(h.rng.IntN(3))})
 		}
-		h.tell(ListSnapshot, h.listed)
+		h.sendList(ListSnapshot, h.listed)
 	}
 }
 
-func (h *host) tell(kind ListKind, lines []Server) {
+func (h *randomHost) sendList(kind ListKind, lines []Server) {
 	ready := map[ServerID]bool{}
 	for _, s := range lines {
-		h.known[s.ID] = true
+		h.everListed[s.ID] = true
 		ready[s.ID] = s.State == Ready
 	}
-	for id := range h.known {
+	for id := range h.everListed {
 		is, listed := ready[id]
-		if _, was := h.told[id]; is {
-			delete(h.told, id)
+		if _, was := h.notReadySince[id]; is {
+			delete(h.notReadySince, id)
 		} else if !was && (listed || kind == ListSnapshot) {
-			h.told[id] = h.now
+			h.notReadySince[id] = h.now
 		}
 	}
-	h.give(ListReceived{Kind: kind, Servers: lines})
+	h.sendChecked(ListReceived{Kind: kind, Servers: lines})
 }
 
-func (h *host) step() {
-	pick := func() (RequestID, *tracked) {
+func (h *randomHost) step() {
+	pick := func() (RequestID, *trackedRequest) {
 		if len(h.ids) == 0 {
 			return "", nil
 		}
@@ -241,42 +241,42 @@
 	case k < 25:
 		h.nextID++
 		id := RequestID(name("q", h.nextID))
-		r := &tracked{class: h.rng.IntN(5), deadline: h.now + time.Duration(h.rng.IntN(3000)+1)*time.Millisecond}
+		r := &trackedRequest{class: h.rng.IntN(5), deadline: h.now + time.Duration(h.rng.IntN(3000)+1)*time.Millisecond}
 		h.live[id], h.ids = r, append(h.ids, id)
-		h.give(RequestArrived{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)), Group: name("g", h.rng.IntN(4)),
+		h.sendChecked(RequestArrived{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)), Group: name("g", h.rng.IntN(4)),
 			Remaining: r.deadline - h.now, MidFlow: h.rng.IntN(9) == 0, Load: h.rng.Float64() / 10})
 	case k < 30:
 		h.nextID++
 		id, s := RequestID(name("o", h.nextID)), h.nextSrv-ServerID(h.rng.IntN(8))
-		h.live[id] = &tracked{stands: true, attempts: []attemptSeen{{server: s}}}
+		h.live[id] = &trackedRequest{established: true, attempts: []trackedAttempt{{server: s}}}
 		h.ids = append(h.ids, id)
-		h.give(ConnectionRestored{Request: RequestArrived{ID: id, Key: name("k", h.rng.IntN(40))}, Server: s})
+		h.sendChecked(ConnectionRestored{Request: RequestArrived{ID: id, Key: name("k", h.rng.IntN(40))}, Server: s})
 	case k < 60:
 		id, r := pick()
 		if r == nil || len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].ended {
 			return
 		}
-		if n := len(r.attempts) - 1; !r.stands && !r.answered && h.rng.IntN(2) == 0 {
-			r.stands = true
-			h.give(Established{ID: id, Attempt: n, Server: r.attempts[n].server})
-		} else if r.stands {
+		if n := len(r.attempts) - 1; !r.established && !r.answered && h.rng.IntN(2) == 0 {
+			r.established = true
+			h.sendChecked(Established{ID: id, Attempt: n, Server: r.attempts[n].server})
+		} else if r.established {
 			h.finish(id, []Code{OK, Reset, Cancelled}[h.rng.IntN(3)])
 		} else {
 			h.finish(id, Code(h.rng.IntN(7)+1))
 		}
 	case k < 65:
 		if id, r := pick(); r != nil && !r.answered {
-			r.answered, r.stands = true, false
-			h.give(ClientDisconnected{ID: id})
+			r.answered, r.established = true, false
+			h.sendChecked(ClientDisconnected{ID: id})
 		}
 	case k < 75:
 		s := h.nextSrv - ServerID(h.rng.IntN(8))
-		h.give(ProbeCompleted{Server: s, Code: Code(h.rng.IntN(8)), Report: LoadReport{Load: h.rng.Float64()*2 - 0.3, Connections: -1}})
+		h.sendChecked(ProbeCompleted{Server: s, Code: Code(h.rng.IntN(8)), Report: LoadReport{Load: h.rng.Float64()*2 - 0.3, Connections: -1}})
 	case k < 80:
-		if id, r := pick(); r != nil && r.stands {
+		if id, r := pick(); r != nil && r.established {
 			s := r.attempts[len(r.attempts)-1].server
-			h.give(MessageDelayReported{ID: id, Server: s, Delay: time.Duration(h.rng.IntN(300)) * time.Millisecond})
-			h.give(LoadChanged{ID: id, Load: h.rng.Float64()})
+			h.sendChecked(MessageDelayReported{ID: id, Server: s, Delay: time.Duration(h.rng.IntN(300)) * time.Millisecond})
+			h.sendChecked(LoadChanged{ID: id, Load: h.rng.Float64()})
 		}
 	case k < 83:
 		h.listEvent()
@@ -291,14 +291,14 @@
 	for seed := range uint64(40) {
 		set := settings()
 		set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%2 == 0, seed%3 != 0, seed%5 != 0
-		h := &host{rng: rand.New(rand.NewPCG(seed, 1)), live: map[RequestID]*tracked{},
-			known: map[ServerID]bool{}, told: map[ServerID]time.Duration{}, nextSrv: 20}
+		h := &randomHost{rng: rand.New(rand.NewPCG(seed, 1)), live: map[RequestID]*trackedRequest{},
+			everListed: map[ServerID]bool{}, notReadySince: map[ServerID]time.Duration{}, nextSrv: 20}
 		b, err := New(set)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.world = &world{t: t, b: b, now: 500 * time.Second}
-		h.give(Started{})
+		h.harness = &harness{t: t, b: b, now: 500 * time.Second}
+		h.sendChecked(Started{})
 		for range 4000 {
 			h.step()
 			// Timers and time-outs are due at most a tick late.
@@ -309,7 +309,7 @@
 		if len(h.b.requests) > len(h.live) {
 			t.Fatalf("seed %d: %d requests held, %d live", seed, len(h.b.requests), len(h.live))
 		}
-		if len(h.b.memories) > rememberMost || len(h.b.waiting) > len(h.b.requests) || len(h.b.pool) > poolSize {
+		if len(h.b.clients) > maxClientRecords || len(h.b.waiting) > len(h.b.requests) || len(h.b.localAnswers) > maxAnswers {
 			t.Fatalf("seed %d: state beyond its bounds", seed)
 		}
 	}
--- a/decide/reach_test.go
+++ b/decide/reach_test.go
@@ -7,102 +7,102 @@
 	"time"
 )
 
-// away is how discovery is down.
-type away uint8
+// outageKind is how discovery is down.
+type outageKind uint8
 
 const (
-	refusing   away = iota // dials fail at once
-	cutOff                 // dials fail once their bound is over
-	refused503             // dials find it, calls fail at once
-	hanging                // dials find it, calls fail after the host's bound of 4 s
+	connectionsRefused  outageKind = iota // dials fail at once
+	unreachable                           // dials fail once their bound is over
+	respondsUnavailable                   // dials find it, calls fail at once
+	responseHangs                         // dials find it, calls fail after the host's bound of 4 s
 )
 
-// back is one balancer's next step.
-type back struct {
+// scheduledStep is one balancer's next step.
+type scheduledStep struct {
 	at   time.Duration
 	step func(now time.Duration)
 }
 
-type backs []back
+type stepHeap []scheduledStep
 
-func (b backs) Len() int           { return len(b) }
-func (b backs) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b backs) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
-func (b *backs) Push(x any)        { *b = append(*b, x.(back)) }
-func (b *backs) Pop() any {
+func (b stepHeap) Len() int           { return len(b) }
+func (b stepHeap) Less(i, j int) bool { return b[i].at < b[j].at }
+func (b stepHeap) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
+func (b *stepHeap) Push(x any)        { *b = append(*b, x.(scheduledStep)) }
+func (b *stepHeap) Pop() any {
 	old := *b
 	x := old[len(old)-1]
 	*b = old[:len(old)-1]
 	return x
 }
 
-// outage plays a fleet whose watches all end at 0, in virtual time. Discovery is back after down, then works through so
+// outageSimulation plays a fleet whose watches all end at 0, in virtual time. Discovery is back after down, then works through so
 // many calls a second in turn, and turns away a call that would wait for over a second.
-type outage struct {
-	down     time.Duration
-	how      away
-	capacity int
-	steps    backs
-	dials    map[int]int // by second, counted from discovery's return
-	calls    map[int]int
-	turned   int
-	free     time.Duration // when discovery has done with the calls that wait
-	told     []time.Duration
+type outageSimulation struct {
+	downFor        time.Duration
+	kind           outageKind
+	capacity       int
+	steps          stepHeap
+	dialsPerSecond map[int]int // by second, counted from discovery's return
+	callsPerSecond map[int]int
+	rejected       int
+	busyUntil      time.Duration // when discovery has done with the calls that wait
+	updatedAt      []time.Duration
 }
 
-func (w *outage) second(now time.Duration) int {
-	return int((now-w.down+time.Hour)/time.Second) - 3600
+func (w *outageSimulation) secondOf(now time.Duration) int {
+	return int((now-w.downFor+time.Hour)/time.Second) - 3600
 }
 
-func (w *outage) later(at time.Duration, step func(time.Duration)) {
-	heap.Push(&w.steps, back{at: at, step: step})
+func (w *outageSimulation) schedule(at time.Duration, step func(time.Duration)) {
+	heap.Push(&w.steps, scheduledStep{at: at, step: step})
 }
 
-func (w *outage) dial(r ReconnectSchedule, failed, now time.Duration) {
-	w.dials[w.second(now)]++
-	if now >= w.down || w.how == refused503 || w.how == hanging {
-		w.later(r.CallAt(failed, now), func(now time.Duration) { w.call(r, now) })
+func (w *outageSimulation) dial(r ReconnectSchedule, failed, now time.Duration) {
+	w.dialsPerSecond[w.secondOf(now)]++
+	if now >= w.downFor || w.kind == respondsUnavailable || w.kind == responseHangs {
+		w.schedule(r.CallAt(failed, now), func(now time.Duration) { w.call(r, now) })
 		return
 	}
 	ended := now
-	if w.how == cutOff {
+	if w.kind == unreachable {
 		ended += r.DialTimeout()
 	}
-	w.later(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	w.schedule(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
 }
 
-func (w *outage) call(r ReconnectSchedule, now time.Duration) {
-	w.calls[w.second(now)]++
+func (w *outageSimulation) call(r ReconnectSchedule, now time.Duration) {
+	w.callsPerSecond[w.secondOf(now)]++
 	ended := now
 	switch {
-	case now < w.down && w.how == hanging:
+	case now < w.downFor && w.kind == responseHangs:
 		ended += 4 * time.Second
-	case now < w.down:
-	case max(w.free, now)-now > time.Second:
-		w.turned++
+	case now < w.downFor:
+	case max(w.busyUntil, now)-now > time.Second:
+		w.rejected++
 	default:
-		w.free = max(w.free, now) + time.Second/time.Duration(w.capacity)
-		w.told = append(w.told, w.free-w.down)
+		w.busyUntil = max(w.busyUntil, now) + time.Second/time.Duration(w.capacity)
+		w.updatedAt = append(w.updatedAt, w.busyUntil-w.downFor)
 		return
 	}
-	w.later(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	w.schedule(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
 }
 
-func play(balancers, capacity int, how away, down time.Duration) *outage {
-	w := &outage{down: down, how: how, capacity: capacity, dials: map[int]int{}, calls: map[int]int{}}
+func simulateOutage(balancers, capacity int, how outageKind, down time.Duration) *outageSimulation {
+	w := &outageSimulation{downFor: down, kind: how, capacity: capacity, dialsPerSecond: map[int]int{}, callsPerSecond: map[int]int{}}
 	for i := range balancers {
 		r := NewReconnectSchedule(uint64(i+1), balancers, 0)
-		w.later(r.DialAt(0, 0), func(now time.Duration) { w.dial(r, 0, now) })
+		w.schedule(r.DialAt(0, 0), func(now time.Duration) { w.dial(r, 0, now) })
 	}
-	for len(w.told) < balancers && len(w.steps) > 0 {
-		next := heap.Pop(&w.steps).(back)
+	for len(w.updatedAt) < balancers && len(w.steps) > 0 {
+		next := heap.Pop(&w.steps).(scheduledStep)
 		next.step(next.at)
 	}
 	return w
 }
 
-// most is the busiest second's count, of those from one to before another.
-func most(counts map[int]int, from, to int) (n int) {
+// maxPerSecond is the busiest second's count, of those from one to before another.
+func maxPerSecond(counts map[int]int, from, to int) (n int) {
 	for second, count := range counts {
 		if second >= from && second < to {
 			n = max(n, count)
@@ -117,23 +117,23 @@
 	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // the latter three a second, at most
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
 	} {
-		for _, how := range []away{refusing, cutOff, refused503, hanging} {
+		for _, how := range []outageKind{connectionsRefused, unreachable, respondsUnavailable, responseHangs} {
 			t.Run(fmt.Sprintf("%d, %d", fleet.balancers, how), func(t *testing.T) {
 				for _, down := range []time.Duration{2 * time.Second, 8 * time.Second, 12 * time.Second, 30 * time.Second} {
-					w := play(fleet.balancers, fleet.capacity, how, down)
-					last, begin := w.told[len(w.told)-1], -int(down/time.Second)
-					dials, calls := most(w.dials, begin, 0), most(w.calls, begin, 0)
-					first, after := w.calls[0], most(w.calls, 0, 10)
+					w := simulateOutage(fleet.balancers, fleet.capacity, how, down)
+					last, begin := w.updatedAt[len(w.updatedAt)-1], -int(down/time.Second)
+					dials, calls := maxPerSecond(w.dialsPerSecond, begin, 0), maxPerSecond(w.callsPerSecond, begin, 0)
+					first, after := w.callsPerSecond[0], maxPerSecond(w.callsPerSecond, 0, 10)
 					t.Logf("down %v: %d dials and %d calls a second at most; in the first one after it %d dials and %d calls, "+
-						"%d calls in the busiest; %d turned away, last told after %v", down, dials, calls, w.dials[0], first, after,
-						w.turned, last)
+						"%d calls in the busiest; %d turned away, last told after %v", down, dials, calls, w.dialsPerSecond[0], first, after,
+						w.rejected, last)
 					if last >= 6*time.Second {
 						t.Errorf("down for %v: the last one is told after %v", down, last)
 					}
 					if dials > fleet.dials || calls > fleet.calls || after > fleet.calls {
 						t.Errorf("down for %v: %d dials and %d calls a second, %d after", down, dials, calls, after)
 					}
-					if (how == refusing || how == cutOff) && calls > 0 {
+					if (how == connectionsRefused || how == unreachable) && calls > 0 {
 						t.Errorf("down for %v: %d calls a second to nobody", down, calls)
 					}
 				}
