--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -14,93 +14,93 @@
 
 type refServer struct {
 	Server
-	order       uint64
-	told        time.Duration
-	load        float64
-	reported    float64
-	at          time.Duration
-	each        float64
-	uses        int
-	asked       time.Duration
-	streak      int
-	ejected     time.Duration
-	slow        time.Duration
-	credit      float64
-	creditUntil time.Duration
-	demand      fadingCount
-	booked      []refBooking
-	movedAt     time.Duration
-	conns       []*refRequest
-	groups      map[string]int
+	cacheOrder          uint64
+	notReadySince       time.Duration
+	load                float64
+	reportedLoad        float64
+	reportedAt          time.Duration
+	loadPerConnection   float64
+	placementsOnReport  int
+	probedOnDemandAt    time.Duration
+	consecutiveFailures int
+	ejectedUntil        time.Duration
+	slowUntil           time.Duration
+	slowStartQuota      float64
+	slowStartQuotaUntil time.Duration
+	groupDemand         decayingCounter
+	reservations        []refReservation
+	migratedAt          time.Duration
+	connections         []*refRequest
+	connectionsByGroup  map[string]int
 }
 
 type refRequest struct {
 	RequestArrived
-	seq      uint64
-	deadline time.Duration
-	held     time.Duration
-	tries    int
-	tried    []ServerID
-	srv      *refServer
-	out      bool
-	stands   bool
-	tooMuch  bool
-	cameFor  *refServer
-	homes    []*refServer
-	away     []*refServer
-	ranked   uint64
-	ran      *refServer
-	ranAt    time.Duration
-}
-
-type refMemory struct {
-	refServer ServerID
-	at        time.Duration
-	lost      bool
+	timerToken           uint64
+	deadline             time.Duration
+	notBefore            time.Duration
+	attempts             int
+	triedServers         []ServerID
+	server               *refServer
+	inFlight             bool
+	established          bool
+	migrated             bool
+	demandCountedFor     *refServer
+	localPreferred       []*refServer
+	remotePreferred      []*refServer
+	preferredListVersion uint64
+	executedOn           *refServer
+	firstSentAt          time.Duration
+}
+
+type refClientRecord struct {
+	server  ServerID
+	endedAt time.Duration
+	avoid   bool
 }
 
 type refBalancer struct {
-	set Settings
-	rng *rand.Rand
-	now time.Duration
-	out []Action
-
-	servers             map[ServerID]*refServer
-	ready               []*refServer
-	local, remote       []*refServer
-	lists               uint64
-	next                int
-	pollAt              time.Duration
-	pollFails           int
-	lastSign            time.Duration
-	failing             bool
-	pool, away          []*refServer
-	mean                float64
-	told                int
-	spillAt             time.Duration
-	probeNext           int
-	probeTurn           int
-	probeCredit         float64
-	hotCredit           float64
-	requests            map[RequestID]*refRequest
-	bySeq               map[uint64]*refRequest
-	seq                 uint64
-	waiting             []*refRequest
-	memories            map[string]refMemory
-	memOrder            []string
-	wasted, stood       float64
-	rate, rateSpan, new float64
-	capacity            float64
-	capSpan             float64
-	need, broken        float64
-	lived, left         float64
-	setup               time.Duration
-	dialing             int
-	window              float64
-	cutAt               time.Duration
-	roomy, full         float64
-	gap                 float64
-	loads               []float64
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	actions  []Action
+
+	servers                                               map[ServerID]*refServer
+	ready                                                 []*refServer
+	local, remote                                         []*refServer
+	listVersion                                           uint64
+	cursor                                                int
+	pollAt                                                time.Duration
+	pollFailures                                          int
+	lastAnswerAt                                          time.Duration
+	allFailing                                            bool
+	localAnswers, remoteAnswers                           []*refServer
+	meanLoad                                              float64
+	meanLoadReports                                       int
+	lastSpillAt                                           time.Duration
+	probeCursor                                           int
+	probeCount                                            int
+	probeCredit                                           float64
+	overloadProbeCredit                                   float64
+	requests                                              map[RequestID]*refRequest
+	requestsByToken                                       map[uint64]*refRequest
+	lastToken                                             uint64
+	waiting                                               []*refRequest
+	clients                                               map[string]refClientRecord
+	clientOrder                                           []string
+	recentFailures, recentEstablished                     float64
+	establishRate, establishRateSpan, establishedThisTick float64
+	capacity                                              float64
+	capacitySpan                                          float64
+	recentDemand, recentResets                            float64
+	connectionSeconds, closedByClient                     float64
+	setupTime                                             time.Duration
+	dialing                                               int
+	dialWindow                                            float64
+	dialWindowHalvedAt                                    time.Duration
+	capacityThreshold, saturationThreshold                float64
+	crossZoneLoadGap                                      float64
+	classLoads                                            []float64
 }
 
 func newRef(set Settings) (*refBalancer, error) {
@@ -109,61 +109,61 @@
 	}
 	set.Balancers, set.MaxAttempts = max(set.Balancers, 1), max(set.MaxAttempts, 1)
 	b := &refBalancer{
-		set: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
-		servers: map[ServerID]*refServer{}, requests: map[RequestID]*refRequest{}, bySeq: map[uint64]*refRequest{},
-		memories: map[string]refMemory{}, loads: make([]float64, len(set.Classes)+1), mean: 0.5,
-		seq: timerHeld, window: windowMost / 4,
-	}
-	hidden := hiddenLoad * (1 - 1/b.peers())
-	b.gap = gapPrice * set.Costs.CrossZone
-	b.roomy, b.full = roomyLoad-hidden, fullLoad-hidden/2
+		settings: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
+		servers: map[ServerID]*refServer{}, requests: map[RequestID]*refRequest{}, requestsByToken: map[uint64]*refRequest{},
+		clients: map[string]refClientRecord{}, classLoads: make([]float64, len(set.Classes)+1), meanLoad: 0.5,
+		lastToken: timerRetryWaiting, dialWindow: maxDialWindow / 4,
+	}
+	hidden := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
+	b.crossZoneLoadGap = crossZoneCostFactor * set.Costs.CrossZone
+	b.capacityThreshold, b.saturationThreshold = maxLoadWithCapacity-hidden, saturationLoad-hidden/2
 	return b, nil
 }
 
 func (b *refBalancer) Handle(now time.Duration, ev Event, out []Action) []Action {
-	b.now, b.out = now, out
+	b.now, b.actions = now, out
 	switch ev := ev.(type) {
 	case Started:
 		b.start()
 	case ListReceived:
-		b.list(ev)
+		b.applyList(ev)
 	case RequestArrived:
-		b.refRequest(ev)
+		b.requestArrived(ev)
 	case ConnectionRestored:
-		b.opened(ev)
+		b.restoreConnection(ev)
 	case Established:
-		b.established(ev)
+		b.connectionEstablished(ev)
 	case LoadChanged:
-		b.loadChanged(ev)
+		b.updateClassLoad(ev)
 	case MessageDelayReported:
-		b.messagesSlow(ev)
+		b.messageDelayReported(ev)
 	case AttemptEnded:
-		b.ended(ev)
+		b.attemptEnded(ev)
 	case RequestExpired:
-		if r := b.requests[ev.ID]; r != nil && !r.stands {
-			b.answer(r)
+		if r := b.requests[ev.ID]; r != nil && !r.established {
+			b.finish(r)
 		}
 	case ClientDisconnected:
 		b.forget(b.requests[ev.ID])
 	case ProbeCompleted:
-		b.probed(ev)
+		b.probeCompleted(ev)
 	case TimerFired:
-		b.timer(ev.Token)
+		b.timerFired(ev.Token)
 	}
-	out, b.out = b.out, nil
+	out, b.actions = b.actions, nil
 	return out
 }
 
-func (b *refBalancer) do(a Action) { b.out = append(b.out, a) }
+func (b *refBalancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 func (b *refBalancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
 
-func (b *refBalancer) refServer(id ServerID) *refServer {
+func (b *refBalancer) serverRecord(id ServerID) *refServer {
 	s := b.servers[id]
 	if s == nil {
-		s = &refServer{Server: Server{ID: id, State: Removed}, order: refMix(b.set.Seed, uint64(id))}
+		s = &refServer{Server: Server{ID: id, State: Removed}, cacheOrder: refMix(b.settings.Seed, uint64(id))}
 		b.servers[id] = s
 	}
 	return s
@@ -171,121 +171,121 @@
 
 func (b *refBalancer) setState(s *refServer, state State) {
 	if state != Ready && s.State == Ready {
-		s.told = b.now
+		s.notReadySince = b.now
 	}
 	s.State = state
 }
 
-func (s *refServer) shows(r LoadReport) {
-	s.reported = r.Load
-	if r.Connections >= shareLeast && r.Connections <= shareMost {
-		s.each = r.Load / r.Connections
+func (s *refServer) recordReport(r LoadReport) {
+	s.reportedLoad = r.Load
+	if r.Connections >= minReportedConnections && r.Connections <= maxReportedConnections {
+		s.loadPerConnection = r.Load / r.Connections
 	}
 }
 
-func (b *refBalancer) spilling() bool {
-	return b.spillAt > 0 && b.now-b.spillAt < spillFor || b.mean > b.roomy
+func (b *refBalancer) spillingOver() bool {
+	return b.lastSpillAt > 0 && b.now-b.lastSpillAt < spillOverPeriod || b.meanLoad > b.capacityThreshold
 }
 
-func (b *refBalancer) usual(s *refServer) (load float64, guess bool) {
-	if s.each > 0 {
-		return s.each, false
+func (b *refBalancer) connectionLoad(s *refServer) (load float64, guess bool) {
+	if s.loadPerConnection > 0 {
+		return s.loadPerConnection, false
 	}
-	held := float64(len(b.requests)) * b.peers() / float64(max(len(b.local), 1))
-	return b.mean / max(held, shareLeast), held < shareLeast || b.told < meanLeast
+	held := float64(len(b.requests)) * b.zoneBalancers() / float64(max(len(b.local), 1))
+	return b.meanLoad / max(held, minReportedConnections), held < minReportedConnections || b.meanLoadReports < minMeanLoadReports
 }
 
-func (b *refBalancer) learnMean(load float64) {
-	b.told++
-	b.mean += (min(load, 1.5) - b.mean) / poolSize
+func (b *refBalancer) updateMeanLoad(load float64) {
+	b.meanLoadReports++
+	b.meanLoad += (min(load, 1.5) - b.meanLoad) / maxAnswers
 }
 
-func (b *refBalancer) share(r *refRequest, s *refServer) float64 {
-	usual, _ := b.usual(s)
-	return b.weight(r) * usual
+func (b *refBalancer) expectedLoad(r *refRequest, s *refServer) float64 {
+	usual, _ := b.connectionLoad(s)
+	return b.relativeLoad(r) * usual
 }
 
-func (b *refBalancer) opens(r *refRequest, s *refServer) float64 {
-	usual, guess := b.usual(s)
-	opened := func(x refBooking) bool { return x.r.Group == r.Group }
-	if guess || !b.grouped(r) || s.groups[r.Group] > 0 || slices.ContainsFunc(s.booked, opened) {
+func (b *refBalancer) groupOpeningLoad(r *refRequest, s *refServer) float64 {
+	usual, guess := b.connectionLoad(s)
+	opened := func(x refReservation) bool { return x.request.Group == r.Group }
+	if guess || !b.hasGroup(r) || s.connectionsByGroup[r.Group] > 0 || slices.ContainsFunc(s.reservations, opened) {
 		return 0
 	}
-	return min((openGroup+b.weight(r))*usual, openMost) / b.peers()
+	return min((groupOpeningConnections+b.relativeLoad(r))*usual, maxGroupOpeningLoad) / b.zoneBalancers()
 }
 
-func (b *refBalancer) fewer(s *refServer, x, y *refRequest) int {
-	return cmp.Compare(s.groups[x.Group]/int(b.peers()), s.groups[y.Group]/int(b.peers()))
+func (b *refBalancer) compareGroupSizes(s *refServer, x, y *refRequest) int {
+	return cmp.Compare(s.connectionsByGroup[x.Group]/int(b.zoneBalancers()), s.connectionsByGroup[y.Group]/int(b.zoneBalancers()))
 }
 
-func (b *refBalancer) peers() float64 {
-	return float64(max(1, b.set.Balancers/max(len(b.set.Zones), 1)))
+func (b *refBalancer) zoneBalancers() float64 {
+	return float64(max(1, b.settings.Balancers/max(len(b.settings.Zones), 1)))
 }
 
-func (b *refBalancer) each() float64 {
+func (b *refBalancer) meanLoadPerConnection() float64 {
 	sum, told := 0.0, 0.0
 	for _, s := range b.ready {
-		if s.each > 0 && !b.cold(s) {
-			sum, told = sum+s.each, told+1
+		if s.loadPerConnection > 0 && !b.warming(s) {
+			sum, told = sum+s.loadPerConnection, told+1
 		}
 	}
 	return sum / max(told, 1)
 }
 
-type refBooking struct {
-	r     *refRequest
-	share float64
-	at    time.Duration
+type refReservation struct {
+	request *refRequest
+	load    float64
+	at      time.Duration
 }
 
-func (s *refServer) book(r *refRequest, share float64, now time.Duration) {
+func (s *refServer) reserve(r *refRequest, share float64, now time.Duration) {
 	s.load += share
-	s.booked = append(s.booked, refBooking{r, share, now})
+	s.reservations = append(s.reservations, refReservation{r, share, now})
 }
 
-func (s *refServer) unbook(r *refRequest) {
-	s.booked = slices.DeleteFunc(s.booked, func(x refBooking) bool {
-		if x.r == r {
-			s.load -= x.share
+func (s *refServer) releaseReservation(r *refRequest) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(x refReservation) bool {
+		if x.request == r {
+			s.load -= x.load
 		}
-		return x.r == r
+		return x.request == r
 	})
 }
 
-func (s *refServer) unseen(now time.Duration) (sum float64) {
-	s.booked = slices.DeleteFunc(s.booked, func(x refBooking) bool { return now-x.at > reportLag })
-	for _, x := range s.booked {
-		sum += x.share
+func (s *refServer) pendingReservations(now time.Duration) (sum float64) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(x refReservation) bool { return now-x.at > maxReportLag })
+	for _, x := range s.reservations {
+		sum += x.load
 	}
 	return sum
 }
 
-func (b *refBalancer) sign() { b.lastSign, b.failing = b.now, false }
+func (b *refBalancer) recordAnswer() { b.lastAnswerAt, b.allFailing = b.now, false }
 
-func (b *refBalancer) Avoids(id ServerID) bool {
+func (b *refBalancer) Ejected(id ServerID) bool {
 	s := b.servers[id]
-	return s != nil && b.now < s.ejected
+	return s != nil && b.now < s.ejectedUntil
 }
 
-func (b *refBalancer) alive(s *refServer) {
-	s.streak = 0
-	b.sign()
+func (b *refBalancer) recordSuccess(s *refServer) {
+	s.consecutiveFailures = 0
+	b.recordAnswer()
 }
 
-func refWithout[T comparable](list []T, x T) []T {
+func refRemoveValue[T comparable](list []T, x T) []T {
 	return slices.DeleteFunc(list, func(y T) bool { return y == x })
 }
 
 func refAddAnswer(pool []*refServer, s *refServer) []*refServer {
-	pool = append(refWithout(pool, s), s)
-	return pool[max(0, len(pool)-poolSize):]
+	pool = append(refRemoveValue(pool, s), s)
+	return pool[max(0, len(pool)-maxAnswers):]
 }
 
-func (b *refBalancer) unpool(s *refServer) {
-	b.pool, b.away = refWithout(b.pool, s), refWithout(b.away, s)
+func (b *refBalancer) removeAnswer(s *refServer) {
+	b.localAnswers, b.remoteAnswers = refRemoveValue(b.localAnswers, s), refRemoveValue(b.remoteAnswers, s)
 }
 
-func refLeast(list []*refServer, fit func(*refServer) bool, key func(*refServer) float64) (best *refServer) {
+func refMinimum(list []*refServer, fit func(*refServer) bool, key func(*refServer) float64) (best *refServer) {
 	low := math.Inf(1)
 	for _, s := range list {
 		if k := key(s); k < low && fit(s) {
@@ -295,59 +295,59 @@
 	return best
 }
 
-func (b *refBalancer) ranked(r *refRequest) (homes, away []*refServer) {
-	if r.ranked != b.lists {
-		r.homes, r.away, r.ranked = b.homes(r, b.local), b.homes(r, b.remote), b.lists
+func (b *refBalancer) preferredServers(r *refRequest) (homes, away []*refServer) {
+	if r.preferredListVersion != b.listVersion {
+		r.localPreferred, r.remotePreferred, r.preferredListVersion = b.preferredInZone(r, b.local), b.preferredInZone(r, b.remote), b.listVersion
 	}
-	return r.homes, r.away
+	return r.localPreferred, r.remotePreferred
 }
 
-func (b *refBalancer) classOf(r *refRequest) *Class { return &b.set.Classes[r.Class] }
+func (b *refBalancer) classOf(r *refRequest) *Class { return &b.settings.Classes[r.Class] }
 
-func (b *refBalancer) inOrder(list []*refServer, fit func(*refServer) bool) *refServer {
+func (b *refBalancer) nextInOrder(list []*refServer, fit func(*refServer) bool) *refServer {
 	for i := range list {
-		if s := list[(b.next+i)%len(list)]; fit(s) {
-			b.next += i + 1
+		if s := list[(b.cursor+i)%len(list)]; fit(s) {
+			b.cursor += i + 1
 			return s
 		}
 	}
 	return nil
 }
 
-func refHolding(list []*refServer) (some []*refServer) {
+func refConnected(list []*refServer) (some []*refServer) {
 	for _, s := range list {
-		if len(s.conns) > 0 {
+		if len(s.connections) > 0 {
 			some = append(some, s)
 		}
 	}
 	return some
 }
 
-func refFirst(list []*refServer, fit func(*refServer) bool) *refServer {
+func refFirstMatching(list []*refServer, fit func(*refServer) bool) *refServer {
 	if i := slices.IndexFunc(list, fit); i >= 0 {
 		return list[i]
 	}
 	return nil
 }
 
-func (b *refBalancer) opened(ev ConnectionRestored) {
-	r := &refRequest{RequestArrived: ev.Request, tries: 1, srv: b.refServer(ev.Server), stands: true, out: true}
+func (b *refBalancer) restoreConnection(ev ConnectionRestored) {
+	r := &refRequest{RequestArrived: ev.Request, attempts: 1, server: b.serverRecord(ev.Server), established: true, inFlight: true}
 	b.requests[r.ID] = r
-	r.srv.hold(r)
+	r.server.addConnection(r)
 }
 
-func (s *refServer) hold(r *refRequest) {
-	s.conns = append(s.conns, r)
-	if s.groups == nil {
-		s.groups = map[string]int{}
+func (s *refServer) addConnection(r *refRequest) {
+	s.connections = append(s.connections, r)
+	if s.connectionsByGroup == nil {
+		s.connectionsByGroup = map[string]int{}
 	}
-	s.groups[r.Group]++
+	s.connectionsByGroup[r.Group]++
 }
 
-func (s *refServer) release(r *refRequest) {
-	s.conns = refWithout(s.conns, r)
-	if s.groups[r.Group]--; s.groups[r.Group] == 0 {
-		delete(s.groups, r.Group)
+func (s *refServer) removeConnection(r *refRequest) {
+	s.connections = refRemoveValue(s.connections, r)
+	if s.connectionsByGroup[r.Group]--; s.connectionsByGroup[r.Group] == 0 {
+		delete(s.connectionsByGroup, r.Group)
 	}
 }
 
@@ -355,103 +355,103 @@
 	if r == nil {
 		return
 	}
-	if r.out && !r.stands {
+	if r.inFlight && !r.established {
 		b.dialing--
 	}
 	delete(b.requests, r.ID)
-	delete(b.bySeq, r.seq)
-	if r.stands {
-		r.srv.release(r)
+	delete(b.requestsByToken, r.timerToken)
+	if r.established {
+		r.server.removeConnection(r)
 	}
-	if r.srv != nil {
-		r.srv.unbook(r)
+	if r.server != nil {
+		r.server.releaseReservation(r)
 	}
-	b.waiting = refWithout(b.waiting, r)
+	b.waiting = refRemoveValue(b.waiting, r)
 }
 
-func (b *refBalancer) remember(r *refRequest, code Code) {
-	if code == Reset || r.tooMuch {
-		b.need++
-		b.broken++
+func (b *refBalancer) rememberClient(r *refRequest, code Code) {
+	if code == Reset || r.migrated {
+		b.recentDemand++
+		b.recentResets++
 	} else {
-		b.left++
+		b.closedByClient++
 	}
 	if r.Key == "" || code != Reset && code != Cancelled {
 		return
 	}
-	if _, ok := b.memories[r.Key]; !ok {
-		b.memOrder = append(b.memOrder, r.Key)
-		if len(b.memOrder) > rememberMost {
-			delete(b.memories, b.memOrder[0])
-			b.memOrder = b.memOrder[1:]
+	if _, ok := b.clients[r.Key]; !ok {
+		b.clientOrder = append(b.clientOrder, r.Key)
+		if len(b.clientOrder) > maxClientRecords {
+			delete(b.clients, b.clientOrder[0])
+			b.clientOrder = b.clientOrder[1:]
 		}
 	}
-	b.memories[r.Key] = refMemory{r.srv.ID, b.now, code == Reset || r.tooMuch}
+	b.clients[r.Key] = refClientRecord{r.server.ID, b.now, code == Reset || r.migrated}
 }
 
-func (b *refBalancer) expireMemories() {
-	for len(b.memOrder) > 0 && b.now-b.memories[b.memOrder[0]].at > rememberFor {
-		delete(b.memories, b.memOrder[0])
-		b.memOrder = b.memOrder[1:]
+func (b *refBalancer) expireClients() {
+	for len(b.clientOrder) > 0 && b.now-b.clients[b.clientOrder[0]].endedAt > recordRetention {
+		delete(b.clients, b.clientOrder[0])
+		b.clientOrder = b.clientOrder[1:]
 	}
 }
 
-func (b *refBalancer) weight(r *refRequest) float64 {
-	load, usual := cmp.Or(r.Load, b.loads[r.Class]), b.loads[len(b.loads)-1]
+func (b *refBalancer) relativeLoad(r *refRequest) float64 {
+	load, usual := cmp.Or(r.Load, b.classLoads[r.Class]), b.classLoads[len(b.classLoads)-1]
 	if load <= 0 || usual <= 0 {
 		return 1
 	}
 	return min(max(load/usual, 0.1), 10)
 }
 
-func (b *refBalancer) loadChanged(ev LoadChanged) {
+func (b *refBalancer) updateClassLoad(ev LoadChanged) {
 	r := b.requests[ev.ID]
 	if r == nil || ev.Load <= 0 {
 		return
 	}
 	r.Load = ev.Load
-	for _, i := range [2]int{r.Class, len(b.loads) - 1} {
-		if b.loads[i] == 0 {
-			b.loads[i] = ev.Load
+	for _, i := range [2]int{r.Class, len(b.classLoads) - 1} {
+		if b.classLoads[i] == 0 {
+			b.classLoads[i] = ev.Load
 		}
-		b.loads[i] += (ev.Load - b.loads[i]) * learnRate
+		b.classLoads[i] += (ev.Load - b.classLoads[i]) * classLoadWeight
 	}
 }
 
-func (b *refBalancer) learnRates() {
+func (b *refBalancer) updateEstimates() {
 	step := tick.Seconds()
-	b.rateSpan = min(b.rateSpan+step, rateTime.Seconds())
-	b.rate += (b.new/step - b.rate) * step / b.rateSpan
-	fade := 1 - step/fadeTime.Seconds()
-	b.new, b.wasted, b.stood = 0, b.wasted*fade, b.stood*fade
-	b.need *= 1 - step/needTime.Seconds()
-	b.broken *= 1 - step/needTime.Seconds()
-	b.learnLife()
-	b.learnCapacity()
+	b.establishRateSpan = min(b.establishRateSpan+step, establishRateWindow.Seconds())
+	b.establishRate += (b.establishedThisTick/step - b.establishRate) * step / b.establishRateSpan
+	fade := 1 - step/attemptDecayTime.Seconds()
+	b.establishedThisTick, b.recentFailures, b.recentEstablished = 0, b.recentFailures*fade, b.recentEstablished*fade
+	b.recentDemand *= 1 - step/demandDecayTime.Seconds()
+	b.recentResets *= 1 - step/demandDecayTime.Seconds()
+	b.updateLifetime()
+	b.updateCapacity()
 }
 
-func (b *refBalancer) learnCapacity() {
+func (b *refBalancer) updateCapacity() {
 	warm, fleet := 0, len(b.servers)
 	for _, s := range b.ready {
-		if b.cold(s) {
+		if b.warming(s) {
 			fleet--
 		} else {
 			warm++
 		}
 	}
 	if 2*warm >= fleet && warm > 0 {
-		now := b.rate * float64(max(len(b.set.Zones), 1)) / (float64(fleet) * max(b.mean, 0.5))
-		b.capSpan = min(b.capSpan+tick.Seconds(), capacityTime.Seconds())
-		b.capacity += (now - b.capacity) * tick.Seconds() / b.capSpan
+		now := b.establishRate * float64(max(len(b.settings.Zones), 1)) / (float64(fleet) * max(b.meanLoad, 0.5))
+		b.capacitySpan = min(b.capacitySpan+tick.Seconds(), capacityWindow.Seconds())
+		b.capacity += (now - b.capacity) * tick.Seconds() / b.capacitySpan
 	}
 }
 
-func refDistance(group uint64, s *refServer) float64 {
+func refRendezvousDistance(group uint64, s *refServer) float64 {
 	u := (float64(refMix(group, uint64(s.ID))>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / cmp.Or(s.Weight, 1)
 }
 
-func refHash(s string) uint64 {
+func refHashString(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -467,32 +467,32 @@
 }
 
 func (b *refBalancer) start() {
-	b.lastSign = b.now
-	b.do(SetTimer{Token: timerTick, Delay: 1 + b.jitter(tick)})
-	b.pollAt = b.now + b.jitter(min(pollFirst, cmp.Or(b.set.Safety.MaxPollInterval/2, pollBase)))
+	b.lastAnswerAt = b.now
+	b.emit(SetTimer{Token: timerTick, Delay: 1 + b.jitter(tick)})
+	b.pollAt = b.now + b.jitter(min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval)))
 }
 
-func (b *refBalancer) period() time.Duration {
-	return max(pollBase, b.set.Safety.MaxPollInterval) + time.Duration(b.set.Balancers)*pollEach
+func (b *refBalancer) pollInterval() time.Duration {
+	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + time.Duration(b.settings.Balancers)*pollIntervalPerBalancer
 }
 
 func (b *refBalancer) poll() {
-	b.pollAt = b.now + b.period()
-	if b.set.WatchList {
-		b.do(WatchList{})
+	b.pollAt = b.now + b.pollInterval()
+	if b.settings.WatchList {
+		b.emit(WatchList{})
 	} else {
-		b.do(FetchList{})
+		b.emit(FetchList{})
 	}
 }
 
-func (b *refBalancer) list(ev ListReceived) {
+func (b *refBalancer) applyList(ev ListReceived) {
 	if ev.Kind == ListFailed {
-		wait := min(pollRetry<<min(b.pollFails, 5), b.period())
-		b.pollFails++
+		wait := min(pollRetryDelay<<min(b.pollFailures, 5), b.pollInterval())
+		b.pollFailures++
 		b.pollAt = b.now + wait/2 + b.jitter(wait)
 		return
 	}
-	b.pollFails = 0
+	b.pollFailures = 0
 	if ev.Kind != ListDelta {
 		listed := make(map[ServerID]bool, len(ev.Servers))
 		for _, s := range ev.Servers {
@@ -505,32 +505,32 @@
 		}
 	}
 	for _, line := range ev.Servers {
-		s := b.refServer(line.ID)
+		s := b.serverRecord(line.ID)
 		if line.Started != s.Started {
-			*s = refServer{Server: s.Server, order: s.order, told: s.told, conns: s.conns, groups: s.groups}
+			*s = refServer{Server: s.Server, cacheOrder: s.cacheOrder, notReadySince: s.notReadySince, connections: s.connections, connectionsByGroup: s.connectionsByGroup}
 		}
 		b.setState(s, line.State)
 		s.Server = line
 	}
-	b.cache()
+	b.rebuildLists()
 }
 
-func (b *refBalancer) cache() {
+func (b *refBalancer) rebuildLists() {
 	b.local, b.remote, b.ready = b.local[:0], b.remote[:0], b.ready[:0]
-	b.lists++
+	b.listVersion++
 	for id, s := range b.servers {
 		switch {
 		case s.State == Ready:
 			b.ready = append(b.ready, s)
-		case s.State == Removed && len(s.conns) == 0 && b.now-s.told > rememberFor:
+		case s.State == Removed && len(s.connections) == 0 && b.now-s.notReadySince > recordRetention:
 			delete(b.servers, id)
 		}
 	}
 	slices.SortFunc(b.ready, func(x, y *refServer) int {
-		return cmp.Or(cmp.Compare(x.order, y.order), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(x.cacheOrder, y.cacheOrder), cmp.Compare(x.ID, y.ID))
 	})
 	for _, s := range b.ready {
-		if s.Zone == b.set.Zone {
+		if s.Zone == b.settings.Zone {
 			b.local = append(b.local, s)
 		} else {
 			b.remote = append(b.remote, s)
@@ -540,168 +540,174 @@
 		b.local, b.remote = b.remote, b.local
 	}
 	gone := func(s *refServer) bool { return s.State != Ready }
-	b.pool, b.away = slices.DeleteFunc(b.pool, gone), slices.DeleteFunc(b.away, gone)
+	b.localAnswers, b.remoteAnswers = slices.DeleteFunc(b.localAnswers, gone), slices.DeleteFunc(b.remoteAnswers, gone)
 	b.retryWaiting()
 }
 
 func (b *refBalancer) bootstrap() {
-	b.do(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.lastSign)})
-	b.lastSign, b.failing, b.pool = b.now, false, b.pool[:0]
+	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.lastAnswerAt)})
+	b.lastAnswerAt, b.allFailing, b.localAnswers = b.now, false, b.localAnswers[:0]
 	for _, s := range b.ready {
-		s.streak, s.ejected, s.slow, s.at = 0, 0, 0, 0
+		s.consecutiveFailures, s.ejectedUntil, s.slowUntil, s.reportedAt = 0, 0, 0, 0
 	}
-	b.do(FetchList{})
+	b.emit(FetchList{})
 }
 
-func (b *refBalancer) refRequest(ev RequestArrived) {
-	b.seq++
-	r := &refRequest{RequestArrived: ev, seq: b.seq, deadline: b.now + ev.Remaining}
-	b.requests[ev.ID], b.bySeq[r.seq] = r, r
-	b.need++
-	b.do(SetTimer{Token: r.seq, Delay: ev.Remaining})
-	b.ask(r)
+func (b *refBalancer) requestArrived(ev RequestArrived) {
+	b.lastToken++
+	r := &refRequest{RequestArrived: ev, timerToken: b.lastToken, deadline: b.now + ev.Remaining}
+	b.requests[ev.ID], b.requestsByToken[r.timerToken] = r, r
+	b.recentDemand++
+	b.emit(SetTimer{Token: r.timerToken, Delay: ev.Remaining})
+	b.probeForRequest(r)
 	b.place(r, len(b.waiting))
 }
 
 func (b *refBalancer) place(r *refRequest, before int) {
-	if r.tries >= b.set.MaxAttempts || b.now >= r.deadline {
-		b.answer(r)
+	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
+		b.finish(r)
 		return
 	}
 	var s *refServer
-	tries := !b.throttled() && b.now >= r.held
+	tries := !b.throttled() && b.now >= r.notBefore
 	if tries {
 		s = b.pick(r)
 	}
 	if s == nil {
-		if r.ran != nil && b.classOf(r).Idempotency != Idempotent || tries && b.hopeless(r, before) {
-			b.answer(r)
+		if r.executedOn != nil && b.classOf(r).Idempotency != Idempotent || tries && b.wouldExpireWaiting(r, before) {
+			b.finish(r)
 			return
 		}
 		b.waiting = append(b.waiting, r)
 		return
 	}
-	b.charge(r, s)
+	b.reservePlacement(r, s)
 	left := r.deadline - b.now
-	wait := min(left, max(left/time.Duration(b.set.MaxAttempts-r.tries), setupSlack*b.setup))
-	r.srv, r.out = s, true
+	wait := min(left, max(left/time.Duration(b.settings.MaxAttempts-r.attempts), minAttemptSetups*b.setupTime))
+	r.server, r.inFlight = s, true
 	b.dialing++
-	r.tries++
-	r.tried = append(r.tried, s.ID)
-	if r.ran == nil {
-		r.ranAt = b.now
+	r.attempts++
+	r.triedServers = append(r.triedServers, s.ID)
+	if r.executedOn == nil {
+		r.firstSentAt = b.now
 	}
-	b.do(StartAttempt{ID: r.ID, Server: s.ID, Timeout: wait})
+	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: wait})
 }
 
-func (b *refBalancer) hopeless(r *refRequest, before int) bool {
-	return float64(before) > max(waitFree, b.stood/fadeTime.Seconds()*(r.deadline-b.now).Seconds())
+func (b *refBalancer) wouldExpireWaiting(r *refRequest, before int) bool {
+	return float64(before) > max(minQueueLength, b.recentEstablished/attemptDecayTime.Seconds()*(r.deadline-b.now).Seconds())
 }
 
 func (b *refBalancer) throttled() bool {
-	return b.wasted > throttleFree+b.stood || b.dialing >= int(b.window)
+	return b.recentFailures > freeFailures+b.recentEstablished || b.dialing >= int(b.dialWindow)
 }
 
-func (b *refBalancer) charge(r *refRequest, s *refServer) {
-	s.uses++
-	if s.uses >= poolUses || len(b.waiting) > 0 {
-		b.unpool(s)
+func (b *refBalancer) reservePlacement(r *refRequest, s *refServer) {
+	s.placementsOnReport++
+	if s.placementsOnReport >= maxPlacementsPerReport || len(b.waiting) > 0 {
+		b.removeAnswer(s)
 	}
-	s.book(r, max(b.share(r, s), b.opens(r, s)), b.now)
-	if b.cold(s) {
-		s.credit -= b.weight(r)
+	s.reserve(r, max(b.expectedLoad(r, s), b.groupOpeningLoad(r, s)), b.now)
+	if b.warming(s) {
+		s.slowStartQuota -= b.relativeLoad(r)
 	}
 }
 
 func (b *refBalancer) pick(r *refRequest) *refServer {
-	was := b.memories[r.Key]
-	if s := b.servers[was.refServer]; r.MidFlow && r.tries == 0 && s != nil && was.at > 0 && !was.lost {
-		if s.State == Ready || b.now-s.told < b.set.Safety.DrainGrace {
+	was := b.clients[r.Key]
+	if s := b.servers[was.server]; r.MidFlow && r.attempts == 0 && s != nil && was.endedAt > 0 && !was.avoid {
+		if s.State == Ready || b.now-s.notReadySince < b.settings.Safety.DrainGrace {
 			return s
 		}
 	}
 	fit := func(s *refServer) bool {
-		return !(was.lost && s.ID == was.refServer) && b.now >= s.ejected && !b.over(s) && b.allowed(r, s)
+		return !(was.avoid && s.ID == was.server) && b.now >= s.ejectedUntil && !b.saturated(s) && b.mayAttempt(r, s)
 	}
-	known := func(s *refServer) bool { return fit(s) && b.fresh(s) && s.load+b.opens(r, s) < b.full }
-	room := func(s *refServer) bool { return known(s) && s.load+b.opens(r, s) < b.roomy }
-	homes, away := b.ranked(r)
-	if s := refFirst(homes, room); s != nil {
+	known := func(s *refServer) bool {
+		return fit(s) && b.hasRecentReport(s) && s.load+b.groupOpeningLoad(r, s) < b.saturationThreshold
+	}
+	room := func(s *refServer) bool { return known(s) && s.load+b.groupOpeningLoad(r, s) < b.capacityThreshold }
+	homes, away := b.preferredServers(r)
+	if s := refFirstMatching(homes, room); s != nil {
 		return s
 	}
-	if s := refFirst(away, room); s != nil {
-		b.spillAt = b.now
+	if s := refFirstMatching(away, room); s != nil {
+		b.lastSpillAt = b.now
 		return s
 	}
-	if s := refFirst(homes, known); s != nil {
+	if s := refFirstMatching(homes, known); s != nil {
 		return s
 	}
-	short := func(s *refServer) bool { return b.over(s) || b.cold(s) }
+	short := func(s *refServer) bool { return b.saturated(s) || b.warming(s) }
 	if slices.ContainsFunc(homes, short) || slices.ContainsFunc(away, short) {
-		blind := func(s *refServer) bool { return fit(s) && !b.fresh(s) }
-		homes, away = homes[:min(askCount, len(homes))], away[:min(askCount, len(away))]
-		return cmp.Or(refFirst(homes, blind), refFirst(away, blind))
+		blind := func(s *refServer) bool { return fit(s) && !b.hasRecentReport(s) }
+		homes, away = homes[:min(onDemandProbes, len(homes))], away[:min(onDemandProbes, len(away))]
+		return cmp.Or(refFirstMatching(homes, blind), refFirstMatching(away, blind))
 	}
-	if s := cmp.Or(refFirst(homes, fit), refFirst(away, fit)); s != nil {
+	if s := cmp.Or(refFirstMatching(homes, fit), refFirstMatching(away, fit)); s != nil {
 		return s
 	}
-	best := refLightest(b.pool, known)
-	if best != nil && best.load < b.roomy {
+	best := refLeastLoaded(b.localAnswers, known)
+	if best != nil && best.load < b.capacityThreshold {
 		return best
 	}
-	if s := b.inOrder(b.local, func(s *refServer) bool { return b.cold(s) && fit(s) }); s != nil {
+	if s := b.nextInOrder(b.local, func(s *refServer) bool { return b.warming(s) && fit(s) }); s != nil {
 		return s
 	}
-	if best != nil || slices.ContainsFunc(b.pool, b.over) || !slices.ContainsFunc(b.local, fit) {
-		b.spillAt = b.now
-		better := func(s *refServer) bool { return room(s) && (best == nil || s.load < best.load-b.gap) }
-		s := cmp.Or(refLightest(b.away, better), best)
-		if s != nil || slices.ContainsFunc(b.pool, b.over) {
+	if best != nil || slices.ContainsFunc(b.localAnswers, b.saturated) || !slices.ContainsFunc(b.local, fit) {
+		b.lastSpillAt = b.now
+		better := func(s *refServer) bool { return room(s) && (best == nil || s.load < best.load-b.crossZoneLoadGap) }
+		s := cmp.Or(refLeastLoaded(b.remoteAnswers, better), best)
+		if s != nil || slices.ContainsFunc(b.localAnswers, b.saturated) {
 			return s
 		}
 	}
-	doubtful := func(s *refServer) bool { return !b.over(s) && b.allowed(r, s) }
+	doubtful := func(s *refServer) bool { return !b.saturated(s) && b.mayAttempt(r, s) }
 	for _, fit := range [2]func(*refServer) bool{fit, doubtful} {
-		if s := cmp.Or(b.inOrder(b.local, fit), b.inOrder(b.remote, fit)); s != nil {
+		if s := cmp.Or(b.nextInOrder(b.local, fit), b.nextInOrder(b.remote, fit)); s != nil {
 			return s
 		}
 	}
 	return nil
 }
 
-func (b *refBalancer) fresh(s *refServer) bool { return s.at > 0 && b.now-s.at < poolAge }
+func (b *refBalancer) hasRecentReport(s *refServer) bool {
+	return s.reportedAt > 0 && b.now-s.reportedAt < maxReportAge
+}
 
-func (b *refBalancer) over(s *refServer) bool { return b.now < s.slow || b.fresh(s) && s.load > b.full }
+func (b *refBalancer) saturated(s *refServer) bool {
+	return b.now < s.slowUntil || b.hasRecentReport(s) && s.load > b.saturationThreshold
+}
 
-func (b *refBalancer) allowed(r *refRequest, s *refServer) bool {
-	if slices.Contains(r.tried, s.ID) || !b.warmEnough(r, s) {
+func (b *refBalancer) mayAttempt(r *refRequest, s *refServer) bool {
+	if slices.Contains(r.triedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
 	}
 	c := b.classOf(r)
 	switch {
-	case r.ran == nil || c.Idempotency == Idempotent:
+	case r.executedOn == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Idempotency == NotIdempotent || b.now+b.set.ConnectTimeout >= r.ranAt+c.DedupWindow:
+	case c.Idempotency == NotIdempotent || b.now+b.settings.ConnectTimeout >= r.firstSentAt+c.DedupWindow:
 		return false
 	}
-	return c.KeyScope == ScopeAll || s.Zone == r.ran.Zone && (c.KeyScope == ScopeZone || s.Cell == r.ran.Cell)
+	return c.KeyScope == ScopeAll || s.Zone == r.executedOn.Zone && (c.KeyScope == ScopeZone || s.Cell == r.executedOn.Cell)
 }
 
-func refLightest(pool []*refServer, fit func(*refServer) bool) *refServer {
-	return refLeast(pool, fit, func(s *refServer) float64 { return s.load })
+func refLeastLoaded(pool []*refServer, fit func(*refServer) bool) *refServer {
+	return refMinimum(pool, fit, func(s *refServer) float64 { return s.load })
 }
 
-func (b *refBalancer) grouped(r *refRequest) bool { return b.set.GroupAffinity && r.Group != "" }
+func (b *refBalancer) hasGroup(r *refRequest) bool { return b.settings.GroupAffinity && r.Group != "" }
 
-func (b *refBalancer) homes(r *refRequest, list []*refServer) (homes []*refServer) {
-	if !b.grouped(r) {
+func (b *refBalancer) preferredInZone(r *refRequest, list []*refServer) (homes []*refServer) {
+	if !b.hasGroup(r) {
 		return nil
 	}
-	group, most := refHash(r.Group), min(homeCount, (len(list)+1)/2)
-	keys := make([]float64, 0, homeCount+1)
-	homes = make([]*refServer, 0, homeCount+1)
+	group, most := refHashString(r.Group), min(maxPreferredServers, (len(list)+1)/2)
+	keys := make([]float64, 0, maxPreferredServers+1)
+	homes = make([]*refServer, 0, maxPreferredServers+1)
 	for _, s := range list {
-		key := refDistance(group, s)
+		key := refRendezvousDistance(group, s)
 		i := len(keys)
 		for i > 0 && key < keys[i-1] {
 			i--
@@ -715,298 +721,298 @@
 	return homes
 }
 
-func (b *refBalancer) ask(r *refRequest) {
-	known := b.grouped(r) || slices.ContainsFunc(b.pool, func(s *refServer) bool {
-		return b.fresh(s) && s.load < b.roomy && b.warmEnough(r, s)
+func (b *refBalancer) probeForRequest(r *refRequest) {
+	known := b.hasGroup(r) || slices.ContainsFunc(b.localAnswers, func(s *refServer) bool {
+		return b.hasRecentReport(s) && s.load < b.capacityThreshold && b.withinSlowStartQuota(r, s)
 	})
-	homes, far := b.ranked(r)
+	homes, far := b.preferredServers(r)
 	for i, targets := range [2][]*refServer{homes, far} {
 		list := [2][]*refServer{b.local, b.remote}[i]
-		settled := i == 0 && len(targets) > 0 && targets[0].load < b.roomy &&
-			b.now-targets[0].at < b.askAfter()
-		if !b.set.ProbingAllowed || settled || i > 0 && !b.spilling() && !b.grouped(r) {
+		settled := i == 0 && len(targets) > 0 && targets[0].load < b.capacityThreshold &&
+			b.now-targets[0].reportedAt < b.onDemandProbeInterval()
+		if !b.settings.ProbingAllowed || settled || i > 0 && !b.spillingOver() && !b.hasGroup(r) {
 			return
 		}
-		targets = targets[:min(askCount, len(targets))]
-		for n := 0; !known && n < min(askCount, len(list)); n++ {
-			b.probeNext++
-			targets = append(targets, list[b.probeNext%len(list)])
+		targets = targets[:min(onDemandProbes, len(targets))]
+		for n := 0; !known && n < min(onDemandProbes, len(list)); n++ {
+			b.probeCursor++
+			targets = append(targets, list[b.probeCursor%len(list)])
 		}
 		for _, s := range targets {
-			if b.now >= s.ejected && b.now-s.at > b.askAfter() && b.now-s.asked > b.askAfter() {
-				s.asked, r.held = b.now, b.now+askWait
-				b.do(Probe{Server: s.ID})
-				b.do(SetTimer{Token: timerHeld, Delay: askWait})
+			if b.now >= s.ejectedUntil && b.now-s.reportedAt > b.onDemandProbeInterval() && b.now-s.probedOnDemandAt > b.onDemandProbeInterval() {
+				s.probedOnDemandAt, r.notBefore = b.now, b.now+onDemandProbeTimeout
+				b.emit(Probe{Server: s.ID})
+				b.emit(SetTimer{Token: timerRetryWaiting, Delay: onDemandProbeTimeout})
 			}
 		}
 	}
 }
 
-func (b *refBalancer) askAfter() time.Duration {
-	return max(askLeast, min(askMost, askFleet/time.Duration(b.set.Balancers)))
+func (b *refBalancer) onDemandProbeInterval() time.Duration {
+	return max(minOnDemandProbeInterval, min(maxOnDemandProbeInterval, onDemandProbeIntervalOfFleet/time.Duration(b.settings.Balancers)))
 }
 
-func (b *refBalancer) cold(s *refServer) bool {
-	return s.Started > 0 && b.now-s.Started < b.set.Safety.SlowStartDuration
+func (b *refBalancer) warming(s *refServer) bool {
+	return s.Started > 0 && b.now-s.Started < b.settings.Safety.SlowStartDuration
 }
 
-func (b *refBalancer) warmEnough(r *refRequest, s *refServer) bool {
-	if !b.cold(s) || s.Zone != b.set.Zone {
-		return !b.cold(s)
+func (b *refBalancer) withinSlowStartQuota(r *refRequest, s *refServer) bool {
+	if !b.warming(s) || s.Zone != b.settings.Zone {
+		return !b.warming(s)
 	}
-	if b.grouped(r) && r.cameFor != s {
-		r.cameFor = s
-		s.demand.add(b.now)
+	if b.hasGroup(r) && r.demandCountedFor != s {
+		r.demandCountedFor = s
+		s.groupDemand.add(b.now)
 	}
-	rules := b.set.Safety
-	if b.now >= s.creditUntil {
+	rules := b.settings.Safety
+	if b.now >= s.slowStartQuotaUntil {
 		age := float64(b.now-s.Started) / float64(rules.SlowStartDuration)
 		part := rules.SlowStartShare + (1-rules.SlowStartShare)*age
 		span := max(rules.OverloadWindow, tick)
-		comes, sharers := b.comesFor(r, s, span), b.sharers()
-		work := max(part*b.takes()*span.Seconds(), coldLeast/max(float64(b.set.Balancers), sharers))
+		comes, sharers := b.expectedDemandFor(r, s, span), b.estimatedZoneBalancers()
+		work := max(part*b.serverCapacity()*span.Seconds(), minSlowStartConnections/max(float64(b.settings.Balancers), sharers))
 		use := comes / (1 + comes)
-		mine := coldSafety / max(use, coldUseLeast) * rules.OverloadFactor * work
-		if each := b.each(); each > 0 {
-			bears := rules.OverloadFactor * part * span.Seconds() / (each * b.life())
-			mine = max(mine, min(coldSafety*bears/(use*sharers), 1))
+		mine := slowStartSafetyFactor / max(use, minSlowStartUse) * rules.OverloadFactor * work
+		if each := b.meanLoadPerConnection(); each > 0 {
+			bears := rules.OverloadFactor * part * span.Seconds() / (each * b.meanLifetime())
+			mine = max(mine, min(slowStartSafetyFactor*bears/(use*sharers), 1))
 		}
-		s.credit, s.creditUntil = math.Floor(mine+b.rng.Float64()), b.now+span
+		s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(mine+b.rng.Float64()), b.now+span
 	}
-	return s.credit >= min(b.weight(r), 1)
+	return s.slowStartQuota >= min(b.relativeLoad(r), 1)
 }
 
-func (b *refBalancer) life() float64 {
-	if b.left == 0 {
-		return usualLife.Seconds()
+func (b *refBalancer) meanLifetime() float64 {
+	if b.closedByClient == 0 {
+		return defaultLifetime.Seconds()
 	}
-	return (usualLife.Seconds() + b.lived) / (1 + b.left)
+	return (defaultLifetime.Seconds() + b.connectionSeconds) / (1 + b.closedByClient)
 }
 
-func (b *refBalancer) learnLife() {
-	fade := 1 - tick.Seconds()/lifeTime.Seconds()
-	b.lived, b.left = b.lived*fade+float64(len(b.requests))*tick.Seconds(), b.left*fade
+func (b *refBalancer) updateLifetime() {
+	fade := 1 - tick.Seconds()/lifetimeDecayTime.Seconds()
+	b.connectionSeconds, b.closedByClient = b.connectionSeconds*fade+float64(len(b.requests))*tick.Seconds(), b.closedByClient*fade
 }
 
-func (b *refBalancer) takes() float64 {
+func (b *refBalancer) serverCapacity() float64 {
 	own, warm := 0, 0
 	for _, s := range b.local {
-		if !b.cold(s) {
-			own, warm = own+len(s.conns), warm+1
+		if !b.warming(s) {
+			own, warm = own+len(s.connections), warm+1
 		}
 	}
 	if warm == 0 {
 		return b.capacity
 	}
-	return min(b.capacity, float64(own)/(b.life()*float64(warm)*max(b.mean, 0.5)))
+	return min(b.capacity, float64(own)/(b.meanLifetime()*float64(warm)*max(b.meanLoad, 0.5)))
 }
 
-func (b *refBalancer) comes(r *refRequest, span time.Duration) float64 {
+func (b *refBalancer) expectedDemand(r *refRequest, span time.Duration) float64 {
 	spread := len(b.local)
-	if !b.grouped(r) && b.spilling() {
+	if !b.hasGroup(r) && b.spillingOver() {
 		spread = 0
 		for _, s := range b.local {
-			if b.cold(s) {
+			if b.warming(s) {
 				spread++
 			}
 		}
 	}
-	return b.need / needTime.Seconds() * span.Seconds() / float64(max(spread, 1))
+	return b.recentDemand / demandDecayTime.Seconds() * span.Seconds() / float64(max(spread, 1))
 }
 
-func (b *refBalancer) comesFor(r *refRequest, s *refServer, span time.Duration) float64 {
-	mean := b.comes(r, span)
-	if !b.grouped(r) || mean == 0 {
+func (b *refBalancer) expectedDemandFor(r *refRequest, s *refServer, span time.Duration) float64 {
+	mean := b.expectedDemand(r, span)
+	if !b.hasGroup(r) || mean == 0 {
 		return mean
 	}
-	window := needTime.Seconds() / span.Seconds()
-	came := s.demand.value(b.now)
+	window := demandDecayTime.Seconds() / span.Seconds()
+	came := s.groupDemand.value(b.now)
 	usual := (priorDemand + came) / (priorDemand/mean + window)
-	storm := min(1, 2*b.broken/b.need)
+	storm := min(1, 2*b.recentResets/b.recentDemand)
 	return max(mean, storm*came/window+(1-storm)*usual)
 }
 
-func (b *refBalancer) sharers() float64 {
+func (b *refBalancer) estimatedZoneBalancers() float64 {
 	held, own, told := 0.0, 0.0, 0
 	for _, s := range b.local {
-		own += float64(len(s.conns))
-		if s.each > 0 {
-			held, told = held+min(s.reported/s.each, shareMost), told+1
+		own += float64(len(s.connections))
+		if s.loadPerConnection > 0 {
+			held, told = held+min(s.reportedLoad/s.loadPerConnection, maxReportedConnections), told+1
 		}
 	}
 	if told == 0 {
-		return b.peers()
+		return b.zoneBalancers()
 	}
 	held *= float64(len(b.local)) / float64(told)
-	chance, most := math.Sqrt(own), b.peers()
+	chance, most := math.Sqrt(own), b.zoneBalancers()
 	if own > chance {
 		most = min(most, held/(own-chance))
 	}
 	return max(most, held/(own+chance+1), 1)
 }
 
-func (b *refBalancer) established(ev Established) {
-	b.alive(b.refServer(ev.Server))
+func (b *refBalancer) connectionEstablished(ev Established) {
+	b.recordSuccess(b.serverRecord(ev.Server))
 	r := b.requests[ev.ID]
-	if r == nil || r.srv == nil || !r.out || r.stands {
+	if r == nil || r.server == nil || !r.inFlight || r.established {
 		return
 	}
-	r.stands = true
-	b.setup += (ev.Elapsed - b.setup) / setupMemory
+	r.established = true
+	b.setupTime += (ev.Elapsed - b.setupTime) / setupTimeSamples
 	b.dialing--
-	b.window = min(b.window+1/b.window, windowMost)
-	b.new++
-	b.stood++
-	r.srv.hold(r)
-	delete(b.bySeq, r.seq)
+	b.dialWindow = min(b.dialWindow+1/b.dialWindow, maxDialWindow)
+	b.establishedThisTick++
+	b.recentEstablished++
+	r.server.addConnection(r)
+	delete(b.requestsByToken, r.timerToken)
 	b.retryWaiting()
 }
 
-func (b *refBalancer) ended(ev AttemptEnded) {
-	s, r := b.refServer(ev.Server), b.requests[ev.ID]
-	b.judge(s, ev.Code)
-	if r == nil || !r.out || r.srv != s || ev.Attempt != r.tries-1 {
+func (b *refBalancer) attemptEnded(ev AttemptEnded) {
+	s, r := b.serverRecord(ev.Server), b.requests[ev.ID]
+	b.recordOutcome(s, ev.Code)
+	if r == nil || !r.inFlight || r.server != s || ev.Attempt != r.attempts-1 {
 		return
 	}
-	if !r.stands {
+	if !r.established {
 		b.dialing--
 		if !ev.Code.NeverExecuted() {
-			b.wasted++
+			b.recentFailures++
 		}
 	}
-	r.out = false
+	r.inFlight = false
 	if ev.Final {
-		if r.stands {
-			b.remember(r, ev.Code)
+		if r.established {
+			b.rememberClient(r, ev.Code)
 		}
 		b.forget(r)
 		return
 	}
-	if !ev.Code.NeverExecuted() && r.ran == nil {
-		r.ran = s
+	if !ev.Code.NeverExecuted() && r.executedOn == nil {
+		r.executedOn = s
 	}
 	if ev.Code == TimedOut {
-		b.setup += (max(setupSlack*ev.Elapsed, b.setup) - b.setup) / setupMemory
-		if b.now-b.cutAt > tick {
-			b.window, b.cutAt = max(b.window/2, 1), b.now
+		b.setupTime += (max(minAttemptSetups*ev.Elapsed, b.setupTime) - b.setupTime) / setupTimeSamples
+		if b.now-b.dialWindowHalvedAt > tick {
+			b.dialWindow, b.dialWindowHalvedAt = max(b.dialWindow/2, 1), b.now
 		}
 	}
-	if r.stands || ev.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
-		b.answer(r)
+	if r.established || ev.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
+		b.finish(r)
 		return
 	}
 	b.place(r, len(b.waiting))
 }
 
-func (b *refBalancer) judge(s *refServer, code Code) {
+func (b *refBalancer) recordOutcome(s *refServer, code Code) {
 	switch code {
 	case OK:
-		b.alive(s)
+		b.recordSuccess(s)
 	case Rejected:
-		b.sign()
-		s.ejected = max(s.ejected, b.now+fullRest)
+		b.recordAnswer()
+		s.ejectedUntil = max(s.ejectedUntil, b.now+rejectionEjectionTime)
 	case ServerError, TimedOut, ConnectFailed, Reset:
-		if code == ServerError || !b.failing {
-			b.lastSign, b.failing = b.now, code != ServerError
-		} else if b.now-b.lastSign > deadAfter {
+		if code == ServerError || !b.allFailing {
+			b.lastAnswerAt, b.allFailing = b.now, code != ServerError
+		} else if b.now-b.lastAnswerAt > bootstrapTimeout {
 			b.bootstrap()
 		}
-		s.streak++
-		b.eject(s, min(ejectFirst<<min(s.streak-1, 4), ejectMost))
+		s.consecutiveFailures++
+		b.eject(s, min(baseEjectionTime<<min(s.consecutiveFailures-1, 4), maxEjectionTime))
 	}
 }
 
 func (b *refBalancer) eject(s *refServer, d time.Duration) {
 	out := 0
 	for _, o := range b.ready {
-		if o != s && b.now < o.ejected {
+		if o != s && b.now < o.ejectedUntil {
 			out++
 		}
 	}
-	if b.now >= s.ejected && float64(out+1) <= ejectPart*float64(len(b.ready)) {
-		s.ejected = b.now + d
-		b.unpool(s)
+	if b.now >= s.ejectedUntil && float64(out+1) <= maxEjectedFraction*float64(len(b.ready)) {
+		s.ejectedUntil = b.now + d
+		b.removeAnswer(s)
 	}
 }
 
-func (b *refBalancer) answer(r *refRequest) {
+func (b *refBalancer) finish(r *refRequest) {
 	c := b.classOf(r)
-	if c.Idempotency == Idempotent || r.ran == nil && !r.out || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
-		rest := refuseRest
-		if len(b.waiting) > waitFree {
-			rest = max(rest, b.set.MaxRetryAfter/2)
+	if c.Idempotency == Idempotent || r.executedOn == nil && !r.inFlight || c.Idempotency == IdempotentByKey && c.KeyScope == ScopeAll {
+		rest := baseRetryAfter
+		if len(b.waiting) > minQueueLength {
+			rest = max(rest, b.settings.MaxRetryAfter/2)
 		}
-		b.do(Reject{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.set.MaxRetryAfter)})
+		b.emit(Reject{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.settings.MaxRetryAfter)})
 	} else {
-		b.do(Fail{ID: r.ID})
+		b.emit(Fail{ID: r.ID})
 	}
 	b.forget(r)
 }
 
-func (b *refBalancer) probed(ev ProbeCompleted) {
+func (b *refBalancer) probeCompleted(ev ProbeCompleted) {
 	s := b.servers[ev.Server]
 	if s == nil {
 		return
 	}
 	if ev.Code != OK {
-		b.judge(s, ev.Code)
+		b.recordOutcome(s, ev.Code)
 		return
 	}
-	b.sign()
-	if !(ev.Report.Load >= 0 && ev.Report.Load <= mostLoad) {
+	b.recordAnswer()
+	if !(ev.Report.Load >= 0 && ev.Report.Load <= maxReportedLoad) {
 		return
 	}
-	s.load, s.at, s.uses = ev.Report.Load+s.unseen(b.now), b.now, 0
-	s.shows(ev.Report)
+	s.load, s.reportedAt, s.placementsOnReport = ev.Report.Load+s.pendingReservations(b.now), b.now, 0
+	s.recordReport(ev.Report)
 	if s.State != Ready {
 		return
 	}
 	if slices.Contains(b.local, s) {
-		b.pool = refAddAnswer(b.pool, s)
-		b.learnMean(s.load)
+		b.localAnswers = refAddAnswer(b.localAnswers, s)
+		b.updateMeanLoad(s.load)
 	} else {
-		b.away = refAddAnswer(b.away, s)
+		b.remoteAnswers = refAddAnswer(b.remoteAnswers, s)
 	}
-	if !b.over(s) {
+	if !b.saturated(s) {
 		b.retryWaiting()
 	}
 }
 
-func (b *refBalancer) messagesSlow(ev MessageDelayReported) {
-	s, r := b.refServer(ev.Server), b.requests[ev.ID]
+func (b *refBalancer) messageDelayReported(ev MessageDelayReported) {
+	s, r := b.serverRecord(ev.Server), b.requests[ev.ID]
 	if r == nil {
 		return
 	}
-	s.slow = 0
+	s.slowUntil = 0
 	if aim := b.classOf(r).MessageLatencyObjective; aim > 0 && ev.Delay > aim/2 {
-		s.slow = b.now + slowFor
-		if s.State == Ready && b.now-s.at > time.Second && b.probeCredit > -probeDebt && b.set.ProbingAllowed {
+		s.slowUntil = b.now + slowMessagesPeriod
+		if s.State == Ready && b.now-s.reportedAt > time.Second && b.probeCredit > -maxProbeDebt && b.settings.ProbingAllowed {
 			b.probeCredit--
-			b.do(Probe{Server: s.ID})
+			b.emit(Probe{Server: s.ID})
 		}
 	}
 }
 
-func (b *refBalancer) timer(token uint64) {
+func (b *refBalancer) timerFired(token uint64) {
 	switch {
-	case token == timerHeld:
+	case token == timerRetryWaiting:
 		b.retryWaiting()
 		return
 	case token != timerTick:
-		if r := b.bySeq[token]; r != nil {
-			b.answer(r)
+		if r := b.requestsByToken[token]; r != nil {
+			b.finish(r)
 		}
 		return
 	}
-	b.do(SetTimer{Token: timerTick, Delay: tick})
-	b.learnRates()
+	b.emit(SetTimer{Token: timerTick, Delay: tick})
+	b.updateEstimates()
 	if b.now >= b.pollAt {
 		b.poll()
 	}
 	b.retryWaiting()
-	b.rebalance()
-	b.probe()
-	b.expireMemories()
+	b.migrateFromOverloaded()
+	b.probePeriodically()
+	b.expireClients()
 }
 
 func (b *refBalancer) retryWaiting() {
@@ -1017,99 +1023,101 @@
 	}
 }
 
-func (b *refBalancer) rebalance() {
+func (b *refBalancer) migrateFromOverloaded() {
 	for _, s := range b.ready {
-		bad := s.reported > moveLoad || b.now < s.slow && s.reported > moveTarget
-		if len(s.conns) > 0 && bad && b.fresh(s) && s.at > s.movedAt+moveSettle {
-			s.movedAt = b.now
-			n := int(float64(len(s.conns))*(1-moveTarget/s.reported) + b.rng.Float64())
-			for _, r := range b.farthest(s)[:min(n, len(s.conns))] {
-				r.tooMuch = true
-				b.do(Migrate{ID: r.ID})
+		bad := s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
+		if len(s.connections) > 0 && bad && b.hasRecentReport(s) && s.reportedAt > s.migratedAt+migrationSettlePeriod {
+			s.migratedAt = b.now
+			n := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
+			for _, r := range b.migrationOrder(s)[:min(n, len(s.connections))] {
+				r.migrated = true
+				b.emit(Migrate{ID: r.ID})
 			}
 		}
 	}
 }
 
-func (b *refBalancer) farthest(s *refServer) []*refRequest {
-	conns := slices.Clone(s.conns)
+func (b *refBalancer) migrationOrder(s *refServer) []*refRequest {
+	conns := slices.Clone(s.connections)
 	b.rng.Shuffle(len(conns), func(i, j int) { conns[i], conns[j] = conns[j], conns[i] })
 	slices.SortStableFunc(conns, func(x, y *refRequest) int {
-		return cmp.Or(b.fewer(s, x, y), cmp.Compare(refDistance(refHash(y.Group), s), refDistance(refHash(x.Group), s)))
+		return cmp.Or(b.compareGroupSizes(s, x, y), cmp.Compare(refRendezvousDistance(refHashString(y.Group), s), refRendezvousDistance(refHashString(x.Group), s)))
 	})
 	return conns
 }
 
-func (b *refBalancer) probe() {
-	if !b.set.ProbingAllowed || len(b.local) == 0 {
+func (b *refBalancer) probePeriodically() {
+	if !b.settings.ProbingAllowed || len(b.local) == 0 {
 		return
 	}
-	worth := max(b.rate, float64(len(b.requests))/usualLife.Seconds())
-	own, near := refHolding(b.ready), b.local
-	refLeast := probeLeast
+	worth := max(b.establishRate, float64(len(b.requests))/defaultLifetime.Seconds())
+	own, near := refConnected(b.ready), b.local
+	refLeast := minProbeRate
 	if len(own) == 0 {
-		refLeast *= min(1, probeFew/float64(b.set.Balancers))
+		refLeast *= min(1, fullRateProbers/float64(b.settings.Balancers))
 	}
-	rate := max(refLeast, worth*probeShare/cmp.Or(b.set.Costs.Probe, math.Inf(1)))
-	away, hot := b.remote, append(refHolding(b.remote), b.local...)
-	if !b.spilling() {
-		away = refHolding(b.remote)
+	rate := max(refLeast, worth*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
+	away, hot := b.remote, append(refConnected(b.remote), b.local...)
+	if !b.spillingOver() {
+		away = refConnected(b.remote)
 	}
 	if len(own) > 0 && len(own) < len(b.local) {
 		near, away, hot = own, nil, own
 	}
-	if s := refFirst(away, func(s *refServer) bool { return s.at == 0 && b.now-s.asked > askMost }); s != nil {
-		s.asked = b.now
-		b.do(Probe{Server: s.ID})
+	if s := refFirstMatching(away, func(s *refServer) bool {
+		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
+	}); s != nil {
+		s.probedOnDemandAt = b.now
+		b.emit(Probe{Server: s.ID})
 	}
-	b.hotCredit = min(b.hotCredit+rate*tick.Seconds(), probeDebt)
+	b.overloadProbeCredit = min(b.overloadProbeCredit+rate*tick.Seconds(), maxProbeDebt)
 	for _, s := range hot {
-		if s.load > b.roomy && b.now-max(s.at, s.asked) >= hotAge && b.hotCredit >= 1 {
-			s.asked = b.now
-			b.hotCredit--
-			b.do(Probe{Server: s.ID})
+		if s.load > b.capacityThreshold && b.now-max(s.reportedAt, s.probedOnDemandAt) >= overloadProbeInterval && b.overloadProbeCredit >= 1 {
+			s.probedOnDemandAt = b.now
+			b.overloadProbeCredit--
+			b.emit(Probe{Server: s.ID})
 		}
 	}
-	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tick.Seconds(), poolSize)
+	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tick.Seconds(), maxAnswers)
 	for ; b.probeCredit >= 1; b.probeCredit-- {
-		if b.probeTurn++; b.probeTurn%2 == 0 && len(away) > 0 {
-			b.do(Probe{Server: away[b.probeTurn/2%len(away)].ID})
+		if b.probeCount++; b.probeCount%2 == 0 && len(away) > 0 {
+			b.emit(Probe{Server: away[b.probeCount/2%len(away)].ID})
 			continue
 		}
 		from := near
-		if b.probeTurn%poolTurn == 0 {
+		if b.probeCount%probesPerAnyServer == 0 {
 			from = b.local
 		}
-		b.probeNext++
-		b.do(Probe{Server: from[b.probeNext%len(from)].ID})
+		b.probeCursor++
+		b.emit(Probe{Server: from[b.probeCursor%len(from)].ID})
 	}
 }
 
-func (b *refBalancer) Learned() (all []LearnedState) {
+func (b *refBalancer) ExportLearned() (all []LearnedState) {
 	for _, s := range b.ready {
-		l := LearnedState{Server: s.ID, Load: s.reported, Age: -1, LoadPerConnection: s.each, ConsecutiveFailures: s.streak, EjectedFor: max(s.ejected-b.now, 0)}
-		if s.at > 0 {
-			l.Age = b.now - s.at
+		l := LearnedState{Server: s.ID, Load: s.reportedLoad, Age: -1, LoadPerConnection: s.loadPerConnection, ConsecutiveFailures: s.consecutiveFailures, EjectedFor: max(s.ejectedUntil-b.now, 0)}
+		if s.reportedAt > 0 {
+			l.Age = b.now - s.reportedAt
 		}
 		all = append(all, l)
 	}
 	return all
 }
 
-func (b *refBalancer) Learn(all []LearnedState) {
+func (b *refBalancer) ImportLearned(all []LearnedState) {
 	for _, l := range all {
 		s := b.servers[l.Server]
 		if s == nil {
 			continue
 		}
 		if l.ConsecutiveFailures > 0 && l.EjectedFor > 0 {
-			s.streak, s.ejected = l.ConsecutiveFailures, b.now+min(l.EjectedFor, ejectMost)
+			s.consecutiveFailures, s.ejectedUntil = l.ConsecutiveFailures, b.now+min(l.EjectedFor, maxEjectionTime)
 		}
 		if l.LoadPerConnection > 0 && l.LoadPerConnection < 1 {
-			s.each = l.LoadPerConnection
+			s.loadPerConnection = l.LoadPerConnection
 		}
-		if l.Age >= 0 && l.Age < poolAge && l.Load >= 0 {
-			s.load, s.reported, s.at = l.Load, l.Load, b.now-l.Age
+		if l.Age >= 0 && l.Age < maxReportAge && l.Load >= 0 {
+			s.load, s.reportedLoad, s.reportedAt = l.Load, l.Load, b.now-l.Age
 		}
 	}
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -56,29 +56,29 @@
 	return nil
 }
 
-// fieldError names a field of a class whose value is faulty, and says why.
-type fieldError struct{ field, problem string }
+// invalidFieldError names a field of a class whose value is faulty, and says why.
+type invalidFieldError struct{ field, problem string }
 
-func (e fieldError) Error() string { return e.field + " " + e.problem }
+func (e invalidFieldError) Error() string { return e.field + " " + e.problem }
 
-func faulty(field, problem string, values ...any) error {
-	return fieldError{field, fmt.Sprintf(problem, values...)}
+func invalidField(field, problem string, values ...any) error {
+	return invalidFieldError{field, fmt.Sprintf(problem, values...)}
 }
 
 func (c *Class) validate() error {
 	switch {
 	case c.LatencyObjective <= 0:
-		return faulty("Aim", "is %v, must be above 0", c.LatencyObjective)
+		return invalidField("Aim", "is %v, must be above 0", c.LatencyObjective)
 	case c.MessageLatencyObjective < 0:
-		return faulty("MessageAim", "is %v, below 0", c.MessageLatencyObjective)
+		return invalidField("MessageAim", "is %v, below 0", c.MessageLatencyObjective)
 	case c.ClientTimeout < 0:
-		return faulty("GiveUp", "is %v, below 0", c.ClientTimeout)
+		return invalidField("GiveUp", "is %v, below 0", c.ClientTimeout)
 	case c.Idempotency > NotIdempotent:
-		return faulty("Repeat", "is %d, not a known kind", c.Idempotency)
+		return invalidField("Repeat", "is %d, not a known kind", c.Idempotency)
 	case c.KeyScope > ScopeCell:
-		return faulty("Scope", "is %d, not a known one", c.KeyScope)
+		return invalidField("Scope", "is %d, not a known one", c.KeyScope)
 	case c.DedupWindow < 0:
-		return faulty("Window", "is %v, below 0", c.DedupWindow)
+		return invalidField("Window", "is %v, below 0", c.DedupWindow)
 	}
 	return nil
 }
