--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -81,8 +81,8 @@
 	var out []Action
 	now := 101 * time.Second
 	for b.Loop() {
-		now += tick
-		out = bal.Handle(now, TimerFired{Token: timerTick}, out[:0])
+		now += tickInterval
+		out = bal.Handle(now, TimerFired{Token: tickToken}, out[:0])
 	}
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -33,7 +33,7 @@
 		}
 		if len(actionsOf[StartAttempt](acts)) == 0 {
 			w.now += onDemandProbeTimeout
-			acts = w.send(TimerFired{Token: timerRetryWaiting})
+			acts = w.send(TimerFired{Token: retryWaitingToken})
 		}
 		id := w.wantAttempt(acts)
 		used[id] = true
@@ -229,14 +229,14 @@
 	w.replaceList(servers(4, 0))
 	s := w.wantAttempt(w.request("r", unsafeClass))
 	w.now += 2 * time.Second // still out at the deadline
-	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests["r"].timerToken})); r != 0 || f != 1 {
+	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests.byID["r"].timerToken})); r != 0 || f != 1 {
 		t.Fatal("an unsafe request that is out must fail, not be refused")
 	}
 	_ = s
 	w.replaceList(nil)
 	w.request("n", unsafeClass) // never sent
 	w.now += 2 * time.Second
-	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests["n"].timerToken})); r != 1 || f != 0 {
+	if r, f := countAnswers(w.send(TimerFired{Token: w.b.requests.byID["n"].timerToken})); r != 1 || f != 0 {
 		t.Fatal("an unsafe request that was never sent is refused")
 	}
 }
@@ -365,12 +365,12 @@
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Key: name("k", i)}, Server: 1})
 		w.endAttempt(name("o", i), 0, 1, Reset, true)
 	}
-	if len(w.b.clients) > maxClientRecords || len(w.b.clientOrder) > maxClientRecords {
-		t.Fatalf("%d keys kept", len(w.b.clients))
+	if len(w.b.clients.records) > maxClientRecords || len(w.b.clients.order) > maxClientRecords {
+		t.Fatalf("%d keys kept", len(w.b.clients.records))
 	}
 	w.tick(recordRetention + time.Second)
-	if len(w.b.clients) != 0 {
-		t.Fatalf("%d keys kept after %v", len(w.b.clients), recordRetention)
+	if len(w.b.clients.records) != 0 {
+		t.Fatalf("%d keys kept after %v", len(w.b.clients.records), recordRetention)
 	}
 }
 
@@ -524,10 +524,10 @@
 		w.replaceList(servers(3, 0))
 		start, calls := w.now, 0
 		for w.now < start+5*w.b.pollInterval() {
-			if n := len(actionsOf[WatchList](w.tick(tick))); n > 0 {
+			if n := len(actionsOf[WatchList](w.tick(tickInterval))); n > 0 {
 				if calls == 0 {
 					firsts[w.now-start] = true
-					if w.now-start > maxFirstPollDelay+tick { // what has changed since the list was written counts as told soon
+					if w.now-start > maxFirstPollDelay+tickInterval { // what has changed since the list was written counts as told soon
 						t.Fatalf("first poll only after %v", w.now-start)
 					}
 				}
@@ -568,7 +568,7 @@
 	for range 5 {
 		w.send(ListReceived{Kind: ListFailed})
 		from := w.now
-		for len(actionsOf[WatchList](w.tick(tick))) == 0 {
+		for len(actionsOf[WatchList](w.tick(tickInterval))) == 0 {
 		}
 		waits = append(waits, w.now-from)
 	}
@@ -578,7 +578,7 @@
 		other.Seed = seed
 		v := newHarness(t, other)
 		v.send(ListReceived{Kind: ListFailed})
-		again[v.b.pollAt] = true
+		again[v.b.discovery.pollAt] = true
 	}
 	if len(again) < 4 {
 		t.Fatal("balancers whose calls failed together ask again together")
@@ -596,9 +596,9 @@
 		w.establish(name("warm", i), idempotentClass)
 		w.now += 100 * time.Millisecond
 		if i%2 == 0 {
-			w.now -= tick / 2
-			w.send(TimerFired{Token: timerTick})
-			w.now += tick / 2
+			w.now -= tickInterval / 2
+			w.send(TimerFired{Token: tickToken})
+			w.now += tickInterval / 2
 		}
 	}
 	list := servers(n, 0)
@@ -618,7 +618,7 @@
 		}
 	}
 	rules := settings().Safety
-	if most := 1 + slowStartSafetyFactor*rules.OverloadFactor*rules.SlowStartShare*w.b.capacity*rules.OverloadWindow.Seconds(); float64(got) > most {
+	if most := 1 + slowStartSafetyFactor*rules.OverloadFactor*rules.SlowStartShare*w.b.capacity.perSecond*rules.OverloadWindow.Seconds(); float64(got) > most {
 		t.Fatalf("%d of a burst of 300 went to the cold server, this balancer's part is %.1f", got, most)
 	}
 	for i := range 40 {
@@ -646,8 +646,8 @@
 		set := settings()
 		set.Seed, set.Balancers = seed, balancers
 		w := warmingHarness(t, set, 9)
-		w.b.capacity = 1.0 / balancers // the server can take one connection a second when warm
-		w.now += 5 * time.Second       // half warm
+		w.b.capacity.perSecond = 1.0 / balancers // the server can take one connection a second when warm
+		w.now += 5 * time.Second                 // half warm
 		w.reportLoad(50, 0)
 		if w.establish("r", idempotentClass) == 50 {
 			sent++
@@ -718,7 +718,7 @@
 		w := newHarness(t, set)
 		w.replaceList(servers(20, 20))
 		for i := range 100 {
-			for _, p := range actionsOf[Probe](w.tick(tick)) {
+			for _, p := range actionsOf[Probe](w.tick(tickInterval)) {
 				n++
 				if zoneOf(p.Server) != "a" {
 					t.Fatalf("probed %d of another zone", p.Server)
@@ -759,7 +759,7 @@
 		}
 		if len(actionsOf[StartAttempt](acts)) == 0 {
 			w.now += onDemandProbeTimeout
-			acts = w.send(TimerFired{Token: timerRetryWaiting})
+			acts = w.send(TimerFired{Token: retryWaitingToken})
 		}
 		s := w.wantAttempt(acts)
 		used[s] = true
@@ -782,7 +782,7 @@
 	if s := w.b.servers[1]; s.load < migrationLoad {
 		t.Fatalf("load %.2f, want it booked above the limit", s.load)
 	}
-	if n := len(actionsOf[Migrate](w.tick(tick))); n > 0 {
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n > 0 {
 		t.Errorf("%d moved off a server that reports 0.7", n)
 	}
 }
@@ -800,7 +800,7 @@
 		for range 40 {
 			w.reportLoad(1, 0.9)
 			w.reportLoad(2, 0.3)
-			for _, p := range actionsOf[Probe](w.tick(3 * tick)) {
+			for _, p := range actionsOf[Probe](w.tick(3 * tickInterval)) {
 				switch p.Server {
 				case 1:
 					hot++
@@ -840,15 +840,15 @@
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
 	}
 	w.reportLoad(1, migrationLoad)
-	if n := len(actionsOf[Migrate](w.tick(tick))); n != 0 {
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
 		t.Fatalf("%d moved at the limit", n)
 	}
 	w.reportLoad(1, 1.4)
-	if n := len(actionsOf[Migrate](w.tick(tick))); n < 60 || n > 140 {
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 60 || n > 140 {
 		t.Fatalf("%d of 200 moved at load 1.4, want about half", n)
 	}
 	w.reportLoad(1, 1.4) // a report that cannot show the moves yet
-	if n := len(actionsOf[Migrate](w.tick(tick))); n != 0 {
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
 		t.Fatalf("%d moved again before the report settled", n)
 	}
 }
@@ -867,7 +867,7 @@
 		t.Fatalf("want a probe of server 2, got %v", acts)
 	}
 	w.reportLoad(2, 0.9)
-	if n := len(actionsOf[Migrate](w.tick(tick))); n < 8 || n > 45 {
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 8 || n > 45 {
 		t.Fatalf("%d of 100 moved at load 0.9 with slow messages", n)
 	}
 	w.reportLoad(1, 0.6) // heavier than server 2's next, stale-looking answer
@@ -900,7 +900,7 @@
 			w.reportLoad(p.Server, 0.3)
 		}
 		w.now += onDemandProbeTimeout
-		homes[w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting}))] = true
+		homes[w.wantAttempt(w.send(TimerFired{Token: retryWaitingToken}))] = true
 	}
 	if len(homes) != 1 {
 		t.Fatalf("six balancers put one group on %v", homes)
@@ -1003,7 +1003,7 @@
 		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
 	}
 	w.reportLoad(1, 1.05)
-	moves := actionsOf[Migrate](w.tick(tick))
+	moves := actionsOf[Migrate](w.tick(tickInterval))
 	if len(moves) < 2 || !strings.HasPrefix(string(moves[0].ID), "small") || !strings.HasPrefix(string(moves[1].ID), "small") {
 		t.Errorf("moved %v, the two of the small group first wanted", moves)
 	}
@@ -1036,7 +1036,7 @@
 	for i := range 60 {
 		w.establish(name("r", i), idempotentClass)
 	}
-	open := w.b.dialWindow
+	open := w.b.throttle.window
 	for i := range 6 {
 		id := name("t", i)
 		s := w.wantAttempt(w.request(id, idempotentClass))
@@ -1044,8 +1044,8 @@
 		w.endAttempt(id, 0, s, TimedOut, false)
 		w.send(ClientDisconnected{ID: RequestID(id)})
 	}
-	if w.b.dialWindow > open/16 || w.b.dialing != 0 {
-		t.Fatalf("window %.1f of %.1f, %d dials out", w.b.dialWindow, open, w.b.dialing)
+	if w.b.throttle.window > open/16 || w.b.throttle.dialing != 0 {
+		t.Fatalf("window %.1f of %.1f, %d dials out", w.b.throttle.window, open, w.b.throttle.dialing)
 	}
 	out := 0
 	for i := range 20 {
@@ -1127,8 +1127,8 @@
 	}
 	w.request("held", idempotentClass)
 	w.send(ClientDisconnected{ID: "held"})
-	if len(w.b.requests)+len(w.b.requestsByToken)+len(w.b.waiting) != 0 {
-		t.Fatalf("%d requests, %d timers, %d waiting kept", len(w.b.requests), len(w.b.requestsByToken), len(w.b.waiting))
+	if len(w.b.requests.byID)+len(w.b.requests.byToken)+len(w.b.requests.waiting) != 0 {
+		t.Fatalf("%d requests, %d timers, %d waiting kept", len(w.b.requests.byID), len(w.b.requests.byToken), len(w.b.requests.waiting))
 	}
 	for _, s := range w.b.ready {
 		if len(s.connections) != 0 {
@@ -1172,39 +1172,41 @@
 	w.reportLoad(probes[0].Server, 0.6)
 	w.reportLoad(probes[1].Server, 0.2)
 	w.now += onDemandProbeTimeout
-	if s := w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting})); s != probes[1].Server {
+	if s := w.wantAttempt(w.send(TimerFired{Token: retryWaitingToken})); s != probes[1].Server {
 		t.Fatalf("went to %d, the lightest asked is %d", s, probes[1].Server)
 	}
 	w.now += maxReportAge
 	w.request("silent", idempotentClass) // no answer comes: it is placed all the same
 	w.now += onDemandProbeTimeout
-	w.wantAttempt(w.send(TimerFired{Token: timerRetryWaiting}))
+	w.wantAttempt(w.send(TimerFired{Token: retryWaitingToken}))
 }
 
 func TestSettingsAreChecked(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
-		"Classes":              func(s *Settings) { s.Classes = nil },
-		"Zone":                 func(s *Settings) { s.Zone = "elsewhere" },
-		"Balancers":            func(s *Settings) { s.Balancers = -1 },
-		"Balancers is 1000000": func(s *Settings) { s.Balancers = 1e9 },
-		"MaxTries":             func(s *Settings) { s.MaxAttempts = -1 },
-		"Classes[1]: Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
-		"Classes[0]: Repeat":   func(s *Settings) { s.Classes[0].Idempotency = 9 },
-		"Classes[0]: Window":   func(s *Settings) { s.Classes[0].DedupWindow = -1 },
-		"Rules.ColdShare":      func(s *Settings) { s.Safety.SlowStartShare = 1.5 },
-		"Rules.DrainGrace":     func(s *Settings) { s.Safety.DrainGrace = -1 },
-		"Prices.Probe":         func(s *Settings) { s.Costs.Probe = -1 },
-		"Classes[2]: GiveUp":   func(s *Settings) { s.Classes[2].ClientTimeout = -1 },
-		"Classes[2]: Scope":    func(s *Settings) { s.Classes[2].KeyScope = 7 },
-		"ConnectTimeout":       func(s *Settings) { s.ConnectTimeout = -1 },
-		"Rules.FallMultiple":   func(s *Settings) { s.Safety.OverloadFactor = -1 },
-		"Classes[0]: MessageA": func(s *Settings) { s.Classes[0].MessageLatencyObjective = -1 },
+	for message, invalidate := range map[string]func(*Settings){
+		"Classes is empty":                    func(s *Settings) { s.Classes = nil },
+		"Zone \"elsewhere\"":                  func(s *Settings) { s.Zone = "elsewhere" },
+		"Balancers is -1":                     func(s *Settings) { s.Balancers = -1 },
+		"Balancers is 1000000":                func(s *Settings) { s.Balancers = 1e9 },
+		"MaxAttempts":                         func(s *Settings) { s.MaxAttempts = -1 },
+		"Classes[1]: LatencyObjective":        func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"Classes[0]: Idempotency":             func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Classes[0]: DedupWindow":             func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"Safety.SlowStartShare":               func(s *Settings) { s.Safety.SlowStartShare = 1.5 },
+		"Safety.DrainGrace":                   func(s *Settings) { s.Safety.DrainGrace = -1 },
+		"Costs.Probe":                         func(s *Settings) { s.Costs.Probe = -1 },
+		"Classes[2]: ClientTimeout":           func(s *Settings) { s.Classes[2].ClientTimeout = -1 },
+		"Classes[2]: KeyScope":                func(s *Settings) { s.Classes[2].KeyScope = 7 },
+		"ConnectTimeout":                      func(s *Settings) { s.ConnectTimeout = -1 },
+		"Safety.OverloadFactor":               func(s *Settings) { s.Safety.OverloadFactor = -1 },
+		"Classes[0]: MessageLatencyObjective": func(s *Settings) { s.Classes[0].MessageLatencyObjective = -1 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
-		}
+		t.Run(message, func(t *testing.T) {
+			set := settings()
+			invalidate(&set)
+			if _, err := New(set); err == nil || !strings.Contains(err.Error(), "settings: "+message) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 }
 
@@ -1243,7 +1245,7 @@
 	case 1:
 		return w.reportLoad(ServerID(step%9+1), float64(step%13)/10)
 	case 2:
-		return w.tick(2 * tick)
+		return w.tick(2 * tickInterval)
 	case 3:
 		return w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
 	default:
@@ -1273,7 +1275,7 @@
 			}
 			moved += len(actionsOf[Migrate](w.reportLoad(p.Server, load)))
 		}
-		moved += len(actionsOf[Migrate](w.tick(tick)))
+		moved += len(actionsOf[Migrate](w.tick(tickInterval)))
 	}
 	if moved == 0 {
 		t.Error("no connection was moved off the overloaded server")
@@ -1308,7 +1310,7 @@
 	if !w.b.Ejected(s) {
 		t.Error("a server that failed is not told as left out")
 	}
-	w.tick(baseEjectionTime + tick)
+	w.tick(baseEjectionTime + tickInterval)
 	if w.b.Ejected(s) {
 		t.Error("still told as left out after its time")
 	}
@@ -1352,7 +1354,7 @@
 			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
 		}
 		w.reportLoad(1, 1)
-		if n := len(actionsOf[Migrate](w.tick(tick))); n != want {
+		if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != want {
 			t.Errorf("seed %d: %d of %d clients moved off a server at 1.0, want %d", seed, n, held, want)
 		}
 	}
@@ -1375,7 +1377,7 @@
 			w.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
 		}
 		w.reportLoad(1, 1.05)
-		for _, m := range actionsOf[Migrate](w.tick(tick)) {
+		for _, m := range actionsOf[Migrate](w.tick(tickInterval)) {
 			moved[in[m.ID]]++
 		}
 	}
@@ -1395,7 +1397,7 @@
 	w := newHarness(t, settings())
 	w.replaceList(servers(1, 0))
 	w.reportLoad(1, 0.95)
-	w.b.recentEstablished = 100 // ten a second
+	w.b.throttle.recentEstablished = 100 // ten a second
 	for i := range held {
 		if n := len(actionsOf[Reject](w.request(name("r", i), idempotentClass))); n != 0 {
 			t.Fatalf("request %d of %d was refused, though 20 come to stand in its time", i, held)
@@ -1403,7 +1405,7 @@
 	}
 	w.now += 1250 * time.Millisecond
 	refused := map[RequestID]bool{}
-	for _, r := range actionsOf[Reject](w.tick(tick)) {
+	for _, r := range actionsOf[Reject](w.tick(tickInterval)) {
 		refused[r.ID] = true
 	}
 	if len(refused) == 0 || refused["r0"] || !refused[RequestID(name("r", held-1))] {
@@ -1460,15 +1462,15 @@
 		w.send(Established{ID: RequestID(name("r", i)), Server: home})
 		w.reportLoad(home, 0.3)
 	}
-	home := w.b.requests["r0"].server.ID
+	home := w.b.requests.byID["r0"].server.ID
 	w.now += migrationSettlePeriod
 	w.reportLoad(home, 1.2)
-	moves := actionsOf[Migrate](w.tick(tick))
+	moves := actionsOf[Migrate](w.tick(tickInterval))
 	if len(moves) == 0 {
 		t.Fatal("nobody was moved")
 	}
 	for _, m := range moves {
-		key := w.b.requests[m.ID].Key
+		key := w.b.requests.byID[m.ID].Key
 		w.endAttempt(string(m.ID), 0, home, Cancelled, true)
 		w.reportLoad(home, 0.3)
 		if s := ask("again-"+string(m.ID), key); s == home {
@@ -1491,7 +1493,7 @@
 	old.endAttempt("r", 0, bad, ServerError, false)
 	told := append(old.b.ExportLearned(), LearnedState{Server: 77, ConsecutiveFailures: 1, EjectedFor: time.Hour})
 	next.now += time.Second
-	next.send(TimerFired{Token: timerRetryWaiting})
+	next.send(TimerFired{Token: retryWaitingToken})
 	next.b.ImportLearned(told)
 	if !next.b.Ejected(bad) || next.b.Ejected(77) {
 		t.Error("the server that is left out is not, or an unknown one is")
@@ -1526,20 +1528,20 @@
 	if len(actionsOf[Migrate](acts)) > 0 {
 		t.Errorf("moved: %v", acts)
 	}
-	for _, r := range w.b.requests {
+	for _, r := range w.b.requests.byID {
 		if !r.established {
 			acts = append(acts, w.send(TimerFired{Token: r.timerToken})...)
 		}
 	}
-	if refused, failed := countAnswers(acts); refused+failed > 10 || failed > 0 || len(w.b.requests) != 1 {
-		t.Errorf("%d refused, %d failed, %d left of 10", refused, failed, len(w.b.requests))
+	if refused, failed := countAnswers(acts); refused+failed > 10 || failed > 0 || len(w.b.requests.byID) != 1 {
+		t.Errorf("%d refused, %d failed, %d left of 10", refused, failed, len(w.b.requests.byID))
 	}
 	w.request("y", idempotentClass)
 	if s := w.wantAttempt(w.replaceList(servers(3, 0))); s > 3 {
 		t.Errorf("placed at %d", s)
 	}
-	if w.endAttempt("s", 0, held, OK, true); len(w.b.requests) != 1 {
-		t.Errorf("%d requests left, only y wanted", len(w.b.requests))
+	if w.endAttempt("s", 0, held, OK, true); len(w.b.requests.byID) != 1 {
+		t.Errorf("%d requests left, only y wanted", len(w.b.requests.byID))
 	}
 }
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -145,10 +145,10 @@
 			if choked := f.load(a.Server) > overloadedLoad; f.failing[a.Server] || choked {
 				if choked && !f.failing[a.Server] {
 					f.setupTimeouts++
-					f.schedule(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests[a.ID].attempts - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
+					f.schedule(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests.byID[a.ID].attempts - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
 					continue
 				}
-				at := f.balancers[i].requests[a.ID].attempts - 1
+				at := f.balancers[i].requests.byID[a.ID].attempts - 1
 				f.schedule(i, f.now+simulationStep, AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport})
 				continue
 			}
@@ -202,7 +202,7 @@
 	if s.groups[group]--; s.groups[group] == 0 {
 		delete(s.groups, group)
 	}
-	if r := f.balancers[at.balancer].requests[id]; r != nil {
+	if r := f.balancers[at.balancer].requests.byID[id]; r != nil {
 		f.schedule(at.balancer, f.now+simulationStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true, Report: NoLoadReport, Attempt: r.attempts - 1})
 	}
 	return true
--- a/decide/fleetsize.go
+++ b/decide/fleetsize.go
@@ -3,31 +3,25 @@
 // fleetState is the number of balancers that the decisions go by.
 type fleetState struct {
 	FleetSize
-	fromMembership bool // the membership counts them; else it is the number of the settings
+	fromMembership bool // the cluster's membership counts it; otherwise it is the configured number
 }
 
-// ConfiguredFleetSize is the size that the settings name, where the zones are taken to have the same number of balancers each.
-func ConfiguredFleetSize(set Settings) FleetSize {
-	all := max(set.Balancers, 1)
-	return FleetSize{Fleet: all, Zone: max(1, all/max(len(set.Zones), 1)), Admitted: true}
+// ConfiguredFleetSize returns the size that the settings name. The zones are assumed to have equally many balancers.
+func ConfiguredFleetSize(settings Settings) FleetSize {
+	balancers := max(settings.Balancers, 1)
+	perZone := balancers / max(len(settings.Zones), 1)
+	return FleetSize{Fleet: balancers, Zone: max(1, perZone), Admitted: true}
 }
 
-// setFleetSize takes over what the membership counts. A spoilt number is passed over.
-func (b *Balancer) setFleetSize(ev FleetSize) {
-	if ev.Fleet < 1 || ev.Zone < 1 || ev.Fleet > MaxBalancers {
+// setFleetSize applies the size that the membership counts. An invalid one is ignored.
+func (b *Balancer) setFleetSize(event FleetSize) {
+	if event.Fleet < 1 || event.Zone < 1 || event.Fleet > MaxBalancers {
 		return
 	}
-	b.fleet = fleetState{FleetSize: ev, fromMembership: true}
+	b.fleet = fleetState{FleetSize: event, fromMembership: true}
 	b.updateThresholds()
-	b.reindexAll(b.ready) // whether a server has room depends on the margins
+	b.reindexAll(b.ready) // the lists depend on the thresholds
 }
 
-// updateThresholds makes the loads up to which a server has room. A report shows what the others of the zone have placed
-// half a second late; own placements are booked at once.
-func (b *Balancer) updateThresholds() {
-	hidden := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
-	b.capacityThreshold, b.saturationThreshold = maxLoadWithCapacity-hidden, saturationLoad-hidden/2
-}
-
-// zoneBalancers is how many balancers are taken to share the zone.
+// zoneBalancers returns the number of balancers that share the zone.
 func (b *Balancer) zoneBalancers() float64 { return float64(b.fleet.Zone) }
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -11,10 +11,10 @@
 	few.Balancers, many.Balancers = 4, 300
 	told, named := newHarness(t, few), newHarness(t, many)
 	told.send(FleetSize{Fleet: 300, Zone: 150, Admitted: true})
-	if told.b.capacityThreshold != named.b.capacityThreshold || told.b.saturationThreshold != named.b.saturationThreshold || told.b.onDemandProbeInterval() != named.b.onDemandProbeInterval() ||
+	if told.b.thresholds.capacity != named.b.thresholds.capacity || told.b.thresholds.saturation != named.b.thresholds.saturation || told.b.onDemandProbeInterval() != named.b.onDemandProbeInterval() ||
 		told.b.pollInterval() != named.b.pollInterval() || told.b.zoneBalancers() != named.b.zoneBalancers() {
-		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.capacityThreshold, told.b.saturationThreshold, told.b.onDemandProbeInterval(), told.b.pollInterval(), told.b.zoneBalancers(),
-			named.b.capacityThreshold, named.b.saturationThreshold, named.b.onDemandProbeInterval(), named.b.pollInterval(), named.b.zoneBalancers())
+		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.thresholds.capacity, told.b.thresholds.saturation, told.b.onDemandProbeInterval(), told.b.pollInterval(), told.b.zoneBalancers(),
+			named.b.thresholds.capacity, named.b.thresholds.saturation, named.b.onDemandProbeInterval(), named.b.pollInterval(), named.b.zoneBalancers())
 	}
 	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1}, {Fleet: MaxBalancers + 1, Zone: 1}} {
 		told.send(spoilt)
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -59,8 +59,8 @@
 // tick advances the clock and fires the periodic timer.
 func (w *harness) tick(d time.Duration) (acts []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += tick
-		acts = append(acts, w.send(TimerFired{Token: timerTick})...)
+		w.now += tickInterval
+		acts = append(acts, w.send(TimerFired{Token: tickToken})...)
 	}
 	return acts
 }
@@ -98,7 +98,7 @@
 	acts := w.request(id, class)
 	if len(actionsOf[StartAttempt](acts)) == 0 { // it waits for answers that do not come
 		w.now += onDemandProbeTimeout
-		acts = w.send(TimerFired{Token: timerRetryWaiting})
+		acts = w.send(TimerFired{Token: retryWaitingToken})
 	}
 	s := w.wantAttempt(acts)
 	w.send(Established{ID: RequestID(id), Server: s})
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -454,7 +454,7 @@
 		most int // servers looked at each time
 		do   func(b *Balancer, n, i int)
 	}{
-		"a tick at rest": {0, func(b *Balancer, _, _ int) { b.Handle(now, TimerFired{Token: timerTick}, nil) }},
+		"a tick at rest": {0, func(b *Balancer, _, _ int) { b.Handle(now, TimerFired{Token: tickToken}, nil) }},
 		"a change": {0, func(b *Balancer, n, i int) {
 			s := serverList(20)[i/2%20]
 			s.State = State(1 - i%2)
@@ -487,7 +487,7 @@
 			b.Handle(now, ClientDisconnected{ID: "first"}, nil)
 			before := b.visits
 			for i := range times {
-				now += tick
+				now += tickInterval
 				c.do(b, n, i)
 			}
 			if visits := b.visits - before; visits > c.most*times {
@@ -513,8 +513,8 @@
 		b := newBalancerWithList(t, affinitySettings(), n, 0)
 		now, out := 101*time.Second, make([]Action, 0, 100)
 		if allocs := testing.AllocsPerRun(100, func() {
-			now += tick
-			b.Handle(now, TimerFired{Token: timerTick}, out[:0])
+			now += tickInterval
+			b.Handle(now, TimerFired{Token: tickToken}, out[:0])
 		}); allocs > 3 { // what it asks for
 			t.Errorf("%d servers: %v allocations a tick", n, allocs)
 		}
@@ -538,11 +538,12 @@
 		"reindexAll":    "walks the servers that it is given",
 		"bootstrap":     "no server has answered for seconds",
 		"rank":          "a group that is not cached: one quick pass",
-		"pick":          "until the first eligible server; all only where none is eligible",
+		"pickPreferred": "the preferred servers of one group",
+		"pickReported":  "until the first eligible server; all only where none is eligible",
+		"pickAny":       "until the first eligible server; all only where none is eligible",
 		"ExportLearned": "once, for the replacement process",
-		"ImportLearned": "walks what it is given",
-		"apply":         "the few servers that are cached for one group",
 		"setReady":      "memory is moved, no server is looked at",
+		"apply":         "the few servers that are cached for one group",
 	}
 	walk := regexp.MustCompile(`(range|slices\.\w+\(|firstMatching\(|minimum\(|leastLoaded\(|nextInOrder\(\S+)` +
 		` ?(\w+\.)*(ready|local|remote|servers|rankingKeys|all)\b`)
--- a/decide/legal_test.go
+++ b/decide/legal_test.go
@@ -306,10 +306,10 @@
 				h.advance(5 * time.Millisecond)
 			}
 		}
-		if len(h.b.requests) > len(h.live) {
-			t.Fatalf("seed %d: %d requests held, %d live", seed, len(h.b.requests), len(h.live))
+		if len(h.b.requests.byID) > len(h.live) {
+			t.Fatalf("seed %d: %d requests held, %d live", seed, len(h.b.requests.byID), len(h.live))
 		}
-		if len(h.b.clients) > maxClientRecords || len(h.b.waiting) > len(h.b.requests) || len(h.b.localAnswers) > maxAnswers {
+		if len(h.b.clients.records) > maxClientRecords || len(h.b.requests.waiting) > len(h.b.requests.byID) || len(h.b.answers.ownZone) > maxAnswers {
 			t.Fatalf("seed %d: state beyond its bounds", seed)
 		}
 	}
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -112,7 +112,7 @@
 		settings: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
 		servers: map[ServerID]*refServer{}, requests: map[RequestID]*refRequest{}, requestsByToken: map[uint64]*refRequest{},
 		clients: map[string]refClientRecord{}, classLoads: make([]float64, len(set.Classes)+1), meanLoad: 0.5,
-		lastToken: timerRetryWaiting, dialWindow: maxDialWindow / 4,
+		lastToken: retryWaitingToken, dialWindow: maxDialWindow / 4,
 	}
 	hidden := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
 	b.crossZoneLoadGap = crossZoneCostFactor * set.Costs.CrossZone
@@ -419,7 +419,7 @@
 }
 
 func (b *refBalancer) updateEstimates() {
-	step := tick.Seconds()
+	step := tickInterval.Seconds()
 	b.establishRateSpan = min(b.establishRateSpan+step, establishRateWindow.Seconds())
 	b.establishRate += (b.establishedThisTick/step - b.establishRate) * step / b.establishRateSpan
 	fade := 1 - step/attemptDecayTime.Seconds()
@@ -441,8 +441,8 @@
 	}
 	if 2*warm >= fleet && warm > 0 {
 		now := b.establishRate * float64(max(len(b.settings.Zones), 1)) / (float64(fleet) * max(b.meanLoad, 0.5))
-		b.capacitySpan = min(b.capacitySpan+tick.Seconds(), capacityWindow.Seconds())
-		b.capacity += (now - b.capacity) * tick.Seconds() / b.capacitySpan
+		b.capacitySpan = min(b.capacitySpan+tickInterval.Seconds(), capacityWindow.Seconds())
+		b.capacity += (now - b.capacity) * tickInterval.Seconds() / b.capacitySpan
 	}
 }
 
@@ -468,7 +468,7 @@
 
 func (b *refBalancer) start() {
 	b.lastAnswerAt = b.now
-	b.emit(SetTimer{Token: timerTick, Delay: 1 + b.jitter(tick)})
+	b.emit(SetTimer{Token: tickToken, Delay: 1 + b.jitter(tickInterval)})
 	b.pollAt = b.now + b.jitter(min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval)))
 }
 
@@ -742,7 +742,7 @@
 			if b.now >= s.ejectedUntil && b.now-s.reportedAt > b.onDemandProbeInterval() && b.now-s.probedOnDemandAt > b.onDemandProbeInterval() {
 				s.probedOnDemandAt, r.notBefore = b.now, b.now+onDemandProbeTimeout
 				b.emit(Probe{Server: s.ID})
-				b.emit(SetTimer{Token: timerRetryWaiting, Delay: onDemandProbeTimeout})
+				b.emit(SetTimer{Token: retryWaitingToken, Delay: onDemandProbeTimeout})
 			}
 		}
 	}
@@ -768,7 +768,7 @@
 	if b.now >= s.slowStartQuotaUntil {
 		age := float64(b.now-s.Started) / float64(rules.SlowStartDuration)
 		part := rules.SlowStartShare + (1-rules.SlowStartShare)*age
-		span := max(rules.OverloadWindow, tick)
+		span := max(rules.OverloadWindow, tickInterval)
 		comes, sharers := b.expectedDemandFor(r, s, span), b.estimatedZoneBalancers()
 		work := max(part*b.serverCapacity()*span.Seconds(), minSlowStartConnections/max(float64(b.settings.Balancers), sharers))
 		use := comes / (1 + comes)
@@ -790,8 +790,8 @@
 }
 
 func (b *refBalancer) updateLifetime() {
-	fade := 1 - tick.Seconds()/lifetimeDecayTime.Seconds()
-	b.connectionSeconds, b.closedByClient = b.connectionSeconds*fade+float64(len(b.requests))*tick.Seconds(), b.closedByClient*fade
+	fade := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
+	b.connectionSeconds, b.closedByClient = b.connectionSeconds*fade+float64(len(b.requests))*tickInterval.Seconds(), b.closedByClient*fade
 }
 
 func (b *refBalancer) serverCapacity() float64 {
@@ -893,7 +893,7 @@
 	}
 	if ev.Code == TimedOut {
 		b.setupTime += (max(minAttemptSetups*ev.Elapsed, b.setupTime) - b.setupTime) / setupTimeSamples
-		if b.now-b.dialWindowHalvedAt > tick {
+		if b.now-b.dialWindowHalvedAt > tickInterval {
 			b.dialWindow, b.dialWindowHalvedAt = max(b.dialWindow/2, 1), b.now
 		}
 	}
@@ -995,16 +995,16 @@
 
 func (b *refBalancer) timerFired(token uint64) {
 	switch {
-	case token == timerRetryWaiting:
+	case token == retryWaitingToken:
 		b.retryWaiting()
 		return
-	case token != timerTick:
+	case token != tickToken:
 		if r := b.requestsByToken[token]; r != nil {
 			b.finish(r)
 		}
 		return
 	}
-	b.emit(SetTimer{Token: timerTick, Delay: tick})
+	b.emit(SetTimer{Token: tickToken, Delay: tickInterval})
 	b.updateEstimates()
 	if b.now >= b.pollAt {
 		b.poll()
@@ -1070,7 +1070,7 @@
 		s.probedOnDemandAt = b.now
 		b.emit(Probe{Server: s.ID})
 	}
-	b.overloadProbeCredit = min(b.overloadProbeCredit+rate*tick.Seconds(), maxProbeDebt)
+	b.overloadProbeCredit = min(b.overloadProbeCredit+rate*tickInterval.Seconds(), maxProbeDebt)
 	for _, s := range hot {
 		if s.load > b.capacityThreshold && b.now-max(s.reportedAt, s.probedOnDemandAt) >= overloadProbeInterval && b.overloadProbeCredit >= 1 {
 			s.probedOnDemandAt = b.now
@@ -1078,7 +1078,7 @@
 			b.emit(Probe{Server: s.ID})
 		}
 	}
-	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tick.Seconds(), maxAnswers)
+	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tickInterval.Seconds(), maxAnswers)
 	for ; b.probeCredit >= 1; b.probeCredit-- {
 		if b.probeCount++; b.probeCount%2 == 0 && len(away) > 0 {
 			b.emit(Probe{Server: away[b.probeCount/2%len(away)].ID})
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,79 +6,87 @@
 	"slices"
 )
 
-// MaxBalancers is how many may be told: past it the figure is a slip of the pen, and would make the poll's period days.
+// MaxBalancers is the largest number of balancers that is accepted. A larger one is a typing error, and would make the poll
+// interval days.
 const MaxBalancers = 10_000
 
-// validate names the first setting that makes no sense.
+var errNoClasses = errors.New("settings: Classes is empty")
+
+// SettingError reports a field of the settings whose value is invalid.
+type SettingError struct {
+	Field   string // Go name of the field, such as Safety.DrainGrace
+	Problem string // what is wrong, to be read after the field
+}
+
+// Error returns the field and the problem.
+func (e *SettingError) Error() string { return "settings: " + e.Field + " " + e.Problem }
+
+func invalidSetting(field, format string, values ...any) error {
+	return &SettingError{field, fmt.Sprintf(format, values...)}
+}
+
+// validate returns an error for the first field that is invalid.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return errors.New("settings: Classes is empty")
+		return errNoClasses
 	}
 	if len(s.Zones) > 0 && !slices.Contains(s.Zones, s.Zone) {
-		return fmt.Errorf("settings: Zone %q is not in Zones", s.Zone)
+		return invalidSetting("Zone", "%q is not in Zones", s.Zone)
 	}
 	if s.Balancers < 0 || s.Balancers > MaxBalancers {
-		return fmt.Errorf("settings: Balancers is %d, not from 0 to %d", s.Balancers, MaxBalancers)
+		return invalidSetting("Balancers", "is %d, not from 0 to %d", s.Balancers, MaxBalancers)
 	}
 	if s.MaxAttempts < 0 {
-		return fmt.Errorf("settings: MaxTries is %d, below 0", s.MaxAttempts)
+		return invalidSetting("MaxAttempts", "is %d, below 0", s.MaxAttempts)
 	}
 	for i := range s.Classes {
-		if err := s.Classes[i].validate(); err != nil {
-			return fmt.Errorf("settings: Classes[%d]: %w", i, err)
+		if err := s.Classes[i].validate(fmt.Sprintf("Classes[%d]: ", i)); err != nil {
+			return err
 		}
 	}
-	return s.validateFigures()
+	return s.validateRanges()
 }
 
-func (s *Settings) validateFigures() error {
-	r, p := s.Safety, s.Costs
-	for _, d := range []struct {
-		name string
-		bad  bool
+func (s *Settings) validateRanges() error {
+	safety, costs := s.Safety, s.Costs
+	for _, check := range []struct {
+		field   string
+		invalid bool
 	}{
 		{"ConnectTimeout", s.ConnectTimeout < 0},
 		{"MaxRetryAfter", s.MaxRetryAfter < 0},
-		{"Rules.DrainGrace", r.DrainGrace < 0},
-		{"Rules.MustAsk", r.MaxPollInterval < 0},
-		{"Rules.ColdShare", !(r.SlowStartShare >= 0 && r.SlowStartShare <= 1)},
-		{"Rules.Cold", r.SlowStartDuration < 0},
-		{"Rules.FallMultiple", !(r.OverloadFactor >= 0)},
-		{"Rules.Fall", r.OverloadWindow < 0},
-		{"Prices.Probe", !(p.Probe >= 0)},
-		{"Prices.Move", !(p.Migration >= 0)},
-		{"Prices.CrossZone", !(p.CrossZone >= 0)},
+		{"Safety.DrainGrace", safety.DrainGrace < 0},
+		{"Safety.MaxPollInterval", safety.MaxPollInterval < 0},
+		{"Safety.SlowStartShare", !(safety.SlowStartShare >= 0 && safety.SlowStartShare <= 1)}, // not NaN either
+		{"Safety.SlowStartDuration", safety.SlowStartDuration < 0},
+		{"Safety.OverloadFactor", !(safety.OverloadFactor >= 0)},
+		{"Safety.OverloadWindow", safety.OverloadWindow < 0},
+		{"Costs.Probe", !(costs.Probe >= 0)},
+		{"Costs.Migration", !(costs.Migration >= 0)},
+		{"Costs.CrossZone", !(costs.CrossZone >= 0)},
 	} {
-		if d.bad {
-			return fmt.Errorf("settings: %s is out of range", d.name)
+		if check.invalid {
+			return invalidSetting(check.field, "is out of range")
 		}
 	}
 	return nil
 }
 
-// invalidFieldError names a field of a class whose value is faulty, and says why.
-type invalidFieldError struct{ field, problem string }
-
-func (e invalidFieldError) Error() string { return e.field + " " + e.problem }
-
-func invalidField(field, problem string, values ...any) error {
-	return invalidFieldError{field, fmt.Sprintf(problem, values...)}
-}
-
-func (c *Class) validate() error {
+// validate returns an error for the first invalid field of a class, whose name follows the prefix.
+func (c *Class) validate(prefix string) error {
 	switch {
 	case c.LatencyObjective <= 0:
-		return invalidField("Aim", "is %v, must be above 0", c.LatencyObjective)
+		return invalidSetting(prefix+"LatencyObjective", "is %v, must be above 0", c.LatencyObjective)
 	case c.MessageLatencyObjective < 0:
-		return invalidField("MessageAim", "is %v, below 0", c.MessageLatencyObjective)
+		return invalidSetting(prefix+"MessageLatencyObjective", "is %v, below 0", c.MessageLatencyObjective)
 	case c.ClientTimeout < 0:
-		return invalidField("GiveUp", "is %v, below 0", c.ClientTimeout)
+		return invalidSetting(prefix+"ClientTimeout", "is %v, below 0", c.ClientTimeout)
 	case c.Idempotency > NotIdempotent:
-		return invalidField("Repeat", "is %d, not a known kind", c.Idempotency)
+		return invalidSetting(prefix+"Idempotency", "is %d, not a known kind", c.Idempotency)
 	case c.KeyScope > ScopeCell:
-		return invalidField("Scope", "is %d, not a known one", c.KeyScope)
+		return invalidSetting(prefix+"KeyScope", "is %d, not a known one", c.KeyScope)
 	case c.DedupWindow < 0:
-		return invalidField("Window", "is %v, below 0", c.DedupWindow)
+		return invalidSetting(prefix+"DedupWindow", "is %v, below 0", c.DedupWindow)
 	}
 	return nil
 }
--- a/decide/cold_test.go
+++ b/decide/slowstart_test.go
@@ -47,21 +47,21 @@
 // Guards cold servers where connections stand far longer than the usual ones: a server that holds many takes few a second.
 func TestLifeOfConnectionsIsLearned(t *testing.T) {
 	w := newReportingHarness(t, 1, 10, 100)
-	if got := w.b.meanLifetime(); got != defaultLifetime.Seconds() {
+	if got := w.b.lifetime.meanSeconds(); got != defaultLifetime.Seconds() {
 		t.Errorf("%.0f s before any has left", got)
 	}
 	w.tick(30 * time.Second)
 	for i := range 10 { // one in ten within 30 s: 300 s
 		w.endAttempt(name("o", i), 0, ServerID(i%10+1), OK, true)
 	}
-	if got := w.b.meanLifetime(); math.Abs(got-300) > 40 {
+	if got := w.b.lifetime.meanSeconds(); math.Abs(got-300) > 40 {
 		t.Errorf("%.0f s, of which one in ten left in 30 s", got)
 	}
-	before := w.b.meanLifetime()
+	before := w.b.lifetime.meanSeconds()
 	for i := range 10 { // cut off
 		w.endAttempt(name("o", 10+i), 0, ServerID(i%10+1), Reset, true)
 	}
-	if got := w.b.meanLifetime(); got != before {
+	if got := w.b.lifetime.meanSeconds(); got != before {
 		t.Errorf("%.0f s, %.0f before some were cut off", got, before)
 	}
 }
@@ -69,11 +69,11 @@
 // Guards cold servers after an outage: a rate at which all clients came within seconds says nothing of what a server takes.
 func TestStormTellsNothingOfWhatAServerTakes(t *testing.T) {
 	w := newReportingHarness(t, 1, 10, 100)
-	w.b.capacity = 50
+	w.b.capacity.perSecond = 50
 	if got := w.b.serverCapacity(); math.Abs(got-100.0/(30*10*0.5)) > 0.1 {
 		t.Errorf("%.2f connections a second, 100 stand for 30 s at 10 servers half full", got)
 	}
-	w.b.capacity = 0.1
+	w.b.capacity.perSecond = 0.1
 	if got := w.b.serverCapacity(); got != 0.1 {
 		t.Errorf("%.2f a second where the rate of late tells less", got)
 	}
