--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts decision instances for the bench: batches of events on
-// standard input, one reply to each on standard output.
+// Command adapter runs balancers for the simulator: it reads batches of events on standard input and writes one reply to
+// each on standard output. It exits with status 1 and one line on standard error when the input is invalid.
 package main
 
 import (
@@ -22,50 +22,50 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(in)
-	h := &host{enc: simwire.NewEncoder(out), balancers: map[int]*decide.Balancer{}}
+	decoder := simwire.NewDecoder(in)
+	h := &host{encoder: simwire.NewEncoder(out), balancers: map[int]*decide.Balancer{}}
 	for {
-		seq, err := dec.Batch(h)
+		batch, err := decoder.Batch(h)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.enc.End(seq); err != nil {
+		if err := h.encoder.End(batch); err != nil {
 			return err
 		}
 	}
 }
 
-// host keeps one Balancer an instance; nothing is shared between them.
+// host holds one Balancer for each instance; nothing is shared between them.
 type host struct {
-	enc       *simwire.Encoder
+	encoder   *simwire.Encoder
 	balancers map[int]*decide.Balancer
-	actions   []decide.Action
+	actions   []decide.Action // buffer of the actions of one event
 }
 
-// Create starts an instance anew.
-func (h *host) Create(who int, now time.Duration, settings decide.Settings) error {
+// Create starts an instance, or starts it again without its earlier state.
+func (h *host) Create(instance int, now time.Duration, settings decide.Settings) error {
 	b, err := decide.New(settings)
 	if err != nil {
-		return fmt.Errorf("instance %d: %w", who, err)
+		return fmt.Errorf("instance %d: %w", instance, err)
 	}
-	h.balancers[who] = b
-	return h.Event(who, now, decide.Started{})
+	h.balancers[instance] = b
+	return h.Event(instance, now, decide.Started{})
 }
 
-// Halt discards what an instance held.
-func (h *host) Halt(who int) error {
-	delete(h.balancers, who)
+// Halt discards the state of an instance.
+func (h *host) Halt(instance int) error {
+	delete(h.balancers, instance)
 	return nil
 }
 
-// Event lets the instance act.
-func (h *host) Event(who int, now time.Duration, ev decide.Event) error {
-	h.actions = h.balancers[who].Handle(now, ev, h.actions[:0])
-	for _, a := range h.actions {
-		if err := h.enc.Action(who, a); err != nil {
+// Event lets an instance handle an event, and writes its actions.
+func (h *host) Event(instance int, now time.Duration, event decide.Event) error {
+	h.actions = h.balancers[instance].Handle(now, event, h.actions[:0])
+	for _, action := range h.actions {
+		if err := h.encoder.Action(instance, action); err != nil {
 			return err
 		}
 	}
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,7 +1,7 @@
 package decide
 
-// Admission: which requests wait for capacity, and when load is shed. The evidence is the number of waiting requests and
-// how many connections were established recently.
+// Admission: which requests wait for capacity, and when load is shed. The evidence is the number of waiting requests
+// and how many connections were established recently.
 
 import "time"
 
@@ -12,8 +12,9 @@
 	minQueueLength = 4
 )
 
-// wouldExpireWaiting reports whether more requests wait before r than connections are established, at the recent rate,
-// before its deadline. It is rejected at once then: otherwise a burst of clients waits in vain and returns to wait again.
+// wouldExpireWaiting reports whether more requests wait before r than connections are established, at the recent
+// rate, before its deadline. It is rejected at once then: otherwise a burst of clients waits in vain and returns to
+// wait again.
 func (b *Balancer) wouldExpireWaiting(r *request, waitingBefore int) bool {
 	perSecond := b.throttle.recentEstablished / attemptDecayTime.Seconds()
 	return float64(waitingBefore) > max(minQueueLength, perSecond*(r.deadline-b.now).Seconds())
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -1,8 +1,8 @@
 package decide
 
-// Affinity: connections of one group share work on their server, so they are kept together on few servers. The group's
-// preferred servers in a zone come first by rendezvous hashing on the group's name, weighted by the servers' sizes, and
-// are the same at all balancers.
+// Affinity: connections of one group share work on their server, so they are kept together on few servers. The
+// group's preferred servers in a zone come first by rendezvous hashing on the group's name, weighted by the servers'
+// sizes, and are the same at all balancers.
 
 import (
 	"cmp"
@@ -11,13 +11,14 @@
 )
 
 const (
-	// maxPreferredServers is the number of preferred servers of a group in a zone, which is at most half of the zone's.
+	// maxPreferredServers is the number of preferred servers of a group in a zone, which is at most half of the
+	// zone's.
 	maxPreferredServers = 3
-	// groupOpeningConnections is the reserved cost of the first connection of a group at a server, in connections. The
-	// server pays three for a group while it has any of it.
+	// groupOpeningConnections is the reserved cost of the first connection of a group at a server, in connections.
+	// The server pays three for a group while it has any of it.
 	groupOpeningConnections = 5.0
-	// maxGroupOpeningLoad bounds that cost. By the few connections that a balancer has just after its start, one looks
-	// several times too expensive, and its clients would wait while servers have capacity.
+	// maxGroupOpeningLoad bounds that cost. By the few connections that a balancer has just after its start, one
+	// looks several times too expensive, and its clients would wait while servers have capacity.
 	maxGroupOpeningLoad = 0.2
 )
 
@@ -52,7 +53,8 @@
 }
 
 // groupOpeningLoad returns the load that a request adds to a server by being the first of its group there, as far as
-// this balancer knows. Where other balancers share the zone, one of them most likely has connections of the group there.
+// this balancer knows. Where other balancers share the zone, one of them most likely has connections of the group
+// there.
 func (b *Balancer) groupOpeningLoad(r *request, s *server) float64 {
 	load, guess := b.connectionLoad(s)
 	sameGroup := func(x reservation) bool { return x.request.Group == r.Group }
--- a/decide/affinity_fleet_test.go
+++ b/decide/affinity_fleet_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A topic whose listeners are more than its homes bear: a tenth of a fleet's connections in one group, beside others in groups of
-// four. Its listeners stand at its homes, three in each of the two zones, and at no other server; these are not overloaded, and
-// what they can't take is refused although the rest of the fleet has room. That is the limit of three homes; docs/CAPACITY.md
-// tells what it means at full size.
+// A topic whose listeners are more than its homes bear: a tenth of a fleet's connections in one group, beside others
+// in groups of four. Its listeners stand at its homes, three in each of the two zones, and at no other server; these
+// are not overloaded, and what they can't take is refused although the rest of the fleet has room. That is the limit
+// of three homes; docs/CAPACITY.md tells what it means at full size.
 func TestLargestTopicStaysAtItsHomes(t *testing.T) {
 	const each, capacity = 30, 100.0 // servers of a zone, connections that one bears
 	for _, usual := range []float64{0.2, 0.4} {
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// connectionEnded learns from the end of an established connection. The client is kept off a server that it lost or was
-// migrated off; one whose connection was withdrawn, as its packets come to another balancer now, is found again.
+// connectionEnded learns from the end of an established connection. The client is kept off a server that it lost or
+// was migrated off; one whose connection was withdrawn, as its packets come to another balancer now, is found again.
 func (b *Balancer) connectionEnded(r *request, code Code) {
 	avoid := code == Reset || r.migrated
 	if avoid {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -940,8 +940,8 @@
 	}
 }
 
-// A server pays for a group that it opens as for several connections. Guards against a crowd that opens its groups at every
-// home that shows room for one connection, until a third of the fleet's work is for groups.
+// A server pays for a group that it opens as for several connections. Guards against a crowd that opens its groups at
+// every home that shows room for one connection, until a third of the fleet's work is for groups.
 func TestOpeningAGroupIsPriced(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
@@ -966,8 +966,8 @@
 	}
 }
 
-// A group is opened once: what comes while the first of it is being set up is booked for itself. And what few reports tell
-// of a usual connection is a guess, which prices nothing. Guards a whole group that a drain sends away at once.
+// A group is opened once: what comes while the first of it is being set up is booked for itself. And what few reports
+// tell of a usual connection is a guess, which prices nothing. Guards a whole group that a drain sends away at once.
 func TestAGroupIsOpenedOnce(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
@@ -1056,8 +1056,9 @@
 	}
 }
 
-// Guards against a balancer that holds a whole crowd back for seconds before an empty server, because others turned it
-// away shortly before: what never ran cost nothing that all servers share. Attempts that may have run do hold it back.
+// Guards against a balancer that holds a whole crowd back for seconds before an empty server, because others turned
+// it away shortly before: what never ran cost nothing that all servers share. Attempts that may have run do hold it
+// back.
 func TestTurnedAwayHoldsNobodyBack(t *testing.T) {
 	for _, c := range []struct {
 		code Code
@@ -1316,8 +1317,8 @@
 	}
 }
 
-// Bookings are forgotten one by one, each when reports must show it. Guards against a server that looks full, and keeps
-// requests waiting beside its room, for as long as it is sent a client now and then.
+// Bookings are forgotten one by one, each when reports must show it. Guards against a server that looks full, and
+// keeps requests waiting beside its room, for as long as it is sent a client now and then.
 func TestBookingsExpireOneByOne(t *testing.T) {
 	set := settings()
 	set.Balancers = 1
@@ -1341,8 +1342,8 @@
 	}
 }
 
-// An overloaded server's part of the clients is moved at each turn, give or take one. Guards against draws that move none
-// of a few, after which all of them are served badly until the next turn.
+// An overloaded server's part of the clients is moved at each turn, give or take one. Guards against draws that move
+// none of a few, after which all of them are served badly until the next turn.
 func TestRebalanceMovesItsPartOfAFew(t *testing.T) {
 	const held, want = 8, 2 // as moveTarget leaves 0.75 of them
 	for seed := range uint64(30) {
@@ -1360,8 +1361,8 @@
 	}
 }
 
-// All balancers move the same groups off an overloaded server, those that are least at home there. Guards against moves
-// that thin out every group a little, after which the server still pays for each of them.
+// All balancers move the same groups off an overloaded server, those that are least at home there. Guards against
+// moves that thin out every group a little, after which the server still pays for each of them.
 func TestMovesTakeTheSameGroupsEverywhere(t *testing.T) {
 	const groupsHeld, each = 6, 2
 	moved := map[string]int{}
@@ -1424,8 +1425,8 @@
 	}
 }
 
-// Guards against a group's first server that many balancers fill up between two reports, as each books its own placements
-// only: the more of them share a zone, the sooner the next server is taken.
+// Guards against a group's first server that many balancers fill up between two reports, as each books its own
+// placements only: the more of them share a zone, the sooner the next server is taken.
 func TestRoomIsLessWhereOthersPlaceUnseen(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
@@ -1446,8 +1447,8 @@
 	}
 }
 
-// A client that was moved off an overloaded server does not come straight back to it, though it is its group's first and
-// looks lighter while the client is away. Guards against moves that cost the clients a break and change nothing.
+// A client that was moved off an overloaded server does not come straight back to it, though it is its group's first
+// and looks lighter while the client is away. Guards against moves that cost the clients a break and change nothing.
 func TestMovedClientsDoNotComeStraightBack(t *testing.T) {
 	w := newHarness(t, settings())
 	w.replaceList(servers(4, 0))
@@ -1479,8 +1480,9 @@
 	}
 }
 
-// What one balancer has learned of a server holds at the one that takes over: a server that is left out stays out, though
-// it looks empty, and a fresh report counts. What is told of unknown servers, or makes no sense, changes nothing.
+// What one balancer has learned of a server holds at the one that takes over: a server that is left out stays out,
+// though it looks empty, and a fresh report counts. What is told of unknown servers, or makes no sense, changes
+// nothing.
 func TestLearnedIsTakenOver(t *testing.T) {
 	old, next := newHarness(t, settings()), newHarness(t, settings())
 	for _, w := range []*harness{old, next} {
@@ -1514,8 +1516,8 @@
 	}
 }
 
-// Guards against a discovery that comes back empty: all is gone then, so nothing is sent, each request has its one answer
-// in its time, and what stands is neither moved nor forgotten. The list that comes next is used at once.
+// Guards against a discovery that comes back empty: all is gone then, so nothing is sent, each request has its one
+// answer in its time, and what stands is neither moved nor forgotten. The list that comes next is used at once.
 func TestEmptyList(t *testing.T) {
 	w := newHarness(t, settings())
 	w.replaceList(servers(3, 0))
@@ -1584,8 +1586,8 @@
 	}
 }
 
-// A booking ends with its connection. Guards against a server that looks full by clients that have long left it: it is
-// asked for nothing, so that no report tells.
+// A booking ends with its connection. Guards against a server that looks full by clients that have long left it: it
+// is asked for nothing, so that no report tells.
 func TestBookingsEndWithTheirConnections(t *testing.T) {
 	w := newHarness(t, settings())
 	w.replaceList(servers(1, 0))
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -1,7 +1,8 @@
 package decide
 
-// Discovery polling: when the endpoint list is asked for, how its updates are applied, and what is done when no server
-// answers any more. The evidence is the outcome of the calls to discovery and of the attempts and probes at servers.
+// Discovery polling: when the endpoint list is asked for, how its updates are applied, and what is done when no
+// server answers any more. The evidence is the outcome of the calls to discovery and of the attempts and probes at
+// servers.
 
 import (
 	"cmp"
@@ -42,8 +43,8 @@
 // recordAnswer notes that some server answers.
 func (l *liveness) recordAnswer(now time.Duration) { l.lastAnswerAt, l.failing = now, false }
 
-// scheduleFirstPoll spreads the first polls of balancers that start together. The restored list may be out of date: the
-// changes since then count as notified soon, whether the balancer has polled or not.
+// scheduleFirstPoll spreads the first polls of balancers that start together. The restored list may be out of date:
+// the changes since then count as notified soon, whether the balancer has polled or not.
 func (b *Balancer) scheduleFirstPoll() {
 	limit := min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval))
 	b.discovery.pollAt = b.now + b.jitter(limit)
@@ -120,8 +121,8 @@
 	return s
 }
 
-// recordTransportFailure starts the bootstrap timeout, or bootstraps once it is over. A server that answers with an error
-// is alive.
+// recordTransportFailure starts the bootstrap timeout, or bootstraps once it is over. A server that answers with an
+// error is alive.
 func (b *Balancer) recordTransportFailure(code Code) {
 	if code == ServerError || !b.liveness.failing {
 		b.liveness = liveness{lastAnswerAt: b.now, failing: code != ServerError}
@@ -130,8 +131,8 @@
 	}
 }
 
-// bootstrap clears what is known of the servers when none of them answers, and fetches a new list. Until it comes, the
-// ready servers of the last list are tried again, without their ejections and reports.
+// bootstrap clears what is known of the servers when none of them answers, and fetches a new list. Until it comes,
+// the ready servers of the last list are tried again, without their ejections and reports.
 func (b *Balancer) bootstrap() {
 	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.liveness.lastAnswerAt)})
 	b.liveness.recordAnswer(b.now)
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -1,7 +1,7 @@
 package decide
 
-// Outlier ejection: a server that fails, times out or breaks connections gets nothing new for a while. The evidence is the
-// outcome of attempts and probes.
+// Outlier ejection: a server that fails, times out or breaks connections gets nothing new for a while. The evidence
+// is the outcome of attempts and probes.
 
 import "time"
 
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -154,10 +154,11 @@
 	b.updateCapacity()
 }
 
-// updateCapacity estimates the capacity of a warm server from the balancer's own rate, as if all balancers had the same:
-// the rate over the servers of the fleet, scaled up to full load. The fleet counts the servers that were listed recently
-// and are warm, removed ones too, since their clients come to the others. While most of the fleet is lost, the estimate
-// stays as it was. It changes slowly, as a burst of reconnecting clients does not show what a server can accept.
+// updateCapacity estimates the capacity of a warm server from the balancer's own rate, as if all balancers had the
+// same: the rate over the servers of the fleet, scaled up to full load. The fleet counts the servers that were listed
+// recently and are warm, removed ones too, since their clients come to the others. While most of the fleet is lost,
+// the estimate stays as it was. It changes slowly, as a burst of reconnecting clients does not show what a server can
+// accept.
 func (b *Balancer) updateCapacity() {
 	warming := b.warmingCount()
 	warm, fleet := len(b.ready)-warming, len(b.servers)-warming
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// fleetSimulation runs many balancers against one small set of servers, whose loads are what all of them together send:
-// one unit a connection and groupLoad for each group that a server holds any of. Reports are fleetLag
-// old. Connections stand until they are moved; a client that was moved comes again through the front, to any balancer.
+// fleetSimulation runs many balancers against one small set of servers, whose loads are what all of them together
+// send: one unit a connection and groupLoad for each group that a server holds any of. Reports are fleetLag old.
+// Connections stand until they are moved; a client that was moved comes again through the front, to any balancer.
 type fleetSimulation struct {
 	now             time.Duration
 	rng             *rand.Rand
@@ -252,8 +252,9 @@
 	}
 }
 
-// startWarming lists n servers that start now, from id on, and gives the connections that one of them bears within the
-// fall time, in the mean of its first seconds. Life is taken as usualLife: 26 connections are 26/30 of one a second.
+// startWarming lists n servers that start now, from id on, and gives the connections that one of them bears within
+// the fall time, in the mean of its first seconds. Life is taken as usualLife: 26 connections are 26/30 of one a
+// second.
 func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (bears float64) {
 	for end := id + ServerID(n); id < end; id++ {
 		f.list = append(f.list, Server{ID: id, Zone: "a", Started: f.now})
@@ -332,7 +333,8 @@
 	}
 }
 
-// Guards against a fleet that holds a crowd until its time is up though it cannot serve it, and has it back the next moment.
+// Guards against a fleet that holds a crowd until its time is up though it cannot serve it, and has it back the next
+// moment.
 func TestCrowdBeyondTheRoomIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleetSimulation(t, fleetSettings(), 3, servers(9, 0), 26)
@@ -433,8 +435,8 @@
 
 var fleetSizes = []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}}
 
-// Guards cold servers against what comes when a third of the fleet is replaced: the clients of those that drain come back
-// within a second, through all balancers.
+// Guards cold servers against what comes when a third of the fleet is replaced: the clients of those that drain come
+// back within a second, through all balancers.
 func TestColdServersWhileOthersDrain(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
@@ -454,8 +456,8 @@
 	}
 }
 
-// Guards against the herd: a fleet short of room, in which many hold requests, gets one empty server, which each balancer
-// sees for itself, while a full one sends its clients away.
+// Guards against the herd: a fleet short of room, in which many hold requests, gets one empty server, which each
+// balancer sees for itself, while a full one sends its clients away.
 func TestOneFreshServerIsNoHerdsGoal(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
@@ -480,8 +482,8 @@
 	}
 }
 
-// Guards against moves that add up: each balancer sees the overload by itself, moves its part, and must not move another
-// before a report can show what all of them have moved.
+// Guards against moves that add up: each balancer sees the overload by itself, moves its part, and must not move
+// another before a report can show what all of them have moved.
 func TestMovesOfManyTakeWhatIsTooMuch(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
@@ -510,8 +512,8 @@
 // probes say that it is well.
 func TestManyLearnThatAServerFails(t *testing.T) {
 	t.Parallel()
-	// Three see twenty requests each and try four times, as a time out doubles from 4 s. Most of 300 see one or two, which
-	// no memory of their own can help: balancers share nothing.
+	// Three see twenty requests each and try four times, as a time out doubles from 4 s. Most of 300 see one or two,
+	// which no memory of their own can help: balancers share nothing.
 	most := map[int]int{3: 12, 80: 48, 300: 60}
 	for _, c := range fleetSizes {
 		f, groups := establishedFleet(t, c.n, c.old, 0.4)
@@ -533,7 +535,8 @@
 	return slices.MaxFunc(f.list, func(x, y Server) int { return f.servers[x.ID].connections - f.servers[y.ID].connections }).ID
 }
 
-// leastLoadedServer lists one more server, empty and warm: of a hundred ids the one at which most groups are first at home.
+// leastLoadedServer lists one more server, empty and warm: of a hundred ids the one at which most groups are first at
+// home.
 func (f *fleetSimulation) leastLoadedServer(groups []string) (best ServerID) {
 	firsts := map[ServerID]int{}
 	for _, g := range groups {
@@ -593,9 +596,10 @@
 	return float64(sum) / float64(d/look)
 }
 
-// Guards against a fleet that was pushed over and stays there. Half of the servers fail for 12 s, under more clients than all
-// of them bear, before a store that all share; clients come again by themselves, and a server over its capacity sets up
-// nothing in time. What holds such a fleet down is the cost of groups that were opened everywhere meanwhile.
+// Guards against a fleet that was pushed over and stays there. Half of the servers fail for 12 s, under more clients
+// than all of them bear, before a store that all share; clients come again by themselves, and a server over its
+// capacity sets up nothing in time. What holds such a fleet down is the cost of groups that were opened everywhere
+// meanwhile.
 func TestFleetComesBack(t *testing.T) {
 	t.Parallel()
 	var zipf []string // the n-th of eight groups has a n-th of the first one's clients
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,8 +1,8 @@
 package decide
 
-// The index of servers: lists that are kept in the cache order as servers come, go and change, so that no tick, change or
-// request walks the whole list, except for the request of a group that is not cached. Each list holds what a walk over all
-// servers would find. Nothing is decided here.
+// The index of servers: lists that are kept in the cache order as servers come, go and change, so that no tick,
+// change or request walks the whole list, except for the request of a group that is not cached. Each list holds what
+// a walk over all servers would find. Nothing is decided here.
 
 import (
 	"cmp"
@@ -14,12 +14,12 @@
 )
 
 const (
-	// rebuildMinChanges and rebuildListFraction: the lists are rebuilt when more servers than the first, plus the list's
-	// length divided by the second, have changed at once.
+	// rebuildMinChanges and rebuildListFraction: the lists are rebuilt when more servers than the first, plus the
+	// list's length divided by the second, have changed at once.
 	rebuildMinChanges   = 32
 	rebuildListFraction = 64
-	// loadUnitsPerOne is the number of units that a load of 1 is summed in. Sums of whole units do not depend on the order
-	// in which reports came.
+	// loadUnitsPerOne is the number of units that a load of 1 is summed in. Sums of whole units do not depend on the
+	// order in which reports came.
 	loadUnitsPerOne = 1 << 40
 	// connectionUnitsPerOne is the number of units that a connection is summed in.
 	connectionUnitsPerOne = 1 << 28
@@ -298,8 +298,8 @@
 	}
 	b.localZone, b.remoteZone = &b.zones[0], &b.zones[1]
 	if len(b.localZone.ready) == 0 {
-		// A zone without a ready server uses the others as its own. Otherwise each of its groups would be scattered over
-		// them, without a probe.
+		// A zone without a ready server uses the others as its own. Otherwise each of its groups would be scattered
+		// over them, without a probe.
 		b.localZone, b.remoteZone = b.remoteZone, b.localZone
 	}
 	b.local, b.remote = b.localZone.ready, b.remoteZone.ready
@@ -353,14 +353,14 @@
 	return len(b.zones[0].warming) + len(b.zones[1].warming)
 }
 
-// meanLoadPerConnection returns the mean load of one connection at the warm servers, as their reports show it; 0 when none
-// does.
+// meanLoadPerConnection returns the mean load of one connection at the warm servers, as their reports show it; 0 when
+// none does.
 func (b *Balancer) meanLoadPerConnection() float64 {
 	return float64(b.loadUnitsSum) / loadUnitsPerOne / float64(max(b.loadUnitsCount, 1))
 }
 
-// nextInOrder returns the first matching server of a list, from where the last walk ended, or nil. It looks only at the
-// candidates, which are some of the list in the same order.
+// nextInOrder returns the first matching server of a list, from where the last walk ended, or nil. It looks only at
+// the candidates, which are some of the list in the same order.
 func (b *Balancer) nextInOrder(list []*server, candidates orderedServers, matches func(*server) bool) *server {
 	if len(candidates) == 0 {
 		return nil
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// comparison drives the present Balancer and the one that walks all servers with the same events, and compares every action.
+// comparison drives the present Balancer and the one that walks all servers with the same events, and compares every
+// action.
 type comparison struct {
 	t           *testing.T
 	rng         *rand.Rand
@@ -394,8 +395,8 @@
 	}
 }
 
-// A group's servers are those that a look at all would give, whatever the weights, as servers come and go: few between two
-// requests, or more than are noted.
+// A group's servers are those that a look at all would give, whatever the weights, as servers come and go: few
+// between two requests, or more than are noted.
 func TestHomesAreThoseOfTheOldWay(t *testing.T) {
 	weights := map[string]func(rng *rand.Rand) float64{
 		"equal": func(*rand.Rand) float64 { return 0 },
@@ -445,8 +446,8 @@
 	}
 }
 
-// Neither a tick, a change, nor a request looks at more servers where the list is longer, nor allocates more; a group that
-// is new costs one quick pass.
+// Neither a tick, a change, nor a request looks at more servers where the list is longer, nor allocates more; a group
+// that is new costs one quick pass.
 func TestCostDoesNotGrowWithTheList(t *testing.T) {
 	const times = 200
 	now := 101 * time.Second
@@ -578,8 +579,8 @@
 	}
 }
 
-// Records of servers that are gone, and of those that no list has named, are dropped a while later, at a list that need not
-// tell of them; those that are back, or hold connections, are kept.
+// Records of servers that are gone, and of those that no list has named, are dropped a while later, at a list that
+// need not tell of them; those that are back, or hold connections, are kept.
 func TestRecordsOfGoneServersAreDropped(t *testing.T) {
 	w := newHarness(t, settings())
 	w.replaceList(servers(40, 0))
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -34,8 +34,8 @@
 	return states
 }
 
-// ImportLearned applies what the previous process has learned; it is called at the start. A server that fails looks idle,
-// and without this all clients that come over would try it again. Invalid values are ignored.
+// ImportLearned applies what the previous process has learned; it is called at the start. A server that fails looks
+// idle, and without this all clients that come over would try it again. Invalid values are ignored.
 func (b *Balancer) ImportLearned(states []LearnedState) {
 	for _, state := range states {
 		if s := b.servers[state.Server]; s != nil {
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -1,8 +1,8 @@
 package decide
 
 // Migration: connections are moved off a server that is overloaded, and so serves all of its connections badly. The
-// evidence is its load report, and for a lower bound, clients' reports of slow messages there. Every balancer moves the same
-// fraction of its own connections, so that all together move the excess.
+// evidence is its load report, and for a lower bound, clients' reports of slow messages there. Every balancer moves
+// the same fraction of its own connections, so that all together move the excess.
 
 import (
 	"cmp"
@@ -34,8 +34,8 @@
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
 
-// migrateExcess rounds the number of connections by chance. Drawing each connection by itself would often migrate none of
-// a few until the next round.
+// migrateExcess rounds the number of connections by chance. Drawing each connection by itself would often migrate
+// none of a few until the next round.
 func (b *Balancer) migrateExcess(s *server) {
 	s.migratedAt = b.now
 	count := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
@@ -46,8 +46,8 @@
 }
 
 // migrationOrder orders the connections of a server for migration: first those of groups that have fewest connections
-// there, as far as is known, then those of the groups that prefer the server least. The order is equal at all balancers,
-// so the server stops paying for these groups.
+// there, as far as is known, then those of the groups that prefer the server least. The order is equal at all
+// balancers, so the server stops paying for these groups.
 func (b *Balancer) migrationOrder(s *server) []*request {
 	connections := slices.Clone(s.connections)
 	b.rng.Shuffle(len(connections), func(i, j int) {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,9 +1,9 @@
 package decide
 
-// Placement: the server of a request's next attempt. The evidence is the load reports of the servers, newest first, the
-// reservations made since, ejections, slow-start quotas and what the request's idempotency allows. The order of choice:
-// the server of a connection in mid-flow, the group's preferred servers, the least loaded server with a recent report,
-// servers that warm up, other zones, and at last any server in the cache order.
+// Placement: the server of a request's next attempt. The evidence is the load reports of the servers, newest first,
+// the reservations made since, ejections, slow-start quotas and what the request's idempotency allows. The order of
+// choice: the server of a connection in mid-flow, the group's preferred servers, the least loaded server with a
+// recent report, servers that warm up, other zones, and at last any server in the cache order.
 
 import (
 	"cmp"
@@ -17,14 +17,15 @@
 	maxLoadWithCapacity = 0.7
 	// saturationLoad is the load above which a server gets no new connections.
 	saturationLoad = 0.8
-	// unreportedLoadMargin is taken off maxLoadWithCapacity, and half of it off saturationLoad, for what other balancers
-	// have placed and no report shows yet.
+	// unreportedLoadMargin is taken off maxLoadWithCapacity, and half of it off saturationLoad, for what other
+	// balancers have placed and no report shows yet.
 	unreportedLoadMargin = 0.1
 )
 
 const (
-	// crossZoneCostFactor makes a load of the cost of crossing zones, which is a part of a request's value: a server in
-	// another zone must be lighter by as much as the crossing costs, and a quarter more for the error of the two reports.
+	// crossZoneCostFactor makes a load of the cost of crossing zones, which is a part of a request's value: a server
+	// in another zone must be lighter by as much as the crossing costs, and a quarter more for the error of the two
+	// reports.
 	crossZoneCostFactor = 1.25
 	// maxReportAge is the age at which a report no longer counts.
 	maxReportAge = 10 * time.Second
@@ -45,8 +46,8 @@
 	crossZoneGap float64 // by which a server of another zone must be lighter than the best of the own zone
 }
 
-// updateThresholds computes the thresholds. A report shows what the other balancers of the zone have placed half a second
-// late; the balancer's own placements are reserved at once.
+// updateThresholds computes the thresholds. A report shows what the other balancers of the zone have placed half a
+// second late; the balancer's own placements are reserved at once.
 func (b *Balancer) updateThresholds() {
 	margin := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
 	b.thresholds = loadThresholds{
@@ -78,8 +79,8 @@
 	return spilled || b.zoneLoad.mean > b.thresholds.capacity
 }
 
-// place starts the next attempt of a request, lets it wait, or finishes it. The number of requests that wait before it
-// decides whether waiting makes sense.
+// place starts the next attempt of a request, lets it wait, or finishes it. The number of requests that wait before
+// it decides whether waiting makes sense.
 func (b *Balancer) place(r *request, waitingBefore int) {
 	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
 		b.finish(r)
@@ -109,15 +110,15 @@
 	r.server, r.inFlight = s, true
 	b.throttle.dialing++
 	r.attempts++
-	r.triedServers = append(r.triedServers, s.ID)
+	r.attemptedServers = append(r.attemptedServers, s.ID)
 	if r.executedOn == nil {
 		r.firstSentAt = b.now
 	}
 	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
-// attemptTimeout leaves time for the attempts that remain, unless set-ups take long everywhere, as with a slow session
-// store: another server would not be quicker then, and the store would do the work twice.
+// attemptTimeout leaves time for the attempts that remain, unless set-ups take long everywhere, as with a slow
+// session store: another server would not be quicker then, and the store would do the work twice.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	left := r.deadline - b.now
 	perAttempt := left / time.Duration(b.settings.MaxAttempts-r.attempts)
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// pickPreferred chooses among the preferred servers of the request's group. It reports true if that decides the choice,
-// which may be nil: the request waits for capacity then.
+// pickPreferred chooses among the preferred servers of the request's group. It reports true if that decides the
+// choice, which may be nil: the request waits for capacity then.
 func (p *placement) pickPreferred() (s *server, decided bool) {
 	local, remote := p.preferredServers(p.request)
 	if s := firstMatching(local, p.hasCapacity); s != nil {
@@ -174,8 +175,8 @@
 	if s := firstMatching(local, p.belowSaturation); s != nil {
 		return s, true
 	}
-	// A server pays for each group that it has any connection of. If a burst of clients scattered its groups over a fleet
-	// short of capacity, the fleet would lose what capacity is left and not recover. The requests wait instead.
+	// A server pays for each group that it has any connection of. If a burst of clients scattered its groups over a
+	// fleet short of capacity, the fleet would lose what capacity is left and not recover. The requests wait instead.
 	if slices.ContainsFunc(local, p.saturatedOrWarming) || slices.ContainsFunc(remote, p.saturatedOrWarming) {
 		local, remote = local[:min(onDemandProbes, len(local))], remote[:min(onDemandProbes, len(remote))]
 		return cmp.Or(firstMatching(local, p.eligibleUnreported), firstMatching(remote, p.eligibleUnreported)), true
@@ -194,19 +195,19 @@
 	if s := p.nextInOrder(p.local, p.localZone.warming, p.eligibleWarming); s != nil {
 		return s, true
 	}
-	// Recent reports of little capacity say more of the zone than a server of which nothing is known. Then, or when no
-	// server of the zone is eligible, other zones get what a recent report there shows capacity for.
+	// Recent reports of little capacity say more of the zone than a server of which nothing is known. Then, or when
+	// no server of the zone is eligible, other zones get what a recent report there shows capacity for.
 	zoneIsFull := p.localBest != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 	if !zoneIsFull && slices.ContainsFunc(p.local, p.eligible) {
 		return nil, false
 	}
 	p.zoneLoad.lastSpillAt = p.now
-	s = cmp.Or(leastLoaded(p.answers.otherZones, p.worthCrossing), p.localBest)
+	s = cmp.Or(leastLoaded(p.answers.otherZones, p.lighterAcrossZones), p.localBest)
 	return s, s != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 }
 
-// pickAny takes the next eligible server in the cache order. When there is none, an ejected server is better than none,
-// but a saturated one is not.
+// pickAny takes the next eligible server in the cache order. When there is none, an ejected server is better than
+// none, but a saturated one is not.
 func (p *placement) pickAny() *server {
 	for _, acceptable := range [2]func(*server) bool{p.eligible, p.lastResort} {
 		local := p.nextInOrder(p.local, p.local, acceptable)
@@ -235,9 +236,9 @@
 	return p.belowSaturation(s) && s.load+p.groupOpeningLoad(p.request, s) < p.thresholds.capacity
 }
 
-// worthCrossing reports whether a server of another zone has capacity and is lighter than the own zone's best server by
-// more than crossing costs.
-func (p *placement) worthCrossing(s *server) bool {
+// lighterAcrossZones reports whether a server of another zone has capacity and is lighter than the own zone's best
+// server by more than crossing costs.
+func (p *placement) lighterAcrossZones(s *server) bool {
 	return p.hasCapacity(s) && (p.localBest == nil || s.load < p.localBest.load-p.thresholds.crossZoneGap)
 }
 
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -1,8 +1,8 @@
 package decide
 
-// Probing: which servers are probed for a load report, and when. The evidence is the age of the reports, the demand and
-// the cost of a probe, and clients' reports of slow messages. Steady probes keep reports of the zone recent; probes on demand
-// go to the servers that a request depends on, and to servers that are short of capacity.
+// Probing: which servers are probed for a load report, and when. The evidence is the age of the reports, the demand
+// and the cost of a probe, and clients' reports of slow messages. Steady probes keep reports of the zone recent;
+// probes on demand go to the servers that a request depends on, and to servers that are short of capacity.
 
 import (
 	"cmp"
@@ -33,8 +33,8 @@
 	minProbeRate = 0.5
 	// fullRateProbers is the number of balancers without connections that may all probe at minProbeRate.
 	fullRateProbers = 4.0
-	// probesPerAnyServer is the number of steady probes of which one goes to any server of the zone, where a balancer has
-	// connections at few servers.
+	// probesPerAnyServer is the number of steady probes of which one goes to any server of the zone, where a balancer
+	// has connections at few servers.
 	probesPerAnyServer = 4
 	// maxProbeDebt is the number of probes that may be made ahead of the steady ones.
 	maxProbeDebt = 4
@@ -64,12 +64,12 @@
 	return max(minOnDemandProbeInterval, min(maxOnDemandProbeInterval, perBalancer))
 }
 
-// probeForRequest probes, ahead of the steady probes, the servers that a request depends on: its group's preferred ones,
-// or a few in the cache order when no report shows capacity. The request waits a moment for the answers.
+// probeForRequest probes, ahead of the steady probes, the servers that a request depends on: its group's preferred
+// ones, or a few in the cache order when no report shows capacity. The request waits a moment for the answers.
 func (b *Balancer) probeForRequest(r *request) {
-	capacityKnown := b.hasGroup(r) || b.reportShowsCapacity(r)
+	capacityKnown := b.hasGroup(r) || b.anyReportedCapacity(r)
 	local, remote := b.preferredServers(r)
-	if !b.settings.ProbingAllowed || b.firstShowsCapacity(local) {
+	if !b.settings.ProbingAllowed || b.firstReportedCapacity(local) {
 		return
 	}
 	b.probeOnDemand(r, local, b.local, capacityKnown)
@@ -78,15 +78,15 @@
 	}
 }
 
-// reportShowsCapacity reports whether a recent report of the own zone shows capacity for a request.
-func (b *Balancer) reportShowsCapacity(r *request) bool {
+// anyReportedCapacity reports whether a recent report of the own zone shows capacity for a request.
+func (b *Balancer) anyReportedCapacity(r *request) bool {
 	return slices.ContainsFunc(b.answers.ownZone, func(s *server) bool {
 		return b.hasRecentReport(s) && s.load < b.thresholds.capacity && b.withinSlowStartQuota(r, s)
 	})
 }
 
-// firstShowsCapacity reports whether the first preferred server showed capacity a moment ago, which is enough.
-func (b *Balancer) firstShowsCapacity(preferred []*server) bool {
+// firstReportedCapacity reports whether the first preferred server showed capacity a moment ago, which is enough.
+func (b *Balancer) firstReportedCapacity(preferred []*server) bool {
 	return len(preferred) > 0 && preferred[0].load < b.thresholds.capacity &&
 		b.now-preferred[0].reportedAt < b.onDemandProbeInterval()
 }
@@ -214,9 +214,9 @@
 		// notice their overload, and the connections would stay there.
 		targets.remote, targets.unprobed = b.remoteZone.connected, b.remoteZone.connected
 	}
-	// One of many balancers has connections at few servers. What it learns of the others is of no use, as requests probe
-	// the servers that they depend on. Otherwise a fleet probes more than it places, and yet notices late what overloads its
-	// own connections.
+	// One of many balancers has connections at few servers. What it learns of the others is of no use, as requests
+	// probe the servers that they depend on. Otherwise a fleet probes more than it places, and yet notices late what
+	// overloads its own connections.
 	if len(b.connected) > 0 && len(b.connected) < len(b.local) {
 		targets = probeTargets{local: b.connected, overloads: [2]orderedServers{b.connected}}
 	}
@@ -234,8 +234,8 @@
 	}
 }
 
-// probeOverloaded probes servers short of capacity more often: until their overload is noticed, all of their connections are
-// served badly.
+// probeOverloaded probes servers short of capacity more often: until their overload is noticed, all of their
+// connections are served badly.
 func (b *Balancer) probeOverloaded(list orderedServers) {
 	for _, s := range list {
 		if b.probes.overloadCredit < 1 {
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -1,7 +1,7 @@
 package decide
 
-// The cache of the servers that each group prefers. It is updated by the changes of the list, so that a request of a cached
-// group looks at few servers.
+// The cache of the servers that each group prefers. It is updated by the changes of the list, so that a request of a
+// cached group looks at few servers.
 
 import (
 	"cmp"
@@ -10,7 +10,8 @@
 )
 
 const (
-	// rankingLength is the number of servers kept for a group, so that a few may be removed before all are ranked again.
+	// rankingLength is the number of servers kept for a group, so that a few may be removed before all are ranked
+	// again.
 	rankingLength = 6
 	// maxCachedRankings is the number of recently used rankings, and the number of older ones.
 	maxCachedRankings = 4096
@@ -87,8 +88,8 @@
 	return ranking
 }
 
-// rank looks at all servers of the zone and returns their number. The logarithm is taken only of the few that may come
-// first: as -ln(u) is at least 1-u, the others are excluded by 1-u, with a tolerance for the rounding.
+// rank looks at all servers of the zone and returns their number. The logarithm is taken only of the few that may
+// come first: as -ln(u) is at least 1-u, the others are excluded by 1-u, with a tolerance for the rounding.
 func (z *zoneIndex) rank(group uint64, ranking *groupRanking) (visited int) {
 	*ranking = groupRanking{changes: z.changes}
 	limit := math.Inf(1)
@@ -104,8 +105,8 @@
 	return len(z.rankingKeys)
 }
 
-// insert puts a server in its place if it comes before the last one, or if there are fewer than rankingLength. It returns
-// the server's position, rankingLength if it is left out.
+// insert puts a server in its place if it comes before the last one, or if there are fewer than rankingLength. It
+// returns the server's position, rankingLength if it is left out.
 func (g *groupRanking) insert(group uint64, s *server) int {
 	distance := rendezvousDistance(group, s)
 	before := func(i int) bool {
@@ -124,8 +125,8 @@
 	return i
 }
 
-// apply updates the ranking by one change. A server that comes after the last one kept is left out: others that are not
-// kept may come before it.
+// apply updates the ranking by one change. A server that comes after the last one kept is left out: others that are
+// not kept may come before it.
 func (g *groupRanking) apply(group uint64, change membershipChange) {
 	count := g.count
 	if i := slices.Index(g.servers[:count], change.server); !change.added && i >= 0 {
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -36,8 +36,8 @@
 	return x
 }
 
-// outageSimulation plays a fleet whose watches all end at 0, in virtual time. Discovery is back after down, then works through so
-// many calls a second in turn, and turns away a call that would wait for over a second.
+// outageSimulation plays a fleet whose watches all end at 0, in virtual time. Discovery is back after down, then
+// works through so many calls a second in turn, and turns away a call that would wait for over a second.
 type outageSimulation struct {
 	downFor        time.Duration
 	kind           outageKind
@@ -111,8 +111,8 @@
 	return n
 }
 
-// A whole fleet's way back is borne by a discovery that works through its calls in turn, and all have its list before a
-// change counts as told: 300 by one that takes 100 a second, 2300 by one that takes 600.
+// A whole fleet's way back is borne by a discovery that works through its calls in turn, and all have its list before
+// a change counts as told: 300 by one that takes 100 a second, 2300 by one that takes 600.
 func TestFleetFindsDiscoveryAgain(t *testing.T) {
 	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // the latter three a second, at most
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -40,7 +40,7 @@
 	deadline             time.Duration
 	notBefore            time.Duration
 	attempts             int
-	triedServers         []ServerID
+	attemptedServers     []ServerID
 	server               *refServer
 	inFlight             bool
 	established          bool
@@ -587,7 +587,7 @@
 	r.server, r.inFlight = s, true
 	b.dialing++
 	r.attempts++
-	r.triedServers = append(r.triedServers, s.ID)
+	r.attemptedServers = append(r.attemptedServers, s.ID)
 	if r.executedOn == nil {
 		r.firstSentAt = b.now
 	}
@@ -680,7 +680,7 @@
 }
 
 func (b *refBalancer) mayAttempt(r *refRequest, s *refServer) bool {
-	if slices.Contains(r.triedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
+	if slices.Contains(r.attemptedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
 	}
 	c := b.classOf(r)
--- a/decide/request.go
+++ b/decide/request.go
@@ -9,7 +9,7 @@
 	deadline         time.Duration // when the client gives up
 	notBefore        time.Duration // it waits for the answers to its probes until then
 	attempts         int           // attempts made
-	triedServers     []ServerID    // their servers
+	attemptedServers []ServerID    // their servers
 	server           *server       // the server of the latest attempt
 	inFlight         bool          // the latest attempt has not ended
 	established      bool          // the latest attempt's connection is established
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -29,8 +29,8 @@
 	b.reindex(s)
 }
 
-// releaseReservation takes back the load of a request that has ended. Otherwise a server would look saturated by clients
-// that have left, and would get no request whose probe could show otherwise.
+// releaseReservation takes back the load of a request that has ended. Otherwise a server would look saturated by
+// clients that have left, and would get no request whose probe could show otherwise.
 func (s *server) releaseReservation(r *request) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool {
 		if x.request == r {
@@ -40,8 +40,9 @@
 	})
 }
 
-// pendingReservations returns the load of the placements that a report coming now may not show yet, and drops the older
-// ones. Each expires by itself; otherwise a server that gets a client now and then would look saturated for good.
+// pendingReservations returns the load of the placements that a report coming now may not show yet, and drops the
+// older ones. Each expires by itself; otherwise a server that gets a client now and then would look saturated for
+// good.
 func (s *server) pendingReservations(now time.Duration) (sum float64) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool { return now-x.at > maxReportLag })
 	for _, x := range s.reservations {
@@ -53,8 +54,8 @@
 // reservePlacement reserves the load of a placement and takes it from the server's slow-start quota.
 func (b *Balancer) reservePlacement(r *request, s *server) {
 	s.placementsOnReport++
-	// While requests wait, other balancers have waiting requests too, and all of them rush to the capacity that a report
-	// shows. One placement on it is enough then.
+	// While requests wait, other balancers have waiting requests too, and all of them rush to the capacity that a
+	// report shows. One placement on it is enough then.
 	if s.placementsOnReport >= maxPlacementsPerReport || len(b.requests.waiting) > 0 {
 		b.answers.remove(s)
 	}
@@ -64,9 +65,9 @@
 	}
 }
 
-// connectionLoad estimates the load that an average connection adds to a server: as its report shows, otherwise the mean
-// load of the zone over the connections that one server has if all balancers are alike. The estimate is a guess where it
-// rests on too few connections or reports.
+// connectionLoad estimates the load that an average connection adds to a server: as its report shows, otherwise the
+// mean load of the zone over the connections that one server has if all balancers are alike. The estimate is a guess
+// where it rests on too few connections or reports.
 func (b *Balancer) connectionLoad(s *server) (load float64, guess bool) {
 	if s.loadPerConnection > 0 {
 		return s.loadPerConnection, false
@@ -82,8 +83,8 @@
 	return b.relativeLoad(r) * load
 }
 
-// relativeLoad returns a request's load as a multiple of the average connection's, by the request's own hint or by the
-// average of its class.
+// relativeLoad returns a request's load as a multiple of the average connection's, by the request's own hint or by
+// the average of its class.
 func (b *Balancer) relativeLoad(r *request) float64 {
 	load, average := cmp.Or(r.Load, b.classLoads.classes[r.Class]), b.classLoads.all
 	if load <= 0 || average <= 0 {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,7 +1,8 @@
 package decide
 
-// Retries: whether a request may be sent again, by its idempotency and by what its earlier attempts may have executed, and
-// how many attempts the balancer makes in all. The evidence is the outcome of the attempts and the time that they take.
+// Retries: whether a request may be sent again, by its idempotency and by what its earlier attempts may have
+// executed, and how many attempts the balancer makes in all. The evidence is the outcome of the attempts and the time
+// that they take.
 
 import (
 	"slices"
@@ -18,8 +19,8 @@
 )
 
 // retryThrottle protects what all servers share, such as a session store, against retry storms, in two ways. Adaptive
-// throttling keeps the failed attempts within the established ones and a few. A window on the attempts that are dialing
-// is halved by time-outs, which mean work done in vain, and opened by set-ups.
+// throttling keeps the failed attempts within the established ones and a few. A window on the attempts that are
+// dialing is halved by time-outs, which mean work done in vain, and opened by set-ups.
 type retryThrottle struct {
 	recentFailures    float64       // attempts that may have executed and did not establish a connection, decaying
 	recentEstablished float64       // attempts that established one, decaying
@@ -117,7 +118,7 @@
 // mayAttempt reports whether a request may be sent to a server now: one that it has not tried, within the server's
 // slow-start quota, and after an attempt that may have executed, one that drops the repetition.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
-	if slices.Contains(r.triedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
+	if slices.Contains(r.attemptedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
 	}
 	class := b.classOf(r)
--- a/decide/server.go
+++ b/decide/server.go
@@ -8,8 +8,8 @@
 
 // Bounds of what a load report may say.
 const (
-	// maxReportedLoad is the largest load that is believed. A larger one would make the balancer migrate all connections
-	// off the server, or make reservations that never fit.
+	// maxReportedLoad is the largest load that is believed. A larger one would make the balancer migrate all
+	// connections off the server, or make reservations that never fit.
 	maxReportedLoad = 100
 	// minReportedConnections is how many connections a report must show before it tells the load of one connection.
 	minReportedConnections = 4
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// MaxBalancers is the largest number of balancers that is accepted. A larger one is a typing error, and would make the poll
-// interval days.
+// MaxBalancers is the largest number of balancers that is accepted. A larger one is a typing error, and would make
+// the poll interval days.
 const MaxBalancers = 10_000
 
 var errNoClasses = errors.New("settings: Classes is empty")
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,8 +1,8 @@
 package decide
 
 // Slow start: how many requests this balancer may send to a server that warms up after its start. The evidence is the
-// server's age, the estimates of what a server accepts, of the requests that come for it and of how many balancers share
-// the zone.
+// server's age, the estimates of what a server accepts, of the requests that come for it and of how many balancers
+// share the zone.
 
 import (
 	"math"
@@ -10,15 +10,17 @@
 )
 
 const (
-	// slowStartSafetyFactor is the part of a warming server's budget that is used if every balancer has requests for it.
+	// slowStartSafetyFactor is the part of a warming server's budget that is used if every balancer has requests for
+	// it.
 	slowStartSafetyFactor = 0.5
 	// minSlowStartUse bounds the larger quota of a balancer that seldom has a request: its quota is unused at times.
 	minSlowStartUse = 0.4
-	// minSlowStartConnections is what all balancers together may send a warming server before anything is known of it.
+	// minSlowStartConnections is what all balancers together may send a warming server before anything is known of
+	// it.
 	minSlowStartConnections = 0.2
-	// priorDemand is the number of requests that the mean demand of the zone's servers counts as in the estimate for one
-	// warming server. With a smaller one the warming servers of a fleet of many balancers stay idle, as each balancer sees
-	// few requests and remembers that one of them came.
+	// priorDemand is the number of requests that the mean demand of the zone's servers counts as in the estimate for
+	// one warming server. With a smaller one the warming servers of a fleet of many balancers stay idle, as each
+	// balancer sees few requests and remembers that one of them came.
 	priorDemand = 5
 	// resetDemandWeight is how often a broken connection is counted in the demand: when it breaks and when its client
 	// returns.
@@ -45,15 +47,16 @@
 	return s.slowStartQuota >= min(b.relativeLoad(r), 1)
 }
 
-// drawSlowStartQuota draws the quota for the next window in which the server could become overloaded. What is left of the
-// last one expires: quotas saved up by many balancers would come together.
+// drawSlowStartQuota draws the quota for the next window in which the server could become overloaded. What is left of
+// the last one expires: quotas saved up by many balancers would come together.
 func (b *Balancer) drawSlowStartQuota(r *request, s *server) {
 	window := max(b.settings.Safety.OverloadWindow, tickInterval)
 	mean := b.slowStartQuota(r, s, window)
 	s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(mean+b.rng.Float64()), b.now+window
 }
 
-// slowStartQuota returns the mean number of placements that this balancer may make at a warming server within a window.
+// slowStartQuota returns the mean number of placements that this balancer may make at a warming server within a
+// window.
 func (b *Balancer) slowStartQuota(r *request, s *server, window time.Duration) float64 {
 	safety := b.settings.Safety
 	age := float64(b.now-s.Started) / float64(safety.SlowStartDuration)
@@ -64,17 +67,17 @@
 	use := demand / (1 + demand) // fraction of such windows in which this balancer has a request for the server
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
-		// By demand: the balancer's part of what the server bears if all balancers have the same demand. Otherwise quotas
-		// would be drawn where there are no requests, while other balancers have requests and drew no quota.
+		// By demand: the balancer's part of what the server bears if all balancers have the same demand. Otherwise
+		// quotas would be drawn where there are no requests, while other balancers have requests and drew no quota.
 		bears := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
 		quota = max(quota, min(slowStartSafetyFactor*bears/(use*balancers), 1))
 	}
 	return quota
 }
 
-// serverCapacity returns this balancer's part of what a warm server accepts, in connections per second. It is bounded by
-// the established connections: the recent rate is too high in a fleet whose clients all came within seconds, as after an
-// outage.
+// serverCapacity returns this balancer's part of what a warm server accepts, in connections per second. It is bounded
+// by the established connections: the recent rate is too high in a fleet whose clients all came within seconds, as
+// after an outage.
 func (b *Balancer) serverCapacity() float64 {
 	connections, warm := 0, len(b.local)-len(b.localZone.warming)
 	for _, s := range b.localZone.connected {
@@ -107,10 +110,10 @@
 	}
 }
 
-// expectedDemandFor estimates how many of this balancer's requests come for the warming server s within a window, at least
-// the mean of the zone's servers. That mean is the prior, which the requests that came for s correct. When connections
-// break, their groups all come for the same next servers, of which the mean says nothing: the larger the part of broken
-// connections in the demand, the more weight has what came for s alone.
+// expectedDemandFor estimates how many of this balancer's requests come for the warming server s within a window, at
+// least the mean of the zone's servers. That mean is the prior, which the requests that came for s correct. When
+// connections break, their groups all come for the same next servers, of which the mean says nothing: the larger the
+// part of broken connections in the demand, the more weight has what came for s alone.
 func (b *Balancer) expectedDemandFor(r *request, s *server, window time.Duration) float64 {
 	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
@@ -124,8 +127,8 @@
 }
 
 // estimatedZoneBalancers estimates how many balancers share the zone: the configured number, within what the zone's
-// servers report over what this balancer has there, give or take the standard deviation of that. This covers a fleet that
-// has grown or shrunk since its size was configured. A number that the membership counts is not lowered.
+// servers report over what this balancer has there, give or take the standard deviation of that. This covers a fleet
+// that has grown or shrunk since its size was configured. A number that the membership counts is not lowered.
 func (b *Balancer) estimatedZoneBalancers() float64 {
 	reported, own := b.localZone.reportedConnections(), 0.0
 	for _, s := range b.localZone.connected {
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// slowStartCase is a fleet whose modules share nothing, before room servers of two zones, some of which start cold in the
-// middle of it. What is sent to each cold one is counted over all modules.
+// slowStartCase is a fleet whose modules share nothing, before room servers of two zones, some of which start cold in
+// the middle of it. What is sent to each cold one is counted over all modules.
 type slowStartCase struct {
 	name                string
 	balancers           int
@@ -428,8 +428,9 @@
 	return res
 }
 
-// worstWindow gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the window's
-// start; whether it fell, and whether over two thirds of what first felled it came from modules that had been told.
+// worstWindow gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the
+// window's start; whether it fell, and whether over two thirds of what first felled it came from modules that had
+// been told.
 func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, fell, broke bool) {
 	rules := f.settings.Safety
 	for i, x := range s.attempts {
@@ -532,9 +533,9 @@
 	}
 }
 
-// Connections that stand five times as long as the usual life, and a storm soon after the start, as three of fifteen room
-// servers drop all that they hold: ten seeds, none chosen. The groups of a server that drops its connections come for the same
-// next servers, so that a cold one among them gets three times the mean of the zone.
+// Connections that stand five times as long as the usual life, and a storm soon after the start, as three of fifteen
+// room servers drop all that they hold: ten seeds, none chosen. The groups of a server that drops its connections
+// come for the same next servers, so that a cold one among them gets three times the mean of the zone.
 func TestColdServersUnderAStormOfLongLives(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newReportingHarness lists servers that hold so many each at half load, and gives the balancer so many connections of its own.
+// newReportingHarness lists servers that hold so many each at half load, and gives the balancer so many connections
+// of its own.
 func newReportingHarness(t *testing.T, told, each, own int) *harness {
 	t.Helper()
 	set := settings()
@@ -44,7 +45,8 @@
 	}
 }
 
-// Guards cold servers where connections stand far longer than the usual ones: a server that holds many takes few a second.
+// Guards cold servers where connections stand far longer than the usual ones: a server that holds many takes few a
+// second.
 func TestLifeOfConnectionsIsLearned(t *testing.T) {
 	w := newReportingHarness(t, 1, 10, 100)
 	if got := w.b.lifetime.meanSeconds(); got != defaultLifetime.Seconds() {
@@ -66,7 +68,8 @@
 	}
 }
 
-// Guards cold servers after an outage: a rate at which all clients came within seconds says nothing of what a server takes.
+// Guards cold servers after an outage: a rate at which all clients came within seconds says nothing of what a server
+// takes.
 func TestStormTellsNothingOfWhatAServerTakes(t *testing.T) {
 	w := newReportingHarness(t, 1, 10, 100)
 	w.b.capacity.perSecond = 50
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -11,91 +11,96 @@
 	"cottonplank/decide"
 )
 
+// writeBufferSize is the size of the output buffer in bytes; a longer reply is written in parts.
+const writeBufferSize = 1 << 16
+
 // Encoder writes replies.
 type Encoder struct {
 	out *bufio.Writer
-	buf []byte
+	buf []byte // the line that is being built
 }
 
-// NewEncoder writes to out.
+// NewEncoder returns an encoder that writes to out.
 func NewEncoder(out io.Writer) *Encoder {
-	return &Encoder{out: bufio.NewWriterSize(out, 1<<16)}
+	return &Encoder{out: bufio.NewWriterSize(out, writeBufferSize)}
 }
 
-// Action writes one action of an instance.
-func (e *Encoder) Action(who int, a decide.Action) error {
-	switch a := a.(type) {
+// Action writes one action of an instance. It fails on an action that the simulator does not know.
+func (e *Encoder) Action(instance int, action decide.Action) error {
+	switch a := action.(type) {
 	case decide.StartAttempt:
-		e.begin("PLACE", who).text("id", string(a.ID)).number("server", uint64(a.Server)).seconds("max_wait_s", a.Timeout)
+		e.begin("PLACE", instance).text("id", string(a.ID)).
+			number("server", uint64(a.Server)).seconds("max_wait_s", a.Timeout)
 	case decide.Reject:
-		e.begin("OVERLOAD_REPLY", who).text("id", string(a.ID)).seconds("stay_away_s", a.RetryAfter)
+		e.begin("OVERLOAD_REPLY", instance).text("id", string(a.ID)).seconds("stay_away_s", a.RetryAfter)
 	case decide.Fail:
-		e.begin("REPORT_FAILURE", who).text("id", string(a.ID))
+		e.begin("REPORT_FAILURE", instance).text("id", string(a.ID))
 	case decide.Migrate:
-		e.begin("RELOCATE", who).text("id", string(a.ID))
+		e.begin("RELOCATE", instance).text("id", string(a.ID))
 	case decide.Probe:
-		e.begin("SAMPLE", who).number("server", uint64(a.Server))
+		e.begin("SAMPLE", instance).number("server", uint64(a.Server))
 	case decide.WatchList:
-		e.begin("LISTEN", who).number("enable", 1)
+		e.begin("LISTEN", instance).number("enable", 1)
 	case decide.FetchList:
-		e.begin("RESOLVE", who)
+		e.begin("RESOLVE", instance)
 	case decide.SetTimer:
-		e.begin("SET_ALARM", who).number("nonce", a.Token).seconds("wait_s", a.Delay)
+		e.begin("SET_ALARM", instance).number("nonce", a.Token).seconds("wait_s", a.Delay)
 	case decide.Log:
-		e.begin("RECORD", who).text("body_text", clean.Replace(a.Text))
+		e.begin("RECORD", instance).text("body_text", singleLine.Replace(a.Text))
 	default:
 		return fmt.Errorf("no wire form for action %T", a)
 	}
-	return e.flushLine()
+	return e.writeLine()
 }
 
-// clean keeps a log text on one line.
-var clean = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
+// singleLine keeps a log text on one line and in one field.
+var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// End closes the reply to a batch and flushes it.
-func (e *Encoder) End(seq uint64) error {
+// End ends the reply to a batch and flushes it.
+func (e *Encoder) End(batch uint64) error {
 	e.buf = append(e.buf[:0], "NEXT"...)
-	e.number("n", seq)
-	if err := e.flushLine(); err != nil {
+	e.number("n", batch)
+	if err := e.writeLine(); err != nil {
 		return err
 	}
 	if err := e.out.Flush(); err != nil {
-		return fmt.Errorf("reply %d: %w", seq, err)
+		return fmt.Errorf("reply %d: %w", batch, err)
 	}
 	return nil
 }
 
-func (e *Encoder) begin(name string, who int) *Encoder {
-	e.buf = append(e.buf[:0], name...)
-	return e.number("who", uint64(who))
+// begin starts a line with a message name and the instance.
+func (e *Encoder) begin(message string, instance int) *Encoder {
+	e.buf = append(e.buf[:0], message...)
+	return e.number("who", uint64(instance))
 }
 
-func (e *Encoder) name(name string) {
+func (e *Encoder) fieldName(name string) {
 	e.buf = append(append(append(e.buf, '\t'), name...), '=')
 }
 
-func (e *Encoder) text(name, v string) *Encoder {
-	e.name(name)
-	e.buf = append(e.buf, v...)
+func (e *Encoder) text(name, value string) *Encoder {
+	e.fieldName(name)
+	e.buf = append(e.buf, value...)
 	return e
 }
 
-func (e *Encoder) number(name string, v uint64) *Encoder {
-	e.name(name)
-	e.buf = strconv.AppendUint(e.buf, v, 10)
+func (e *Encoder) number(name string, value uint64) *Encoder {
+	e.fieldName(name)
+	e.buf = strconv.AppendUint(e.buf, value, 10)
 	return e
 }
 
-// seconds leaves out a time of 0, which the wire takes as absent.
-func (e *Encoder) seconds(name string, d time.Duration) *Encoder {
-	if d != 0 {
-		e.name(name)
-		e.buf = strconv.AppendFloat(e.buf, d.Seconds(), 'f', -1, 64)
+// seconds leaves out a time of 0, which the simulator takes as absent.
+func (e *Encoder) seconds(name string, value time.Duration) *Encoder {
+	if value != 0 {
+		e.fieldName(name)
+		e.buf = strconv.AppendFloat(e.buf, value.Seconds(), 'f', -1, 64)
 	}
 	return e
 }
 
-func (e *Encoder) flushLine() error {
+func (e *Encoder) writeLine() error {
 	e.buf = append(e.buf, '\n')
 	if _, err := e.out.Write(e.buf); err != nil {
 		return fmt.Errorf("write reply: %w", err)
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,5 +1,3 @@
-// Package simwire turns the simulator's text frames into events and actions into
-// reply lines. It decides nothing.
 package simwire
 
 import (
@@ -12,13 +10,24 @@
 // field is one name=value pair of a line.
 type field struct{ name, value []byte }
 
-// line is a message split into its name and fields; it aliases the read buffer.
+// line is a message split into its name and fields. They share memory with the read buffer, and are valid until the next
+// line is read.
 type line struct {
 	name   []byte
 	fields []field
 }
 
-// parse splits raw at tabs. A part without '=' is an error.
+// FieldError reports a field of a message that is missing or has an invalid value.
+type FieldError struct {
+	Message string // name of the message
+	Field   string // name of the field
+	Problem string // continues the name, such as " is missing"
+}
+
+// Error returns the message, the field and the problem.
+func (e *FieldError) Error() string { return e.Message + ": field " + e.Field + e.Problem }
+
+// parse splits raw at the tabs. A part without '=' is an error.
 func (l *line) parse(raw []byte) error {
 	l.fields = l.fields[:0]
 	var rest []byte
@@ -40,11 +49,13 @@
 
 var tab, equals = []byte{'\t'}, []byte{'='}
 
-// excerpt quotes the start of raw for a message.
+// maxExcerpt is the number of bytes of input that an error message quotes.
+const maxExcerpt = 60
+
+// excerpt quotes the start of raw for an error message.
 func excerpt(raw []byte) string {
-	const most = 60
-	if len(raw) > most {
-		return strconv.Quote(string(raw[:most])) + "..."
+	if len(raw) > maxExcerpt {
+		return strconv.Quote(string(raw[:maxExcerpt])) + "..."
 	}
 	return strconv.Quote(string(raw))
 }
@@ -59,122 +70,126 @@
 	return nil, false
 }
 
-// need returns a field that must be present.
-func (l *line) need(name string) ([]byte, error) {
-	v, ok := l.get(name)
+// required returns the value of a field, or an error if it is missing.
+func (l *line) required(name string) ([]byte, error) {
+	value, ok := l.get(name)
 	if !ok {
-		return nil, fmt.Errorf("%s: field %s is missing", l.name, name)
+		return nil, &FieldError{string(l.name), name, " is missing"}
 	}
-	return v, nil
+	return value, nil
 }
 
-func (l *line) bad(name, want string, v []byte) error {
-	return fmt.Errorf("%s: field %s: expected %s, found %s", l.name, name, want, excerpt(v))
+// invalid returns the error for a field with an invalid value.
+func (l *line) invalid(name, expected string, value []byte) error {
+	return &FieldError{string(l.name), name, ": expected " + expected + ", found " + excerpt(value)}
 }
 
-// number reads a whole number of at most bits bits.
+// number reads a required whole number of at most so many bits.
 func (l *line) number(name string, bits int) (uint64, error) {
-	v, err := l.need(name)
+	value, err := l.required(name)
 	if err != nil {
 		return 0, err
 	}
-	n, err := strconv.ParseUint(string(v), 10, bits)
+	number, err := strconv.ParseUint(string(value), 10, bits)
 	if err != nil {
-		return 0, l.bad(name, "a whole number", v)
+		return 0, l.invalid(name, "a whole number", value)
 	}
-	return n, nil
+	return number, nil
 }
 
-// optional reads a decimal that may be absent.
-func (l *line) optional(name string, absent float64) (float64, error) {
-	v, ok := l.get(name)
-	if !ok || len(v) == 0 {
-		return absent, nil
+// optionalDecimal reads a decimal number; absent and empty mean 0.
+func (l *line) optionalDecimal(name string) (float64, error) {
+	value, ok := l.get(name)
+	if !ok || len(value) == 0 {
+		return 0, nil
 	}
-	f, err := parseDecimal(v)
+	number, err := parseDecimal(value)
 	if err != nil {
-		return 0, l.bad(name, "a number", v)
+		return 0, l.invalid(name, "a number", value)
 	}
-	return f, nil
+	return number, nil
 }
 
-// seconds reads a time in seconds.
+// seconds reads a required time in seconds.
 func (l *line) seconds(name string) (time.Duration, error) {
-	v, err := l.need(name)
+	value, err := l.required(name)
 	if err != nil {
 		return 0, err
 	}
-	d, err := parseSeconds(v)
+	duration, err := parseSeconds(value)
 	if err != nil {
-		return 0, l.bad(name, "seconds", v)
+		return 0, l.invalid(name, "seconds", value)
 	}
-	return d, nil
+	return duration, nil
 }
 
 // flag reads a bool, 1 or 0; absent means 0.
 func (l *line) flag(name string) (bool, error) {
-	v, ok := l.get(name)
+	value, ok := l.get(name)
 	switch {
-	case !ok || string(v) == "0":
+	case !ok || string(value) == "0":
 		return false, nil
-	case string(v) == "1":
+	case string(value) == "1":
 		return true, nil
 	}
-	return false, l.bad(name, "1 or 0", v)
+	return false, l.invalid(name, "1 or 0", value)
 }
 
-// text reads a field that may be absent.
+// text returns the value of a field; absent means empty.
 func (l *line) text(name string) string {
-	v, _ := l.get(name)
-	return string(v)
+	value, _ := l.get(name)
+	return string(value)
 }
 
-func parseDecimal(v []byte) (float64, error) {
-	f, err := strconv.ParseFloat(string(v), 64)
-	if err == nil && !(f >= -maxNumber && f <= maxNumber) {
+// maxNumber bounds the numbers that are accepted; as seconds it still fits a time.Duration.
+const maxNumber = 9e9
+
+// parseDecimal reads a number from -maxNumber to maxNumber.
+func parseDecimal(text []byte) (float64, error) {
+	number, err := strconv.ParseFloat(string(text), 64)
+	if err == nil && !(number >= -maxNumber && number <= maxNumber) { // NaN is out of range too
 		err = strconv.ErrRange
 	}
-	return f, err
+	return number, err
 }
 
-// maxNumber bounds the figures accepted; as seconds it still fits a Duration.
-const maxNumber = 9e9
+// maxExactSeconds is the length of the longest text that parseSeconds reads digit by digit.
+const maxExactSeconds = 18
 
-// parseSeconds reads plain decimals exactly to the nanosecond and leaves other
-// notations to strconv.
-func parseSeconds(v []byte) (time.Duration, error) {
-	var whole, frac int64
+// parseSeconds reads plain decimals exactly, to the nanosecond. Other notations go through a float.
+func parseSeconds(text []byte) (time.Duration, error) {
+	var whole, fraction int64
 	scale := int64(time.Second)
-	seenDot := false
-	if len(v) == 0 || len(v) > 18 {
-		return slowSeconds(v)
+	seenPoint := false
+	if len(text) == 0 || len(text) > maxExactSeconds {
+		return parseFloatSeconds(text)
 	}
-	for i, c := range v {
+	for i, c := range text {
 		switch {
-		case c >= '0' && c <= '9' && !seenDot:
+		case c >= '0' && c <= '9' && !seenPoint:
 			if whole = whole*10 + int64(c-'0'); whole > maxNumber {
 				return 0, strconv.ErrRange
 			}
 		case c >= '0' && c <= '9':
 			if scale > 1 {
 				scale /= 10
-				frac += int64(c-'0') * scale
+				fraction += int64(c-'0') * scale
 			}
-		case c == '.' && !seenDot && i > 0:
-			seenDot = true
+		case c == '.' && !seenPoint && i > 0:
+			seenPoint = true
 		default:
-			return slowSeconds(v)
+			return parseFloatSeconds(text)
 		}
 	}
-	return time.Duration(whole)*time.Second + time.Duration(frac), nil
+	return time.Duration(whole)*time.Second + time.Duration(fraction), nil
 }
 
-func slowSeconds(v []byte) (time.Duration, error) {
-	f, err := parseDecimal(v)
-	return secondsOf(f), err
+func parseFloatSeconds(text []byte) (time.Duration, error) {
+	seconds, err := parseDecimal(text)
+	return secondsToDuration(seconds), err
 }
 
-// secondsOf rounds to the clock's microsecond.
-func secondsOf(f float64) time.Duration {
-	return time.Duration(f*1e6+0.5) * time.Microsecond
+// secondsToDuration rounds to the microsecond, which is the resolution of the simulator's clock.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds*1e6+0.5) * time.Microsecond
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,138 +9,178 @@
 	"cottonplank/decide"
 )
 
-// facts are the settings of a CREATE line. The first failed look-up is kept,
-// so that a caller can read on and check once.
-type facts struct {
+// countBits is the size of counts and instance numbers.
+const countBits = 31
+
+// settingsReader reads the fields of a CREATE line. It stores the first error, so that its caller can read all fields and
+// check once.
+type settingsReader struct {
 	line *line
 	err  error
 }
 
-func (f *facts) keep(err error) {
-	if f.err == nil {
-		f.err = err
+func (r *settingsReader) recordError(err error) {
+	if r.err == nil {
+		r.err = err
 	}
 }
 
-func (f *facts) text(name string) string { return f.line.text(name) }
+func (r *settingsReader) text(name string) string { return r.line.text(name) }
 
 // seconds reads a time; absent means 0.
-func (f *facts) seconds(name string) time.Duration { return secondsOf(f.number(name)) }
+func (r *settingsReader) seconds(name string) time.Duration {
+	return secondsToDuration(r.decimal(name))
+}
 
-// number reads a figure; absent means 0.
-func (f *facts) number(name string) float64 {
-	v, err := f.line.optional(name, 0)
-	f.keep(err)
-	return v
+// decimal reads a number; absent means 0.
+func (r *settingsReader) decimal(name string) float64 {
+	value, err := r.line.optionalDecimal(name)
+	r.recordError(err)
+	return value
 }
 
-// whole reads a count that must be present.
-func (f *facts) whole(name string) int {
-	v, err := f.line.number(name, 31)
-	f.keep(err)
-	return int(v)
+// count reads a required count.
+func (r *settingsReader) count(name string) int {
+	value, err := r.line.number(name, countBits)
+	r.recordError(err)
+	return int(value)
 }
 
-// must reads a figure that must be present.
-func (f *facts) must(name string) float64 {
-	_, err := f.line.need(name)
-	f.keep(err)
-	return f.number(name)
+// requiredDecimal reads a required number.
+func (r *settingsReader) requiredDecimal(name string) float64 {
+	_, err := r.line.required(name)
+	r.recordError(err)
+	return r.decimal(name)
 }
 
-func (f *facts) flag(name string) bool { return f.text(name) == "true" || f.text(name) == "1" }
+// requiredSeconds reads a required time.
+func (r *settingsReader) requiredSeconds(name string) time.Duration {
+	return secondsToDuration(r.requiredDecimal(name))
+}
 
-func (f *facts) list(name string) []string {
-	if v := f.text(name); v != "" {
-		return strings.Split(v, ",")
+func (r *settingsReader) flag(name string) bool { return r.text(name) == "true" || r.text(name) == "1" }
+
+func (r *settingsReader) list(name string) []string {
+	if value := r.text(name); value != "" {
+		return strings.Split(value, ",")
 	}
 	return nil
 }
 
-// parseSettings reads the settings of a CREATE line; unknown keys are ignored.
+// parseSettings reads the settings of a CREATE line; unknown fields are ignored.
 func parseSettings(l *line) (decide.Settings, *schema, error) {
-	f := &facts{line: l}
+	r := &settingsReader{line: l}
 	seed, err := l.number("entropy", 64)
-	f.keep(err)
-	zone, err := l.need("zone")
-	f.keep(err)
-	s := decide.Settings{
+	r.recordError(err)
+	zone, err := l.required("zone")
+	r.recordError(err)
+	settings := decide.Settings{
 		Seed:           seed,
 		Zone:           string(zone),
-		Zones:          f.list("areas"),
-		Balancers:      f.whole("balancers"),
-		MaxAttempts:    f.whole("limits.most_tries"),
-		ConnectTimeout: f.seconds("limits.connect_timeout_s"),
-		ProbingAllowed: f.flag("limits.may_probe"),
-		GroupAffinity:  f.flag("specifics.groups"),
+		Zones:          r.list("areas"),
+		Balancers:      r.count("balancers"),
+		MaxAttempts:    r.count("limits.most_tries"),
+		ConnectTimeout: r.seconds("limits.connect_timeout_s"),
+		ProbingAllowed: r.flag("limits.may_probe"),
+		GroupAffinity:  r.flag("specifics.groups"),
 		Safety: decide.SafetyLimits{
-			DrainGrace:        secondsOf(f.must("rules.drain_grace_s")),
-			MaxPollInterval:   f.seconds("rules.must_ask_in_s"),
-			SlowStartShare:    f.must("rules.cold_share"),
-			SlowStartDuration: secondsOf(f.must("rules.cold_s")),
-			OverloadFactor:    f.must("rules.fall_multiple"),
-			OverloadWindow:    secondsOf(f.must("rules.fall_s")),
+			DrainGrace:        r.requiredSeconds("rules.drain_grace_s"),
+			MaxPollInterval:   r.seconds("rules.must_ask_in_s"),
+			SlowStartShare:    r.requiredDecimal("rules.cold_share"),
+			SlowStartDuration: r.requiredSeconds("rules.cold_s"),
+			OverloadFactor:    r.requiredDecimal("rules.fall_multiple"),
+			OverloadWindow:    r.requiredSeconds("rules.fall_s"),
 		},
 		Costs: decide.Costs{
-			Probe:     f.number("penalties.probe"),
-			Migration: f.number("penalties.moves"),
-			CrossZone: f.number("penalties.cross_zone"),
+			Probe:     r.decimal("penalties.probe"),
+			Migration: r.decimal("penalties.moves"),
+			CrossZone: r.decimal("penalties.cross_zone"),
 		},
 	}
-	if f.flag("limits.retry_after") {
-		s.MaxRetryAfter = f.seconds("limits.max_retry_after_s")
+	if r.flag("limits.retry_after") {
+		settings.MaxRetryAfter = r.seconds("limits.max_retry_after_s")
 	}
-	switch mode := f.text("membership_mode"); mode {
+	settings.WatchList = r.watchList()
+	schema := &schema{classes: map[string]int{}, reportColumns: r.list("telemetry.columns")}
+	settings.Classes = r.classes(schema)
+	return settings, schema, r.err
+}
+
+// watchList reports whether list changes come only when they are asked for.
+func (r *settingsReader) watchList() bool {
+	switch mode := r.text("membership_mode"); mode {
 	case "subscribe":
-		s.WatchList = true
+		return true
 	case "automatic":
+		return false
 	default:
-		f.keep(fmt.Errorf("CREATE: field membership_mode: expected subscribe or automatic, found %q", mode))
+		problem := fmt.Sprintf(": expected subscribe or automatic, found %q", mode)
+		r.recordError(r.fieldError("membership_mode", problem))
+		return false
 	}
-	sch := &schema{classes: map[string]int{}, columns: f.list("telemetry.columns")}
-	s.Classes = f.classes(sch)
-	return s, sch, f.err
 }
 
-func (f *facts) classes(sch *schema) []decide.Class {
-	aims := f.list("specifics.message_aim_s")
-	var out []decide.Class
-	count := f.whole("profiles.count")
-	for i := 0; i < count && f.err == nil; i++ {
-		at := "profiles." + strconv.Itoa(i) + "."
-		c := decide.Class{
-			Name:             f.text(at + "name"),
-			LatencyObjective: secondsOf(f.must(at + "aim_s")),
-			ClientTimeout:    f.seconds(at + "give_up_s"),
-			DedupWindow:      f.seconds(at + "window_s"),
-		}
-		if c.Name == "" {
-			f.keep(fmt.Errorf("CREATE: field %sname is missing", at))
-		}
-		if i < len(aims) {
-			sec, err := parseDecimal([]byte(aims[i]))
-			if err != nil {
-				f.keep(fmt.Errorf("CREATE: field specifics.message_aim_s: expected seconds, found %q", aims[i]))
-			}
-			c.MessageLatencyObjective = secondsOf(sec)
-		}
-		c.Idempotency = word(f, at+"repeat", map[string]decide.Idempotency{
-			"idempotent": decide.Idempotent, "deduplicated": decide.IdempotentByKey, "at_most_once": decide.NotIdempotent})
-		if c.Idempotency == decide.IdempotentByKey {
-			c.KeyScope = word(f, at+"key_scope", map[string]decide.KeyScope{
-				"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell})
-		}
-		sch.classes[c.Name] = i
-		out = append(out, c)
+// classes reads the classes of requests and stores their names in the schema.
+func (r *settingsReader) classes(schema *schema) []decide.Class {
+	objectives := r.list("specifics.message_aim_s")
+	var classes []decide.Class
+	count := r.count("profiles.count")
+	for i := 0; i < count && r.err == nil; i++ {
+		class := r.class(i, objectives)
+		schema.classes[class.Name] = i
+		classes = append(classes, class)
 	}
-	return out
+	return classes
 }
 
-// word looks a value up among the words that a field may hold.
-func word[T any](f *facts, name string, words map[string]T) T {
-	v, ok := words[f.text(name)]
+// class reads one class; the list of message latency objectives may be shorter than that of the classes.
+func (r *settingsReader) class(index int, objectives []string) decide.Class {
+	prefix := "profiles." + strconv.Itoa(index) + "."
+	class := decide.Class{
+		Name:             r.text(prefix + "name"),
+		LatencyObjective: r.requiredSeconds(prefix + "aim_s"),
+		ClientTimeout:    r.seconds(prefix + "give_up_s"),
+		DedupWindow:      r.seconds(prefix + "window_s"),
+	}
+	if class.Name == "" {
+		r.recordError(r.fieldError(prefix+"name", " is missing"))
+	}
+	if index < len(objectives) {
+		class.MessageLatencyObjective = r.messageObjective(objectives[index])
+	}
+	class.Idempotency = choice(r, prefix+"repeat", map[string]decide.Idempotency{
+		"idempotent":   decide.Idempotent,
+		"deduplicated": decide.IdempotentByKey,
+		"at_most_once": decide.NotIdempotent,
+	})
+	if class.Idempotency == decide.IdempotentByKey {
+		class.KeyScope = choice(r, prefix+"key_scope", map[string]decide.KeyScope{
+			"all":  decide.ScopeAll,
+			"zone": decide.ScopeZone,
+			"cell": decide.ScopeCell,
+		})
+	}
+	return class
+}
+
+// messageObjective reads one element of the list of message latency objectives.
+func (r *settingsReader) messageObjective(text string) time.Duration {
+	seconds, err := parseDecimal([]byte(text))
+	if err != nil {
+		r.recordError(r.fieldError("specifics.message_aim_s", fmt.Sprintf(": expected seconds, found %q", text)))
+	}
+	return secondsToDuration(seconds)
+}
+
+// choice reads a field that holds one of several words.
+func choice[T any](r *settingsReader, name string, words map[string]T) T {
+	value, ok := words[r.text(name)]
 	if !ok {
-		f.keep(fmt.Errorf("CREATE: field %s: unknown value %q", name, f.text(name)))
+		r.recordError(r.fieldError(name, fmt.Sprintf(": unknown value %q", r.text(name))))
 	}
-	return v
+	return value
+}
+
+func (r *settingsReader) fieldError(name, problem string) error {
+	return &FieldError{string(r.line.name), name, problem}
 }
