--- /dev/null
+++ b/decide/balancer_test.go
@@ -0,0 +1,65 @@
+package decide
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestEventsForUnknownRequestsAreIgnored(t *testing.T) {
+	w := newHarness(t, settings())
+	w.replaceList(servers(2, 0))
+	for _, ev := range []Event{
+		Established{ID: "x", Server: 1}, AttemptEnded{ID: "x", Server: 1, Code: Reset}, ClientDisconnected{ID: "x"},
+		LoadChanged{ID: "x", Load: 1}, MessageDelayReported{ID: "x", Server: 1, Delay: time.Second},
+		ProbeCompleted{Server: 99, Code: OK, Report: LoadReport{Load: 1}}, TimerFired{Token: 12345},
+	} {
+		if acts := w.send(ev); len(acts) != 0 {
+			t.Errorf("%T: acted %v", ev, acts)
+		}
+	}
+}
+
+// Instances in one process share nothing: each acts as one alone does.
+func TestEqualEventsGiveEqualActions(t *testing.T) {
+	play := func(n int) [][]Action {
+		worlds := make([]*harness, n)
+		logs := make([][]Action, n)
+		for i := range worlds {
+			worlds[i] = newHarness(t, affinitySettings())
+			worlds[i].replaceList(servers(9, 9))
+		}
+		for step := range 300 {
+			for i, w := range worlds {
+				logs[i] = append(logs[i], scriptStep(w, step)...)
+			}
+		}
+		return logs
+	}
+	alone := play(1)[0]
+	if len(alone) < 200 {
+		t.Fatalf("only %d actions", len(alone))
+	}
+	for i, log := range play(3) {
+		if !reflect.DeepEqual(log, alone) {
+			t.Fatalf("instance %d of three acts otherwise than one alone", i)
+		}
+	}
+}
+
+// scriptStep sends one of several kinds of event, the same to each instance.
+func scriptStep(w *harness, step int) []Action {
+	id := name("s", step)
+	switch step % 5 {
+	case 0:
+		return w.send(RequestArrived{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
+	case 1:
+		return w.reportLoad(ServerID(step%9+1), float64(step%13)/10)
+	case 2:
+		return w.tick(2 * tickInterval)
+	case 3:
+		return w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
+	default:
+		return w.endAttempt(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
+	}
+}
--- /dev/null
+++ b/decide/learned_test.go
@@ -0,0 +1,41 @@
+package decide
+
+import (
+	"testing"
+	"time"
+)
+
+// What one balancer has learned of a server holds at its replacement: an ejected server stays ejected, though it
+// looks idle, and a recent report counts. Unknown servers and invalid values are ignored.
+func TestImportLearned(t *testing.T) {
+	old, next := newHarness(t, settings()), newHarness(t, settings())
+	for _, w := range []*harness{old, next} {
+		w.replaceList(servers(4, 0))
+	}
+	for id := range ServerID(4) {
+		old.reportLoad(id+1, 0.2)
+	}
+	bad := old.wantAttempt(old.request("r", idempotentClass))
+	old.endAttempt("r", 0, bad, ServerError, false)
+	told := append(old.b.ExportLearned(), LearnedState{Server: 77, ConsecutiveFailures: 1, EjectedFor: time.Hour})
+	next.now += time.Second
+	next.send(TimerFired{Token: retryWaitingToken})
+	next.b.ImportLearned(told)
+	if !next.b.Ejected(bad) || next.b.Ejected(77) {
+		t.Error("the server that is left out is not, or an unknown one is")
+	}
+	for id, s := range next.b.servers {
+		if s.load != 0.2 || s.reportedAt == 0 {
+			t.Errorf("server %d: load %.2f, reported at %v", id, s.load, s.reportedAt)
+		}
+	}
+	for i := range 12 {
+		if s := next.establish(name("r", i), idempotentClass); s == bad {
+			t.Error("a client went to the server that is left out")
+		}
+	}
+	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4, EjectedFor: -1}})
+	if s := next.b.servers[1]; s.load < 0 || s.loadPerConnection > 1 {
+		t.Errorf("nonsense was taken over: %+v", s)
+	}
+}
--- /dev/null
+++ b/decide/migration_test.go
@@ -0,0 +1,171 @@
+package decide
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// Placements that a report may not show yet are reserved, but cause no migration.
+func TestReservationsCauseNoMigration(t *testing.T) {
+	w := newHarness(t, settings())
+	w.replaceList(servers(1, 0))
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
+	for i := range 6 {
+		w.establish(name("r", i), idempotentClass)
+	}
+	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
+	if s := w.b.servers[1]; s.load < migrationLoad {
+		t.Fatalf("load %.2f, want it booked above the limit", s.load)
+	}
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n > 0 {
+		t.Errorf("%d moved off a server that reports 0.7", n)
+	}
+}
+
+// An overloaded server serves all of its connections badly; every balancer migrates the same fraction of its own.
+func TestMigrationMovesExcess(t *testing.T) {
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
+	for i := range 200 {
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
+	}
+	w.reportLoad(1, migrationLoad)
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d moved at the limit", n)
+	}
+	w.reportLoad(1, 1.4)
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 60 || n > 140 {
+		t.Fatalf("%d of 200 moved at load 1.4, want about half", n)
+	}
+	w.reportLoad(1, 1.4) // a report that cannot show the moves yet
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d moved again before the report settled", n)
+	}
+}
+
+func TestSlowMessagesCauseProbeAndEarlierMigration(t *testing.T) {
+	set := settings()
+	set.ProbingAllowed = true
+	w := newHarness(t, set)
+	w.replaceList(servers(4, 0))
+	for i := range 100 {
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
+	}
+	w.tick(time.Second)
+	acts := w.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
+	if p := actionsOf[Probe](acts); len(p) != 1 || p[0].Server != 2 {
+		t.Fatalf("want a probe of server 2, got %v", acts)
+	}
+	w.reportLoad(2, 0.9)
+	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 8 || n > 45 {
+		t.Fatalf("%d of 100 moved at load 0.9 with slow messages", n)
+	}
+	w.reportLoad(1, 0.6) // heavier than server 2's next, stale-looking answer
+	w.reportLoad(2, 0.1)
+	if s := w.establish("r", idempotentClass); s == 2 {
+		t.Fatal("placed where messages are slow")
+	}
+}
+
+// Migrating the groups with few connections frees the server soonest of their cost.
+func TestMigrationMovesSmallGroupsFirst(t *testing.T) {
+	set := affinitySettings()
+	set.Balancers = 1
+	w := newHarness(t, set)
+	w.replaceList(servers(4, 0))
+	for i := range 12 {
+		group := "large"
+		if i%6 == 0 {
+			group = "small"
+		}
+		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
+	}
+	w.reportLoad(1, 1.05)
+	moves := actionsOf[Migrate](w.tick(tickInterval))
+	if len(moves) < 2 || !strings.HasPrefix(string(moves[0].ID), "small") || !strings.HasPrefix(string(moves[1].ID), "small") {
+		t.Errorf("moved %v, the two of the small group first wanted", moves)
+	}
+}
+
+// The excess of an overloaded server is migrated in each round, give or take one. Random draws would often migrate
+// none of a few, and all of them would be served badly until the next round.
+func TestMigrationRoundsByChance(t *testing.T) {
+	const held, want = 8, 2 // as moveTarget leaves 0.75 of them
+	for seed := range uint64(30) {
+		set := settings()
+		set.Seed = seed
+		w := newHarness(t, set)
+		w.replaceList(servers(2, 0))
+		for i := range held {
+			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
+		}
+		w.reportLoad(1, 1)
+		if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != want {
+			t.Errorf("seed %d: %d of %d clients moved off a server at 1.0, want %d", seed, n, held, want)
+		}
+	}
+}
+
+// All balancers migrate the same groups off an overloaded server, those that prefer it least. Otherwise every group
+// would lose a few connections, and the server would still pay for each group.
+func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
+	const groupsHeld, each = 6, 2
+	moved := map[string]int{}
+	for seed := range uint64(20) {
+		set := affinitySettings()
+		set.Seed = seed
+		w := newHarness(t, set)
+		w.replaceList(servers(4, 0))
+		in := map[RequestID]string{}
+		for i := range groupsHeld * each {
+			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
+			in[id] = group
+			w.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
+		}
+		w.reportLoad(1, 1.05)
+		for _, m := range actionsOf[Migrate](w.tick(tickInterval)) {
+			moved[in[m.ID]]++
+		}
+	}
+	most, all := 0, 0
+	for _, n := range moved {
+		most, all = max(most, n), all+n
+	}
+	if len(moved) > 2 || most < 20*each {
+		t.Errorf("20 balancers moved %d clients of %d of %d groups, one of them %d times", all, len(moved), groupsHeld, most)
+	}
+}
+
+// A client that was migrated off an overloaded server does not return to it at once, though it is its group's first
+// and looks lighter while the client is away.
+func TestMigratedClientsAvoidTheirServer(t *testing.T) {
+	w := newHarness(t, settings())
+	w.replaceList(servers(4, 0))
+	for id := range ServerID(4) {
+		w.reportLoad(id+1, 0.3)
+	}
+	ask := func(id, key string) ServerID {
+		return w.wantAttempt(w.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
+	}
+	for i := range 8 {
+		home := ask(name("r", i), name("key", i))
+		w.send(Established{ID: RequestID(name("r", i)), Server: home})
+		w.reportLoad(home, 0.3)
+	}
+	home := w.b.requests.byID["r0"].server.ID
+	w.now += migrationSettlePeriod
+	w.reportLoad(home, 1.2)
+	moves := actionsOf[Migrate](w.tick(tickInterval))
+	if len(moves) == 0 {
+		t.Fatal("nobody was moved")
+	}
+	for _, m := range moves {
+		key := w.b.requests.byID[m.ID].Key
+		w.endAttempt(string(m.ID), 0, home, Cancelled, true)
+		w.reportLoad(home, 0.3)
+		if s := ask("again-"+string(m.ID), key); s == home {
+			t.Errorf("%s came back to server %d", key, s)
+		}
+	}
+}
