--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestEventsForUnknownRequestsAreIgnored(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
 	for _, ev := range []Event{
 		Established{ID: "x", Server: 1}, AttemptEnded{ID: "x", Server: 1, Code: Reset}, ClientDisconnected{ID: "x"},
 		LoadChanged{ID: "x", Load: 1}, MessageDelayReported{ID: "x", Server: 1, Delay: time.Second},
 		ProbeCompleted{Server: 99, Code: OK, Report: LoadReport{Load: 1}}, TimerFired{Token: 12345},
 	} {
-		if acts := w.send(ev); len(acts) != 0 {
-			t.Errorf("%T: acted %v", ev, acts)
+		if actions := h.send(ev); len(actions) != 0 {
+			t.Errorf("%T: actions %v", ev, actions)
 		}
 	}
 }
@@ -23,15 +23,15 @@
 // Instances in one process share nothing: each acts as one alone does.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	play := func(n int) [][]Action {
-		worlds := make([]*harness, n)
+		instances := make([]*harness, n)
 		logs := make([][]Action, n)
-		for i := range worlds {
-			worlds[i] = newHarness(t, affinitySettings())
-			worlds[i].replaceList(servers(9, 9))
+		for i := range instances {
+			instances[i] = newHarness(t, affinitySettings())
+			instances[i].replaceList(servers(9, 9))
 		}
 		for step := range 300 {
-			for i, w := range worlds {
-				logs[i] = append(logs[i], scriptStep(w, step)...)
+			for i, h := range instances {
+				logs[i] = append(logs[i], scriptStep(h, step)...)
 			}
 		}
 		return logs
@@ -48,18 +48,18 @@
 }
 
 // scriptStep sends one of several kinds of event, the same to each instance.
-func scriptStep(w *harness, step int) []Action {
+func scriptStep(h *harness, step int) []Action {
 	id := name("s", step)
 	switch step % 5 {
 	case 0:
-		return w.send(RequestArrived{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
+		return h.send(RequestArrived{ID: RequestID(id), Key: id, Group: name("g", step%7), Remaining: time.Second})
 	case 1:
-		return w.reportLoad(ServerID(step%9+1), float64(step%13)/10)
+		return h.reportLoad(ServerID(step%9+1), float64(step%13)/10)
 	case 2:
-		return w.tick(2 * tickInterval)
+		return h.tick(2 * tickInterval)
 	case 3:
-		return w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
+		return h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
 	default:
-		return w.endAttempt(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
+		return h.endAttempt(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
 	}
 }
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -14,7 +14,7 @@
 	return list
 }
 
-// newBalancerWithList is a balancer that knows so many servers; it holds the connections that are asked for.
+// newBalancerWithList is a balancer that knows so many servers; it has the connections that are probed for.
 func newBalancerWithList(t testing.TB, set Settings, n, conns int) *Balancer {
 	set.Zones, set.ProbingAllowed = []string{"a", "b", "c"}, true
 	bal, err := New(set)
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -6,33 +6,33 @@
 )
 
 func TestOutlierIsEjectedAndReturns(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(3, 0))
-	w.reportLoad(1, 0.01)
-	s := w.wantAttempt(w.request("r", idempotentClass))
-	w.endAttempt("r", 0, s, ServerError, false)
-	w.reportLoad(1, 0.01) // it looks light, as servers that fail fast do
+	h := newHarness(t, settings())
+	h.replaceList(servers(3, 0))
+	h.reportLoad(1, 0.01)
+	s := h.wantAttempt(h.request("r", idempotentClass))
+	h.endAttempt("r", 0, s, ServerError, false)
+	h.reportLoad(1, 0.01) // it looks light, as servers that fail fast do
 	for i := range 4 {
-		if w.establish(name("q", i), idempotentClass) == 1 {
+		if h.establish(name("q", i), idempotentClass) == 1 {
 			t.Fatal("a server that fails fast was used at once")
 		}
 	}
-	w.now += baseEjectionTime + time.Second
-	w.reportLoad(1, 0.01)
-	if w.establish("later", idempotentClass) != 1 {
+	h.now += baseEjectionTime + time.Second
+	h.reportLoad(1, 0.01)
+	if h.establish("later", idempotentClass) != 1 {
 		t.Fatal("the server did not come back")
 	}
 }
 
 func TestEjectionLeavesHalfOfTheServers(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(4, 0))
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
 	for id := ServerID(1); id <= 4; id++ {
-		w.send(ProbeCompleted{Server: id, Code: TimedOut, Report: NoLoadReport})
+		h.send(ProbeCompleted{Server: id, Code: TimedOut, Report: NoLoadReport})
 	}
 	out := 0
-	for _, s := range w.b.ready {
-		if w.now < s.ejectedUntil {
+	for _, s := range h.b.ready {
+		if h.now < s.ejectedUntil {
 			out++
 		}
 	}
@@ -43,18 +43,18 @@
 
 // Ejected follows the ejection, and calling it changes nothing.
 func TestEjectedFollowsEjection(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(4, 0))
-	s := w.wantAttempt(w.request("r", idempotentClass))
-	if w.b.Ejected(s) || w.b.Ejected(99) {
-		t.Error("left out without a cause")
-	}
-	w.endAttempt("r", 0, s, ServerError, false)
-	if !w.b.Ejected(s) {
-		t.Error("a server that failed is not told as left out")
-	}
-	w.tick(baseEjectionTime + tickInterval)
-	if w.b.Ejected(s) {
-		t.Error("still told as left out after its time")
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
+	s := h.wantAttempt(h.request("r", idempotentClass))
+	if h.b.Ejected(s) || h.b.Ejected(99) {
+		t.Error("ejected without a cause")
+	}
+	h.endAttempt("r", 0, s, ServerError, false)
+	if !h.b.Ejected(s) {
+		t.Error("a server that failed is not ejected")
+	}
+	h.tick(baseEjectionTime + tickInterval)
+	if h.b.Ejected(s) {
+		t.Error("still ejected after its time")
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// fleetSimulation runs many balancers against one small set of servers, whose loads are what all of them together
-// send: one unit a connection and groupLoad for each group that a server holds any of. Reports are fleetLag old.
-// Connections stand until they are moved; a client that was moved comes again through the front, to any balancer.
+// fleetSimulation runs many balancers against a few servers, whose loads are what all balancers together send: one
+// unit for a connection and groupLoad for each group of which a server has any connection. Reports are reportDelay
+// old. Connections last until they are migrated; a migrated client reconnects to any balancer.
 type fleetSimulation struct {
 	now             time.Duration
 	rng             *rand.Rand
@@ -23,17 +23,17 @@
 	list            []Server
 	attempts        map[ServerID][]time.Duration // attempts, as the servers see them
 	probes          int
-	idleProbes      int // at servers where the asker holds nothing
+	idleProbes      int // at servers where the asker has nothing
 	rejected        int
 	arrivedAt       map[RequestID]time.Duration
-	rejectionDelays []time.Duration // refused requests, until then
+	rejectionDelays []time.Duration // rejected requests, until then
 	nextRequest     int
 	groups          map[RequestID]string
-	migratedOff     map[ServerID][]time.Duration // connections moved off, or sent away by their server
+	migratedOff     map[ServerID][]time.Duration // connections migrated off, or sent away by their server
 	established     map[RequestID]establishedConnection
 	reconnects      []reconnectingClient // clients that come again
 	failing         map[ServerID]bool
-	meanLifetime    time.Duration // mean of a connection's; 0: they stand for good
+	meanLifetime    time.Duration // mean of a connection's; 0: they are established for good
 	sharedStoreRate float64       // set-ups a second that what all servers share can take; 0: any number
 	storeBusyUntil  time.Duration // until then it is at work
 	setupTimeouts   int           // set-ups that choked
@@ -41,12 +41,13 @@
 	reconnectCount  map[RequestID]int
 }
 
+// connectionEnd is the scheduled end of a connection.
 type connectionEnd struct {
 	at time.Duration
 	id RequestID
 }
 
-// overloadedLoad is the load above which a server sets up nothing in time.
+// overloadedLoad is the load above which a server establishes no connection in time.
 const overloadedLoad = 1.3
 
 type dueEvent struct {
@@ -78,7 +79,8 @@
 	groupLoad      = 3.0
 )
 
-// newFleetSimulation makes n balancers in zone a of settings of their own, and lets them take the list.
+// newFleetSimulation makes n balancers, with settings of their own, and sends them the list. Where the servers are in
+// two zones, the balancers are in both in turn.
 func newFleetSimulation(t *testing.T, set Settings, n int, list []Server, capacity float64) *fleetSimulation {
 	f := &fleetSimulation{now: 1000 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), due: make([][]dueEvent, n), nextDue: make([]time.Duration, n), list: list,
 		servers: map[ServerID]*simulatedFleetServer{}, attempts: map[ServerID][]time.Duration{}, groups: map[RequestID]string{}, arrivedAt: map[RequestID]time.Duration{},
@@ -108,12 +110,12 @@
 	return units / (s.capacity * f.capacityFraction(id))
 }
 
-// capacityFraction is what a server can do now of what it does when warm.
+// capacityFraction is the fraction of its warm capacity that a server has now.
 func (f *fleetSimulation) capacityFraction(id ServerID) float64 {
-	rules := f.balancers[0].settings.Safety
+	safety := f.balancers[0].settings.Safety
 	for _, s := range f.list {
-		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < rules.SlowStartDuration {
-			return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStartDuration)
+		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < safety.SlowStartDuration {
+			return safety.SlowStartShare + (1-safety.SlowStartShare)*float64(age)/float64(safety.SlowStartDuration)
 		}
 	}
 	return 1
@@ -180,7 +182,7 @@
 	}
 }
 
-// reconnectLater ends a connection that stands; its client comes again within 52 to 1000 ms.
+// reconnectLater ends an established connection; its client reconnects within 52 to 1000 ms.
 func (f *fleetSimulation) reconnectLater(id RequestID) {
 	at, group := f.established[id], f.groups[id]
 	if !f.finish(id, Cancelled) {
@@ -190,7 +192,7 @@
 	f.reconnects = append(f.reconnects, reconnectingClient{f.now + 52*time.Millisecond + time.Duration(f.rng.Int64N(int64(948*time.Millisecond))), group, 0})
 }
 
-// finish ends a connection that stands.
+// finish ends a connection that is established.
 func (f *fleetSimulation) finish(id RequestID, code Code) bool {
 	at, ok := f.established[id]
 	if !ok {
@@ -208,7 +210,7 @@
 	return true
 }
 
-// run lets time pass; with every step, perStep requests come in the mean, to any balancer, of one of the groups.
+// run lets time pass. In each step, perStep requests of the groups arrive on average, each at any balancer.
 func (f *fleetSimulation) run(d time.Duration, perStep float64, groups []string) {
 	for end := f.now + d; f.now < end; {
 		f.now += simulationStep
@@ -252,17 +254,16 @@
 	}
 }
 
-// startWarming lists n servers that start now, from id on, and gives the connections that one of them bears within
-// the fall time, in the mean of its first seconds. Life is taken as usualLife: 26 connections are 26/30 of one a
-// second.
-func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (bears float64) {
+// startWarming lists n servers that start now, with ids from id on. It returns the number of connections that one of
+// them bears within the overload window, averaged over its first seconds, at the default lifetime.
+func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (limit float64) {
 	for end := id + ServerID(n); id < end; id++ {
 		f.list = append(f.list, Server{ID: id, Zone: "a", Started: f.now})
 		f.servers[id] = &simulatedFleetServer{capacity: capacity, groups: map[string]int{}}
 	}
 	f.reportAll()
-	rules := f.balancers[0].settings.Safety
-	return rules.OverloadFactor * rules.OverloadWindow.Seconds() * capacity / defaultLifetime.Seconds() * (rules.SlowStartShare + 0.28)
+	safety := f.balancers[0].settings.Safety
+	return safety.OverloadFactor * safety.OverloadWindow.Seconds() * capacity / defaultLifetime.Seconds() * (safety.SlowStartShare + 0.28)
 }
 
 func (f *fleetSimulation) arrive(group string) {
@@ -272,7 +273,7 @@
 	f.handle(f.rng.IntN(len(f.balancers)), RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
-// groupPlacements counts on how many servers groups are, all groups together.
+// groupPlacements counts the pairs of a group and a server that has connections of it.
 func (f *fleetSimulation) groupPlacements() (n int) {
 	for _, s := range f.servers {
 		n += len(s.groups)
@@ -280,7 +281,7 @@
 	return n
 }
 
-// maxPlacements is the largest number of attempts that a server saw within any window.
+// maxPlacements is the largest number of attempts at a server within any window.
 func (f *fleetSimulation) maxPlacements(id ServerID, window time.Duration) int {
 	return maxInWindow(f.attempts[id], window)
 }
@@ -307,19 +308,19 @@
 	return set
 }
 
-// Guards against what is harmless alone: each of many balancers finds its group's servers full and takes some other,
-// so that a crowd strews its groups over the whole fleet, and each server pays for all of them from then on.
-func TestCrowdDoesNotStrewItsGroups(t *testing.T) {
+// Each of many balancers finds the preferred servers of its groups saturated. If each then took any other server, a
+// burst would scatter its groups over the whole fleet, and each server would pay for all of them from then on.
+func TestBurstDoesNotScatterGroups(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 80} {
 		f := newFleetSimulation(t, fleetSettings(), n, servers(9, 0), 26)
-		f.run(10*time.Second, 0.1, fleetGroups) // a hundred stand
-		f.run(3*time.Second, 0.6, fleetGroups)  // and more come than there is room for
+		f.run(10*time.Second, 0.1, fleetGroups) // a hundred are established
+		f.run(3*time.Second, 0.6, fleetGroups)  // and more come than there is capacity for
 		if p, most := f.groupPlacements(), maxPreferredServers*len(fleetGroups); p > most {
 			t.Errorf("%d balancers: %d groups are on %d servers, at most %d wanted", n, len(fleetGroups), p, most)
 		}
 		if f.rejected == 0 {
-			t.Errorf("%d balancers: the crowd was to be larger than the room", n)
+			t.Errorf("%d balancers: the crowd was to be larger than the capacity", n)
 		}
 		over := 0
 		for id := range f.servers {
@@ -328,18 +329,17 @@
 			}
 		}
 		if over > 2 {
-			t.Errorf("%d balancers: %d of 9 servers are pushed far over what they bear", n, over)
+			t.Errorf("%d balancers: %d of 9 servers are far above their capacity", n, over)
 		}
 	}
 }
 
-// Guards against a fleet that holds a crowd until its time is up though it cannot serve it, and has it back the next
-// moment.
-func TestCrowdBeyondTheRoomIsRefusedAtOnce(t *testing.T) {
+// A fleet that cannot serve a burst rejects it at once, rather than let it wait until its deadline and return.
+func TestBurstBeyondCapacityIsRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleetSimulation(t, fleetSettings(), 3, servers(9, 0), 26)
 	f.run(10*time.Second, 0.1, fleetGroups)
-	f.run(6*time.Second, 1, fleetGroups) // several times the room
+	f.run(6*time.Second, 1, fleetGroups) // several times the capacity
 	atOnce := 0
 	for _, d := range f.rejectionDelays {
 		if d <= 2*onDemandProbeTimeout {
@@ -347,30 +347,30 @@
 		}
 	}
 	if len(f.rejectionDelays) < 200 || atOnce < len(f.rejectionDelays)*8/10 {
-		t.Errorf("%d of %d refused requests were answered at once, 8 in 10 wanted", atOnce, len(f.rejectionDelays))
+		t.Errorf("%d of %d rejected requests were answered at once, 8 in 10 wanted", atOnce, len(f.rejectionDelays))
 	}
 }
 
-// Guards against a cold server that many balancers fall upon, each within what it takes for its part.
-func TestColdServerGetsTheSumOfManyParts(t *testing.T) {
+// The sum of the quotas of many balancers must not overload a warming server.
+func TestSumOfQuotasDoesNotOverloadWarmingServer(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 30, 80, 300} {
 		set := fleetSettings()
 		f := newFleetSimulation(t, set, n, servers(6, 0), 26)
 		f.run(20*time.Second, 0.055, fleetGroups)
-		bears, rules := f.startWarming(50, 1, 26), set.Safety
+		limit, safety := f.startWarming(50, 1, 26), set.Safety
 		f.run(4*time.Second, 0.6, fleetGroups)
-		got := f.maxPlacements(50, rules.OverloadWindow)
-		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, rules.OverloadWindow, bears)
-		if float64(got) > bears+3 {
-			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", n, got, rules.OverloadWindow, bears)
+		got := f.maxPlacements(50, safety.OverloadWindow)
+		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, safety.OverloadWindow, limit)
+		if float64(got) > limit+3 {
+			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", n, got, safety.OverloadWindow, limit)
 		}
 	}
 }
 
-// Guards against a release after which many balancers let the new servers stand nearly empty, while the old ones are
-// overloaded and clients wait: each drew its part of a cold server's budget where it had no request to send.
-func TestColdServersAreUsedByMany(t *testing.T) {
+// After a release, many balancers must not leave the new servers nearly idle while the old ones are overloaded and
+// clients wait: a quota is of no use where there is no request.
+func TestWarmingServersAreUsedByLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // as many new as old ones
 		set := fleetSettings()
@@ -380,31 +380,31 @@
 			groups = append(groups, name("g", i))
 		}
 		f.run(20*time.Second, 0.008*float64(c.old), groups)
-		bears, rules := f.startWarming(500, c.old, 26), set.Safety
+		limit, safety := f.startWarming(500, c.old, 26), set.Safety
 		f.run(4*time.Second, 0.03*float64(c.old), groups)
 		all, most := 0, 0
 		for _, s := range f.list[c.old:] {
-			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, rules.OverloadWindow))
+			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, safety.OverloadWindow))
 		}
-		part := float64(all) / (4 / rules.OverloadWindow.Seconds() * bears * float64(c.old))
-		t.Logf("%d balancers: %.2f of what the cold servers bear in 4 s, %d within %v at one, which bears %.1f",
-			c.n, part, most, rules.OverloadWindow, bears)
+		part := float64(all) / (4 / safety.OverloadWindow.Seconds() * limit * float64(c.old))
+		t.Logf("%d balancers: %.2f of what the warming servers bear in 4 s, %d within %v at one, which bears %.1f",
+			c.n, part, most, safety.OverloadWindow, limit)
 		if part < 0.25 {
-			t.Errorf("%d balancers use %.2f of what the cold servers bear, at least 0.25 wanted", c.n, part)
+			t.Errorf("%d balancers use %.2f of what the warming servers bear, at least 0.25 wanted", c.n, part)
 		}
-		if float64(most) > bears+4 {
-			t.Errorf("%d balancers: %d connections within %v at a cold server that bears %.1f", c.n, most, rules.OverloadWindow, bears)
+		if float64(most) > limit+4 {
+			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", c.n, most, safety.OverloadWindow, limit)
 		}
 	}
 }
 
-// Guards against a fleet that probes more than it places: each balancer alone takes its steady probes for few, and
-// all together ask every server many times a second, mostly for what nobody uses.
-func TestProbesOfManyGoToTheirConnections(t *testing.T) {
+// A large fleet must not probe more than it places, and must not probe mostly servers that are of no use to the
+// balancer.
+func TestLargeFleetProbesItsOwnConnections(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		n    int
-		most float64 // probes a second at all servers, and the part of them that went where the asker holds nothing
+		most float64 // probes a second at all servers, and the part of them that went where the asker has nothing
 		idle float64
 	}{{3, 45, 1}, {80, 80, 0.35}, {300, 95, 0.35}} {
 		f := newFleetSimulation(t, fleetSettings(), c.n, servers(9, 0), 26)
@@ -412,7 +412,7 @@
 		f.probes, f.idleProbes = 0, 0
 		f.run(10*time.Second, 0, fleetGroups)
 		rate, idle := float64(f.probes)/10, float64(f.idleProbes)/float64(max(f.probes, 1))
-		t.Logf("%d balancers: %.1f probes a second, %.2f of them where the asker holds nothing", c.n, rate, idle)
+		t.Logf("%d balancers: %.1f probes a second, %.2f of them where the asker has nothing", c.n, rate, idle)
 		if rate > c.most || idle > c.idle {
 			t.Errorf("%d balancers: %.1f probes a second, %.2f of them idle, at most %.0f and %.2f wanted", c.n, rate, idle, c.most, c.idle)
 		}
@@ -422,7 +422,8 @@
 	}
 }
 
-// establishedFleet is a fleet of n whose old servers have been sent what makes the given load, in as many groups.
+// establishedFleet returns a fleet of n balancers whose old servers have been brought to a load, with as many groups
+// as servers.
 func establishedFleet(t *testing.T, n, old int, load float64) (f *fleetSimulation, groups []string) {
 	t.Helper()
 	for i := range old {
@@ -435,30 +436,30 @@
 
 var fleetSizes = []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}}
 
-// Guards cold servers against what comes when a third of the fleet is replaced: the clients of those that drain come
-// back within a second, through all balancers.
-func TestColdServersWhileOthersDrain(t *testing.T) {
+// When a third of the fleet is replaced, the clients of the draining servers reconnect within a second, through all
+// balancers, and must not overload the warming servers.
+func TestWarmingServersWhileOthersDrain(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
 		f, groups := establishedFleet(t, c.n, c.old, 0.4)
 		fall := f.balancers[0].settings.Safety.OverloadWindow
-		bears := f.startWarming(500, c.old/3, 26)
+		limit := f.startWarming(500, c.old/3, 26)
 		f.drain(1, c.old/3)
 		f.run(4*time.Second, 0.01*float64(c.old), groups)
 		most, all := 0, 0
 		for _, s := range f.list[c.old:] {
 			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, fall))
 		}
-		t.Logf("%d balancers: %d at %d cold servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, bears)
-		if float64(most) > bears+3 || all < c.old/6 {
-			t.Errorf("%d balancers: %d at %d cold servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, bears)
+		t.Logf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, limit)
+		if float64(most) > limit+3 || all < c.old/6 {
+			t.Errorf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, limit)
 		}
 	}
 }
 
-// Guards against the herd: a fleet short of room, in which many hold requests, gets one empty server, which each
-// balancer sees for itself, while a full one sends its clients away.
-func TestOneFreshServerIsNoHerdsGoal(t *testing.T) {
+// A fleet short of capacity, in which many balancers have waiting requests, gets one idle server, while a saturated
+// server drains. The balancers must not all rush to the idle server.
+func TestNoRushToOneIdleServer(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
 		f, groups := establishedFleet(t, c.n, c.old, 0.8)
@@ -473,7 +474,7 @@
 		t.Logf("%d balancers: the fresh server got %d, %d within 0.5 s, its load %.2f at most", c.n, len(f.attempts[id]),
 			f.maxPlacements(id, 500*time.Millisecond), most)
 		bound := 1.1
-		if c.n == 3 { // most of what comes is their own, and booked at once
+		if c.n == 3 { // most of what comes is their own, and reserved at once
 			bound = 0.8
 		}
 		if most > bound || most < 0.4 {
@@ -482,9 +483,9 @@
 	}
 }
 
-// Guards against moves that add up: each balancer sees the overload by itself, moves its part, and must not move
-// another before a report can show what all of them have moved.
-func TestMovesOfManyTakeWhatIsTooMuch(t *testing.T) {
+// Each balancer notices an overload by itself and migrates its part, and must not migrate more before a report can
+// show what all of them have migrated.
+func TestMigrationsOfLargeFleetTakeExcess(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
 		f, groups := establishedFleet(t, c.n, c.old, 0.5)
@@ -495,22 +496,22 @@
 		first := len(f.migratedOff[id])
 		f.run(8*time.Second, 0, groups)
 		most := maxInWindow(f.migratedOff[id], 500*time.Millisecond)
-		t.Logf("%d balancers: load %.2f of %d; %d moved within 2 s, %d at one time, %d within 10 s, load %.2f", c.n, before, held,
+		t.Logf("%d balancers: load %.2f of %d; %d migrated within 2 s, %d at one time, %d within 10 s, load %.2f", c.n, before, held,
 			first, most, len(f.migratedOff[id]), f.load(id))
 		// At a mean load of its connections the excess is 0.69 of them. One in each balancer's hands may be too many.
 		excess := float64(held) * (1 - migrationTargetLoad/before)
 		if float64(first) > excess+3 || f.load(id) > 1.1 {
-			t.Errorf("%d balancers: %d of %d moved within 2 s where %.0f are too much, load %.2f after 10 s", c.n, first, held, excess, f.load(id))
+			t.Errorf("%d balancers: %d of %d migrated within 2 s where %.0f are too much, load %.2f after 10 s", c.n, first, held, excess, f.load(id))
 		}
 		if f.servers[id].connections == 0 {
-			t.Errorf("%d balancers: all were moved off a server that can bear some", c.n)
+			t.Errorf("%d balancers: all were migrated off a server that can bear some", c.n)
 		}
 	}
 }
 
-// Guards against a fleet in which each balancer learns by its own clients, again and again, that a server fails. Its
-// probes say that it is well.
-func TestManyLearnThatAServerFails(t *testing.T) {
+// Each balancer has to learn from its own requests that a server fails; its probes succeed. The attempts at that
+// server must stay few.
+func TestLargeFleetEjectsFailingServer(t *testing.T) {
 	t.Parallel()
 	// Three see twenty requests each and try four times, as a time out doubles from 4 s. Most of 300 see one or two,
 	// which no memory of their own can help: balancers share nothing.
@@ -530,13 +531,12 @@
 	}
 }
 
-// busiest is the server that holds most.
+// busiest is the server that has most.
 func (f *fleetSimulation) busiest() ServerID {
 	return slices.MaxFunc(f.list, func(x, y Server) int { return f.servers[x.ID].connections - f.servers[y.ID].connections }).ID
 }
 
-// leastLoadedServer lists one more server, empty and warm: of a hundred ids the one at which most groups are first at
-// home.
+// leastLoadedServer lists one more server, idle and warm. Of a hundred ids it gets the one that most groups prefer.
 func (f *fleetSimulation) leastLoadedServer(groups []string) (best ServerID) {
 	firsts := map[ServerID]int{}
 	for _, g := range groups {
@@ -559,14 +559,14 @@
 	return best
 }
 
-// reportAll gives all balancers the list.
+// reportAll sends the list to all balancers.
 func (f *fleetSimulation) reportAll() {
 	for i := range f.balancers {
 		f.handle(i, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	}
 }
 
-// drain takes n servers out, from id on: they are told to drain and send their clients away.
+// drain lets n servers drain, from id on; they close their connections.
 func (f *fleetSimulation) drain(id ServerID, n int) {
 	for i := range f.list {
 		if s := &f.list[i]; s.ID >= id && s.ID < id+ServerID(n) {
@@ -581,7 +581,7 @@
 	}
 }
 
-// averageServed is how many connections stand at servers that bear them, in the mean of a time that passes.
+// averageServed lets time pass and returns the mean number of connections at servers that bear them.
 func (f *fleetSimulation) averageServed(d time.Duration, perStep float64, groups []string) float64 {
 	const look = 100 * time.Millisecond
 	sum := 0
@@ -596,11 +596,10 @@
 	return float64(sum) / float64(d/look)
 }
 
-// Guards against a fleet that was pushed over and stays there. Half of the servers fail for 12 s, under more clients
-// than all of them bear, before a store that all share; clients come again by themselves, and a server over its
-// capacity sets up nothing in time. What holds such a fleet down is the cost of groups that were opened everywhere
-// meanwhile.
-func TestFleetComesBack(t *testing.T) {
+// A fleet that was overloaded must recover. Half of the servers fail for 12 s, under more clients than all of them
+// bear, before a store that all share. Clients reconnect by themselves, and an overloaded server establishes nothing
+// in time. What keeps such a fleet overloaded is the cost of groups that were scattered meanwhile.
+func TestFleetRecoversFromOverload(t *testing.T) {
 	t.Parallel()
 	var zipf []string // the n-th of eight groups has a n-th of the first one's clients
 	for i := range 8 {
@@ -612,7 +611,7 @@
 		f := newFleetSimulation(t, fleetSettings(), 3, servers(6, 6), 26)
 		f.meanLifetime, f.sharedStoreRate = 30*time.Second, store
 		f.run(25*time.Second, 0.2, zipf)
-		before, pairs := f.averageServed(5*time.Second, 0.2, zipf), f.groupPlacements()
+		before, placements := f.averageServed(5*time.Second, 0.2, zipf), f.groupPlacements()
 		for id := ServerID(1); id <= 6; id++ {
 			f.failing[id] = true
 		}
@@ -624,12 +623,12 @@
 		during := f.averageServed(12*time.Second, 0.2, zipf)
 		clear(f.failing)
 		back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf)}
-		t.Logf("store %v: %.0f served well before, %.0f meanwhile, %.0f in each 5 s after; %d and %d pairs; %d set-ups choked, %d refused",
-			store, before, during, back, pairs, f.groupPlacements(), f.setupTimeouts, f.rejected)
+		t.Logf("store %v: %.0f served well before, %.0f meanwhile, %.0f in each 5 s after; %d and %d pairs; %d set-ups choked, %d rejected",
+			store, before, during, back, placements, f.groupPlacements(), f.setupTimeouts, f.rejected)
 		// Without a price on opening a group: 143 and 150 before, 130 and 137 at last, 34 and 36 pairs.
-		if back[2] < 0.85*before || before < 155 || pairs > 30 {
+		if back[2] < 0.85*before || before < 155 || placements > 30 {
 			t.Errorf("store %v: %.0f served well 10 to 15 s after the cause has gone, %.0f before it, %d pairs of group and server", store,
-				back[2], before, pairs)
+				back[2], before, placements)
 		}
 	}
 }
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A size that is told makes the same margins, askings and polls as the same number in the settings.
-func TestFleetSizeIsTakenOver(t *testing.T) {
+// A fleet size from the membership has the same effect as the same number in the settings.
+func TestSetFleetSize(t *testing.T) {
 	few, many := settings(), settings()
 	few.Balancers, many.Balancers = 4, 300
 	told, named := newHarness(t, few), newHarness(t, many)
@@ -28,14 +28,14 @@
 	}
 }
 
-// Balancers that the others do not count yet send a cold server nothing, where they would send it some requests else.
-func TestNotAdmittedSendNothingToColdServers(t *testing.T) {
+// Balancers that are not admitted send a warming server nothing, where admitted ones send it some requests.
+func TestNotAdmittedBalancersSkipWarmingServers(t *testing.T) {
 	c := slowStartCase{balancers: 30, membershipCounts: true, notAdmitted: true, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, meanLifetime: 30 * time.Second, load: 0.5, demandFactor: 2}
 	if r := c.play(t, slowStartSettings()); r.all > 0 {
-		t.Errorf("%d requests at a cold server", r.all)
+		t.Errorf("%d requests at a warming server", r.all)
 	}
 	c.notAdmitted = false
 	if r := c.play(t, slowStartSettings()); r.all == 0 {
-		t.Error("admitted ones send a cold server nothing")
+		t.Error("admitted ones send a warming server nothing")
 	}
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// harness feeds a Balancer events and keeps what it asked for.
+// harness feeds a Balancer events and holds the actions of the latest one.
 type harness struct {
 	t       *testing.T
 	b       *Balancer
@@ -14,7 +14,7 @@
 	actions []Action // of the latest event
 }
 
-// settings are a small deployment's; a test changes what it is about.
+// settings are those of a small deployment; a test changes what it is about.
 func settings() Settings {
 	return Settings{
 		Seed: 7, Zone: "a", Zones: []string{"a", "b"}, Balancers: 4, WatchList: true,
@@ -46,26 +46,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &harness{t: t, b: b, now: 1000 * time.Second}
-	w.send(Started{})
-	return w
+	h := &harness{t: t, b: b, now: 1000 * time.Second}
+	h.send(Started{})
+	return h
 }
 
-func (w *harness) send(ev Event) []Action {
-	w.actions = w.b.Handle(w.now, ev, nil)
-	return w.actions
+func (h *harness) send(ev Event) []Action {
+	h.actions = h.b.Handle(h.now, ev, nil)
+	return h.actions
 }
 
 // tick advances the clock and fires the periodic timer.
-func (w *harness) tick(d time.Duration) (acts []Action) {
-	for end := w.now + d; w.now < end; {
-		w.now += tickInterval
-		acts = append(acts, w.send(TimerFired{Token: tickToken})...)
+func (h *harness) tick(d time.Duration) (actions []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now += tickInterval
+		actions = append(actions, h.send(TimerFired{Token: tickToken})...)
 	}
-	return acts
+	return actions
 }
 
-// servers makes ready lines: ids 1.. in zone a, 101.. in zone b.
+// servers returns ready servers: ids from 1 in zone a, ids from 101 in zone b.
 func servers(a, b int) (list []Server) {
 	for i := range a {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: "a", Cell: i/2 + 1})
@@ -76,37 +76,42 @@
 	return list
 }
 
-func (w *harness) replaceList(list []Server) []Action {
-	return w.send(ListReceived{Kind: ListSnapshot, Servers: list})
+// replaceList sends a full snapshot.
+func (h *harness) replaceList(list []Server) []Action {
+	return h.send(ListReceived{Kind: ListSnapshot, Servers: list})
 }
 
-func (w *harness) reportLoad(id ServerID, load float64) []Action {
-	return w.send(ProbeCompleted{Server: id, Code: OK, Report: LoadReport{Load: load, Connections: -1}})
+// reportLoad answers a probe with a load.
+func (h *harness) reportLoad(id ServerID, load float64) []Action {
+	return h.send(ProbeCompleted{Server: id, Code: OK, Report: LoadReport{Load: load, Connections: -1}})
 }
 
-func (w *harness) request(id string, class int) []Action {
-	return w.send(RequestArrived{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
+// request sends a request of a class.
+func (h *harness) request(id string, class int) []Action {
+	return h.send(RequestArrived{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
 }
 
-func (w *harness) endAttempt(id string, attempt int, s ServerID, code Code, final bool) []Action {
-	return w.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoLoadReport})
+// endAttempt ends an attempt.
+func (h *harness) endAttempt(id string, attempt int, s ServerID, code Code, final bool) []Action {
+	return h.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoLoadReport})
 }
 
-// establish places a request and lets its connection stand.
-func (w *harness) establish(id string, class int) ServerID {
-	w.t.Helper()
-	acts := w.request(id, class)
-	if len(actionsOf[StartAttempt](acts)) == 0 { // it waits for answers that do not come
-		w.now += onDemandProbeTimeout
-		acts = w.send(TimerFired{Token: retryWaitingToken})
+// establish places a request and establishes its connection.
+func (h *harness) establish(id string, class int) ServerID {
+	h.t.Helper()
+	actions := h.request(id, class)
+	if len(actionsOf[StartAttempt](actions)) == 0 { // it waits for answers to probes that do not come
+		h.now += onDemandProbeTimeout
+		actions = h.send(TimerFired{Token: retryWaitingToken})
 	}
-	s := w.wantAttempt(acts)
-	w.send(Established{ID: RequestID(id), Server: s})
+	s := h.wantAttempt(actions)
+	h.send(Established{ID: RequestID(id), Server: s})
 	return s
 }
 
-func actionsOf[T Action](acts []Action) (found []T) {
-	for _, a := range acts {
+// actionsOf returns the actions of one type.
+func actionsOf[T Action](actions []Action) (found []T) {
+	for _, a := range actions {
 		if x, ok := a.(T); ok {
 			found = append(found, x)
 		}
@@ -114,28 +119,30 @@
 	return found
 }
 
-// wantAttempt wants exactly one Place among the actions.
-func (w *harness) wantAttempt(acts []Action) ServerID {
-	w.t.Helper()
-	p := actionsOf[StartAttempt](acts)
+// wantAttempt expects exactly one StartAttempt and returns its server.
+func (h *harness) wantAttempt(actions []Action) ServerID {
+	h.t.Helper()
+	p := actionsOf[StartAttempt](actions)
 	if len(p) != 1 {
-		w.t.Fatalf("want one Place, got %v", acts)
+		h.t.Fatalf("want one StartAttempt, got %v", actions)
 	}
 	return p[0].Server
 }
 
-func (w *harness) wantNoAttempt(acts []Action, why string) {
-	w.t.Helper()
-	if p := actionsOf[StartAttempt](acts); len(p) > 0 {
-		w.t.Fatalf("%s: unwanted %v", why, p)
+// wantNoAttempt expects no StartAttempt.
+func (h *harness) wantNoAttempt(actions []Action, why string) {
+	h.t.Helper()
+	if p := actionsOf[StartAttempt](actions); len(p) > 0 {
+		h.t.Fatalf("%s: unwanted %v", why, p)
 	}
 }
 
-// countAnswers counts final answers.
-func countAnswers(acts []Action) (refused, failed int) {
-	return len(actionsOf[Reject](acts)), len(actionsOf[Fail](acts))
+// countAnswers counts the final answers.
+func countAnswers(actions []Action) (rejected, failed int) {
+	return len(actionsOf[Reject](actions)), len(actionsOf[Fail](actions))
 }
 
+// zoneOf returns the zone of a server made by servers.
 func zoneOf(id ServerID) string {
 	if id > 100 {
 		return "b"
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// comparison drives the present Balancer and the one that walks all servers with the same events, and compares every
+// comparison drives the Balancer and the reference, which walks all servers, with the same events, and compares every
 // action.
 type comparison struct {
 	t           *testing.T
@@ -27,7 +27,7 @@
 	lines       map[ServerID]Server // the list as it is told
 	ids         []ServerID          // of lines, and of those that went
 	inFlight    []StartAttempt      // attempts that are out
-	established []StartAttempt      // connections that stand
+	established []StartAttempt      // connections that are established
 	timers      []timerDue
 	probes      []ServerID
 	nextID      int
@@ -41,7 +41,7 @@
 	got, want := p.b.Handle(p.now, ev, nil), p.ref.Handle(p.now, ev, nil)
 	p.events++
 	if !slices.Equal(got, want) {
-		p.trace = fmt.Sprintf("event %d, %T at %v: %d actions, %d the old way; first that differs: %v", p.events, ev, p.now,
+		p.trace = fmt.Sprintf("event %d, %T at %v: %d actions, %d by the reference; first that differs: %v", p.events, ev, p.now,
 			len(got), len(want), firstDifference(got, want))
 		return false
 	}
@@ -73,7 +73,7 @@
 	return ""
 }
 
-// randomServer draws a server's line.
+// randomServer returns a random list entry.
 func (p *comparison) randomServer(id ServerID, weights int) Server {
 	s := Server{ID: id, Zone: []string{"a", "a", "b", "c"}[p.rng.IntN(4)], Cell: p.rng.IntN(9)}
 	switch {
@@ -95,7 +95,7 @@
 		id := p.ids[p.rng.IntN(len(p.ids))]
 		s, listed := p.lines[id]
 		switch k := p.rng.IntN(10); {
-		case !listed || k == 0: // back, or moved elsewhere
+		case !listed || k == 0: // back, or moved to another zone
 			s = p.randomServer(id, weights)
 		case k < 3:
 			s.State = Draining
@@ -122,7 +122,7 @@
 	return p.sendSnapshot(func(Server) bool { return true })
 }
 
-// sendSnapshot tells those lines of the list that are asked for.
+// sendSnapshot sends a snapshot of the selected servers.
 func (p *comparison) sendSnapshot(want func(Server) bool) bool {
 	var told []Server
 	for _, id := range p.ids {
@@ -133,7 +133,7 @@
 	return p.send(ListReceived{Kind: ListSnapshot, Servers: told})
 }
 
-// step gives one random event.
+// step sends one random event.
 func (p *comparison) step(weights int) bool {
 	pick := func(list *[]StartAttempt) (StartAttempt, bool) {
 		if len(*list) == 0 {
@@ -234,7 +234,7 @@
 	return true
 }
 
-// advance moves the clock and fires what falls due, in its order.
+// advance moves the clock and fires the timers that are due, in their order.
 func (p *comparison) advance(d time.Duration) bool {
 	for end := p.now + d; ; {
 		i := -1
@@ -270,7 +270,7 @@
 		actions: map[string]int{}, lines: map[ServerID]Server{}}
 }
 
-// run drives both through so many steps with a list of n servers, until they differ.
+// run lets time pass. In each step, perStep requests of the groups arrive on average, each at any balancer.
 func (p *comparison) run(n, weights, steps int) bool {
 	for i := range n {
 		id := ServerID(i + 1)
@@ -304,7 +304,7 @@
 	return true
 }
 
-// comparisonSettings differ in all that the lists matter to.
+// comparisonSettings vary all settings that the index depends on.
 func comparisonSettings(seed uint64) Settings {
 	set := settings()
 	set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%3 != 0, seed%2 == 0, seed%5 != 4
@@ -312,8 +312,8 @@
 	return set
 }
 
-// The lists that are kept give the choices that walks over all servers gave: every action is the same.
-func TestChoicesAreThoseOfTheOldWay(t *testing.T) {
+// The index gives the choices that walks over all servers give: every action is the same.
+func TestIndexedChoicesEqualReference(t *testing.T) {
 	steps := 6000
 	if testing.Short() {
 		steps = 1500
@@ -339,8 +339,8 @@
 	}
 }
 
-// The comparison finds what is spoilt in any of the lists.
-func TestPlantedDifferencesAreFound(t *testing.T) {
+// The comparison finds a fault in any list of the index.
+func TestInjectedFaultsAreFound(t *testing.T) {
 	plants := map[string]func(b *Balancer) bool{
 		"held": func(b *Balancer) bool { b.connected = b.connected[:len(b.connected)/2]; return true },
 		"far": func(b *Balancer) bool {
@@ -371,7 +371,7 @@
 			}
 			return len(b.localZone.recentGroups) > 3
 		},
-		"change of homes": func(b *Balancer) bool { clear(b.localZone.changeLog[:]); return true },
+		"change of preferred servers": func(b *Balancer) bool { clear(b.localZone.changeLog[:]); return true },
 		"weight": func(b *Balancer) bool {
 			for i := range b.localZone.rankingKeys {
 				b.localZone.rankingKeys[i].weight /= 64
@@ -395,9 +395,9 @@
 	}
 }
 
-// A group's servers are those that a look at all would give, whatever the weights, as servers come and go: few
-// between two requests, or more than are noted.
-func TestHomesAreThoseOfTheOldWay(t *testing.T) {
+// The cached ranking of a group is what ranking all servers gives, whatever the weights, as servers come and go: few
+// between two requests, or more than the change log has.
+func TestRankingEqualsReference(t *testing.T) {
 	weights := map[string]func(rng *rand.Rand) float64{
 		"equal": func(*rand.Rand) float64 { return 0 },
 		"few":   func(rng *rand.Rand) float64 { return float64(rng.IntN(5)) },
@@ -446,8 +446,8 @@
 	}
 }
 
-// Neither a tick, a change, nor a request looks at more servers where the list is longer, nor allocates more; a group
-// that is new costs one quick pass.
+// No tick, change or request looks at more servers when the list is longer; only a group that is not cached costs one
+// quick pass.
 func TestCostDoesNotGrowWithTheList(t *testing.T) {
 	const times = 200
 	now := 101 * time.Second
@@ -507,7 +507,7 @@
 	}
 }
 
-// A tick at rest allocates nothing, and a request as much as with a short list.
+// A tick at rest allocates only its actions, and a request as much as with a short list.
 func TestAllocationsDoNotGrowWithTheList(t *testing.T) {
 	var short float64
 	for _, n := range []int{600, 20_000} {
@@ -531,7 +531,7 @@
 	}
 }
 
-// All walks over whole lists are known, each with its reason: one more would make something grow with the list again.
+// All walks over whole lists are known, each with its reason: another one would make some cost grow with the list.
 func TestWalksOverWholeListsAreKnown(t *testing.T) {
 	known := map[string]string{
 		"applyList":     "a full snapshot has just come",
@@ -579,49 +579,50 @@
 	}
 }
 
-// Records of servers that are gone, and of those that no list has named, are dropped a while later, at a list that
-// need not tell of them; those that are back, or hold connections, are kept.
-func TestRecordsOfGoneServersAreDropped(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(40, 0))
-	w.send(ConnectionRestored{Request: RequestArrived{ID: "held"}, Server: 1})
-	w.send(ConnectionRestored{Request: RequestArrived{ID: "unlisted"}, Server: 99})
-	w.endAttempt("unlisted", 0, 99, OK, true)
-	w.endAttempt("unknown", 0, 98, OK, true)
-	w.replaceList(servers(40, 0)[20:])
-	w.now += recordRetention / 2
+// Records of removed servers, and of those that no list has named, are dropped a while later, at the next list
+// update; those of servers that are back, or have connections, are kept.
+func TestRecordsOfRemovedServersAreDropped(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(40, 0))
+	h.send(ConnectionRestored{Request: RequestArrived{ID: "held"}, Server: 1})
+	h.send(ConnectionRestored{Request: RequestArrived{ID: "unlisted"}, Server: 99})
+	h.endAttempt("unlisted", 0, 99, OK, true)
+	h.endAttempt("unknown", 0, 98, OK, true)
+	h.replaceList(servers(40, 0)[20:])
+	h.now += recordRetention / 2
 	back := servers(2, 0)[1]
-	w.send(ListReceived{Servers: []Server{back}})
-	w.now += recordRetention/2 + time.Second
-	w.tick(time.Second)
-	w.send(ListReceived{})
-	if len(w.b.servers) != 22 || w.b.servers[1] == nil || w.b.servers[2] == nil {
-		t.Fatalf("%d records kept, want those of 20 listed, one that is back and one that holds a connection", len(w.b.servers))
-	}
-	w.endAttempt("held", 0, 1, OK, true)
-	w.send(ListReceived{})
-	if len(w.b.servers) != 21 {
-		t.Fatalf("%d records kept, want 21", len(w.b.servers))
+	h.send(ListReceived{Servers: []Server{back}})
+	h.now += recordRetention/2 + time.Second
+	h.tick(time.Second)
+	h.send(ListReceived{})
+	if len(h.b.servers) != 22 || h.b.servers[1] == nil || h.b.servers[2] == nil {
+		t.Fatalf("%d records kept, want those of 20 listed, one that is back and one that has a connection", len(h.b.servers))
+	}
+	h.endAttempt("held", 0, 1, OK, true)
+	h.send(ListReceived{})
+	if len(h.b.servers) != 21 {
+		t.Fatalf("%d records kept, want 21", len(h.b.servers))
 	}
 }
 
-// Guards a server that is back under its name against what ends late at its record of before.
-func TestLateEndAtADroppedRecord(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(1, 0))
-	s := w.wantAttempt(w.send(RequestArrived{ID: "r", Remaining: time.Hour}))
-	w.replaceList(nil)
-	w.now += recordRetention + time.Second
-	w.send(ListReceived{})
-	if len(w.b.servers) != 0 {
+// An attempt that ends after its server's record was dropped must not affect the new record of a server with the same
+// id.
+func TestAttemptEndAfterRecordWasDropped(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 0))
+	s := h.wantAttempt(h.send(RequestArrived{ID: "r", Remaining: time.Hour}))
+	h.replaceList(nil)
+	h.now += recordRetention + time.Second
+	h.send(ListReceived{})
+	if len(h.b.servers) != 0 {
 		t.Fatal("the record was not dropped")
 	}
-	w.replaceList(servers(1, 0))
-	w.send(Established{ID: "r", Server: s})
-	w.send(ClientDisconnected{ID: "r"})
-	w.now += recordRetention + time.Second
-	w.send(ListReceived{})
-	if b := w.b; b.servers[s] == nil || len(b.local) != 1 || b.servers[s].State != Ready {
+	h.replaceList(servers(1, 0))
+	h.send(Established{ID: "r", Server: s})
+	h.send(ClientDisconnected{ID: "r"})
+	h.now += recordRetention + time.Second
+	h.send(ListReceived{})
+	if b := h.b; b.servers[s] == nil || len(b.local) != 1 || b.servers[s].State != Ready {
 		t.Fatal("the server that is back was dropped")
 	}
 }
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -9,8 +9,8 @@
 // looks idle, and a recent report counts. Unknown servers and invalid values are ignored.
 func TestImportLearned(t *testing.T) {
 	old, next := newHarness(t, settings()), newHarness(t, settings())
-	for _, w := range []*harness{old, next} {
-		w.replaceList(servers(4, 0))
+	for _, h := range []*harness{old, next} {
+		h.replaceList(servers(4, 0))
 	}
 	for id := range ServerID(4) {
 		old.reportLoad(id+1, 0.2)
@@ -22,7 +22,7 @@
 	next.send(TimerFired{Token: retryWaitingToken})
 	next.b.ImportLearned(told)
 	if !next.b.Ejected(bad) || next.b.Ejected(77) {
-		t.Error("the server that is left out is not, or an unknown one is")
+		t.Error("the ejected server is not ejected, or an unknown one is")
 	}
 	for id, s := range next.b.servers {
 		if s.load != 0.2 || s.reportedAt == 0 {
@@ -31,11 +31,11 @@
 	}
 	for i := range 12 {
 		if s := next.establish(name("r", i), idempotentClass); s == bad {
-			t.Error("a client went to the server that is left out")
+			t.Error("a client was placed on the ejected server")
 		}
 	}
 	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4, EjectedFor: -1}})
 	if s := next.b.servers[1]; s.load < 0 || s.loadPerConnection > 1 {
-		t.Errorf("nonsense was taken over: %+v", s)
+		t.Errorf("invalid values were imported: %+v", s)
 	}
 }
--- a/decide/legal_test.go
+++ b/decide/legal_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// randomHost plays the obligations of a host with random legal events: it models no
-// server and measures nothing. It checks the rules on every action.
+// randomHost keeps a host's obligations with random legal events. It models no server and measures nothing; it checks
+// the rules on every action.
 type randomHost struct {
 	*harness
 	rng           *rand.Rand
@@ -49,7 +49,7 @@
 	}
 }
 
-// check holds an action against the rules.
+// check has an action against the rules.
 func (h *randomHost) check(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
@@ -60,7 +60,7 @@
 		if class := h.b.settings.Classes[r.class]; class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.KeyScope != ScopeAll {
 			for _, at := range r.attempts {
 				if !at.ended || !at.code.NeverExecuted() {
-					h.t.Fatalf("%s refused though it may have run", a.ID)
+					h.t.Fatalf("%s rejected though it may have run", a.ID)
 				}
 			}
 		}
@@ -69,7 +69,7 @@
 		h.wantUnanswered(a.ID).answered = true
 	case Migrate:
 		if r := h.live[a.ID]; r == nil || !r.established {
-			h.t.Fatalf("moved %s, which does not stand", a.ID)
+			h.t.Fatalf("migrated %s, which is not established", a.ID)
 		}
 	case Probe:
 		if !h.everListed[a.Server] {
@@ -83,7 +83,7 @@
 	}
 }
 
-// wantUnanswered wants a request that still waits for its answer.
+// wantUnanswered expects a request that still waits for its answer.
 func (h *randomHost) wantUnanswered(id RequestID) *trackedRequest {
 	h.t.Helper()
 	r := h.live[id]
@@ -93,6 +93,7 @@
 	return r
 }
 
+// checkAttempt checks that a request may be sent to this server now.
 func (h *randomHost) checkAttempt(a StartAttempt) {
 	h.t.Helper()
 	r := h.wantUnanswered(a.ID)
@@ -128,7 +129,7 @@
 	r.attempts = append(r.attempts, trackedAttempt{server: a.Server, sent: h.now, timeout: a.Timeout})
 }
 
-// advance moves the clock, fires what is due and ends what has timed out.
+// advance migrations the clock, fires what is due and ends what has timed out.
 func (h *randomHost) advance(d time.Duration) {
 	h.now += d
 	due := h.timers
@@ -286,8 +287,8 @@
 	h.prune()
 }
 
-// The rules hold for any sequence of legal events, and nothing grows without bound.
-func TestRulesHoldForAnyLegalEvents(t *testing.T) {
+// The rules hold for any sequence of legal events, and no state grows without bound.
+func TestSafetyRulesHoldForAnyEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
 		set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%2 == 0, seed%3 != 0, seed%5 != 0
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -8,62 +8,62 @@
 
 // Placements that a report may not show yet are reserved, but cause no migration.
 func TestReservationsCauseNoMigration(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(1, 0))
-	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 0))
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
 	for i := range 6 {
-		w.establish(name("r", i), idempotentClass)
+		h.establish(name("r", i), idempotentClass)
 	}
-	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
-	if s := w.b.servers[1]; s.load < migrationLoad {
-		t.Fatalf("load %.2f, want it booked above the limit", s.load)
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
+	if s := h.b.servers[1]; s.load < migrationLoad {
+		t.Fatalf("load %.2f, want it reserved above the limit", s.load)
 	}
-	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n > 0 {
-		t.Errorf("%d moved off a server that reports 0.7", n)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n > 0 {
+		t.Errorf("%d migrated off a server that reports 0.7", n)
 	}
 }
 
 // An overloaded server serves all of its connections badly; every balancer migrates the same fraction of its own.
 func TestMigrationMovesExcess(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(4, 0))
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
 	for i := range 200 {
-		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
 	}
-	w.reportLoad(1, migrationLoad)
-	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
-		t.Fatalf("%d moved at the limit", n)
+	h.reportLoad(1, migrationLoad)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d migrated at the limit", n)
 	}
-	w.reportLoad(1, 1.4)
-	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 60 || n > 140 {
-		t.Fatalf("%d of 200 moved at load 1.4, want about half", n)
+	h.reportLoad(1, 1.4)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 60 || n > 140 {
+		t.Fatalf("%d of 200 migrated at load 1.4, want about half", n)
 	}
-	w.reportLoad(1, 1.4) // a report that cannot show the moves yet
-	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != 0 {
-		t.Fatalf("%d moved again before the report settled", n)
+	h.reportLoad(1, 1.4) // a report that cannot show the migrations yet
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d migrated again before the report settled", n)
 	}
 }
 
 func TestSlowMessagesCauseProbeAndEarlierMigration(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newHarness(t, set)
-	w.replaceList(servers(4, 0))
+	h := newHarness(t, set)
+	h.replaceList(servers(4, 0))
 	for i := range 100 {
-		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
 	}
-	w.tick(time.Second)
-	acts := w.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
-	if p := actionsOf[Probe](acts); len(p) != 1 || p[0].Server != 2 {
-		t.Fatalf("want a probe of server 2, got %v", acts)
+	h.tick(time.Second)
+	actions := h.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
+	if p := actionsOf[Probe](actions); len(p) != 1 || p[0].Server != 2 {
+		t.Fatalf("want a probe of server 2, got %v", actions)
 	}
-	w.reportLoad(2, 0.9)
-	if n := len(actionsOf[Migrate](w.tick(tickInterval))); n < 8 || n > 45 {
-		t.Fatalf("%d of 100 moved at load 0.9 with slow messages", n)
+	h.reportLoad(2, 0.9)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 8 || n > 45 {
+		t.Fatalf("%d of 100 migrated at load 0.9 with slow messages", n)
 	}
-	w.reportLoad(1, 0.6) // heavier than server 2's next, stale-looking answer
-	w.reportLoad(2, 0.1)
-	if s := w.establish("r", idempotentClass); s == 2 {
+	h.reportLoad(1, 0.6) // more than the next report of server 2
+	h.reportLoad(2, 0.1)
+	if s := h.establish("r", idempotentClass); s == 2 {
 		t.Fatal("placed where messages are slow")
 	}
 }
@@ -72,19 +72,19 @@
 func TestMigrationMovesSmallGroupsFirst(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
-	w := newHarness(t, set)
-	w.replaceList(servers(4, 0))
+	h := newHarness(t, set)
+	h.replaceList(servers(4, 0))
 	for i := range 12 {
 		group := "large"
 		if i%6 == 0 {
 			group = "small"
 		}
-		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
 	}
-	w.reportLoad(1, 1.05)
-	moves := actionsOf[Migrate](w.tick(tickInterval))
-	if len(moves) < 2 || !strings.HasPrefix(string(moves[0].ID), "small") || !strings.HasPrefix(string(moves[1].ID), "small") {
-		t.Errorf("moved %v, the two of the small group first wanted", moves)
+	h.reportLoad(1, 1.05)
+	migrations := actionsOf[Migrate](h.tick(tickInterval))
+	if len(migrations) < 2 || !strings.HasPrefix(string(migrations[0].ID), "small") || !strings.HasPrefix(string(migrations[1].ID), "small") {
+		t.Errorf("migrated %v, the two of the small group first wanted", migrations)
 	}
 }
 
@@ -95,14 +95,14 @@
 	for seed := range uint64(30) {
 		set := settings()
 		set.Seed = seed
-		w := newHarness(t, set)
-		w.replaceList(servers(2, 0))
+		h := newHarness(t, set)
+		h.replaceList(servers(2, 0))
 		for i := range held {
-			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
+			h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
 		}
-		w.reportLoad(1, 1)
-		if n := len(actionsOf[Migrate](w.tick(tickInterval))); n != want {
-			t.Errorf("seed %d: %d of %d clients moved off a server at 1.0, want %d", seed, n, held, want)
+		h.reportLoad(1, 1)
+		if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != want {
+			t.Errorf("seed %d: %d of %d clients migrated off a server at 1.0, want %d", seed, n, held, want)
 		}
 	}
 }
@@ -111,60 +111,60 @@
 // would lose a few connections, and the server would still pay for each group.
 func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
 	const groupsHeld, each = 6, 2
-	moved := map[string]int{}
+	migrated := map[string]int{}
 	for seed := range uint64(20) {
 		set := affinitySettings()
 		set.Seed = seed
-		w := newHarness(t, set)
-		w.replaceList(servers(4, 0))
+		h := newHarness(t, set)
+		h.replaceList(servers(4, 0))
 		in := map[RequestID]string{}
 		for i := range groupsHeld * each {
 			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
 			in[id] = group
-			w.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
+			h.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
 		}
-		w.reportLoad(1, 1.05)
-		for _, m := range actionsOf[Migrate](w.tick(tickInterval)) {
-			moved[in[m.ID]]++
+		h.reportLoad(1, 1.05)
+		for _, m := range actionsOf[Migrate](h.tick(tickInterval)) {
+			migrated[in[m.ID]]++
 		}
 	}
 	most, all := 0, 0
-	for _, n := range moved {
+	for _, n := range migrated {
 		most, all = max(most, n), all+n
 	}
-	if len(moved) > 2 || most < 20*each {
-		t.Errorf("20 balancers moved %d clients of %d of %d groups, one of them %d times", all, len(moved), groupsHeld, most)
+	if len(migrated) > 2 || most < 20*each {
+		t.Errorf("20 balancers migrated %d clients of %d of %d groups, one of them %d times", all, len(migrated), groupsHeld, most)
 	}
 }
 
 // A client that was migrated off an overloaded server does not return to it at once, though it is its group's first
 // and looks lighter while the client is away.
 func TestMigratedClientsAvoidTheirServer(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(4, 0))
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
 	for id := range ServerID(4) {
-		w.reportLoad(id+1, 0.3)
+		h.reportLoad(id+1, 0.3)
 	}
 	ask := func(id, key string) ServerID {
-		return w.wantAttempt(w.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
+		return h.wantAttempt(h.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
 	}
 	for i := range 8 {
-		home := ask(name("r", i), name("key", i))
-		w.send(Established{ID: RequestID(name("r", i)), Server: home})
-		w.reportLoad(home, 0.3)
-	}
-	home := w.b.requests.byID["r0"].server.ID
-	w.now += migrationSettlePeriod
-	w.reportLoad(home, 1.2)
-	moves := actionsOf[Migrate](w.tick(tickInterval))
-	if len(moves) == 0 {
-		t.Fatal("nobody was moved")
-	}
-	for _, m := range moves {
-		key := w.b.requests.byID[m.ID].Key
-		w.endAttempt(string(m.ID), 0, home, Cancelled, true)
-		w.reportLoad(home, 0.3)
-		if s := ask("again-"+string(m.ID), key); s == home {
+		preferred := ask(name("r", i), name("key", i))
+		h.send(Established{ID: RequestID(name("r", i)), Server: preferred})
+		h.reportLoad(preferred, 0.3)
+	}
+	preferred := h.b.requests.byID["r0"].server.ID
+	h.now += migrationSettlePeriod
+	h.reportLoad(preferred, 1.2)
+	migrations := actionsOf[Migrate](h.tick(tickInterval))
+	if len(migrations) == 0 {
+		t.Fatal("nobody was migrated")
+	}
+	for _, m := range migrations {
+		key := h.b.requests.byID[m.ID].Key
+		h.endAttempt(string(m.ID), 0, preferred, Cancelled, true)
+		h.reportLoad(preferred, 0.3)
+		if s := ask("again-"+string(m.ID), key); s == preferred {
 			t.Errorf("%s came back to server %d", key, s)
 		}
 	}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -6,48 +6,48 @@
 )
 
 func TestPlacementPrefersOwnZone(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(4, 8))
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 8))
 	for i := range 8 {
-		if s := w.establish(name("r", i), idempotentClass); zoneOf(s) != "a" {
-			t.Fatalf("request %d went to zone b's server %d", i, s)
+		if s := h.establish(name("r", i), idempotentClass); zoneOf(s) != "a" {
+			t.Fatalf("request %d placed on zone b's server %d", i, s)
 		}
 	}
 }
 
 func TestPlacementPicksLeastLoadedReport(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(6, 0))
+	h := newHarness(t, settings())
+	h.replaceList(servers(6, 0))
 	for id, load := range map[ServerID]float64{1: 0.6, 2: 0.5, 3: 0.2, 4: 0.4} {
-		w.reportLoad(id, load)
+		h.reportLoad(id, load)
 	}
-	if s := w.wantAttempt(w.request("r", idempotentClass)); s != 3 {
-		t.Fatalf("went to %d, the lightest is 3", s)
+	if s := h.wantAttempt(h.request("r", idempotentClass)); s != 3 {
+		t.Fatalf("placed on %d, the least loaded is 3", s)
 	}
 }
 
 func TestPlacementIgnoresOldReports(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
-	w.reportLoad(1, 0.1)
-	w.now += maxReportAge + time.Second
-	w.reportLoad(2, 0.5)
-	if s := w.wantAttempt(w.request("r", idempotentClass)); s != 2 {
-		t.Fatal("an answer beyond its age was used")
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
+	h.reportLoad(1, 0.1)
+	h.now += maxReportAge + time.Second
+	h.reportLoad(2, 0.5)
+	if s := h.wantAttempt(h.request("r", idempotentClass)); s != 2 {
+		t.Fatal("a report beyond its age was used")
 	}
 }
 
 // A report of low load serves only a few placements; otherwise many balancers would follow the same one.
 func TestReportServesFewPlacements(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(6, 0))
-	w.reportLoad(1, 0.01)
+	h := newHarness(t, settings())
+	h.replaceList(servers(6, 0))
+	h.reportLoad(1, 0.01)
 	for id := range ServerID(5) {
-		w.reportLoad(id+2, 0.6)
+		h.reportLoad(id+2, 0.6)
 	}
 	count := 0
 	for i := range 8 {
-		if w.establish(name("r", i), idempotentClass) == 1 {
+		if h.establish(name("r", i), idempotentClass) == 1 {
 			count++
 		}
 	}
@@ -58,15 +58,15 @@
 
 // While requests wait, all balancers rush to any capacity that a report shows.
 func TestReportServesOnePlacementWhileRequestsWait(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
-	w.reportLoad(1, 0.95)
-	w.reportLoad(2, 0.95)
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
+	h.reportLoad(1, 0.95)
+	h.reportLoad(2, 0.95)
 	for i := range 5 {
-		w.wantNoAttempt(w.request(name("r", i), idempotentClass), "no server has room")
+		h.wantNoAttempt(h.request(name("r", i), idempotentClass), "no server has capacity")
 	}
-	if p := actionsOf[StartAttempt](w.reportLoad(2, 0.1)); len(p) != 1 {
-		t.Fatalf("%d of the held requests went to the room shown, want 1", len(p))
+	if p := actionsOf[StartAttempt](h.reportLoad(2, 0.1)); len(p) != 1 {
+		t.Fatalf("%d of the waiting requests were placed on the capacity shown, want 1", len(p))
 	}
 }
 
@@ -75,9 +75,9 @@
 	for seed := range uint64(8) {
 		set := settings()
 		set.Seed = seed
-		w := newHarness(t, set)
-		w.replaceList(servers(8, 0))
-		firsts[w.wantAttempt(w.request("r", idempotentClass))] = true
+		h := newHarness(t, set)
+		h.replaceList(servers(8, 0))
+		firsts[h.wantAttempt(h.request("r", idempotentClass))] = true
 	}
 	if len(firsts) < 3 {
 		t.Fatalf("eight balancers began with only %v", firsts)
@@ -86,21 +86,21 @@
 
 func TestNoPlacementOnDrainingOrRemovedServer(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
-		w := newHarness(t, settings())
-		w.replaceList(servers(2, 0))
-		w.reportLoad(1, 0.1)
-		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
+		h := newHarness(t, settings())
+		h.replaceList(servers(2, 0))
+		h.reportLoad(1, 0.1)
+		h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
 		for i := range 4 {
-			if s := w.establish(name("r", i), idempotentClass); s == 1 {
+			if s := h.establish(name("r", i), idempotentClass); s == 1 {
 				t.Fatalf("state %d: server 1 still used", state)
 			}
 		}
 	}
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
-	w.replaceList(servers(1, 0)) // absence is removal
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
+	h.replaceList(servers(1, 0)) // absence is removal
 	for i := range 4 {
-		if s := w.establish(name("r", i), idempotentClass); s == 2 {
+		if s := h.establish(name("r", i), idempotentClass); s == 2 {
 			t.Fatal("a server absent from the complete list is still used")
 		}
 	}
@@ -111,83 +111,83 @@
 		after time.Duration
 		want  bool
 	}{{100 * time.Millisecond, true}, {600 * time.Millisecond, false}} {
-		w := newHarness(t, settings())
-		w.replaceList(servers(4, 0))
-		s := w.establish("r", idempotentClass)
-		w.endAttempt("r", 0, s, Cancelled, true) // its packets went to another balancer
-		w.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
-		w.now += c.after
-		got := w.wantAttempt(w.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
+		h := newHarness(t, settings())
+		h.replaceList(servers(4, 0))
+		s := h.establish("r", idempotentClass)
+		h.endAttempt("r", 0, s, Cancelled, true) // its packets come to another balancer
+		h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
+		h.now += c.after
+		got := h.wantAttempt(h.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
 		if (got == s) != c.want {
-			t.Fatalf("%v after the drain: went to %d, its server is %d", c.after, got, s)
+			t.Fatalf("%v after the drain: placed on %d, its server is %d", c.after, got, s)
 		}
 	}
 }
 
 func TestReturningClientAvoidsServerItLost(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
-	s := w.establish("r", idempotentClass)
-	w.endAttempt("r", 0, s, Reset, true)
-	w.now += maxEjectionTime + time.Second // no longer ejected
-	w.reportLoad(s, 0.05)
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
+	s := h.establish("r", idempotentClass)
+	h.endAttempt("r", 0, s, Reset, true)
+	h.now += maxEjectionTime + time.Second // no longer ejected
+	h.reportLoad(s, 0.05)
 	back := RequestArrived{ID: "again", Key: "key-r", Remaining: time.Second, Returning: true}
-	if got := w.wantAttempt(w.send(back)); got == s {
+	if got := h.wantAttempt(h.send(back)); got == s {
 		t.Fatal("the client came back to the server it lost")
 	}
 	other := RequestArrived{ID: "other", Key: "key-other", Remaining: time.Second}
-	if got := w.wantAttempt(w.send(other)); got != s {
+	if got := h.wantAttempt(h.send(other)); got != s {
 		t.Fatal("only that client is kept off")
 	}
 }
 
 func TestSpillOverOnlyToCapacity(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 2))
-	w.reportLoad(1, 0.95)
-	w.reportLoad(2, 0.95)
-	w.reportLoad(101, 0.95)
-	w.wantNoAttempt(w.request("r", idempotentClass), "no server has room: the request is held")
-	if got := w.wantAttempt(w.reportLoad(102, 0.3)); got != 102 {
-		t.Fatalf("went to %d", got)
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 2))
+	h.reportLoad(1, 0.95)
+	h.reportLoad(2, 0.95)
+	h.reportLoad(101, 0.95)
+	h.wantNoAttempt(h.request("r", idempotentClass), "no server has capacity: the request waits")
+	if got := h.wantAttempt(h.reportLoad(102, 0.3)); got != 102 {
+		t.Fatalf("placed on %d", got)
 	}
 }
 
 func TestNoSpillOverWhileOwnZoneHasCapacity(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 2))
-	w.reportLoad(1, 0.6)
-	w.reportLoad(101, 0.0)
-	if got := w.wantAttempt(w.request("r", idempotentClass)); got != 1 {
-		t.Fatalf("went to %d though zone a has room", got)
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 2))
+	h.reportLoad(1, 0.6)
+	h.reportLoad(101, 0.0)
+	if got := h.wantAttempt(h.request("r", idempotentClass)); got != 1 {
+		t.Fatalf("placed on %d though zone a has capacity", got)
 	}
 }
 
 func TestSpillOverWeighsCrossZoneCost(t *testing.T) {
 	for _, c := range []struct {
-		price, away float64
-		want        ServerID
+		cost, remote float64
+		want         ServerID
 	}{{0.16, 0.6, 1}, {0.16, 0.5, 101}, {0.32, 0.5, 1}, {0.32, 0.3, 101}, {0.08, 0.66, 1}, {0.08, 0.6, 101}} {
 		set := settings()
-		set.Costs.CrossZone = c.price
-		w := newHarness(t, set)
-		w.replaceList(servers(1, 1))
-		w.reportLoad(1, 0.75)
-		w.reportLoad(101, c.away)
-		if s := w.wantAttempt(w.request("r", idempotentClass)); s != c.want {
-			t.Fatalf("price %.2f, own zone at 0.75, the other at %.2f: went to %d", c.price, c.away, s)
+		set.Costs.CrossZone = c.cost
+		h := newHarness(t, set)
+		h.replaceList(servers(1, 1))
+		h.reportLoad(1, 0.75)
+		h.reportLoad(101, c.remote)
+		if s := h.wantAttempt(h.request("r", idempotentClass)); s != c.want {
+			t.Fatalf("cost %.2f, own zone at 0.75, the other at %.2f: placed on %d", c.cost, c.remote, s)
 		}
 	}
 }
 
 func TestOtherZonesServeWhenOwnZoneFails(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 6))
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 6))
 	for id := ServerID(1); id <= 2; id++ {
-		w.send(ProbeCompleted{Server: id, Code: ConnectFailed, Report: NoLoadReport})
+		h.send(ProbeCompleted{Server: id, Code: ConnectFailed, Report: NoLoadReport})
 	}
-	if s := w.wantAttempt(w.request("r", idempotentClass)); zoneOf(s) != "b" {
-		t.Fatalf("went to %d", s)
+	if s := h.wantAttempt(h.request("r", idempotentClass)); zoneOf(s) != "b" {
+		t.Fatalf("placed on %d", s)
 	}
 }
 
@@ -201,14 +201,14 @@
 	}{{2, 0.65, true}, {300, 0.65, false}, {300, 0.55, true}} {
 		set := affinitySettings()
 		set.Balancers = c.balancers
-		w := newHarness(t, set)
-		w.replaceList(servers(4, 0))
-		homes := w.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, w.b.localZone)
-		for i, s := range homes {
-			w.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
+		h := newHarness(t, set)
+		h.replaceList(servers(4, 0))
+		preferred := h.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, h.b.localZone)
+		for i, s := range preferred {
+			h.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
 		}
-		if got := w.wantAttempt(w.requestInGroup("r", "g")); (got == homes[0].ID) != c.goes {
-			t.Errorf("%d balancers, the first at %.2f: went to %d, the group's are %d, %d", c.balancers, c.load, got, homes[0].ID, homes[1].ID)
+		if got := h.wantAttempt(h.requestInGroup("r", "g")); (got == preferred[0].ID) != c.goes {
+			t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load, got, preferred[0].ID, preferred[1].ID)
 		}
 	}
 }
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -7,64 +7,64 @@
 )
 
 func TestSteadyProbesStayInZoneAndBudget(t *testing.T) {
-	rate := func(price float64) (n int) {
+	rate := func(cost float64) (n int) {
 		set := settings()
-		set.Costs.Probe, set.ProbingAllowed = price, true
-		w := newHarness(t, set)
-		w.replaceList(servers(20, 20))
+		set.Costs.Probe, set.ProbingAllowed = cost, true
+		h := newHarness(t, set)
+		h.replaceList(servers(20, 20))
 		for i := range 100 {
-			for _, p := range actionsOf[Probe](w.tick(tickInterval)) {
+			for _, p := range actionsOf[Probe](h.tick(tickInterval)) {
 				n++
 				if zoneOf(p.Server) != "a" {
 					t.Fatalf("probed %d of another zone", p.Server)
 				}
 			}
-			w.establish(name("r", i), idempotentClass)
+			h.establish(name("r", i), idempotentClass)
 		}
 		return n
 	}
-	cheap, dear := rate(0.002), rate(0.02)
-	if dear < 8 || cheap < 3*dear {
-		t.Fatalf("%d probes at a low price, %d at ten times that", cheap, dear)
+	cheap, expensive := rate(0.002), rate(0.02)
+	if expensive < 8 || cheap < 3*expensive {
+		t.Fatalf("%d probes at a low cost, %d at ten times that", cheap, expensive)
 	}
 	set := settings()
 	set.ProbingAllowed = false
-	w := newHarness(t, set)
-	w.replaceList(servers(5, 5))
-	if len(actionsOf[Probe](w.tick(20*time.Second))) > 0 {
+	h := newHarness(t, set)
+	h.replaceList(servers(5, 5))
+	if len(actionsOf[Probe](h.tick(20*time.Second))) > 0 {
 		t.Fatal("probed where probes are not allowed")
 	}
 }
 
 // A server short of capacity is probed ahead of the steady probes, others are not, as often as the cost allows.
 func TestServersShortOfCapacityAreProbed(t *testing.T) {
-	count := func(price float64) (hot, cool int) {
+	count := func(cost float64) (saturated, available int) {
 		set := settings()
-		set.Costs.Probe, set.ProbingAllowed = price, true
-		w := newHarness(t, set)
-		w.replaceList(servers(6, 0))
+		set.Costs.Probe, set.ProbingAllowed = cost, true
+		h := newHarness(t, set)
+		h.replaceList(servers(6, 0))
 		for i := range 30 {
-			w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%6 + 1)})
+			h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%6 + 1)})
 		}
 		for range 40 {
-			w.reportLoad(1, 0.9)
-			w.reportLoad(2, 0.3)
-			for _, p := range actionsOf[Probe](w.tick(3 * tickInterval)) {
+			h.reportLoad(1, 0.9)
+			h.reportLoad(2, 0.3)
+			for _, p := range actionsOf[Probe](h.tick(3 * tickInterval)) {
 				switch p.Server {
 				case 1:
-					hot++
+					saturated++
 				case 2:
-					cool++
+					available++
 				}
 			}
 		}
-		return hot, cool
+		return saturated, available
 	}
-	if hot, cool := count(0.002); hot < 40 || cool > hot/2 {
-		t.Errorf("%d probes of the server short of room, %d of one with room", hot, cool)
+	if saturated, available := count(0.002); saturated < 40 || available > saturated/2 {
+		t.Errorf("%d probes of the server short of capacity, %d of one with capacity", saturated, available)
 	}
-	if hot, _ := count(0.05); hot > 20 {
-		t.Errorf("%d probes of the server short of room at a high price", hot)
+	if saturated, _ := count(0.05); saturated > 20 {
+		t.Errorf("%d probes of the server short of capacity at a high cost", saturated)
 	}
 }
 
@@ -72,24 +72,24 @@
 func TestRequestProbesWithoutReports(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newHarness(t, set)
-	w.replaceList(servers(8, 8))
-	acts := w.request("r", idempotentClass)
-	w.wantNoAttempt(acts, "nothing is known yet")
-	probes := actionsOf[Probe](acts)
+	h := newHarness(t, set)
+	h.replaceList(servers(8, 8))
+	actions := h.request("r", idempotentClass)
+	h.wantNoAttempt(actions, "nothing is known yet")
+	probes := actionsOf[Probe](actions)
 	if len(probes) != onDemandProbes {
-		t.Fatalf("want %d probes, got %v", onDemandProbes, acts)
+		t.Fatalf("want %d probes, got %v", onDemandProbes, actions)
 	}
-	w.reportLoad(probes[0].Server, 0.6)
-	w.reportLoad(probes[1].Server, 0.2)
-	w.now += onDemandProbeTimeout
-	if s := w.wantAttempt(w.send(TimerFired{Token: retryWaitingToken})); s != probes[1].Server {
-		t.Fatalf("went to %d, the lightest asked is %d", s, probes[1].Server)
+	h.reportLoad(probes[0].Server, 0.6)
+	h.reportLoad(probes[1].Server, 0.2)
+	h.now += onDemandProbeTimeout
+	if s := h.wantAttempt(h.send(TimerFired{Token: retryWaitingToken})); s != probes[1].Server {
+		t.Fatalf("placed on %d, the least loaded of the probed servers is %d", s, probes[1].Server)
 	}
-	w.now += maxReportAge
-	w.request("silent", idempotentClass) // no answer comes: it is placed all the same
-	w.now += onDemandProbeTimeout
-	w.wantAttempt(w.send(TimerFired{Token: retryWaitingToken}))
+	h.now += maxReportAge
+	h.request("silent", idempotentClass) // no answer comes: it is placed nevertheless
+	h.now += onDemandProbeTimeout
+	h.wantAttempt(h.send(TimerFired{Token: retryWaitingToken}))
 }
 
 // A server of another zone that has connections of this balancer is probed now and then, also while the own zone has
@@ -97,27 +97,27 @@
 func TestOverloadInOtherZonesIsNoticed(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
-	w := newHarness(t, set)
-	w.replaceList(servers(3, 3))
+	h := newHarness(t, set)
+	h.replaceList(servers(3, 3))
 	for i := range 20 {
-		w.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: idempotentClass}, Server: 102})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: idempotentClass}, Server: 102})
 	}
-	moved := 0
+	migrated := 0
 	for range 20 {
-		for _, p := range actionsOf[Probe](w.tick(time.Second)) {
+		for _, p := range actionsOf[Probe](h.tick(time.Second)) {
 			load := 0.3
 			if p.Server > 100 {
 				load = 1.4
 				if p.Server != 102 {
-					t.Fatalf("server %d of another zone holds nothing and is probed", p.Server)
+					t.Fatalf("server %d of another zone has nothing and is probed", p.Server)
 				}
 			}
-			moved += len(actionsOf[Migrate](w.reportLoad(p.Server, load)))
+			migrated += len(actionsOf[Migrate](h.reportLoad(p.Server, load)))
 		}
-		moved += len(actionsOf[Migrate](w.tick(tickInterval)))
+		migrated += len(actionsOf[Migrate](h.tick(tickInterval)))
 	}
-	if moved == 0 {
-		t.Error("no connection was moved off the overloaded server")
+	if migrated == 0 {
+		t.Error("no connection was migrated off the overloaded server")
 	}
 }
 
@@ -125,21 +125,21 @@
 // free.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	for _, load := range []float64{-3, 101, 1e300, math.Inf(1), math.NaN()} {
-		w := newHarness(t, settings())
-		w.replaceList(servers(2, 0))
-		w.reportLoad(1, 0.5)
-		s := w.b.servers[1]
-		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
+		h := newHarness(t, settings())
+		h.replaceList(servers(2, 0))
+		h.reportLoad(1, 0.5)
+		s := h.b.servers[1]
+		h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
 		if s.load != 0.5 || s.reportedLoad != 0.5 || s.loadPerConnection != 0 {
-			t.Errorf("a load of %v is taken: %+v", load, s)
+			t.Errorf("a load of %v is accepted: %+v", load, s)
 		}
 	}
 	for _, held := range []float64{-7, 1e9, math.Inf(1), math.NaN()} {
-		w := newHarness(t, settings())
-		w.replaceList(servers(2, 0))
-		w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: held}})
-		if s := w.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
-			t.Errorf("%v connections are taken: %+v", held, s)
+		h := newHarness(t, settings())
+		h.replaceList(servers(2, 0))
+		h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: held}})
+		if s := h.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
+			t.Errorf("%v connections are accepted: %+v", held, s)
 		}
 	}
 }
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// outageKind is how discovery is down.
+// outageKind is how discovery fails.
 type outageKind uint8
 
 const (
@@ -36,8 +36,8 @@
 	return x
 }
 
-// outageSimulation plays a fleet whose watches all end at 0, in virtual time. Discovery is back after down, then
-// works through so many calls a second in turn, and turns away a call that would wait for over a second.
+// outageSimulation plays a fleet whose watches all break at time 0, in virtual time. Discovery is back after downFor;
+// then it handles capacity calls per second in turn, and rejects a call that would wait for over a second.
 type outageSimulation struct {
 	downFor        time.Duration
 	kind           outageKind
@@ -101,7 +101,7 @@
 	return w
 }
 
-// maxPerSecond is the busiest second's count, of those from one to before another.
+// maxPerSecond returns the count of the busiest second, from one second to before another.
 func maxPerSecond(counts map[int]int, from, to int) (n int) {
 	for second, count := range counts {
 		if second >= from && second < to {
@@ -111,9 +111,9 @@
 	return n
 }
 
-// A whole fleet's way back is borne by a discovery that works through its calls in turn, and all have its list before
-// a change counts as told: 300 by one that takes 100 a second, 2300 by one that takes 600.
-func TestFleetFindsDiscoveryAgain(t *testing.T) {
+// The reconnects of a whole fleet do not overload a discovery service that handles calls in turn, and all balancers
+// have its list before a change counts as notified: 300 balancers with 100 calls per second, 2300 with 600.
+func TestFleetReconnectsToDiscovery(t *testing.T) {
 	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // the latter three a second, at most
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
 	} {
@@ -125,7 +125,7 @@
 					dials, calls := maxPerSecond(w.dialsPerSecond, begin, 0), maxPerSecond(w.callsPerSecond, begin, 0)
 					first, after := w.callsPerSecond[0], maxPerSecond(w.callsPerSecond, 0, 10)
 					t.Logf("down %v: %d dials and %d calls a second at most; in the first one after it %d dials and %d calls, "+
-						"%d calls in the busiest; %d turned away, last told after %v", down, dials, calls, w.dialsPerSecond[0], first, after,
+						"%d calls in the busiest; %d rejected, last told after %v", down, dials, calls, w.dialsPerSecond[0], first, after,
 						w.rejected, last)
 					if last >= 6*time.Second {
 						t.Errorf("down for %v: the last one is told after %v", down, last)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Where what discovery has counts at its return, nothing is spread.
-func TestReachAtOnce(t *testing.T) {
+// With a fixed interval neither dials nor calls are spread.
+func TestReconnectWithoutSpread(t *testing.T) {
 	r := NewReconnectSchedule(1, 2300, 100*time.Millisecond)
 	if at := r.DialAt(time.Second, time.Second); at != 1100*time.Millisecond {
 		t.Errorf("dials at %v", at)
--- a/decide/reservation_test.go
+++ b/decide/reservation_test.go
@@ -12,40 +12,40 @@
 		after time.Duration
 		want  ServerID
 	}{{maxReportLag / 2, 2}, {2 * maxReportLag, 1}} {
-		w := newHarness(t, settings())
-		w.replaceList(servers(2, 0))
-		w.reportLoad(1, 0.30)
-		w.establish("r0", idempotentClass)
-		w.now += c.after
-		w.reportLoad(1, 0.30)
-		w.reportLoad(2, 0.301)
-		if s := w.establish("r1", idempotentClass); s != c.want {
-			t.Fatalf("%v after the placement: went to %d", c.after, s)
+		h := newHarness(t, settings())
+		h.replaceList(servers(2, 0))
+		h.reportLoad(1, 0.30)
+		h.establish("r0", idempotentClass)
+		h.now += c.after
+		h.reportLoad(1, 0.30)
+		h.reportLoad(2, 0.301)
+		if s := h.establish("r1", idempotentClass); s != c.want {
+			t.Fatalf("%v after the placement: placed on %d", c.after, s)
 		}
 	}
 }
 
 func TestPlacementReservesLoad(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(2, 0))
-	w.reportLoad(1, 0.30)
-	w.reportLoad(2, 0.301)
-	a := w.establish("r0", idempotentClass)
-	if b := w.establish("r1", idempotentClass); a != 1 || b != 2 {
-		t.Fatalf("went to %d then %d: the first placement was not charged", a, b)
+	h := newHarness(t, settings())
+	h.replaceList(servers(2, 0))
+	h.reportLoad(1, 0.30)
+	h.reportLoad(2, 0.301)
+	a := h.establish("r0", idempotentClass)
+	if b := h.establish("r1", idempotentClass); a != 1 || b != 2 {
+		t.Fatalf("placed on %d then %d: the first placement was not reserved", a, b)
 	}
 }
 
 // A placement reserves the load of one connection as the server's report shows it.
 func TestReservationFollowsReportedConnectionLoad(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(1, 0))
-	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.4, Connections: 8}})
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 0))
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.4, Connections: 8}})
 	for i := range 4 {
-		w.establish(name("r", i), idempotentClass)
+		h.establish(name("r", i), idempotentClass)
 	}
-	if got := w.b.servers[1].load; got < 0.55 || got > 0.65 {
-		t.Errorf("load %.2f is booked after four placements, want 0.4 and four times 0.05", got)
+	if got := h.b.servers[1].load; got < 0.55 || got > 0.65 {
+		t.Errorf("load %.2f is reserved after four placements, want 0.4 and four times 0.05", got)
 	}
 }
 
@@ -54,20 +54,20 @@
 func TestReservationsExpireOneByOne(t *testing.T) {
 	set := settings()
 	set.Balancers = 1
-	w := newHarness(t, set)
-	w.replaceList(servers(1, 0))
+	h := newHarness(t, set)
+	h.replaceList(servers(1, 0))
 	for i := range 2 {
-		w.reportLoad(1, 0.1)
-		w.establish(name("old", i), idempotentClass)
+		h.reportLoad(1, 0.1)
+		h.establish(name("old", i), idempotentClass)
 	}
-	old := w.b.servers[1].pendingReservations(w.now)
-	w.now += maxReportLag * 3 / 4
-	w.reportLoad(1, 0.1)
-	w.establish("new", idempotentClass)
-	w.now += maxReportLag / 2
-	w.reportLoad(1, 0.4)
-	if s := w.b.servers[1]; s.load-0.4 > old/2 || s.load <= 0.4 {
-		t.Errorf("load %.2f after a report of 0.40, with %.2f booked long before it", s.load, old)
+	old := h.b.servers[1].pendingReservations(h.now)
+	h.now += maxReportLag * 3 / 4
+	h.reportLoad(1, 0.1)
+	h.establish("new", idempotentClass)
+	h.now += maxReportLag / 2
+	h.reportLoad(1, 0.4)
+	if s := h.b.servers[1]; s.load-0.4 > old/2 || s.load <= 0.4 {
+		t.Errorf("load %.2f after a report of 0.40, with %.2f reserved long before it", s.load, old)
 	}
 	if maxReportLag > time.Second {
 		t.Errorf("a placement counts %v on top of reports that are no older than half a second", maxReportLag)
@@ -76,16 +76,16 @@
 
 // Otherwise a server would look saturated by clients that have long left, and would not be probed.
 func TestReservationsEndWithTheirConnections(t *testing.T) {
-	w := newHarness(t, settings())
-	w.replaceList(servers(1, 0))
-	w.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.2, Connections: 10}})
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 0))
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.2, Connections: 10}})
 	for i := range 40 {
 		id := name("c", i)
-		w.establish(id, idempotentClass)
-		w.now += 20 * time.Millisecond
-		w.endAttempt(id, 0, 1, OK, true)
+		h.establish(id, idempotentClass)
+		h.now += 20 * time.Millisecond
+		h.endAttempt(id, 0, 1, OK, true)
 	}
-	if s := w.b.servers[1]; math.Abs(s.load-0.2) > 1e-9 || len(s.reservations) > 0 {
-		t.Errorf("load %v, %d bookings of connections that have ended", s.load, len(s.reservations))
+	if s := h.b.servers[1]; math.Abs(s.load-0.2) > 1e-9 || len(s.reservations) > 0 {
+		t.Errorf("load %v, %d reservations of connections that have ended", s.load, len(s.reservations))
 	}
 }
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// slowStartCase is a fleet whose modules share nothing, before room servers of two zones, some of which start cold in
-// the middle of it. What is sent to each cold one is counted over all modules.
+// slowStartCase is a fleet of balancers that share nothing, before servers of two zones, some of which start in the
+// middle of the simulation. The requests at each warming server are counted over all balancers.
 type slowStartCase struct {
 	name                string
 	balancers           int
@@ -23,23 +23,23 @@
 	warmingServers      int           // of zone a
 	lostFor             time.Duration // so long these were lost, and their clients with them; 0: they join beside the others
 	groups              int           // of requests; 0: they have none
-	serverCapacity      float64       // connections of mean life that fill a warm room server
+	serverCapacity      float64       // connections of mean life that fill a warm server
 	meanLifetime        time.Duration // of a connection, in the mean
-	load                float64       // of the warm room servers before the start
+	load                float64       // of the warm servers before the start
 	demandFactor        float64       // what comes from then on, as a multiple of what came before
-	uneven              bool          // some modules see several times the mean
+	uneven              bool          // some balancers see several times the mean
 	synchronized        bool          // what comes then comes in crowds, within 50 ms of every second
-	restartedFraction   float64       // part of the modules that are replaced in the middle, evenly over the cold time
+	restartedFraction   float64       // part of the balancers that are replaced in the middle, evenly over the warm-up time
 	learned             bool          // the new ones are given what the old ones have learned
-	warmUp              time.Duration // how long the fleet stands before; 0: 12 s
-	lateFraction        float64       // part of the modules that are told of the start 3 s late
+	warmUp              time.Duration // how long the fleet is established before; 0: 12 s
+	lateFraction        float64       // part of the balancers that are told of the start 3 s late
 	droppingServers     int           // so many warm ones of zone a drop all that they hold, 2 s after the start
 	seed                uint64
 }
 
 type placementRecord struct {
 	at            time.Duration
-	observedStart bool // the module had been told of the start
+	observedStart bool // the balancer had been told of the start
 }
 
 type simulatedServer struct {
@@ -77,7 +77,7 @@
 	return x
 }
 
-// simulatedBalancer is one balancer; a replaced one is dead and hears nothing more.
+// simulatedBalancer is one balancer; a stopped one gets no more events.
 type simulatedBalancer struct {
 	*Balancer
 	zone          string
@@ -95,7 +95,7 @@
 	now       time.Duration
 	rng       *rand.Rand
 	balancers []*simulatedBalancer
-	weights   []float64 // running sums of what each module sees
+	weights   []float64 // running sums of what each balancer sees
 	servers   map[ServerID]*simulatedServer
 	list      []Server
 	due       eventHeap
@@ -138,7 +138,7 @@
 	return f
 }
 
-// newBalancer starts one with a seed of its own, which knows nothing but the list.
+// newBalancer starts a balancer with a seed of its own, which knows only the list.
 func (f *slowStartSimulation) newBalancer(t *testing.T, zone string) *simulatedBalancer {
 	f.seeds++
 	f.settings.Seed, f.settings.Zone = mix(f.seed, f.seeds), zone
@@ -161,7 +161,7 @@
 	heap.Push(&f.due, e)
 }
 
-// capacityFraction is what a room server can do now of what it does when warm.
+// capacityFraction is the fraction of its warm capacity that a server has now.
 func (f *slowStartSimulation) capacityFraction(s *simulatedServer, at time.Duration) float64 {
 	if age := at - s.Started; s.Started > 0 && age < f.settings.Safety.SlowStartDuration {
 		return f.settings.Safety.SlowStartShare + (1-f.settings.Safety.SlowStartShare)*max(0, float64(age)/float64(f.settings.Safety.SlowStartDuration))
@@ -188,10 +188,10 @@
 			f.schedule(scheduledEvent{balancer: m, ev: ProbeCompleted{Server: a.Server, Code: OK, Report: LoadReport{Load: load, Connections: float64(held)}}}, slowStartStep)
 		case StartAttempt:
 			s := f.servers[a.Server]
-			try := m.attempts[a.ID]
+			attempt := m.attempts[a.ID]
 			m.attempts[a.ID]++
 			if s.removed {
-				f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: a.ID, Attempt: try, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
+				f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
 				continue
 			}
 			if s.watched && f.capacityFraction(s, f.now) < 1 {
@@ -217,12 +217,12 @@
 	}
 }
 
-// reconnectLater has a client come to any balancer a little later.
+// reconnectLater ends an established connection; its client reconnects within 52 to 1000 ms.
 func (f *slowStartSimulation) reconnectLater(m *simulatedBalancer, id RequestID) {
 	f.schedule(scheduledEvent{reconnectGroup: m.group[id], replacement: true}, 50*time.Millisecond+time.Duration(f.rng.Int64N(int64(950*time.Millisecond))))
 }
 
-// end ends a connection that stands; false: there is none.
+// end ends a connection that is established; false: there is none.
 func (f *slowStartSimulation) end(m *simulatedBalancer, id RequestID, code Code) bool {
 	s := m.connections[id]
 	if s == nil {
@@ -287,7 +287,7 @@
 	}
 }
 
-// reportAll gives the list to those that hear in time, or to the others.
+// reportAll sends the list to all balancers.
 func (f *slowStartSimulation) reportAll(late bool) {
 	for _, m := range f.balancers {
 		if m.late == late {
@@ -297,7 +297,7 @@
 	}
 }
 
-// restart replaces the i-th module. Its clients come again through the others.
+// restart replaces the i-th balancer. Its clients come again through the others.
 func (f *slowStartSimulation) restart(t *testing.T, i int) {
 	old := f.balancers[i]
 	learned := old.ExportLearned()
@@ -318,7 +318,7 @@
 	}
 }
 
-// disconnectAll cuts off what a room server holds; the clients come again.
+// disconnectAll cuts off what a server has; the clients come again.
 func (f *slowStartSimulation) disconnectAll(s *simulatedServer) {
 	for _, m := range f.balancers {
 		var ids []RequestID
@@ -335,24 +335,24 @@
 	}
 }
 
-// slowStartResult is what the cold room servers saw.
+// slowStartResult is what happened to the warming servers.
 type slowStartResult struct {
 	servers, falls, broken int
 	most                   float64 // largest window, as a part of its allowance
-	use                    float64 // of the budget, in the mean of the cold time
+	use                    float64 // of the budget, in the mean of the warm-up time
 	least, all             int     // requests at the one that got least, and at all of them
-	refused                int
+	rejected               int
 }
 
 func (r slowStartResult) String() string {
-	return fmt.Sprintf("%d falls (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, least %d requests, all %d, %d refused",
-		r.falls, r.broken, r.servers, r.most, r.use, r.least, r.all, r.refused)
+	return fmt.Sprintf("%d overloads (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, least %d requests, all %d, %d rejected",
+		r.falls, r.broken, r.servers, r.most, r.use, r.least, r.all, r.rejected)
 }
 
-// play runs a case, and counts every window at each cold room server.
+// play runs a case, and counts every window at each warming server.
 func (c slowStartCase) play(t *testing.T, set Settings) slowStartResult {
 	f := newSlowStartSimulation(t, c, set)
-	rules := set.Safety
+	safety := set.Safety
 	// What keeps the warm ones at their load; it is reached sooner as the first clients come faster.
 	steady := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
 	fill := 4 * time.Second
@@ -388,10 +388,10 @@
 	const turns = 20
 	replaced := 0
 	for turn := range turns {
-		if c.lateFraction > 0 && turn == turns*3/int(rules.SlowStartDuration.Seconds()) {
+		if c.lateFraction > 0 && turn == turns*3/int(safety.SlowStartDuration.Seconds()) {
 			f.reportAll(true)
 		}
-		if c.droppingServers > 0 && turn == turns*2/int(rules.SlowStartDuration.Seconds()) {
+		if c.droppingServers > 0 && turn == turns*2/int(safety.SlowStartDuration.Seconds()) {
 			for _, s := range f.list[c.warmServers-c.droppingServers : c.warmServers] {
 				f.disconnectAll(f.servers[s.ID])
 			}
@@ -399,17 +399,17 @@
 		for ; replaced < int(c.restartedFraction*float64(c.balancers)*float64(turn+1)/turns); replaced++ {
 			f.restart(t, replaced)
 		}
-		f.run(rules.SlowStartDuration/turns, steady*max(c.demandFactor, 1), c.synchronized)
+		f.run(safety.SlowStartDuration/turns, steady*max(c.demandFactor, 1), c.synchronized)
 	}
-	res := slowStartResult{least: math.MaxInt, refused: f.rejected - before}
+	res := slowStartResult{least: math.MaxInt, rejected: f.rejected - before}
 	for _, id := range sortedIDs(f.servers) {
 		s := f.servers[id]
 		if !s.watched {
 			continue
 		}
 		budget := 0.0
-		for at := started; at < started+rules.SlowStartDuration; at += 100 * time.Millisecond {
-			budget += rules.OverloadFactor * c.serverCapacity / c.meanLifetime.Seconds() * f.capacityFraction(s, at) * 0.1
+		for at := started; at < started+safety.SlowStartDuration; at += 100 * time.Millisecond {
+			budget += safety.OverloadFactor * c.serverCapacity / c.meanLifetime.Seconds() * f.capacityFraction(s, at) * 0.1
 		}
 		res.servers++
 		res.all += len(s.attempts)
@@ -428,16 +428,16 @@
 	return res
 }
 
-// worstWindow gives the largest window at a cold room server as a part of N + 2 x root of N + 2, N as it is at the
-// window's start; whether it fell, and whether over two thirds of what first felled it came from modules that had
-// been told.
+// worstWindow returns the largest window at a warming server as a fraction of N + 2 sqrt(N) + 2, with N at the
+// window's start; whether the server became overloaded; and whether over two thirds of the first window that
+// overloaded it came from balancers that had observed the start.
 func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, fell, broke bool) {
-	rules := f.settings.Safety
+	safety := f.settings.Safety
 	for i, x := range s.attempts {
-		n := rules.OverloadFactor * s.capacity / f.meanLifetime.Seconds() * f.capacityFraction(s, x.at) * rules.OverloadWindow.Seconds()
+		n := safety.OverloadFactor * s.capacity / f.meanLifetime.Seconds() * f.capacityFraction(s, x.at) * safety.OverloadWindow.Seconds()
 		all, told := 0.0, 0.0
 		for _, y := range s.attempts[i:] {
-			if y.at >= x.at+rules.OverloadWindow {
+			if y.at >= x.at+safety.OverloadWindow {
 				break
 			}
 			all++
@@ -462,7 +462,7 @@
 	return ids
 }
 
-// slowStartSettings are those of a fleet of rooms, with probes.
+// slowStartSettings are those of a fleet with probes.
 func slowStartSettings() Settings {
 	set := settings()
 	set.ProbingAllowed = true
@@ -512,8 +512,8 @@
 	{name: "2300 told 230", balancers: 2300, configuredBalancers: 230, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
 }
 
-// Guards a cold room server against the sum of all modules, each of which keeps to what it takes for its part.
-func TestColdServerUnderTheSumOfAllModules(t *testing.T) {
+// The sum of what all balancers send must not overload a warming server, though each knows only its own part.
+func TestSlowStartOfFleets(t *testing.T) {
 	t.Parallel()
 	for _, c := range slowStartCases {
 		if c.meanLifetime == 0 {
@@ -524,19 +524,19 @@
 			r := c.play(t, slowStartSettings())
 			t.Log(r)
 			if r.broken > 0 {
-				t.Errorf("%d of %d cold room servers fell", r.broken, r.servers)
+				t.Errorf("%d of %d warming servers became overloaded", r.broken, r.servers)
 			}
-			if r.all < 2*r.servers || r.least == 0 && r.servers < 3 { // of more, one may be at home for few groups
-				t.Errorf("%d requests at %d cold room servers within their cold time", r.all, r.servers)
+			if r.all < 2*r.servers || r.least == 0 && r.servers < 3 { // of more, one may be preferred for few groups
+				t.Errorf("%d requests at %d warming servers within their warm-up time", r.all, r.servers)
 			}
 		})
 	}
 }
 
-// Connections that stand five times as long as the usual life, and a storm soon after the start, as three of fifteen
-// room servers drop all that they hold: ten seeds, none chosen. The groups of a server that drops its connections
-// come for the same next servers, so that a cold one among them gets three times the mean of the zone.
-func TestColdServersUnderAStormOfLongLives(t *testing.T) {
+// Connections last five times the default lifetime, and soon after the start three of fifteen servers drop all of
+// theirs: ten seeds, none chosen. The groups of a server that drops its connections come for the same next servers,
+// so that a warming one among them gets three times the mean of the zone.
+func TestSlowStartDuringResetsOfLongConnections(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := slowStartCase{balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
@@ -544,7 +544,7 @@
 		r := c.play(t, slowStartSettings())
 		t.Logf("seed %d: %v", seed, r)
 		if r.broken > 0 {
-			t.Errorf("seed %d: %d of %d cold room servers fell", seed, r.broken, r.servers)
+			t.Errorf("seed %d: %d of %d warming servers became overloaded", seed, r.broken, r.servers)
 		}
 	}
 }
