--- a/decide/affinity_fleet_test.go
+++ b/decide/affinity_fleet_test.go
@@ -20,18 +20,18 @@
 		set := fleetSettings()
 		set.Zones = []string{"a", "b"}
 		f := newFleetSimulation(t, set, 10, list, capacity)
-		var rooms []string
+		var groups []string
 		for i := range int(usual * capacity * 2 * each / (4 + groupLoad)) {
-			rooms = append(rooms, fmt.Sprint("room-", i))
+			groups = append(groups, fmt.Sprint("room-", i))
 		}
 		// Placed one after the other, four to a group, within a minute.
-		f.run(time.Minute, float64(4*len(rooms))/6000, rooms)
+		f.run(time.Minute, float64(4*len(groups))/6000, groups)
 		rejected, before := f.rejected, map[ServerID]float64{}
 		for id := range f.servers {
 			before[id] = f.load(id)
 		}
 		f.run(time.Minute, 600.0/6000, []string{"topic"})
-		f.run(20*time.Second, 0, rooms)
+		f.run(20*time.Second, 0, groups)
 		established, preferred, most, room, there := f.connectionsOfGroup("topic"), 0, 0.0, 0.0, 0.0
 		for id, s := range f.servers {
 			if s.groups["topic"] > 0 {
@@ -42,7 +42,9 @@
 				room += max(0, maxLoadWithCapacity-f.load(id)) * capacity
 			}
 		}
-		t.Logf("usual load %.1f: %d of 600 listeners are established at %d preferred servers, the fullest at %.2f; %d rejections; there was capacity for %.0f there, and there is for %.0f elsewhere; %d migrated",
+		t.Logf("usual load %.1f: %d of 600 connections are established at %d preferred servers, "+
+			"the fullest at %.2f; %d rejections; "+
+			"there was capacity for %.0f there, and there is for %.0f elsewhere; %d migrated",
 			usual, established, preferred, most, f.rejected-rejected, there, room, len(f.migratedOff))
 		if preferred > 2*maxPreferredServers || preferred < maxPreferredServers {
 			t.Errorf("usual load %.1f: %d preferred servers", usual, preferred)
@@ -51,8 +53,10 @@
 			t.Errorf("usual load %.1f: a preferred server is at %.2f", usual, most)
 		}
 		// What the preferred servers had capacity for, and no more than migrations would let them keep.
-		if least, bound := there/2, there+maxPreferredServers*2*capacity*(migrationLoad-saturationLoad); float64(established) < least || float64(established) > bound {
-			t.Errorf("usual load %.1f: %d listeners are established, %.0f to %.0f wanted", usual, established, least, bound)
+		least, bound := there/2, there+maxPreferredServers*2*capacity*(migrationLoad-saturationLoad)
+		if float64(established) < least || float64(established) > bound {
+			t.Errorf("usual load %.1f: %d connections are established, %.0f to %.0f wanted", usual, established, least,
+				bound)
 		}
 		if established < 600 && f.rejected == rejected {
 			t.Errorf("usual load %.1f: %d of 600 are established, and nobody was rejected", usual, established)
--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -14,7 +14,8 @@
 	h.replaceList(servers(0, 6))
 	used := map[ServerID]bool{}
 	for i := range 12 {
-		actions := h.send(RequestArrived{ID: RequestID(name("r", i)), Class: idempotentClass, Group: "room", Remaining: 2 * time.Second})
+		actions := h.send(RequestArrived{ID: RequestID(name("r", i)), Class: idempotentClass, Group: "room",
+			Remaining: 2 * time.Second})
 		for _, p := range actionsOf[Probe](actions) {
 			h.reportLoad(p.Server, 0.2)
 		}
@@ -134,10 +135,12 @@
 	h.replaceList(servers(6, 0))
 	preferred := h.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "taxi-7"}}, h.b.localZone)
 	for i := range 25 {
-		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Group: "taxi-7"}, Server: preferred[1].ID})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Group: "taxi-7"},
+			Server: preferred[1].ID})
 	}
 	for i, load := range []float64{0.55, 0.6, 0.9} {
-		h.send(ProbeCompleted{Server: preferred[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}}) // each loads it with 0.04 or so
+		// each loads it with 0.04 or so
+		h.send(ProbeCompleted{Server: preferred[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}})
 	}
 	if s := h.wantAttempt(h.requestInGroup("r", "taxi-7")); s != preferred[1].ID {
 		t.Errorf("placed on %d at 0.55, which has no connection of the group; %d at 0.6 does", s, preferred[1].ID)
@@ -191,7 +194,7 @@
 	for _, s := range preferred {
 		h.reportLoad(s.ID, 0.95)
 	}
-	h.wantNoAttempt(h.requestInGroup("r2", "taxi-7"), "all preferred servers are saturated: the group must not be scattered")
+	h.wantNoAttempt(h.requestInGroup("r2", "taxi-7"), "all preferred servers are saturated")
 }
 
 func TestPreferredServersFollowWeightAndChangeLittle(t *testing.T) {
@@ -229,7 +232,8 @@
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 6: 3, 30: 3} {
 		h := newHarness(t, affinitySettings())
 		h.replaceList(servers(n, 0))
-		if got := len(h.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, h.b.localZone)); got != want {
+		r := &request{RequestArrived: RequestArrived{Group: "g"}}
+		if got := len(h.b.preferredInZone(r, h.b.localZone)); got != want {
 			t.Errorf("a group has %d servers of %d, want %d", got, n, want)
 		}
 	}
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -58,7 +58,8 @@
 	case 2:
 		return h.tick(2 * tickInterval)
 	case 3:
-		return h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id}, Server: ServerID(step%9 + 1)})
+		return h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(id), Key: id},
+			Server: ServerID(step%9 + 1)})
 	default:
 		return h.endAttempt(name("s", step-1), 0, ServerID((step-1)%9+1), Reset, true)
 	}
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -8,8 +8,9 @@
 // serverList makes n ready lines in three zones, of a few sizes.
 func serverList(n int) (list []Server) {
 	for i := range n {
-		list = append(list, Server{ID: ServerID(i + 1), Zone: []string{"a", "b", "c"}[i%3], Cell: i / 20, Started: time.Second,
-			Weight: []float64{1, 1, 2, 4}[i/3%4]})
+		list = append(list, Server{ID: ServerID(i + 1), Zone: []string{"a", "b", "c"}[i%3], Cell: i / 20,
+			Started: time.Second,
+			Weight:  []float64{1, 1, 2, 4}[i/3%4]})
 	}
 	return list
 }
@@ -25,7 +26,8 @@
 	bal.Handle(now, Started{}, nil)
 	bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: serverList(n)}, nil)
 	for i := range conns {
-		bal.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%300 + 1)}, nil)
+		bal.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))},
+			Server: ServerID(i%300 + 1)}, nil)
 	}
 	for i := range n {
 		bal.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Report: LoadReport{Load: 0.5, Connections: 10}}, nil)
@@ -74,7 +76,8 @@
 }
 
 func BenchmarkRequestOfManyGroups(b *testing.B) {
-	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(func(i int) string { return groupNames[i%len(groupNames)] }))
+	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(
+		func(i int) string { return groupNames[i%len(groupNames)] }))
 }
 
 func benchmarkTicks(b *testing.B, bal *Balancer, n int) {
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -49,7 +49,8 @@
 			if n := len(actionsOf[WatchList](h.tick(tickInterval))); n > 0 {
 				if calls == 0 {
 					firsts[h.now-start] = true
-					if h.now-start > maxFirstPollDelay+tickInterval { // changes since the list was saved count as notified soon
+					// changes since the list was saved count as notified soon
+					if h.now-start > maxFirstPollDelay+tickInterval {
 						t.Fatalf("first poll only after %v", h.now-start)
 					}
 				}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -14,31 +14,34 @@
 // unit for a connection and groupLoad for each group of which a server has any connection. Reports are reportDelay
 // old. Connections last until they are migrated; a migrated client reconnects to any balancer.
 type fleetSimulation struct {
-	now             time.Duration
-	rng             *rand.Rand
-	balancers       []*Balancer
-	due             [][]dueEvent    // of each balancer
-	nextDue         []time.Duration // of those
-	servers         map[ServerID]*simulatedFleetServer
-	list            []Server
-	attempts        map[ServerID][]time.Duration // attempts, as the servers see them
-	probes          int
-	idleProbes      int // at servers where the asker has nothing
-	rejected        int
-	arrivedAt       map[RequestID]time.Duration
-	rejectionDelays []time.Duration // rejected requests, until then
-	nextRequest     int
-	groups          map[RequestID]string
-	migratedOff     map[ServerID][]time.Duration // connections migrated off, or sent away by their server
-	established     map[RequestID]establishedConnection
-	reconnects      []reconnectingClient // clients that come again
+	now       time.Duration
+	rng       *rand.Rand
+	balancers []*Balancer
+	due       [][]dueEvent    // scheduled events of each balancer
+	nextDue   []time.Duration // time of the first of them
+	servers   map[ServerID]*simulatedFleetServer
+	list      []Server
+
+	nextRequest    int                                 // number of the latest request
+	groups         map[RequestID]string                // of all requests
+	arrivedAt      map[RequestID]time.Duration         // of all requests
+	reconnectCount map[RequestID]int                   // how often the client was rejected before
+	established    map[RequestID]establishedConnection // established connections
+	connectionEnds []connectionEnd
+	reconnects     []reconnectingClient
+
+	meanLifetime    time.Duration // of a connection; 0: connections do not end by themselves
 	failing         map[ServerID]bool
-	meanLifetime    time.Duration // mean of a connection's; 0: they are established for good
-	sharedStoreRate float64       // set-ups a second that what all servers share can take; 0: any number
-	storeBusyUntil  time.Duration // until then it is at work
-	setupTimeouts   int           // set-ups that choked
-	connectionEnds  []connectionEnd
-	reconnectCount  map[RequestID]int
+	sharedStoreRate float64       // set-ups per second at the store that all servers share; 0: unlimited
+	storeBusyUntil  time.Duration // when the store has done the set-ups so far
+
+	attempts        map[ServerID][]time.Duration // times of the attempts at each server
+	migratedOff     map[ServerID][]time.Duration // times at which connections were migrated off, or closed by the server
+	probes          int
+	idleProbes      int             // probes of servers where the balancer has no connection
+	rejected        int             // requests
+	rejectionDelays []time.Duration // time from a request's arrival to its rejection
+	setupTimeouts   int             // attempts that timed out at an overloaded server
 }
 
 // connectionEnd is the scheduled end of a connection.
@@ -50,27 +53,31 @@
 // overloadedLoad is the load above which a server establishes no connection in time.
 const overloadedLoad = 1.3
 
+// dueEvent is a scheduled event of a balancer.
 type dueEvent struct {
 	at time.Duration
 	ev Event
 }
 
+// establishedConnection is where a connection was established.
 type establishedConnection struct {
 	balancer int
 	server   ServerID
 }
 
+// reconnectingClient is a client that will return.
 type reconnectingClient struct {
 	at         time.Duration
 	group      string
-	reconnects int // before
+	reconnects int // how often it has returned before
 }
 
+// simulatedFleetServer is a server with the load that all balancers have sent.
 type simulatedFleetServer struct {
-	capacity    float64 // units of load it bears when warm
-	groups      map[string]int
+	capacity    float64        // load units that it bears when warm
+	groups      map[string]int // connections of each group
 	connections int
-	loadHistory []float64 // loads, one a step, newest last
+	loadHistory []float64 // one load for each step, newest last
 }
 
 const (
@@ -82,16 +89,19 @@
 // newFleetSimulation makes n balancers, with settings of their own, and sends them the list. Where the servers are in
 // two zones, the balancers are in both in turn.
 func newFleetSimulation(t *testing.T, set Settings, n int, list []Server, capacity float64) *fleetSimulation {
-	f := &fleetSimulation{now: 1000 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), due: make([][]dueEvent, n), nextDue: make([]time.Duration, n), list: list,
-		servers: map[ServerID]*simulatedFleetServer{}, attempts: map[ServerID][]time.Duration{}, groups: map[RequestID]string{}, arrivedAt: map[RequestID]time.Duration{},
-		migratedOff: map[ServerID][]time.Duration{}, established: map[RequestID]establishedConnection{}, failing: map[ServerID]bool{}, reconnectCount: map[RequestID]int{}}
+	f := &fleetSimulation{now: 1000 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), due: make([][]dueEvent, n),
+		nextDue: make([]time.Duration, n), list: list,
+		servers: map[ServerID]*simulatedFleetServer{}, attempts: map[ServerID][]time.Duration{},
+		groups: map[RequestID]string{}, arrivedAt: map[RequestID]time.Duration{},
+		migratedOff: map[ServerID][]time.Duration{}, established: map[RequestID]establishedConnection{},
+		failing: map[ServerID]bool{}, reconnectCount: map[RequestID]int{}}
 	for _, s := range list {
 		f.servers[s.ID] = &simulatedFleetServer{capacity: capacity, groups: map[string]int{}}
 	}
 	for i := range n {
 		set.Seed, set.Balancers = uint64(i+1), n
 		if last := list[len(list)-1].Zone; i%2 == 1 && last != set.Zone {
-			set.Zone = last // in turn where the servers are of two zones
+			set.Zone = last
 		}
 		b, err := New(set)
 		if err != nil {
@@ -126,62 +136,87 @@
 	f.nextDue[i] = min(f.nextDue[i], at)
 }
 
+// handle sends an event to the i-th balancer and carries out its actions.
 func (f *fleetSimulation) handle(i int, ev Event) {
 	for _, a := range f.balancers[i].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
 			f.schedule(i, f.now+a.Delay, TimerFired{Token: a.Token})
 		case Probe:
-			f.probes++
-			if len(f.balancers[i].servers[a.Server].connections) == 0 {
-				f.idleProbes++
-			}
-			s := f.servers[a.Server]
-			r := LoadReport{Load: 0, Connections: float64(s.connections)}
-			if n := len(s.loadHistory) - int(reportDelay/simulationStep); n >= 0 {
-				r.Load = s.loadHistory[n]
-			}
-			f.schedule(i, f.now+simulationStep, ProbeCompleted{Server: a.Server, Code: OK, Report: r})
+			f.answerProbe(i, a.Server)
 		case StartAttempt:
-			f.attempts[a.Server] = append(f.attempts[a.Server], f.now)
-			if choked := f.load(a.Server) > overloadedLoad; f.failing[a.Server] || choked {
-				if choked && !f.failing[a.Server] {
-					f.setupTimeouts++
-					f.schedule(i, f.now+a.Timeout, AttemptEnded{ID: a.ID, Attempt: f.balancers[i].requests.byID[a.ID].attempts - 1, Server: a.Server, Code: TimedOut, Report: NoLoadReport})
-					continue
-				}
-				at := f.balancers[i].requests.byID[a.ID].attempts - 1
-				f.schedule(i, f.now+simulationStep, AttemptEnded{ID: a.ID, Attempt: at, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport})
-				continue
-			}
-			s := f.servers[a.Server]
-			s.connections++
-			s.groups[f.groups[a.ID]]++
-			f.established[a.ID] = establishedConnection{i, a.Server}
-			took := simulationStep
-			if f.sharedStoreRate > 0 {
-				f.storeBusyUntil = max(f.storeBusyUntil, f.now) + time.Duration(float64(time.Second)/f.sharedStoreRate)
-				took += f.storeBusyUntil - f.now
-			}
-			f.schedule(i, f.now+took, Established{ID: a.ID, Server: a.Server, Elapsed: took})
-			if f.meanLifetime > 0 {
-				f.connectionEnds = append(f.connectionEnds, connectionEnd{f.now + took + time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)), a.ID})
-			}
+			f.startAttempt(i, a)
 		case Fail:
 			f.finish(a.ID, Cancelled)
 		case Reject:
-			f.finish(a.ID, Cancelled) // one that stood too late is closed
-			f.rejected++
-			f.rejectionDelays = append(f.rejectionDelays, f.now-f.arrivedAt[a.ID])
-			if f.reconnectCount[a.ID] < 2 && f.meanLifetime > 0 { // a client comes again by itself, twice
-				f.reconnects = append(f.reconnects, reconnectingClient{f.now + a.RetryAfter, f.groups[a.ID], f.reconnectCount[a.ID] + 1})
-			}
+			f.reject(a)
 		case Migrate:
 			f.reconnectLater(a.ID)
 		}
 	}
 }
 
+// answerProbe schedules the answer of a server, which reports its load of reportDelay ago.
+func (f *fleetSimulation) answerProbe(i int, id ServerID) {
+	f.probes++
+	if len(f.balancers[i].servers[id].connections) == 0 {
+		f.idleProbes++
+	}
+	s := f.servers[id]
+	report := LoadReport{Load: 0, Connections: float64(s.connections)}
+	if n := len(s.loadHistory) - int(reportDelay/simulationStep); n >= 0 {
+		report.Load = s.loadHistory[n]
+	}
+	f.schedule(i, f.now+simulationStep, ProbeCompleted{Server: id, Code: OK, Report: report})
+}
+
+// startAttempt establishes a connection. A failing server refuses it, and an overloaded one lets it time out.
+func (f *fleetSimulation) startAttempt(i int, a StartAttempt) {
+	f.attempts[a.Server] = append(f.attempts[a.Server], f.now)
+	failed := AttemptEnded{ID: a.ID, Server: a.Server, Report: NoLoadReport,
+		Attempt: f.balancers[i].requests.byID[a.ID].attempts - 1}
+	switch {
+	case f.failing[a.Server]:
+		failed.Code = ConnectFailed
+		f.schedule(i, f.now+simulationStep, failed)
+	case f.load(a.Server) > overloadedLoad:
+		f.setupTimeouts++
+		failed.Code = TimedOut
+		f.schedule(i, f.now+a.Timeout, failed)
+	default:
+		f.establish(i, a)
+	}
+}
+
+// establish schedules the end of a set-up, which may wait for the shared store, and the end of its connection.
+func (f *fleetSimulation) establish(i int, a StartAttempt) {
+	s := f.servers[a.Server]
+	s.connections++
+	s.groups[f.groups[a.ID]]++
+	f.established[a.ID] = establishedConnection{i, a.Server}
+	took := simulationStep
+	if f.sharedStoreRate > 0 {
+		f.storeBusyUntil = max(f.storeBusyUntil, f.now) + time.Duration(float64(time.Second)/f.sharedStoreRate)
+		took += f.storeBusyUntil - f.now
+	}
+	f.schedule(i, f.now+took, Established{ID: a.ID, Server: a.Server, Elapsed: took})
+	if f.meanLifetime > 0 {
+		lifetime := time.Duration(f.rng.ExpFloat64() * float64(f.meanLifetime))
+		f.connectionEnds = append(f.connectionEnds, connectionEnd{f.now + took + lifetime, a.ID})
+	}
+}
+
+// reject records a rejection; where connections end, the client returns by itself, twice.
+func (f *fleetSimulation) reject(a Reject) {
+	f.finish(a.ID, Cancelled) // a connection that was established too late is closed
+	f.rejected++
+	f.rejectionDelays = append(f.rejectionDelays, f.now-f.arrivedAt[a.ID])
+	if returns := f.reconnectCount[a.ID]; returns < 2 && f.meanLifetime > 0 {
+		client := reconnectingClient{f.now + a.RetryAfter, f.groups[a.ID], returns + 1}
+		f.reconnects = append(f.reconnects, client)
+	}
+}
+
 // reconnectLater ends an established connection; its client reconnects within 52 to 1000 ms.
 func (f *fleetSimulation) reconnectLater(id RequestID) {
 	at, group := f.established[id], f.groups[id]
@@ -189,7 +224,8 @@
 		return
 	}
 	f.migratedOff[at.server] = append(f.migratedOff[at.server], f.now)
-	f.reconnects = append(f.reconnects, reconnectingClient{f.now + 52*time.Millisecond + time.Duration(f.rng.Int64N(int64(948*time.Millisecond))), group, 0})
+	delay := 52*time.Millisecond + time.Duration(f.rng.Int64N(int64(948*time.Millisecond)))
+	f.reconnects = append(f.reconnects, reconnectingClient{f.now + delay, group, 0})
 }
 
 // finish ends a connection that is established.
@@ -205,7 +241,8 @@
 		delete(s.groups, group)
 	}
 	if r := f.balancers[at.balancer].requests.byID[id]; r != nil {
-		f.schedule(at.balancer, f.now+simulationStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true, Report: NoLoadReport, Attempt: r.attempts - 1})
+		f.schedule(at.balancer, f.now+simulationStep, AttemptEnded{ID: id, Server: at.server, Code: code, Final: true,
+			Report: NoLoadReport, Attempt: r.attempts - 1})
 	}
 	return true
 }
@@ -263,14 +300,16 @@
 	}
 	f.reportAll()
 	safety := f.balancers[0].settings.Safety
-	return safety.OverloadFactor * safety.OverloadWindow.Seconds() * capacity / defaultLifetime.Seconds() * (safety.SlowStartShare + 0.28)
+	perSecond := capacity / defaultLifetime.Seconds()
+	return safety.OverloadFactor * safety.OverloadWindow.Seconds() * perSecond * (safety.SlowStartShare + 0.28)
 }
 
 func (f *fleetSimulation) arrive(group string) {
 	f.nextRequest++
 	id := RequestID(name("f", f.nextRequest))
 	f.groups[id], f.arrivedAt[id] = group, f.now
-	f.handle(f.rng.IntN(len(f.balancers)), RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
+	f.handle(f.rng.IntN(len(f.balancers)), RequestArrived{ID: id, Key: string(id), Group: group,
+		Remaining: 2 * time.Second, Returning: true})
 }
 
 // groupPlacements counts the pairs of a group and a server that has connections of it.
@@ -314,13 +353,13 @@
 	t.Parallel()
 	for _, n := range []int{3, 80} {
 		f := newFleetSimulation(t, fleetSettings(), n, servers(9, 0), 26)
-		f.run(10*time.Second, 0.1, fleetGroups) // a hundred are established
-		f.run(3*time.Second, 0.6, fleetGroups)  // and more come than there is capacity for
+		f.run(10*time.Second, 0.1, fleetGroups) // a hundred connections
+		f.run(3*time.Second, 0.6, fleetGroups)  // more than there is capacity for
 		if p, most := f.groupPlacements(), maxPreferredServers*len(fleetGroups); p > most {
 			t.Errorf("%d balancers: %d groups are on %d servers, at most %d wanted", n, len(fleetGroups), p, most)
 		}
 		if f.rejected == 0 {
-			t.Errorf("%d balancers: the crowd was to be larger than the capacity", n)
+			t.Errorf("%d balancers: the burst was to be larger than the capacity", n)
 		}
 		over := 0
 		for id := range f.servers {
@@ -363,7 +402,8 @@
 		got := f.maxPlacements(50, safety.OverloadWindow)
 		t.Logf("%d balancers: %d within %v, bears %.1f", n, got, safety.OverloadWindow, limit)
 		if float64(got) > limit+3 {
-			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", n, got, safety.OverloadWindow, limit)
+			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", n, got,
+				safety.OverloadWindow, limit)
 		}
 	}
 }
@@ -393,7 +433,8 @@
 			t.Errorf("%d balancers use %.2f of what the warming servers bear, at least 0.25 wanted", c.n, part)
 		}
 		if float64(most) > limit+4 {
-			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", c.n, most, safety.OverloadWindow, limit)
+			t.Errorf("%d balancers: %d connections within %v at a warming server that bears %.1f", c.n, most,
+				safety.OverloadWindow, limit)
 		}
 	}
 }
@@ -414,7 +455,8 @@
 		rate, idle := float64(f.probes)/10, float64(f.idleProbes)/float64(max(f.probes, 1))
 		t.Logf("%d balancers: %.1f probes a second, %.2f of them where the asker has nothing", c.n, rate, idle)
 		if rate > c.most || idle > c.idle {
-			t.Errorf("%d balancers: %.1f probes a second, %.2f of them idle, at most %.0f and %.2f wanted", c.n, rate, idle, c.most, c.idle)
+			t.Errorf("%d balancers: %.1f probes a second, %.2f of them idle, at most %.0f and %.2f wanted", c.n, rate,
+				idle, c.most, c.idle)
 		}
 		if f.probes == 0 {
 			t.Errorf("%d balancers: overload would never be found", c.n)
@@ -450,9 +492,11 @@
 		for _, s := range f.list[c.old:] {
 			all, most = all+len(f.attempts[s.ID]), max(most, f.maxPlacements(s.ID, fall))
 		}
-		t.Logf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, limit)
+		t.Logf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3,
+			most, fall, limit)
 		if float64(most) > limit+3 || all < c.old/6 {
-			t.Errorf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all, c.old/3, most, fall, limit)
+			t.Errorf("%d balancers: %d at %d warming servers, %d within %v at one, which bears %.1f", c.n, all,
+				c.old/3, most, fall, limit)
 		}
 	}
 }
@@ -471,7 +515,8 @@
 			f.run(100*time.Millisecond, 0.01*float64(c.old), groups)
 			most = max(most, f.load(id))
 		}
-		t.Logf("%d balancers: the fresh server got %d, %d within 0.5 s, its load %.2f at most", c.n, len(f.attempts[id]),
+		t.Logf("%d balancers: the fresh server got %d, %d within 0.5 s, its load %.2f at most", c.n,
+			len(f.attempts[id]),
 			f.maxPlacements(id, 500*time.Millisecond), most)
 		bound := 1.1
 		if c.n == 3 { // most of what comes is their own, and reserved at once
@@ -496,12 +541,14 @@
 		first := len(f.migratedOff[id])
 		f.run(8*time.Second, 0, groups)
 		most := maxInWindow(f.migratedOff[id], 500*time.Millisecond)
-		t.Logf("%d balancers: load %.2f of %d; %d migrated within 2 s, %d at one time, %d within 10 s, load %.2f", c.n, before, held,
+		t.Logf("%d balancers: load %.2f of %d; %d migrated within 2 s, %d at one time, %d within 10 s, load %.2f",
+			c.n, before, held,
 			first, most, len(f.migratedOff[id]), f.load(id))
 		// At a mean load of its connections the excess is 0.69 of them. One in each balancer's hands may be too many.
 		excess := float64(held) * (1 - migrationTargetLoad/before)
 		if float64(first) > excess+3 || f.load(id) > 1.1 {
-			t.Errorf("%d balancers: %d of %d migrated within 2 s where %.0f are too much, load %.2f after 10 s", c.n, first, held, excess, f.load(id))
+			t.Errorf("%d balancers: %d of %d migrated within 2 s where %.0f are too much, load %.2f after 10 s", c.n,
+				first, held, excess, f.load(id))
 		}
 		if f.servers[id].connections == 0 {
 			t.Errorf("%d balancers: all were migrated off a server that can bear some", c.n)
@@ -526,14 +573,18 @@
 		there, all := len(f.attempts[id])-before, f.nextRequest-came
 		t.Logf("%d balancers: %d attempts at the failing server, %d requests", c.n, there, all)
 		if there > most[c.n] || there == 0 {
-			t.Errorf("%d balancers: %d attempts at the failing server for %d requests, %d at most", c.n, there, all, most[c.n])
+			t.Errorf("%d balancers: %d attempts at the failing server for %d requests, %d at most", c.n, there, all,
+				most[c.n])
 		}
 	}
 }
 
-// busiest is the server that has most.
+// busiest returns the server with most connections.
 func (f *fleetSimulation) busiest() ServerID {
-	return slices.MaxFunc(f.list, func(x, y Server) int { return f.servers[x.ID].connections - f.servers[y.ID].connections }).ID
+	most := slices.MaxFunc(f.list, func(x, y Server) int {
+		return f.servers[x.ID].connections - f.servers[y.ID].connections
+	})
+	return most.ID
 }
 
 // leastLoadedServer lists one more server, idle and warm. Of a hundred ids it gets the one that most groups prefer.
@@ -541,10 +592,12 @@
 	firsts := map[ServerID]int{}
 	for _, g := range groups {
 		nearest := slices.MinFunc(f.list, func(x, y Server) int {
-			return cmp.Compare(rendezvousDistance(hashString(g), &server{Server: x}), rendezvousDistance(hashString(g), &server{Server: y}))
+			return cmp.Compare(rendezvousDistance(hashString(g), &server{Server: x}),
+				rendezvousDistance(hashString(g), &server{Server: y}))
 		})
 		for id := ServerID(500); id < 600; id++ {
-			if rendezvousDistance(hashString(g), &server{Server: Server{ID: id}}) < rendezvousDistance(hashString(g), &server{Server: nearest}) {
+			candidate := &server{Server: Server{ID: id}}
+			if rendezvousDistance(hashString(g), candidate) < rendezvousDistance(hashString(g), &server{Server: nearest}) {
 				firsts[id]++
 			}
 		}
@@ -622,12 +675,15 @@
 		}
 		during := f.averageServed(12*time.Second, 0.2, zipf)
 		clear(f.failing)
-		back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf)}
-		t.Logf("store %v: %.0f served well before, %.0f meanwhile, %.0f in each 5 s after; %d and %d pairs; %d set-ups choked, %d rejected",
+		back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf),
+			f.averageServed(5*time.Second, 0.2, zipf)}
+		t.Logf("store %v: %.0f served well before, %.0f meanwhile, %.0f in each 5 s after; %d and %d placements of "+
+			"groups; %d set-ups timed out, %d rejected",
 			store, before, during, back, placements, f.groupPlacements(), f.setupTimeouts, f.rejected)
 		// Without a price on opening a group: 143 and 150 before, 130 and 137 at last, 34 and 36 pairs.
 		if back[2] < 0.85*before || before < 155 || placements > 30 {
-			t.Errorf("store %v: %.0f served well 10 to 15 s after the cause has gone, %.0f before it, %d pairs of group and server", store,
+			t.Errorf("store %v: %.0f served well 10 to 15 s after the cause has gone, %.0f before it, "+
+				"%d placements of groups", store,
 				back[2], before, placements)
 		}
 	}
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -11,12 +11,18 @@
 	few.Balancers, many.Balancers = 4, 300
 	told, named := newHarness(t, few), newHarness(t, many)
 	told.send(FleetSize{Fleet: 300, Zone: 150, Admitted: true})
-	if told.b.thresholds.capacity != named.b.thresholds.capacity || told.b.thresholds.saturation != named.b.thresholds.saturation || told.b.onDemandProbeInterval() != named.b.onDemandProbeInterval() ||
+	if told.b.thresholds.capacity != named.b.thresholds.capacity ||
+		told.b.thresholds.saturation != named.b.thresholds.saturation ||
+		told.b.onDemandProbeInterval() != named.b.onDemandProbeInterval() ||
 		told.b.pollInterval() != named.b.pollInterval() || told.b.zoneBalancers() != named.b.zoneBalancers() {
-		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.thresholds.capacity, told.b.thresholds.saturation, told.b.onDemandProbeInterval(), told.b.pollInterval(), told.b.zoneBalancers(),
-			named.b.thresholds.capacity, named.b.thresholds.saturation, named.b.onDemandProbeInterval(), named.b.pollInterval(), named.b.zoneBalancers())
+		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.thresholds.capacity,
+			told.b.thresholds.saturation, told.b.onDemandProbeInterval(), told.b.pollInterval(),
+			told.b.zoneBalancers(),
+			named.b.thresholds.capacity, named.b.thresholds.saturation, named.b.onDemandProbeInterval(),
+			named.b.pollInterval(), named.b.zoneBalancers())
 	}
-	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1}, {Fleet: MaxBalancers + 1, Zone: 1}} {
+	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1},
+		{Fleet: MaxBalancers + 1, Zone: 1}} {
 		told.send(spoilt)
 		if told.b.zoneBalancers() != 150 || !told.b.fleet.Admitted {
 			t.Errorf("%+v is taken", spoilt)
@@ -30,7 +36,8 @@
 
 // Balancers that are not admitted send a warming server nothing, where admitted ones send it some requests.
 func TestNotAdmittedBalancersSkipWarmingServers(t *testing.T) {
-	c := slowStartCase{balancers: 30, membershipCounts: true, notAdmitted: true, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, meanLifetime: 30 * time.Second, load: 0.5, demandFactor: 2}
+	c := slowStartCase{balancers: 30, membershipCounts: true, notAdmitted: true, warmServers: 10, warmingServers: 1,
+		groups: 20, serverCapacity: 60, meanLifetime: 30 * time.Second, load: 0.5, demandFactor: 2}
 	if r := c.play(t, slowStartSettings()); r.all > 0 {
 		t.Errorf("%d requests at a warming server", r.all)
 	}
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -19,11 +19,15 @@
 	return Settings{
 		Seed: 7, Zone: "a", Zones: []string{"a", "b"}, Balancers: 4, WatchList: true,
 		Classes: []Class{
-			{Name: "safe", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond, ClientTimeout: 2 * time.Second},
-			{Name: "keyed", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeZone, DedupWindow: 5 * time.Second},
+			{Name: "safe", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
+				ClientTimeout: 2 * time.Second},
+			{Name: "keyed", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey,
+				KeyScope: ScopeZone, DedupWindow: 5 * time.Second},
 			{Name: "unsafe", LatencyObjective: 300 * time.Millisecond, Idempotency: NotIdempotent},
-			{Name: "all", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeAll, DedupWindow: 5 * time.Second},
-			{Name: "cell", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeCell, DedupWindow: 5 * time.Second},
+			{Name: "all", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey, KeyScope: ScopeAll,
+				DedupWindow: 5 * time.Second},
+			{Name: "cell", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey,
+				KeyScope: ScopeCell, DedupWindow: 5 * time.Second},
 		},
 		MaxAttempts: 3, // without probes, so that requests are placed at once
 		Safety: SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second, SlowStartShare: 0.3,
@@ -93,7 +97,8 @@
 
 // endAttempt ends an attempt.
 func (h *harness) endAttempt(id string, attempt int, s ServerID, code Code, final bool) []Action {
-	return h.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final, Report: NoLoadReport})
+	return h.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final,
+		Report: NoLoadReport})
 }
 
 // establish places a request and establishes its connection.
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -34,7 +34,8 @@
 			t.Error("a client was placed on the ejected server")
 		}
 	}
-	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4, EjectedFor: -1}})
+	next.b.ImportLearned([]LearnedState{{Server: 1, Load: -3, Age: -1, LoadPerConnection: 9, ConsecutiveFailures: -4,
+		EjectedFor: -1}})
 	if s := next.b.servers[1]; s.load < 0 || s.loadPerConnection > 1 {
 		t.Errorf("invalid values were imported: %+v", s)
 	}
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -83,7 +83,8 @@
 	}
 	h.reportLoad(1, 1.05)
 	migrations := actionsOf[Migrate](h.tick(tickInterval))
-	if len(migrations) < 2 || !strings.HasPrefix(string(migrations[0].ID), "small") || !strings.HasPrefix(string(migrations[1].ID), "small") {
+	if len(migrations) < 2 || !strings.HasPrefix(string(migrations[0].ID), "small") ||
+		!strings.HasPrefix(string(migrations[1].ID), "small") {
 		t.Errorf("migrated %v, the two of the small group first wanted", migrations)
 	}
 }
@@ -133,7 +134,8 @@
 		most, all = max(most, n), all+n
 	}
 	if len(migrated) > 2 || most < 20*each {
-		t.Errorf("20 balancers migrated %d clients of %d of %d groups, one of them %d times", all, len(migrated), groupsHeld, most)
+		t.Errorf("20 balancers migrated %d clients of %d of %d groups, one of them %d times", all, len(migrated),
+			groupsHeld, most)
 	}
 }
 
@@ -146,7 +148,8 @@
 		h.reportLoad(id+1, 0.3)
 	}
 	ask := func(id, key string) ServerID {
-		return h.wantAttempt(h.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g", Remaining: 2 * time.Second}))
+		return h.wantAttempt(h.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g",
+			Remaining: 2 * time.Second}))
 	}
 	for i := range 8 {
 		preferred := ask(name("r", i), name("key", i))
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -208,7 +208,8 @@
 			h.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
 		}
 		if got := h.wantAttempt(h.requestInGroup("r", "g")); (got == preferred[0].ID) != c.goes {
-			t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load, got, preferred[0].ID, preferred[1].ID)
+			t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load,
+				got, preferred[0].ID, preferred[1].ID)
 		}
 	}
 }
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -100,7 +100,8 @@
 	h := newHarness(t, set)
 	h.replaceList(servers(3, 3))
 	for i := range 20 {
-		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: idempotentClass}, Server: 102})
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i)), Class: idempotentClass},
+			Server: 102})
 	}
 	migrated := 0
 	for range 20 {
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -7,14 +7,17 @@
 	"time"
 )
 
+// responseTimeout is the host's time-out of a call.
+const responseTimeout = 4 * time.Second
+
 // outageKind is how discovery fails.
 type outageKind uint8
 
 const (
 	connectionsRefused  outageKind = iota // dials fail at once
-	unreachable                           // dials fail once their bound is over
-	respondsUnavailable                   // dials find it, calls fail at once
-	responseHangs                         // dials find it, calls fail after the host's bound of 4 s
+	unreachable                           // dials fail after their time-out
+	respondsUnavailable                   // dials succeed, calls fail at once
+	responseHangs                         // dials succeed, calls fail after responseTimeout
 )
 
 // scheduledStep is one balancer's next step.
@@ -25,14 +28,14 @@
 
 type stepHeap []scheduledStep
 
-func (b stepHeap) Len() int           { return len(b) }
-func (b stepHeap) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b stepHeap) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
-func (b *stepHeap) Push(x any)        { *b = append(*b, x.(scheduledStep)) }
-func (b *stepHeap) Pop() any {
-	old := *b
+func (h stepHeap) Len() int           { return len(h) }
+func (h stepHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h stepHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *stepHeap) Push(x any)        { *h = append(*h, x.(scheduledStep)) }
+func (h *stepHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*b = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
@@ -41,64 +44,65 @@
 type outageSimulation struct {
 	downFor        time.Duration
 	kind           outageKind
-	capacity       int
+	capacity       int // calls per second
 	steps          stepHeap
 	dialsPerSecond map[int]int // by second, counted from discovery's return
 	callsPerSecond map[int]int
-	rejected       int
-	busyUntil      time.Duration // when discovery has done with the calls that wait
-	updatedAt      []time.Duration
+	rejected       int             // calls
+	busyUntil      time.Duration   // when discovery has answered the calls so far
+	updatedAt      []time.Duration // when balancers got the list, counted from discovery's return
 }
 
-func (w *outageSimulation) secondOf(now time.Duration) int {
-	return int((now-w.downFor+time.Hour)/time.Second) - 3600
+func (o *outageSimulation) secondOf(now time.Duration) int {
+	return int((now-o.downFor+time.Hour)/time.Second) - 3600
 }
 
-func (w *outageSimulation) schedule(at time.Duration, step func(time.Duration)) {
-	heap.Push(&w.steps, scheduledStep{at: at, step: step})
+func (o *outageSimulation) schedule(at time.Duration, step func(time.Duration)) {
+	heap.Push(&o.steps, scheduledStep{at: at, step: step})
 }
 
-func (w *outageSimulation) dial(r ReconnectSchedule, failed, now time.Duration) {
-	w.dialsPerSecond[w.secondOf(now)]++
-	if now >= w.downFor || w.kind == respondsUnavailable || w.kind == responseHangs {
-		w.schedule(r.CallAt(failed, now), func(now time.Duration) { w.call(r, now) })
+func (o *outageSimulation) dial(r ReconnectSchedule, failed, now time.Duration) {
+	o.dialsPerSecond[o.secondOf(now)]++
+	if now >= o.downFor || o.kind == respondsUnavailable || o.kind == responseHangs {
+		o.schedule(r.CallAt(failed, now), func(now time.Duration) { o.call(r, now) })
 		return
 	}
 	ended := now
-	if w.kind == unreachable {
+	if o.kind == unreachable {
 		ended += r.DialTimeout()
 	}
-	w.schedule(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	o.schedule(r.DialAt(now, ended), func(later time.Duration) { o.dial(r, now, later) })
 }
 
-func (w *outageSimulation) call(r ReconnectSchedule, now time.Duration) {
-	w.callsPerSecond[w.secondOf(now)]++
+func (o *outageSimulation) call(r ReconnectSchedule, now time.Duration) {
+	o.callsPerSecond[o.secondOf(now)]++
 	ended := now
 	switch {
-	case now < w.downFor && w.kind == responseHangs:
-		ended += 4 * time.Second
-	case now < w.downFor:
-	case max(w.busyUntil, now)-now > time.Second:
-		w.rejected++
+	case now < o.downFor && o.kind == responseHangs:
+		ended += responseTimeout
+	case now < o.downFor:
+	case max(o.busyUntil, now)-now > time.Second:
+		o.rejected++
 	default:
-		w.busyUntil = max(w.busyUntil, now) + time.Second/time.Duration(w.capacity)
-		w.updatedAt = append(w.updatedAt, w.busyUntil-w.downFor)
+		o.busyUntil = max(o.busyUntil, now) + time.Second/time.Duration(o.capacity)
+		o.updatedAt = append(o.updatedAt, o.busyUntil-o.downFor)
 		return
 	}
-	w.schedule(r.DialAt(now, ended), func(later time.Duration) { w.dial(r, now, later) })
+	o.schedule(r.DialAt(now, ended), func(later time.Duration) { o.dial(r, now, later) })
 }
 
 func simulateOutage(balancers, capacity int, how outageKind, down time.Duration) *outageSimulation {
-	w := &outageSimulation{downFor: down, kind: how, capacity: capacity, dialsPerSecond: map[int]int{}, callsPerSecond: map[int]int{}}
+	o := &outageSimulation{downFor: down, kind: how, capacity: capacity, dialsPerSecond: map[int]int{},
+		callsPerSecond: map[int]int{}}
 	for i := range balancers {
 		r := NewReconnectSchedule(uint64(i+1), balancers, 0)
-		w.schedule(r.DialAt(0, 0), func(now time.Duration) { w.dial(r, 0, now) })
+		o.schedule(r.DialAt(0, 0), func(now time.Duration) { o.dial(r, 0, now) })
 	}
-	for len(w.updatedAt) < balancers && len(w.steps) > 0 {
-		next := heap.Pop(&w.steps).(scheduledStep)
+	for len(o.updatedAt) < balancers && len(o.steps) > 0 {
+		next := heap.Pop(&o.steps).(scheduledStep)
 		next.step(next.at)
 	}
-	return w
+	return o
 }
 
 // maxPerSecond returns the count of the busiest second, from one second to before another.
@@ -114,27 +118,28 @@
 // The reconnects of a whole fleet do not overload a discovery service that handles calls in turn, and all balancers
 // have its list before a change counts as notified: 300 balancers with 100 calls per second, 2300 with 600.
 func TestFleetReconnectsToDiscovery(t *testing.T) {
-	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // the latter three a second, at most
+	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // dials and calls: limits per second
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
 	} {
 		for _, how := range []outageKind{connectionsRefused, unreachable, respondsUnavailable, responseHangs} {
 			t.Run(fmt.Sprintf("%d, %d", fleet.balancers, how), func(t *testing.T) {
-				for _, down := range []time.Duration{2 * time.Second, 8 * time.Second, 12 * time.Second, 30 * time.Second} {
-					w := simulateOutage(fleet.balancers, fleet.capacity, how, down)
-					last, begin := w.updatedAt[len(w.updatedAt)-1], -int(down/time.Second)
-					dials, calls := maxPerSecond(w.dialsPerSecond, begin, 0), maxPerSecond(w.callsPerSecond, begin, 0)
-					first, after := w.callsPerSecond[0], maxPerSecond(w.callsPerSecond, 0, 10)
-					t.Logf("down %v: %d dials and %d calls a second at most; in the first one after it %d dials and %d calls, "+
-						"%d calls in the busiest; %d rejected, last told after %v", down, dials, calls, w.dialsPerSecond[0], first, after,
-						w.rejected, last)
+				for _, down := range []time.Duration{2 * time.Second, 8 * time.Second, 12 * time.Second,
+					30 * time.Second} {
+					o := simulateOutage(fleet.balancers, fleet.capacity, how, down)
+					last, begin := o.updatedAt[len(o.updatedAt)-1], -int(down/time.Second)
+					dials, calls := maxPerSecond(o.dialsPerSecond, begin, 0), maxPerSecond(o.callsPerSecond, begin, 0)
+					first, after := o.callsPerSecond[0], maxPerSecond(o.callsPerSecond, 0, 10)
+					t.Logf("down %v: %d dials and %d calls a second at most; in the first second after it "+
+						"%d dials and %d calls, %d calls in the busiest; %d rejected, last updated after %v",
+						down, dials, calls, o.dialsPerSecond[0], first, after, o.rejected, last)
 					if last >= 6*time.Second {
-						t.Errorf("down for %v: the last one is told after %v", down, last)
+						t.Errorf("down for %v: the last one is updated after %v", down, last)
 					}
 					if dials > fleet.dials || calls > fleet.calls || after > fleet.calls {
 						t.Errorf("down for %v: %d dials and %d calls a second, %d after", down, dials, calls, after)
 					}
 					if (how == connectionsRefused || how == unreachable) && calls > 0 {
-						t.Errorf("down for %v: %d calls a second to nobody", down, calls)
+						t.Errorf("down for %v: %d calls a second while discovery cannot be reached", down, calls)
 					}
 				}
 			})
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -24,7 +24,8 @@
 	h.request("held", idempotentClass)
 	h.send(ClientDisconnected{ID: "held"})
 	if len(h.b.requests.byID)+len(h.b.requests.byToken)+len(h.b.requests.waiting) != 0 {
-		t.Fatalf("%d requests, %d timers, %d waiting kept", len(h.b.requests.byID), len(h.b.requests.byToken), len(h.b.requests.waiting))
+		t.Fatalf("%d requests, %d timers, %d waiting kept", len(h.b.requests.byID), len(h.b.requests.byToken),
+			len(h.b.requests.waiting))
 	}
 	for _, s := range h.b.ready {
 		if len(s.connections) != 0 {
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -20,7 +20,8 @@
 			seen = append(seen, s)
 		}
 		actions := h.endAttempt("r", 2, s, code, false)
-		if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 || len(actionsOf[StartAttempt](actions)) > 0 {
+		if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 ||
+			len(actionsOf[StartAttempt](actions)) > 0 {
 			t.Fatalf("code %d: attempts ran out, got %v", code, actions)
 		}
 	}
@@ -41,7 +42,8 @@
 		{Cancelled, goesOn, goesOn, failed, goesOn},
 		{NotSent, goesOn, goesOn, goesOn, goesOn},
 	} {
-		for class, want := range map[int]string{idempotentClass: c.safe, zoneKeyedClass: c.keyedZone, unsafeClass: c.unsafe, fleetKeyedClass: c.keyedAl} {
+		for class, want := range map[int]string{idempotentClass: c.safe, zoneKeyedClass: c.keyedZone,
+			unsafeClass: c.unsafe, fleetKeyedClass: c.keyedAl} {
 			h := newHarness(t, settings())
 			h.replaceList(servers(8, 4))
 			actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", class)), c.code, false)
@@ -112,7 +114,8 @@
 		s := h.wantAttempt(h.request(id, idempotentClass))
 		h.send(Established{ID: RequestID(id), Server: s, Elapsed: 500 * time.Millisecond})
 	}
-	if p := actionsOf[StartAttempt](h.request("r", idempotentClass)); len(p) != 1 || p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
+	if p := actionsOf[StartAttempt](h.request("r", idempotentClass)); len(p) != 1 ||
+		p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
 		t.Fatalf("set-ups take 0.5 s, yet %v", p)
 	}
 }
--- a/decide/legal_test.go
+++ b/decide/safety_test.go
@@ -14,21 +14,23 @@
 	live          map[RequestID]*trackedRequest
 	ids           []RequestID // of live, in order of arrival
 	timers        []timerDue
-	everListed    map[ServerID]bool          // was in a list
-	notReadySince map[ServerID]time.Duration // told draining or gone
-	listed        []Server
-	nextID        int
-	nextSrv       ServerID
+	everListed    map[ServerID]bool          // servers that a list has named
+	notReadySince map[ServerID]time.Duration // when a server was listed as draining or removed
+	listed        []Server                   // the latest snapshot
+	nextID        int                        // of the latest request
+	nextServer    ServerID
 }
 
+// trackedRequest is a request as the host knows it.
 type trackedRequest struct {
 	class       int
 	deadline    time.Duration
 	attempts    []trackedAttempt
-	answered    bool // a final answer or the client's end
+	answered    bool // it got a final answer, or its client has disconnected
 	established bool
 }
 
+// trackedAttempt is an attempt as the host knows it.
 type trackedAttempt struct {
 	server  ServerID
 	sent    time.Duration
@@ -37,11 +39,13 @@
 	code    Code
 }
 
+// timerDue is a timer that the balancer has set.
 type timerDue struct {
 	at    time.Duration
 	token uint64
 }
 
+// sendChecked sends an event and checks the actions that it causes.
 func (h *randomHost) sendChecked(ev Event) {
 	h.t.Helper()
 	for _, a := range h.send(ev) {
@@ -49,22 +53,14 @@
 	}
 }
 
-// check has an action against the rules.
+// check checks an action against the rules.
 func (h *randomHost) check(a Action) {
 	h.t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
 		h.checkAttempt(a)
 	case Reject:
-		r := h.wantUnanswered(a.ID)
-		if class := h.b.settings.Classes[r.class]; class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && class.KeyScope != ScopeAll {
-			for _, at := range r.attempts {
-				if !at.ended || !at.code.NeverExecuted() {
-					h.t.Fatalf("%s rejected though it may have run", a.ID)
-				}
-			}
-		}
-		r.answered = true
+		h.checkReject(a)
 	case Fail:
 		h.wantUnanswered(a.ID).answered = true
 	case Migrate:
@@ -83,6 +79,22 @@
 	}
 }
 
+// checkReject checks that repeating a rejected request is harmless.
+func (h *randomHost) checkReject(a Reject) {
+	h.t.Helper()
+	r := h.wantUnanswered(a.ID)
+	class := h.b.settings.Classes[r.class]
+	deduplicated := class.Idempotency == IdempotentByKey && class.KeyScope == ScopeAll
+	if class.Idempotency != Idempotent && !deduplicated {
+		for _, attempt := range r.attempts {
+			if !attempt.ended || !attempt.code.NeverExecuted() {
+				h.t.Fatalf("%s rejected though it may have executed", a.ID)
+			}
+		}
+	}
+	r.answered = true
+}
+
 // wantUnanswered expects a request that still waits for its answer.
 func (h *randomHost) wantUnanswered(id RequestID) *trackedRequest {
 	h.t.Helper()
@@ -129,7 +141,7 @@
 	r.attempts = append(r.attempts, trackedAttempt{server: a.Server, sent: h.now, timeout: a.Timeout})
 }
 
-// advance migrations the clock, fires what is due and ends what has timed out.
+// advance moves the clock, fires what is due and ends what has timed out.
 func (h *randomHost) advance(d time.Duration) {
 	h.now += d
 	due := h.timers
@@ -178,7 +190,8 @@
 	if r.established || code == OK {
 		r.answered = true
 	}
-	h.sendChecked(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final, Report: NoLoadReport})
+	h.sendChecked(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].server, Code: code, Final: final,
+		Report: NoLoadReport})
 	r.established = false
 }
 
@@ -203,9 +216,9 @@
 		h.listed = nil
 		for range h.rng.IntN(8) + 1 {
 			if h.rng.IntN(3) == 0 {
-				h.nextSrv++
+				h.nextServer++
 			}
-			id := h.nextSrv - ServerID(h.rng.IntN(6))
+			id := h.nextServer - ServerID(h.rng.IntN(6))
 			zone := []string{"a", "b"}[id%2]
 			h.listed = append(h.listed, Server{ID: id, Zone: zone, Cell: int(id % 5), Weight: float64(h.rng.IntN(3))})
 		}
@@ -230,53 +243,30 @@
 	h.sendChecked(ListReceived{Kind: kind, Servers: lines})
 }
 
+// step sends one random legal event.
 func (h *randomHost) step() {
-	pick := func() (RequestID, *trackedRequest) {
-		if len(h.ids) == 0 {
-			return "", nil
-		}
-		id := h.ids[h.rng.IntN(len(h.ids))]
-		return id, h.live[id]
-	}
 	switch k := h.rng.IntN(100); {
 	case k < 25:
-		h.nextID++
-		id := RequestID(name("q", h.nextID))
-		r := &trackedRequest{class: h.rng.IntN(5), deadline: h.now + time.Duration(h.rng.IntN(3000)+1)*time.Millisecond}
-		h.live[id], h.ids = r, append(h.ids, id)
-		h.sendChecked(RequestArrived{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)), Group: name("g", h.rng.IntN(4)),
-			Remaining: r.deadline - h.now, MidFlow: h.rng.IntN(9) == 0, Load: h.rng.Float64() / 10})
+		h.sendRequest()
 	case k < 30:
-		h.nextID++
-		id, s := RequestID(name("o", h.nextID)), h.nextSrv-ServerID(h.rng.IntN(8))
-		h.live[id] = &trackedRequest{established: true, attempts: []trackedAttempt{{server: s}}}
-		h.ids = append(h.ids, id)
-		h.sendChecked(ConnectionRestored{Request: RequestArrived{ID: id, Key: name("k", h.rng.IntN(40))}, Server: s})
+		h.restoreConnection()
 	case k < 60:
-		id, r := pick()
-		if r == nil || len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].ended {
-			return
-		}
-		if n := len(r.attempts) - 1; !r.established && !r.answered && h.rng.IntN(2) == 0 {
-			r.established = true
-			h.sendChecked(Established{ID: id, Attempt: n, Server: r.attempts[n].server})
-		} else if r.established {
-			h.finish(id, []Code{OK, Reset, Cancelled}[h.rng.IntN(3)])
-		} else {
-			h.finish(id, Code(h.rng.IntN(7)+1))
-		}
+		h.progressAttempt()
 	case k < 65:
-		if id, r := pick(); r != nil && !r.answered {
+		if id, r := h.anyRequest(); r != nil && !r.answered {
 			r.answered, r.established = true, false
 			h.sendChecked(ClientDisconnected{ID: id})
 		}
 	case k < 75:
-		s := h.nextSrv - ServerID(h.rng.IntN(8))
-		h.sendChecked(ProbeCompleted{Server: s, Code: Code(h.rng.IntN(8)), Report: LoadReport{Load: h.rng.Float64()*2 - 0.3, Connections: -1}})
+		s := h.nextServer - ServerID(h.rng.IntN(8))
+		code := Code(h.rng.IntN(8))
+		report := LoadReport{Load: h.rng.Float64()*2 - 0.3, Connections: -1}
+		h.sendChecked(ProbeCompleted{Server: s, Code: code, Report: report})
 	case k < 80:
-		if id, r := pick(); r != nil && r.established {
+		if id, r := h.anyRequest(); r != nil && r.established {
 			s := r.attempts[len(r.attempts)-1].server
-			h.sendChecked(MessageDelayReported{ID: id, Server: s, Delay: time.Duration(h.rng.IntN(300)) * time.Millisecond})
+			delay := time.Duration(h.rng.IntN(300)) * time.Millisecond
+			h.sendChecked(MessageDelayReported{ID: id, Server: s, Delay: delay})
 			h.sendChecked(LoadChanged{ID: id, Load: h.rng.Float64()})
 		}
 	case k < 83:
@@ -287,13 +277,58 @@
 	h.prune()
 }
 
+// anyRequest returns a random live request; nil: there is none.
+func (h *randomHost) anyRequest() (RequestID, *trackedRequest) {
+	if len(h.ids) == 0 {
+		return "", nil
+	}
+	id := h.ids[h.rng.IntN(len(h.ids))]
+	return id, h.live[id]
+}
+
+func (h *randomHost) sendRequest() {
+	h.nextID++
+	id := RequestID(name("q", h.nextID))
+	r := &trackedRequest{class: h.rng.IntN(5),
+		deadline: h.now + time.Duration(h.rng.IntN(3000)+1)*time.Millisecond}
+	h.live[id], h.ids = r, append(h.ids, id)
+	h.sendChecked(RequestArrived{ID: id, Class: r.class, Key: name("k", h.rng.IntN(40)),
+		Group: name("g", h.rng.IntN(4)), Remaining: r.deadline - h.now, MidFlow: h.rng.IntN(9) == 0,
+		Load: h.rng.Float64() / 10})
+}
+
+func (h *randomHost) restoreConnection() {
+	h.nextID++
+	id, s := RequestID(name("o", h.nextID)), h.nextServer-ServerID(h.rng.IntN(8))
+	h.live[id] = &trackedRequest{established: true, attempts: []trackedAttempt{{server: s}}}
+	h.ids = append(h.ids, id)
+	request := RequestArrived{ID: id, Key: name("k", h.rng.IntN(40))}
+	h.sendChecked(ConnectionRestored{Request: request, Server: s})
+}
+
+// progressAttempt establishes the connection of an attempt, or ends the attempt or its connection.
+func (h *randomHost) progressAttempt() {
+	id, r := h.anyRequest()
+	if r == nil || len(r.attempts) == 0 || r.attempts[len(r.attempts)-1].ended {
+		return
+	}
+	if n := len(r.attempts) - 1; !r.established && !r.answered && h.rng.IntN(2) == 0 {
+		r.established = true
+		h.sendChecked(Established{ID: id, Attempt: n, Server: r.attempts[n].server})
+	} else if r.established {
+		h.finish(id, []Code{OK, Reset, Cancelled}[h.rng.IntN(3)])
+	} else {
+		h.finish(id, Code(h.rng.IntN(7)+1))
+	}
+}
+
 // The rules hold for any sequence of legal events, and no state grows without bound.
 func TestSafetyRulesHoldForAnyEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
 		set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%2 == 0, seed%3 != 0, seed%5 != 0
 		h := &randomHost{rng: rand.New(rand.NewPCG(seed, 1)), live: map[RequestID]*trackedRequest{},
-			everListed: map[ServerID]bool{}, notReadySince: map[ServerID]time.Duration{}, nextSrv: 20}
+			everListed: map[ServerID]bool{}, notReadySince: map[ServerID]time.Duration{}, nextServer: 20}
 		b, err := New(set)
 		if err != nil {
 			t.Fatal(err)
@@ -310,7 +345,8 @@
 		if len(h.b.requests.byID) > len(h.live) {
 			t.Fatalf("seed %d: %d requests held, %d live", seed, len(h.b.requests.byID), len(h.live))
 		}
-		if len(h.b.clients.records) > maxClientRecords || len(h.b.requests.waiting) > len(h.b.requests.byID) || len(h.b.answers.ownZone) > maxAnswers {
+		if len(h.b.clients.records) > maxClientRecords || len(h.b.requests.waiting) > len(h.b.requests.byID) ||
+			len(h.b.answers.ownZone) > maxAnswers {
 			t.Fatalf("seed %d: state beyond its bounds", seed)
 		}
 	}
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -16,50 +16,53 @@
 type slowStartCase struct {
 	name                string
 	balancers           int
-	configuredBalancers int           // settings.balancers; 0: the truth, below 0: not told
-	membershipCounts    bool          // the membership counts them, whatever the settings say,
-	notAdmitted         bool          // and admits none
-	warmServers         int           // warm ones of each zone
-	warmingServers      int           // of zone a
-	lostFor             time.Duration // so long these were lost, and their clients with them; 0: they join beside the others
-	groups              int           // of requests; 0: they have none
-	serverCapacity      float64       // connections of mean life that fill a warm server
-	meanLifetime        time.Duration // of a connection, in the mean
+	configuredBalancers int           // number in the settings; 0: the true one, below 0: not set
+	membershipCounts    bool          // balancers get the true number from the membership
+	notAdmitted         bool          // and are not admitted by it
+	warmServers         int           // in each zone
+	warmingServers      int           // in zone a
+	lostFor             time.Duration // how long these were removed before; 0: they are new
+	groups              int           // groups of the requests; 0: requests have none
+	serverCapacity      float64       // connections that a warm server bears
+	meanLifetime        time.Duration // of a connection
 	load                float64       // of the warm servers before the start
-	demandFactor        float64       // what comes from then on, as a multiple of what came before
-	uneven              bool          // some balancers see several times the mean
-	synchronized        bool          // what comes then comes in crowds, within 50 ms of every second
-	restartedFraction   float64       // part of the balancers that are replaced in the middle, evenly over the warm-up time
-	learned             bool          // the new ones are given what the old ones have learned
-	warmUp              time.Duration // how long the fleet is established before; 0: 12 s
-	lateFraction        float64       // part of the balancers that are told of the start 3 s late
-	droppingServers     int           // so many warm ones of zone a drop all that they hold, 2 s after the start
+	demandFactor        float64       // demand since the start over the demand before
+	uneven              bool          // some balancers get several times the mean demand
+	synchronized        bool          // the demand since the start comes within 50 ms of every second
+	restartedFraction   float64       // balancers that are replaced, evenly over the warm-up
+	learned             bool          // replacements import what the previous ones have learned
+	warmUp              time.Duration // of the fleet before the start; 0: defaultWarmUp
+	lateFraction        float64       // balancers that observe the start 3 s late
+	droppingServers     int           // warm servers of zone a that drop their connections 2 s after the start
 	seed                uint64
 }
 
+// placementRecord is an attempt at a warming server.
 type placementRecord struct {
 	at            time.Duration
-	observedStart bool // the balancer had been told of the start
+	observedStart bool // the balancer had observed the start
 }
 
+// simulatedServer is a server, and what the balancers did to it.
 type simulatedServer struct {
 	Server
 	capacity          float64
 	connections       int
-	connectionHistory []int // of those, one a step, newest last
-	attempts          []placementRecord
-	watched           bool // it is watched
+	connectionHistory []int             // one for each step, newest last
+	attempts          []placementRecord // while it warmed up
+	watched           bool              // it is one of the warming servers
 	removed           bool
 }
 
+// scheduledEvent is an event of a balancer, the end of a connection, or the return of a client.
 type scheduledEvent struct {
 	at             time.Duration
-	seq            int
+	seq            int // order of the events of one moment
 	balancer       *simulatedBalancer
 	ev             Event
-	client         RequestID // its connection ends then
-	reconnectGroup string    // a client of that group comes again
-	replacement    bool
+	client         RequestID // whose connection ends
+	returns        bool      // a client returns
+	reconnectGroup string    // the group of that client
 }
 
 type eventHeap []scheduledEvent
@@ -83,19 +86,20 @@
 	zone          string
 	stopped       bool
 	late          bool
-	observedStart bool // it was told of the start
+	observedStart bool // it has observed the start of the warming servers
 	connections   map[RequestID]*simulatedServer
 	attempts      map[RequestID]int
 	group         map[RequestID]string
 }
 
+// slowStartSimulation plays a slowStartCase in virtual time.
 type slowStartSimulation struct {
 	slowStartCase
 	settings  Settings
 	now       time.Duration
 	rng       *rand.Rand
 	balancers []*simulatedBalancer
-	weights   []float64 // running sums of what each balancer sees
+	weights   []float64 // running sums of the balancers' parts of the demand
 	servers   map[ServerID]*simulatedServer
 	list      []Server
 	due       eventHeap
@@ -112,7 +116,8 @@
 )
 
 func newSlowStartSimulation(t *testing.T, c slowStartCase, set Settings) *slowStartSimulation {
-	f := &slowStartSimulation{slowStartCase: c, settings: set, now: 1000 * time.Second, rng: rand.New(rand.NewPCG(11, c.seed)),
+	f := &slowStartSimulation{slowStartCase: c, settings: set, now: 1000 * time.Second,
+		rng:     rand.New(rand.NewPCG(11, c.seed)),
 		servers: map[ServerID]*simulatedServer{}}
 	f.settings.Balancers, f.settings.GroupAffinity = max(c.configuredBalancers, 0), c.groups > 0
 	if c.configuredBalancers == 0 {
@@ -146,10 +151,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &simulatedBalancer{Balancer: b, zone: zone, connections: map[RequestID]*simulatedServer{}, attempts: map[RequestID]int{}, group: map[RequestID]string{}}
+	m := &simulatedBalancer{Balancer: b, zone: zone, connections: map[RequestID]*simulatedServer{},
+		attempts: map[RequestID]int{}, group: map[RequestID]string{}}
 	f.handle(m, Started{})
 	if f.membershipCounts {
-		f.handle(m, FleetSize{Fleet: f.slowStartCase.balancers, Zone: (f.slowStartCase.balancers + 1) / 2, Admitted: !f.notAdmitted})
+		f.handle(m, FleetSize{Fleet: f.slowStartCase.balancers, Zone: (f.slowStartCase.balancers + 1) / 2,
+			Admitted: !f.notAdmitted})
 	}
 	f.handle(m, ListReceived{Kind: ListSnapshot, Servers: f.list})
 	return m
@@ -164,7 +171,8 @@
 // capacityFraction is the fraction of its warm capacity that a server has now.
 func (f *slowStartSimulation) capacityFraction(s *simulatedServer, at time.Duration) float64 {
 	if age := at - s.Started; s.Started > 0 && age < f.settings.Safety.SlowStartDuration {
-		return f.settings.Safety.SlowStartShare + (1-f.settings.Safety.SlowStartShare)*max(0, float64(age)/float64(f.settings.Safety.SlowStartDuration))
+		return f.settings.Safety.SlowStartShare + (1-f.settings.Safety.SlowStartShare)*max(0,
+			float64(age)/float64(f.settings.Safety.SlowStartDuration))
 	}
 	return 1
 }
@@ -175,41 +183,15 @@
 		case SetTimer:
 			f.schedule(scheduledEvent{balancer: m, ev: TimerFired{Token: a.Token}}, a.Delay)
 		case Probe:
-			s := f.servers[a.Server]
-			if s.removed {
-				f.schedule(scheduledEvent{balancer: m, ev: ProbeCompleted{Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
-				continue
-			}
-			held := 0
-			if n := len(s.connectionHistory) - int(slowStartReportDelay/slowStartStep); n >= 0 {
-				held = s.connectionHistory[n]
-			}
-			load := float64(held) / (s.capacity * f.capacityFraction(s, f.now))
-			f.schedule(scheduledEvent{balancer: m, ev: ProbeCompleted{Server: a.Server, Code: OK, Report: LoadReport{Load: load, Connections: float64(held)}}}, slowStartStep)
+			f.answerProbe(m, f.servers[a.Server])
 		case StartAttempt:
-			s := f.servers[a.Server]
-			attempt := m.attempts[a.ID]
-			m.attempts[a.ID]++
-			if s.removed {
-				f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
-				continue
-			}
-			if s.watched && f.capacityFraction(s, f.now) < 1 {
-				s.attempts = append(s.attempts, placementRecord{f.now, m.observedStart})
-			}
-			s.connections++
-			m.connections[a.ID] = s
-			f.schedule(scheduledEvent{balancer: m, ev: Established{ID: a.ID, Server: a.Server, Elapsed: slowStartStep}}, slowStartStep)
-			f.schedule(scheduledEvent{balancer: m, client: a.ID}, slowStartStep+time.Duration(f.rng.ExpFloat64()*float64(f.meanLifetime)))
-		case Reject, Fail:
+			f.startAttempt(m, a)
+		case Reject:
 			f.rejected++
-			id := RequestID("")
-			if r, ok := a.(Reject); ok {
-				id = r.ID
-			} else {
-				id = a.(Fail).ID
-			}
-			f.reconnectLater(m, id)
+			f.reconnectLater(m, a.ID)
+		case Fail:
+			f.rejected++
+			f.reconnectLater(m, a.ID)
 		case Migrate:
 			f.end(m, a.ID, Cancelled)
 			f.reconnectLater(m, a.ID)
@@ -217,12 +199,47 @@
 	}
 }
 
-// reconnectLater ends an established connection; its client reconnects within 52 to 1000 ms.
+// answerProbe schedules the answer of a server, which reports its load of slowStartReportDelay ago.
+func (f *slowStartSimulation) answerProbe(m *simulatedBalancer, s *simulatedServer) {
+	result := ProbeCompleted{Server: s.ID, Code: ConnectFailed, Report: NoLoadReport}
+	if !s.removed {
+		connections := 0
+		if n := len(s.connectionHistory) - int(slowStartReportDelay/slowStartStep); n >= 0 {
+			connections = s.connectionHistory[n]
+		}
+		load := float64(connections) / (s.capacity * f.capacityFraction(s, f.now))
+		result.Code, result.Report = OK, LoadReport{Load: load, Connections: float64(connections)}
+	}
+	f.schedule(scheduledEvent{balancer: m, ev: result}, slowStartStep)
+}
+
+// startAttempt establishes a connection, and schedules its end, unless the server is removed.
+func (f *slowStartSimulation) startAttempt(m *simulatedBalancer, a StartAttempt) {
+	s, attempt := f.servers[a.Server], m.attempts[a.ID]
+	m.attempts[a.ID]++
+	if s.removed {
+		f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server,
+			Code: ConnectFailed, Report: NoLoadReport}}, slowStartStep)
+		return
+	}
+	if s.watched && f.capacityFraction(s, f.now) < 1 {
+		s.attempts = append(s.attempts, placementRecord{f.now, m.observedStart})
+	}
+	s.connections++
+	m.connections[a.ID] = s
+	established := Established{ID: a.ID, Server: a.Server, Elapsed: slowStartStep}
+	f.schedule(scheduledEvent{balancer: m, ev: established}, slowStartStep)
+	lifetime := time.Duration(f.rng.ExpFloat64() * float64(f.meanLifetime))
+	f.schedule(scheduledEvent{balancer: m, client: a.ID}, slowStartStep+lifetime)
+}
+
+// reconnectLater lets a client return, to any balancer, within 50 to 1000 ms.
 func (f *slowStartSimulation) reconnectLater(m *simulatedBalancer, id RequestID) {
-	f.schedule(scheduledEvent{reconnectGroup: m.group[id], replacement: true}, 50*time.Millisecond+time.Duration(f.rng.Int64N(int64(950*time.Millisecond))))
+	f.schedule(scheduledEvent{reconnectGroup: m.group[id], returns: true},
+		50*time.Millisecond+time.Duration(f.rng.Int64N(int64(950*time.Millisecond))))
 }
 
-// end ends a connection that is established; false: there is none.
+// end ends an established connection, and reports whether there was one.
 func (f *slowStartSimulation) end(m *simulatedBalancer, id RequestID, code Code) bool {
 	s := m.connections[id]
 	if s == nil {
@@ -231,7 +248,8 @@
 	delete(m.connections, id)
 	s.connections--
 	if !m.stopped {
-		f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: id, Server: s.ID, Attempt: m.attempts[id] - 1, Code: code, Final: true, Report: NoLoadReport}}, 0)
+		f.schedule(scheduledEvent{balancer: m, ev: AttemptEnded{ID: id, Server: s.ID, Attempt: m.attempts[id] - 1,
+			Code: code, Final: true, Report: NoLoadReport}}, 0)
 	}
 	return true
 }
@@ -276,7 +294,7 @@
 		for len(f.due) > 0 && f.due[0].at <= f.now {
 			e := heap.Pop(&f.due).(scheduledEvent)
 			switch {
-			case e.replacement:
+			case e.returns:
 				f.arrive(e.reconnectGroup)
 			case e.client != "":
 				f.end(e.balancer, e.client, OK)
@@ -337,125 +355,157 @@
 
 // slowStartResult is what happened to the warming servers.
 type slowStartResult struct {
-	servers, falls, broken int
-	most                   float64 // largest window, as a part of its allowance
-	use                    float64 // of the budget, in the mean of the warm-up time
-	least, all             int     // requests at the one that got least, and at all of them
-	rejected               int
+	servers   int
+	overloads int     // servers that became overloaded
+	broken    int     // servers that balancers overloaded which had observed the start
+	most      float64 // largest window, as a fraction of what is allowed
+	use       float64 // mean used fraction of the budgets
+	least     int     // requests at the server that got fewest
+	all       int     // requests at all servers
+	rejected  int
 }
 
 func (r slowStartResult) String() string {
-	return fmt.Sprintf("%d overloads (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, least %d requests, all %d, %d rejected",
-		r.falls, r.broken, r.servers, r.most, r.use, r.least, r.all, r.rejected)
+	return fmt.Sprintf("%d overloads (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, "+
+		"least %d requests, all %d, %d rejected",
+		r.overloads, r.broken, r.servers, r.most, r.use, r.least, r.all, r.rejected)
 }
 
 // play runs a case, and counts every window at each warming server.
 func (c slowStartCase) play(t *testing.T, set Settings) slowStartResult {
 	f := newSlowStartSimulation(t, c, set)
-	safety := set.Safety
-	// What keeps the warm ones at their load; it is reached sooner as the first clients come faster.
-	steady := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
+	// The rate that keeps the warm servers at their load. The load is reached sooner by a higher rate at first.
+	rate := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
 	fill := 4 * time.Second
-	f.run(fill, steady*(c.meanLifetime.Seconds()/fill.Seconds())*0.9, false)
-	f.run(cmp.Or(c.warmUp, defaultWarmUp), steady, false)
+	f.run(fill, rate*(c.meanLifetime.Seconds()/fill.Seconds())*0.9, false)
+	f.run(cmp.Or(c.warmUp, defaultWarmUp), rate, false)
 	if c.lostFor > 0 {
-		for i := range f.list[:c.warmingServers] {
-			f.list[i].State = Removed
-			f.servers[f.list[i].ID].removed = true
-			f.disconnectAll(f.servers[f.list[i].ID])
-		}
-		f.reportAll(false)
-		f.reportAll(true)
-		f.run(c.lostFor, steady, false)
-		for i := range f.list[:c.warmingServers] {
-			f.list[i].State, f.list[i].Started = Ready, f.now
-			s := f.servers[f.list[i].ID]
-			s.Server, s.removed, s.watched = f.list[i], false, true
-		}
+		f.loseAndRestartServers(rate)
 	} else {
-		for i := range c.warmingServers {
-			s := Server{ID: ServerID(50 + i), Zone: "a", Started: f.now}
-			f.list = append(f.list, s)
-			f.servers[s.ID] = &simulatedServer{Server: s, capacity: c.serverCapacity, watched: true}
-		}
+		f.addWarmingServers()
 	}
 	for _, m := range f.balancers {
 		m.observedStart = false
 	}
-	before := f.rejected
-	started := f.now
+	rejectedBefore, started := f.rejected, f.now
+	f.reportAll(false)
+	f.runWarmUp(t, rate)
+	return f.result(started, f.rejected-rejectedBefore)
+}
+
+// loseAndRestartServers removes some servers for a time, with their connections; then they start again.
+func (f *slowStartSimulation) loseAndRestartServers(rate float64) {
+	lost := f.list[:f.warmingServers]
+	for i := range lost {
+		lost[i].State = Removed
+		f.servers[lost[i].ID].removed = true
+		f.disconnectAll(f.servers[lost[i].ID])
+	}
 	f.reportAll(false)
-	const turns = 20
-	replaced := 0
-	for turn := range turns {
-		if c.lateFraction > 0 && turn == turns*3/int(safety.SlowStartDuration.Seconds()) {
+	f.reportAll(true)
+	f.run(f.lostFor, rate, false)
+	for i := range lost {
+		lost[i].State, lost[i].Started = Ready, f.now
+		s := f.servers[lost[i].ID]
+		s.Server, s.removed, s.watched = lost[i], false, true
+	}
+}
+
+// addWarmingServers lists servers that start now.
+func (f *slowStartSimulation) addWarmingServers() {
+	for i := range f.warmingServers {
+		s := Server{ID: ServerID(50 + i), Zone: "a", Started: f.now}
+		f.list = append(f.list, s)
+		f.servers[s.ID] = &simulatedServer{Server: s, capacity: f.serverCapacity, watched: true}
+	}
+}
+
+// runWarmUp lets the servers warm up, while what the case asks for happens.
+func (f *slowStartSimulation) runWarmUp(t *testing.T, rate float64) {
+	const rounds = 20
+	duration := f.settings.Safety.SlowStartDuration
+	seconds, replaced := int(duration.Seconds()), 0
+	for round := range rounds {
+		if f.lateFraction > 0 && round == rounds*3/seconds {
 			f.reportAll(true)
 		}
-		if c.droppingServers > 0 && turn == turns*2/int(safety.SlowStartDuration.Seconds()) {
-			for _, s := range f.list[c.warmServers-c.droppingServers : c.warmServers] {
+		if f.droppingServers > 0 && round == rounds*2/seconds {
+			for _, s := range f.list[f.warmServers-f.droppingServers : f.warmServers] {
 				f.disconnectAll(f.servers[s.ID])
 			}
 		}
-		for ; replaced < int(c.restartedFraction*float64(c.balancers)*float64(turn+1)/turns); replaced++ {
+		restarts := int(f.restartedFraction * float64(f.slowStartCase.balancers) * float64(round+1) / rounds)
+		for ; replaced < restarts; replaced++ {
 			f.restart(t, replaced)
 		}
-		f.run(safety.SlowStartDuration/turns, steady*max(c.demandFactor, 1), c.synchronized)
+		f.run(duration/rounds, rate*max(f.demandFactor, 1), f.synchronized)
 	}
-	res := slowStartResult{least: math.MaxInt, rejected: f.rejected - before}
+}
+
+// result evaluates what the watched servers got since they started.
+func (f *slowStartSimulation) result(started time.Duration, rejected int) slowStartResult {
+	result := slowStartResult{least: math.MaxInt, rejected: rejected}
 	for _, id := range sortedIDs(f.servers) {
 		s := f.servers[id]
 		if !s.watched {
 			continue
 		}
-		budget := 0.0
-		for at := started; at < started+safety.SlowStartDuration; at += 100 * time.Millisecond {
-			budget += safety.OverloadFactor * c.serverCapacity / c.meanLifetime.Seconds() * f.capacityFraction(s, at) * 0.1
-		}
-		res.servers++
-		res.all += len(s.attempts)
-		res.least = min(res.least, len(s.attempts))
-		res.use += float64(len(s.attempts)) / budget
-		most, fell, broke := f.worstWindow(s)
-		res.most = max(res.most, most)
-		if fell {
-			res.falls++
+		result.servers++
+		result.all += len(s.attempts)
+		result.least = min(result.least, len(s.attempts))
+		result.use += float64(len(s.attempts)) / f.budget(s, started)
+		most, overloaded, atFault := f.worstWindow(s)
+		result.most = max(result.most, most)
+		if overloaded {
+			result.overloads++
 		}
-		if broke {
-			res.broken++
+		if atFault {
+			result.broken++
 		}
 	}
-	res.use /= float64(res.servers)
-	return res
+	result.use /= float64(result.servers)
+	return result
+}
+
+// budget is the number of connections that overload a server, over its whole warm-up.
+func (f *slowStartSimulation) budget(s *simulatedServer, started time.Duration) (budget float64) {
+	safety := f.settings.Safety
+	for at := started; at < started+safety.SlowStartDuration; at += 100 * time.Millisecond {
+		perSecond := safety.OverloadFactor * f.serverCapacity / f.meanLifetime.Seconds()
+		budget += perSecond * f.capacityFraction(s, at) * 0.1
+	}
+	return budget
 }
 
 // worstWindow returns the largest window at a warming server as a fraction of N + 2 sqrt(N) + 2, with N at the
-// window's start; whether the server became overloaded; and whether over two thirds of the first window that
-// overloaded it came from balancers that had observed the start.
-func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, fell, broke bool) {
+// window's start; whether the server became overloaded; and whether over two thirds of the first window that overloaded
+// it came from balancers that had observed the start.
+func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, overloaded, atFault bool) {
 	safety := f.settings.Safety
-	for i, x := range s.attempts {
-		n := safety.OverloadFactor * s.capacity / f.meanLifetime.Seconds() * f.capacityFraction(s, x.at) * safety.OverloadWindow.Seconds()
-		all, told := 0.0, 0.0
-		for _, y := range s.attempts[i:] {
-			if y.at >= x.at+safety.OverloadWindow {
+	for i, first := range s.attempts {
+		perSecond := safety.OverloadFactor * s.capacity / f.meanLifetime.Seconds()
+		n := perSecond * f.capacityFraction(s, first.at) * safety.OverloadWindow.Seconds()
+		all, observed := 0.0, 0.0
+		for _, attempt := range s.attempts[i:] {
+			if attempt.at >= first.at+safety.OverloadWindow {
 				break
 			}
 			all++
-			if y.observedStart {
-				told++
+			if attempt.observedStart {
+				observed++
 			}
 		}
-		part := all / (n + 2*math.Sqrt(n) + 2)
-		most = max(most, part)
-		if part > 1 && !fell {
-			fell, broke = true, told > all*2/3
+		fraction := all / (n + 2*math.Sqrt(n) + 2)
+		most = max(most, fraction)
+		if fraction > 1 && !overloaded {
+			overloaded, atFault = true, observed > all*2/3
 		}
 	}
-	return most, fell, broke
+	return most, overloaded, atFault
 }
 
-func sortedIDs(rooms map[ServerID]*simulatedServer) (ids []ServerID) {
-	for id := range rooms {
+func sortedIDs(servers map[ServerID]*simulatedServer) (ids []ServerID) {
+	for id := range servers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -466,50 +516,93 @@
 func slowStartSettings() Settings {
 	set := settings()
 	set.ProbingAllowed = true
-	set.Safety.SlowStartDuration, set.Safety.SlowStartShare, set.Safety.OverloadFactor, set.Safety.OverloadWindow = 8*time.Second, 0.37, 4, time.Second
+	set.Safety.SlowStartDuration, set.Safety.SlowStartShare, set.Safety.OverloadFactor,
+		set.Safety.OverloadWindow = 8*time.Second, 0.37, 4, time.Second
 	return set
 }
 
 var slowStartCases = []slowStartCase{
-	{name: "3", balancers: 3, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "3 none grouped", balancers: 3, warmServers: 6, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "20 lost", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 1},
-	{name: "20 lost none grouped", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second, serverCapacity: 60, load: 0.5, demandFactor: 1},
-	{name: "30", balancers: 30, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "30 none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "30 full none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.7, demandFactor: 3},
-	{name: "80 lost", balancers: 80, warmServers: 10, warmingServers: 5, lostFor: 5 * time.Second, groups: 30, serverCapacity: 60, load: 0.5, demandFactor: 1},
-	{name: "80 crowds uneven", balancers: 80, warmServers: 10, warmingServers: 2, groups: 30, serverCapacity: 60, load: 0.5, demandFactor: 3, uneven: true, synchronized: true},
-	{name: "300", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 large none grouped", balancers: 300, warmServers: 15, warmingServers: 1, serverCapacity: 400, load: 0.6, demandFactor: 2},
-	{name: "300 uneven crowds none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.6, demandFactor: 3, uneven: true, synchronized: true},
-	{name: "300 restarts", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5},
-	{name: "300 restarts learned", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5, learned: true},
-	{name: "300 lost restarts", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, restartedFraction: 0.3},
-	{name: "300 late lost", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, lateFraction: 0.3},
-	{name: "300 told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 told 100", balancers: 300, configuredBalancers: 100, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 told 900", balancers: 300, configuredBalancers: 900, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 told 3000", balancers: 300, configuredBalancers: 3000, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 not told", balancers: 300, configuredBalancers: -1, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 long lives", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200, meanLifetime: 150 * time.Second, load: 0.5, demandFactor: 2},
-	{name: "300 long lives drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5, demandFactor: 1, droppingServers: 3},
-	{name: "300 drop", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
-	{name: "300 drop told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
-	{name: "300 drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
-	{name: "300 full told 30 none grouped", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.7, demandFactor: 3},
-	{name: "300 counted", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "300 counted uneven crowds none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.6, demandFactor: 3, uneven: true, synchronized: true},
-	{name: "300 counted told 3000 restarts", balancers: 300, configuredBalancers: 3000, membershipCounts: true, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2, restartedFraction: 0.5},
-	{name: "300 counted drop none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
-	{name: "3 counted told 30", balancers: 3, configuredBalancers: 30, membershipCounts: true, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "3 told 30", balancers: 3, configuredBalancers: 30, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "30 told 3", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "30 told 3 none grouped", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "2300", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
-	{name: "2300 none grouped", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, serverCapacity: 200, load: 0.5, demandFactor: 2},
-	{name: "2300 told 230", balancers: 2300, configuredBalancers: 230, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "3", balancers: 3, warmServers: 6, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "3 none grouped", balancers: 3, warmServers: 6, warmingServers: 1, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "20 lost", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second, groups: 20,
+		serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "20 lost none grouped", balancers: 20, warmServers: 6, warmingServers: 3, lostFor: 5 * time.Second,
+		serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "30", balancers: 30, warmServers: 10, warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "30 none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "30 full none grouped", balancers: 30, warmServers: 10, warmingServers: 1, serverCapacity: 60, load: 0.7,
+		demandFactor: 3},
+	{name: "80 lost", balancers: 80, warmServers: 10, warmingServers: 5, lostFor: 5 * time.Second, groups: 30,
+		serverCapacity: 60, load: 0.5, demandFactor: 1},
+	{name: "80 crowds uneven", balancers: 80, warmServers: 10, warmingServers: 2, groups: 30, serverCapacity: 60,
+		load: 0.5, demandFactor: 3, uneven: true, synchronized: true},
+	{name: "300", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "300 none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5,
+		demandFactor: 2},
+	{name: "300 large none grouped", balancers: 300, warmServers: 15, warmingServers: 1, serverCapacity: 400,
+		load: 0.6, demandFactor: 2},
+	{name: "300 uneven crowds none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60,
+		load: 0.6, demandFactor: 3, uneven: true, synchronized: true},
+	{name: "300 restarts", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60,
+		load: 0.5, demandFactor: 2, restartedFraction: 0.5},
+	{name: "300 restarts learned", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60,
+		load: 0.5, demandFactor: 2, restartedFraction: 0.5, learned: true},
+	{name: "300 lost restarts", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second,
+		groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, restartedFraction: 0.3},
+	{name: "300 late lost", balancers: 300, warmServers: 15, warmingServers: 7, lostFor: 5 * time.Second, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 1, lateFraction: 0.3},
+	{name: "300 told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 100", balancers: 300, configuredBalancers: 100, warmServers: 15, warmingServers: 2, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 900", balancers: 300, configuredBalancers: 900, warmServers: 15, warmingServers: 2, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 told 3000", balancers: 300, configuredBalancers: 3000, warmServers: 15, warmingServers: 2, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 not told", balancers: 300, configuredBalancers: -1, warmServers: 15, warmingServers: 2, groups: 40,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 long lives", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200,
+		meanLifetime: 150 * time.Second, load: 0.5, demandFactor: 2},
+	{name: "300 long lives drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2,
+		serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5, demandFactor: 1,
+		droppingServers: 3},
+	{name: "300 drop", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5,
+		demandFactor: 1, droppingServers: 7},
+	{name: "300 drop told 30", balancers: 300, configuredBalancers: 30, warmServers: 15, warmingServers: 2,
+		groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "300 drop none grouped", balancers: 300, warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5,
+		demandFactor: 1, droppingServers: 7},
+	{name: "300 full told 30 none grouped", balancers: 300, configuredBalancers: 30, warmServers: 15,
+		warmingServers: 2, serverCapacity: 60, load: 0.7, demandFactor: 3},
+	{name: "300 counted", balancers: 300, configuredBalancers: 30, membershipCounts: true, warmServers: 15,
+		warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "300 counted uneven crowds none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true,
+		warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.6, demandFactor: 3, uneven: true,
+		synchronized: true},
+	{name: "300 counted told 3000 restarts", balancers: 300, configuredBalancers: 3000, membershipCounts: true,
+		warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5, demandFactor: 2,
+		restartedFraction: 0.5},
+	{name: "300 counted drop none grouped", balancers: 300, configuredBalancers: 30, membershipCounts: true,
+		warmServers: 15, warmingServers: 2, serverCapacity: 60, load: 0.5, demandFactor: 1, droppingServers: 7},
+	{name: "3 counted told 30", balancers: 3, configuredBalancers: 30, membershipCounts: true, warmServers: 6,
+		warmingServers: 1, groups: 20, serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "3 told 30", balancers: 3, configuredBalancers: 30, warmServers: 6, warmingServers: 1, groups: 20,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 told 3", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1, groups: 20,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "30 told 3 none grouped", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1,
+		serverCapacity: 60, load: 0.5, demandFactor: 2},
+	{name: "2300", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40,
+		serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "2300 none grouped", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2,
+		serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "2300 told 230", balancers: 2300, configuredBalancers: 230, warmServers: 12, warmUp: 8 * time.Second,
+		warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
 }
 
 // The sum of what all balancers send must not overload a warming server, though each knows only its own part.
@@ -539,7 +632,8 @@
 func TestSlowStartDuringResetsOfLongConnections(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		c := slowStartCase{balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
+		c := slowStartCase{balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200,
+			meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
 			demandFactor: 1, droppingServers: 3, seed: seed}
 		r := c.play(t, slowStartSettings())
 		t.Logf("seed %d: %v", seed, r)
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -40,7 +40,8 @@
 		{name: "alone", told: 1, each: 10, own: 100, least: 1, most: 1},
 		{name: "nothing reported", told: 7, each: 0, own: 40, least: 7, most: 7},
 	} {
-		if got := newReportingHarness(t, c.told, c.each, c.own).b.estimatedZoneBalancers(); got < c.least || got > c.most {
+		if got := newReportingHarness(t, c.told, c.each, c.own).b.estimatedZoneBalancers(); got < c.least ||
+			got > c.most {
 			t.Errorf("%s: %.1f, wanted %.0f to %.0f", c.name, got, c.least, c.most)
 		}
 	}
@@ -111,7 +112,8 @@
 		}
 	}
 	safety := settings().Safety
-	if most := 1 + slowStartSafetyFactor*safety.OverloadFactor*safety.SlowStartShare*h.b.capacity.perSecond*safety.OverloadWindow.Seconds(); float64(got) > most {
+	overloads := safety.OverloadFactor * safety.SlowStartShare * h.b.capacity.perSecond * safety.OverloadWindow.Seconds()
+	if most := 1 + slowStartSafetyFactor*overloads; float64(got) > most {
 		t.Fatalf("%d of a burst of 300 were placed on the warming server, this balancer's quota is %.1f", got, most)
 	}
 	for i := range 40 {
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -79,13 +79,17 @@
 	}
 	want := decide.Settings{
 		Seed: 51, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, WatchList: true, MaxAttempts: 3,
-		ConnectTimeout: 100 * time.Millisecond, MaxRetryAfter: 1500 * time.Millisecond, ProbingAllowed: true, GroupAffinity: true,
+		ConnectTimeout: 100 * time.Millisecond, MaxRetryAfter: 1500 * time.Millisecond, ProbingAllowed: true,
+		GroupAffinity: true,
 		Classes: []decide.Class{
-			{Name: "feed", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond, ClientTimeout: 1800 * time.Millisecond},
-			{Name: "order", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: 100 * time.Millisecond, Idempotency: decide.IdempotentByKey,
-				KeyScope: decide.ScopeZone, DedupWindow: 5 * time.Second},
+			{Name: "feed", LatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
+				ClientTimeout: 1800 * time.Millisecond},
+			{Name: "order", LatencyObjective: 500 * time.Millisecond, MessageLatencyObjective: 100 * time.Millisecond,
+				Idempotency: decide.IdempotentByKey,
+				KeyScope:    decide.ScopeZone, DedupWindow: 5 * time.Second},
 		},
-		Safety: decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second, SlowStartShare: 0.32,
+		Safety: decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second,
+			SlowStartShare:    0.32,
 			SlowStartDuration: 8800 * time.Millisecond, OverloadFactor: 3, OverloadWindow: 3 * time.Second},
 		Costs: decide.Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
@@ -109,7 +113,8 @@
 		"HEARTBEAT\twho=3\tid=u-1\tn=0\tserver=7\twhat=2\tamount=35.5": decide.MessageDelayReported{
 			ID: "u-1", Server: 7, Delay: 35500 * time.Microsecond},
 		"DONE\twho=3\tid=u-1\trc=10\tserver=7\tn=0\tno_more=1\ttook_s=0.0185\thealth_info=0.5,12,0.75": decide.AttemptEnded{
-			ID: "u-1", Server: 7, Final: true, Elapsed: 18500 * time.Microsecond, Report: decide.LoadReport{Load: 0.75, Connections: 12}},
+			ID: "u-1", Server: 7, Final: true, Elapsed: 18500 * time.Microsecond,
+			Report: decide.LoadReport{Load: 0.75, Connections: 12}},
 		"DONE\twho=3\tid=u-1\trc=80\tserver=7\tn=2\tno_more=0": decide.AttemptEnded{
 			ID: "u-1", Attempt: 2, Server: 7, Code: decide.NotSent, Report: decide.NoLoadReport},
 		"ABORTED\twho=3\tid=u-1":             decide.ClientDisconnected{ID: "u-1"},
@@ -148,7 +153,8 @@
 
 func TestMessagesThatNeedNoWord(t *testing.T) {
 	r, seqs, err := decodeAll("FRAME\tt_s=1\tn=1\nCOMMIT\n\n" +
-		batch(createLine, "MEMO\twho=3\tfrom=1\tcontents=aGk=", "HEARTBEAT\twho=3\tid=x\tn=0\tserver=1\twhat=9\tamount=1"))
+		batch(createLine, "MEMO\twho=3\tfrom=1\tcontents=aGk=",
+			"HEARTBEAT\twho=3\tid=x\tn=0\tserver=1\twhat=9\tamount=1"))
 	if err != nil || len(r.events) != 0 || len(seqs) != 2 {
 		t.Fatalf("%v, %v, %v", r.events, seqs, err)
 	}
@@ -164,7 +170,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := decide.Server{ID: 8, Zone: "south", Cell: 4, State: decide.Draining, Weight: 1.5, Started: 6100 * time.Millisecond}
+	line := decide.Server{ID: 8, Zone: "south", Cell: 4, State: decide.Draining, Weight: 1.5,
+		Started: 6100 * time.Millisecond}
 	second := line
 	second.ID = 9
 	want := []decide.Event{
@@ -272,7 +279,8 @@
 func FuzzDecoder(f *testing.F) {
 	f.Add(batch(createLine, "FIRED\twho=3\tnonce=77"))
 	f.Add(batch(createLine, "DEMAND\twho=3\tid=u\tservice=feed\tremaining_s=1\tattrs=3\tsize_hint_s=0.1"))
-	f.Add(batch(createLine, "MANIFEST\tpage=0\tlines=1\nENTRY\tcondition=on\tserver=1", "TARGETS\twho=3\thow=update\tpage=0"))
+	f.Add(batch(createLine, "MANIFEST\tpage=0\tlines=1\nENTRY\tcondition=on\tserver=1",
+		"TARGETS\twho=3\thow=update\tpage=0"))
 	f.Add("FRAME\tt_s=1\tn=1\nCOMMIT\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		r, seqs, err := decodeAll(in) // must not panic
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -11,17 +11,19 @@
 
 func TestActions(t *testing.T) {
 	for want, a := range map[string]decide.Action{
-		"PLACE\twho=3\tid=u-1\tserver=51530247\tmax_wait_s=0.08\n": decide.StartAttempt{ID: "u-1", Server: 51530247, Timeout: 80 * time.Millisecond},
-		"PLACE\twho=3\tid=u-1\tserver=1\n":                         decide.StartAttempt{ID: "u-1", Server: 1},
-		"OVERLOAD_REPLY\twho=3\tid=u-1\n":                          decide.Reject{ID: "u-1"},
-		"OVERLOAD_REPLY\twho=3\tid=u-1\tstay_away_s=1.5\n":         decide.Reject{ID: "u-1", RetryAfter: 1500 * time.Millisecond},
-		"REPORT_FAILURE\twho=3\tid=u-1\n":                          decide.Fail{ID: "u-1"},
-		"RELOCATE\twho=3\tid=u-1\n":                                decide.Migrate{ID: "u-1"},
-		"SAMPLE\twho=3\tserver=9\n":                                decide.Probe{Server: 9},
-		"LISTEN\twho=3\tenable=1\n":                                decide.WatchList{},
-		"RESOLVE\twho=3\n":                                         decide.FetchList{},
-		"SET_ALARM\twho=3\tnonce=77\twait_s=0.000001\n":            decide.SetTimer{Token: 77, Delay: time.Microsecond},
-		"RECORD\twho=3\tbody_text=two lines on one\n":              decide.Log{Text: "two lines\non\tone"},
+		"PLACE\twho=3\tid=u-1\tserver=51530247\tmax_wait_s=0.08\n": decide.StartAttempt{ID: "u-1", Server: 51530247,
+			Timeout: 80 * time.Millisecond},
+		"PLACE\twho=3\tid=u-1\tserver=1\n": decide.StartAttempt{ID: "u-1", Server: 1},
+		"OVERLOAD_REPLY\twho=3\tid=u-1\n":  decide.Reject{ID: "u-1"},
+		"OVERLOAD_REPLY\twho=3\tid=u-1\tstay_away_s=1.5\n": decide.Reject{ID: "u-1",
+			RetryAfter: 1500 * time.Millisecond},
+		"REPORT_FAILURE\twho=3\tid=u-1\n":               decide.Fail{ID: "u-1"},
+		"RELOCATE\twho=3\tid=u-1\n":                     decide.Migrate{ID: "u-1"},
+		"SAMPLE\twho=3\tserver=9\n":                     decide.Probe{Server: 9},
+		"LISTEN\twho=3\tenable=1\n":                     decide.WatchList{},
+		"RESOLVE\twho=3\n":                              decide.FetchList{},
+		"SET_ALARM\twho=3\tnonce=77\twait_s=0.000001\n": decide.SetTimer{Token: 77, Delay: time.Microsecond},
+		"RECORD\twho=3\tbody_text=two lines on one\n":   decide.Log{Text: "two lines\non\tone"},
 	} {
 		var out bytes.Buffer
 		e := NewEncoder(&out)
