--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -385,17 +385,17 @@
 }
 
 func (b *refBalancer) estimatedZoneBalancers() float64 {
-	held, own, told := 0.0, 0.0, 0
+	held, own, reports := 0.0, 0.0, 0
 	for _, s := range b.local {
 		own += float64(len(s.connections))
 		if s.loadPerConnection > 0 {
-			held, told = held+min(s.reportedLoad/s.loadPerConnection, maxReportedConnections), told+1
+			held, reports = held+min(s.reportedLoad/s.loadPerConnection, maxReportedConnections), reports+1
 		}
 	}
-	if told == 0 {
+	if reports == 0 {
 		return b.zoneBalancers()
 	}
-	held *= float64(len(b.local)) / float64(told)
+	held *= float64(len(b.local)) / float64(reports)
 	chance, most := math.Sqrt(own), b.zoneBalancers()
 	if own > chance {
 		most = min(most, held/(own-chance))
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -225,13 +225,13 @@
 }
 
 func (b *refBalancer) meanLoadPerConnection() float64 {
-	sum, told := 0.0, 0.0
+	sum, reports := 0.0, 0.0
 	for _, s := range b.ready {
 		if s.loadPerConnection > 0 && !b.warming(s) {
-			sum, told = sum+s.loadPerConnection, told+1
+			sum, reports = sum+s.loadPerConnection, reports+1
 		}
 	}
-	return sum / max(told, 1)
+	return sum / max(reports, 1)
 }
 
 type refReservation struct {
