--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -25,22 +25,22 @@
 	actions  []Action      // answer to the current event
 
 	serverIndex
-	fleet      fleetState
-	discovery  discoveryState
-	liveness   liveness
-	answers    answerPools
-	zoneLoad   zoneLoad
-	thresholds loadThresholds
-	probes     probeScheduler
-	requests   requestTable
-	clients    clientMemory
-	throttle   retryThrottle
-	rate       establishRate
-	demand     demandEstimate
-	capacity   capacityEstimate
-	lifetime   lifetimeEstimate
-	classLoads classLoads
-	cursor     int // where the next walk in the cache order starts, modulo the list's length
+	fleet         fleetState
+	discovery     discoveryState
+	liveness      liveness
+	answers       answerPools
+	zoneLoad      zoneLoad
+	thresholds    loadThresholds
+	probes        probeScheduler
+	requests      requestTable
+	clients       clientMemory
+	throttle      retryThrottle
+	establishRate establishRate
+	demand        demandEstimate
+	capacity      capacityEstimate
+	lifetime      lifetimeEstimate
+	classLoads    classLoads
+	cursor        int // where the next walk in the cache order starts, modulo the list's length
 }
 
 // New returns a balancer that knows no server yet. It fails on the first setting that is out of range.
--- a/decide/comparison_test.go
+++ b/decide/comparison_test.go
@@ -15,7 +15,7 @@
 	t           *testing.T
 	rng         *rand.Rand
 	b           *Balancer
-	ref         *refBalancer
+	reference   *referenceBalancer
 	now         time.Duration
 	trace       string         // the first difference
 	events      int            // events sent
@@ -38,7 +38,7 @@
 	if p.events > faultAfter && p.injectFault != nil && p.injectFault(p.b) {
 		p.injectFault = nil
 	}
-	got, want := p.b.Handle(p.now, ev, nil), p.ref.Handle(p.now, ev, nil)
+	got, want := p.b.Handle(p.now, ev, nil), p.reference.Handle(p.now, ev, nil)
 	p.events++
 	if !slices.Equal(got, want) {
 		p.trace = fmt.Sprintf("event %d, %T at %v: %d actions, %d by the reference; first that differs: %v",
@@ -182,7 +182,7 @@
 
 // attemptNumber returns the number of a request's latest attempt.
 func (p *comparison) attemptNumber(id RequestID) int {
-	if r := p.ref.requests[id]; r != nil {
+	if r := p.reference.requests[id]; r != nil {
 		return r.attempts - 1
 	}
 	return 0
@@ -300,11 +300,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ref, err := newRef(set)
+	ref, err := newReferenceBalancer(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &comparison{t: t, rng: rand.New(rand.NewPCG(seed, 3)), b: b, ref: ref, now: 500 * time.Second,
+	return &comparison{t: t, rng: rand.New(rand.NewPCG(seed, 3)), b: b, reference: ref, now: 500 * time.Second,
 		actions: map[string]int{}, listed: map[ServerID]Server{}}
 }
 
@@ -330,9 +330,9 @@
 		learned = append(learned, l)
 	}
 	p.b.ImportLearned(learned)
-	p.ref.ImportLearned(learned)
+	p.reference.ImportLearned(learned)
 	for i := range steps {
-		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.ref.ExportLearned()) {
+		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.reference.ExportLearned()) {
 			p.trace = "what it has learned differs"
 			return false
 		}
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -1,13 +1,10 @@
 package decide
 
-// Discovery polling: when the endpoint list is asked for, how its updates are applied, and what is done when no
-// server answers any more. The evidence is the outcome of the calls to discovery and of the attempts and probes at
-// servers.
+// Discovery polling: when the endpoint list is requested, and how its updates are applied. The evidence is the outcome
+// of the calls to discovery.
 
 import (
 	"cmp"
-	"fmt"
-	"slices"
 	"time"
 )
 
@@ -23,8 +20,6 @@
 	pollRetryDelay = time.Second
 	// maxPollRetryDoublings bounds the doublings of pollRetryDelay.
 	maxPollRetryDoublings = 5
-	// bootstrapTimeout is how long no server answers until the cached list is given up.
-	bootstrapTimeout = 5 * time.Second
 )
 
 // discoveryState is the state of the polls.
@@ -34,15 +29,6 @@
 	pollFailures int           // calls failed in a row
 }
 
-// liveness tells whether any server answers.
-type liveness struct {
-	lastAnswerAt time.Duration // latest answer of any server, or the first failure after it
-	failing      bool          // no server has answered since that first failure
-}
-
-// recordAnswer notes that some server answers.
-func (l *liveness) recordAnswer(now time.Duration) { l.lastAnswerAt, l.failing = now, false }
-
 // scheduleFirstPoll spreads the first polls of balancers that start together. The restored list may be out of date:
 // the changes since then count as notified soon, whether the balancer has polled or not.
 func (b *Balancer) scheduleFirstPoll() {
@@ -120,33 +106,3 @@
 	s.Server, s.entry.listVersion = listed, b.discovery.listVersion
 	return s
 }
-
-// recordTransportFailure starts the bootstrap timeout, or bootstraps once it is over. A server that answers with an
-// error is alive.
-func (b *Balancer) recordTransportFailure(code Code) {
-	if code == ServerError || !b.liveness.failing {
-		b.liveness = liveness{lastAnswerAt: b.now, failing: code != ServerError}
-	} else if b.now-b.liveness.lastAnswerAt > bootstrapTimeout {
-		b.bootstrap()
-	}
-}
-
-// bootstrap clears what is known of the servers when none of them answers, and fetches a new list. Until it comes,
-// the ready servers of the last list are tried again, without their ejections and reports.
-func (b *Balancer) bootstrap() {
-	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.liveness.lastAnswerAt)})
-	b.liveness.recordAnswer(b.now)
-	b.answers.ownZone = b.answers.ownZone[:0]
-	for _, s := range b.ready {
-		s.consecutiveFailures, s.ejectedUntil, s.slowUntil, s.reportedAt = 0, 0, 0, 0
-	}
-	b.reindexAll(b.ready)
-	b.emit(FetchList{})
-}
-
-// removeNotReady drops the answers of servers that are draining or removed.
-func (a *answerPools) removeNotReady() {
-	notReady := func(s *server) bool { return s.State != Ready }
-	a.ownZone = slices.DeleteFunc(a.ownZone, notReady)
-	a.otherZones = slices.DeleteFunc(a.otherZones, notReady)
-}
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -34,7 +34,7 @@
 		s.ejectedUntil = max(s.ejectedUntil, b.now+rejectionEjectionTime)
 		b.reindex(s)
 	case ServerError, TimedOut, ConnectFailed, Reset:
-		b.recordTransportFailure(code)
+		b.recordServerFailure(code)
 		s.consecutiveFailures++
 		b.eject(s, ejectionTime(s.consecutiveFailures))
 	}
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -147,7 +147,7 @@
 
 // updateEstimates advances the estimates by one tick.
 func (b *Balancer) updateEstimates() {
-	b.rate.update()
+	b.establishRate.update()
 	b.throttle.decay()
 	b.demand.decay()
 	b.lifetime.update(len(b.requests.byID))
@@ -166,7 +166,7 @@
 		return
 	}
 	zones := float64(max(len(b.settings.Zones), 1))
-	now := b.rate.perSecond * zones / (float64(fleet) * max(b.zoneLoad.mean, minCapacityLoad))
+	now := b.establishRate.perSecond * zones / (float64(fleet) * max(b.zoneLoad.mean, minCapacityLoad))
 	b.capacity.span = min(b.capacity.span+tickInterval.Seconds(), capacityWindow.Seconds())
 	b.capacity.perSecond += (now - b.capacity.perSecond) * tickInterval.Seconds() / b.capacity.span
 }
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -130,10 +130,11 @@
 				for g := range 40 {
 					group := RequestArrived{Group: name("g", g*round/4)}
 					near, far := p.b.preferredServers(&request{RequestArrived: group})
-					refNear, refFar := p.ref.preferredServers(&refRequest{RequestArrived: group})
+					refNear, refFar := p.reference.preferredServers(&referenceRequest{RequestArrived: group})
 					for i, got := range [2][]*server{near, far} {
-						want := [2][]*refServer{refNear, refFar}[i]
-						if !slices.EqualFunc(got, want, func(x *server, y *refServer) bool { return x.ID == y.ID }) {
+						want := [2][]*referenceServer{refNear, refFar}[i]
+						sameID := func(x *server, y *referenceServer) bool { return x.ID == y.ID }
+						if !slices.EqualFunc(got, want, sameID) {
 							t.Fatalf("weights %s, %d servers, round %d: group %s has other servers", kind, n,
 								round, group.Group)
 						}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -27,12 +27,6 @@
 	// in another zone must be lighter by as much as the crossing costs, and a quarter more for the error of the two
 	// reports.
 	crossZoneCostFactor = 1.25
-	// maxReportAge is the age at which a report no longer counts.
-	maxReportAge = 10 * time.Second
-	// maxAnswers is the number of reports in a pool.
-	maxAnswers = 8
-	// maxPlacementsPerReport is the number of placements on one report, so that few balancers follow the same one.
-	maxPlacementsPerReport = 2
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
 	// minAttemptSetups is the least time-out of an attempt, as a multiple of the usual set-up time.
@@ -57,22 +51,6 @@
 	}
 }
 
-// answerPools hold the servers whose latest load report is recent, oldest report first.
-type answerPools struct {
-	ownZone    []*server // of the local list
-	otherZones []*server // of the remote list
-}
-
-// addAnswer puts a server last in a pool; the oldest report beyond maxAnswers falls out.
-func addAnswer(pool []*server, s *server) []*server {
-	pool = append(removeValue(pool, s), s)
-	return pool[max(0, len(pool)-maxAnswers):]
-}
-
-func (a *answerPools) remove(s *server) {
-	a.ownZone, a.otherZones = removeValue(a.ownZone, s), removeValue(a.otherZones, s)
-}
-
 // spillingOver reports whether the own zone lacked capacity recently, so that other zones have to be known too.
 func (b *Balancer) spillingOver() bool {
 	spilled := b.zoneLoad.lastSpillAt > 0 && b.now-b.zoneLoad.lastSpillAt < spillOverPeriod
@@ -125,7 +103,7 @@
 	return min(left, max(perAttempt, minAttemptSetups*b.throttle.setupTime))
 }
 
-// placement is the choice of a server for one request.
+// placement is the choice of a server for one request of a balancer.
 type placement struct {
 	*Balancer
 	request   *request
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -193,7 +193,7 @@
 // probeRate returns the number of probes per second that the placed requests pay for. The balancers that have no
 // connections to watch over probe as much as a few of them, all together.
 func (b *Balancer) probeRate() float64 {
-	requestRate := max(b.rate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
+	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
 	if len(b.connected) == 0 {
 		least *= min(1, fullRateProbers/float64(b.fleet.Fleet))
--- a/decide/reference_outcomes_test.go
+++ b/decide/reference_outcomes_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func (b *refBalancer) connectionEstablished(ev Established) {
+func (b *referenceBalancer) connectionEstablished(ev Established) {
 	b.recordSuccess(b.serverRecord(ev.Server))
 	r := b.requests[ev.ID]
 	if r == nil || r.server == nil || !r.inFlight || r.established {
@@ -26,7 +26,7 @@
 	b.retryWaiting()
 }
 
-func (b *refBalancer) attemptEnded(ev AttemptEnded) {
+func (b *referenceBalancer) attemptEnded(ev AttemptEnded) {
 	s, r := b.serverRecord(ev.Server), b.requests[ev.ID]
 	b.recordOutcome(s, ev.Code)
 	if r == nil || !r.inFlight || r.server != s || ev.Attempt != r.attempts-1 {
@@ -62,7 +62,7 @@
 	b.place(r, len(b.waiting))
 }
 
-func (b *refBalancer) recordOutcome(s *refServer, code Code) {
+func (b *referenceBalancer) recordOutcome(s *referenceServer, code Code) {
 	switch code {
 	case OK:
 		b.recordSuccess(s)
@@ -70,8 +70,8 @@
 		b.recordAnswer()
 		s.ejectedUntil = max(s.ejectedUntil, b.now+rejectionEjectionTime)
 	case ServerError, TimedOut, ConnectFailed, Reset:
-		if code == ServerError || !b.allFailing {
-			b.lastAnswerAt, b.allFailing = b.now, code != ServerError
+		if code == ServerError || !b.failing {
+			b.lastAnswerAt, b.failing = b.now, code != ServerError
 		} else if b.now-b.lastAnswerAt > bootstrapTimeout {
 			b.bootstrap()
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-func (b *refBalancer) eject(s *refServer, d time.Duration) {
+func (b *referenceBalancer) eject(s *referenceServer, d time.Duration) {
 	out := 0
 	for _, o := range b.ready {
 		if o != s && b.now < o.ejectedUntil {
@@ -93,22 +93,22 @@
 	}
 }
 
-func (b *refBalancer) finish(r *refRequest) {
+func (b *referenceBalancer) finish(r *referenceRequest) {
 	c := b.classOf(r)
 	if c.Idempotency == Idempotent || r.executedOn == nil && !r.inFlight || c.Idempotency == IdempotentByKey &&
 		c.KeyScope == ScopeAll {
-		rest := baseRetryAfter
+		delay := baseRetryAfter
 		if len(b.waiting) > minQueueLength {
-			rest = max(rest, b.settings.MaxRetryAfter/2)
+			delay = max(delay, b.settings.MaxRetryAfter/2)
 		}
-		b.emit(Reject{ID: r.ID, RetryAfter: min(rest+b.jitter(rest), b.settings.MaxRetryAfter)})
+		b.emit(Reject{ID: r.ID, RetryAfter: min(delay+b.jitter(delay), b.settings.MaxRetryAfter)})
 	} else {
 		b.emit(Fail{ID: r.ID})
 	}
 	b.forget(r)
 }
 
-func (b *refBalancer) probeCompleted(ev ProbeCompleted) {
+func (b *referenceBalancer) probeCompleted(ev ProbeCompleted) {
 	s := b.servers[ev.Server]
 	if s == nil {
 		return
@@ -127,23 +127,23 @@
 		return
 	}
 	if slices.Contains(b.local, s) {
-		b.localAnswers = refAddAnswer(b.localAnswers, s)
+		b.localAnswers = referenceAddAnswer(b.localAnswers, s)
 		b.updateMeanLoad(s.load)
 	} else {
-		b.remoteAnswers = refAddAnswer(b.remoteAnswers, s)
+		b.remoteAnswers = referenceAddAnswer(b.remoteAnswers, s)
 	}
 	if !b.saturated(s) {
 		b.retryWaiting()
 	}
 }
 
-func (b *refBalancer) messageDelayReported(ev MessageDelayReported) {
+func (b *referenceBalancer) messageDelayReported(ev MessageDelayReported) {
 	s, r := b.serverRecord(ev.Server), b.requests[ev.ID]
 	if r == nil {
 		return
 	}
 	s.slowUntil = 0
-	if aim := b.classOf(r).MessageLatencyObjective; aim > 0 && ev.Delay > aim/2 {
+	if objective := b.classOf(r).MessageLatencyObjective; objective > 0 && ev.Delay > objective/2 {
 		s.slowUntil = b.now + slowMessagesPeriod
 		if s.State == Ready && b.now-s.reportedAt > time.Second && b.probeCredit > -maxProbeDebt &&
 			b.settings.ProbingAllowed {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (b *refBalancer) timerFired(token uint64) {
+func (b *referenceBalancer) timerFired(token uint64) {
 	switch {
 	case token == retryWaitingToken:
 		b.retryWaiting()
@@ -175,7 +175,7 @@
 	b.expireClients()
 }
 
-func (b *refBalancer) retryWaiting() {
+func (b *referenceBalancer) retryWaiting() {
 	for left := len(b.waiting) - 1; left >= 0; left-- {
 		r := b.waiting[0]
 		b.waiting = b.waiting[1:]
@@ -183,10 +183,11 @@
 	}
 }
 
-func (b *refBalancer) migrateFromOverloaded() {
+func (b *referenceBalancer) migrateFromOverloaded() {
 	for _, s := range b.ready {
-		bad := s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
-		if len(s.connections) > 0 && bad && b.hasRecentReport(s) && s.reportedAt > s.migratedAt+migrationSettlePeriod {
+		overloaded := s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
+		if len(s.connections) > 0 && overloaded && b.hasRecentReport(s) &&
+			s.reportedAt > s.migratedAt+migrationSettlePeriod {
 			s.migratedAt = b.now
 			n := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
 			for _, r := range b.migrationOrder(s)[:min(n, len(s.connections))] {
@@ -197,42 +198,42 @@
 	}
 }
 
-func (b *refBalancer) migrationOrder(s *refServer) []*refRequest {
+func (b *referenceBalancer) migrationOrder(s *referenceServer) []*referenceRequest {
 	conns := slices.Clone(s.connections)
 	b.rng.Shuffle(len(conns), func(i, j int) { conns[i], conns[j] = conns[j], conns[i] })
-	slices.SortStableFunc(conns, func(x, y *refRequest) int {
-		return cmp.Or(b.compareGroupSizes(s, x, y), cmp.Compare(refRendezvousDistance(refHashString(y.Group), s),
-			refRendezvousDistance(refHashString(x.Group), s)))
+	slices.SortStableFunc(conns, func(x, y *referenceRequest) int {
+		return cmp.Or(b.compareGroupSizes(s, x, y), cmp.Compare(referenceDistance(referenceHash(y.Group), s),
+			referenceDistance(referenceHash(x.Group), s)))
 	})
 	return conns
 }
 
-func (b *refBalancer) probePeriodically() {
+func (b *referenceBalancer) probePeriodically() {
 	if !b.settings.ProbingAllowed || len(b.local) == 0 {
 		return
 	}
-	worth := max(b.establishRate, float64(len(b.requests))/defaultLifetime.Seconds())
-	own, near := refConnected(b.ready), b.local
+	requestRate := max(b.establishRate, float64(len(b.requests))/defaultLifetime.Seconds())
+	own, near := referenceConnected(b.ready), b.local
 	refLeast := minProbeRate
 	if len(own) == 0 {
 		refLeast *= min(1, fullRateProbers/float64(b.settings.Balancers))
 	}
-	rate := max(refLeast, worth*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
-	away, hot := b.remote, append(refConnected(b.remote), b.local...)
+	rate := max(refLeast, requestRate*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
+	remotePreferred, overloads := b.remote, append(referenceConnected(b.remote), b.local...)
 	if !b.spillingOver() {
-		away = refConnected(b.remote)
+		remotePreferred = referenceConnected(b.remote)
 	}
 	if len(own) > 0 && len(own) < len(b.local) {
-		near, away, hot = own, nil, own
+		near, remotePreferred, overloads = own, nil, own
 	}
-	if s := refFirstMatching(away, func(s *refServer) bool {
+	if s := referenceFirstMatching(remotePreferred, func(s *referenceServer) bool {
 		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
 	}); s != nil {
 		s.probedOnDemandAt = b.now
 		b.emit(Probe{Server: s.ID})
 	}
 	b.overloadProbeCredit = min(b.overloadProbeCredit+rate*tickInterval.Seconds(), maxProbeDebt)
-	for _, s := range hot {
+	for _, s := range overloads {
 		if s.load > b.capacityThreshold && b.now-max(s.reportedAt, s.probedOnDemandAt) >= overloadProbeInterval &&
 			b.overloadProbeCredit >= 1 {
 			s.probedOnDemandAt = b.now
@@ -242,8 +243,8 @@
 	}
 	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tickInterval.Seconds(), maxAnswers)
 	for ; b.probeCredit >= 1; b.probeCredit-- {
-		if b.probeCount++; b.probeCount%2 == 0 && len(away) > 0 {
-			b.emit(Probe{Server: away[b.probeCount/2%len(away)].ID})
+		if b.probeCount++; b.probeCount%2 == 0 && len(remotePreferred) > 0 {
+			b.emit(Probe{Server: remotePreferred[b.probeCount/2%len(remotePreferred)].ID})
 			continue
 		}
 		from := near
@@ -255,7 +256,7 @@
 	}
 }
 
-func (b *refBalancer) ExportLearned() (all []LearnedState) {
+func (b *referenceBalancer) ExportLearned() (all []LearnedState) {
 	for _, s := range b.ready {
 		l := LearnedState{Server: s.ID, Load: s.reportedLoad, Age: -1, LoadPerConnection: s.loadPerConnection,
 			ConsecutiveFailures: s.consecutiveFailures, EjectedFor: max(s.ejectedUntil-b.now, 0)}
@@ -267,7 +268,7 @@
 	return all
 }
 
-func (b *refBalancer) ImportLearned(all []LearnedState) {
+func (b *referenceBalancer) ImportLearned(all []LearnedState) {
 	for _, l := range all {
 		s := b.servers[l.Server]
 		if s == nil {
--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-func (b *refBalancer) start() {
+func (b *referenceBalancer) start() {
 	b.lastAnswerAt = b.now
 	b.emit(SetTimer{Token: tickToken, Delay: 1 + b.jitter(tickInterval)})
 	b.pollAt = b.now + b.jitter(min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval)))
 }
 
-func (b *refBalancer) pollInterval() time.Duration {
+func (b *referenceBalancer) pollInterval() time.Duration {
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + time.Duration(
 		b.settings.Balancers)*pollIntervalPerBalancer
 }
 
-func (b *refBalancer) poll() {
+func (b *referenceBalancer) poll() {
 	b.pollAt = b.now + b.pollInterval()
 	if b.settings.WatchList {
 		b.emit(WatchList{})
@@ -30,11 +30,11 @@
 	}
 }
 
-func (b *refBalancer) applyList(ev ListReceived) {
+func (b *referenceBalancer) applyList(ev ListReceived) {
 	if ev.Kind == ListFailed {
-		wait := min(pollRetryDelay<<min(b.pollFailures, 5), b.pollInterval())
+		timeout := min(pollRetryDelay<<min(b.pollFailures, 5), b.pollInterval())
 		b.pollFailures++
-		b.pollAt = b.now + wait/2 + b.jitter(wait)
+		b.pollAt = b.now + timeout/2 + b.jitter(timeout)
 		return
 	}
 	b.pollFailures = 0
@@ -52,7 +52,7 @@
 	for _, line := range ev.Servers {
 		s := b.serverRecord(line.ID)
 		if line.Started != s.Started {
-			*s = refServer{Server: s.Server, cacheOrder: s.cacheOrder, notReadySince: s.notReadySince,
+			*s = referenceServer{Server: s.Server, cacheOrder: s.cacheOrder, notReadySince: s.notReadySince,
 				connections: s.connections, connectionsByGroup: s.connectionsByGroup}
 		}
 		b.setState(s, line.State)
@@ -61,7 +61,7 @@
 	b.rebuildLists()
 }
 
-func (b *refBalancer) rebuildLists() {
+func (b *referenceBalancer) rebuildLists() {
 	b.local, b.remote, b.ready = b.local[:0], b.remote[:0], b.ready[:0]
 	b.listVersion++
 	for id, s := range b.servers {
@@ -72,7 +72,7 @@
 			delete(b.servers, id)
 		}
 	}
-	slices.SortFunc(b.ready, func(x, y *refServer) int {
+	slices.SortFunc(b.ready, func(x, y *referenceServer) int {
 		return cmp.Or(cmp.Compare(x.cacheOrder, y.cacheOrder), cmp.Compare(x.ID, y.ID))
 	})
 	for _, s := range b.ready {
@@ -85,23 +85,24 @@
 	if len(b.local) == 0 {
 		b.local, b.remote = b.remote, b.local
 	}
-	gone := func(s *refServer) bool { return s.State != Ready }
-	b.localAnswers, b.remoteAnswers = slices.DeleteFunc(b.localAnswers, gone), slices.DeleteFunc(b.remoteAnswers, gone)
+	notReady := func(s *referenceServer) bool { return s.State != Ready }
+	b.localAnswers, b.remoteAnswers = slices.DeleteFunc(b.localAnswers, notReady),
+		slices.DeleteFunc(b.remoteAnswers, notReady)
 	b.retryWaiting()
 }
 
-func (b *refBalancer) bootstrap() {
+func (b *referenceBalancer) bootstrap() {
 	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.lastAnswerAt)})
-	b.lastAnswerAt, b.allFailing, b.localAnswers = b.now, false, b.localAnswers[:0]
+	b.lastAnswerAt, b.failing, b.localAnswers = b.now, false, b.localAnswers[:0]
 	for _, s := range b.ready {
 		s.consecutiveFailures, s.ejectedUntil, s.slowUntil, s.reportedAt = 0, 0, 0, 0
 	}
 	b.emit(FetchList{})
 }
 
-func (b *refBalancer) requestArrived(ev RequestArrived) {
+func (b *referenceBalancer) requestArrived(ev RequestArrived) {
 	b.lastToken++
-	r := &refRequest{RequestArrived: ev, timerToken: b.lastToken, deadline: b.now + ev.Remaining}
+	r := &referenceRequest{RequestArrived: ev, timerToken: b.lastToken, deadline: b.now + ev.Remaining}
 	b.requests[ev.ID], b.requestsByToken[r.timerToken] = r, r
 	b.recentDemand++
 	b.emit(SetTimer{Token: r.timerToken, Delay: ev.Remaining})
@@ -109,18 +110,19 @@
 	b.place(r, len(b.waiting))
 }
 
-func (b *refBalancer) place(r *refRequest, before int) {
+func (b *referenceBalancer) place(r *referenceRequest, waitingBefore int) {
 	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
 		b.finish(r)
 		return
 	}
-	var s *refServer
-	tries := !b.throttled() && b.now >= r.notBefore
-	if tries {
+	var s *referenceServer
+	mayStart := !b.throttled() && b.now >= r.notBefore
+	if mayStart {
 		s = b.pick(r)
 	}
 	if s == nil {
-		if r.executedOn != nil && b.classOf(r).Idempotency != Idempotent || tries && b.wouldExpireWaiting(r, before) {
+		if r.executedOn != nil && b.classOf(r).Idempotency != Idempotent || mayStart &&
+			b.wouldExpireWaiting(r, waitingBefore) {
 			b.finish(r)
 			return
 		}
@@ -129,7 +131,7 @@
 	}
 	b.reservePlacement(r, s)
 	left := r.deadline - b.now
-	wait := min(left, max(left/time.Duration(b.settings.MaxAttempts-r.attempts), minAttemptSetups*b.setupTime))
+	timeout := min(left, max(left/time.Duration(b.settings.MaxAttempts-r.attempts), minAttemptSetups*b.setupTime))
 	r.server, r.inFlight = s, true
 	b.dialing++
 	r.attempts++
@@ -137,19 +139,19 @@
 	if r.executedOn == nil {
 		r.firstSentAt = b.now
 	}
-	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: wait})
+	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
-func (b *refBalancer) wouldExpireWaiting(r *refRequest, before int) bool {
+func (b *referenceBalancer) wouldExpireWaiting(r *referenceRequest, waitingBefore int) bool {
 	perSecond := b.recentEstablished / attemptDecayTime.Seconds()
-	return float64(before) > max(minQueueLength, perSecond*(r.deadline-b.now).Seconds())
+	return float64(waitingBefore) > max(minQueueLength, perSecond*(r.deadline-b.now).Seconds())
 }
 
-func (b *refBalancer) throttled() bool {
+func (b *referenceBalancer) throttled() bool {
 	return b.recentFailures > freeFailures+b.recentEstablished || b.dialing >= int(b.dialWindow)
 }
 
-func (b *refBalancer) reservePlacement(r *refRequest, s *refServer) {
+func (b *referenceBalancer) reservePlacement(r *referenceRequest, s *referenceServer) {
 	s.placementsOnReport++
 	if s.placementsOnReport >= maxPlacementsPerReport || len(b.waiting) > 0 {
 		b.removeAnswer(s)
@@ -160,73 +162,81 @@
 	}
 }
 
-func (b *refBalancer) pick(r *refRequest) *refServer {
-	was := b.clients[r.Key]
-	if s := b.servers[was.server]; r.MidFlow && r.attempts == 0 && s != nil && was.endedAt > 0 && !was.avoid {
+func (b *referenceBalancer) pick(r *referenceRequest) *referenceServer {
+	client := b.clients[r.Key]
+	if s := b.servers[client.server]; r.MidFlow && r.attempts == 0 && s != nil && client.endedAt > 0 && !client.avoid {
 		if s.State == Ready || b.now-s.notReadySince < b.settings.Safety.DrainGrace {
 			return s
 		}
 	}
-	fit := func(s *refServer) bool {
-		return !(was.avoid && s.ID == was.server) && b.now >= s.ejectedUntil && !b.saturated(s) && b.mayAttempt(r, s)
+	eligible := func(s *referenceServer) bool {
+		return !(client.avoid && s.ID == client.server) && b.now >= s.ejectedUntil && !b.saturated(s) &&
+			b.mayAttempt(r, s)
 	}
-	known := func(s *refServer) bool {
-		return fit(s) && b.hasRecentReport(s) && s.load+b.groupOpeningLoad(r, s) < b.saturationThreshold
+	belowSaturation := func(s *referenceServer) bool {
+		return eligible(s) && b.hasRecentReport(s) && s.load+b.groupOpeningLoad(r, s) < b.saturationThreshold
 	}
-	room := func(s *refServer) bool { return known(s) && s.load+b.groupOpeningLoad(r, s) < b.capacityThreshold }
-	homes, away := b.preferredServers(r)
-	if s := refFirstMatching(homes, room); s != nil {
+	hasCapacity := func(s *referenceServer) bool {
+		return belowSaturation(s) && s.load+b.groupOpeningLoad(r, s) < b.capacityThreshold
+	}
+	preferred, remotePreferred := b.preferredServers(r)
+	if s := referenceFirstMatching(preferred, hasCapacity); s != nil {
 		return s
 	}
-	if s := refFirstMatching(away, room); s != nil {
+	if s := referenceFirstMatching(remotePreferred, hasCapacity); s != nil {
 		b.lastSpillAt = b.now
 		return s
 	}
-	if s := refFirstMatching(homes, known); s != nil {
+	if s := referenceFirstMatching(preferred, belowSaturation); s != nil {
 		return s
 	}
-	short := func(s *refServer) bool { return b.saturated(s) || b.warming(s) }
-	if slices.ContainsFunc(homes, short) || slices.ContainsFunc(away, short) {
-		blind := func(s *refServer) bool { return fit(s) && !b.hasRecentReport(s) }
-		homes, away = homes[:min(onDemandProbes, len(homes))], away[:min(onDemandProbes, len(away))]
-		return cmp.Or(refFirstMatching(homes, blind), refFirstMatching(away, blind))
+	saturatedOrWarming := func(s *referenceServer) bool { return b.saturated(s) || b.warming(s) }
+	if slices.ContainsFunc(preferred, saturatedOrWarming) || slices.ContainsFunc(remotePreferred, saturatedOrWarming) {
+		eligibleUnreported := func(s *referenceServer) bool { return eligible(s) && !b.hasRecentReport(s) }
+		preferred, remotePreferred = preferred[:min(onDemandProbes, len(preferred))],
+			remotePreferred[:min(onDemandProbes, len(remotePreferred))]
+		return cmp.Or(referenceFirstMatching(preferred, eligibleUnreported),
+			referenceFirstMatching(remotePreferred, eligibleUnreported))
 	}
-	if s := cmp.Or(refFirstMatching(homes, fit), refFirstMatching(away, fit)); s != nil {
+	local, remote := referenceFirstMatching(preferred, eligible), referenceFirstMatching(remotePreferred, eligible)
+	if s := cmp.Or(local, remote); s != nil {
 		return s
 	}
-	best := refLeastLoaded(b.localAnswers, known)
+	best := referenceLeastLoaded(b.localAnswers, belowSaturation)
 	if best != nil && best.load < b.capacityThreshold {
 		return best
 	}
-	if s := b.nextInOrder(b.local, func(s *refServer) bool { return b.warming(s) && fit(s) }); s != nil {
+	if s := b.nextInOrder(b.local, func(s *referenceServer) bool { return b.warming(s) && eligible(s) }); s != nil {
 		return s
 	}
-	if best != nil || slices.ContainsFunc(b.localAnswers, b.saturated) || !slices.ContainsFunc(b.local, fit) {
+	if best != nil || slices.ContainsFunc(b.localAnswers, b.saturated) || !slices.ContainsFunc(b.local, eligible) {
 		b.lastSpillAt = b.now
-		better := func(s *refServer) bool { return room(s) && (best == nil || s.load < best.load-b.crossZoneLoadGap) }
-		s := cmp.Or(refLeastLoaded(b.remoteAnswers, better), best)
+		worthCrossing := func(s *referenceServer) bool {
+			return hasCapacity(s) && (best == nil || s.load < best.load-b.crossZoneLoadGap)
+		}
+		s := cmp.Or(referenceLeastLoaded(b.remoteAnswers, worthCrossing), best)
 		if s != nil || slices.ContainsFunc(b.localAnswers, b.saturated) {
 			return s
 		}
 	}
-	doubtful := func(s *refServer) bool { return !b.saturated(s) && b.mayAttempt(r, s) }
-	for _, fit := range [2]func(*refServer) bool{fit, doubtful} {
-		if s := cmp.Or(b.nextInOrder(b.local, fit), b.nextInOrder(b.remote, fit)); s != nil {
+	lastResort := func(s *referenceServer) bool { return !b.saturated(s) && b.mayAttempt(r, s) }
+	for _, acceptable := range [2]func(*referenceServer) bool{eligible, lastResort} {
+		if s := cmp.Or(b.nextInOrder(b.local, acceptable), b.nextInOrder(b.remote, acceptable)); s != nil {
 			return s
 		}
 	}
 	return nil
 }
 
-func (b *refBalancer) hasRecentReport(s *refServer) bool {
+func (b *referenceBalancer) hasRecentReport(s *referenceServer) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt < maxReportAge
 }
 
-func (b *refBalancer) saturated(s *refServer) bool {
+func (b *referenceBalancer) saturated(s *referenceServer) bool {
 	return b.now < s.slowUntil || b.hasRecentReport(s) && s.load > b.saturationThreshold
 }
 
-func (b *refBalancer) mayAttempt(r *refRequest, s *refServer) bool {
+func (b *referenceBalancer) mayAttempt(r *referenceRequest, s *referenceServer) bool {
 	if slices.Contains(r.attemptedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
 	}
@@ -241,48 +251,51 @@
 		(c.KeyScope == ScopeZone || s.Cell == r.executedOn.Cell)
 }
 
-func refLeastLoaded(pool []*refServer, fit func(*refServer) bool) *refServer {
-	return refMinimum(pool, fit, func(s *refServer) float64 { return s.load })
+func referenceLeastLoaded(pool []*referenceServer, matches func(*referenceServer) bool) *referenceServer {
+	return referenceMinimum(pool, matches, func(s *referenceServer) float64 { return s.load })
 }
 
-func (b *refBalancer) hasGroup(r *refRequest) bool { return b.settings.GroupAffinity && r.Group != "" }
+func (b *referenceBalancer) hasGroup(r *referenceRequest) bool {
+	return b.settings.GroupAffinity && r.Group != ""
+}
 
-func (b *refBalancer) preferredInZone(r *refRequest, list []*refServer) (homes []*refServer) {
+func (b *referenceBalancer) preferredInZone(r *referenceRequest,
+	list []*referenceServer) (preferred []*referenceServer) {
 	if !b.hasGroup(r) {
 		return nil
 	}
-	group, most := refHashString(r.Group), min(maxPreferredServers, (len(list)+1)/2)
+	group, most := referenceHash(r.Group), min(maxPreferredServers, (len(list)+1)/2)
 	keys := make([]float64, 0, maxPreferredServers+1)
-	homes = make([]*refServer, 0, maxPreferredServers+1)
+	preferred = make([]*referenceServer, 0, maxPreferredServers+1)
 	for _, s := range list {
-		key := refRendezvousDistance(group, s)
+		key := referenceDistance(group, s)
 		i := len(keys)
 		for i > 0 && key < keys[i-1] {
 			i--
 		}
 		if i < most {
-			keys, homes = slices.Insert(keys, i, key), slices.Insert(homes, i, s)
+			keys, preferred = slices.Insert(keys, i, key), slices.Insert(preferred, i, s)
 			n := min(len(keys), most)
-			keys, homes = keys[:n], homes[:n]
+			keys, preferred = keys[:n], preferred[:n]
 		}
 	}
-	return homes
+	return preferred
 }
 
-func (b *refBalancer) probeForRequest(r *refRequest) {
-	known := b.hasGroup(r) || slices.ContainsFunc(b.localAnswers, func(s *refServer) bool {
+func (b *referenceBalancer) probeForRequest(r *referenceRequest) {
+	belowSaturation := b.hasGroup(r) || slices.ContainsFunc(b.localAnswers, func(s *referenceServer) bool {
 		return b.hasRecentReport(s) && s.load < b.capacityThreshold && b.withinSlowStartQuota(r, s)
 	})
-	homes, far := b.preferredServers(r)
-	for i, targets := range [2][]*refServer{homes, far} {
-		list := [2][]*refServer{b.local, b.remote}[i]
+	preferred, far := b.preferredServers(r)
+	for i, targets := range [2][]*referenceServer{preferred, far} {
+		list := [2][]*referenceServer{b.local, b.remote}[i]
 		settled := i == 0 && len(targets) > 0 && targets[0].load < b.capacityThreshold &&
 			b.now-targets[0].reportedAt < b.onDemandProbeInterval()
 		if !b.settings.ProbingAllowed || settled || i > 0 && !b.spillingOver() && !b.hasGroup(r) {
 			return
 		}
 		targets = targets[:min(onDemandProbes, len(targets))]
-		for n := 0; !known && n < min(onDemandProbes, len(list)); n++ {
+		for n := 0; !belowSaturation && n < min(onDemandProbes, len(list)); n++ {
 			b.probeCursor++
 			targets = append(targets, list[b.probeCursor%len(list)])
 		}
@@ -297,16 +310,16 @@
 	}
 }
 
-func (b *refBalancer) onDemandProbeInterval() time.Duration {
+func (b *referenceBalancer) onDemandProbeInterval() time.Duration {
 	return max(minOnDemandProbeInterval, min(maxOnDemandProbeInterval,
 		onDemandProbeIntervalOfFleet/time.Duration(b.settings.Balancers)))
 }
 
-func (b *refBalancer) warming(s *refServer) bool {
+func (b *referenceBalancer) warming(s *referenceServer) bool {
 	return s.Started > 0 && b.now-s.Started < b.settings.Safety.SlowStartDuration
 }
 
-func (b *refBalancer) withinSlowStartQuota(r *refRequest, s *refServer) bool {
+func (b *referenceBalancer) withinSlowStartQuota(r *referenceRequest, s *referenceServer) bool {
 	if !b.warming(s) || s.Zone != b.settings.Zone {
 		return !b.warming(s)
 	}
@@ -314,39 +327,39 @@
 		r.demandCountedFor = s
 		s.groupDemand.add(b.now)
 	}
-	rules := b.settings.Safety
+	safety := b.settings.Safety
 	if b.now >= s.slowStartQuotaUntil {
-		age := float64(b.now-s.Started) / float64(rules.SlowStartDuration)
-		part := rules.SlowStartShare + (1-rules.SlowStartShare)*age
-		span := max(rules.OverloadWindow, tickInterval)
-		comes, sharers := b.expectedDemandFor(r, s, span), b.estimatedZoneBalancers()
-		work := max(part*b.serverCapacity()*span.Seconds(),
-			minSlowStartConnections/max(float64(b.settings.Balancers), sharers))
-		use := comes / (1 + comes)
-		mine := slowStartSafetyFactor / max(use, minSlowStartUse) * rules.OverloadFactor * work
+		age := float64(b.now-s.Started) / float64(safety.SlowStartDuration)
+		part := safety.SlowStartShare + (1-safety.SlowStartShare)*age
+		window := max(safety.OverloadWindow, tickInterval)
+		demand, balancers := b.expectedDemandFor(r, s, window), b.estimatedZoneBalancers()
+		work := max(part*b.serverCapacity()*window.Seconds(),
+			minSlowStartConnections/max(float64(b.settings.Balancers), balancers))
+		use := demand / (1 + demand)
+		quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * work
 		if each := b.meanLoadPerConnection(); each > 0 {
-			bears := rules.OverloadFactor * part * span.Seconds() / (each * b.meanLifetime())
-			mine = max(mine, min(slowStartSafetyFactor*bears/(use*sharers), 1))
+			accepted := safety.OverloadFactor * part * window.Seconds() / (each * b.meanLifetime())
+			quota = max(quota, min(slowStartSafetyFactor*accepted/(use*balancers), 1))
 		}
-		s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(mine+b.rng.Float64()), b.now+span
+		s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(quota+b.rng.Float64()), b.now+window
 	}
 	return s.slowStartQuota >= min(b.relativeLoad(r), 1)
 }
 
-func (b *refBalancer) meanLifetime() float64 {
-	if b.closedByClient == 0 {
+func (b *referenceBalancer) meanLifetime() float64 {
+	if b.connectionsEnded == 0 {
 		return defaultLifetime.Seconds()
 	}
-	return (defaultLifetime.Seconds() + b.connectionSeconds) / (1 + b.closedByClient)
+	return (defaultLifetime.Seconds() + b.connectionSeconds) / (1 + b.connectionsEnded)
 }
 
-func (b *refBalancer) updateLifetime() {
+func (b *referenceBalancer) updateLifetime() {
 	fade := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
-	b.connectionSeconds, b.closedByClient = b.connectionSeconds*fade+float64(len(b.requests))*tickInterval.Seconds(),
-		b.closedByClient*fade
+	b.connectionSeconds, b.connectionsEnded = b.connectionSeconds*fade+float64(len(b.requests))*tickInterval.Seconds(),
+		b.connectionsEnded*fade
 }
 
-func (b *refBalancer) serverCapacity() float64 {
+func (b *referenceBalancer) serverCapacity() float64 {
 	own, warm := 0, 0
 	for _, s := range b.local {
 		if !b.warming(s) {
@@ -359,7 +372,7 @@
 	return min(b.capacity, float64(own)/(b.meanLifetime()*float64(warm)*max(b.meanLoad, 0.5)))
 }
 
-func (b *refBalancer) expectedDemand(r *refRequest, span time.Duration) float64 {
+func (b *referenceBalancer) expectedDemand(r *referenceRequest, window time.Duration) float64 {
 	spread := len(b.local)
 	if !b.hasGroup(r) && b.spillingOver() {
 		spread = 0
@@ -369,36 +382,36 @@
 			}
 		}
 	}
-	return b.recentDemand / demandDecayTime.Seconds() * span.Seconds() / float64(max(spread, 1))
+	return b.recentDemand / demandDecayTime.Seconds() * window.Seconds() / float64(max(spread, 1))
 }
 
-func (b *refBalancer) expectedDemandFor(r *refRequest, s *refServer, span time.Duration) float64 {
-	mean := b.expectedDemand(r, span)
+func (b *referenceBalancer) expectedDemandFor(r *referenceRequest, s *referenceServer, window time.Duration) float64 {
+	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
 		return mean
 	}
-	window := demandDecayTime.Seconds() / span.Seconds()
-	came := s.groupDemand.value(b.now)
-	usual := (priorDemand + came) / (priorDemand/mean + window)
-	storm := min(1, 2*b.recentResets/b.recentDemand)
-	return max(mean, storm*came/window+(1-storm)*usual)
+	windows := demandDecayTime.Seconds() / window.Seconds()
+	observed := s.groupDemand.value(b.now)
+	average := (priorDemand + observed) / (priorDemand/mean + windows)
+	resetFraction := min(1, 2*b.recentResets/b.recentDemand)
+	return max(mean, resetFraction*observed/windows+(1-resetFraction)*average)
 }
 
-func (b *refBalancer) estimatedZoneBalancers() float64 {
-	held, own, reports := 0.0, 0.0, 0
+func (b *referenceBalancer) estimatedZoneBalancers() float64 {
+	reported, own, reports := 0.0, 0.0, 0
 	for _, s := range b.local {
 		own += float64(len(s.connections))
 		if s.loadPerConnection > 0 {
-			held, reports = held+min(s.reportedLoad/s.loadPerConnection, maxReportedConnections), reports+1
+			reported, reports = reported+min(s.reportedLoad/s.loadPerConnection, maxReportedConnections), reports+1
 		}
 	}
 	if reports == 0 {
 		return b.zoneBalancers()
 	}
-	held *= float64(len(b.local)) / float64(reports)
-	chance, most := math.Sqrt(own), b.zoneBalancers()
-	if own > chance {
-		most = min(most, held/(own-chance))
+	reported *= float64(len(b.local)) / float64(reports)
+	deviation, most := math.Sqrt(own), b.zoneBalancers()
+	if own > deviation {
+		most = min(most, reported/(own-deviation))
 	}
-	return max(most, held/(own+chance+1), 1)
+	return max(most, reported/(own+deviation+1), 1)
 }
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-type refServer struct {
+// referenceServer is the record of a server; its fields are those of server.
+type referenceServer struct {
 	Server
 	cacheOrder          uint64
 	notReadySince       time.Duration
@@ -27,100 +28,118 @@
 	slowStartQuota      float64
 	slowStartQuotaUntil time.Duration
 	groupDemand         decayingCounter
-	reservations        []refReservation
+	reservations        []referenceReservation
 	migratedAt          time.Duration
-	connections         []*refRequest
+	connections         []*referenceRequest
 	connectionsByGroup  map[string]int
 }
 
-type refRequest struct {
+// referenceRequest is the record of a request; its fields are those of request.
+type referenceRequest struct {
 	RequestArrived
 	timerToken           uint64
 	deadline             time.Duration
 	notBefore            time.Duration
 	attempts             int
 	attemptedServers     []ServerID
-	server               *refServer
+	server               *referenceServer
 	inFlight             bool
 	established          bool
 	migrated             bool
-	demandCountedFor     *refServer
-	localPreferred       []*refServer
-	remotePreferred      []*refServer
+	demandCountedFor     *referenceServer
+	localPreferred       []*referenceServer
+	remotePreferred      []*referenceServer
 	preferredListVersion uint64
-	executedOn           *refServer
+	executedOn           *referenceServer
 	firstSentAt          time.Duration
 }
 
-type refClientRecord struct {
+// referenceClient is the record of a client; its fields are those of clientRecord.
+type referenceClient struct {
 	server  ServerID
 	endedAt time.Duration
 	avoid   bool
 }
 
-type refBalancer struct {
+// referenceBalancer is the reference for Balancer. All of its state is in one struct.
+type referenceBalancer struct {
 	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
 	actions  []Action
 
-	servers                                               map[ServerID]*refServer
-	ready                                                 []*refServer
-	local, remote                                         []*refServer
-	listVersion                                           uint64
-	cursor                                                int
-	pollAt                                                time.Duration
-	pollFailures                                          int
-	lastAnswerAt                                          time.Duration
-	allFailing                                            bool
-	localAnswers, remoteAnswers                           []*refServer
-	meanLoad                                              float64
-	meanLoadReports                                       int
-	lastSpillAt                                           time.Duration
-	probeCursor                                           int
-	probeCount                                            int
-	probeCredit                                           float64
-	overloadProbeCredit                                   float64
-	requests                                              map[RequestID]*refRequest
-	requestsByToken                                       map[uint64]*refRequest
-	lastToken                                             uint64
-	waiting                                               []*refRequest
-	clients                                               map[string]refClientRecord
-	clientOrder                                           []string
-	recentFailures, recentEstablished                     float64
-	establishRate, establishRateSpan, establishedThisTick float64
-	capacity                                              float64
-	capacitySpan                                          float64
-	recentDemand, recentResets                            float64
-	connectionSeconds, closedByClient                     float64
-	setupTime                                             time.Duration
-	dialing                                               int
-	dialWindow                                            float64
-	dialWindowHalvedAt                                    time.Duration
-	capacityThreshold, saturationThreshold                float64
-	crossZoneLoadGap                                      float64
-	classLoads                                            []float64
-}
-
-func newRef(set Settings) (*refBalancer, error) {
-	if err := set.validate(); err != nil {
+	servers     map[ServerID]*referenceServer
+	ready       []*referenceServer
+	local       []*referenceServer
+	remote      []*referenceServer
+	listVersion uint64
+	cursor      int
+
+	pollAt       time.Duration
+	pollFailures int
+	lastAnswerAt time.Duration
+	failing      bool
+
+	localAnswers        []*referenceServer
+	remoteAnswers       []*referenceServer
+	meanLoad            float64
+	meanLoadReports     int
+	lastSpillAt         time.Duration
+	capacityThreshold   float64
+	saturationThreshold float64
+	crossZoneLoadGap    float64
+
+	probeCursor         int
+	probeCount          int
+	probeCredit         float64
+	overloadProbeCredit float64
+
+	requests        map[RequestID]*referenceRequest
+	requestsByToken map[uint64]*referenceRequest
+	lastToken       uint64
+	waiting         []*referenceRequest
+	clients         map[string]referenceClient
+	clientOrder     []string
+
+	recentFailures     float64
+	recentEstablished  float64
+	setupTime          time.Duration
+	dialing            int
+	dialWindow         float64
+	dialWindowHalvedAt time.Duration
+
+	establishRate       float64
+	establishRateSpan   float64
+	establishedThisTick float64
+	capacity            float64
+	capacitySpan        float64
+	recentDemand        float64
+	recentResets        float64
+	connectionSeconds   float64
+	connectionsEnded    float64
+	classLoads          []float64
+}
+
+func newReferenceBalancer(settings Settings) (*referenceBalancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	set.Balancers, set.MaxAttempts = max(set.Balancers, 1), max(set.MaxAttempts, 1)
-	b := &refBalancer{
-		settings: set, rng: rand.New(rand.NewPCG(set.Seed, 0x9e3779b97f4a7c15)),
-		servers: map[ServerID]*refServer{}, requests: map[RequestID]*refRequest{},
-		requestsByToken: map[uint64]*refRequest{},
-		clients:         map[string]refClientRecord{}, classLoads: make([]float64, len(set.Classes)+1), meanLoad: 0.5,
+	settings.Balancers, settings.MaxAttempts = max(settings.Balancers, 1), max(settings.MaxAttempts, 1)
+	b := &referenceBalancer{
+		settings: settings, rng: rand.New(rand.NewPCG(settings.Seed, 0x9e3779b97f4a7c15)),
+		servers: map[ServerID]*referenceServer{}, requests: map[RequestID]*referenceRequest{},
+		requestsByToken: map[uint64]*referenceRequest{},
+		clients:         map[string]referenceClient{}, classLoads: make([]float64, len(settings.Classes)+1),
+		meanLoad:  0.5,
 		lastToken: retryWaitingToken, dialWindow: maxDialWindow / 4,
 	}
-	hidden := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
-	b.crossZoneLoadGap = crossZoneCostFactor * set.Costs.CrossZone
-	b.capacityThreshold, b.saturationThreshold = maxLoadWithCapacity-hidden, saturationLoad-hidden/2
+	margin := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
+	b.crossZoneLoadGap = crossZoneCostFactor * settings.Costs.CrossZone
+	b.capacityThreshold, b.saturationThreshold = maxLoadWithCapacity-margin, saturationLoad-margin/2
 	return b, nil
 }
 
-func (b *refBalancer) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (b *referenceBalancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.now, b.actions = now, out
 	switch ev := ev.(type) {
 	case Started:
@@ -154,77 +173,78 @@
 	return out
 }
 
-func (b *refBalancer) emit(a Action) { b.actions = append(b.actions, a) }
+func (b *referenceBalancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *refBalancer) jitter(d time.Duration) time.Duration {
+func (b *referenceBalancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
 
-func (b *refBalancer) serverRecord(id ServerID) *refServer {
+func (b *referenceBalancer) serverRecord(id ServerID) *referenceServer {
 	s := b.servers[id]
 	if s == nil {
-		s = &refServer{Server: Server{ID: id, State: Removed}, cacheOrder: refMix(b.settings.Seed, uint64(id))}
+		s = &referenceServer{Server: Server{ID: id, State: Removed},
+			cacheOrder: referenceMix(b.settings.Seed, uint64(id))}
 		b.servers[id] = s
 	}
 	return s
 }
 
-func (b *refBalancer) setState(s *refServer, state State) {
+func (b *referenceBalancer) setState(s *referenceServer, state State) {
 	if state != Ready && s.State == Ready {
 		s.notReadySince = b.now
 	}
 	s.State = state
 }
 
-func (s *refServer) recordReport(r LoadReport) {
+func (s *referenceServer) recordReport(r LoadReport) {
 	s.reportedLoad = r.Load
 	if r.Connections >= minReportedConnections && r.Connections <= maxReportedConnections {
 		s.loadPerConnection = r.Load / r.Connections
 	}
 }
 
-func (b *refBalancer) spillingOver() bool {
+func (b *referenceBalancer) spillingOver() bool {
 	return b.lastSpillAt > 0 && b.now-b.lastSpillAt < spillOverPeriod || b.meanLoad > b.capacityThreshold
 }
 
-func (b *refBalancer) connectionLoad(s *refServer) (load float64, guess bool) {
+func (b *referenceBalancer) connectionLoad(s *referenceServer) (load float64, guess bool) {
 	if s.loadPerConnection > 0 {
 		return s.loadPerConnection, false
 	}
-	held := float64(len(b.requests)) * b.zoneBalancers() / float64(max(len(b.local), 1))
-	return b.meanLoad / max(held, minReportedConnections), held < minReportedConnections ||
+	reported := float64(len(b.requests)) * b.zoneBalancers() / float64(max(len(b.local), 1))
+	return b.meanLoad / max(reported, minReportedConnections), reported < minReportedConnections ||
 		b.meanLoadReports < minMeanLoadReports
 }
 
-func (b *refBalancer) updateMeanLoad(load float64) {
+func (b *referenceBalancer) updateMeanLoad(load float64) {
 	b.meanLoadReports++
 	b.meanLoad += (min(load, 1.5) - b.meanLoad) / maxAnswers
 }
 
-func (b *refBalancer) expectedLoad(r *refRequest, s *refServer) float64 {
-	usual, _ := b.connectionLoad(s)
-	return b.relativeLoad(r) * usual
+func (b *referenceBalancer) expectedLoad(r *referenceRequest, s *referenceServer) float64 {
+	average, _ := b.connectionLoad(s)
+	return b.relativeLoad(r) * average
 }
 
-func (b *refBalancer) groupOpeningLoad(r *refRequest, s *refServer) float64 {
-	usual, guess := b.connectionLoad(s)
-	opened := func(x refReservation) bool { return x.request.Group == r.Group }
+func (b *referenceBalancer) groupOpeningLoad(r *referenceRequest, s *referenceServer) float64 {
+	average, guess := b.connectionLoad(s)
+	opened := func(x referenceReservation) bool { return x.request.Group == r.Group }
 	if guess || !b.hasGroup(r) || s.connectionsByGroup[r.Group] > 0 || slices.ContainsFunc(s.reservations, opened) {
 		return 0
 	}
-	return min((groupOpeningConnections+b.relativeLoad(r))*usual, maxGroupOpeningLoad) / b.zoneBalancers()
+	return min((groupOpeningConnections+b.relativeLoad(r))*average, maxGroupOpeningLoad) / b.zoneBalancers()
 }
 
-func (b *refBalancer) compareGroupSizes(s *refServer, x, y *refRequest) int {
+func (b *referenceBalancer) compareGroupSizes(s *referenceServer, x, y *referenceRequest) int {
 	return cmp.Compare(s.connectionsByGroup[x.Group]/int(b.zoneBalancers()),
 		s.connectionsByGroup[y.Group]/int(b.zoneBalancers()))
 }
 
-func (b *refBalancer) zoneBalancers() float64 {
+func (b *referenceBalancer) zoneBalancers() float64 {
 	return float64(max(1, b.settings.Balancers/max(len(b.settings.Zones), 1)))
 }
 
-func (b *refBalancer) meanLoadPerConnection() float64 {
+func (b *referenceBalancer) meanLoadPerConnection() float64 {
 	sum, reports := 0.0, 0.0
 	for _, s := range b.ready {
 		if s.loadPerConnection > 0 && !b.warming(s) {
@@ -234,19 +254,20 @@
 	return sum / max(reports, 1)
 }
 
-type refReservation struct {
-	request *refRequest
+// referenceReservation is the load of a placement until a report shows it.
+type referenceReservation struct {
+	request *referenceRequest
 	load    float64
 	at      time.Duration
 }
 
-func (s *refServer) reserve(r *refRequest, share float64, now time.Duration) {
-	s.load += share
-	s.reservations = append(s.reservations, refReservation{r, share, now})
+func (s *referenceServer) reserve(r *referenceRequest, load float64, now time.Duration) {
+	s.load += load
+	s.reservations = append(s.reservations, referenceReservation{r, load, now})
 }
 
-func (s *refServer) releaseReservation(r *refRequest) {
-	s.reservations = slices.DeleteFunc(s.reservations, func(x refReservation) bool {
+func (s *referenceServer) releaseReservation(r *referenceRequest) {
+	s.reservations = slices.DeleteFunc(s.reservations, func(x referenceReservation) bool {
 		if x.request == r {
 			s.load -= x.load
 		}
@@ -254,50 +275,52 @@
 	})
 }
 
-func (s *refServer) pendingReservations(now time.Duration) (sum float64) {
-	s.reservations = slices.DeleteFunc(s.reservations, func(x refReservation) bool { return now-x.at > maxReportLag })
+func (s *referenceServer) pendingReservations(now time.Duration) (sum float64) {
+	s.reservations = slices.DeleteFunc(s.reservations,
+		func(x referenceReservation) bool { return now-x.at > maxReportLag })
 	for _, x := range s.reservations {
 		sum += x.load
 	}
 	return sum
 }
 
-func (b *refBalancer) recordAnswer() { b.lastAnswerAt, b.allFailing = b.now, false }
+func (b *referenceBalancer) recordAnswer() { b.lastAnswerAt, b.failing = b.now, false }
 
-func (b *refBalancer) Ejected(id ServerID) bool {
+func (b *referenceBalancer) Ejected(id ServerID) bool {
 	s := b.servers[id]
 	return s != nil && b.now < s.ejectedUntil
 }
 
-func (b *refBalancer) recordSuccess(s *refServer) {
+func (b *referenceBalancer) recordSuccess(s *referenceServer) {
 	s.consecutiveFailures = 0
 	b.recordAnswer()
 }
 
-func refRemoveValue[T comparable](list []T, x T) []T {
+func referenceRemoveValue[T comparable](list []T, x T) []T {
 	return slices.DeleteFunc(list, func(y T) bool { return y == x })
 }
 
-func refAddAnswer(pool []*refServer, s *refServer) []*refServer {
-	pool = append(refRemoveValue(pool, s), s)
+func referenceAddAnswer(pool []*referenceServer, s *referenceServer) []*referenceServer {
+	pool = append(referenceRemoveValue(pool, s), s)
 	return pool[max(0, len(pool)-maxAnswers):]
 }
 
-func (b *refBalancer) removeAnswer(s *refServer) {
-	b.localAnswers, b.remoteAnswers = refRemoveValue(b.localAnswers, s), refRemoveValue(b.remoteAnswers, s)
+func (b *referenceBalancer) removeAnswer(s *referenceServer) {
+	b.localAnswers, b.remoteAnswers = referenceRemoveValue(b.localAnswers, s), referenceRemoveValue(b.remoteAnswers, s)
 }
 
-func refMinimum(list []*refServer, fit func(*refServer) bool, key func(*refServer) float64) (best *refServer) {
+func referenceMinimum(list []*referenceServer, matches func(*referenceServer) bool,
+	key func(*referenceServer) float64) (best *referenceServer) {
 	low := math.Inf(1)
 	for _, s := range list {
-		if k := key(s); k < low && fit(s) {
+		if k := key(s); k < low && matches(s) {
 			best, low = s, k
 		}
 	}
 	return best
 }
 
-func (b *refBalancer) preferredServers(r *refRequest) (homes, away []*refServer) {
+func (b *referenceBalancer) preferredServers(r *referenceRequest) (preferred, remotePreferred []*referenceServer) {
 	if r.preferredListVersion != b.listVersion {
 		r.localPreferred, r.remotePreferred, r.preferredListVersion = b.preferredInZone(r, b.local),
 			b.preferredInZone(r, b.remote), b.listVersion
@@ -305,11 +328,11 @@
 	return r.localPreferred, r.remotePreferred
 }
 
-func (b *refBalancer) classOf(r *refRequest) *Class { return &b.settings.Classes[r.Class] }
+func (b *referenceBalancer) classOf(r *referenceRequest) *Class { return &b.settings.Classes[r.Class] }
 
-func (b *refBalancer) nextInOrder(list []*refServer, fit func(*refServer) bool) *refServer {
+func (b *referenceBalancer) nextInOrder(list []*referenceServer, matches func(*referenceServer) bool) *referenceServer {
 	for i := range list {
-		if s := list[(b.cursor+i)%len(list)]; fit(s) {
+		if s := list[(b.cursor+i)%len(list)]; matches(s) {
 			b.cursor += i + 1
 			return s
 		}
@@ -317,7 +340,7 @@
 	return nil
 }
 
-func refConnected(list []*refServer) (some []*refServer) {
+func referenceConnected(list []*referenceServer) (some []*referenceServer) {
 	for _, s := range list {
 		if len(s.connections) > 0 {
 			some = append(some, s)
@@ -326,21 +349,22 @@
 	return some
 }
 
-func refFirstMatching(list []*refServer, fit func(*refServer) bool) *refServer {
-	if i := slices.IndexFunc(list, fit); i >= 0 {
+func referenceFirstMatching(list []*referenceServer, matches func(*referenceServer) bool) *referenceServer {
+	if i := slices.IndexFunc(list, matches); i >= 0 {
 		return list[i]
 	}
 	return nil
 }
 
-func (b *refBalancer) restoreConnection(ev ConnectionRestored) {
-	r := &refRequest{RequestArrived: ev.Request, attempts: 1, server: b.serverRecord(ev.Server), established: true,
-		inFlight: true}
+func (b *referenceBalancer) restoreConnection(ev ConnectionRestored) {
+	r := &referenceRequest{RequestArrived: ev.Request, attempts: 1, server: b.serverRecord(ev.Server),
+		established: true,
+		inFlight:    true}
 	b.requests[r.ID] = r
 	r.server.addConnection(r)
 }
 
-func (s *refServer) addConnection(r *refRequest) {
+func (s *referenceServer) addConnection(r *referenceRequest) {
 	s.connections = append(s.connections, r)
 	if s.connectionsByGroup == nil {
 		s.connectionsByGroup = map[string]int{}
@@ -348,14 +372,14 @@
 	s.connectionsByGroup[r.Group]++
 }
 
-func (s *refServer) removeConnection(r *refRequest) {
-	s.connections = refRemoveValue(s.connections, r)
+func (s *referenceServer) removeConnection(r *referenceRequest) {
+	s.connections = referenceRemoveValue(s.connections, r)
 	if s.connectionsByGroup[r.Group]--; s.connectionsByGroup[r.Group] == 0 {
 		delete(s.connectionsByGroup, r.Group)
 	}
 }
 
-func (b *refBalancer) forget(r *refRequest) {
+func (b *referenceBalancer) forget(r *referenceRequest) {
 	if r == nil {
 		return
 	}
@@ -370,15 +394,15 @@
 	if r.server != nil {
 		r.server.releaseReservation(r)
 	}
-	b.waiting = refRemoveValue(b.waiting, r)
+	b.waiting = referenceRemoveValue(b.waiting, r)
 }
 
-func (b *refBalancer) rememberClient(r *refRequest, code Code) {
+func (b *referenceBalancer) rememberClient(r *referenceRequest, code Code) {
 	if code == Reset || r.migrated {
 		b.recentDemand++
 		b.recentResets++
 	} else {
-		b.closedByClient++
+		b.connectionsEnded++
 	}
 	if r.Key == "" || code != Reset && code != Cancelled {
 		return
@@ -390,25 +414,25 @@
 			b.clientOrder = b.clientOrder[1:]
 		}
 	}
-	b.clients[r.Key] = refClientRecord{r.server.ID, b.now, code == Reset || r.migrated}
+	b.clients[r.Key] = referenceClient{r.server.ID, b.now, code == Reset || r.migrated}
 }
 
-func (b *refBalancer) expireClients() {
+func (b *referenceBalancer) expireClients() {
 	for len(b.clientOrder) > 0 && b.now-b.clients[b.clientOrder[0]].endedAt > recordRetention {
 		delete(b.clients, b.clientOrder[0])
 		b.clientOrder = b.clientOrder[1:]
 	}
 }
 
-func (b *refBalancer) relativeLoad(r *refRequest) float64 {
-	load, usual := cmp.Or(r.Load, b.classLoads[r.Class]), b.classLoads[len(b.classLoads)-1]
-	if load <= 0 || usual <= 0 {
+func (b *referenceBalancer) relativeLoad(r *referenceRequest) float64 {
+	load, average := cmp.Or(r.Load, b.classLoads[r.Class]), b.classLoads[len(b.classLoads)-1]
+	if load <= 0 || average <= 0 {
 		return 1
 	}
-	return min(max(load/usual, 0.1), 10)
+	return min(max(load/average, 0.1), 10)
 }
 
-func (b *refBalancer) updateClassLoad(ev LoadChanged) {
+func (b *referenceBalancer) updateClassLoad(ev LoadChanged) {
 	r := b.requests[ev.ID]
 	if r == nil || ev.Load <= 0 {
 		return
@@ -422,7 +446,7 @@
 	}
 }
 
-func (b *refBalancer) updateEstimates() {
+func (b *referenceBalancer) updateEstimates() {
 	step := tickInterval.Seconds()
 	b.establishRateSpan = min(b.establishRateSpan+step, establishRateWindow.Seconds())
 	b.establishRate += (b.establishedThisTick/step - b.establishRate) * step / b.establishRateSpan
@@ -434,7 +458,7 @@
 	b.updateCapacity()
 }
 
-func (b *refBalancer) updateCapacity() {
+func (b *referenceBalancer) updateCapacity() {
 	warm, fleet := 0, len(b.servers)
 	for _, s := range b.ready {
 		if b.warming(s) {
@@ -450,12 +474,12 @@
 	}
 }
 
-func refRendezvousDistance(group uint64, s *refServer) float64 {
-	u := (float64(refMix(group, uint64(s.ID))>>11) + 0.5) / (1 << 53)
+func referenceDistance(group uint64, s *referenceServer) float64 {
+	u := (float64(referenceMix(group, uint64(s.ID))>>11) + 0.5) / (1 << 53)
 	return -math.Log(u) / cmp.Or(s.Weight, 1)
 }
 
-func refHashString(s string) uint64 {
+func referenceHash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -463,7 +487,7 @@
 	return h
 }
 
-func refMix(a, b uint64) uint64 {
+func referenceMix(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -73,7 +73,7 @@
 	}
 	r.established = true
 	b.throttle.recordEstablished(event.Elapsed)
-	b.rate.sinceTick++
+	b.establishRate.sinceTick++
 	b.addConnection(r)
 	delete(b.requests.byToken, r.timerToken)
 	b.retryWaiting()
