--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -115,12 +115,14 @@
 		"HELLO\n", frame("7", "SNARK\twho=3\n"), "FRAME\tt_s=1\tn=7\n",
 		frame("7", strings.Replace(create("3"), "cold_share=0.3", "cold_share=3", 1)),
 	} {
-		out, errs, code := adapter(t, in)
-		if code == 0 || strings.Count(errs, "\n") != 1 || strings.Contains(errs, "goroutine") {
-			t.Errorf("%q: exit %d, %q", in, code, errs)
-		}
-		if strings.Contains(out, "NEXT") {
-			t.Errorf("%q: answered %q", in, out)
-		}
+		t.Run(in, func(t *testing.T) {
+			out, errs, code := adapter(t, in)
+			if code == 0 || strings.Count(errs, "\n") != 1 || strings.Contains(errs, "goroutine") {
+				t.Errorf("exit %d, %q", code, errs)
+			}
+			if strings.Contains(out, "NEXT") {
+				t.Errorf("answered %q", out)
+			}
+		})
 	}
 }
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -40,7 +40,7 @@
 	capacity      capacityEstimate
 	lifetime      lifetimeEstimate
 	classLoads    classLoads
-	cursor        int // where the next walk in the cache order starts, modulo the list's length
+	cursor        int // where the next walk in the shuffled order starts, modulo the list's length
 }
 
 // New returns a balancer that knows no server yet. It fails on the first setting that is out of range.
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -1,7 +1,7 @@
 package decide
 
-// Discovery polling: when the endpoint list is requested, and how its updates are applied. The evidence is the outcome
-// of the calls to discovery.
+// Discovery polling: when the endpoint list is requested, and how its updates are applied. The evidence is the
+// outcome of the calls to discovery.
 
 import (
 	"cmp"
@@ -95,7 +95,7 @@
 	if listed.Started != s.Started {
 		*s = server{
 			Server:             s.Server,
-			cacheOrder:         s.cacheOrder,
+			shuffledOrder:      s.shuffledOrder,
 			entry:              s.entry,
 			notReadySince:      s.notReadySince,
 			connections:        s.connections,
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,6 +1,6 @@
 package decide
 
-// The index of servers: lists that are kept in the cache order as servers come, go and change, so that no tick,
+// The index of servers: lists that are kept in the shuffled order as servers come, go and change, so that no tick,
 // change or request walks the whole list, except for the request of a group that is not cached. Each list holds what
 // a walk over all servers would find. Nothing is decided here.
 
@@ -106,7 +106,7 @@
 
 func newServerIndex() serverIndex {
 	earlier := func(x, y scheduled) bool {
-		return x.at < y.at || x.at == y.at && compareCacheOrder(x.server, y.server) < 0
+		return x.at < y.at || x.at == y.at && compareShuffledOrder(x.server, y.server) < 0
 	}
 	return serverIndex{
 		servers:      map[ServerID]*server{},
@@ -115,20 +115,21 @@
 	}
 }
 
-// compareCacheOrder orders servers as this balancer tries them; each balancer has an order of its own.
-func compareCacheOrder(x, y *server) int {
-	return cmp.Or(cmp.Compare(x.cacheOrder, y.cacheOrder), cmp.Compare(x.ID, y.ID))
+// compareShuffledOrder compares servers by the order in which this balancer tries them. It is shuffled by the
+// balancer's seed, so that balancers begin at different servers.
+func compareShuffledOrder(x, y *server) int {
+	return cmp.Or(cmp.Compare(x.shuffledOrder, y.shuffledOrder), cmp.Compare(x.ID, y.ID))
 }
 
-// orderedServers is a list in the cache order.
+// orderedServers is a list in the shuffled order.
 type orderedServers []*server
 
 // find returns the position of a server, or the one where it belongs.
 func (o orderedServers) find(s *server) (position int, found bool) {
-	if n := len(o); n == 0 || compareCacheOrder(o[n-1], s) < 0 {
+	if n := len(o); n == 0 || compareShuffledOrder(o[n-1], s) < 0 {
 		return n, false
 	}
-	return slices.BinarySearchFunc(o, s, compareCacheOrder)
+	return slices.BinarySearchFunc(o, s, compareShuffledOrder)
 }
 
 // setMember adds a server or removes it, and returns its position.
@@ -313,7 +314,7 @@
 		all = append(all, s)
 		zoneSizes[b.zoneOf(s)]++
 	}
-	slices.SortFunc(all, compareCacheOrder)
+	slices.SortFunc(all, compareShuffledOrder)
 	b.reindexQueue.Clear(false)
 	b.dropQueue.Clear(false)
 	b.ready, b.connected = make(orderedServers, 0, len(all)), b.connected[:0]
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -52,7 +52,7 @@
 			return true
 		},
 		"busy": func(b *Balancer) bool { b.localZone.busy = nil; return true },
-		"cache order": func(b *Balancer) bool {
+		"shuffled order": func(b *Balancer) bool {
 			b.local = slices.Clone(b.local)
 			slices.Reverse(b.local)
 			return len(b.local) > 2
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,9 +1,9 @@
 package decide
 
-// Placement: the server of a request's next attempt. The evidence is the load reports of the servers, newest first,
+// Placement: the server of a request's next attempt. The evidence is the load reports of the servers,
 // the reservations made since, ejections, slow-start quotas and what the request's idempotency allows. The order of
 // choice: the server of a connection in mid-flow, the group's preferred servers, the least loaded server with a
-// recent report, servers that warm up, other zones, and at last any server in the cache order.
+// recent report, servers that warm up, other zones, and at last any server in the shuffled order.
 
 import (
 	"cmp"
@@ -184,7 +184,7 @@
 	return s, s != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 }
 
-// pickAny takes the next eligible server in the cache order. When there is none, an ejected server is better than
+// pickAny takes the next eligible server in the shuffled order. When there is none, an ejected server is better than
 // none, but a saturated one is not.
 func (p *placement) pickAny() *server {
 	for _, acceptable := range [2]func(*server) bool{p.eligible, p.lastResort} {
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestCacheOrderDiffersBetweenBalancers(t *testing.T) {
+func TestShuffledOrderDiffersBetweenBalancers(t *testing.T) {
 	firsts := map[ServerID]bool{}
 	for seed := range uint64(8) {
 		set := settings()
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -65,7 +65,7 @@
 }
 
 // probeForRequest probes, ahead of the steady probes, the servers that a request depends on: its group's preferred
-// ones, or a few in the cache order when no report shows capacity. The request waits a moment for the answers.
+// ones, or a few in the shuffled order when no report shows capacity. The request waits a moment for the answers.
 func (b *Balancer) probeForRequest(r *request) {
 	capacityKnown := b.hasGroup(r) || b.anyReportedCapacity(r)
 	local, remote := b.preferredServers(r)
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -110,7 +110,7 @@
 func (g *groupRanking) insert(group uint64, s *server) int {
 	distance := rendezvousDistance(group, s)
 	before := func(i int) bool {
-		return distance < g.distances[i] || distance == g.distances[i] && compareCacheOrder(s, g.servers[i]) < 0
+		return distance < g.distances[i] || distance == g.distances[i] && compareShuffledOrder(s, g.servers[i]) < 0
 	}
 	i := g.count
 	if i < rankingLength {
--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -52,7 +52,7 @@
 	for _, line := range ev.Servers {
 		s := b.serverRecord(line.ID)
 		if line.Started != s.Started {
-			*s = referenceServer{Server: s.Server, cacheOrder: s.cacheOrder, notReadySince: s.notReadySince,
+			*s = referenceServer{Server: s.Server, shuffledOrder: s.shuffledOrder, notReadySince: s.notReadySince,
 				connections: s.connections, connectionsByGroup: s.connectionsByGroup}
 		}
 		b.setState(s, line.State)
@@ -73,7 +73,7 @@
 		}
 	}
 	slices.SortFunc(b.ready, func(x, y *referenceServer) int {
-		return cmp.Or(cmp.Compare(x.cacheOrder, y.cacheOrder), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(x.shuffledOrder, y.shuffledOrder), cmp.Compare(x.ID, y.ID))
 	})
 	for _, s := range b.ready {
 		if s.Zone == b.settings.Zone {
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -14,7 +14,7 @@
 // referenceServer is the record of a server; its fields are those of server.
 type referenceServer struct {
 	Server
-	cacheOrder          uint64
+	shuffledOrder       uint64
 	notReadySince       time.Duration
 	load                float64
 	reportedLoad        float64
@@ -183,7 +183,7 @@
 	s := b.servers[id]
 	if s == nil {
 		s = &referenceServer{Server: Server{ID: id, State: Removed},
-			cacheOrder: referenceMix(b.settings.Seed, uint64(id))}
+			shuffledOrder: referenceMix(b.settings.Seed, uint64(id))}
 		b.servers[id] = s
 	}
 	return s
--- a/decide/server.go
+++ b/decide/server.go
@@ -23,7 +23,7 @@
 // server is what this balancer knows of one server.
 type server struct {
 	Server
-	cacheOrder          uint64          // position in this balancer's own order of the list
+	shuffledOrder       uint64          // orders the servers, differently at each balancer
 	entry               indexEntry      // position in the server index
 	notReadySince       time.Duration   // when discovery reported it draining or removed
 	load                float64         // reportedLoad plus the reservations made since
@@ -85,8 +85,8 @@
 	s := b.servers[id]
 	if s == nil {
 		s = &server{
-			Server:     Server{ID: id, State: Removed},
-			cacheOrder: mix(b.settings.Seed, uint64(id)),
+			Server:        Server{ID: id, State: Removed},
+			shuffledOrder: mix(b.settings.Seed, uint64(id)),
 		}
 		b.servers[id] = s
 	}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,7 +1,7 @@
 package decide
 
 // Slow start: how many requests this balancer may send to a server that warms up after its start. The evidence is the
-// server's age, the estimates of what a server accepts, of the requests that come for it and of how many balancers
+// server's age, the estimates of what a server accepts, of the requests that arrive for it and of how many balancers
 // share the zone.
 
 import (
@@ -67,10 +67,11 @@
 	use := demand / (1 + demand) // fraction of such windows in which this balancer has a request for the server
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
-		// By demand: the balancer's part of what the server bears if all balancers have the same demand. Otherwise
-		// quotas would be drawn where there are no requests, while other balancers have requests and drew no quota.
-		bears := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
-		quota = max(quota, min(slowStartSafetyFactor*bears/(use*balancers), 1))
+		// By demand: the balancer's part of what the server tolerates if all balancers have the same demand.
+		// Otherwise quotas would be drawn where there are no requests, while other balancers have requests and drew
+		// no quota.
+		tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
+		quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 	}
 	return quota
 }
@@ -92,8 +93,9 @@
 	return min(b.capacity.perSecond, float64(connections)/(b.lifetime.meanSeconds()*float64(warm)*fullLoadFactor))
 }
 
-// expectedDemand estimates how many of this balancer's requests come for one warming server within a window. Requests
-// spread over the zone; when it is short of capacity, those without a group all come for the warming servers.
+// expectedDemand estimates how many of this balancer's requests arrive for one warming server within a window.
+// Requests spread over the zone; when it is short of capacity, those without a group all arrive for the warming
+// servers.
 func (b *Balancer) expectedDemand(r *request, window time.Duration) float64 {
 	servers := len(b.local)
 	if !b.hasGroup(r) && b.spillingOver() {
@@ -110,10 +112,10 @@
 	}
 }
 
-// expectedDemandFor estimates how many of this balancer's requests come for the warming server s within a window, at
-// least the mean of the zone's servers. That mean is the prior, which the requests that came for s correct. When
-// connections break, their groups all come for the same next servers, of which the mean says nothing: the larger the
-// part of broken connections in the demand, the more weight has what came for s alone.
+// expectedDemandFor estimates how many of this balancer's requests arrive for the warming server s within a window,
+// at least the mean of the zone's servers. That mean is the prior, which the requests that arrived for s correct.
+// When connections break, their groups all arrive for the same next servers, of which the mean says nothing: the
+// larger the part of broken connections in the demand, the more weight has what arrived for s alone.
 func (b *Balancer) expectedDemandFor(r *request, s *server, window time.Duration) float64 {
 	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -129,17 +129,18 @@
 		"PROBE_RESULT\twho=3\tserver=9\trc=10\ttook_s=0.001\thealth_info=0.1,,1.5": decide.ProbeCompleted{
 			Server: 9, Elapsed: ms, Report: decide.LoadReport{Load: 1.5, Connections: -1}},
 	} {
-		r, seqs, err := decodeAll(batch(createLine, line))
-		if err != nil {
-			t.Errorf("%s: %v", line, err)
-			continue
-		}
-		if len(r.events) != 1 || !reflect.DeepEqual(r.events[0], want) {
-			t.Errorf("%s:\n got %+v\nwant %+v", line, r.events, want)
-		}
-		if r.clocks[1] != 8412250*time.Microsecond || seqs[0] != 12 || r.instances[1] != 3 {
-			t.Errorf("clock %v, batch %v, instance %v", r.clocks, seqs, r.instances)
-		}
+		t.Run(line, func(t *testing.T) {
+			r, batches, err := decodeAll(batch(createLine, line))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(r.events) != 1 || !reflect.DeepEqual(r.events[0], want) {
+				t.Errorf("\n got %+v\nwant %+v", r.events, want)
+			}
+			if r.clocks[1] != 8412250*time.Microsecond || batches[0] != 12 || r.instances[1] != 3 {
+				t.Errorf("clock %v, batch %v, instance %v", r.clocks, batches, r.instances)
+			}
+		})
 	}
 }
 
@@ -147,10 +148,12 @@
 	want := []decide.Code{decide.OK, decide.ServerError, decide.Rejected, decide.TimedOut, decide.ConnectFailed,
 		decide.Reset, decide.Cancelled, decide.NotSent}
 	for i, rc := range []string{"10", "20", "30", "40", "50", "60", "70", "80"} {
-		r, _, err := decodeAll(batch(createLine, "PROBE_RESULT\twho=3\tserver=1\trc="+rc))
-		if err != nil || r.events[0].(decide.ProbeCompleted).Code != want[i] {
-			t.Errorf("rc=%s: %v, %v", rc, r.events, err)
-		}
+		t.Run(rc, func(t *testing.T) {
+			r, _, err := decodeAll(batch(createLine, "PROBE_RESULT\twho=3\tserver=1\trc="+rc))
+			if err != nil || r.events[0].(decide.ProbeCompleted).Code != want[i] {
+				t.Errorf("%v, %v", r.events, err)
+			}
+		})
 	}
 }
 
