--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -5,61 +5,66 @@
 	"time"
 )
 
-// rooms makes n ready lines in three zones, of a few sizes.
-func rooms(n int) (list []Server) {
+// serverList returns n ready servers in three zones, of a few sizes.
+func serverList(n int) (list []Server) {
 	for i := range n {
-		list = append(list, Server{ID: ServerID(i + 1), Zone: []string{"a", "b", "c"}[i%3], Cell: i / 20, Started: time.Second,
-			Weight: []float64{1, 1, 2, 4}[i/3%4]})
+		list = append(list, Server{ID: ServerID(i + 1), Zone: []string{"a", "b", "c"}[i%3], Cell: i / 20,
+			Started: time.Second,
+			Weight:  []float64{1, 1, 2, 4}[i/3%4]})
 	}
 	return list
 }
 
-// fleet is a balancer that knows so many servers; it holds the connections that are asked for.
-func fleet(t testing.TB, set Settings, n, conns int) *Balancer {
+// newBalancerWithList returns a balancer that knows n servers and has so many connections.
+func newBalancerWithList(t testing.TB, set Settings, n, connections int) *Balancer {
 	set.Zones, set.ProbingAllowed = []string{"a", "b", "c"}, true
-	bal, err := New(set)
+	balancer, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 100 * time.Second
-	bal.Handle(now, Started{}, nil)
-	bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: rooms(n)}, nil)
-	for i := range conns {
-		bal.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: ServerID(i%300 + 1)}, nil)
+	balancer.Handle(now, Started{}, nil)
+	balancer.Handle(now, ListReceived{Kind: ListSnapshot, Servers: serverList(n)}, nil)
+	for i := range connections {
+		balancer.Handle(now, ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))},
+			Server: ServerID(i%300 + 1)}, nil)
 	}
 	for i := range n {
-		bal.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Report: LoadReport{Load: 0.5, Connections: 10}}, nil)
+		balancer.Handle(now, ProbeCompleted{Server: ServerID(i + 1), Report: LoadReport{Load: 0.5, Connections: 10}},
+			nil)
 	}
-	return bal
+	return balancer
 }
 
-// sizes runs a benchmark for lists of several lengths.
-func sizes(b *testing.B, set Settings, conns int, run func(b *testing.B, bal *Balancer, n int)) {
+// benchmarkSizes runs a benchmark for lists of several lengths.
+func benchmarkSizes(b *testing.B, set Settings, connections int, run func(b *testing.B, balancer *Balancer, n int)) {
 	for _, n := range []int{600, 5000, 20_000} {
 		b.Run(name("", n), func(b *testing.B) {
-			bal := fleet(b, set, n, conns)
+			balancer := newBalancerWithList(b, set, n, connections)
 			b.ReportAllocs()
-			run(b, bal, n)
+			run(b, balancer, n)
 		})
 	}
 }
 
-func requests(group func(i int) string) func(b *testing.B, bal *Balancer, n int) {
-	return func(b *testing.B, bal *Balancer, n int) {
+// benchmarkRequests measures a request, its end and the report of one server.
+func benchmarkRequests(group func(i int) string) func(b *testing.B, balancer *Balancer, n int) {
+	return func(b *testing.B, balancer *Balancer, n int) {
 		var out []Action
 		now, i := 101*time.Second, 0
 		for b.Loop() {
 			now += time.Millisecond
 			i++
-			out = bal.Handle(now, RequestArrived{ID: "r", Group: group(i), Remaining: time.Second}, out[:0])
-			out = bal.Handle(now, ClientDisconnected{ID: "r"}, out[:0])
-			out = bal.Handle(now, ProbeCompleted{Server: 7, Report: LoadReport{Load: 0.3, Connections: -1}}, out[:0])
+			out = balancer.Handle(now, RequestArrived{ID: "r", Group: group(i), Remaining: time.Second}, out[:0])
+			out = balancer.Handle(now, ClientDisconnected{ID: "r"}, out[:0])
+			out = balancer.Handle(now, ProbeCompleted{Server: 7, Report: LoadReport{Load: 0.3, Connections: -1}},
+				out[:0])
 		}
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
-	sizes(b, settings(), 500, requests(func(int) string { return "" }))
+	benchmarkSizes(b, settings(), 500, benchmarkRequests(func(int) string { return "" }))
 }
 
 var groupNames = func() (names []string) {
@@ -70,62 +75,63 @@
 }()
 
 func BenchmarkRequestOfFewGroups(b *testing.B) {
-	sizes(b, groups(), 500, requests(func(i int) string { return groupNames[i%500] }))
+	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(func(i int) string { return groupNames[i%500] }))
 }
 
 func BenchmarkRequestOfManyGroups(b *testing.B) {
-	sizes(b, groups(), 500, requests(func(i int) string { return groupNames[i%len(groupNames)] }))
+	benchmarkSizes(b, affinitySettings(), 500, benchmarkRequests(
+		func(i int) string { return groupNames[i%len(groupNames)] }))
 }
 
-func ticks(b *testing.B, bal *Balancer, n int) {
+func benchmarkTicks(b *testing.B, balancer *Balancer, n int) {
 	var out []Action
 	now := 101 * time.Second
 	for b.Loop() {
-		now += tick
-		out = bal.Handle(now, TimerFired{Token: timerTick}, out[:0])
+		now += tickInterval
+		out = balancer.Handle(now, TimerFired{Token: tickToken}, out[:0])
 	}
 }
 
-func BenchmarkTickAtRest(b *testing.B) { sizes(b, settings(), 0, ticks) }
+func BenchmarkTickAtRest(b *testing.B) { benchmarkSizes(b, settings(), 0, benchmarkTicks) }
 
-func BenchmarkTickWithConnections(b *testing.B) { sizes(b, settings(), 500, ticks) }
+func BenchmarkTickWithConnections(b *testing.B) { benchmarkSizes(b, settings(), 500, benchmarkTicks) }
 
 func BenchmarkOneChange(b *testing.B) {
-	sizes(b, groups(), 500, func(b *testing.B, bal *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, affinitySettings(), 500, func(b *testing.B, balancer *Balancer, n int) {
+		list := serverList(n)
 		var out []Action
 		now, i := 101*time.Second, 0
 		for b.Loop() {
 			now += time.Second
 			i++
 			s := list[i/2*7919%n]
-			s.State = State(i % 2) // drains, and is back
-			out = bal.Handle(now, ListReceived{Kind: ListDelta, Servers: []Server{s}}, out[:0])
+			s.State = State(i % 2) // draining and ready in turn
+			out = balancer.Handle(now, ListReceived{Kind: ListDelta, Servers: []Server{s}}, out[:0])
 		}
 	})
 }
 
 func BenchmarkWholeListUnchanged(b *testing.B) {
-	sizes(b, settings(), 500, func(b *testing.B, bal *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, settings(), 500, func(b *testing.B, balancer *Balancer, n int) {
+		list := serverList(n)
 		var out []Action
 		now := 101 * time.Second
 		for b.Loop() {
 			now += time.Second
-			out = bal.Handle(now, ListReceived{Kind: ListSnapshot, Servers: list}, out[:0])
+			out = balancer.Handle(now, ListReceived{Kind: ListSnapshot, Servers: list}, out[:0])
 		}
 	})
 }
 
 func BenchmarkFirstList(b *testing.B) {
-	sizes(b, settings(), 0, func(b *testing.B, _ *Balancer, n int) {
-		list := rooms(n)
+	benchmarkSizes(b, settings(), 0, func(b *testing.B, _ *Balancer, n int) {
+		list := serverList(n)
 		for b.Loop() {
-			bal, err := New(settings())
+			balancer, err := New(settings())
 			if err != nil {
 				b.Fatal(err)
 			}
-			bal.Handle(100*time.Second, ListReceived{Kind: ListSnapshot, Servers: list}, nil)
+			balancer.Handle(100*time.Second, ListReceived{Kind: ListSnapshot, Servers: list}, nil)
 		}
 	})
 }
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -5,37 +5,50 @@
 	"time"
 )
 
-// A size that is told makes the same margins, askings and polls as the same number in the settings.
-func TestFleetSizeIsTakenOver(t *testing.T) {
+// fleetSizeEffect is what depends on the fleet size.
+type fleetSizeEffect struct {
+	thresholds    loadThresholds
+	probeInterval time.Duration
+	pollInterval  time.Duration
+	zoneBalancers float64
+}
+
+func fleetSizeEffects(b *Balancer) fleetSizeEffect {
+	return fleetSizeEffect{b.thresholds, b.onDemandProbeInterval(), b.pollInterval(), b.zoneBalancers()}
+}
+
+// A fleet size from the membership has the same effect as the same number in the settings.
+func TestSetFleetSize(t *testing.T) {
 	few, many := settings(), settings()
 	few.Balancers, many.Balancers = 4, 300
-	told, named := newWorld(t, few), newWorld(t, many)
-	told.send(FleetSize{Fleet: 300, Zone: 150, Admitted: true})
-	if told.b.roomy != named.b.roomy || told.b.full != named.b.full || told.b.askAfter() != named.b.askAfter() ||
-		told.b.period() != named.b.period() || told.b.peers() != named.b.peers() {
-		t.Errorf("told %v, %v, %v, %v, %v; named %v, %v, %v, %v, %v", told.b.roomy, told.b.full, told.b.askAfter(), told.b.period(), told.b.peers(),
-			named.b.roomy, named.b.full, named.b.askAfter(), named.b.period(), named.b.peers())
+	counted, configured := newHarness(t, few), newHarness(t, many)
+	counted.send(FleetSize{Fleet: 300, Zone: 150, Admitted: true})
+	got, want := fleetSizeEffects(counted.b), fleetSizeEffects(configured.b)
+	if got != want {
+		t.Errorf("by the membership %+v; by the settings %+v", got, want)
 	}
-	for _, spoilt := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1}, {Fleet: MaxBalancers + 1, Zone: 1}} {
-		told.send(spoilt)
-		if told.b.peers() != 150 || !told.b.fleet.Admitted {
-			t.Errorf("%+v is taken", spoilt)
+	for _, invalid := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1},
+		{Fleet: MaxBalancers + 1, Zone: 1}} {
+		counted.send(invalid)
+		if counted.b.zoneBalancers() != 150 || !counted.b.fleet.Admitted {
+			t.Errorf("%+v is accepted", invalid)
 		}
 	}
-	told.send(ConfiguredFleetSize(few))
-	if told.b.peers() != newWorld(t, few).b.peers() {
-		t.Errorf("%v peers without a view", told.b.peers())
+	counted.send(ConfiguredFleetSize(few))
+	if counted.b.zoneBalancers() != newHarness(t, few).b.zoneBalancers() {
+		t.Errorf("%v balancers in the zone, as configured", counted.b.zoneBalancers())
 	}
 }
 
-// Balancers that the others do not count yet send a cold server nothing, where they would send it some requests else.
-func TestNotAdmittedSendNothingToColdServers(t *testing.T) {
-	c := coldCase{modules: 30, counted: true, barred: true, rooms: 10, cold: 1, groups: 20, holds: 60, life: 30 * time.Second, load: 0.5, burst: 2}
-	if r := c.play(t, coldSettings()); r.all > 0 {
-		t.Errorf("%d requests at a cold server", r.all)
+// Balancers that are not admitted send a warming server nothing, where admitted ones send it some requests.
+func TestNotAdmittedBalancersSkipWarmingServers(t *testing.T) {
+	c := slowStartCase{balancers: 30, membershipCounts: true, notAdmitted: true, warmServers: 10, warmingServers: 1,
+		groups: 20, serverCapacity: 60, meanLifetime: 30 * time.Second, load: 0.5, demandFactor: 2}
+	if r := c.play(t, slowStartSettings()); r.all > 0 {
+		t.Errorf("%d requests at a warming server", r.all)
 	}
-	c.barred = false
-	if r := c.play(t, coldSettings()); r.all == 0 {
-		t.Error("admitted ones send a cold server nothing")
+	c.notAdmitted = false
+	if r := c.play(t, slowStartSettings()); r.all == 0 {
+		t.Error("admitted balancers send a warming server nothing")
 	}
 }
--- /dev/null
+++ b/decide/migration_test.go
@@ -0,0 +1,174 @@
+package decide
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// Placements that a report may not show yet are reserved, but cause no migration.
+func TestReservationsCauseNoMigration(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 0))
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.3, Connections: 4}})
+	for i := range 6 {
+		h.establish(name("r", i), idempotentClass)
+	}
+	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
+	if s := h.b.servers[1]; s.load < migrationLoad {
+		t.Fatalf("load %.2f, want it reserved above the limit", s.load)
+	}
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n > 0 {
+		t.Errorf("%d migrated off a server that reports 0.7", n)
+	}
+}
+
+// An overloaded server serves all of its connections badly; every balancer migrates the same fraction of its own.
+func TestMigrationMovesExcess(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
+	for i := range 200 {
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 1})
+	}
+	h.reportLoad(1, migrationLoad)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d migrated at the limit", n)
+	}
+	h.reportLoad(1, 1.4)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 60 || n > 140 {
+		t.Fatalf("%d of 200 migrated at load 1.4, want about half", n)
+	}
+	h.reportLoad(1, 1.4) // a report that cannot show the migrations yet
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
+		t.Fatalf("%d migrated again before the report settled", n)
+	}
+}
+
+func TestSlowMessagesCauseProbeAndEarlierMigration(t *testing.T) {
+	set := settings()
+	set.ProbingAllowed = true
+	h := newHarness(t, set)
+	h.replaceList(servers(4, 0))
+	for i := range 100 {
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("o", i))}, Server: 2})
+	}
+	h.tick(time.Second)
+	actions := h.send(MessageDelayReported{ID: "o0", Server: 2, Delay: 200 * time.Millisecond})
+	if p := actionsOf[Probe](actions); len(p) != 1 || p[0].Server != 2 {
+		t.Fatalf("want a probe of server 2, got %v", actions)
+	}
+	h.reportLoad(2, 0.9)
+	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 8 || n > 45 {
+		t.Fatalf("%d of 100 migrated at load 0.9 with slow messages", n)
+	}
+	h.reportLoad(1, 0.6) // more than the next report of server 2
+	h.reportLoad(2, 0.1)
+	if s := h.establish("r", idempotentClass); s == 2 {
+		t.Fatal("placed where messages are slow")
+	}
+}
+
+// Migrating the groups with few connections frees the server soonest of their cost.
+func TestMigrationMovesSmallGroupsFirst(t *testing.T) {
+	set := affinitySettings()
+	set.Balancers = 1
+	h := newHarness(t, set)
+	h.replaceList(servers(4, 0))
+	for i := range 12 {
+		group := "large"
+		if i%6 == 0 {
+			group = "small"
+		}
+		h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name(group, i)), Group: group}, Server: 1})
+	}
+	h.reportLoad(1, 1.05)
+	migrations := actionsOf[Migrate](h.tick(tickInterval))
+	if len(migrations) < 2 || !strings.HasPrefix(string(migrations[0].ID), "small") ||
+		!strings.HasPrefix(string(migrations[1].ID), "small") {
+		t.Errorf("migrated %v, the two of the small group first wanted", migrations)
+	}
+}
+
+// The excess of an overloaded server is migrated in each round, give or take one. Random draws would often migrate
+// none of a few, and all of them would be served badly until the next round.
+func TestMigrationRoundsByChance(t *testing.T) {
+	const connections, want = 8, 2 // migrationTargetLoad leaves 0.75 of them
+	for seed := range uint64(30) {
+		set := settings()
+		set.Seed = seed
+		h := newHarness(t, set)
+		h.replaceList(servers(2, 0))
+		for i := range connections {
+			h.send(ConnectionRestored{Request: RequestArrived{ID: RequestID(name("r", i))}, Server: 1})
+		}
+		h.reportLoad(1, 1)
+		if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != want {
+			t.Errorf("seed %d: %d of %d clients migrated off a server at 1.0, want %d", seed, n, connections, want)
+		}
+	}
+}
+
+// All balancers migrate the same groups off an overloaded server, those that prefer it least. Otherwise every group
+// would lose a few connections, and the server would still pay for each group.
+func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
+	const groupsHeld, each = 6, 2
+	migrated := map[string]int{}
+	for seed := range uint64(20) {
+		set := affinitySettings()
+		set.Seed = seed
+		h := newHarness(t, set)
+		h.replaceList(servers(4, 0))
+		in := map[RequestID]string{}
+		for i := range groupsHeld * each {
+			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
+			in[id] = group
+			h.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
+		}
+		h.reportLoad(1, 1.05)
+		for _, m := range actionsOf[Migrate](h.tick(tickInterval)) {
+			migrated[in[m.ID]]++
+		}
+	}
+	most, all := 0, 0
+	for _, n := range migrated {
+		most, all = max(most, n), all+n
+	}
+	if len(migrated) > 2 || most < 20*each {
+		t.Errorf("20 balancers migrated %d clients of %d of %d groups, one of them %d times", all, len(migrated),
+			groupsHeld, most)
+	}
+}
+
+// A client that was migrated off an overloaded server does not return to it at once, though it is its group's first
+// and looks lighter while the client is away.
+func TestMigratedClientsAvoidTheirServer(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(4, 0))
+	for id := range ServerID(4) {
+		h.reportLoad(id+1, 0.3)
+	}
+	ask := func(id, key string) ServerID {
+		return h.wantAttempt(h.send(RequestArrived{ID: RequestID(id), Key: key, Group: "g",
+			Remaining: 2 * time.Second}))
+	}
+	for i := range 8 {
+		preferred := ask(name("r", i), name("key", i))
+		h.send(Established{ID: RequestID(name("r", i)), Server: preferred})
+		h.reportLoad(preferred, 0.3)
+	}
+	preferred := h.b.requests.byID["r0"].server.ID
+	h.now += migrationSettlePeriod
+	h.reportLoad(preferred, 1.2)
+	migrations := actionsOf[Migrate](h.tick(tickInterval))
+	if len(migrations) == 0 {
+		t.Fatal("nobody was migrated")
+	}
+	for _, m := range migrations {
+		key := h.b.requests.byID[m.ID].Key
+		h.endAttempt(string(m.ID), 0, preferred, Cancelled, true)
+		h.reportLoad(preferred, 0.3)
+		if s := ask("again-"+string(m.ID), key); s == preferred {
+			t.Errorf("%s came back to server %d", key, s)
+		}
+	}
+}
--- /dev/null
+++ b/decide/retry_test.go
@@ -0,0 +1,194 @@
+package decide
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestFailedAttemptsAreRetriedUpToMaxAttempts(t *testing.T) {
+	for _, code := range []Code{ServerError, Rejected, TimedOut, ConnectFailed, Reset} {
+		h := newHarness(t, settings())
+		h.replaceList(servers(8, 0))
+		s := h.wantAttempt(h.request("r", idempotentClass))
+		seen := []ServerID{s}
+		for attempt := range 2 {
+			s = h.wantAttempt(h.endAttempt("r", attempt, s, code, false))
+			if slices.Contains(seen, s) {
+				t.Fatalf("code %d: server %d attempted twice", code, s)
+			}
+			seen = append(seen, s)
+		}
+		actions := h.endAttempt("r", 2, s, code, false)
+		if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 ||
+			len(actionsOf[StartAttempt](actions)) > 0 {
+			t.Fatalf("code %d: attempts ran out, got %v", code, actions)
+		}
+	}
+}
+
+// Every outcome of a first attempt, for each kind of request: it is retried, rejected or failed.
+func TestOutcomesByIdempotency(t *testing.T) {
+	const retried, rejected, failed = "retried", "rejected", "failed"
+	for _, c := range []struct {
+		code                                      Code
+		idempotent, zoneKeyed, unsafe, fleetKeyed string
+	}{
+		{ServerError, retried, retried, failed, retried},
+		{Rejected, retried, retried, retried, retried},
+		{TimedOut, retried, failed, failed, rejected},
+		{ConnectFailed, retried, retried, retried, retried},
+		{Reset, retried, retried, failed, retried},
+		{Cancelled, retried, retried, failed, retried},
+		{NotSent, retried, retried, retried, retried},
+	} {
+		for class, want := range map[int]string{idempotentClass: c.idempotent, zoneKeyedClass: c.zoneKeyed,
+			unsafeClass: c.unsafe, fleetKeyedClass: c.fleetKeyed} {
+			h := newHarness(t, settings())
+			h.replaceList(servers(8, 4))
+			actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", class)), c.code, false)
+			got := "nothing"
+			r, f := countAnswers(actions)
+			switch {
+			case len(actionsOf[StartAttempt](actions)) == 1 && r+f == 0:
+				got = retried
+			case r == 1 && f == 0:
+				got = rejected
+			case f == 1 && r == 0:
+				got = failed
+			}
+			if got != want {
+				t.Errorf("code %d, class %d: %s, want %s (%v)", c.code, class, got, want, actions)
+			}
+		}
+	}
+}
+
+func TestKeyedRetryStaysInScopeAndWindow(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(1, 4)) // no second server in zone a
+	actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", zoneKeyedClass)), ServerError, false)
+	h.wantNoAttempt(actions, "a keyed request left its zone")
+	if r, f := countAnswers(actions); r != 0 || f != 1 {
+		t.Fatalf("want a failure, got %v", actions)
+	}
+
+	h = newHarness(t, settings())
+	h.replaceList(servers(6, 0)) // cells of two: 1 2, 3 4, 5 6
+	s := h.wantAttempt(h.request("c", cellKeyedClass))
+	if n := h.wantAttempt(h.endAttempt("c", 0, s, Reset, false)); (n+1)/2 != (s+1)/2 {
+		t.Fatalf("a request keyed by cell went from %d to %d", s, n)
+	}
+
+	set := settings()
+	set.Classes[fleetKeyedClass].DedupWindow = time.Second
+	h = newHarness(t, set)
+	h.replaceList(servers(6, 0))
+	s = h.wantAttempt(h.request("w", fleetKeyedClass))
+	h.now += 1500 * time.Millisecond
+	h.wantNoAttempt(h.endAttempt("w", 0, s, ServerError, false), "sent again outside the window")
+}
+
+func TestAttemptTimeoutsLeaveTimeForRetries(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(8, 0))
+	actions := h.request("r", idempotentClass)
+	left := 2 * time.Second
+	for attempt := range 3 {
+		p := actionsOf[StartAttempt](actions)[0]
+		if p.Timeout <= 0 || p.Timeout > left/time.Duration(3-attempt) {
+			t.Fatalf("try %d: waits %v of %v", attempt, p.Timeout, left)
+		}
+		h.now += p.Timeout
+		left -= p.Timeout
+		actions = h.endAttempt("r", attempt, p.Server, TimedOut, false)
+	}
+}
+
+// When a slow store delays the set-ups at all servers, attempts wait longer: another server would not be quicker.
+func TestAttemptTimeoutFollowsSetupTime(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(8, 0))
+	for i := range 30 {
+		id := name("r", i)
+		s := h.wantAttempt(h.request(id, idempotentClass))
+		h.send(Established{ID: RequestID(id), Server: s, Elapsed: 500 * time.Millisecond})
+	}
+	if p := actionsOf[StartAttempt](h.request("r", idempotentClass)); len(p) != 1 ||
+		p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
+		t.Fatalf("set-ups take 0.5 s, yet %v", p)
+	}
+}
+
+// Attempts that fail wherever they go must not become a retry storm on what all servers share.
+func TestThrottleLimitsAttemptsWhileMostFail(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(40, 0))
+	sent := 0
+	for i := range 60 {
+		actions := h.request(name("r", i), idempotentClass)
+		for attempt := 0; ; attempt++ {
+			p := actionsOf[StartAttempt](actions)
+			if len(p) == 0 {
+				break
+			}
+			sent++
+			actions = h.endAttempt(name("r", i), attempt, p[0].Server, ServerError, false)
+		}
+	}
+	if sent > 10 {
+		t.Fatalf("%d dials sent while none stood", sent)
+	}
+	h.tick(attemptDecayTime)
+	h.wantAttempt(h.request("later", idempotentClass)) // it is tried again when the failures have faded
+}
+
+// Time-outs halve the window of the attempts that are dialing, for what all servers share.
+func TestTimeoutsHalveDialWindow(t *testing.T) {
+	h := newHarness(t, settings())
+	h.replaceList(servers(60, 0))
+	for i := range 60 {
+		h.establish(name("r", i), idempotentClass)
+	}
+	open := h.b.throttle.window
+	for i := range 6 {
+		id := name("t", i)
+		s := h.wantAttempt(h.request(id, idempotentClass))
+		h.now += 300 * time.Millisecond
+		h.endAttempt(id, 0, s, TimedOut, false)
+		h.send(ClientDisconnected{ID: RequestID(id)})
+	}
+	if h.b.throttle.window > open/16 || h.b.throttle.dialing != 0 {
+		t.Fatalf("window %.1f of %.1f, %d attempts dialing", h.b.throttle.window, open, h.b.throttle.dialing)
+	}
+	out := 0
+	for i := range 20 {
+		out += len(actionsOf[StartAttempt](h.request(name("q", i), idempotentClass)))
+	}
+	if out == 0 || out > int(open/16)+1 {
+		t.Fatalf("%d attempts dialing at once", out)
+	}
+}
+
+// Attempts that never executed cost nothing that all servers share, and must not make a balancer hold back a burst of
+// clients before an idle server. Attempts that may have executed do.
+func TestOnlyPossibleExecutionsThrottle(t *testing.T) {
+	for _, c := range []struct {
+		code      Code
+		throttled bool
+	}{{Rejected, false}, {ConnectFailed, false}, {TimedOut, true}, {Reset, true}} {
+		h := newHarness(t, settings())
+		h.replaceList(servers(6, 0))
+		for i := range 8 {
+			id := name("r", i)
+			for _, p := range actionsOf[StartAttempt](h.request(id, idempotentClass)) {
+				h.endAttempt(id, 0, p.Server, c.code, false)
+			}
+			h.send(ClientDisconnected{ID: RequestID(id)})
+		}
+		h.replaceList([]Server{{ID: 50, Zone: "a"}})
+		if out := len(actionsOf[StartAttempt](h.request("late", idempotentClass))); (out == 0) != c.throttled {
+			t.Errorf("after eight that ended with %v, %d were placed on a server that has just been added", c.code, out)
+		}
+	}
+}
