--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -106,6 +106,7 @@
 	})
 }
 
+// stopConnectTimer stops the connect timer of attempt n, unless that has ended.
 func (c *Call) stopConnectTimer(n int) {
 	if c.isActiveAttempt(n) {
 		c.engine.timers.stop(c.attempt.connectTimer)
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -48,8 +48,8 @@
 	request Request
 	attempt attemptState
 	restore restoreState
-	// retryAfter is what the server that holds the client's session has told the client to wait; 0 if
-	// nothing.
+	// retryAfter replaces the decision module's Retry-After if above 0. It is set if another request holds
+	// the session.
 	retryAfter time.Duration
 	// lastActivity is when the client connection last proved to be alive, or when its call finished.
 	lastActivity time.Duration
@@ -212,8 +212,8 @@
 	}
 }
 
-// admit makes the request known to the decision module's table and reports whether it did. Beyond
-// Config.MaxClients, and at the end of a drain, it rejects the request instead.
+// admit makes the request pending, gives it an ID and reports whether it did. Beyond Config.MaxClients, and
+// at the end of a drain, it rejects the request instead.
 func (c *Call) admit(r Request) bool {
 	e := c.engine
 	if c.phase != phaseAccepted || !c.bindRequest(r) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -91,7 +91,8 @@
 	decide.Server
 	Name    string
 	Address string
-	// Started is when the server's process started; the zero time means long ago.
+	// Started is when the server's process started; the zero time means long ago. It takes the place of
+	// Server.Started, which counts on the host clock.
 	Started time.Time
 }
 
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -44,8 +44,8 @@
 	watchTimer *timer
 	// fetch is the latest request for a snapshot until a snapshot arrives, else nil.
 	fetch *discoveryCall
-	// updatedAt is when the list last changed or was confirmed.
-	updatedAt time.Duration
+	// listUpdated is when the list last changed or was confirmed.
+	listUpdated time.Duration
 }
 
 // discoveryCall is a watch or a request for a snapshot.
@@ -61,8 +61,8 @@
 // missed.
 func (e *Engine) openWatch() {
 	ctx, cancel := context.WithCancel(e.ctx)
-	e.lists.lastWatchID++
-	watch := e.lists.lastWatchID
+	e.discoveryCalls.lastWatchID++
+	watch := e.discoveryCalls.lastWatchID
 	// An earlier watch that is still pending keeps its own timer: nothing else would end it.
 	expiry := e.timers.set(e.now+discoveryTimeout, func() {
 		cancel()
@@ -71,27 +71,28 @@
 			e.discoveryFailed(EndpointUpdate{Kind: decide.ListFailed, WatchID: watch})
 		}
 	})
-	e.lists.pendingWatch = &discoveryCall{watchID: watch, started: e.now, cancel: cancel, timer: expiry}
+	e.discoveryCalls.pendingWatch = &discoveryCall{watchID: watch, started: e.now, cancel: cancel, timer: expiry}
 	e.discovery.Watch(ctx, watch)
 }
 
 // ensureWatch opens a watch, unless one is pending or the engine is reconnecting to discovery, which ends
 // with a watch.
 func (e *Engine) ensureWatch() {
-	if e.lists.pendingWatch == nil && e.reconnect.step == reconnectIdle {
+	if e.discoveryCalls.pendingWatch == nil && e.reconnect.step == reconnectIdle {
 		e.openWatch()
 	}
 }
 
+// isPendingWatch reports whether a watch is the latest one and has not been heard of.
 func (e *Engine) isPendingWatch(watch uint64) bool {
-	return e.lists.pendingWatch != nil && e.lists.pendingWatch.watchID == watch
+	return e.discoveryCalls.pendingWatch != nil && e.discoveryCalls.pendingWatch.watchID == watch
 }
 
 // resolvePendingWatch ends the wait for a pending watch that has shown a heartbeat or has failed.
 func (e *Engine) resolvePendingWatch(watch uint64) {
 	if e.isPendingWatch(watch) {
-		e.timers.stop(e.lists.pendingWatch.timer)
-		e.lists.pendingWatch = nil
+		e.timers.stop(e.discoveryCalls.pendingWatch.timer)
+		e.discoveryCalls.pendingWatch = nil
 	}
 }
 
@@ -106,9 +107,9 @@
 
 // fetchSnapshot requests a snapshot and cancels an earlier request.
 func (e *Engine) fetchSnapshot() {
-	if e.lists.fetch != nil {
-		e.timers.stop(e.lists.fetch.timer)
-		e.lists.fetch.cancel()
+	if e.discoveryCalls.fetch != nil {
+		e.timers.stop(e.discoveryCalls.fetch.timer)
+		e.discoveryCalls.fetch.cancel()
 	}
 	ctx, cancel := context.WithCancel(e.ctx)
 	expiry := e.timers.set(e.now+discoveryTimeout, func() {
@@ -119,7 +120,7 @@
 			e.discoveryFailed(EndpointUpdate{Kind: decide.ListFailed})
 		}
 	})
-	e.lists.fetch = &discoveryCall{started: e.now, cancel: cancel, timer: expiry}
+	e.discoveryCalls.fetch = &discoveryCall{started: e.now, cancel: cancel, timer: expiry}
 	e.discovery.Fetch(ctx)
 }
 
@@ -139,7 +140,7 @@
 	e.post(func() {
 		e.discovery.SetAddress(address)
 		e.stopReconnect() // it concerned the old address
-		e.reconnect.lastStaleWatchID = e.lists.lastWatchID
+		e.reconnect.lastStaleWatchID = e.discoveryCalls.lastWatchID
 		e.openWatch()
 	})
 }
@@ -150,21 +151,21 @@
 	e.post(func() {
 		e.resolvePendingWatch(watch)
 		e.watchConfirmsDiscovery(watch)
-		e.timers.stop(e.lists.watchTimer)
-		e.lists.watchTimer = e.timers.set(e.now+watchTimeout, e.ensureWatch)
+		e.timers.stop(e.discoveryCalls.watchTimer)
+		e.discoveryCalls.watchTimer = e.timers.set(e.now+watchTimeout, e.ensureWatch)
 	})
 }
 
 // discoveryAnswered notes that a list of the given kind has arrived.
 func (e *Engine) discoveryAnswered(kind decide.ListKind) {
-	if e.lists.fetch != nil && kind == decide.ListSnapshot {
-		e.timers.stop(e.lists.fetch.timer)
-		e.lists.fetch = nil
+	if e.discoveryCalls.fetch != nil && kind == decide.ListSnapshot {
+		e.timers.stop(e.discoveryCalls.fetch.timer)
+		e.discoveryCalls.fetch = nil
 	}
 	if !e.cfg.Settings.WatchList && kind != decide.ListRestored {
 		e.stopReconnect() // without a watch no heartbeat would stop it
 	}
-	e.lists.updatedAt = e.now
+	e.discoveryCalls.listUpdated = e.now
 }
 
 // discoveryFailed handles a failed call and starts to reconnect. The decision module is notified too, but the
@@ -172,7 +173,7 @@
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
-	isLatest := update.WatchID == 0 || update.WatchID == e.lists.lastWatchID
+	isLatest := update.WatchID == 0 || update.WatchID == e.discoveryCalls.lastWatchID
 	if e.reconnect.step != reconnectWaiting && isLatest {
 		e.startReconnect(started)
 	}
@@ -184,9 +185,9 @@
 func (e *Engine) callStart(watch uint64) time.Duration {
 	switch {
 	case e.isPendingWatch(watch):
-		return e.lists.pendingWatch.started
-	case e.lists.fetch != nil && watch == 0:
-		return e.lists.fetch.started
+		return e.discoveryCalls.pendingWatch.started
+	case e.discoveryCalls.fetch != nil && watch == 0:
+		return e.discoveryCalls.fetch.started
 	default:
 		return e.now
 	}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -25,6 +25,7 @@
 // Engine runs the decision module of one balancer and owns all state around it. Create one with New, then
 // call Run.
 type Engine struct {
+	// cfg is constant except for MaxClients, which the event loop owns.
 	cfg       Config
 	balancer  *decide.Balancer
 	prober    Prober
@@ -45,15 +46,15 @@
 	// ctx is the context of Run; probes and discovery calls derive theirs from it.
 	ctx context.Context
 	// now is the host clock's reading in the present iteration.
-	now        time.Duration
-	timers     *timerQueue
-	events     eventQueue
-	calls      callTable
-	upstreams  upstreamTable
-	probes     probeTable
-	lists      discoveryCalls
-	reconnect  reconnect
-	statistics statistics
+	now            time.Duration
+	timers         *timerQueue
+	events         eventQueue
+	calls          callTable
+	upstreams      upstreamTable
+	probes         probeTable
+	discoveryCalls discoveryCalls
+	reconnect      reconnect
+	statistics     statistics
 	// drain is the drain in progress, else nil.
 	drain   *drain
 	service ServiceState
@@ -80,20 +81,20 @@
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
 	e := &Engine{
-		cfg:        cfg,
-		balancer:   balancer,
-		epoch:      time.Now(),
-		inbox:      make(chan func(), inboxSize),
-		done:       make(chan struct{}),
-		ready:      make(chan struct{}),
-		now:        clockStart,
-		timers:     newTimerQueue(),
-		calls:      newCallTable(),
-		upstreams:  newUpstreamTable(),
-		probes:     newProbeTable(),
-		lists:      discoveryCalls{updatedAt: clockStart},
-		reconnect:  newReconnect(cfg),
-		statistics: newStatistics(len(cfg.Settings.Classes)),
+		cfg:            cfg,
+		balancer:       balancer,
+		epoch:          time.Now(),
+		inbox:          make(chan func(), inboxSize),
+		done:           make(chan struct{}),
+		ready:          make(chan struct{}),
+		now:            clockStart,
+		timers:         newTimerQueue(),
+		calls:          newCallTable(),
+		upstreams:      newUpstreamTable(),
+		probes:         newProbeTable(),
+		discoveryCalls: discoveryCalls{listUpdated: clockStart},
+		reconnect:      newReconnect(cfg),
+		statistics:     newStatistics(len(cfg.Settings.Classes)),
 	}
 	e.publish()
 	return e, nil
@@ -163,24 +164,24 @@
 }
 
 // await runs a function in the event loop and waits for its end, for at most the given time. It returns
-// errBusy after that, although the function may still run later, and errStopping if the event loop has ended.
+// ErrBusy after that, although the function may still run later, and ErrStopping if the event loop has ended.
 func (e *Engine) await(within time.Duration, do func()) error {
 	finished := make(chan struct{})
 	timeout := time.After(within)
 	select {
 	case e.inbox <- func() { do(); close(finished) }:
 	case <-e.done:
-		return errStopping
+		return ErrStopping
 	case <-timeout:
-		return errBusy
+		return ErrBusy
 	}
 	select {
 	case <-finished:
 		return nil
 	case <-e.done:
-		return errStopping
+		return ErrStopping
 	case <-timeout:
-		return errBusy
+		return ErrBusy
 	}
 }
 
--- a/internal/core/lameduck.go
+++ b/internal/core/lameduck.go
@@ -13,8 +13,10 @@
 )
 
 // EnterLameDuck sends all clients to other balancers while the process stays up: new clients are served at
-// first, and rejected once all are migrated. It changes nothing if a drain is in progress. It waits for the
-// event loop, for at most the given time, and returns an error if that did not run it.
+// first, and rejected once all are migrated. It changes nothing if a drain is in progress.
+//
+// It waits until the event loop has run it, for at most the given time, and returns ErrBusy after that. It
+// returns ErrStopping if the event loop has ended.
 func (e *Engine) EnterLameDuck(within time.Duration) error {
 	return e.await(within, func() {
 		if e.drain != nil {
@@ -27,15 +29,15 @@
 	})
 }
 
-// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay. It waits for the event loop,
-// for at most the given time, and returns an error if that did not run it or if the process is stopping.
+// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay. It returns ErrStopping in a
+// planned stop, which is final, else errors like EnterLameDuck.
 func (e *Engine) LeaveLameDuck(within time.Duration) error {
 	var refused error
 	err := e.await(within, func() {
 		switch {
 		case e.drain == nil:
 		case e.drain.final:
-			refused = errStopping
+			refused = ErrStopping
 		default:
 			e.cancelDrain()
 			e.setServiceState(Serving)
--- a/internal/core/lameduck_test.go
+++ b/internal/core/lameduck_test.go
@@ -43,7 +43,7 @@
 	if err := engine.EnterLameDuck(timeout); err != nil || engine.ServiceState() != Stopping {
 		t.Errorf("EnterLameDuck in a planned stop: %v, %v", engine.ServiceState(), err)
 	}
-	if err := engine.LeaveLameDuck(timeout); !errors.Is(err, errStopping) || engine.ServiceState() != Stopping {
+	if err := engine.LeaveLameDuck(timeout); !errors.Is(err, ErrStopping) || engine.ServiceState() != Stopping {
 		t.Errorf("LeaveLameDuck in a planned stop: %v, %v", engine.ServiceState(), err)
 	}
 }
--- a/internal/core/literals_test.go
+++ b/internal/core/literals_test.go
@@ -15,8 +15,8 @@
 		Serving.String():           "serving",
 		LameDuck.String():          "lame duck",
 		Stopping.String():          "stopping",
-		errStopping.Error():        "stopping",
-		errBusy.Error():            "busy",
+		ErrStopping.Error():        "stopping",
+		ErrBusy.Error():            "busy",
 		string(ReasonStateTimeout): "late",
 	} {
 		if got != want {
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -33,6 +33,7 @@
 	})
 }
 
+// tryRestore starts an attempt at the server, or schedules one if the server accepts none now.
 func (c *Call) tryRestore() {
 	if c.phase != phasePending {
 		return
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -7,10 +7,10 @@
 
 // The management protocol sends the texts of these errors to its clients.
 var (
-	// errBusy means that the event loop did not run a function in time.
-	errBusy = errors.New("busy")
-	// errStopping means that the process is stopping.
-	errStopping = errors.New("stopping")
+	// ErrBusy means that the event loop did not run a function in time.
+	ErrBusy = errors.New("busy")
+	// ErrStopping means that the process is stopping.
+	ErrStopping = errors.New("stopping")
 )
 
 // ServiceState says whether this process serves clients.
--- a/internal/core/service_test.go
+++ b/internal/core/service_test.go
@@ -57,13 +57,13 @@
 	if s := engine.CurrentSnapshot(50 * time.Millisecond); s.Listed != 1 {
 		t.Errorf("%+v", s)
 	}
-	if err := engine.EnterLameDuck(50 * time.Millisecond); !errors.Is(err, errBusy) {
-		t.Errorf("a function that was not run: %v, want %v", err, errBusy)
+	if err := engine.EnterLameDuck(50 * time.Millisecond); !errors.Is(err, ErrBusy) {
+		t.Errorf("a function that was not run: %v, want %v", err, ErrBusy)
 	}
 	for len(engine.inbox) < cap(engine.inbox) {
 		engine.post(func() {})
 	}
-	if err := engine.LeaveLameDuck(50 * time.Millisecond); !errors.Is(err, errBusy) {
-		t.Errorf("a function that did not fit into the inbox: %v, want %v", err, errBusy)
+	if err := engine.LeaveLameDuck(50 * time.Millisecond); !errors.Is(err, ErrBusy) {
+		t.Errorf("a function that did not fit into the inbox: %v, want %v", err, ErrBusy)
 	}
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -75,7 +75,7 @@
 		SessionsEnabled: e.cfg.StateTimeout > 0,
 		At:              e.wallTime(e.now),
 		Started:         e.epoch,
-		ListUpdated:     e.wallTime(e.lists.updatedAt),
+		ListUpdated:     e.wallTime(e.discoveryCalls.listUpdated),
 		Clients:         len(e.calls.open),
 		Waiting:         e.calls.pending,
 		Established:     e.calls.established,
