--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -24,20 +25,22 @@
 
 func TestRequestIsAnsweredAtItsDeadline(t *testing.T) {
 	for _, list := range [][]Server{nil, servers(3, 0)} {
-		h := newHarness(t, settings())
-		h.replaceList(list)
-		actions := h.request("r", idempotentClass)
-		timers := actionsOf[SetTimer](actions)
-		if len(timers) != 1 || timers[0].Delay != 2*time.Second {
-			t.Fatalf("want a timer at the deadline, got %v", actions)
-		}
-		h.now += timers[0].Delay
-		if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
-			t.Fatalf("%d servers: no answer at the deadline", len(list))
-		}
-		if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 0 {
-			t.Fatal("answered twice")
-		}
+		t.Run(fmt.Sprintf("%d servers", len(list)), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(list)
+			actions := h.request("r", idempotentClass)
+			timers := actionsOf[SetTimer](actions)
+			if len(timers) != 1 || timers[0].Delay != 2*time.Second {
+				t.Fatalf("want a timer at the deadline, got %v", actions)
+			}
+			h.now += timers[0].Delay
+			if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
+				t.Fatalf("%d servers: no answer at the deadline", len(list))
+			}
+			if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 0 {
+				t.Fatal("answered twice")
+			}
+		})
 	}
 }
 
@@ -55,15 +58,17 @@
 // A retry-after, within what clients honour, keeps rejected clients from returning at once or together.
 func TestRejectCarriesRetryAfter(t *testing.T) {
 	for _, most := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
-		set := settings()
-		set.MaxAttempts, set.MaxRetryAfter = 1, most
-		h := newHarness(t, set)
-		h.replaceList(servers(1, 0))
-		h.wantAttempt(h.request("r", idempotentClass))
-		rejected := actionsOf[Reject](h.endAttempt("r", 0, 1, Rejected, false))
-		if len(rejected) != 1 || rejected[0].RetryAfter > most || (rejected[0].RetryAfter == 0) != (most == 0) {
-			t.Errorf("at most %v: %+v", most, rejected)
-		}
+		t.Run(fmt.Sprintf("at most %v", most), func(t *testing.T) {
+			set := settings()
+			set.MaxAttempts, set.MaxRetryAfter = 1, most
+			h := newHarness(t, set)
+			h.replaceList(servers(1, 0))
+			h.wantAttempt(h.request("r", idempotentClass))
+			rejected := actionsOf[Reject](h.endAttempt("r", 0, 1, Rejected, false))
+			if len(rejected) != 1 || rejected[0].RetryAfter > most || (rejected[0].RetryAfter == 0) != (most == 0) {
+				t.Errorf("at most %v: %+v", most, rejected)
+			}
+		})
 	}
 }
 
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"reflect"
 	"testing"
 	"time"
@@ -14,9 +15,11 @@
 		LoadChanged{ID: "x", Load: 1}, MessageDelayReported{ID: "x", Server: 1, Delay: time.Second},
 		ProbeCompleted{Server: 99, Code: OK, Report: LoadReport{Load: 1}}, TimerFired{Token: 12345},
 	} {
-		if actions := h.send(ev); len(actions) != 0 {
-			t.Errorf("%T: actions %v", ev, actions)
-		}
+		t.Run(fmt.Sprintf("%T", ev), func(t *testing.T) {
+			if actions := h.send(ev); len(actions) != 0 {
+				t.Errorf("%T: actions %v", ev, actions)
+			}
+		})
 	}
 }
 
--- a/decide/fleetsize_test.go
+++ b/decide/fleetsize_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -29,10 +30,12 @@
 	}
 	for _, invalid := range []FleetSize{{}, {Fleet: 5}, {Zone: 5}, {Fleet: -1, Zone: 1},
 		{Fleet: MaxBalancers + 1, Zone: 1}} {
-		counted.send(invalid)
-		if counted.b.zoneBalancers() != 150 || !counted.b.fleet.Admitted {
-			t.Errorf("%+v is accepted", invalid)
-		}
+		t.Run(fmt.Sprintf("%+v", invalid), func(t *testing.T) {
+			counted.send(invalid)
+			if counted.b.zoneBalancers() != 150 || !counted.b.fleet.Admitted {
+				t.Errorf("%+v is accepted", invalid)
+			}
+		})
 	}
 	counted.send(ConfiguredFleetSize(few))
 	if counted.b.zoneBalancers() != newHarness(t, few).b.zoneBalancers() {
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -86,15 +87,17 @@
 
 func TestNoPlacementOnDrainingOrRemovedServer(t *testing.T) {
 	for _, state := range []State{Draining, Removed} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(2, 0))
-		h.reportLoad(1, 0.1)
-		h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
-		for i := range 4 {
-			if s := h.establish(name("r", i), idempotentClass); s == 1 {
-				t.Fatalf("state %d: server 1 still used", state)
+		t.Run(fmt.Sprintf("state %d", state), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(2, 0))
+			h.reportLoad(1, 0.1)
+			h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
+			for i := range 4 {
+				if s := h.establish(name("r", i), idempotentClass); s == 1 {
+					t.Fatalf("state %d: server 1 still used", state)
+				}
 			}
-		}
+		})
 	}
 	h := newHarness(t, settings())
 	h.replaceList(servers(2, 0))
@@ -111,16 +114,18 @@
 		after time.Duration
 		want  bool
 	}{{100 * time.Millisecond, true}, {600 * time.Millisecond, false}} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(4, 0))
-		s := h.establish("r", idempotentClass)
-		h.endAttempt("r", 0, s, Cancelled, true) // its packets come to another balancer
-		h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
-		h.now += c.after
-		got := h.wantAttempt(h.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
-		if (got == s) != c.want {
-			t.Fatalf("%v after the drain: placed on %d, its server is %d", c.after, got, s)
-		}
+		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(4, 0))
+			s := h.establish("r", idempotentClass)
+			h.endAttempt("r", 0, s, Cancelled, true) // its packets come to another balancer
+			h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
+			h.now += c.after
+			got := h.wantAttempt(h.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
+			if (got == s) != c.want {
+				t.Fatalf("%v after the drain: placed on %d, its server is %d", c.after, got, s)
+			}
+		})
 	}
 }
 
@@ -168,15 +173,17 @@
 		cost, remote float64
 		want         ServerID
 	}{{0.16, 0.6, 1}, {0.16, 0.5, 101}, {0.32, 0.5, 1}, {0.32, 0.3, 101}, {0.08, 0.66, 1}, {0.08, 0.6, 101}} {
-		set := settings()
-		set.Costs.CrossZone = c.cost
-		h := newHarness(t, set)
-		h.replaceList(servers(1, 1))
-		h.reportLoad(1, 0.75)
-		h.reportLoad(101, c.remote)
-		if s := h.wantAttempt(h.request("r", idempotentClass)); s != c.want {
-			t.Fatalf("cost %.2f, own zone at 0.75, the other at %.2f: placed on %d", c.cost, c.remote, s)
-		}
+		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
+			set := settings()
+			set.Costs.CrossZone = c.cost
+			h := newHarness(t, set)
+			h.replaceList(servers(1, 1))
+			h.reportLoad(1, 0.75)
+			h.reportLoad(101, c.remote)
+			if s := h.wantAttempt(h.request("r", idempotentClass)); s != c.want {
+				t.Fatalf("cost %.2f, own zone at 0.75, the other at %.2f: placed on %d", c.cost, c.remote, s)
+			}
+		})
 	}
 }
 
@@ -199,17 +206,19 @@
 		load      float64
 		first     bool // the first preferred server is chosen
 	}{{2, 0.65, true}, {300, 0.65, false}, {300, 0.55, true}} {
-		set := affinitySettings()
-		set.Balancers = c.balancers
-		h := newHarness(t, set)
-		h.replaceList(servers(4, 0))
-		preferred := h.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, h.b.localZone)
-		for i, s := range preferred {
-			h.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
-		}
-		if got := h.wantAttempt(h.requestInGroup("r", "g")); (got == preferred[0].ID) != c.first {
-			t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load,
-				got, preferred[0].ID, preferred[1].ID)
-		}
+		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
+			set := affinitySettings()
+			set.Balancers = c.balancers
+			h := newHarness(t, set)
+			h.replaceList(servers(4, 0))
+			preferred := h.b.preferredInZone(&request{RequestArrived: RequestArrived{Group: "g"}}, h.b.localZone)
+			for i, s := range preferred {
+				h.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
+			}
+			if got := h.wantAttempt(h.requestInGroup("r", "g")); (got == preferred[0].ID) != c.first {
+				t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load,
+					got, preferred[0].ID, preferred[1].ID)
+			}
+		})
 	}
 }
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -126,21 +127,25 @@
 // free.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	for _, load := range []float64{-3, 101, 1e300, math.Inf(1), math.NaN()} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(2, 0))
-		h.reportLoad(1, 0.5)
-		s := h.b.servers[1]
-		h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
-		if s.load != 0.5 || s.reportedLoad != 0.5 || s.loadPerConnection != 0 {
-			t.Errorf("a load of %v is accepted: %+v", load, s)
-		}
+		t.Run(fmt.Sprintf("load %v", load), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(2, 0))
+			h.reportLoad(1, 0.5)
+			s := h.b.servers[1]
+			h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
+			if s.load != 0.5 || s.reportedLoad != 0.5 || s.loadPerConnection != 0 {
+				t.Errorf("a load of %v is accepted: %+v", load, s)
+			}
+		})
 	}
 	for _, connections := range []float64{-7, 1e9, math.Inf(1), math.NaN()} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(2, 0))
-		h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: connections}})
-		if s := h.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
-			t.Errorf("%v connections are accepted: %+v", connections, s)
-		}
+		t.Run(fmt.Sprintf("connections %v", connections), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(2, 0))
+			h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: connections}})
+			if s := h.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
+				t.Errorf("%v connections are accepted: %+v", connections, s)
+			}
+		})
 	}
 }
--- a/decide/reservation_test.go
+++ b/decide/reservation_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -12,16 +13,18 @@
 		after time.Duration
 		want  ServerID
 	}{{maxReportLag / 2, 2}, {2 * maxReportLag, 1}} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(2, 0))
-		h.reportLoad(1, 0.30)
-		h.establish("r0", idempotentClass)
-		h.now += c.after
-		h.reportLoad(1, 0.30)
-		h.reportLoad(2, 0.301)
-		if s := h.establish("r1", idempotentClass); s != c.want {
-			t.Fatalf("%v after the placement: placed on %d", c.after, s)
-		}
+		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(2, 0))
+			h.reportLoad(1, 0.30)
+			h.establish("r0", idempotentClass)
+			h.now += c.after
+			h.reportLoad(1, 0.30)
+			h.reportLoad(2, 0.301)
+			if s := h.establish("r1", idempotentClass); s != c.want {
+				t.Fatalf("%v after the placement: placed on %d", c.after, s)
+			}
+		})
 	}
 }
 
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -8,22 +9,24 @@
 
 func TestFailedAttemptsAreRetriedUpToMaxAttempts(t *testing.T) {
 	for _, code := range []Code{ServerError, Rejected, TimedOut, ConnectFailed, Reset} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(8, 0))
-		s := h.wantAttempt(h.request("r", idempotentClass))
-		seen := []ServerID{s}
-		for attempt := range 2 {
-			s = h.wantAttempt(h.endAttempt("r", attempt, s, code, false))
-			if slices.Contains(seen, s) {
-				t.Fatalf("code %d: server %d attempted twice", code, s)
+		t.Run(fmt.Sprintf("code %d", code), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(8, 0))
+			s := h.wantAttempt(h.request("r", idempotentClass))
+			seen := []ServerID{s}
+			for attempt := range 2 {
+				s = h.wantAttempt(h.endAttempt("r", attempt, s, code, false))
+				if slices.Contains(seen, s) {
+					t.Fatalf("code %d: server %d attempted twice", code, s)
+				}
+				seen = append(seen, s)
 			}
-			seen = append(seen, s)
-		}
-		actions := h.endAttempt("r", 2, s, code, false)
-		if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 ||
-			len(actionsOf[StartAttempt](actions)) > 0 {
-			t.Fatalf("code %d: attempts ran out, got %v", code, actions)
-		}
+			actions := h.endAttempt("r", 2, s, code, false)
+			if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 ||
+				len(actionsOf[StartAttempt](actions)) > 0 {
+				t.Fatalf("code %d: attempts ran out, got %v", code, actions)
+			}
+		})
 	}
 }
 
@@ -42,25 +45,27 @@
 		{Cancelled, retried, retried, failed, retried},
 		{NotSent, retried, retried, retried, retried},
 	} {
-		for class, want := range map[int]string{idempotentClass: c.idempotent, zoneKeyedClass: c.zoneKeyed,
-			unsafeClass: c.unsafe, fleetKeyedClass: c.fleetKeyed} {
-			h := newHarness(t, settings())
-			h.replaceList(servers(8, 4))
-			actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", class)), c.code, false)
-			got := "nothing"
-			r, f := countAnswers(actions)
-			switch {
-			case len(actionsOf[StartAttempt](actions)) == 1 && r+f == 0:
-				got = retried
-			case r == 1 && f == 0:
-				got = rejected
-			case f == 1 && r == 0:
-				got = failed
-			}
-			if got != want {
-				t.Errorf("code %d, class %d: %s, want %s (%v)", c.code, class, got, want, actions)
+		t.Run(fmt.Sprintf("code %d", c.code), func(t *testing.T) {
+			for class, want := range map[int]string{idempotentClass: c.idempotent, zoneKeyedClass: c.zoneKeyed,
+				unsafeClass: c.unsafe, fleetKeyedClass: c.fleetKeyed} {
+				h := newHarness(t, settings())
+				h.replaceList(servers(8, 4))
+				actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", class)), c.code, false)
+				got := "nothing"
+				r, f := countAnswers(actions)
+				switch {
+				case len(actionsOf[StartAttempt](actions)) == 1 && r+f == 0:
+					got = retried
+				case r == 1 && f == 0:
+					got = rejected
+				case f == 1 && r == 0:
+					got = failed
+				}
+				if got != want {
+					t.Errorf("code %d, class %d: %s, want %s (%v)", c.code, class, got, want, actions)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -177,18 +182,21 @@
 		code      Code
 		throttled bool
 	}{{Rejected, false}, {ConnectFailed, false}, {TimedOut, true}, {Reset, true}} {
-		h := newHarness(t, settings())
-		h.replaceList(servers(6, 0))
-		for i := range 8 {
-			id := name("r", i)
-			for _, p := range actionsOf[StartAttempt](h.request(id, idempotentClass)) {
-				h.endAttempt(id, 0, p.Server, c.code, false)
+		t.Run(fmt.Sprintf("code %d", c.code), func(t *testing.T) {
+			h := newHarness(t, settings())
+			h.replaceList(servers(6, 0))
+			for i := range 8 {
+				id := name("r", i)
+				for _, p := range actionsOf[StartAttempt](h.request(id, idempotentClass)) {
+					h.endAttempt(id, 0, p.Server, c.code, false)
+				}
+				h.send(ClientDisconnected{ID: RequestID(id)})
 			}
-			h.send(ClientDisconnected{ID: RequestID(id)})
-		}
-		h.replaceList([]Server{{ID: 50, Zone: "a"}})
-		if out := len(actionsOf[StartAttempt](h.request("late", idempotentClass))); (out == 0) != c.throttled {
-			t.Errorf("after eight that ended with %v, %d were placed on a server that has just been added", c.code, out)
-		}
+			h.replaceList([]Server{{ID: 50, Zone: "a"}})
+			if out := len(actionsOf[StartAttempt](h.request("late", idempotentClass))); (out == 0) != c.throttled {
+				t.Errorf("after eight that ended with %v, %d were placed on a server that has just been added",
+					c.code, out)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/decide/slowstart_result_test.go
@@ -0,0 +1,97 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+// slowStartResult is what happened to the warming servers.
+type slowStartResult struct {
+	servers   int
+	overloads int     // servers that became overloaded
+	broken    int     // servers that balancers overloaded which had observed the start
+	most      float64 // largest window, as a fraction of what is allowed
+	use       float64 // mean used fraction of the budgets
+	least     int     // requests at the server that got fewest
+	all       int     // requests at all servers
+	rejected  int
+}
+
+func (r slowStartResult) String() string {
+	return fmt.Sprintf("%d overloads (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, "+
+		"least %d requests, all %d, %d rejected",
+		r.overloads, r.broken, r.servers, r.most, r.use, r.least, r.all, r.rejected)
+}
+
+// result evaluates what the watched servers got since they started.
+func (f *slowStartSimulation) result(started time.Duration, rejected int) slowStartResult {
+	result := slowStartResult{least: math.MaxInt, rejected: rejected}
+	for _, id := range sortedIDs(f.servers) {
+		s := f.servers[id]
+		if !s.watched {
+			continue
+		}
+		result.servers++
+		result.all += len(s.attempts)
+		result.least = min(result.least, len(s.attempts))
+		result.use += float64(len(s.attempts)) / f.budget(s, started)
+		most, overloaded, atFault := f.worstWindow(s)
+		result.most = max(result.most, most)
+		if overloaded {
+			result.overloads++
+		}
+		if atFault {
+			result.broken++
+		}
+	}
+	result.use /= float64(result.servers)
+	return result
+}
+
+// budget is the number of connections that overload a server, over its whole warm-up.
+func (f *slowStartSimulation) budget(s *simulatedServer, started time.Duration) (budget float64) {
+	safety := f.settings.Safety
+	for at := started; at < started+safety.SlowStartDuration; at += 100 * time.Millisecond {
+		perSecond := safety.OverloadFactor * f.serverCapacity / f.meanLifetime.Seconds()
+		budget += perSecond * f.capacityFraction(s, at) * 0.1
+	}
+	return budget
+}
+
+// worstWindow returns the largest window at a warming server as a fraction of N + 2 sqrt(N) + 2, with N at the
+// window's start; whether the server became overloaded; and whether over two thirds of the first window that
+// overloaded it came from balancers that had observed the start.
+func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, overloaded, atFault bool) {
+	safety := f.settings.Safety
+	for i, first := range s.attempts {
+		perSecond := safety.OverloadFactor * s.capacity / f.meanLifetime.Seconds()
+		n := perSecond * f.capacityFraction(s, first.at) * safety.OverloadWindow.Seconds()
+		all, observed := 0.0, 0.0
+		for _, attempt := range s.attempts[i:] {
+			if attempt.at >= first.at+safety.OverloadWindow {
+				break
+			}
+			all++
+			if attempt.observedStart {
+				observed++
+			}
+		}
+		fraction := all / (n + 2*math.Sqrt(n) + 2)
+		most = max(most, fraction)
+		if fraction > 1 && !overloaded {
+			overloaded, atFault = true, observed > all*2/3
+		}
+	}
+	return most, overloaded, atFault
+}
+
+// sortedIDs returns the keys in ascending order.
+func sortedIDs(servers map[ServerID]*simulatedServer) (ids []ServerID) {
+	for id := range servers {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
