--- a/decide/answers.go
+++ b/decide/answers.go
@@ -21,12 +21,13 @@
 	otherZones []*server // of the remote list
 }
 
-// addAnswer puts a server last in a pool; the oldest report beyond maxAnswers falls out.
+// addAnswer puts a server last in a pool; the oldest report beyond maxAnswers is dropped.
 func addAnswer(pool []*server, s *server) []*server {
 	pool = append(removeValue(pool, s), s)
 	return pool[max(0, len(pool)-maxAnswers):]
 }
 
+// remove drops a server's report from both pools.
 func (a *answerPools) remove(s *server) {
 	a.ownZone, a.otherZones = removeValue(a.ownZone, s), removeValue(a.otherZones, s)
 }
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -31,7 +31,7 @@
 	minCapacityLoad = 0.5
 )
 
-// decayingCounter counts events; each is forgotten over demandDecayTime.
+// decayingCounter counts events; the count decays exponentially with the time constant demandDecayTime.
 type decayingCounter struct {
 	count     float64
 	updatedAt time.Duration // of the latest event
@@ -97,9 +97,9 @@
 
 // update adds one tick. It counts all requests, as nearly all of them have an established connection.
 func (l *lifetimeEstimate) update(requests int) {
-	keep := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
-	l.connectionSeconds = l.connectionSeconds*keep + float64(requests)*tickInterval.Seconds()
-	l.ended *= keep
+	decay := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
+	l.connectionSeconds = l.connectionSeconds*decay + float64(requests)*tickInterval.Seconds()
+	l.ended *= decay
 }
 
 // meanSeconds returns the mean lifetime of a connection in seconds, defaultLifetime until one has ended.
--- a/decide/fleetsize.go
+++ b/decide/fleetsize.go
@@ -1,6 +1,6 @@
 package decide
 
-// fleetState is the number of balancers that the decisions go by.
+// fleetState is the number of balancers that the decisions use.
 type fleetState struct {
 	FleetSize
 	fromMembership bool // the cluster's membership counts it; otherwise it is the configured number
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// overloaded goes by the report alone: it shows most of the placements reserved since, and the rest may never matter.
+// overloaded uses the report alone: it shows most of the placements reserved since, and the rest may never matter.
 func (b *Balancer) overloaded(s *server) bool {
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// crossZoneCostFactor makes a load of the cost of crossing zones, which is a part of a request's value: a server
+	// crossZoneCostFactor converts the cost of crossing zones, a part of a request's value, into a load: a server
 	// in another zone must be lighter by as much as the crossing costs, and a quarter more for the error of the two
 	// reports.
 	crossZoneCostFactor = 1.25
@@ -33,7 +33,7 @@
 	minAttemptSetups = 2
 )
 
-// loadThresholds are the loads that the placements go by, as the fleet size makes them.
+// loadThresholds are the loads that placements are decided by. They depend on the fleet size.
 type loadThresholds struct {
 	capacity     float64 // below it a server has capacity
 	saturation   float64 // above it a server is saturated
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -106,7 +106,7 @@
 }
 
 // insert puts a server in its place if it comes before the last one, or if there are fewer than rankingLength. It
-// returns the server's position, rankingLength if it is left out.
+// returns the server's position, rankingLength if it is not kept.
 func (g *groupRanking) insert(group uint64, s *server) int {
 	distance := rendezvousDistance(group, s)
 	before := func(i int) bool {
@@ -125,7 +125,7 @@
 	return i
 }
 
-// apply updates the ranking by one change. A server that comes after the last one kept is left out: others that are
+// apply updates the ranking by one change. A server that comes after the last one kept is not added: others that are
 // not kept may come before it.
 func (g *groupRanking) apply(group uint64, change membershipChange) {
 	count := g.count
--- a/decide/request.go
+++ b/decide/request.go
@@ -69,7 +69,7 @@
 	b.addConnection(r)
 }
 
-// forget releases all that is held for a request; nil is ignored.
+// forget releases the state of a request; nil is ignored.
 func (b *Balancer) forget(r *request) {
 	if r == nil {
 		return
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -35,10 +35,10 @@
 	return t.recentFailures > freeFailures+t.recentEstablished || t.dialing >= int(t.window)
 }
 
-// decay forgets a tick's part of the counts.
+// decay lets the counts decay by one tick, with the time constant attemptDecayTime.
 func (t *retryThrottle) decay() {
-	keep := 1 - tickInterval.Seconds()/attemptDecayTime.Seconds()
-	t.recentFailures, t.recentEstablished = t.recentFailures*keep, t.recentEstablished*keep
+	factor := 1 - tickInterval.Seconds()/attemptDecayTime.Seconds()
+	t.recentFailures, t.recentEstablished = t.recentFailures*factor, t.recentEstablished*factor
 }
 
 // recordEstablished learns from an attempt that established its connection.
--- a/decide/server.go
+++ b/decide/server.go
@@ -11,7 +11,8 @@
 	// maxReportedLoad is the largest load that is believed. A larger one would make the balancer migrate all
 	// connections off the server, or make reservations that never fit.
 	maxReportedLoad = 100
-	// minReportedConnections is how many connections a report must show before it tells the load of one connection.
+	// minReportedConnections is how many connections a report must show before the load of one connection is computed
+	// from it.
 	minReportedConnections = 4
 	// maxReportedConnections is how many it may show: no process has more file descriptors.
 	maxReportedConnections = 1 << 20
@@ -29,7 +30,7 @@
 	load                float64         // reportedLoad plus the reservations made since
 	reportedLoad        float64         // load in the latest report
 	reportedAt          time.Duration   // when the latest report came; 0: never
-	loadPerConnection   float64         // load of one connection by the latest report that told it; 0: unknown
+	loadPerConnection   float64         // load of one connection by the latest report that showed it; 0: unknown
 	placementsOnReport  int             // placements made since the latest report
 	probedOnDemandAt    time.Duration   // when it was last probed ahead of the steady probes
 	consecutiveFailures int             // failures since the last success
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -17,7 +17,7 @@
 	balancers           int
 	configuredBalancers int           // number in the settings; 0: the true one, below 0: not set
 	membershipCounts    bool          // balancers get the true number from the membership
-	notAdmitted         bool          // and are not admitted by it
+	notAdmitted         bool          // the membership does not admit them
 	warmServers         int           // in each zone
 	warmingServers      int           // in zone a
 	lostFor             time.Duration // how long these were removed before; 0: they are new
