--- /dev/null
+++ b/internal/cluster/gossip/wire_test.go
@@ -0,0 +1,37 @@
+package gossip
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// TestWireBytes pins the encoded form of what members send each other: later and earlier versions read it.
+func TestWireBytes(t *testing.T) {
+	whole := description{Zone: "a", Region: "x", Version: "v1", Incarnation: 1_800_000_000_000, Divisor: 5}
+	unsettled := description{Zone: "a", Region: "x", Version: "v1", Incarnation: 7}
+	stop := departure{Name: "m1", Incarnation: 7}
+	for _, c := range []struct {
+		name  string
+		value any
+		want  []byte
+	}{
+		{"description", whole, []byte("\xa5\x01\x61a\x02\x61x\x03\x62v1\x04\x1b\x00\x00\x01\xa3\x18\x5c\x50\x00\x05\x05")},
+		{"description without a divisor", unsettled, []byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")},
+		{"departure", stop, []byte("\xa2\x01\x62m1\x02\x07")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := cbor.Marshal(c.value)
+			if err != nil || !bytes.Equal(got, c.want) {
+				t.Errorf("%x, %v; want %x", got, err, c.want)
+			}
+		})
+	}
+	if got, err := decodeDescription([]byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")); err != nil || got != unsettled {
+		t.Errorf("%+v, %v", got, err)
+	}
+	if got, err := decodeDeparture([]byte("\xa2\x01\x62m1\x02\x07")); err != nil || got != stop {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
--- /dev/null
+++ b/internal/operations/hotrestart/wire_test.go
@@ -0,0 +1,117 @@
+package hotrestart
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// dial connects to a Unix socket, as soon as somebody listens there.
+func dial(t *testing.T, path string) *net.UnixConn {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"}); err == nil {
+			t.Cleanup(func() { conn.Close() })
+			conn.SetDeadline(time.Now().Add(10 * time.Second))
+			return conn
+		}
+	}
+	t.Fatal("nobody listens")
+	return nil
+}
+
+// expect reads exactly the given bytes.
+func expect(t *testing.T, from io.Reader, want string) {
+	t.Helper()
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(from, got); err != nil || string(got) != want {
+		t.Fatalf("read %q, %v; want %q", got, err, want)
+	}
+}
+
+// TestServerWireBytes pins what an earlier or later version that is started beside this one exchanges with it.
+func TestServerWireBytes(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	path := SocketPath(dir, "127.0.0.1:9000/x")
+	if want := filepath.Join(dir, "cottonplank-127.0.0.1:9000_x.sock"); path != want {
+		t.Errorf("path %s, want %s", path, want)
+	}
+	_, changes, _ := offer(t, path, "127.0.0.1:0")
+	conn := dial(t, path)
+	io.WriteString(conn, "TAKE 1\r\n")
+	buf, oob := make([]byte, 4096), make([]byte, 4096)
+	n, oobn, _, _, err := conn.ReadMsgUnix(buf, oob)
+	if err != nil || string(buf[:n]) != "SOCKETS clients datagrams\r\n" {
+		t.Fatalf("read %q, %v", buf[:n], err)
+	}
+	messages, err := unix.ParseSocketControlMessage(oob[:oobn])
+	if err != nil || len(messages) != 1 {
+		t.Fatalf("%d control messages, %v", len(messages), err)
+	}
+	descriptors, err := unix.ParseUnixRights(&messages[0])
+	if err != nil || len(descriptors) != 2 {
+		t.Fatalf("%d descriptors, %v", len(descriptors), err)
+	}
+	for _, fd := range descriptors {
+		unix.Close(fd)
+	}
+	wants(t, changes, Replacements{Connected: 1})
+	io.WriteString(conn, "LEARNED\r\n")
+	expect(t, conn, "L one\r\nL two\r\nEND\r\n")
+	io.WriteString(conn, "SERVING\r\n")
+	wants(t, changes, Replacements{Connected: 1, Serving: 1})
+}
+
+// TestClientWireBytes pins what this process sends to an earlier or later version that runs already.
+func TestClientWireBytes(t *testing.T) {
+	t.Parallel()
+	path := SocketPath(t.TempDir(), "x")
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	accepted := make(chan *net.UnixConn, 1)
+	go func() {
+		conn, err := l.AcceptUnix()
+		if err != nil {
+			close(accepted)
+			return
+		}
+		r := bufio.NewReader(conn)
+		if line, err := r.ReadString('\n'); err != nil || line != "TAKE 1\r\n" {
+			t.Errorf("read %q, %v", line, err)
+		}
+		passed, err := os.Open("/dev/null")
+		if err != nil {
+			t.Error(err)
+		} else {
+			conn.WriteMsgUnix([]byte("SOCKETS clients\r\n"), unix.UnixRights(int(passed.Fd())), nil)
+			passed.Close()
+		}
+		if line, err := r.ReadString('\n'); err != nil || line != "LEARNED\r\n" {
+			t.Errorf("read %q, %v", line, err)
+		}
+		io.WriteString(conn, "L one\r\nL two\r\nEND\r\n")
+		accepted <- conn
+	}()
+	sockets, p := TakeOver(path, quiet())
+	conn := <-accepted
+	if p == nil || conn == nil {
+		t.Fatal("nothing was handed over")
+	}
+	defer conn.Close()
+	if got := sockets.Unused(); !slices.Equal(got, []string{"clients"}) || !slices.Equal(p.Learned, []string{"one", "two"}) {
+		t.Errorf("sockets %q, learned %q", got, p.Learned)
+	}
+	p.NotifyServing()
+	expect(t, conn, "SERVING\r\n")
+}
