--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -226,7 +226,7 @@
 	transport *transport
 	keyring   *memberlist.Keyring
 	delegate  *delegate
-	machine   *membership.Machine
+	machine   *membership.StateMachine
 	events    *queue
 	began     time.Time
 	self      atomic.Pointer[description]
@@ -261,8 +261,8 @@
 	s.delegate = newDelegate(s)
 	lib.Delegate, lib.Events, lib.Ping, lib.Conflict = s.delegate, s.delegate, s.delegate, s.delegate
 	self := s.self.Load().member(set.Name, set.Listen.String())
-	s.machine, err = membership.New(membership.Config{Self: self, Balancers: c.cfg.ConfiguredSize.Fleet, ZoneBalancers: c.cfg.ConfiguredSize.Zone, Alone: s.alone(),
-		WallClock: time.Duration(now.UnixNano()), PartitionHold: set.PartitionHold, Detection: detectionTime(lib, c.cfg.ConfiguredSize.Fleet)})
+	s.machine, err = membership.New(membership.Config{Self: self, FleetSize: c.cfg.ConfiguredSize.Fleet, ZoneSize: c.cfg.ConfiguredSize.Zone, Standalone: s.alone(),
+		WallClock: time.Duration(now.UnixNano()), MaxPartitionDuration: set.PartitionHold, DetectionTime: detectionTime(lib, c.cfg.ConfiguredSize.Fleet)})
 	if err == nil {
 		s.list, err = memberlist.Create(lib)
 	}
@@ -297,7 +297,7 @@
 func (s *session) handleEvents() {
 	for _, event := range s.events.take() {
 		s.machine.Handle(s.now(), event)
-		if _, lost := event.(membership.MemberLost); lost {
+		if _, lost := event.(membership.FailureReported); lost {
 			s.nextProbe = time.Time{} // with the next tick: what the probes bring decides
 		}
 	}
@@ -354,7 +354,7 @@
 	answered := s.ask(m.Name, m.Address)
 	switch {
 	case !answered:
-		s.events.put(membership.ProbeUnanswered{Name: m.Name})
+		s.events.put(membership.ProbeFailed{Name: m.Name})
 	case m.State != membership.Alive && s.isTurn():
 		s.join([]string{m.Address})
 	}
@@ -380,7 +380,7 @@
 	if _, err = s.list.Ping(name, to); err != nil {
 		return false
 	}
-	s.events.put(membership.ProbeAnswered{Name: name})
+	s.events.put(membership.ProbeSucceeded{Name: name})
 	return true
 }
 
@@ -423,7 +423,7 @@
 func (s *session) describe(sharing membership.BudgetDivisors) {
 	d := *s.self.Load()
 	d.Divisor = 0
-	if sharing.Settled {
+	if sharing.Converged {
 		d.Divisor = sharing.Zone
 	}
 	if d != *s.self.Load() {
--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -112,7 +112,7 @@
 
 // NotifyPingComplete notes that a member answered.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.session.events.put(membership.ProbeAnswered{Name: n.Name})
+	d.session.events.put(membership.ProbeSucceeded{Name: n.Name})
 }
 
 // NotifyJoin takes a member that was found, new or again.
@@ -137,7 +137,7 @@
 	if err != nil {
 		return
 	}
-	d.session.events.put(membership.MemberLost{Name: n.Name, Incarnation: described.Incarnation})
+	d.session.events.put(membership.FailureReported{Name: n.Name, Incarnation: described.Incarnation})
 }
 
 // NotifyConflict takes two addresses of one name.
--- /dev/null
+++ b/internal/cluster/membership/event.go
@@ -0,0 +1,41 @@
+package membership
+
+// Event is an input of the state machine.
+type Event interface{ event() }
+
+type (
+	// MemberAlive reports that a member was found or that its description changed.
+	MemberAlive struct{ Member Member }
+
+	// FailureReported reports that the failure detector takes a member for failed.
+	FailureReported struct {
+		// Name is the member's name.
+		Name string
+		// Incarnation is the incarnation that the report is about.
+		Incarnation uint64
+	}
+
+	// MemberLeft reports that a member announced a planned stop.
+	MemberLeft struct {
+		// Name is the member's name.
+		Name string
+		// Incarnation is the incarnation that stops.
+		Incarnation uint64
+	}
+
+	// ProbeSucceeded reports that a member answered a probe of this instance.
+	ProbeSucceeded struct{ Name string }
+
+	// ProbeFailed reports that a member did not answer a probe of this instance in time.
+	ProbeFailed struct{ Name string }
+
+	// Tick is due every TickInterval.
+	Tick struct{}
+)
+
+func (MemberAlive) event()     {}
+func (FailureReported) event() {}
+func (MemberLeft) event()      {}
+func (ProbeSucceeded) event()  {}
+func (ProbeFailed) event()     {}
+func (Tick) event()            {}
--- a/internal/cluster/membership/partition.go
+++ b/internal/cluster/membership/partition.go
@@ -2,45 +2,55 @@
 
 import "time"
 
-// partition tells the loss of a large part of the cluster from the death of single members.
-type partition struct {
-	cfg    *Config
+// minPartitionLoss is the smallest number of lost members that counts as a partition: in a small cluster the loss of
+// one member is none.
+const minPartitionLoss = 2
+
+// partitionDetector tells the loss of a large part of the cluster, as in a network partition, from failures of single
+// members.
+type partitionDetector struct {
+	cfg *Config
+	// active reports that the cluster is partitioned; the other fields are meaningful only then.
 	active bool
-	before int           // members before the loss, the instance itself among them
-	since  time.Duration // members lost then or later belong to it
-	until  time.Duration // the operator's bound: after it the lost count as failed
+	// sizeBefore is the number of members before the loss, including the instance itself.
+	sizeBefore int
+	// startedAt is the beginning of the loss: members that were lost earlier do not belong to the partition.
+	startedAt time.Duration
+	// deadline ends the partition: after it, the lost members may be taken for failed.
+	deadline time.Duration
 }
 
-// leastLost is how many members make a partition at least: the loss of one in a small cluster is none.
-const leastLost = 2
-
-// update follows the members of the cluster; it is called with each tick.
-func (p *partition) update(now time.Duration, members map[string]*record) {
-	if p.active {
-		missing := lostSince(members, p.since)
-		returned := float64(missing) <= p.cfg.PartitionPart/2*float64(p.before)
-		p.active = !returned && now < p.until
+// update follows the members of the cluster. It is called with each tick.
+func (d *partitionDetector) update(now time.Duration, peers map[string]*peer) {
+	if d.active {
+		missing := countUnreachableSince(peers, d.startedAt)
+		healed := float64(missing) <= d.cfg.PartitionFraction/2*float64(d.sizeBefore)
+		d.active = !healed && now < d.deadline
 		return
 	}
-	since := now - p.cfg.Detection
-	lost := lostSince(members, since)
-	before := 1 + lost
-	for _, r := range members {
-		if r.State == Alive {
-			before++
+	windowStart := now - d.cfg.DetectionTime
+	lost := countUnreachableSince(peers, windowStart)
+	sizeBefore := 1 + lost
+	for _, p := range peers {
+		if p.State == Alive {
+			sizeBefore++
 		}
 	}
-	if lost >= leastLost && float64(lost) > p.cfg.PartitionPart*float64(before) {
-		p.active, p.before, p.since, p.until = true, before, since, now+p.cfg.PartitionHold
+	if lost >= minPartitionLoss && float64(lost) > d.cfg.PartitionFraction*float64(sizeBefore) {
+		d.active = true
+		d.sizeBefore = sizeBefore
+		d.startedAt = windowStart
+		d.deadline = now + d.cfg.MaxPartitionDuration
 	}
 }
 
-// lostSince counts the members that were lost then or later and have not returned.
-func lostSince(members map[string]*record, then time.Duration) (n int) {
-	for _, r := range members {
-		if (r.State == Suspect || r.State == Failed) && r.lostFirst >= then {
-			n++
+// countUnreachableSince counts the unreachable peers whose failure was first reported at or after the given time.
+func countUnreachableSince(peers map[string]*peer, since time.Duration) int {
+	count := 0
+	for _, p := range peers {
+		if p.isUnreachable() && p.firstSuspectedAt >= since {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- /dev/null
+++ b/internal/cluster/membership/view.go
@@ -0,0 +1,73 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+)
+
+// View is the state machine's state at one moment. It is immutable.
+type View struct {
+	// Version grows with each change of any other field.
+	Version uint64
+	// Members are all members by name, including the instance itself.
+	Members []Member
+	// Alive counts the members in state Alive, including the instance itself.
+	Alive int
+	// Suspect counts the members in state Suspect.
+	Suspect int
+	// Failed counts the members in state Failed.
+	Failed int
+	// Isolated reports that no other member has answered a probe for Config.IsolationTimeout.
+	Isolated bool
+	// Partitioned reports that a large part of the cluster was lost at once. These members are not taken for failed.
+	Partitioned bool
+	// Divisors say how shared budgets are divided.
+	Divisors BudgetDivisors
+}
+
+// BudgetDivisors say how budgets that several instances share are divided.
+type BudgetDivisors struct {
+	// Cluster is the divisor of budgets that the whole cluster shares, such as polls of service discovery.
+	Cluster int
+	// Zone is the divisor of budgets that the instances of one zone share, such as the slow-start budget of a server.
+	Zone int
+	// Admitted reports that the instance may use its part of the zone's budget. A new process may not until all other
+	// instances count it in their divisors.
+	Admitted bool
+	// Converged reports that all other instances count this one; it then announces Zone as Member.Divisor.
+	Converged bool
+}
+
+// View returns the latest view. It is built on demand, because a large cluster produces many events at once.
+func (m *StateMachine) View() *View {
+	if m.viewStale || m.view == nil {
+		m.viewStale = false
+		m.viewVersion++
+		m.view = m.buildView()
+	}
+	return m.view
+}
+
+func (m *StateMachine) buildView() *View {
+	view := &View{
+		Version:     m.viewVersion,
+		Members:     []Member{m.cfg.Self},
+		Alive:       1,
+		Isolated:    m.isolated,
+		Partitioned: m.partition.active,
+		Divisors:    m.divisors(),
+	}
+	for _, p := range m.peers {
+		view.Members = append(view.Members, p.Member)
+		switch p.State {
+		case Alive:
+			view.Alive++
+		case Suspect:
+			view.Suspect++
+		case Failed:
+			view.Failed++
+		}
+	}
+	slices.SortFunc(view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return view
+}
