--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -20,7 +20,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// testWait is how long a test waits for what takes some seconds at most.
+// testWait bounds the wait for what takes some seconds.
 const testWait = 40 * time.Second
 
 func newKey(t *testing.T) token.Key {
@@ -41,13 +41,14 @@
 	return ring
 }
 
-// gossipHost is a loopback address that no other package's tests use, so that the many ports of these take none of theirs.
+// gossipHost is a loopback address that no other package's tests use, so that the many ports of these take none of
+// theirs.
 const gossipHost = "127.81.0.1:0"
 
-// given are the addresses that freeAddress has given out: whoever asked may bind them later.
-var given sync.Map
+// allocated are the addresses that freeAddress has returned: the callers may bind them later.
+var allocated sync.Map
 
-// freeAddress is a loopback address at which neither TCP nor UDP is taken.
+// freeAddress returns a loopback address whose port is free for TCP and UDP.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	for range 50 {
@@ -60,7 +61,7 @@
 		l.Close()
 		if err == nil {
 			u.Close()
-			if _, taken := given.LoadOrStore(address, true); !taken {
+			if _, taken := allocated.LoadOrStore(address, true); !taken {
 				return address
 			}
 		}
@@ -69,34 +70,48 @@
 	return netip.AddrPort{}
 }
 
-// running is a cluster's instance that a test can stop.
-type running struct {
+// runningCluster is an instance whose Run a test can stop.
+type runningCluster struct {
 	*Cluster
 	stop func()
 }
 
-func start(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring, seeds ...netip.AddrPort) *running {
+func start(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring,
+	seeds ...netip.AddrPort) *runningCluster {
 	t.Helper()
 	return startVia(t, name, listen, ring, nil, seeds...)
 }
 
-func startVia(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring, via map[netip.AddrPort]netip.AddrPort,
-	seeds ...netip.AddrPort) *running {
+func startVia(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring,
+	via map[netip.AddrPort]netip.AddrPort, seeds ...netip.AddrPort) *runningCluster {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := New(Config{Settings: config.Membership{Name: name, Listen: listen, Zone: "a", Region: "x", Seeds: seeds, Via: via,
-		PartitionHold: time.Hour}, Ring: ring, ConfiguredSize: decide.FleetSize{Fleet: 5, Zone: 5}, Version: "test", Log: log})
+	c := New(Config{
+		Settings: config.Membership{
+			Name:          name,
+			Listen:        listen,
+			Zone:          "a",
+			Region:        "x",
+			Seeds:         seeds,
+			Via:           via,
+			PartitionHold: time.Hour,
+		},
+		Ring:           ring,
+		ConfiguredSize: decide.FleetSize{Fleet: 5, Zone: 5},
+		Version:        "test",
+		Log:            log,
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { c.Run(ctx) })
 	var once sync.Once
-	r := &running{c, func() { once.Do(func() { cancel(); all.Wait() }) }}
+	r := &runningCluster{c, func() { once.Do(func() { cancel(); all.Wait() }) }}
 	t.Cleanup(r.stop)
 	return r
 }
 
-func (r *running) state(name string) (membership.State, bool) {
+func (r *runningCluster) state(name string) (membership.State, bool) {
 	v := r.View()
 	if v == nil {
 		return 0, false
@@ -109,10 +124,10 @@
 	return 0, false
 }
 
-func waitFor(t *testing.T, what string, within time.Duration, is func() bool) time.Duration {
+func waitFor(t *testing.T, what string, within time.Duration, condition func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	for !is() {
+	for !condition() {
 		if time.Since(began) > within {
 			t.Fatalf("not within %v: %s", within, what)
 		}
@@ -121,17 +136,17 @@
 	return time.Since(began)
 }
 
-func (r *running) has(name string, state membership.State) func() bool {
+func (r *runningCluster) has(name string, state membership.State) func() bool {
 	return func() bool {
 		s, known := r.state(name)
 		return known && s == state
 	}
 }
 
-func startAll(t *testing.T, n int, ring *token.Ring) []*running {
+func startAll(t *testing.T, n int, ring *token.Ring) []*runningCluster {
 	t.Helper()
 	seed := freeAddress(t)
-	all := []*running{start(t, "m0", seed, ring, seed)}
+	all := []*runningCluster{start(t, "m0", seed, ring, seed)}
 	for i := 1; i < n; i++ {
 		all = append(all, start(t, fmt.Sprintf("m%d", i), freeAddress(t), ring, seed))
 	}
@@ -141,7 +156,7 @@
 	return all
 }
 
-func TestMembersSeeEachOtherLeaveAndFail(t *testing.T) {
+func TestMembersJoinLeaveAndFail(t *testing.T) {
 	t.Parallel()
 	all := startAll(t, 5, newRing(t, newKey(t)))
 	leaving := time.Now()
@@ -150,26 +165,27 @@
 		waitFor(t, "m4 has left", 5*time.Second, r.has("m4", membership.Left))
 	}
 	t.Logf("left after %v", time.Since(leaving).Round(time.Millisecond))
-	all[3].AbandonMembership() // its process is gone without a word
+	all[3].AbandonMembership() // its process ends without an announcement
 	for _, r := range all[:3] {
 		took := waitFor(t, "m3 has failed", testWait, r.has("m3", membership.Failed))
 		t.Logf("failed after %v", took.Round(time.Millisecond))
 	}
 	if v := all[0].View(); v.Divisors.Cluster < 4 {
-		t.Errorf("a size of %d right after a failure", v.Divisors.Cluster)
+		t.Errorf("a divisor of %d right after a failure", v.Divisors.Cluster)
 	}
 	all[3].SetMember(true)
 	for _, r := range all[:3] {
-		waitFor(t, "m3 is back", testWait, r.has("m3", membership.Alive))
+		waitFor(t, "m3 is alive again", testWait, r.has("m3", membership.Alive))
 	}
 }
 
-// The next process of an instance goes on under its name and address: nobody sees it fail or leave.
-func TestHandOverIsOneMemberThroughout(t *testing.T) {
+// The replacement process of an instance continues its membership under its name and address: no member sees it fail
+// or leave.
+func TestHotRestartKeepsOneMember(t *testing.T) {
 	t.Parallel()
 	ring := newRing(t, newKey(t))
 	all := startAll(t, 4, ring)
-	next := start(t, "m3", all[3].cfg.Settings.Listen, ring, all[0].cfg.Settings.Listen)
+	replacement := start(t, "m3", all[3].cfg.Settings.Listen, ring, all[0].cfg.Settings.Listen)
 	time.Sleep(500 * time.Millisecond)
 	all[3].AbandonMembership()
 	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -179,24 +195,27 @@
 			}
 		}
 	}
-	waitFor(t, "the next process sees all", testWait, func() bool { v := next.View(); return v != nil && v.Alive == 4 })
+	waitFor(t, "the replacement sees all", testWait, func() bool {
+		view := replacement.View()
+		return view != nil && view.Alive == 4
+	})
 }
 
-// Of two live processes with one name the second is refused; the first stays a member.
-func TestSecondOfOneNameIsRefused(t *testing.T) {
+// Of two live processes with one name the second is rejected; the first stays a member.
+func TestSecondProcessOfOneNameIsRejected(t *testing.T) {
 	t.Parallel()
 	ring := newRing(t, newKey(t))
 	all := startAll(t, 3, ring)
 	time.Sleep(20 * time.Millisecond) // a later millisecond
 	second := start(t, "m2", freeAddress(t), ring, all[0].cfg.Settings.Listen)
 	waitFor(t, "the second has a view", testWait, func() bool { return second.View() != nil })
-	waitFor(t, "the second is refused", testWait, func() bool { return second.View() == nil })
+	waitFor(t, "the second is rejected", testWait, func() bool { return second.View() == nil })
 	if state, _ := all[0].state("m2"); state != membership.Alive || all[2].View() == nil {
 		t.Errorf("the first is %v", state)
 	}
 }
 
-// An instance that is moved to another address after its death is the same member.
+// An instance that fails and starts again at another address is the same member.
 func TestInstanceMovesToAnotherAddress(t *testing.T) {
 	t.Parallel()
 	ring := newRing(t, newKey(t))
@@ -205,8 +224,9 @@
 	moved := start(t, "m3", freeAddress(t), ring, all[0].cfg.Settings.Listen)
 	for _, r := range all[:3] {
 		waitFor(t, "m3 is alive at its new address", 2*testWait, func() bool {
+			address := moved.cfg.Settings.Listen.String()
 			for _, m := range r.View().Members {
-				if m.Name == "m3" && m.State == membership.Alive && m.Address == moved.cfg.Settings.Listen.String() {
+				if m.Name == "m3" && m.State == membership.Alive && m.Address == address {
 					return true
 				}
 			}
@@ -215,12 +235,12 @@
 	}
 }
 
-// Another site's cluster has other keys: it does not merge, whatever it is sent, and its frames cost a counter.
-func TestOtherSitesDoNotMerge(t *testing.T) {
+// A cluster with other keys does not merge with this one; its frames are rejected and counted.
+func TestClustersWithOtherKeysDoNotMerge(t *testing.T) {
 	t.Parallel()
 	ours := startAll(t, 2, newRing(t, newKey(t)))
 	theirs := start(t, "x0", freeAddress(t), newRing(t, newKey(t)), ours[0].cfg.Settings.Listen)
-	waitFor(t, "a frame is refused", testWait, func() bool { return ours[0].Stats().Rejected > 0 })
+	waitFor(t, "a frame is rejected", testWait, func() bool { return ours[0].Stats().Rejected > 0 })
 	time.Sleep(2 * time.Second)
 	if v := theirs.View(); v.Alive != 1 {
 		t.Errorf("the other site sees %d members", v.Alive)
@@ -230,8 +250,8 @@
 	}
 }
 
-// Frames that are spoilt, too long or seen before cost a counter, and no member.
-func TestSpoiltFramesCostACounter(t *testing.T) {
+// Frames that are malformed, too long or replayed are counted, and no member is lost.
+func TestInvalidFramesAreCounted(t *testing.T) {
 	t.Parallel()
 	all := startAll(t, 3, newRing(t, newKey(t)))
 	to := all[0].cfg.Settings.Listen
@@ -240,7 +260,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	frame := []byte(strings.Repeat("spoilt", 20))
+	frame := []byte(strings.Repeat("invalid", 20))
 	for range 3 {
 		conn.Write(frame)
 	}
@@ -256,17 +276,18 @@
 	defer stream.Close()
 	before := all[0].Stats().Rejected
 	stream.Write(frame)
-	waitFor(t, "the stream is refused", testWait, func() bool { return all[0].Stats().Rejected > before })
+	waitFor(t, "the stream is rejected", testWait, func() bool { return all[0].Stats().Rejected > before })
 	if v := all[0].View(); v.Alive != 3 {
 		t.Errorf("%d alive", v.Alive)
 	}
 }
 
-// Keys are exchanged in three steps, as for tokens: all open with the new one, then it seals, then the old one goes.
+// Keys are rotated in three steps, as for tokens: all members decrypt with the new key, then it encrypts, then the
+// old key is removed.
 func TestKeysAreRotated(t *testing.T) {
 	t.Parallel()
 	old, next := newKey(t), newKey(t)
-	next.NotBefore = old.NotBefore.Add(time.Second) // it seals as soon as it is there
+	next.NotBefore = old.NotBefore.Add(time.Second) // it encrypts as soon as it is installed
 	all := startAll(t, 3, newRing(t, old))
 	for _, ring := range []*token.Ring{newRing(t, old, next), newRing(t, next)} {
 		for _, r := range all {
@@ -282,7 +303,7 @@
 	}
 }
 
-func TestSeedsThatDoNotExist(t *testing.T) {
+func TestUnreachableSeeds(t *testing.T) {
 	t.Parallel()
 	r := start(t, "m0", freeAddress(t), newRing(t, newKey(t)), freeAddress(t), freeAddress(t))
 	waitFor(t, "a view", testWait, func() bool { return r.View() != nil })
--- a/internal/cluster/gossip/keys.go
+++ b/internal/cluster/gossip/keys.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"slices"
 	"time"
 
 	"cottonplank/internal/session/token"
@@ -10,52 +11,47 @@
 	"github.com/hashicorp/memberlist"
 )
 
-var errNoKey = errors.New("membership: no key seals now")
+var errNoPrimaryKey = errors.New("membership: no key seals now")
 
-// newKeyring makes the library's ring of the site's keys.
+// newKeyring returns the library's keyring with the keys of the ring that are valid now. It returns errNoPrimaryKey
+// if none of them seals.
 func newKeyring(ring *token.Ring, now time.Time) (*memberlist.Keyring, error) {
-	primary, all := secrets(ring, now)
+	primary, secrets := validSecrets(ring, now)
 	if primary == nil {
-		return nil, errNoKey
+		return nil, errNoPrimaryKey
 	}
-	return memberlist.NewKeyring(all, primary)
+	return memberlist.NewKeyring(secrets, primary)
 }
 
-// useKeys brings the library's ring up to date: a key may begin to seal, or end, at any time. The old primary key stays where
-// none seals.
-func useKeys(keyring *memberlist.Keyring, ring *token.Ring, now time.Time) error {
-	primary, all := secrets(ring, now)
-	for _, secret := range all {
+// updateKeyring brings the library's keyring up to date, because a key may begin to seal, or retire, at any time. If
+// no key seals, it leaves the primary key as it is and returns errNoPrimaryKey.
+func updateKeyring(keyring *memberlist.Keyring, ring *token.Ring, now time.Time) error {
+	primary, secrets := validSecrets(ring, now)
+	for _, secret := range secrets {
 		if err := keyring.AddKey(secret); err != nil {
 			return err
 		}
 	}
 	if primary == nil {
-		return errNoKey
+		return errNoPrimaryKey
 	}
 	if err := keyring.UseKey(primary); err != nil {
 		return err
 	}
-	for _, secret := range keyring.GetKeys() {
-		kept := func() bool {
-			for _, other := range all {
-				if bytes.Equal(other, secret) {
-					return true
-				}
-			}
-			return false
+	for _, installed := range keyring.GetKeys() {
+		valid := slices.ContainsFunc(secrets, func(secret []byte) bool { return bytes.Equal(secret, installed) })
+		if valid {
+			continue
 		}
-		if !kept() {
-			if err := keyring.RemoveKey(secret); err != nil {
-				return err
-			}
+		if err := keyring.RemoveKey(installed); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// secrets are those that open now, and the one of them that seals; nil: none does.
-func secrets(ring *token.Ring, now time.Time) (primary []byte, all [][]byte) {
+// validSecrets returns the secrets that decrypt now, and among them the one that encrypts, or nil if none does.
+func validSecrets(ring *token.Ring, now time.Time) (primary []byte, secrets [][]byte) {
 	for _, key := range ring.Keys() {
 		switch ring.Use(key.ID, now) {
 		case token.Retired:
@@ -63,7 +59,7 @@
 		case token.Seals:
 			primary = key.Secret
 		}
-		all = append(all, key.Secret)
+		secrets = append(secrets, key.Secret)
 	}
-	return primary, all
+	return primary, secrets
 }
--- a/internal/cluster/gossip/cuts_test.go
+++ b/internal/cluster/gossip/partition_test.go
@@ -11,7 +11,7 @@
 	"cottonplank/internal/testbench/faultproxy"
 )
 
-// network joins members by a relay for each ordered pair.
+// network connects members by a fault-injecting proxy for each ordered pair.
 type network struct {
 	addresses []netip.AddrPort
 	paths     [][]*faultproxy.Path
@@ -39,7 +39,7 @@
 	return w
 }
 
-// open starts the relay from one member to another.
+// open starts the proxy from member i to member j and returns its address.
 func (w *network) open(t *testing.T, i, j int) netip.AddrPort {
 	t.Helper()
 	address, to := freeAddress(t), w.addresses[j].String()
@@ -48,7 +48,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(datagrams.Close)
-	streams, err := faultproxy.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to }).PortAt(i, address.String())
+	link := faultproxy.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to })
+	streams, err := link.PortAt(i, address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,18 +57,18 @@
 	return address
 }
 
-// set gives all paths that are chosen their conditions.
-func (w *network) set(c faultproxy.Conditions, chosen func(from, to int) bool) {
+// set applies conditions to the selected paths.
+func (w *network) set(c faultproxy.Conditions, selected func(from, to int) bool) {
 	for i := range w.paths {
 		for j := range w.paths {
-			if i != j && chosen(i, j) {
+			if i != j && selected(i, j) {
 				w.paths[i][j].Set(c)
 			}
 		}
 	}
 }
 
-func (w *network) start(t *testing.T, ring *token.Ring) (all []*running) {
+func (w *network) start(t *testing.T, ring *token.Ring) (all []*runningCluster) {
 	t.Helper()
 	for i, address := range w.addresses {
 		all = append(all, startVia(t, fmt.Sprintf("m%d", i), address, ring, w.via[i], w.addresses[0]))
@@ -75,15 +76,18 @@
 	return all
 }
 
-func waitAlive(t *testing.T, all []*running, within time.Duration) {
+func waitAlive(t *testing.T, all []*runningCluster, within time.Duration) {
 	t.Helper()
 	for _, r := range all {
-		waitFor(t, r.cfg.Settings.Name+" sees all alive", within, func() bool { v := r.View(); return v != nil && v.Alive == len(all) })
+		waitFor(t, r.cfg.Settings.Name+" sees all alive", within, func() bool {
+			view := r.View()
+			return view != nil && view.Alive == len(all)
+		})
 	}
 }
 
-// All start while 40 % of the datagrams and the dials are lost: they find each other, and nobody fails. A bound: the
-// library alone was measured to hold it.
+// All members start while 40 % of the datagrams and dials are lost: they find each other, and none fails. The library
+// alone was measured to pass this as well.
 func TestStartUnderLoss(t *testing.T) {
 	t.Parallel()
 	w := newNetwork(t, 5)
@@ -99,14 +103,14 @@
 	}
 }
 
-// One that hears all and is heard by none, or the other way round, finds that it is cut off itself, fails nobody and
-// keeps its size. The keys are exchanged in the middle of the cut; after it all find each other without help.
-func TestOneSidedCutsOfOneMember(t *testing.T) {
+// A member that only receives, or only sends, finds that it is isolated, takes no member for failed and keeps its
+// divisor. The keys are rotated meanwhile; afterwards all members find each other without help.
+func TestAsymmetricPartitionOfOneMember(t *testing.T) {
 	t.Parallel()
-	const cutOff = 3
-	for name, cuts := range map[string]func(from, to int) bool{
-		"mute": func(from, _ int) bool { return from == cutOff },
-		"deaf": func(_, to int) bool { return to == cutOff },
+	const isolated = 3
+	for name, lostPaths := range map[string]func(from, to int) bool{
+		"only receives": func(from, _ int) bool { return from == isolated },
+		"only sends":    func(_, to int) bool { return to == isolated },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -115,30 +119,30 @@
 			next.NotBefore = old.NotBefore.Add(time.Second)
 			all := w.start(t, newRing(t, old))
 			waitAlive(t, all, testWait)
-			w.set(faultproxy.Conditions{Cut: true}, cuts)
-			waitFor(t, "it knows that it is isolated", testWait, func() bool { return all[cutOff].View().Isolated })
+			w.set(faultproxy.Conditions{Cut: true}, lostPaths)
+			waitFor(t, "the member is isolated", testWait, func() bool { return all[isolated].View().Isolated })
 			for _, r := range all {
 				r.SetKeys(newRing(t, old, next))
 			}
 			for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				if v := all[cutOff].View(); v.Failed > 0 || v.Divisors.Zone < 5 {
-					t.Fatalf("cut off: %d failed, size %d", v.Failed, v.Divisors.Zone)
+				if v := all[isolated].View(); v.Failed > 0 || v.Divisors.Zone < 5 {
+					t.Fatalf("isolated: %d failed, divisor %d", v.Failed, v.Divisors.Zone)
 				}
 				for i, r := range all {
-					if state, _ := r.state("m0"); i != cutOff && state != membership.Alive {
+					if state, _ := r.state("m0"); i != isolated && state != membership.Alive {
 						t.Fatalf("%s sees m0 %v", r.cfg.Settings.Name, state)
 					}
 				}
 			}
-			w.set(faultproxy.Conditions{}, cuts)
+			w.set(faultproxy.Conditions{}, lostPaths)
 			waitAlive(t, all, testWait)
 		})
 	}
 }
 
-// A cut of one direction between two members fails neither: the third ones' word counts. A bound: so it is with the
-// library alone.
-func TestOneWayCutOfAPair(t *testing.T) {
+// The loss of one direction between two members fails neither, because indirect probes succeed. The library alone was
+// measured to pass this as well.
+func TestOneWayLossBetweenTwoMembers(t *testing.T) {
 	t.Parallel()
 	w := newNetwork(t, 5)
 	all := w.start(t, newRing(t, newKey(t)))
--- /dev/null
+++ b/internal/cluster/gossip/stats.go
@@ -0,0 +1,36 @@
+package gossip
+
+import "sync/atomic"
+
+// Stats counts gossip frames since the start of the process. A frame is a datagram or a stream.
+type Stats struct {
+	// BytesSent counts the bytes of datagrams and streams.
+	BytesSent uint64
+	// FramesSent counts the datagrams sent and the streams opened.
+	FramesSent uint64
+	// TooLong counts the datagrams that were dropped because of their length.
+	TooLong uint64
+	// Replayed counts the datagrams that were dropped because they had been received before.
+	Replayed uint64
+	// Rejected counts the frames that are malformed or encrypted with an unknown key, or that the library rejects.
+	Rejected uint64
+}
+
+// counters are the counts behind Stats.
+type counters struct {
+	bytesSent  atomic.Uint64
+	framesSent atomic.Uint64
+	tooLong    atomic.Uint64
+	replayed   atomic.Uint64
+	rejected   atomic.Uint64
+}
+
+func (c *counters) stats() Stats {
+	return Stats{
+		BytesSent:  c.bytesSent.Load(),
+		FramesSent: c.framesSent.Load(),
+		TooLong:    c.tooLong.Load(),
+		Replayed:   c.replayed.Load(),
+		Rejected:   c.rejected.Load(),
+	}
+}
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -4,164 +4,152 @@
 	"net"
 	"net/netip"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 )
 
 const (
-	maxDatagram = 2048 // bytes; the library sends 1,400 and what its cipher adds
-	nonceStart  = 1    // an encrypted datagram begins with a version byte,
-	nonceEnd    = 13   // and a nonce that no other has
-	noncesKept  = 8192 // in each of two generations
+	// maxDatagram is the longest datagram in bytes that is accepted. The library sends 1,400 and what encryption
+	// adds.
+	maxDatagram = 2048
+	// discardTimeout is how long a datagram may take to arrive from the library's listener after the shutdown began.
+	discardTimeout = time.Second
 )
 
-// transport wraps the library's: it reaches peers by other addresses where the settings name these, and drops
-// datagrams that are too long or were seen before.
+// transport wraps the library's transport. It reaches peers by other addresses where the settings say so, drops
+// datagrams that are too long or were received before, and counts frames.
 type transport struct {
 	*memberlist.NetTransport
-	via     map[netip.AddrPort]netip.AddrPort
+	via      map[netip.AddrPort]netip.AddrPort
+	counters *counters
+	// packets are the datagrams that were not dropped.
 	packets chan *memberlist.Packet
-	stop    chan struct{}
-	once    sync.Once
-	seen    nonces
-	counts  *counters
-}
-
-// counters are of all frames since the process's start.
-type counters struct {
-	sent     atomic.Uint64 // bytes, of datagrams and streams
-	frames   atomic.Uint64 // datagrams sent, and streams opened
-	tooLong  atomic.Uint64
-	replayed atomic.Uint64
-	refused  atomic.Uint64 // malformed, under a wrong key, or of no use to the library
-}
-
-func newTransport(inner *memberlist.NetTransport, via map[netip.AddrPort]netip.AddrPort, counts *counters) *transport {
-	t := &transport{NetTransport: inner, via: via, packets: make(chan *memberlist.Packet), stop: make(chan struct{}), counts: counts}
-	go t.filter()
+	// stop ends the goroutine that filters datagrams; Shutdown closes it.
+	stop     chan struct{}
+	stopOnce sync.Once
+	// replays belongs to the goroutine that filters datagrams.
+	replays replayFilter
+}
+
+// newTransport wraps inner. via maps the addresses of peers to those by which they are reached. Shutdown ends the
+// transport's goroutine.
+func newTransport(
+	inner *memberlist.NetTransport, via map[netip.AddrPort]netip.AddrPort, counters *counters,
+) *transport {
+	t := &transport{
+		NetTransport: inner,
+		via:          via,
+		counters:     counters,
+		packets:      make(chan *memberlist.Packet),
+		stop:         make(chan struct{}),
+	}
+	go t.filterPackets()
 	return t
 }
 
-// address is where a peer is reached.
-func (t *transport) address(peer string) string {
-	parsed, err := netip.ParseAddrPort(peer)
+// route returns the address by which a peer is reached.
+func (t *transport) route(peer string) string {
+	address, err := netip.ParseAddrPort(peer)
 	if err != nil {
 		return peer
 	}
-	if to, ok := t.via[parsed]; ok {
-		return to.String()
+	if routed, ok := t.via[address]; ok {
+		return routed.String()
 	}
 	return peer
 }
 
-// WriteToAddress sends a datagram.
-func (t *transport) WriteToAddress(frame []byte, peer memberlist.Address) (time.Time, error) {
-	peer.Addr = t.address(peer.Addr)
-	t.counts.sent.Add(uint64(len(frame)))
-	t.counts.frames.Add(1)
-	return t.NetTransport.WriteToAddress(frame, peer)
+// WriteToAddress implements memberlist.NodeAwareTransport: it sends a datagram.
+func (t *transport) WriteToAddress(datagram []byte, peer memberlist.Address) (time.Time, error) {
+	peer.Addr = t.route(peer.Addr)
+	t.counters.bytesSent.Add(uint64(len(datagram)))
+	t.counters.framesSent.Add(1)
+	return t.NetTransport.WriteToAddress(datagram, peer)
 }
 
-// WriteTo sends a datagram.
-func (t *transport) WriteTo(frame []byte, peer string) (time.Time, error) {
-	return t.WriteToAddress(frame, memberlist.Address{Addr: peer})
+// WriteTo implements memberlist.Transport: it sends a datagram.
+func (t *transport) WriteTo(datagram []byte, peer string) (time.Time, error) {
+	return t.WriteToAddress(datagram, memberlist.Address{Addr: peer})
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout implements memberlist.NodeAwareTransport: it opens a stream.
 func (t *transport) DialAddressTimeout(peer memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	peer.Addr = t.address(peer.Addr)
+	peer.Addr = t.route(peer.Addr)
 	conn, err := t.NetTransport.DialAddressTimeout(peer, timeout)
 	if err != nil {
 		return nil, err
 	}
-	t.counts.frames.Add(1)
-	return &countedConn{conn, t.counts}, nil
+	t.counters.framesSent.Add(1)
+	return &countingConn{conn, t.counters}, nil
 }
 
-// DialTimeout opens a stream.
+// DialTimeout implements memberlist.Transport: it opens a stream.
 func (t *transport) DialTimeout(peer string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: peer}, timeout)
 }
 
-// PacketCh brings the datagrams that came, but those that are dropped.
+// PacketCh implements memberlist.Transport: it returns the received datagrams that were not dropped.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// Shutdown closes the sockets.
+// Shutdown implements memberlist.Transport: it closes the sockets.
 func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.stop) })
+	t.stopOnce.Do(func() { close(t.stop) })
 	return t.NetTransport.Shutdown()
 }
 
-func (t *transport) filter() {
+// filterPackets passes received datagrams on until the shutdown.
+func (t *transport) filterPackets() {
 	for {
 		select {
 		case <-t.stop:
-			t.drain()
+			t.discardPackets()
 			return
-		case p := <-t.NetTransport.PacketCh():
-			if !t.sound(p.Buf) {
+		case packet := <-t.NetTransport.PacketCh():
+			if !t.accepts(packet.Buf) {
 				continue
 			}
 			select {
-			case t.packets <- p:
+			case t.packets <- packet:
 			case <-t.stop:
 			}
 		}
 	}
 }
 
-// drain takes what the library's listener still wants to hand over, so that it can end.
-func (t *transport) drain() {
+// discardPackets receives what the library's listener still sends, because the listener could not end otherwise.
+func (t *transport) discardPackets() {
 	for {
 		select {
 		case <-t.NetTransport.PacketCh():
-		case <-time.After(time.Second):
+		case <-time.After(discardTimeout):
 			return
 		}
 	}
 }
 
-func (t *transport) sound(frame []byte) bool {
-	if len(frame) > maxDatagram {
-		t.counts.tooLong.Add(1)
+// accepts reports whether a datagram is neither too long nor a replay, and counts it otherwise.
+func (t *transport) accepts(datagram []byte) bool {
+	if len(datagram) > maxDatagram {
+		t.counters.tooLong.Add(1)
 		return false
 	}
-	if len(frame) >= nonceEnd && !t.seen.add([nonceEnd - nonceStart]byte(frame[nonceStart:nonceEnd])) {
-		t.counts.replayed.Add(1)
+	if len(datagram) >= nonceEnd && !t.replays.add(nonce(datagram[nonceStart:nonceEnd])) {
+		t.counters.replayed.Add(1)
 		return false
 	}
 	return true
 }
 
-// nonces remembers those of the latest datagrams.
-type nonces struct {
-	recent, older map[[nonceEnd - nonceStart]byte]struct{}
-}
-
-// add tells whether a nonce is new.
-func (n *nonces) add(nonce [nonceEnd - nonceStart]byte) bool {
-	_, recent := n.recent[nonce]
-	_, older := n.older[nonce]
-	if recent || older {
-		return false
-	}
-	if n.recent == nil || len(n.recent) >= noncesKept {
-		n.recent, n.older = map[[nonceEnd - nonceStart]byte]struct{}{}, n.recent
-	}
-	n.recent[nonce] = struct{}{}
-	return true
-}
-
-// countedConn counts the bytes that are sent.
-type countedConn struct {
+// countingConn counts the bytes that are sent.
+type countingConn struct {
 	net.Conn
-	counts *counters
+	counters *counters
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+// Write implements net.Conn.
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.counts.sent.Add(uint64(n))
+	c.counters.bytesSent.Add(uint64(n))
 	return n, err
 }
--- a/internal/cluster/gossip/wire_test.go
+++ b/internal/cluster/gossip/wire_test.go
@@ -9,17 +9,17 @@
 
 // TestWireBytes pins the encoded form of what members send each other: later and earlier versions read it.
 func TestWireBytes(t *testing.T) {
-	whole := description{Zone: "a", Region: "x", Version: "v1", Incarnation: 1_800_000_000_000, Divisor: 5}
-	unsettled := description{Zone: "a", Region: "x", Version: "v1", Incarnation: 7}
-	stop := departure{Name: "m1", Incarnation: 7}
+	whole := nodeMetadata{Zone: "a", Region: "x", Version: "v1", Incarnation: 1_800_000_000_000, Divisor: 5}
+	unconverged := nodeMetadata{Zone: "a", Region: "x", Version: "v1", Incarnation: 7}
+	leave := leaveMessage{Name: "m1", Incarnation: 7}
 	for _, c := range []struct {
 		name  string
 		value any
 		want  []byte
 	}{
-		{"description", whole, []byte("\xa5\x01\x61a\x02\x61x\x03\x62v1\x04\x1b\x00\x00\x01\xa3\x18\x5c\x50\x00\x05\x05")},
-		{"description without a divisor", unsettled, []byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")},
-		{"departure", stop, []byte("\xa2\x01\x62m1\x02\x07")},
+		{"metadata", whole, []byte("\xa5\x01\x61a\x02\x61x\x03\x62v1\x04\x1b\x00\x00\x01\xa3\x18\x5c\x50\x00\x05\x05")},
+		{"metadata without a divisor", unconverged, []byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")},
+		{"leave message", leave, []byte("\xa2\x01\x62m1\x02\x07")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := cbor.Marshal(c.value)
@@ -28,10 +28,11 @@
 			}
 		})
 	}
-	if got, err := decodeDescription([]byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")); err != nil || got != unsettled {
+	raw := []byte("\xa4\x01\x61a\x02\x61x\x03\x62v1\x04\x07")
+	if got, err := decodeMetadata(raw); err != nil || got != unconverged {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if got, err := decodeDeparture([]byte("\xa2\x01\x62m1\x02\x07")); err != nil || got != stop {
+	if got, err := decodeLeave([]byte("\xa2\x01\x62m1\x02\x07")); err != nil || got != leave {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
