--- a/internal/cluster/gossip/metadata_test.go
+++ b/internal/cluster/gossip/metadata_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%+v, %v", d, err)
 	}
 	for name, malformed := range map[string][]byte{
-		"empty":                {},
+		"empty":                nil,
 		"not a map":            []byte("x"),
 		"divisor out of range": {0xa1, 0x05, 0x20},
 		"truncated":            raw[:len(raw)-3],
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -17,63 +17,67 @@
 	"github.com/sirupsen/logrus"
 )
 
-func quiet() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// offer offers a listener of its own at path, until stop.
-func offer(t *testing.T, path, address string) (l *net.TCPListener, changes chan Replacements, stop func()) {
+// startServer serves a TCP and a UDP socket at path until stop.
+func startServer(t *testing.T, path, address string) (
+	listener *net.TCPListener, changes chan Replacements, stop func(),
+) {
 	t.Helper()
-	s := &Sockets{}
-	l, err := s.ListenTCP("clients", address)
+	sockets := &Sockets{}
+	listener, err := sockets.ListenTCP("clients", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.ListenUDP("datagrams", address); err != nil {
+	if _, err := sockets.ListenUDP("datagrams", address); err != nil {
 		t.Fatal(err)
 	}
 	changes = make(chan Replacements, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	o := NewServer(path, s, func() []string { return []string{"one", "two"} }, func(n Replacements) { changes <- n }, quiet())
-	running.Go(func() { o.Serve(ctx) })
-	stop = sync.OnceFunc(func() { cancel(); running.Wait(); l.Close() })
+	learned := func() []string { return []string{"one", "two"} }
+	server := NewServer(path, sockets, learned, func(count Replacements) { changes <- count }, discardLog())
+	running.Go(func() { server.Serve(ctx) })
+	stop = sync.OnceFunc(func() { cancel(); running.Wait(); listener.Close() })
 	t.Cleanup(stop)
-	return l, changes, stop
+	return listener, changes, stop
 }
 
-// takes asks until the offer stands.
-func takes(t *testing.T, path string) (*Sockets, *PreviousProcess) {
+// receiveSockets requests the sockets until a server answers.
+func receiveSockets(t *testing.T, path string) (*Sockets, *PreviousProcess) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if s, p := TakeOver(path, quiet()); p != nil {
+		if s, p := TakeOver(path, discardLog()); p != nil {
 			return s, p
 		}
 	}
-	t.Fatal("nothing was handed over")
+	t.Fatal("no sockets were passed on")
 	return nil, nil
 }
 
-func wants(t *testing.T, changes chan Replacements, want Replacements) {
+// expectChange waits for the next change of the replacement processes.
+func expectChange(t *testing.T, changes chan Replacements, want Replacements) {
 	t.Helper()
 	select {
 	case got := <-changes:
 		if got != want {
-			t.Fatalf("successors %+v, want %+v", got, want)
+			t.Fatalf("replacements %+v, want %+v", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not told of %+v", want)
+		t.Fatalf("no change to %+v", want)
 	}
 }
 
-// A client that waits in the accept queue is accepted by the successor after the old process has closed its own: one
-// queue outlives it. Guards against the reset that the close of a queue of its own would bring.
-func TestTheQueueOutlivesTheOldOne(t *testing.T) {
+// A client that waits in the accept queue is accepted by the replacement process after the previous one has closed
+// its listener. With a queue of its own, the close would reset the client's connection.
+func TestAcceptQueueOutlivesPreviousProcess(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "127.0.0.1:9000")
-	l, changes, stop := offer(t, path, "127.0.0.1:0")
+	l, changes, stop := startServer(t, path, "127.0.0.1:0")
 	address := l.Addr().String()
 	if info, err := os.Stat(path); err == nil && info.Mode().Perm() != 0o600 {
 		t.Errorf("mode %v", info.Mode())
@@ -84,22 +88,22 @@
 	}
 	defer client.Close()
 	io.WriteString(client, "hello\r\n")
-	sockets, predecessor := takes(t, path)
-	wants(t, changes, Replacements{Connected: 1})
-	if got := strings.Join(predecessor.Learned, " "); got != "one two" {
+	sockets, previous := receiveSockets(t, path)
+	expectChange(t, changes, Replacements{Connected: 1})
+	if got := strings.Join(previous.Learned, " "); got != "one two" {
 		t.Errorf("learned %q", got)
 	}
-	taken, err := sockets.ListenTCP("clients", address)
+	inherited, err := sockets.ListenTCP("clients", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	predecessor.NotifyServing()
-	wants(t, changes, Replacements{Connected: 1, Serving: 1})
+	defer inherited.Close()
+	previous.NotifyServing()
+	expectChange(t, changes, Replacements{Connected: 1, Serving: 1})
 	stop()
-	<-predecessor.Exited
-	taken.SetDeadline(time.Now().Add(10 * time.Second))
-	conn, err := taken.Accept()
+	<-previous.Exited
+	inherited.SetDeadline(time.Now().Add(10 * time.Second))
+	conn, err := inherited.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,31 +114,32 @@
 	}
 }
 
-// A successor that ends is told, and the next one finds the offer again, though the first had put its own in its place.
-func TestOfferedAgain(t *testing.T) {
+// The exit of a replacement process is reported, and the next one finds the server again, though the first had
+// replaced its Unix socket.
+func TestServesAgainAfterReplacementExits(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
-	_, changes, _ := offer(t, path, "127.0.0.1:0")
+	_, changes, _ := startServer(t, path, "127.0.0.1:0")
 	for range 3 {
-		_, predecessor := takes(t, path)
-		wants(t, changes, Replacements{Connected: 1})
+		_, previous := receiveSockets(t, path)
+		expectChange(t, changes, Replacements{Connected: 1})
 		os.Remove(path)
-		predecessor.conn.Close()
-		wants(t, changes, Replacements{})
+		previous.conn.Close()
+		expectChange(t, changes, Replacements{})
 	}
 }
 
-// At its end a process takes away the path that it left, and no other's.
-func TestOwnPathIsRemoved(t *testing.T) {
+// At its exit a process removes its own Unix socket, and no other process's.
+func TestOwnSocketFileIsRemoved(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
-	_, _, first := offer(t, path, "127.0.0.1:0")
-	takes(t, path)
+	_, _, first := startServer(t, path, "127.0.0.1:0")
+	receiveSockets(t, path)
 	left, err := os.Lstat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _, second := offer(t, path, "127.0.0.1:0")
+	_, _, second := startServer(t, path, "127.0.0.1:0")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if now, err := os.Lstat(path); err == nil && !os.SameFile(now, left) {
 			break
@@ -142,16 +147,17 @@
 	}
 	first()
 	if _, err := os.Lstat(path); err != nil {
-		t.Errorf("the path of another process is gone: %v", err)
+		t.Errorf("the Unix socket of another process is gone: %v", err)
 	}
 	second()
 	if _, err := os.Lstat(path); err == nil {
-		t.Error("the own path is left")
+		t.Error("the own Unix socket is left")
 	}
 }
 
-// The path that a killed process left is no predecessor and is replaced; a process that hangs is not waited for long.
-func TestStaleAndHungPaths(t *testing.T) {
+// The Unix socket that a killed process left behind is no previous process and is replaced; a process that hangs is
+// not waited for long.
+func TestStaleAndUnresponsiveSockets(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -160,18 +166,18 @@
 	}
 	l.SetUnlinkOnClose(false)
 	start := time.Now()
-	if _, p := TakeOver(path, quiet()); p != nil || time.Since(start) > 5*takeWait {
+	if _, p := TakeOver(path, discardLog()); p != nil || time.Since(start) > 5*exchangeTimeout {
 		t.Errorf("a hung process: %v after %v", p, time.Since(start))
 	}
 	l.Close()
-	if _, p := TakeOver(path, quiet()); p != nil {
+	if _, p := TakeOver(path, discardLog()); p != nil {
 		t.Error("a stale path counts as a process")
 	}
-	offer(t, path, "127.0.0.1:0")
-	takes(t, path)
+	startServer(t, path, "127.0.0.1:0")
+	receiveSockets(t, path)
 }
 
-// A folder's path that no Unix address holds is no hindrance.
+// A directory whose path is too long for a Unix address does not prevent a hot restart.
 func TestLongPath(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 200))
@@ -179,26 +185,26 @@
 		t.Fatal(err)
 	}
 	path := SocketPath(dir, "127.0.0.1:9000")
-	offer(t, path, "127.0.0.1:0")
-	takes(t, path)
+	startServer(t, path, "127.0.0.1:0")
+	receiveSockets(t, path)
 }
 
-// Both kinds come over with their addresses; a socket of another address is not taken for the one that is asked for.
-func TestAddressesMatch(t *testing.T) {
+// A socket of another kind or of another address is not used.
+func TestInheritedSocketsMatchAddress(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
-	l, _, _ := offer(t, path, "127.0.0.1:0")
-	sockets, _ := takes(t, path)
+	l, _, _ := startServer(t, path, "127.0.0.1:0")
+	sockets, _ := receiveSockets(t, path)
 	if _, err := sockets.ListenUDP("clients", "127.0.0.1:0"); err == nil {
-		t.Error("a listener was taken for a socket of datagrams")
+		t.Error("a listener was used as a UDP socket")
 	}
-	sockets, _ = takes(t, path)
+	sockets, _ = receiveSockets(t, path)
 	other, err := sockets.ListenTCP("clients", "127.0.0.1:0")
 	if err != nil || other.Addr().String() == l.Addr().String() {
-		t.Fatalf("asked for another address: %v", err)
+		t.Fatalf("listening at another address: %v", err)
 	}
 	other.Close()
-	sockets, _ = takes(t, path)
+	sockets, _ = receiveSockets(t, path)
 	same, err := sockets.ListenTCP("clients", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -206,7 +212,7 @@
 	same.Close()
 }
 
-func TestPause(t *testing.T) {
+func TestPauser(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -238,7 +244,7 @@
 	defer client.Close()
 	select {
 	case <-accepted:
-		t.Error("accepted while held")
+		t.Error("accepted while paused")
 	case <-time.After(50 * time.Millisecond):
 	}
 	p.Resume()
@@ -249,17 +255,17 @@
 	}
 }
 
-// What names sockets is a whole line with each name once.
-func FuzzParseSockets(f *testing.F) {
+// A line that names sockets is complete and has each name once.
+func FuzzParseSocketNames(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("SOCKETS clients quic snmp\r\n"), []byte("SOCKETS clients\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		names, err := parseSockets(string(raw))
+		names, err := parseSocketNames(string(raw))
 		if err != nil {
 			return
 		}
 		if again := "SOCKETS " + strings.Join(names, " ") + "\r\n"; again != string(raw) || len(names) > maxSockets ||
 			bytes.Count(raw, []byte("\n")) != 1 {
-			t.Errorf("%q is taken as %q", raw, names)
+			t.Errorf("%q is parsed as %q", raw, names)
 		}
 	})
 }
--- /dev/null
+++ b/internal/operations/hotrestart/protocol.go
@@ -0,0 +1,109 @@
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// exchangeTimeout bounds each exchange with the other process.
+	exchangeTimeout = time.Second
+	// maxSockets bounds the sockets of one message.
+	maxSockets = 8
+	// maxLearnedLines bounds the lines of learned state.
+	maxLearnedLines = 4096
+	// messageBufferSize is the size in bytes of the buffer for the line that names the sockets.
+	messageBufferSize = 4096
+)
+
+// The lines between the two processes. Versions that run beside each other exchange them, so they never change.
+const (
+	// socketsRequest is sent by the replacement process to request the sockets.
+	socketsRequest = "TAKE 1"
+	// socketsPrefix begins the answer: the names of the sockets, with their descriptors as ancillary data.
+	socketsPrefix = "SOCKETS"
+	// learnedRequest is sent by the replacement process to request the learned state.
+	learnedRequest = "LEARNED"
+	// learnedPrefix begins each line of the answer.
+	learnedPrefix = "L "
+	// endOfLearned is the last line of the answer.
+	endOfLearned = "END"
+	// servingNotice is sent by the replacement process when it accepts connections.
+	servingNotice = "SERVING"
+
+	lineEnd = "\r\n"
+)
+
+// Errors of an exchange with the other process.
+var (
+	// ErrMalformedLine reports a line that is not part of the protocol.
+	ErrMalformedLine = errors.New("malformed line")
+	// ErrDescriptorCount reports that the names and the descriptors of an answer differ in number.
+	ErrDescriptorCount = errors.New("names and descriptors differ in number")
+	// ErrTooManyLines reports that the learned state does not end.
+	ErrTooManyLines = errors.New("too many lines of learned state")
+	// ErrOtherUser reports that the other process belongs to another user.
+	ErrOtherUser = errors.New("the other process belongs to another user")
+)
+
+// parseSocketNames returns the names in a line that names sockets, each once. The error is ErrMalformedLine.
+func parseSocketNames(text string) ([]string, error) {
+	text, ok := strings.CutSuffix(text, "\r\n")
+	words := strings.Split(text, " ")
+	if !ok || words[0] != socketsPrefix || len(words) < 2 || len(words) > 1+maxSockets {
+		return nil, fmt.Errorf("%w: %q does not name sockets", ErrMalformedLine, text)
+	}
+	seen := map[string]bool{}
+	for _, name := range words[1:] {
+		if name == "" || seen[name] || strings.ContainsAny(name, "\r\n") {
+			return nil, fmt.Errorf("%w: %q has an empty name, or one twice", ErrMalformedLine, text)
+		}
+		seen[name] = true
+	}
+	return words[1:], nil
+}
+
+// parseDescriptors returns the descriptors in the ancillary data of a message, as files.
+func parseDescriptors(oob []byte) (files []*os.File, err error) {
+	messages, err := unix.ParseSocketControlMessage(oob)
+	if err != nil {
+		return nil, fmt.Errorf("control message: %w", err)
+	}
+	for i := range messages {
+		fds, err := unix.ParseUnixRights(&messages[i])
+		if err != nil {
+			continue // ancillary data of another kind
+		}
+		for _, fd := range fds {
+			files = append(files, os.NewFile(uintptr(fd), "socket "+strconv.Itoa(len(files))))
+		}
+	}
+	return files, nil
+}
+
+// checkPeerUser returns ErrOtherUser unless the other process runs under this user. It guards against another user's
+// process at a path in a directory that everybody may write to.
+func checkPeerUser(conn *net.UnixConn) error {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var peer *unix.Ucred
+	var peerErr error
+	if err := raw.Control(func(fd uintptr) {
+		peer, peerErr = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	}); err != nil {
+		return err
+	}
+	if peerErr == nil && int(peer.Uid) != os.Geteuid() {
+		peerErr = fmt.Errorf("%w: %d", ErrOtherUser, peer.Uid)
+	}
+	return peerErr
+}
--- /dev/null
+++ b/internal/operations/hotrestart/server.go
@@ -0,0 +1,251 @@
+package hotrestart
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/textproto"
+	"os"
+	"strings"
+	"sync"
+	"time"
+
+	"cottonplank/internal/textline"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sys/unix"
+)
+
+// socketMode is the mode of the Unix socket: only this user may connect.
+const socketMode = 0o600
+
+// Replacements counts the replacement processes.
+type Replacements struct {
+	// Connected counts the processes that have received the sockets.
+	Connected int
+	// Serving counts those of them that accept connections.
+	Serving int
+}
+
+// Server passes the sockets to replacement processes.
+type Server struct {
+	path    string
+	sockets *Sockets
+	log     *logrus.Logger
+	changed func(Replacements)
+	learned func() []string
+	// socketFile is the Unix socket that this process has put at path.
+	socketFile os.FileInfo
+	// connections are the goroutines that accept and serve connections; Serve waits for them.
+	connections sync.WaitGroup
+}
+
+// NewServer returns a server at path. It calls changed from Serve's goroutine with each change of the replacements,
+// and learned for the lines of state that a replacement process receives; the lines must not be empty.
+func NewServer(
+	path string, sockets *Sockets, learned func() []string, changed func(Replacements), log *logrus.Logger,
+) *Server {
+	return &Server{path: path, sockets: sockets, learned: learned, changed: changed, log: log}
+}
+
+// replacementState is the state of a replacement process.
+type replacementState int
+
+const (
+	connected replacementState = iota
+	serving
+	exited
+)
+
+// replacementEvent reports a new state of a replacement process, which its connection identifies.
+type replacementEvent struct {
+	conn  *net.UnixConn
+	state replacementState
+}
+
+// Serve passes the sockets on until ctx ends. A replacement process puts a Unix socket of its own at the same path;
+// when it exits, Serve replaces that again.
+func (s *Server) Serve(ctx context.Context) {
+	defer s.connections.Wait()
+	s.sockets.closeInherited()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	events := make(chan replacementEvent)
+	listener := s.listen(ctx, events)
+	defer func() { closeListener(listener) }()
+	replacements := map[*net.UnixConn]replacementState{}
+	for {
+		select {
+		case <-ctx.Done():
+			s.removeSocketFile()
+			for conn := range replacements {
+				conn.Close()
+			}
+			return
+		case event := <-events:
+			if event.state == exited {
+				delete(replacements, event.conn)
+				closeListener(listener)
+				listener = s.listen(ctx, events)
+			} else {
+				replacements[event.conn] = event.state
+			}
+			s.report(replacements)
+		}
+	}
+}
+
+func closeListener(listener *net.UnixListener) {
+	if listener != nil {
+		listener.Close()
+	}
+}
+
+// removeSocketFile removes the Unix socket at path unless it is that of another process.
+func (s *Server) removeSocketFile() {
+	current, err := os.Lstat(s.path)
+	if err == nil && s.socketFile != nil && os.SameFile(current, s.socketFile) {
+		os.Remove(s.path)
+	}
+}
+
+// report logs the replacement processes and calls changed.
+func (s *Server) report(replacements map[*net.UnixConn]replacementState) {
+	count := Replacements{Connected: len(replacements)}
+	for _, state := range replacements {
+		if state == serving {
+			count.Serving++
+		}
+	}
+	fields := logrus.Fields{"connected": count.Connected, "serving": count.Serving}
+	s.log.WithFields(fields).Info("hot restart: replacement processes")
+	s.changed(count)
+}
+
+// listen opens the Unix socket and accepts connections from it. It returns nil if that fails.
+func (s *Server) listen(ctx context.Context, events chan<- replacementEvent) *net.UnixListener {
+	listener, err := s.openSocket()
+	if err != nil {
+		s.log.WithError(err).Error("hot restart: no replacement process can receive the sockets")
+		return nil
+	}
+	s.connections.Go(func() {
+		for {
+			conn, err := listener.AcceptUnix()
+			if err != nil {
+				return
+			}
+			s.connections.Go(func() { s.serveReplacement(ctx, conn, events) })
+		}
+	})
+	return listener
+}
+
+// openSocket opens the Unix socket at a temporary path and renames it, which replaces what a killed process left
+// behind.
+func (s *Server) openSocket() (*net.UnixListener, error) {
+	temporary := fmt.Sprintf("%s.%d", s.path, os.Getpid())
+	os.Remove(temporary)
+	var listener *net.UnixListener
+	err := withShortPath(temporary, func(path string) (err error) {
+		listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false) // by then the path may belong to a replacement process
+	if err := s.installSocket(temporary); err != nil {
+		listener.Close()
+		return nil, err
+	}
+	return listener, nil
+}
+
+// installSocket moves the Unix socket from its temporary path to the server's path.
+func (s *Server) installSocket(temporary string) error {
+	if err := os.Chmod(temporary, socketMode); err != nil {
+		return err
+	}
+	var err error
+	if s.socketFile, err = os.Lstat(temporary); err != nil {
+		return err
+	}
+	return os.Rename(temporary, s.path)
+}
+
+// serveReplacement passes the sockets to a replacement process and answers it until the connection or ctx ends.
+func (s *Server) serveReplacement(ctx context.Context, conn *net.UnixConn, events chan<- replacementEvent) {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	text := textproto.NewConn(conn)
+	conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if request, err := textline.Read(text.R); err != nil || request != socketsRequest {
+		s.log.WithError(err).Warnf("hot restart: unknown request %.40q", request)
+		return
+	}
+	if err := s.passSockets(conn); err != nil {
+		s.log.WithError(err).Error("hot restart: the sockets were not passed on")
+		return
+	}
+	conn.SetDeadline(time.Time{})
+	report := func(state replacementState) {
+		select {
+		case events <- replacementEvent{conn: conn, state: state}:
+		case <-ctx.Done():
+		}
+	}
+	report(connected)
+	defer report(exited)
+	for {
+		line, err := textline.Read(text.R)
+		if err != nil {
+			return
+		}
+		switch line {
+		case servingNotice:
+			report(serving)
+		case learnedRequest:
+			conn.SetWriteDeadline(time.Now().Add(exchangeTimeout))
+			if err := s.sendLearned(text); err != nil {
+				return
+			}
+		}
+	}
+}
+
+func (s *Server) sendLearned(text *textproto.Conn) error {
+	for _, state := range s.learned() {
+		if err := text.PrintfLine("%s%s", learnedPrefix, state); err != nil {
+			return err
+		}
+	}
+	return text.PrintfLine(endOfLearned)
+}
+
+// passSockets sends the names of the sockets with their descriptors to a process of this user.
+func (s *Server) passSockets(conn *net.UnixConn) error {
+	if err := checkPeerUser(conn); err != nil {
+		return err
+	}
+	return sendSockets(conn, s.sockets.open, nil, nil)
+}
+
+// sendSockets adds the remaining sockets to the names and descriptors, and sends them. It recurses within Control, so
+// that no descriptor is closed meanwhile. Duplicates by File would be set to blocking mode, which the two processes
+// share.
+func sendSockets(conn *net.UnixConn, remaining []socket, names []string, descriptors []int) error {
+	if len(remaining) == 0 {
+		line := socketsPrefix + " " + strings.Join(names, " ") + lineEnd
+		_, _, err := conn.WriteMsgUnix([]byte(line), unix.UnixRights(descriptors...), nil)
+		return err
+	}
+	next := remaining[0]
+	var sendErr error
+	if err := next.conn.Control(func(fd uintptr) {
+		sendErr = sendSockets(conn, remaining[1:], append(names, next.name), append(descriptors, int(fd)))
+	}); err != nil {
+		return err
+	}
+	return sendErr
+}
--- a/internal/operations/hotrestart/wire_test.go
+++ b/internal/operations/hotrestart/wire_test.go
@@ -44,7 +44,7 @@
 	if want := filepath.Join(dir, "cottonplank-127.0.0.1:9000_x.sock"); path != want {
 		t.Errorf("path %s, want %s", path, want)
 	}
-	_, changes, _ := offer(t, path, "127.0.0.1:0")
+	_, changes, _ := startServer(t, path, "127.0.0.1:0")
 	conn := dial(t, path)
 	io.WriteString(conn, "TAKE 1\r\n")
 	buf, oob := make([]byte, 4096), make([]byte, 4096)
@@ -63,55 +63,63 @@
 	for _, fd := range descriptors {
 		unix.Close(fd)
 	}
-	wants(t, changes, Replacements{Connected: 1})
+	expectChange(t, changes, Replacements{Connected: 1})
 	io.WriteString(conn, "LEARNED\r\n")
 	expect(t, conn, "L one\r\nL two\r\nEND\r\n")
 	io.WriteString(conn, "SERVING\r\n")
-	wants(t, changes, Replacements{Connected: 1, Serving: 1})
+	expectChange(t, changes, Replacements{Connected: 1, Serving: 1})
 }
 
 // TestClientWireBytes pins what this process sends to an earlier or later version that runs already.
 func TestClientWireBytes(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	accepted := make(chan *net.UnixConn, 1)
 	go func() {
-		conn, err := l.AcceptUnix()
+		conn, err := listener.AcceptUnix()
 		if err != nil {
 			close(accepted)
 			return
 		}
-		r := bufio.NewReader(conn)
-		if line, err := r.ReadString('\n'); err != nil || line != "TAKE 1\r\n" {
-			t.Errorf("read %q, %v", line, err)
-		}
-		passed, err := os.Open("/dev/null")
-		if err != nil {
-			t.Error(err)
-		} else {
-			conn.WriteMsgUnix([]byte("SOCKETS clients\r\n"), unix.UnixRights(int(passed.Fd())), nil)
-			passed.Close()
-		}
-		if line, err := r.ReadString('\n'); err != nil || line != "LEARNED\r\n" {
-			t.Errorf("read %q, %v", line, err)
-		}
-		io.WriteString(conn, "L one\r\nL two\r\nEND\r\n")
+		playPreviousProcess(t, conn)
 		accepted <- conn
 	}()
-	sockets, p := TakeOver(path, quiet())
+	sockets, previous := TakeOver(path, discardLog())
 	conn := <-accepted
-	if p == nil || conn == nil {
-		t.Fatal("nothing was handed over")
+	if previous == nil || conn == nil {
+		t.Fatal("no sockets were passed on")
 	}
 	defer conn.Close()
-	if got := sockets.Unused(); !slices.Equal(got, []string{"clients"}) || !slices.Equal(p.Learned, []string{"one", "two"}) {
-		t.Errorf("sockets %q, learned %q", got, p.Learned)
+	if got := sockets.Unused(); !slices.Equal(got, []string{"clients"}) {
+		t.Errorf("sockets %q", got)
+	}
+	if !slices.Equal(previous.Learned, []string{"one", "two"}) {
+		t.Errorf("learned %q", previous.Learned)
 	}
-	p.NotifyServing()
+	previous.NotifyServing()
 	expect(t, conn, "SERVING\r\n")
 }
+
+// playPreviousProcess checks the requests of a replacement process, and answers with one socket and two lines.
+func playPreviousProcess(t *testing.T, conn *net.UnixConn) {
+	reader := bufio.NewReader(conn)
+	if line, err := reader.ReadString('\n'); err != nil || line != "TAKE 1\r\n" {
+		t.Errorf("read %q, %v", line, err)
+	}
+	file, err := os.Open("/dev/null")
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	defer file.Close()
+	conn.WriteMsgUnix([]byte("SOCKETS clients\r\n"), unix.UnixRights(int(file.Fd())), nil)
+	if line, err := reader.ReadString('\n'); err != nil || line != "LEARNED\r\n" {
+		t.Errorf("read %q, %v", line, err)
+	}
+	io.WriteString(conn, "L one\r\nL two\r\nEND\r\n")
+}
