--- a/internal/operations/sdnotify/clock.go
+++ b/internal/operations/sdnotify/clock.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// MonotonicNow is the time of CLOCK_MONOTONIC, by which a supervisor tells reloads apart.
+// MonotonicNow returns the time of CLOCK_MONOTONIC, by which a supervisor orders reloads.
 func MonotonicNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return 0 // the clock is always there on the platforms that have such supervisors
+		return 0 // can't happen: every platform with such a supervisor has the clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/operations/sdnotify/monitor.go
+++ b/internal/operations/sdnotify/monitor.go
@@ -1,6 +1,6 @@
-// Package sdnotify is the daemon's side of a service supervisor: it tells how the process is (the sd_notify protocol,
-// sd_notify(3)), takes sockets that the supervisor has opened (sd_listen_fds(3)), and gives the watchdog its sign of life
-// only while every actor turns. Without a supervisor it does nothing.
+// Package sdnotify is the daemon's side of a service supervisor such as systemd: it reports the state of the process
+// (the sd_notify protocol, sd_notify(3)), receives the sockets that the supervisor has opened (sd_listen_fds(3)), and
+// sends the watchdog's heartbeats while no task of the process is stuck. Without a supervisor it does nothing.
 package sdnotify
 
 import (
@@ -10,52 +10,59 @@
 	"time"
 )
 
-// Task is one actor's sign of life: it is busy from the moment when something woke it until it waits again. A nil Mark
-// takes nothing.
+// notBusy is the value of Task.busySince while the task is idle.
+const notBusy = 0
+
+// Task is an event loop that a Monitor watches: it is busy while it handles an event and idle while it waits for one.
+// All methods of a nil Task do nothing. It is safe for concurrent use.
 type Task struct {
-	name  string
-	since atomic.Int64 // Unix nanoseconds since which it is busy; 0: it waits
+	name string
+	// busySince is when the task began to handle an event, in Unix nanoseconds, or notBusy.
+	busySince atomic.Int64
 }
 
-// Busy tells that a turn begins.
-func (m *Task) Busy() {
-	if m != nil {
-		m.since.Store(time.Now().UnixNano())
+// Busy marks the beginning of an iteration of the event loop.
+func (t *Task) Busy() {
+	if t != nil {
+		t.busySince.Store(time.Now().UnixNano())
 	}
 }
 
-// Idle tells that the turn is over.
-func (m *Task) Idle() {
-	if m != nil {
-		m.since.Store(0)
+// Idle marks the end of an iteration of the event loop.
+func (t *Task) Idle() {
+	if t != nil {
+		t.busySince.Store(notBusy)
 	}
 }
 
-// Monitor are those of a process. A nil Marks makes nil ones.
+// Monitor finds the tasks of a process that are stuck. It is safe for concurrent use.
 type Monitor struct {
-	mu  sync.Mutex
-	all []*Task
+	mu    sync.Mutex
+	tasks []*Task
 }
 
-// AddTask returns the mark of another actor. Names need not differ.
+// AddTask returns a new task. Several tasks may have one name. A nil Monitor returns a nil Task.
 func (m *Monitor) AddTask(name string) *Task {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mark := &Task{name: name}
-	m.all = append(m.all, mark)
-	return mark
+	task := &Task{name: name}
+	m.tasks = append(m.tasks, task)
+	return task
 }
 
-// StuckTasks names the actors whose turn has taken longer than limit at now, in order.
-func (m *Monitor) StuckTasks(now time.Time, limit time.Duration) (names []string) {
+// StuckTasks returns the names of the tasks that have been busy for longer than limit at the time now, sorted and
+// without duplicates.
+func (m *Monitor) StuckTasks(now time.Time, limit time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, mark := range m.all {
-		if since := mark.since.Load(); since != 0 && now.UnixNano()-since > int64(limit) {
-			names = append(names, mark.name)
+	var names []string
+	for _, task := range m.tasks {
+		busySince := task.busySince.Load()
+		if busySince != notBusy && now.UnixNano()-busySince > int64(limit) {
+			names = append(names, task.name)
 		}
 	}
 	slices.Sort(names)
--- /dev/null
+++ b/internal/operations/sdnotify/notifier_test.go
@@ -0,0 +1,192 @@
+package sdnotify
+
+import (
+	"context"
+	"io"
+	"net"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// newSupervisor emulates a service supervisor: it returns the socket of sd_notify(3).
+func newSupervisor(t *testing.T) *net.UnixConn {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "notify")
+	conn, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	t.Setenv("NOTIFY_SOCKET", path)
+	return conn
+}
+
+// readMessage reads one message. It returns an empty string if none arrives within the time.
+func readMessage(t *testing.T, conn *net.UnixConn, within time.Duration) string {
+	t.Helper()
+	conn.SetReadDeadline(time.Now().Add(within))
+	buf := make([]byte, 4096)
+	n, err := conn.Read(buf)
+	if err != nil {
+		return ""
+	}
+	return string(buf[:n])
+}
+
+// newLog returns a log and what is written to it.
+func newLog() (*logrus.Logger, *strings.Builder) {
+	log := logrus.New()
+	out := &strings.Builder{}
+	log.SetOutput(out)
+	return log, out
+}
+
+// startNotifier runs a notifier until the returned function stops it.
+func startNotifier(t *testing.T, monitor *Monitor) (*Notifier, context.CancelFunc, *strings.Builder) {
+	t.Helper()
+	log, out := newLog()
+	n, err := NewNotifier(monitor, func() string { return "two\nlines" }, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	go n.Run(ctx)
+	t.Cleanup(func() { cancel(); n.Wait(5 * time.Second) })
+	return n, func() { cancel(); n.Wait(5 * time.Second) }, out
+}
+
+// The messages are those of sd_notify(3), in order; those pending at the end are still sent.
+func TestMessages(t *testing.T) {
+	conn := newSupervisor(t)
+	n, stop, _ := startNotifier(t, &Monitor{})
+	n.Ready()
+	n.Reloading(1234567 * time.Microsecond)
+	n.Ready()
+	n.SetMainPID(42)
+	n.Stopping(2 * time.Second)
+	stop()
+	for _, want := range []string{
+		"READY=1\nSTATUS=two lines",
+		"RELOADING=1\nMONOTONIC_USEC=1234567",
+		"READY=1\nSTATUS=two lines",
+		"MAINPID=42",
+		"STOPPING=1\nEXTEND_TIMEOUT_USEC=2000000",
+	} {
+		if got := readMessage(t, conn, 5*time.Second); got != want {
+			t.Errorf("sent %q, want %q", got, want)
+		}
+	}
+	if a, b := MonotonicNow(), MonotonicNow(); a <= 0 || b < a {
+		t.Errorf("the clock goes from %v to %v", a, b)
+	}
+}
+
+// Heartbeats are sent while no task is stuck. A stuck task is named and ends them; they are sent again once it is
+// idle. So a process that hangs is restarted, and one that works is not.
+func TestWatchdog(t *testing.T) {
+	conn := newSupervisor(t)
+	t.Setenv("WATCHDOG_USEC", "200000")
+	monitor := &Monitor{}
+	list, engine := monitor.AddTask("list"), monitor.AddTask("engine")
+	_, stop, out := startNotifier(t, monitor)
+	if got := readMessage(t, conn, 5*time.Second); got != "WATCHDOG=1" {
+		t.Fatalf("sent %q", got)
+	}
+	list.Busy()
+	list.Idle()
+	engine.Busy() // and never idle
+	for end := time.Now().Add(5 * time.Second); ; {
+		got := readMessage(t, conn, 5*time.Second)
+		if got == "STATUS=stuck: engine" {
+			break
+		}
+		if got != "WATCHDOG=1" || time.Now().After(end) {
+			t.Fatalf("sent %q", got)
+		}
+	}
+	if got := readMessage(t, conn, 300*time.Millisecond); got != "" {
+		t.Errorf("a stuck process sent %q", got)
+	}
+	engine.Idle()
+	if got := readMessage(t, conn, 5*time.Second); got != "WATCHDOG=1" {
+		t.Errorf("sent %q", got)
+	}
+	stop()
+	if log := out.String(); strings.Count(log, "heartbeat withheld") != 1 || !strings.Contains(log, "stuck=engine") {
+		t.Errorf("logged %q", log)
+	}
+}
+
+// A task is stuck if one iteration of its event loop has lasted longer than the limit.
+func TestStuckTasks(t *testing.T) {
+	monitor := &Monitor{}
+	a, b, c := monitor.AddTask("a"), monitor.AddTask("b"), monitor.AddTask("b")
+	a.Busy()
+	b.Busy()
+	c.Busy()
+	b.Busy() // the next iteration follows at once
+	now := time.Now()
+	if got := monitor.StuckTasks(now.Add(time.Minute), time.Second); !slices.Equal(got, []string{"a", "b"}) {
+		t.Errorf("%q", got)
+	}
+	if got := monitor.StuckTasks(now, time.Second); len(got) != 0 {
+		t.Errorf("%q", got)
+	}
+	c.Idle()
+	b.Idle()
+	a.Idle()
+	if got := monitor.StuckTasks(now.Add(time.Minute), time.Second); len(got) != 0 {
+		t.Errorf("%q", got)
+	}
+	var none *Monitor
+	none.AddTask("x").Busy()
+	none.AddTask("x").Idle()
+}
+
+// A supervisor that does not read, so that the buffer of its socket fills up and writes block, blocks no caller.
+func TestUnresponsiveSupervisor(t *testing.T) {
+	newSupervisor(t) // its socket is never read
+	log, _ := newLog()
+	log.SetOutput(io.Discard)
+	n, err := NewNotifier(&Monitor{}, func() string { return strings.Repeat("x", 60000) }, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	go n.Run(ctx)
+	done := make(chan struct{})
+	go func() {
+		for range 10000 {
+			n.Ready()
+		}
+		close(done)
+	}()
+	select {
+	case <-done:
+	case <-time.After(20 * time.Second):
+		t.Error("a caller is blocked by the supervisor")
+	}
+	cancel()
+	n.Wait(50 * time.Millisecond)
+}
+
+// Without a supervisor nothing is sent and nothing fails; a malformed environment is an error.
+func TestNoSupervisor(t *testing.T) {
+	t.Setenv("NOTIFY_SOCKET", "")
+	n, stop, out := startNotifier(t, &Monitor{})
+	n.Ready()
+	stop()
+	if out.String() != "" {
+		t.Errorf("logged %q", out)
+	}
+	t.Setenv("WATCHDOG_USEC", "soon")
+	_, err := NewNotifier(&Monitor{}, func() string { return "" }, nil)
+	if err == nil || !strings.Contains(err.Error(), "WATCHDOG_USEC") {
+		t.Error(err)
+	}
+}
