--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -213,7 +213,7 @@
 		}
 		run.kill()
 		for i := range manyProcesses {
-			if truncated := strings.Contains(run.log(i), "nothing was learned"); truncated != (i%3 == 2) {
+			if truncated := strings.Contains(run.log(i), "no learned state from the previous process"); truncated != (i%3 == 2) {
 				t.Errorf("process %d logs:\n%.2000s", i, run.log(i))
 			}
 		}
