--- /dev/null
+++ b/internal/session/migration/reason_test.go
@@ -0,0 +1,40 @@
+package migration
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"cottonplank/internal/session/token"
+)
+
+// Clients, INFO and the MIB's table see these words, the MIB in this order.
+func TestReasonWords(t *testing.T) {
+	want := []string{"malformed", "version", "unknown-key", "forged", "expired", "site", "room", "used", "over", "gone",
+		"late", "large", "stale", "lost", "unsupported"}
+	if got := ReasonWords(); !slices.Equal(got, want) {
+		t.Errorf("words %q, want %q", got, want)
+	}
+	for reason := range NumReasons {
+		if got, want := reason.IsTokenError(), reason <= 6; got != want {
+			t.Errorf("%v: is a token error: %v, want %v", reason, got, want)
+		}
+	}
+}
+
+func TestReasonForError(t *testing.T) {
+	for err, want := range map[error]string{
+		token.ErrMalformed:      "malformed",
+		token.ErrVersion:        "version",
+		token.ErrKey:            "unknown-key",
+		token.ErrForged:         "forged",
+		token.ErrExpired:        "expired",
+		token.ErrSite:           "site",
+		errors.New("any other"): "malformed",
+	} {
+		if got := ReasonForError(fmt.Errorf("wrapped: %w", err)); got.String() != want {
+			t.Errorf("%v: reason %v, want %s", err, got, want)
+		}
+	}
+}
