--- a/internal/session/migration/reason.go
+++ b/internal/session/migration/reason.go
@@ -8,8 +8,8 @@
 
 // ReasonForError is the reason that belongs to an error of token.Ring.Open.
 func ReasonForError(err error) Reason {
-	for reason, is := range map[Reason]error{Version: token.ErrVersion, UnknownKey: token.ErrKey, Forged: token.ErrForged,
-		Expired: token.ErrExpired, WrongSite: token.ErrSite} {
+	for reason, is := range map[Reason]error{Version: token.ErrUnsupportedVersion, UnknownKey: token.ErrUnknownKey, Forged: token.ErrForged,
+		Expired: token.ErrExpired, WrongSite: token.ErrWrongSite} {
 		if errors.Is(err, is) {
 			return reason
 		}
--- a/internal/session/migration/reason_test.go
+++ b/internal/session/migration/reason_test.go
@@ -25,13 +25,13 @@
 
 func TestReasonForError(t *testing.T) {
 	for err, want := range map[error]string{
-		token.ErrMalformed:      "malformed",
-		token.ErrVersion:        "version",
-		token.ErrKey:            "unknown-key",
-		token.ErrForged:         "forged",
-		token.ErrExpired:        "expired",
-		token.ErrSite:           "site",
-		errors.New("any other"): "malformed",
+		token.ErrMalformed:          "malformed",
+		token.ErrUnsupportedVersion: "version",
+		token.ErrUnknownKey:         "unknown-key",
+		token.ErrForged:             "forged",
+		token.ErrExpired:            "expired",
+		token.ErrWrongSite:          "site",
+		errors.New("any other"):     "malformed",
 	} {
 		if got := ReasonForError(fmt.Errorf("wrapped: %w", err)); got.String() != want {
 			t.Errorf("%v: reason %v, want %s", err, got, want)
--- /dev/null
+++ b/internal/session/token/keyfile.go
@@ -0,0 +1,58 @@
+package token
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+)
+
+// keysFile is the JSON form of a keys file.
+type keysFile struct {
+	Keys []keyJSON `json:"keys"`
+}
+
+// keyJSON is the JSON form of a Key.
+type keyJSON struct {
+	ID        string    `json:"id"`
+	Secret    string    `json:"secret"` // hexadecimal
+	NotBefore time.Time `json:"not_before"`
+	NotAfter  time.Time `json:"not_after"`
+}
+
+// ParseKeys parses the JSON text of a keys file. Errors name the faulty key and value, but never a secret.
+func ParseKeys(raw []byte) ([]Key, error) {
+	var file keysFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("%s: a %s was expected, found %s", typeError.Field, typeError.Type, typeError.Value)
+		}
+		return nil, err
+	}
+	var keys []Key
+	for i, key := range file.Keys {
+		secret, err := hex.DecodeString(key.Secret)
+		if err != nil {
+			return nil, fmt.Errorf("keys[%d].secret: is not hexadecimal", i)
+		}
+		keys = append(keys, Key{ID: key.ID, Secret: secret, NotBefore: key.NotBefore, NotAfter: key.NotAfter})
+	}
+	return keys, nil
+}
+
+// FormatKeys returns the JSON text of a keys file. ParseKeys parses it.
+func FormatKeys(keys []Key) ([]byte, error) {
+	file := keysFile{Keys: []keyJSON{}}
+	for _, key := range keys {
+		file.Keys = append(file.Keys, keyJSON{
+			ID:        key.ID,
+			Secret:    hex.EncodeToString(key.Secret),
+			NotBefore: key.NotBefore.UTC(),
+			NotAfter:  key.NotAfter.UTC(),
+		})
+	}
+	raw, err := json.MarshalIndent(file, "", "  ")
+	return append(raw, '\n'), err
+}
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -4,188 +4,176 @@
 	"cmp"
 	"crypto/cipher"
 	"encoding/hex"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"slices"
+	"strings"
 	"time"
 
 	"golang.org/x/crypto/chacha20poly1305"
 )
 
 const (
-	// Leeway is how far the clocks of two balancers may be apart.
+	// Leeway is the maximum difference between the clocks of two balancers.
 	Leeway = time.Minute
-	// MaxLifetime bounds how long a token is good, and so how long a key opens after it has stopped to seal.
+	// MaxLifetime is the maximum lifetime of a token, and so of a key after it has stopped sealing.
 	MaxLifetime = 24 * time.Hour
+
 	maxKeys     = 64
+	keyIDDigits = 8
 )
 
-// Key is one key of a ring.
+// Key is a key of a ring. It seals from NotBefore until NotAfter, while no key with a later NotBefore does.
 type Key struct {
-	ID        string // names it in tokens; 8 hexadecimal digits
-	Secret    []byte // 32 bytes
+	// ID names the key in tokens. It consists of 8 lower-case hexadecimal digits.
+	ID string
+	// Secret is the XChaCha20-Poly1305 key, 32 bytes.
+	Secret []byte
+	// NotBefore is when the key begins to seal.
 	NotBefore time.Time
-	NotAfter  time.Time
-	aead      cipher.AEAD
+	// NotAfter is when the key stops sealing.
+	NotAfter time.Time
+	// aead is the cipher under Secret; nil until the key is part of a ring.
+	aead cipher.AEAD
 }
 
-// Ring holds the keys of a site's balancers. It is not changed after it was made: a reload makes another.
-type Ring struct {
-	keys []*Key // the one that seals soonest first
-	life time.Duration
+// NewKey returns a random key that seals within the given time, which is truncated to whole seconds.
+func NewKey(notBefore, notAfter time.Time, random io.Reader) (Key, error) {
+	const idBytes = keyIDDigits / 2
+	raw := make([]byte, idBytes+chacha20poly1305.KeySize)
+	if _, err := io.ReadFull(random, raw); err != nil {
+		return Key{}, fmt.Errorf("random numbers: %w", err)
+	}
+	return Key{
+		ID:        hex.EncodeToString(raw[:idBytes]),
+		Secret:    raw[idBytes:],
+		NotBefore: notBefore.Truncate(time.Second),
+		NotAfter:  notAfter.Truncate(time.Second),
+	}, nil
+}
+
+// prepare validates the key and creates its cipher. Its errors begin with the name of the faulty field in the keys
+// file.
+func (k *Key) prepare() error {
+	if !isKeyID(k.ID) {
+		return fmt.Errorf("id: %q is not %d hexadecimal digits", k.ID, keyIDDigits)
+	}
+	if !k.NotAfter.After(k.NotBefore) {
+		notAfter, notBefore := k.NotAfter.Format(time.RFC3339), k.NotBefore.Format(time.RFC3339)
+		return fmt.Errorf("not_after: %s is not after not_before %s", notAfter, notBefore)
+	}
+	aead, err := chacha20poly1305.NewX(k.Secret)
+	if err != nil {
+		return fmt.Errorf("secret: has %d bytes, %d expected", len(k.Secret), chacha20poly1305.KeySize)
+	}
+	k.aead = aead
+	return nil
 }
 
-type keysFile struct {
-	Keys []keyJSON `json:"keys"`
+func isKeyID(text string) bool {
+	return len(text) == keyIDDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
 
-type keyJSON struct {
-	ID        string    `json:"id"`
-	Secret    string    `json:"secret"`
-	NotBefore time.Time `json:"not_before"`
-	NotAfter  time.Time `json:"not_after"`
+// Ring holds the keys that the balancers of a site share. It is immutable: a reload replaces it.
+type Ring struct {
+	// keys is sorted by NotBefore, then by ID.
+	keys []*Key
+	// lifetime is the maximum lifetime of the tokens that the keys seal.
+	lifetime time.Duration
 }
 
-// NewRing checks the keys. Tokens live for life at most, 24 h or less, and a key opens for so long after its last seal.
-func NewRing(keys []Key, life time.Duration) (*Ring, error) {
-	if life <= 0 || life > MaxLifetime {
-		return nil, fmt.Errorf("a token's life: %v is not above 0 and up to %v", life, MaxLifetime)
+// NewRing returns a ring of the keys. lifetime is the maximum lifetime of a token, at most MaxLifetime: a key opens
+// tokens for that long after it has stopped sealing. Errors name the faulty key and value, but never a secret.
+func NewRing(keys []Key, lifetime time.Duration) (*Ring, error) {
+	if lifetime <= 0 || lifetime > MaxLifetime {
+		return nil, fmt.Errorf("token lifetime: %v is not above 0 and up to %v", lifetime, MaxLifetime)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("keys: %d of them, 1 to %d expected", len(keys), maxKeys)
 	}
-	r := &Ring{life: life}
+	ring := &Ring{lifetime: lifetime}
 	seen := map[string]bool{}
-	for i, k := range keys {
-		if !isKeyID(k.ID) {
-			return nil, fmt.Errorf("keys[%d].id: %q is not %d hexadecimal digits", i, k.ID, keyIDLen)
-		}
-		if seen[k.ID] {
-			return nil, fmt.Errorf("keys[%d].id: %q is there twice", i, k.ID)
-		}
-		seen[k.ID] = true
-		if !k.NotAfter.After(k.NotBefore) {
-			return nil, fmt.Errorf("keys[%d].not_after: %s is not after not_before %s", i, k.NotAfter.Format(time.RFC3339),
-				k.NotBefore.Format(time.RFC3339))
+	for i, key := range keys {
+		if seen[key.ID] {
+			return nil, fmt.Errorf("keys[%d].id: %q is there twice", i, key.ID)
 		}
-		aead, err := chacha20poly1305.NewX(k.Secret)
-		if err != nil {
-			return nil, fmt.Errorf("keys[%d].secret: has %d bytes, %d expected", i, len(k.Secret), chacha20poly1305.KeySize)
+		seen[key.ID] = true
+		if err := key.prepare(); err != nil {
+			return nil, fmt.Errorf("keys[%d].%w", i, err)
 		}
-		k.aead = aead
-		r.keys = append(r.keys, &k)
+		ring.keys = append(ring.keys, &key)
 	}
-	slices.SortStableFunc(r.keys, func(a, b *Key) int {
-		if c := a.NotBefore.Compare(b.NotBefore); c != 0 {
-			return c
-		}
-		return cmp.Compare(a.ID, b.ID)
+	slices.SortStableFunc(ring.keys, func(a, b *Key) int {
+		return cmp.Or(a.NotBefore.Compare(b.NotBefore), cmp.Compare(a.ID, b.ID))
 	})
-	return r, nil
+	return ring, nil
 }
 
-// ParseKeys reads the JSON of a keys file; errors name the key and its faulty value, never a secret.
-func ParseKeys(raw []byte) ([]Key, error) {
-	var f keysFile
-	if err := json.Unmarshal(raw, &f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return nil, fmt.Errorf("%s: a %s was expected, found %s", wrong.Field, wrong.Type, wrong.Value)
-		}
-		return nil, err
-	}
+// Keys returns copies of the ring's keys, sorted by NotBefore and then by ID.
+func (r *Ring) Keys() []Key {
 	var keys []Key
-	for i, k := range f.Keys {
-		secret, err := hex.DecodeString(k.Secret)
-		if err != nil {
-			return nil, fmt.Errorf("keys[%d].secret: is not hexadecimal", i)
-		}
-		keys = append(keys, Key{ID: k.ID, Secret: secret, NotBefore: k.NotBefore, NotAfter: k.NotAfter})
-	}
-	return keys, nil
-}
-
-// FormatKeys writes what ParseKeys reads.
-func FormatKeys(keys []Key) ([]byte, error) {
-	f := keysFile{Keys: []keyJSON{}}
-	for _, k := range keys {
-		f.Keys = append(f.Keys, keyJSON{k.ID, hex.EncodeToString(k.Secret), k.NotBefore.UTC(), k.NotAfter.UTC()})
-	}
-	raw, err := json.MarshalIndent(f, "", "  ")
-	return append(raw, '\n'), err
-}
-
-// NewKey makes a key that seals from one moment to another.
-func NewKey(from, to time.Time, random io.Reader) (Key, error) {
-	raw := make([]byte, keyIDLen/2+chacha20poly1305.KeySize)
-	if _, err := io.ReadFull(random, raw); err != nil {
-		return Key{}, fmt.Errorf("random numbers: %w", err)
+	for _, key := range r.keys {
+		keys = append(keys, *key)
 	}
-	return Key{ID: hex.EncodeToString(raw[:keyIDLen/2]), Secret: raw[keyIDLen/2:], NotBefore: from.Truncate(time.Second),
-		NotAfter: to.Truncate(time.Second)}, nil
+	return keys
 }
 
-// Use says what a key does at a moment.
+// Use is what a key of a ring is used for at a given time.
 type Use string
 
-// What a key does.
+// The uses of a key. Operators see them in the list of keys.
 const (
-	Waits   Use = "waits" // seals later; opens already, for balancers whose clock is ahead
-	Seals   Use = "seals"
-	Opens   Use = "opens" // another key seals, or it has stopped to and what it sealed is still good
+	// Waits means that the key will seal later. It opens tokens already, for balancers whose clock is ahead.
+	Waits Use = "waits"
+	// Seals means that the key seals new tokens, and opens them.
+	Seals Use = "seals"
+	// Opens means that the key opens tokens that it has sealed, but does not seal: another key does, or its time
+	// to seal is over.
+	Opens Use = "opens"
+	// Retired means that all tokens that the key has sealed are expired, or that the key is not in the ring.
 	Retired Use = "retired"
 )
 
-// Use tells what the i-th key does at now, in the order of Keys.
-func (r *Ring) Use(id string, now time.Time) Use {
-	k := r.opening(id, now)
+// Use returns what the key with the given ID is used for at now.
+func (r *Ring) Use(keyID string, now time.Time) Use {
+	key := r.openingKey(keyID, now)
 	switch {
-	case k == nil:
+	case key == nil:
 		return Retired
-	case k == r.sealing(now):
+	case key == r.sealingKey(now):
 		return Seals
-	case now.Before(k.NotBefore):
+	case now.Before(key.NotBefore):
 		return Waits
 	}
 	return Opens
 }
 
-// Keys are the ring's keys, the one that begins to seal first before the others.
-func (r *Ring) Keys() []Key {
-	var all []Key
-	for _, k := range r.keys {
-		all = append(all, *k)
+// Sealing returns the ID of the key that seals at now, or an empty string if none does.
+func (r *Ring) Sealing(now time.Time) string {
+	if key := r.sealingKey(now); key != nil {
+		return key.ID
 	}
-	return all
+	return ""
 }
 
-// sealing is the key in force that began last, so that a new key takes over when its time comes.
-func (r *Ring) sealing(now time.Time) *Key {
-	for _, k := range slices.Backward(r.keys) {
-		if !now.Before(k.NotBefore) && now.Before(k.NotAfter) {
-			return k
+// sealingKey returns the key that seals at now, or nil. If several keys may seal, it is the one with the latest
+// NotBefore, so that a new key replaces an old one as soon as its time comes.
+func (r *Ring) sealingKey(now time.Time) *Key {
+	for _, key := range slices.Backward(r.keys) {
+		if !now.Before(key.NotBefore) && now.Before(key.NotAfter) {
+			return key
 		}
 	}
 	return nil
 }
 
-// opening is the key with that id, unless the last token that it sealed has expired, at a balancer whose clock is
-// behind too.
-func (r *Ring) opening(id string, now time.Time) *Key {
-	for _, k := range r.keys {
-		if k.ID == id && !now.After(k.NotAfter.Add(r.life+2*Leeway)) {
-			return k
+// openingKey returns the key with the given ID, or nil if there is none or it is retired. A key retires when the last
+// token that it can have sealed is expired, even if both the sealing and the opening balancer's clock are behind.
+func (r *Ring) openingKey(keyID string, now time.Time) *Key {
+	for _, key := range r.keys {
+		if key.ID == keyID && !now.After(key.NotAfter.Add(r.lifetime+2*Leeway)) {
+			return key
 		}
 	}
 	return nil
 }
-
-// Sealing is the id of the key that seals at now; empty: none does.
-func (r *Ring) Sealing(now time.Time) string {
-	if k := r.sealing(now); k != nil {
-		return k.ID
-	}
-	return ""
-}
--- /dev/null
+++ b/internal/session/token/ring_test.go
@@ -0,0 +1,44 @@
+package token
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// A key that has stopped sealing opens tokens until the last one that it sealed has expired, and no longer. The next
+// key seals from its NotBefore on. So a rotation rejects no token that is still valid.
+func TestKeyRotation(t *testing.T) {
+	old, next := newTestKey(t, -time.Hour, time.Minute), newTestKey(t, 0, 3*time.Hour)
+	ring := newTestRing(t, next, old)
+	for _, v := range []struct {
+		at        time.Duration // after noon
+		old, next Use
+	}{
+		{-time.Minute, Seals, Waits},
+		{0, Opens, Seals},
+		{time.Hour, Opens, Seals},
+		{time.Hour + 4*time.Minute, Retired, Seals},
+		{4*time.Hour - time.Minute, Retired, Opens},
+	} {
+		t.Run(v.at.String(), func(t *testing.T) {
+			now := noon.Add(v.at)
+			if oldUse, nextUse := ring.Use(old.ID, now), ring.Use(next.ID, now); oldUse != v.old || nextUse != v.next {
+				t.Errorf("uses are %s and %s, want %s and %s", oldUse, nextUse, v.old, v.next)
+			}
+		})
+	}
+	token := newTestToken()
+	lastSealed := noon.Add(59 * time.Second)
+	token.Expires = lastSealed.Add(time.Hour)
+	text := mustSeal(t, newTestRing(t, old), token, lastSealed)
+	if _, err := ring.Open(text, "armor", token.Expires.Add(-time.Second)); err != nil {
+		t.Errorf("the old key's last token, before it expires: %v", err)
+	}
+	if _, err := ring.Open(text, "armor", noon.Add(time.Hour+4*time.Minute)); !errors.Is(err, ErrUnknownKey) {
+		t.Errorf("the old key's last token, once the key is retired: %v", err)
+	}
+	if _, err := newTestRing(t, old).Seal(token, noon.Add(2*time.Minute), random); !errors.Is(err, ErrNoSealingKey) {
+		t.Errorf("sealing after the only key's NotAfter: error %v, want %v", err, ErrNoSealingKey)
+	}
+}
--- /dev/null
+++ b/internal/session/token/sealed_bytes_test.go
@@ -0,0 +1,65 @@
+package token
+
+import (
+	"bytes"
+	"testing"
+)
+
+// Balancers of different versions share tokens, so the sealed bytes must stay as they are.
+func TestSealedBytes(t *testing.T) {
+	ring := newTestRing(t, fixedKey())
+	withoutRoom := newTestToken()
+	withoutRoom.Room = ""
+	const (
+		withRoomText = "1.0a0b0c0d.QEFCQ0RFRkdISUpLTE1OT1BRUlNUVVZXfDhVcdLjeRaP9Ie-r5xlkpK6rcYXWlaeD1CPK" +
+			"GZ2JuFiiW5BNqLgZ5rTnDwzveOQ720Xm0Kw1vmEnTjDcLVUF1Iw-HIVEXMfrYO9fDHpxmW0MFd_Jwozd" +
+			"lGE"
+		withoutRoomText = "1.0a0b0c0d.QEFCQ0RFRkdISUpLTE1OT1BRUlNUVVZXczhVcdLjeRaP9Ie-r5xlkpK6rcYXWlaeD1CPK" +
+			"GZ2Jfpl1DcMMKDlIMjR81RJ0sHxm2rf3ritNEnjZFwM_jbJ6ltJ8QqNb0M"
+	)
+	for name, v := range map[string]struct {
+		token Token
+		want  string
+	}{
+		"with a room":    {newTestToken(), withRoomText},
+		"without a room": {withoutRoom, withoutRoomText},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := ring.Seal(v.token, noon, bytes.NewReader(sequence(0x40, 24)))
+			if err != nil || got != v.want {
+				t.Errorf("sealed as %s, %v, want %s", got, err, v.want)
+			}
+			opened, err := ring.Open(v.want, "armor", noon)
+			if err != nil || !opened.Expires.Equal(v.token.Expires) {
+				t.Fatalf("opened as %+v, %v", opened, err)
+			}
+			if opened.Expires = v.token.Expires; opened != v.token {
+				t.Errorf("opened as %+v, want %+v", opened, v.token)
+			}
+		})
+	}
+}
+
+// Clients and the management interface see these texts.
+func TestReferenceAndReasonTexts(t *testing.T) {
+	ref := newTestToken().Ref
+	for _, v := range []struct{ got, want string }{
+		{ref.Session.String(), "01020300000000000000000000000000"},
+		{ref.String(), "01020300000000000000000000000000/4/5"},
+		{Ref{Fence: 0xabc}.String(), "00000000000000000000000000000000/0/abc"},
+		{ErrMalformed.Error(), "malformed"},
+		{ErrUnsupportedVersion.Error(), "version"},
+		{ErrUnknownKey.Error(), "unknown-key"},
+		{ErrForged.Error(), "forged"},
+		{ErrExpired.Error(), "expired"},
+		{ErrWrongSite.Error(), "site"},
+		{string(Waits), "waits"},
+		{string(Seals), "seals"},
+		{string(Opens), "opens"},
+		{string(Retired), "retired"},
+	} {
+		if v.got != v.want {
+			t.Errorf("text %q, want %q", v.got, v.want)
+		}
+	}
+}
