--- a/internal/session/arbiter/arbiter_test.go
+++ b/internal/session/arbiter/arbiter_test.go
@@ -8,82 +8,91 @@
 )
 
 var (
-	start = time.Unix(1e9, 0)
-	first = token.Ref{Session: token.SessionID{1}, Epoch: 1, Fence: 9}
+	start    = time.Unix(1e9, 0)
+	firstRef = token.Ref{Session: token.SessionID{1}, Epoch: 1, Fence: 9}
 )
 
-func began(t *testing.T) *Arbiter {
+func newTestArbiter() *Arbiter { return New(Config{Retention: 10 * time.Second, Limit: 2}) }
+
+// newArbiterWithSession returns an arbiter with the session of firstRef, which is attached to connection 1.
+func newArbiterWithSession(t *testing.T) *Arbiter {
 	t.Helper()
-	l := New(Config{Retention: 10 * time.Second, Limit: 2})
-	if !l.Create(start, first, 1) || !l.SaveState(1, first.Session, 5, []byte("board")) {
-		t.Fatal("did not begin")
+	a := newTestArbiter()
+	if !a.Create(start, firstRef, 1) || !a.SaveState(1, firstRef.Session, 5, []byte("board")) {
+		t.Fatal("the session was not created")
 	}
-	return l
+	return a
 }
 
-// A move takes the session away: its connection is cut and acknowledged no more, the trace tells where it went, and
-// what was prepared attaches with the word of that connection alone. Guards against two boards of one session.
-func TestMove(t *testing.T) {
-	old, next := began(t), New(Config{Retention: 10 * time.Second, Limit: 2})
-	a := old.Export(start, first, 77, start.Add(time.Second), 5, false, 2)
-	if a.Verdict != Granted || a.Displaced != 1 || a.Position != 5 || string(a.State) != "board" {
-		t.Fatalf("export: %+v", a)
-	}
-	if old.SaveState(1, first.Session, 6, nil) {
+// A migration takes the session away from its connection, whose moves are acknowledged no longer. The tombstone
+// redirects to the new server, where only the connection that prepared the copy attaches it. So a session is never
+// attached twice.
+func TestMigration(t *testing.T) {
+	old, next := newArbiterWithSession(t), newTestArbiter()
+	session := firstRef.Session
+	exported := old.Export(start, firstRef, 77, start.Add(time.Second), 5, false, 2)
+	if exported.Verdict != Granted || exported.Displaced != 1 || exported.Position != 5 ||
+		string(exported.State) != "board" {
+		t.Fatalf("export: %+v", exported)
+	}
+	if old.SaveState(1, session, 6, nil) {
 		t.Error("a connection that lost the session was acknowledged")
 	}
-	if b := old.Reattach(start, first, 78, false, 3); b.Verdict != InUse || b.Wait <= 0 {
-		t.Errorf("under a claim: %+v", b)
+	if answer := old.Reattach(start, firstRef, 78, false, 3); answer.Verdict != InUse || answer.RetryAfter <= 0 {
+		t.Errorf("reattach during a claim: %+v", answer)
 	}
-	moved := token.Ref{Session: first.Session, Epoch: 2, Fence: 77}
-	if !next.Prepare(start, moved, 5, a.State, 4) || next.SaveState(4, first.Session, 6, nil) {
+	migrated := token.Ref{Session: session, Epoch: 2, Fence: 77}
+	if !next.Prepare(start, migrated, 5, exported.State, 4) || next.SaveState(4, session, 6, nil) {
 		t.Error("not prepared, or attached before the commit")
 	}
-	if next.Activate(start, 5, first.Session) || !old.Commit(start, first.Session, 77, "b") || !next.Activate(start, 4, first.Session) {
+	if next.Activate(start, 5, session) || !old.Commit(start, session, 77, "b") || !next.Activate(start, 4, session) {
 		t.Error("attached by another connection, or not at all")
 	}
-	if b := old.Reattach(start, first, 79, false, 3); b.Verdict != Moved || b.MovedTo != "b" || b.Ref != moved {
-		t.Errorf("after the move: %+v", b)
+	answer := old.Reattach(start, firstRef, 79, false, 3)
+	if answer.Verdict != Migrated || answer.MigratedTo != "b" || answer.Ref != migrated {
+		t.Errorf("reattach at the old server after the migration: %+v", answer)
 	}
-	if old.Commit(start, first.Session, 77, "c") {
+	if old.Commit(start, session, 77, "c") {
 		t.Error("committed twice")
 	}
-	if b := next.Reattach(start, moved, 80, true, 6); b.Verdict != InUse {
-		t.Errorf("an attach under way: %+v", b)
+	if answer := next.Reattach(start, migrated, 80, true, 6); answer.Verdict != InUse {
+		t.Errorf("redirected while the session is being attached: %+v", answer)
 	}
-	next.ConfirmToken(4, first.Session)
-	if b := next.Reattach(start, moved, 80, true, 6); b.Verdict != TokenUsed {
-		t.Errorf("by the trace, after the client has its token: %+v", b)
+	next.ConfirmToken(4, session)
+	if answer := next.Reattach(start, migrated, 80, true, 6); answer.Verdict != TokenUsed {
+		t.Errorf("redirected after the client has confirmed its token: %+v", answer)
 	}
 }
 
-// What ends is told apart: the end of a claim with its connection, of a game, of the time that a session is kept; and
-// neither size nor number passes its bound.
-func TestEnds(t *testing.T) {
-	l := began(t)
-	if a := l.Export(start, first, 77, start.Add(time.Second), 4, false, 2); a.Verdict != StateTooLarge {
-		t.Errorf("one byte over: %+v", a)
-	}
-	if !l.Create(start, token.Ref{Session: token.SessionID{2}, Epoch: 1}, 2) ||
-		l.Create(start, token.Ref{Session: token.SessionID{3}, Epoch: 1}, 3) {
-		t.Error("the bound on sessions")
-	}
-	l.Export(start, first, 77, start.Add(time.Second), 100, false, 4)
-	l.Disconnected(start, 4, first.Session)
-	if l.Commit(start, first.Session, 77, "b") {
+// A claim ends with its connection. The end of a session and that of its retention have verdicts of their own. The
+// limits on the size of a state and the number of sessions hold.
+func TestEndsAndLimits(t *testing.T) {
+	a := newArbiterWithSession(t)
+	session := firstRef.Session
+	if answer := a.Export(start, firstRef, 77, start.Add(time.Second), 4, false, 2); answer.Verdict != StateTooLarge {
+		t.Errorf("export of a state that is one byte too large: %+v", answer)
+	}
+	if !a.Create(start, token.Ref{Session: token.SessionID{2}, Epoch: 1}, 2) ||
+		a.Create(start, token.Ref{Session: token.SessionID{3}, Epoch: 1}, 3) {
+		t.Error("the limit on sessions is not 2")
+	}
+	a.Export(start, firstRef, 77, start.Add(time.Second), 100, false, 4)
+	a.Disconnected(start, 4, session)
+	if a.Commit(start, session, 77, "b") {
 		t.Error("a claim outlives its connection")
 	}
-	if a := l.Reattach(start, first, 80, false, 5); a.Verdict != Granted || a.Ref.Epoch != 2 || a.Position != 5 {
-		t.Errorf("back: %+v", a)
+	answer := a.Reattach(start, firstRef, 80, false, 5)
+	if answer.Verdict != Granted || answer.Ref.Epoch != 2 || answer.Position != 5 {
+		t.Errorf("reattach after the claim: %+v", answer)
 	}
-	l.End(start, 5, first.Session)
-	if a := l.Reattach(start, first, 81, false, 6); a.Verdict != Ended {
-		t.Errorf("after the end: %+v", a)
+	a.End(start, 5, session)
+	if answer := a.Reattach(start, firstRef, 81, false, 6); answer.Verdict != Ended {
+		t.Errorf("reattach after the end: %+v", answer)
 	}
-	if a := l.Reattach(start.Add(20*time.Second), first, 81, false, 6); a.Verdict != Unknown {
-		t.Errorf("long after: %+v", a)
+	if answer := a.Reattach(start.Add(20*time.Second), firstRef, 81, false, 6); answer.Verdict != Unknown {
+		t.Errorf("reattach after the retention: %+v", answer)
 	}
-	if held, attached := l.Sessions(); held != 1 || attached != 1 {
-		t.Errorf("%d held, %d attached: one that plays was forgotten", held, attached)
+	if held, attached := a.Sessions(); held != 1 || attached != 1 {
+		t.Errorf("%d held, %d attached, want 1 and 1: the attached session must be retained", held, attached)
 	}
 }
--- a/internal/session/migration/flow.go
+++ b/internal/session/migration/flow.go
@@ -139,17 +139,17 @@
 		f.fetched, f.State, f.Position = true, a.State, a.Position
 		f.Next = token.Ref{Session: f.Ref.Session, Epoch: a.Ref.Epoch + 1, Fence: f.Claim}
 		return OpenMigrated
-	case arbiter.Moved:
+	case arbiter.Migrated:
 		// Epochs only rise along the traces; what breaks that is no trace.
 		if f.hops++; f.hops > mostHops || a.Ref.Epoch <= f.Ref.Epoch {
 			return f.over(StateTimeout)
 		}
-		f.Holder, f.Ref, f.ViaRedirect = a.MovedTo, a.Ref, true
+		f.Holder, f.Ref, f.ViaRedirect = a.MigratedTo, a.Ref, true
 		return f.route()
 	case arbiter.InUse:
 		f.RetryAfter = busyWait
-		if a.Wait > 0 {
-			f.RetryAfter = min(a.Wait, busyWait) // a claim ends with its move, mostly long before it runs out
+		if a.RetryAfter > 0 {
+			f.RetryAfter = min(a.RetryAfter, busyWait) // a claim ends with its move, mostly long before it runs out
 		}
 		return RetryLater
 	case arbiter.TokenUsed:
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -136,10 +136,10 @@
 	switch a.Verdict {
 	case arbiter.Granted:
 		return fmt.Sprintf("STATE %d %d %d", a.Ref.Epoch, a.Position, len(a.State))
-	case arbiter.Moved:
-		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.MovedTo), a.Ref.Epoch, a.Ref.Fence)
+	case arbiter.Migrated:
+		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.MigratedTo), a.Ref.Epoch, a.Ref.Fence)
 	case arbiter.InUse:
-		return fmt.Sprintf("INUSE %d", a.Wait.Milliseconds())
+		return fmt.Sprintf("INUSE %d", a.RetryAfter.Milliseconds())
 	}
 	return map[arbiter.Verdict]string{arbiter.TokenUsed: "USED", arbiter.Ended: "OVER", arbiter.StateTooLarge: "LARGE",
 		arbiter.Unknown: "UNKNOWN"}[a.Verdict]
@@ -154,9 +154,9 @@
 	case "STATE":
 		a.Verdict, a.Ref.Epoch, a.Position, size = arbiter.Granted, f.number(), f.number(), f.size()
 	case "MOVED":
-		a.Verdict, a.MovedTo, a.Ref.Epoch, a.Ref.Fence = arbiter.Moved, f.name(), f.number(), f.hex()
+		a.Verdict, a.MigratedTo, a.Ref.Epoch, a.Ref.Fence = arbiter.Migrated, f.name(), f.number(), f.hex()
 	case "INUSE":
-		a.Verdict, a.Wait = arbiter.InUse, time.Duration(f.small())*time.Millisecond
+		a.Verdict, a.RetryAfter = arbiter.InUse, time.Duration(f.small())*time.Millisecond
 	case "USED":
 		a.Verdict = arbiter.TokenUsed
 	case "OVER":
--- a/internal/session/protocol/protocol_test.go
+++ b/internal/session/protocol/protocol_test.go
@@ -29,11 +29,11 @@
 		t.Errorf("%s is read as %+v, %v", c, got, err)
 	}
 	for _, a := range []arbiter.Answer{{Verdict: arbiter.Granted, Position: 4, State: []byte("abc"), Ref: ref},
-		{Verdict: arbiter.Moved, MovedTo: "s 1", Ref: ref}, {Verdict: arbiter.InUse, Wait: time.Second}, {Verdict: arbiter.TokenUsed},
+		{Verdict: arbiter.Migrated, MigratedTo: "s 1", Ref: ref}, {Verdict: arbiter.InUse, RetryAfter: time.Second}, {Verdict: arbiter.TokenUsed},
 		{Verdict: arbiter.Ended}, {Verdict: arbiter.StateTooLarge}, {Verdict: arbiter.Unknown}} {
 		got, size, ok := ParseAnswer(AnswerLine(a), ref.Session)
-		if !ok || got.Verdict != a.Verdict || size != len(a.State) || got.Position != a.Position || got.MovedTo != a.MovedTo ||
-			got.Wait != a.Wait || got.Ref.Epoch != a.Ref.Epoch {
+		if !ok || got.Verdict != a.Verdict || size != len(a.State) || got.Position != a.Position || got.MigratedTo != a.MigratedTo ||
+			got.RetryAfter != a.RetryAfter || got.Ref.Epoch != a.Ref.Epoch {
 			t.Errorf("%q is read as %+v, %d", AnswerLine(a), got, size)
 		}
 	}
--- a/internal/session/protocol/wire_test.go
+++ b/internal/session/protocol/wire_test.go
@@ -44,8 +44,8 @@
 func TestAnswerTexts(t *testing.T) {
 	for want, answer := range map[string]arbiter.Answer{
 		"STATE 3 4 5":       {Verdict: arbiter.Granted, Position: 4, State: []byte("board"), Ref: ref},
-		"MOVED s%201 3 abc": {Verdict: arbiter.Moved, MovedTo: "s 1", Ref: ref},
-		"INUSE 1500":        {Verdict: arbiter.InUse, Wait: 1500 * time.Millisecond},
+		"MOVED s%201 3 abc": {Verdict: arbiter.Migrated, MigratedTo: "s 1", Ref: ref},
+		"INUSE 1500":        {Verdict: arbiter.InUse, RetryAfter: 1500 * time.Millisecond},
 		"USED":              {Verdict: arbiter.TokenUsed},
 		"OVER":              {Verdict: arbiter.Ended},
 		"LARGE":             {Verdict: arbiter.StateTooLarge},
@@ -55,8 +55,8 @@
 			t.Errorf("line %q, want %q", got, want)
 		}
 		got, size, ok := ParseAnswer(want, ref.Session)
-		if !ok || got.Verdict != answer.Verdict || size != len(answer.State) || got.MovedTo != answer.MovedTo ||
-			got.Wait != answer.Wait || got.Position != answer.Position {
+		if !ok || got.Verdict != answer.Verdict || size != len(answer.State) || got.MigratedTo != answer.MigratedTo ||
+			got.RetryAfter != answer.RetryAfter || got.Position != answer.Position {
 			t.Errorf("%q is parsed as %+v, %d bytes, %v", want, got, size, ok)
 		}
 	}
