--- a/internal/operations/snmp/agent_test.go
+++ b/internal/operations/snmp/agent_test.go
@@ -135,7 +135,7 @@
 		}
 		for oid, want := range map[string]any{objects + ".1.0": uint64(5), objects + ".9.0": uint(6),
 			objects + ".8.0": uint(3), objects + ".11.0": uint(8), objects + ".14.0": 3, objects + ".16.0": uint64(11), objects + ".18.0": uint64(12),
-			byWhy + ".3." + fmt.Sprint(int(migration.HolderGone)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
+			byWhy + ".3." + fmt.Sprint(int(migration.HolderUnavailable)+1): uint64(13), byWhy + ".3.1": uint64(0), byClass + ".4.2": uint64(4), entry + ".5." + fmt.Sprint(core.ServerID("s-3")): 2,
 			entry + ".8." + fmt.Sprint(core.ServerID("s-3")): 500} {
 			if values[oid] != want {
 				t.Errorf("%s: %s is %v (%T), want %v", name, oid, values[oid], values[oid], want)
--- a/internal/session/migration/flow.go
+++ b/internal/session/migration/flow.go
@@ -1,6 +1,9 @@
-// Package migration decides how a session goes on at another room server: what a balancer asks whom, in which order, and
-// when the client has to start over. It is pure; a front makes the calls and tells what came of them, the decision
-// module has chosen the room server before. docs/resume.md gives the reasons for this order.
+// Package migration decides how a balancer resumes the session of a client that presents a session token: which room
+// server it asks for what, in which order, and when the client has to start over. The decision module has chosen the
+// room server of each attempt before. docs/resume.md explains the order.
+//
+// The package does no I/O and reads no clock. A frontend carries out the steps that a Flow returns, and reports the
+// results to it.
 package migration
 
 import (
@@ -10,221 +13,201 @@
 	"cottonplank/internal/session/token"
 )
 
-// Reason says why a client has to start over, a word of its own on the wire.
-type Reason uint8
-
-// The reasons. The first seven are those of tokens that are refused before anything is asked.
-const (
-	Malformed     Reason = iota // the token is cut, too long or in no known form
-	Version                     // its version is not known
-	UnknownKey                  // its key is not known, or no more
-	Forged                      // its key did not seal it
-	Expired                     // its time is over
-	WrongSite                   // another site's balancers sealed it
-	WrongRoom                   // the client asks for another room than the token's
-	TokenUsed                   // the session went on from it already
-	SessionEnded                // the session has ended
-	HolderGone                  // the room server that held the state has none, or cannot be reached
-	StateTimeout                // the state did not come in time, or the claim on it ran out
-	StateTooLarge               // the state is larger than the balancer carries
-	Stale                       // the state is older than what the client knows to be acknowledged
-	Lost                        // whether the move was committed cannot be known
-	Unsupported                 // the new room server does not know the extension
-	NumReasons                  // their number
-)
-
-func (r Reason) String() string {
-	return [...]string{"malformed", "version", "unknown-key", "forged", "expired", "site", "room", "used", "over", "gone", "late",
-		"large", "stale", "lost", "unsupported"}[r]
-}
-
-// IsTokenError tells whether the reason lies in the token itself.
-func (r Reason) IsTokenError() bool { return r <= WrongRoom }
-
-// ReasonWords are the words of all reasons, in their order.
-func ReasonWords() (all []string) {
-	for r := range NumReasons {
-		all = append(all, r.String())
-	}
-	return all
-}
-
-// Step is what the front does next.
-type Step uint8
-
-// The steps.
 const (
-	Wait         Step = iota // wait for the next news
-	Locate                   // ask the core where Holder is, then tell Located
-	Export                   // ask Holder for the state by Claim; its answer goes to HolderSaid
-	OpenReattach             // open at the room server, where the session lies
-	OpenMigrated             // open at the room server, for a state that comes
-	SendState                // write State to the room server
-	Commit                   // ask Holder to let the session go; its answer goes to Committed
-	Activate                 // tell the room server to attach it
-	Establish                // the room server's UP may go to the client
-	StartOver                // the one final answer, with Why
-	RetryLater               // the other final answer: come again after After
+	// maxInUseRetryAfter is the maximum time after which a client retries if its session is in use. Most
+	// attachments and migrations are finished by then.
+	maxInUseRetryAfter = 250 * time.Millisecond
+	// maxRedirects limits how many tombstones are followed. Each is left by a migration whose client was cut off
+	// before it confirmed its token.
+	maxRedirects = 16
 )
 
-// busyWait is told to a client whose session is held by an attach under way; most are over by then.
-const busyWait = 250 * time.Millisecond
-
-// mostHops bounds how many traces are followed: a way of unconfirmed attaches, each cut off.
-const mostHops = 16
-
-// Flow is one request's way to its session. Its methods return the next step.
+// Flow is the progress of one request that resumes a session. Its methods report events and return the next step. It
+// is not safe for concurrent use.
 type Flow struct {
-	Claim       uint64 // this request's, and the fence of the attach that it makes
-	Holder      string // the room server that is to hold the session
-	Ref         token.Ref
-	ViaRedirect bool // a trace told Ref, the client has no token of it
-	Next        token.Ref
-	Position    uint64
-	State       []byte // between the export and the commit
-	Reason      Reason
-	RetryAfter  time.Duration
-
-	known   uint64 // the position that the client's token names
-	target  string
-	back    bool
-	fetched bool
-	asked   bool // Commit was asked and not answered
-	lost    bool // and its answer was lost once
-	went    bool // Go was said
-	hops    int
+	// Claim identifies the request at arbiters. It becomes the fencing token of the copy that the request attaches.
+	Claim uint64
+	// Holder is the instance ID of the room server that should hold the session.
+	Holder string
+	// Ref identifies the copy of the state at Holder.
+	Ref token.Ref
+	// ViaRedirect says that a tombstone has led to Ref, of which the client has no token.
+	ViaRedirect bool
+	// Next identifies the copy that the attempt's room server is to attach.
+	Next token.Ref
+	// Position is the number of the client's moves in the state.
+	Position uint64
+	// State is the session's state. It is set after the export and until the commit.
+	State []byte
+	// Reason says why the client has to start over. It is set for StartOver.
+	Reason Reason
+	// RetryAfter is when the client should retry. It is set for RetryLater.
+	RetryAfter time.Duration
+
+	// acknowledged is the number of moves that were acknowledged to the client, according to its token.
+	acknowledged uint64
+	// server is the instance ID of the attempt's room server.
+	server string
+	// reattaching says that the attempt's room server holds the session itself.
+	reattaching bool
+	// exported says that State is set.
+	exported bool
+	// commitPending says that the holder was asked to commit and has not answered.
+	commitPending bool
+	// commitInterrupted says that the holder disconnected once while commitPending was set.
+	commitInterrupted bool
+	// activated says that the attempt's room server was told to attach the session.
+	activated bool
+	// redirects counts the tombstones that were followed.
+	redirects int
 }
 
-// New returns the flow of a token that was opened. claim is a random number, new with each request and not 0.
+// New returns the flow for a token. claim must be a random number other than 0, new for each request.
 func New(t token.Token, claim uint64) *Flow {
-	return &Flow{Claim: claim, Holder: t.Server, Ref: t.Ref, known: t.Position}
+	return &Flow{Claim: claim, Holder: t.Server, Ref: t.Ref, acknowledged: t.Position}
 }
 
-// Attempt begins a call attempt at a room server that the decision module chose; the connection to it is up.
+// Attempt begins an attempt at a room server, to which the connection is open.
 func (f *Flow) Attempt(server string) Step {
-	f.target, f.went, f.back = server, false, false
-	if f.asked {
-		f.ask() // the arbiter knows whether it was committed
+	f.server, f.activated, f.reattaching = server, false, false
+	if f.commitPending {
+		f.discardUncertainState() // the previous attempt ended before the answer to its commit
 	}
-	return f.route()
+	return f.openOrFetch()
 }
 
-func (f *Flow) route() Step {
-	switch {
-	case f.target == f.Holder:
-		f.back, f.fetched, f.State = true, false, nil
+// openOrFetch returns the step that opens the session at the attempt's room server, or that fetches its state first.
+func (f *Flow) openOrFetch() Step {
+	if f.server == f.Holder {
+		f.reattaching, f.exported, f.State = true, false, nil
 		return OpenReattach
-	case f.fetched:
+	}
+	if f.exported {
 		return OpenMigrated
 	}
-	f.back = false
+	f.reattaching = false
 	return Locate
 }
 
-// Located tells whether the core knows an address of Holder.
+// Located reports whether the address of Holder is known.
 func (f *Flow) Located(known bool) Step {
 	if !known {
-		return f.over(HolderGone)
+		return f.startOver(HolderUnavailable)
 	}
 	return Export
 }
 
-// HolderAnswered takes the answer to Export, or what the room server says in its place to OpenBack.
-func (f *Flow) HolderAnswered(a arbiter.Answer) Step {
-	switch a.Verdict {
+// HolderAnswered reports the answer to Export, or the answer with which the attempt's room server rejects OpenReattach.
+func (f *Flow) HolderAnswered(answer arbiter.Answer) Step {
+	switch answer.Verdict {
 	case arbiter.Granted:
-		if a.Position < f.known {
-			return f.over(Stale)
-		}
-		f.fetched, f.State, f.Position = true, a.State, a.Position
-		f.Next = token.Ref{Session: f.Ref.Session, Epoch: a.Ref.Epoch + 1, Fence: f.Claim}
-		return OpenMigrated
+		return f.stateExported(answer)
 	case arbiter.Migrated:
-		// Epochs only rise along the traces; what breaks that is no trace.
-		if f.hops++; f.hops > mostHops || a.Ref.Epoch <= f.Ref.Epoch {
-			return f.over(StateTimeout)
-		}
-		f.Holder, f.Ref, f.ViaRedirect = a.MigratedTo, a.Ref, true
-		return f.route()
+		return f.followRedirect(answer)
 	case arbiter.InUse:
-		f.RetryAfter = busyWait
-		if a.RetryAfter > 0 {
-			f.RetryAfter = min(a.RetryAfter, busyWait) // a claim ends with its move, mostly long before it runs out
+		f.RetryAfter = maxInUseRetryAfter
+		if answer.RetryAfter > 0 {
+			// A claim ends with its migration, mostly long before it expires.
+			f.RetryAfter = min(answer.RetryAfter, maxInUseRetryAfter)
 		}
 		return RetryLater
 	case arbiter.TokenUsed:
-		return f.over(TokenUsed)
+		return f.startOver(TokenUsed)
 	case arbiter.Ended:
-		return f.over(SessionEnded)
+		return f.startOver(SessionEnded)
 	case arbiter.StateTooLarge:
-		return f.over(StateTooLarge)
+		return f.startOver(StateTooLarge)
+	}
+	return f.startOver(HolderUnavailable)
+}
+
+// stateExported handles the answer to an export that was granted.
+func (f *Flow) stateExported(answer arbiter.Answer) Step {
+	if answer.Position < f.acknowledged {
+		return f.startOver(Stale)
+	}
+	f.exported, f.State, f.Position = true, answer.State, answer.Position
+	f.Next = token.Ref{Session: f.Ref.Session, Epoch: answer.Ref.Epoch + 1, Fence: f.Claim}
+	return OpenMigrated
+}
+
+// followRedirect continues at the room server to which a tombstone redirects.
+func (f *Flow) followRedirect(answer arbiter.Answer) Step {
+	f.redirects++
+	// Epochs rise along tombstones. A redirect that does not raise the epoch is a fault of the room server.
+	if f.redirects > maxRedirects || answer.Ref.Epoch <= f.Ref.Epoch {
+		return f.startOver(StateTimeout)
 	}
-	return f.over(HolderGone)
+	f.Holder, f.Ref, f.ViaRedirect = answer.MigratedTo, answer.Ref, true
+	return f.openOrFetch()
 }
 
-// HolderDisconnected tells that the connection to Holder broke. With it ends the claim.
+// HolderDisconnected reports that the connection to Holder has failed. The claim ends with it.
 func (f *Flow) HolderDisconnected() Step {
-	switch {
-	case f.asked && !f.lost:
-		// Whether it was committed is known there alone. Asked again by the same claim, it gives the state once more
-		// or says where it went; of two commits by one claim it takes the first.
-		f.lost = true
-		f.ask()
+	if f.commitPending && !f.commitInterrupted {
+		// Only the holder knows whether the commit was executed. If the same claim exports again, it returns the
+		// state once more or redirects to where the session went; a second commit by the same claim fails.
+		f.commitInterrupted = true
+		f.discardUncertainState()
 		return Locate
-	case f.asked, f.lost:
-		return f.over(Lost)
 	}
-	return f.over(HolderGone)
+	if f.commitInterrupted {
+		return f.startOver(Lost)
+	}
+	return f.startOver(HolderUnavailable)
 }
 
-// ask forgets a state whose commit is in doubt.
-func (f *Flow) ask() { f.asked, f.fetched, f.State = false, false, nil }
+// discardUncertainState discards a state that may have been committed already.
+func (f *Flow) discardUncertainState() { f.commitPending, f.exported, f.State = false, false, nil }
 
-// UpstreamReady tells that the room server waits for the state.
+// UpstreamReady reports that the attempt's room server waits for the state.
 func (f *Flow) UpstreamReady() Step {
-	if f.back || !f.fetched || f.went {
-		return f.over(Unsupported)
+	if f.reattaching || !f.exported || f.activated {
+		return f.startOver(Unsupported)
 	}
 	return SendState
 }
 
-// UpstreamHolds tells that the room server holds the session, not attached yet where it came by a move.
+// UpstreamHolds reports that the attempt's room server holds the session, at an epoch and a position. It has attached a
+// session that it held before, but not one whose state it was sent.
 func (f *Flow) UpstreamHolds(epoch, position uint64) Step {
-	if f.back {
-		if position < f.known {
-			return f.over(Stale)
+	if f.reattaching {
+		if position < f.acknowledged {
+			return f.startOver(Stale)
 		}
 		f.Next = token.Ref{Session: f.Ref.Session, Epoch: epoch, Fence: f.Claim}
-		f.went, f.Position = true, position
+		f.activated, f.Position = true, position
 		return Activate
 	}
-	if !f.fetched || f.asked || f.went {
-		return f.over(Unsupported)
+	if !f.exported || f.commitPending || f.activated {
+		return f.startOver(Unsupported)
 	}
-	f.asked = true
+	f.commitPending = true
 	return Commit
 }
 
-// Committed takes the answer to Commit. From a yes on, the session lies at the room server of this attempt.
-func (f *Flow) Committed(yes bool) Step {
-	f.asked, f.fetched, f.State = false, false, nil
-	if !yes {
-		return f.over(StateTimeout)
+// Committed reports the answer to Commit. If it is true, the session now belongs to the attempt's room server.
+func (f *Flow) Committed(done bool) Step {
+	f.commitPending, f.exported, f.State = false, false, nil
+	if !done {
+		return f.startOver(StateTimeout)
 	}
-	f.Holder, f.Ref, f.ViaRedirect = f.target, f.Next, true
-	f.went = true
+	f.Holder, f.Ref, f.ViaRedirect = f.server, f.Next, true
+	f.activated = true
 	return Activate
 }
 
-// UpstreamAccepted tells that the room server lets the connection stand.
+// UpstreamAccepted reports that the attempt's room server has accepted the client.
 func (f *Flow) UpstreamAccepted() Step {
-	if !f.went {
-		return f.over(Unsupported) // it took the line for one without a session: the board there is empty
+	if !f.activated {
+		// The room server has ignored the session and would begin a new game.
+		return f.startOver(Unsupported)
 	}
 	return Establish
 }
 
-func (f *Flow) over(why Reason) Step {
-	f.Reason, f.State, f.fetched = why, nil, false
+// startOver ends the flow.
+func (f *Flow) startOver(reason Reason) Step {
+	f.Reason, f.State, f.exported = reason, nil, false
 	return StartOver
 }
--- /dev/null
+++ b/internal/session/migration/simulation_test.go
@@ -0,0 +1,341 @@
+package migration
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/token"
+
+	"pgregory.net/rapid"
+)
+
+// simulation is one session, its client, others that replay the client's tokens, two balancers and three room servers.
+// Each exchange with a room server is one action. It may be cut off before it arrives or before its response does, and
+// any other action may happen between two exchanges.
+type simulation struct {
+	now      time.Time
+	servers  map[string]*roomServer
+	requests []*request
+	// lastConn is the number of the newest connection.
+	lastConn arbiter.Conn
+	// lastClaim is the number of the newest claim.
+	lastClaim uint64
+
+	// current is the newest token that the client has.
+	current token.Token
+	// issued holds all tokens that the client has ever had.
+	issued []token.Token
+	// acknowledged is the number of the client's moves that it knows to be in the state.
+	acknowledged uint64
+	// established is the request whose connection the client uses; nil if there is none.
+	established *request
+	// maxEpoch is the highest epoch of an attachment so far.
+	maxEpoch uint64
+	// serverCrashed says that a room server has lost its state. Starting over is correct from then on.
+	serverCrashed bool
+	// startedOver says that the client was told to start over.
+	startedOver bool
+	// maxConfirmedEpoch is the highest epoch whose token a room server has received from the client.
+	maxConfirmedEpoch uint64
+	// fault describes the first violation that was found while an action ran; empty if there is none.
+	fault string
+}
+
+// roomServer is the arbiter of a room server.
+type roomServer struct {
+	name     string
+	sessions *arbiter.Arbiter
+}
+
+// request is one request with a token at one balancer.
+type request struct {
+	balancer int
+	flow     *Flow
+	// step is what the balancer does next.
+	step Step
+	// server is the room server of the attempt.
+	server string
+	// conn is the connection to server.
+	conn arbiter.Conn
+	// exportConn is the connection that has the claim on the state; 0 if there is none.
+	exportConn arbiter.Conn
+	// exportServer is the room server of exportConn.
+	exportServer string
+	// byClient says that the client makes the request, as opposed to a replay.
+	byClient bool
+	// established says that the room server's acceptance was passed on.
+	established bool
+	// retries counts the attempts after the first one.
+	retries int
+	// tokenEpoch is the epoch of the token that was presented.
+	tokenEpoch uint64
+	// tokenUsed says that the token had been replaced by a confirmed one when it was presented.
+	tokenUsed bool
+}
+
+// delivery is what happens to an exchange with a room server.
+type delivery int
+
+const (
+	delivered    delivery = iota
+	requestLost           // the connection fails before the request arrives
+	responseLost          // the connection fails before the response arrives
+)
+
+var session = token.SessionID{1}
+
+func newRoomServer(name string) *roomServer {
+	return &roomServer{name: name, sessions: arbiter.New(arbiter.Config{Retention: time.Hour, Limit: 10})}
+}
+
+// newSimulation returns a simulation whose session is at server "a", without a connection.
+func newSimulation() *simulation {
+	s := &simulation{now: time.Unix(1e9, 0), servers: map[string]*roomServer{}}
+	for _, name := range []string{"a", "b", "c"} {
+		s.servers[name] = newRoomServer(name)
+	}
+	s.current = token.Token{Ref: token.Ref{Session: session, Epoch: 1, Fence: 77}, Server: "a"}
+	s.issued = []token.Token{s.current}
+	conn := s.newConn()
+	s.servers["a"].sessions.Create(s.now, s.current.Ref, conn)
+	s.disconnect("a", conn)
+	s.maxEpoch = 1
+	return s
+}
+
+func (s *simulation) newConn() arbiter.Conn {
+	s.lastConn++
+	return s.lastConn
+}
+
+func (s *simulation) disconnect(server string, conn arbiter.Conn) {
+	s.servers[server].sessions.Disconnected(s.now, conn, session)
+}
+
+// present begins a request with a token.
+func (s *simulation) present(balancer int, presented token.Token, byClient bool, server string) *request {
+	s.lastClaim++
+	r := &request{
+		balancer:   balancer,
+		flow:       New(presented, 1000+s.lastClaim),
+		server:     server,
+		conn:       s.newConn(),
+		byClient:   byClient,
+		tokenEpoch: presented.Epoch,
+		tokenUsed:  presented.Epoch < s.maxConfirmedEpoch,
+	}
+	r.step = r.flow.Attempt(server)
+	s.requests = append(s.requests, r)
+	return r
+}
+
+// retry ends the request's attempt and begins another.
+func (s *simulation) retry(r *request, server string) {
+	s.disconnect(r.server, r.conn)
+	r.server, r.conn = server, s.newConn()
+	r.step = r.flow.Attempt(server)
+}
+
+// drop ends a request's connections, whatever its step.
+func (s *simulation) drop(r *request) {
+	s.disconnect(r.server, r.conn)
+	if r.exportConn != 0 {
+		s.disconnect(r.exportServer, r.exportConn)
+	}
+	if s.established == r {
+		s.established = nil
+	}
+	if i := slices.Index(s.requests, r); i >= 0 {
+		s.requests = slices.Delete(slices.Clone(s.requests), i, i+1)
+	}
+}
+
+// dropAll drops the requests that match.
+func (s *simulation) dropAll(match func(*request) bool) {
+	for _, r := range slices.Clone(s.requests) {
+		if match(r) {
+			s.drop(r)
+		}
+	}
+}
+
+// displace closes the connection that lost the session to the request by.
+func (s *simulation) displace(by *request, conn arbiter.Conn) {
+	if conn == 0 {
+		return
+	}
+	for _, r := range s.requests {
+		if r.conn != conn {
+			continue
+		}
+		if r.byClient && !by.byClient {
+			s.fail("a replay displaced the client")
+		}
+		s.drop(r)
+		return
+	}
+}
+
+// fail records a violation.
+func (s *simulation) fail(format string, args ...any) {
+	if s.fault == "" {
+		s.fault = fmt.Sprintf(format, args...)
+	}
+}
+
+// noteConfirmed notes that a room server has granted a session to the client's own token. Older tokens are used then.
+func (s *simulation) noteConfirmed(r *request, answer arbiter.Answer) {
+	if r.byClient && answer.Verdict == arbiter.Granted && !r.flow.ViaRedirect {
+		s.maxConfirmedEpoch = max(s.maxConfirmedEpoch, r.tokenEpoch)
+	}
+}
+
+// advance makes the request's next exchange.
+func (s *simulation) advance(r *request, d delivery) {
+	switch r.step {
+	case Locate:
+		r.step = r.flow.Located(s.servers[r.flow.Holder] != nil)
+	case Export:
+		s.export(r, d)
+	case OpenReattach:
+		s.reattach(r, d)
+	case OpenMigrated:
+		r.step = r.flow.UpstreamReady()
+	case SendState:
+		s.sendState(r, d)
+	case Commit:
+		s.commit(r, d)
+	case Activate:
+		s.activate(r, d)
+	case Establish:
+		s.establish(r, d)
+	case StartOver, RetryLater:
+		if r.byClient && r.step == StartOver {
+			s.startedOver = true
+		}
+		s.drop(r)
+	}
+}
+
+func (s *simulation) export(r *request, d delivery) {
+	flow := r.flow
+	if r.exportConn != 0 {
+		s.disconnect(r.exportServer, r.exportConn)
+	}
+	r.exportConn, r.exportServer = s.newConn(), flow.Holder
+	var answer arbiter.Answer
+	if d != requestLost {
+		holder, expires := s.servers[flow.Holder].sessions, s.now.Add(2*time.Second)
+		answer = holder.Export(s.now, flow.Ref, flow.Claim, expires, 100, flow.ViaRedirect, r.exportConn)
+		s.displace(r, answer.Displaced)
+		s.noteConfirmed(r, answer)
+	}
+	if d != delivered {
+		s.disconnect(r.exportServer, r.exportConn)
+		r.step = flow.HolderDisconnected()
+		return
+	}
+	r.step = flow.HolderAnswered(answer)
+}
+
+func (s *simulation) reattach(r *request, d delivery) {
+	if d == requestLost {
+		s.drop(r)
+		return
+	}
+	flow := r.flow
+	answer := s.servers[r.server].sessions.Reattach(s.now, flow.Ref, flow.Claim, flow.ViaRedirect, r.conn)
+	s.displace(r, answer.Displaced)
+	s.noteConfirmed(r, answer)
+	switch {
+	case d == responseLost:
+		s.drop(r)
+	case answer.Verdict == arbiter.Granted:
+		r.step = flow.UpstreamHolds(answer.Ref.Epoch, answer.Position)
+	default:
+		r.step = flow.HolderAnswered(answer)
+	}
+}
+
+func (s *simulation) sendState(r *request, d delivery) {
+	flow := r.flow
+	prepared := d != requestLost &&
+		s.servers[r.server].sessions.Prepare(s.now, flow.Next, flow.Position, flow.State, r.conn)
+	if !prepared || d != delivered {
+		s.drop(r)
+		return
+	}
+	r.step = flow.UpstreamHolds(flow.Next.Epoch, flow.Position)
+}
+
+func (s *simulation) commit(r *request, d delivery) {
+	flow := r.flow
+	done := d != requestLost && s.servers[flow.Holder].sessions.Commit(s.now, session, flow.Claim, r.server)
+	if d != delivered {
+		r.step = flow.HolderDisconnected()
+		return
+	}
+	r.step = flow.Committed(done)
+}
+
+func (s *simulation) activate(r *request, d delivery) {
+	if d == requestLost ||
+		!r.flow.reattaching && !s.servers[r.server].sessions.Activate(s.now, r.conn, session) ||
+		d == responseLost {
+		s.drop(r)
+		return
+	}
+	r.step = r.flow.UpstreamAccepted()
+}
+
+// establish brings the acceptance and the new token to the client, and its confirmation to the room server.
+func (s *simulation) establish(r *request, d delivery) {
+	r.established = true
+	if r.tokenUsed && !s.serverCrashed {
+		s.fail("a used token was accepted")
+	}
+	if d == requestLost || !r.byClient {
+		// The client never gets the token. One that replays an old token cannot continue without.
+		s.drop(r)
+		return
+	}
+	s.current = token.Token{Ref: r.flow.Next, Server: r.server, Position: r.flow.Position}
+	s.issued = append(s.issued, s.current)
+	if r.flow.Position < s.acknowledged && !s.serverCrashed {
+		s.fail("%d moves were acknowledged to the client, its session has %d", s.acknowledged, r.flow.Position)
+	}
+	if d == responseLost {
+		s.drop(r)
+		return
+	}
+	s.servers[r.server].sessions.ConfirmToken(r.conn, session)
+	s.maxConfirmedEpoch = max(s.maxConfirmedEpoch, s.current.Epoch)
+	s.established, r.step = r, Wait
+}
+
+// check fails the test if an invariant is violated.
+func (s *simulation) check(t *rapid.T) {
+	if s.fault != "" {
+		t.Fatal(s.fault)
+	}
+	attached := 0
+	for _, server := range s.servers {
+		_, n := server.sessions.Sessions()
+		attached += n
+	}
+	if attached > 1 {
+		t.Fatalf("attached %d times", attached)
+	}
+	for _, r := range s.requests {
+		epoch := r.flow.Next.Epoch
+		if epoch == 0 || r.step != Establish {
+			continue
+		}
+		if epoch < s.maxEpoch && !s.serverCrashed {
+			t.Fatalf("epoch %d after %d", epoch, s.maxEpoch)
+		}
+		s.maxEpoch = max(s.maxEpoch, epoch)
+	}
+}
