--- a/internal/session/arbiter/attach.go
+++ b/internal/session/arbiter/attach.go
@@ -17,7 +17,7 @@
 	c.previous = append(c.previous, attachment{c.ref, c.confirmed})
 	c.ref = token.Ref{Session: ref.Session, Epoch: c.ref.Epoch + 1, Fence: fence}
 	c.prepared, c.confirmed, c.conn = false, false, conn
-	r.keepOnly(c)
+	r.removeOtherCopies(c)
 	answer.Ref, answer.Position, answer.State = c.ref, c.position, c.state
 	return answer
 }
--- a/internal/session/arbiter/migrate.go
+++ b/internal/session/arbiter/migrate.go
@@ -87,7 +87,7 @@
 	for _, c := range r.copies {
 		if c.conn == conn && c.prepared {
 			c.prepared = false
-			r.keepOnly(c)
+			r.removeOtherCopies(c)
 			r.expires = a.expiry(now)
 			return true
 		}
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -132,10 +132,10 @@
 	return false
 }
 
-// keepOnly makes c the session's only copy. Others were prepared by migrations that have lost against this one.
-// Tombstones remain, for a client that never got the token of the new attachment presents an older one. They cannot
-// form a loop, since epochs only rise.
-func (r *record) keepOnly(c *stateCopy) {
+// removeOtherCopies makes c the only copy of the session. Others were prepared by migrations that have lost against
+// this one. Tombstones remain, for a client that never got the token of the new attachment presents an older one. They
+// cannot form a loop, since epochs only rise.
+func (r *record) removeOtherCopies(c *stateCopy) {
 	r.copies, r.ended = []*stateCopy{c}, false
 	excess := max(len(r.tombstones)-maxTombstones, 0)
 	r.tombstones = r.tombstones[excess:]
--- /dev/null
+++ b/internal/session/protocol/open.go
@@ -0,0 +1,76 @@
+package protocol
+
+import (
+	"fmt"
+	"strings"
+
+	"cottonplank/internal/session/token"
+)
+
+// Mode says how a request line opens a session.
+type Mode string
+
+// The modes.
+const (
+	// ModeNew begins a new session.
+	ModeNew Mode = "new"
+	// ModeReattach attaches a session that the room server holds.
+	ModeReattach Mode = "back"
+	// ModeMigrate announces a session's state, which follows after ReadyLine.
+	ModeMigrate Mode = "move"
+)
+
+// Open is the value of the field FieldName in a request line. It tells a room server which session to open.
+type Open struct {
+	// Mode says how to open the session, and which of the other fields are used.
+	Mode Mode
+	// Ref identifies the copy of the session's state: with ModeReattach the one that the room server holds, with the
+	// other modes the one that it is to hold.
+	Ref token.Ref
+	// Next is the fencing token of the new attachment. It is used with ModeReattach.
+	Next uint64
+	// ViaRedirect says that a tombstone has led to Ref, of which the client has no token. It is used with
+	// ModeReattach.
+	ViaRedirect bool
+	// Position is the number of the client's moves in the state. It is used with ModeMigrate.
+	Position uint64
+	// Size is the size of the state in bytes. It is used with ModeMigrate.
+	Size int
+}
+
+// minOpenFields is the number of fields that all modes have: the mode and those of the reference.
+const minOpenFields = 4
+
+// String returns the text of the field, which ParseOpen parses.
+func (o Open) String() string {
+	common := fmt.Sprintf("%s:%s:%d:%x", o.Mode, o.Ref.Session, o.Ref.Epoch, o.Ref.Fence)
+	switch o.Mode {
+	case ModeReattach:
+		return fmt.Sprintf("%s:%x:%d", common, o.Next, flagDigit(o.ViaRedirect))
+	case ModeMigrate:
+		return fmt.Sprintf("%s:%d:%d", common, o.Position, o.Size)
+	}
+	return common
+}
+
+// ParseOpen parses the result of Open.String. It returns an error for any other text.
+func ParseOpen(text string) (Open, error) {
+	parts := strings.Split(text, ":")
+	if len(parts) < minOpenFields {
+		return Open{}, errFieldCount
+	}
+	f := newFields(parts[1:])
+	o := Open{Mode: Mode(parts[0]), Ref: f.ref()}
+	switch o.Mode {
+	case ModeNew:
+	case ModeReattach:
+		o.Next = f.hexadecimal()
+		o.ViaRedirect = f.flag()
+	case ModeMigrate:
+		o.Position = f.decimal()
+		o.Size = f.stateSize()
+	default:
+		return o, fmt.Errorf("unknown mode %q", parts[0])
+	}
+	return o, f.end()
+}
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -1,288 +1,87 @@
-// Package protocol is the text of the resumption between balancers, room servers and clients, as
-// docs/resume-protocol.md writes it down: what is said in which words, nothing of what follows from it. Lines are
-// without their ends.
+// Package protocol formats and parses the lines with which balancers, room servers and clients migrate sessions, as
+// docs/resume-protocol.md specifies them. It knows the text only; packages arbiter and migration decide what to do.
+// Lines are passed without their line ends.
 package protocol
 
 import (
-	"errors"
 	"fmt"
-	"net/url"
-	"strconv"
 	"strings"
-	"time"
-
-	"cottonplank/internal/session/arbiter"
-	"cottonplank/internal/session/token"
 )
 
-// The words between a balancer and a room server.
 const (
-	ReadyLine     = "READY" // a room server waits for the state
-	ActivateLine  = "GO"    // a balancer lets it attach the session
-	CommitDone    = "DONE"  // the answer to COMMIT: the session is gone from here
-	CommitRefused = "NO"    // or not, as another has it
-	HaveLine      = "HAVE"  // a client's line: it has its token
-	NewToken      = "new"   // in a client's first line: it asks for a token and has none
-	MaxState      = 1 << 20 // bytes; the longest that any balancer carries
-	FieldName     = "session"
+	// FieldName is the name of the field of a request line that says how to open a session.
+	FieldName = "session"
+	// NewToken is the value with which a client that has no token requests one.
+	NewToken = "new"
+	// MaxState is the maximum size of a session's state in bytes that any balancer transfers.
+	MaxState = 1 << 20
 )
 
-// Mode says how a first line treats a session.
-type Mode string
-
-// The modes.
+// Lines between a balancer and a room server that have no parameters.
 const (
-	ModeNew      Mode = "new"  // a new session, held under Ref
-	ModeReattach Mode = "back" // the one that lies here under Ref, from now on under Next
-	ModeMigrate  Mode = "move" // one that comes, to be held under Ref; Size bytes of state follow READY
+	// ReadyLine is sent by a room server that waits for a session's state.
+	ReadyLine = "READY"
+	// ActivateLine tells a room server to attach the session that it has prepared.
+	ActivateLine = "GO"
+	// CommitDone answers a Commit: the room server has let the session go.
+	CommitDone = "DONE"
+	// CommitRefused answers a Commit: the session was attached or claimed by another.
+	CommitRefused = "NO"
+	// HaveLine is sent by a client, through its balancer, to confirm that it has its token.
+	HaveLine = "HAVE"
 )
 
-// Open is the value of the field session in a first line.
-type Open struct {
-	Mode        Mode
-	Ref         token.Ref
-	Next        uint64 // Back: the fence of the attach
-	ViaRedirect bool   // Back: a trace led here
-	Position    uint64 // Move
-	Size        int    // Move
-}
-
-var (
-	errFields = errors.New("wrong number of fields")
-	errNumber = errors.New("a number is faulty")
+// First words of lines with parameters.
+const (
+	wordExport          = "EXPORT"
+	wordCommit          = "COMMIT"
+	wordSessionReady    = "HELD"
+	wordSessionRetained = "KEPT"
+	wordPos             = "POS"
+	wordToken           = "TOKEN"
+	wordAnew            = "ANEW"
 )
 
-func (o Open) String() string {
-	head := fmt.Sprintf("%s:%s:%d:%x", o.Mode, o.Ref.Session, o.Ref.Epoch, o.Ref.Fence)
-	switch o.Mode {
-	case ModeReattach:
-		return fmt.Sprintf("%s:%x:%d", head, o.Next, flag(o.ViaRedirect))
-	case ModeMigrate:
-		return fmt.Sprintf("%s:%d:%d", head, o.Position, o.Size)
-	}
-	return head
-}
-
-// ParseOpen reads what String wrote, and nothing else.
-func ParseOpen(text string) (o Open, err error) {
-	parts := strings.Split(text, ":")
-	if len(parts) < 4 {
-		return o, errFields
-	}
-	o.Mode = Mode(parts[0])
-	f := fields{parts[1:], nil}
-	o.Ref = f.ref()
-	switch o.Mode {
-	case ModeNew:
-	case ModeReattach:
-		o.Next, o.ViaRedirect = f.hex(), f.flag()
-	case ModeMigrate:
-		o.Position, o.Size = f.number(), f.size()
-	default:
-		return o, fmt.Errorf("unknown mode %q", parts[0])
-	}
-	return o, f.end()
-}
-
-// Export is a balancer's call for a session's state.
-type Export struct {
-	Ref         token.Ref
-	Claim       uint64
-	ClaimFor    time.Duration // how long the claim stands, whole milliseconds
-	MaxState    int           // bytes of state that the balancer takes
-	ViaRedirect bool
-}
-
-// Commit is a balancer's call to let a session go to another room server.
-type Commit struct {
-	Session token.SessionID
-	Claim   uint64
-	To      string // instance id
-}
-
-func (e Export) String() string {
-	return fmt.Sprintf("EXPORT %s %d %x %x %d %d %d", e.Ref.Session, e.Ref.Epoch, e.Ref.Fence, e.Claim, e.ClaimFor.Milliseconds(),
-		e.MaxState, flag(e.ViaRedirect))
+// HeldLine returns the line with which a room server reports that it holds the session that the balancer has opened,
+// at this epoch and position. The balancer may activate it.
+func HeldLine(epoch, position uint64) string {
+	return fmt.Sprintf("%s %d %d", wordSessionReady, epoch, position)
 }
 
-func (c Commit) String() string {
-	return fmt.Sprintf("COMMIT %s %x %s", c.Session, c.Claim, url.PathEscape(c.To))
+// KeptLine returns the line with which a room server reports, first after it has accepted the client, that it retains
+// the session: the session can be migrated, and the client gets a token.
+func KeptLine(epoch, position uint64) string {
+	return fmt.Sprintf("%s %d %d", wordSessionRetained, epoch, position)
 }
 
-// ParseExport reads an EXPORT line.
-func ParseExport(line string) (e Export, err error) {
-	f, err := call(line, "EXPORT")
-	if err != nil {
-		return e, err
-	}
-	e.Ref, e.Claim = f.ref(), f.hex()
-	e.ClaimFor, e.MaxState, e.ViaRedirect = time.Duration(f.small())*time.Millisecond, f.size(), f.flag()
-	return e, f.end()
-}
-
-// ParseCommit reads a COMMIT line.
-func ParseCommit(line string) (c Commit, err error) {
-	f, err := call(line, "COMMIT")
-	if err != nil {
-		return c, err
-	}
-	c.Session, c.Claim, c.To = f.session(), f.hex(), f.name()
-	return c, f.end()
-}
-
-// AnswerLine is the line with which a room server answers EXPORT, or a first line whose session it does not attach. After
-// STATE, the bytes of the state follow.
-func AnswerLine(a arbiter.Answer) string {
-	switch a.Verdict {
-	case arbiter.Granted:
-		return fmt.Sprintf("STATE %d %d %d", a.Ref.Epoch, a.Position, len(a.State))
-	case arbiter.Migrated:
-		return fmt.Sprintf("MOVED %s %d %x", url.PathEscape(a.MigratedTo), a.Ref.Epoch, a.Ref.Fence)
-	case arbiter.InUse:
-		return fmt.Sprintf("INUSE %d", a.RetryAfter.Milliseconds())
-	}
-	return map[arbiter.Verdict]string{arbiter.TokenUsed: "USED", arbiter.Ended: "OVER", arbiter.StateTooLarge: "LARGE",
-		arbiter.Unknown: "UNKNOWN"}[a.Verdict]
-}
-
-// ParseAnswer reads such a line; size bytes of state follow it. ok is false where the line is none of them.
-func ParseAnswer(line string, session token.SessionID) (a arbiter.Answer, size int, ok bool) {
-	parts := strings.Split(line, " ")
-	f := fields{parts[1:], nil}
-	a.Ref.Session = session
-	switch parts[0] {
-	case "STATE":
-		a.Verdict, a.Ref.Epoch, a.Position, size = arbiter.Granted, f.number(), f.number(), f.size()
-	case "MOVED":
-		a.Verdict, a.MigratedTo, a.Ref.Epoch, a.Ref.Fence = arbiter.Migrated, f.name(), f.number(), f.hex()
-	case "INUSE":
-		a.Verdict, a.RetryAfter = arbiter.InUse, time.Duration(f.small())*time.Millisecond
-	case "USED":
-		a.Verdict = arbiter.TokenUsed
-	case "OVER":
-		a.Verdict = arbiter.Ended
-	case "LARGE":
-		a.Verdict = arbiter.StateTooLarge
-	case "UNKNOWN":
-		a.Verdict = arbiter.Unknown
-	default:
-		return a, 0, false
-	}
-	return a, size, f.end() == nil
-}
-
-// HeldLine is the line HELD: the room server has the session at this epoch and position.
-func HeldLine(epoch, position uint64) string { return fmt.Sprintf("HELD %d %d", epoch, position) }
-
-// KeptLine is the line KEPT, the first after UP: the session may be moved, and its client gets a token.
-func KeptLine(epoch, position uint64) string { return fmt.Sprintf("KEPT %d %d", epoch, position) }
-
-// PositionLine is the line POS: all of the client's moves up to this one are in the state.
-func PositionLine(position uint64) string { return fmt.Sprintf("POS %d", position) }
+// PositionLine returns the line with which a room server acknowledges all of the client's moves up to a position.
+func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPos, position) }
 
-// Parse reads a line of whole numbers after a word, as HELD, KEPT and POS are.
+// Parse parses a line that consists of a word and decimal numbers, such as those of HeldLine, KeptLine and
+// PositionLine. It returns false if the line does not have that form; the numbers are undefined then.
 func Parse(line, word string, numbers ...*uint64) bool {
-	rest, ok := strings.CutPrefix(line, word+" ")
-	if !ok {
+	f, err := parametersOf(line, word)
+	if err != nil {
 		return false
 	}
-	f := fields{strings.Split(rest, " "), nil}
-	for _, n := range numbers {
-		*n = f.number()
+	for _, number := range numbers {
+		*number = f.decimal()
 	}
 	return f.end() == nil
 }
 
-// TokenLine and Anew are the lines of a balancer to its client.
-func TokenLine(text string) string       { return "TOKEN " + text }
-func StartOverLine(reason string) string { return "ANEW " + reason }
+// TokenLine returns the line that gives a client its session token.
+func TokenLine(text string) string { return wordToken + " " + text }
 
-func flag(v bool) int {
-	if v {
-		return 1
-	}
-	return 0
-}
+// StartOverLine returns the line that tells a client that its session cannot continue. reason is a word of
+// migration.Reason.
+func StartOverLine(reason string) string { return wordAnew + " " + reason }
 
-func call(line, word string) (fields, error) {
+// parametersOf returns the parameters of a line that begins with a word.
+func parametersOf(line, word string) (fields, error) {
 	rest, ok := strings.CutPrefix(line, word+" ")
 	if !ok {
 		return fields{}, fmt.Errorf("expected %s", word)
 	}
-	return fields{strings.Split(rest, " "), nil}, nil
-}
-
-// fields reads one field after the other and keeps the first error. Numbers have one form only, so that what is read
-// is what would be written.
-type fields struct {
-	left []string
-	err  error
-}
-
-func (f *fields) next() string {
-	if len(f.left) == 0 {
-		f.fail(errFields)
-		return ""
-	}
-	text := f.left[0]
-	f.left = f.left[1:]
-	return text
-}
-
-func (f *fields) fail(err error) {
-	if f.err == nil {
-		f.err = err
-	}
-}
-
-func (f *fields) uint(base, bits int) uint64 {
-	text := f.next()
-	v, err := strconv.ParseUint(text, base, bits)
-	if err != nil || strconv.FormatUint(v, base) != text {
-		f.fail(errNumber)
-		return 0
-	}
-	return v
-}
-
-func (f *fields) number() uint64 { return f.uint(10, 64) }
-func (f *fields) small() uint64  { return f.uint(10, 31) }
-func (f *fields) hex() uint64    { return f.uint(16, 64) }
-func (f *fields) flag() bool     { return f.uint(10, 1) == 1 }
-
-func (f *fields) size() int {
-	v := f.number()
-	if v > MaxState {
-		f.fail(fmt.Errorf("%d bytes of state, %d at most", v, MaxState))
-		return 0
-	}
-	return int(v)
-}
-
-func (f *fields) session() token.SessionID {
-	id, err := token.ParseSessionID(f.next())
-	if err != nil {
-		f.fail(err)
-	}
-	return id
-}
-
-func (f *fields) ref() token.Ref {
-	return token.Ref{Session: f.session(), Epoch: f.number(), Fence: f.hex()}
-}
-
-func (f *fields) name() string {
-	text := f.next()
-	name, err := url.PathUnescape(text)
-	if err != nil || name == "" || url.PathEscape(name) != text {
-		f.fail(fmt.Errorf("%q is no name", text))
-	}
-	return name
-}
-
-func (f *fields) end() error {
-	if len(f.left) > 0 {
-		f.fail(errFields)
-	}
-	return f.err
+	return newFields(strings.Split(rest, " ")), nil
 }
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -81,8 +81,8 @@
 	return header + "." + base64.RawURLEncoding.EncodeToString(box), nil
 }
 
-// Open decrypts the text of a token for a balancer of the given site. Its error is one of ErrMalformed, ErrUnsupportedVersion,
-// ErrUnknownKey, ErrForged, ErrWrongSite and ErrExpired.
+// Open decrypts the text of a token for a balancer of the given site. Its error is one of ErrMalformed,
+// ErrUnsupportedVersion, ErrUnknownKey, ErrForged, ErrWrongSite and ErrExpired.
 func (r *Ring) Open(text, site string, now time.Time) (Token, error) {
 	tokenVersion, rest, hasRest := strings.Cut(text, ".")
 	keyID, encodedBox, hasBox := strings.Cut(rest, ".")
@@ -110,7 +110,8 @@
 	}
 	t, err := decodePayload(plaintext)
 	if err != nil {
-		return Token{}, ErrUnsupportedVersion // a balancer with our keys sealed it, in a form that is newer than this one
+		// A balancer with our keys has sealed it, so it has the content of a newer release.
+		return Token{}, ErrUnsupportedVersion
 	}
 	return t, t.validate(site, now)
 }
