--- /dev/null
+++ b/internal/frontend/quic/attempt_test.go
@@ -0,0 +1,121 @@
+package quic
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+
+	"cottonplank/decide"
+)
+
+// If a server rejects, ignores or cannot get the request, another server is tried. The client does not notice, and ends
+// up at one server.
+func TestRetryAtAnotherServer(t *testing.T) {
+	t.Parallel()
+	for name, impair := range map[string]func(*fakeServer){
+		"rejects":     func(s *fakeServer) { s.setMode(rejects) },
+		"ignores":     func(s *fakeServer) { s.setMode(ignores) },
+		"port closed": func(s *fakeServer) { s.conn.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			ids := newTestFormat(t, testIDKey)
+			impaired, healthy := newFakeServer(t, "s-1", ids, accepts), newFakeServer(t, "s-2", ids, accepts)
+			impair(impaired)
+			b := newTestBalancer(t, "127.0.0.1:0", ids, nil, impaired.endpoint(decide.Ready),
+				healthy.endpoint(decide.Ready))
+			for i := range 4 {
+				c := newFakeClient(t, b.frontend.Addr())
+				if closed, err := c.open(5 * time.Second); err != nil || closed != nil {
+					t.Fatalf("client %d: %+v, %v", i, closed, err)
+				}
+				if response, err := c.call("hello"); err != nil || response != "s-2 hello" {
+					t.Errorf("client %d: %q, %v", i, response, err)
+				}
+			}
+			if accepted, _, _ := healthy.counts(); accepted != 4 {
+				t.Errorf("the healthy server accepted %d of 4 clients", accepted)
+			}
+			eventually(t, "all are counted", func() bool { return b.engine.Snapshot().Served == 4 })
+			if s := b.engine.Snapshot(); s.Rejected+s.Failed > 0 || s.Attempts < 5 {
+				t.Errorf("the balancer counts %+v", s.Counters)
+			}
+		})
+	}
+}
+
+// If no server accepts a client, it is rejected once, within its timeout. A repeated Initial packet gets the same
+// answer and causes no attempt.
+func TestRejectedOnce(t *testing.T) {
+	t.Parallel()
+	ids := newTestFormat(t, testIDKey)
+	s1, s2 := newFakeServer(t, "s-1", ids, ignores), newFakeServer(t, "s-2", ids, rejects)
+	b := newTestBalancer(t, "127.0.0.1:0", ids, nil, s1.endpoint(decide.Ready), s2.endpoint(decide.Ready))
+	c := newFakeClient(t, b.frontend.Addr())
+	closed, err := c.open(5 * time.Second)
+	if err != nil || closed == nil || closed.code != connectionRefused ||
+		!strings.HasPrefix(closed.reason, "retry-after=") {
+		t.Fatalf("open: %+v, %v", closed, err)
+	}
+	eventually(t, "the rejection is counted", func() bool { return b.engine.Snapshot().Rejected == 1 })
+	attempts := b.engine.Snapshot().Attempts
+	if again, err := c.open(5 * time.Second); err != nil || again == nil || *again != *closed {
+		t.Errorf("the second time: %+v, %v", again, err)
+	}
+	time.Sleep(1100 * time.Millisecond) // for another snapshot
+	if s := b.engine.Snapshot(); s.Rejected != 1 || s.Served+s.Failed > 0 || s.Attempts != attempts {
+		t.Errorf("the balancer counts %+v", s.Counters)
+	}
+	if accepted, _, _ := s1.counts(); accepted > 0 {
+		t.Errorf("the server that ignores Initial packets accepted %d clients", accepted)
+	}
+}
+
+// A client beyond Config.MaxFlows is rejected at once.
+func TestMaxFlows(t *testing.T) {
+	t.Parallel()
+	ids := newTestFormat(t, nil)
+	s := newFakeServer(t, "s-1", ids, accepts)
+	limitFlows := func(cfg *Config) { cfg.MaxFlows = 2 }
+	b := newTestBalancer(t, "127.0.0.1:0", ids, limitFlows, s.endpoint(decide.Ready))
+	for i := range 3 {
+		closed, err := newFakeClient(t, b.frontend.Addr()).open(5 * time.Second)
+		if err != nil || (closed != nil) != (i == 2) {
+			t.Errorf("client %d: %+v, %v", i, closed, err)
+		}
+	}
+}
+
+// If the room server of an established connection fails, its client gets a stateless reset.
+func TestServerFailsWhileEstablished(t *testing.T) {
+	t.Parallel()
+	ids := newTestFormat(t, testIDKey)
+	s := newFakeServer(t, "s-1", ids, accepts)
+	b := newTestBalancer(t, "127.0.0.1:0", ids, nil, s.endpoint(decide.Ready))
+	c := newFakeClient(t, b.frontend.Addr())
+	c.mustOpen()
+	if _, err := c.call("hello"); err != nil {
+		t.Fatal(err)
+	}
+	s.conn.Close()
+	raw := shortPacket(c.serverID, 1+len(c.serverID)+40)
+	response, err := c.exchange(raw, 500*time.Millisecond, 5*time.Second)
+	token := resetToken(testResetKey, c.serverID)
+	if err != nil || !bytes.HasSuffix(response, token[:]) {
+		t.Fatalf("response %x, %v", response, err)
+	}
+	eventually(t, "the connection is closed", func() bool { return b.engine.Snapshot().Clients == 0 })
+}
+
+// A connection without traffic ends after Config.Idle.
+func TestIdleTimeout(t *testing.T) {
+	t.Parallel()
+	ids := newTestFormat(t, nil)
+	s := newFakeServer(t, "s-1", ids, accepts)
+	shortIdle := func(cfg *Config) { cfg.Idle = time.Second }
+	b := newTestBalancer(t, "127.0.0.1:0", ids, shortIdle, s.endpoint(decide.Ready))
+	newFakeClient(t, b.frontend.Addr()).mustOpen()
+	eventually(t, "the connection is open", func() bool { return b.engine.Snapshot().Clients == 1 })
+	eventually(t, "the connection is closed", func() bool { return b.engine.Snapshot().Clients == 0 })
+}
--- /dev/null
+++ b/internal/frontend/quic/flow_attempt.go
@@ -0,0 +1,148 @@
+package quic
+
+import (
+	"net"
+	"net/netip"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+)
+
+// upstream is the socket of one attempt. Each attempt has its own, so that late datagrams of a cancelled attempt do not
+// reach the client.
+type upstream struct {
+	// attempt is the number of the attempt.
+	attempt int
+	// server is the attempt's room server.
+	server decide.ServerID
+	conn   *net.UDPConn
+}
+
+// serverDatagram is a datagram from a room server, or the error that ends its socket.
+type serverDatagram struct {
+	upstream *upstream
+	raw      []byte
+	err      error
+}
+
+// startAttempt begins an attempt and sends what the client has sent so far.
+func (fl *flow) startAttempt(attempt core.Attempt) {
+	fl.closeUpstream()
+	// The client's close may wait behind this command: then there must be no attempt.
+	for len(fl.clientDatagrams) > 0 {
+		fl.handleClientDatagram(<-fl.clientDatagrams)
+	}
+	if fl.ended {
+		return
+	}
+	engine := fl.frontend.engine
+	conn, err := dialServer(attempt.Upstream.Address)
+	if err != nil {
+		fl.frontend.log.WithError(err).Warn("quic: cannot open a socket to a room server")
+		engine.AttemptEnded(fl.call, attempt.Number, decide.ConnectFailed, decide.NoLoadReport)
+		return
+	}
+	up := &upstream{attempt: attempt.Number, server: attempt.Upstream.ID, conn: conn}
+	fl.upstream = up
+	fl.frontend.actors.Go(func() { fl.readServer(up) })
+	engine.AttemptSent(fl.call, attempt.Number)
+	if fl.restored {
+		// The room server has the connection already. What the client has sent follows when it is established.
+		fl.accepted = true
+		engine.AttemptAccepted(fl.call, attempt.Number)
+		return
+	}
+	for _, raw := range fl.retained {
+		fl.sendToServer(raw)
+	}
+}
+
+// dialServer returns a socket that is connected to a room server.
+func dialServer(address string) (*net.UDPConn, error) {
+	addrPort, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return nil, err
+	}
+	return net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrPort))
+}
+
+// readServer passes a room server's datagrams to run, until its socket fails or is closed. It has a goroutine of its
+// own.
+func (fl *flow) readServer(up *upstream) {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		n, err := up.conn.Read(buffer)
+		d := serverDatagram{upstream: up, err: err}
+		if err == nil {
+			d.raw = clone(buffer[:n])
+		}
+		select {
+		case fl.serverDatagrams <- d:
+		case <-fl.done:
+			return
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// closeUpstream closes the socket of the current attempt, if there is one.
+func (fl *flow) closeUpstream() {
+	if fl.upstream != nil {
+		fl.upstream.conn.Close()
+		fl.upstream, fl.pending, fl.accepted = nil, nil, false
+	}
+}
+
+// sendToServer sends a datagram to the attempt's room server. If the server's port is closed, readServer gets an error.
+func (fl *flow) sendToServer(raw []byte) {
+	if fl.upstream != nil {
+		fl.upstream.conn.Write(raw)
+	}
+}
+
+// establish forwards the room server's pending datagrams and all that follow.
+func (fl *flow) establish(n int) {
+	if fl.upstream == nil || fl.upstream.attempt != n {
+		return
+	}
+	fl.established = true
+	server := fl.upstream.server
+	fl.frontend.runInRouter(func() { fl.server = server })
+	if fl.restored {
+		for _, raw := range fl.retained {
+			fl.sendToServer(raw)
+		}
+	}
+	for _, raw := range fl.pending {
+		if p, err := parsePacket(raw, len(fl.clientID)); err == nil {
+			fl.addChosenServerID(p)
+		}
+		fl.frontend.send(raw, fl.clientAddress)
+	}
+	fl.retained, fl.pending = nil, nil
+}
+
+// cancelAttempt ends an attempt that has no answer. Since UDP has no connections, the client's datagrams were sent when
+// the attempt began; why may not say then that it never executed.
+func (fl *flow) cancelAttempt(n int, why decide.Code) {
+	if fl.upstream != nil && fl.upstream.attempt == n && !fl.accepted && !why.NeverExecuted() {
+		fl.endAttempt(why)
+	}
+}
+
+// endAttempt closes the current attempt's socket and reports how the attempt ended.
+func (fl *flow) endAttempt(code decide.Code) {
+	n := fl.upstream.attempt
+	fl.closeUpstream()
+	fl.frontend.engine.AttemptEnded(fl.call, n, code, decide.NoLoadReport)
+}
+
+// endConnection ends the flow and its current attempt, if there is one.
+func (fl *flow) endConnection(code decide.Code) {
+	if fl.upstream != nil {
+		fl.endAttempt(code)
+	}
+	fl.ended = true
+}
--- /dev/null
+++ b/internal/frontend/quic/flow_table.go
@@ -0,0 +1,58 @@
+package quic
+
+import (
+	"net/netip"
+
+	"cottonplank/decide"
+)
+
+// maxFlowIDs limits the connection IDs of one flow, so that a client that invents IDs cannot fill the table.
+const maxFlowIDs = 16
+
+// flowTable finds flows by their connection IDs. The router's goroutine owns it.
+type flowTable struct {
+	// byID holds the flow of each connection ID.
+	byID map[string]*flow
+	// count is the number of flows.
+	count int
+}
+
+func newFlowTable() flowTable { return flowTable{byID: map[string]*flow{}} }
+
+// add adds a flow with its first connection ID.
+func (t *flowTable) add(fl *flow, id []byte) {
+	t.count++
+	t.addID(fl, id)
+}
+
+// addID adds a connection ID of a flow, unless the ID is empty or in use. The flow loses its oldest ID if it has too
+// many.
+func (t *flowTable) addID(fl *flow, id []byte) {
+	if len(id) == 0 || t.byID[string(id)] != nil {
+		return
+	}
+	if len(fl.ids) >= maxFlowIDs {
+		delete(t.byID, fl.ids[0])
+		fl.ids = fl.ids[1:]
+	}
+	fl.ids = append(fl.ids, string(id))
+	t.byID[string(id)] = fl
+}
+
+// remove removes a flow.
+func (t *flowTable) remove(fl *flow) {
+	t.count--
+	for _, id := range fl.ids {
+		delete(t.byID, id)
+	}
+}
+
+// find returns a flow that is established at a server and whose client has the given address, or nil.
+func (t *flowTable) find(server decide.ServerID, address netip.AddrPort) *flow {
+	for _, fl := range t.byID {
+		if fl.server == server && fl.routedFrom == address {
+			return fl
+		}
+	}
+	return nil
+}
--- a/internal/frontend/quic/initial.go
+++ b/internal/frontend/quic/initial.go
@@ -9,199 +9,133 @@
 	"fmt"
 )
 
-// Transport error codes (RFC 9000, section 20.1).
+// initialSalt is the salt of version 1 (RFC 9001, section 5.2).
+var initialSalt = []byte{
+	0x38, 0x76, 0x2c, 0xf7, 0xf5, 0x59, 0x34, 0xb3, 0x4d, 0x17,
+	0x9a, 0xe6, 0xa4, 0xc8, 0x0c, 0xad, 0xcc, 0xbb, 0x7f, 0x0a,
+}
+
+// The HKDF labels for the Initial packets of each side.
 const (
-	internalError     = 0x1
-	connectionRefused = 0x2
+	clientInitialLabel = "client in"
+	serverInitialLabel = "server in"
 )
 
 const (
-	framePadding = 0x00
-	framePing    = 0x01
-	frameAck     = 0x02
-	frameAckECN  = 0x03
-	frameCrypto  = 0x06
-	frameClose   = 0x1c
-	frameAppEnd  = 0x1d
+	keyLength = 16
+	ivLength  = 12
+	// sampleOffset is the distance from the packet number to the sample for header protection.
+	sampleOffset = 4
 )
 
-// initialSalt is that of version 1 (RFC 9001, section 5.2).
-var initialSalt = []byte{0x38, 0x76, 0x2c, 0xf7, 0xf5, 0x59, 0x34, 0xb3, 0x4d, 0x17,
-	0x9a, 0xe6, 0xa4, 0xc8, 0x0c, 0xad, 0xcc, 0xbb, 0x7f, 0x0a}
-
-// keys protect the Initial packets of one side.
-type keys struct {
+// initialKeys protect the Initial packets of one side (RFC 9001, section 5). Since they are derived from a connection
+// ID that is sent in the clear, whoever sees a connection's first packet can derive them.
+type initialKeys struct {
 	aead cipher.AEAD
 	iv   []byte
-	hp   cipher.Block
+	// headerCipher encrypts packet numbers.
+	headerCipher cipher.Block
 }
 
-// The labels of the two sides.
-const (
-	clientSide = "client in"
-	serverSide = "server in"
-)
-
-// initialKeys derives one side's keys from the id that the client chose for its first Initial.
-func initialKeys(origCID []byte, side string) (keys, error) {
-	secret, err := hkdf.Extract(sha256.New, origCID, initialSalt)
+// newInitialKeys derives the keys of the side with the given label. originalID is the destination connection ID of the
+// client's first Initial packet.
+func newInitialKeys(originalID []byte, label string) (*initialKeys, error) {
+	initialSecret, err := hkdf.Extract(sha256.New, originalID, initialSalt)
 	if err != nil {
-		return keys{}, fmt.Errorf("initial secret: %w", err)
+		return nil, fmt.Errorf("initial secret: %w", err)
 	}
-	var k keys
-	own, err := expandLabel(secret, side, sha256.Size)
+	secret, err := expandLabel(initialSecret, label, sha256.Size)
 	if err != nil {
-		return k, err
+		return nil, err
 	}
-	key, err := expandLabel(own, "quic key", 16)
+	key, err := expandLabel(secret, "quic key", keyLength)
 	if err != nil {
-		return k, err
+		return nil, err
 	}
-	if k.iv, err = expandLabel(own, "quic iv", 12); err != nil {
-		return k, err
+	iv, err := expandLabel(secret, "quic iv", ivLength)
+	if err != nil {
+		return nil, err
 	}
-	hp, err := expandLabel(own, "quic hp", 16)
+	headerKey, err := expandLabel(secret, "quic hp", keyLength)
 	if err != nil {
-		return k, err
+		return nil, err
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return k, fmt.Errorf("initial key: %w", err)
+		return nil, fmt.Errorf("initial key: %w", err)
 	}
-	if k.aead, err = cipher.NewGCM(block); err != nil {
-		return k, fmt.Errorf("initial key: %w", err)
+	aead, err := cipher.NewGCM(block)
+	if err != nil {
+		return nil, fmt.Errorf("initial key: %w", err)
 	}
-	if k.hp, err = aes.NewCipher(hp); err != nil {
-		return k, fmt.Errorf("header protection key: %w", err)
+	headerCipher, err := aes.NewCipher(headerKey)
+	if err != nil {
+		return nil, fmt.Errorf("header protection key: %w", err)
 	}
-	return k, nil
+	return &initialKeys{aead: aead, iv: iv, headerCipher: headerCipher}, nil
 }
 
-// expandLabel is TLS 1.3's HKDF-Expand-Label with an empty context.
-func expandLabel(secret []byte, label string, n int) ([]byte, error) {
+// expandLabel is HKDF-Expand-Label of TLS 1.3 (RFC 8446, section 7.1) with an empty context.
+func expandLabel(secret []byte, label string, length int) ([]byte, error) {
 	label = "tls13 " + label
-	info := binary.BigEndian.AppendUint16(nil, uint16(n))
-	info = append(append(info, byte(len(label))), label...)
-	out, err := hkdf.Expand(sha256.New, secret, string(append(info, 0)), n)
+	info := binary.BigEndian.AppendUint16(nil, uint16(length))
+	info = append(info, byte(len(label)))
+	info = append(info, label...)
+	info = append(info, 0) // the length of the context
+	out, err := hkdf.Expand(sha256.New, secret, string(info), length)
 	if err != nil {
 		return nil, fmt.Errorf("expand %q: %w", label, err)
 	}
 	return out, nil
 }
 
-func (k keys) nonce(number uint64) []byte {
-	n := append([]byte(nil), k.iv...)
-	for i := range 8 {
-		n[len(n)-1-i] ^= byte(number >> (8 * i))
-	}
-	return n
-}
-
-// protect seals a payload behind an unprotected header that ends with the packet number, of pnLen bytes.
-func (k keys) protect(header []byte, pnLen int, number uint64, payload []byte) []byte {
-	out := k.aead.Seal(append([]byte(nil), header...), k.nonce(number), payload, header)
-	pn := len(header) - pnLen
-	mask := k.mask(out[pn+4:])
-	out[0] ^= mask[0] & 0x0f
-	for i := range pnLen {
-		out[pn+i] ^= mask[1+i]
+// protect returns the protected packet. header ends with the packet number, which has numberLength bytes.
+func (k *initialKeys) protect(header []byte, numberLength int, number uint64, payload []byte) []byte {
+	raw := k.aead.Seal(clone(header), k.nonce(number), payload, header)
+	numberOffset := len(header) - numberLength
+	mask := k.headerMask(raw[numberOffset+sampleOffset:])
+	raw[0] ^= mask[0] & 0x0f
+	for i := range numberLength {
+		raw[numberOffset+i] ^= mask[1+i]
 	}
-	return out
+	return raw
 }
 
-// unprotect opens an Initial packet and returns its payload; b is left as it is.
-func (k keys) unprotect(b []byte, p packet) ([]byte, error) {
-	if p.end-p.pnOffset < 4+aes.BlockSize {
-		return nil, errPacket
-	}
-	raw := append([]byte(nil), b[:p.end]...)
-	mask := k.mask(raw[p.pnOffset+4:])
+// unprotect returns the payload of an Initial packet, which p describes. It does not change datagram. It returns an
+// error if the packet is too short or was not protected with these keys.
+func (k *initialKeys) unprotect(datagram []byte, p packet) ([]byte, error) {
+	if p.end-p.numberOffset < sampleOffset+aes.BlockSize {
+		return nil, errMalformedPacket
+	}
+	raw := clone(datagram[:p.end])
+	mask := k.headerMask(raw[p.numberOffset+sampleOffset:])
 	raw[0] ^= mask[0] & 0x0f
-	pnLen := int(raw[0]&3) + 1
+	numberLength := int(raw[0]&3) + 1
 	number := uint64(0)
-	for i := range pnLen {
-		raw[p.pnOffset+i] ^= mask[1+i]
-		number = number<<8 | uint64(raw[p.pnOffset+i])
+	for i := range numberLength {
+		raw[p.numberOffset+i] ^= mask[1+i]
+		number = number<<8 | uint64(raw[p.numberOffset+i])
 	}
-	head := p.pnOffset + pnLen
-	payload, err := k.aead.Open(nil, k.nonce(number), raw[head:], raw[:head])
+	headerLength := p.numberOffset + numberLength
+	payload, err := k.aead.Open(nil, k.nonce(number), raw[headerLength:], raw[:headerLength])
 	if err != nil {
 		return nil, fmt.Errorf("initial packet: %w", err)
 	}
 	return payload, nil
 }
 
-func (k keys) mask(sample []byte) []byte {
-	var m [aes.BlockSize]byte
-	k.hp.Encrypt(m[:], sample[:aes.BlockSize])
-	return m[:]
-}
-
-// closePacket is a server's Initial that refuses or ends a connection: CONNECTION_CLOSE with a code and a
-// reason. client and server are the ids that the client knows the two sides by.
-func closePacket(origCID, client, server []byte, code uint64, reason string) ([]byte, error) {
-	k, err := initialKeys(origCID, serverSide)
-	if err != nil {
-		return nil, err
-	}
-	frame := appendVarint([]byte{frameClose}, code)
-	frame = appendVarint(frame, framePadding) // the frame that caused it: none
-	frame = append(appendVarint(frame, uint64(len(reason))), reason...)
-	for len(frame) < 4 { // header protection needs a sample
-		frame = append(frame, framePadding)
+// nonce returns the AEAD nonce of a packet number.
+func (k *initialKeys) nonce(number uint64) []byte {
+	nonce := clone(k.iv)
+	for i := range 8 {
+		nonce[len(nonce)-1-i] ^= byte(number >> (8 * i))
 	}
-	const pnLen = 1
-	header := appendLong(nil, longForm|fixedBit|typeInitial<<4|(pnLen-1), version1, client, server)
-	header = append(header, 0) // no token
-	header = appendVarint(header, uint64(pnLen+len(frame)+k.aead.Overhead()))
-	return k.protect(append(header, 0), pnLen, 0, frame), nil
+	return nonce
 }
 
-// closeFrame is what a CONNECTION_CLOSE says.
-type closeFrame struct {
-	code   uint64
-	reason string
-}
-
-// findClose looks for CONNECTION_CLOSE in an Initial's payload; errPacket tells of frames that are not allowed
-// there or cut short.
-func findClose(payload []byte) (*closeFrame, error) {
-	r := reader{b: payload}
-	for r.at < len(r.b) && !r.bad {
-		switch kind := r.varint(); kind {
-		case framePadding, framePing:
-		case frameAck, frameAckECN:
-			r.varint() // largest
-			r.varint() // delay
-			ranges := r.varint()
-			r.varint() // first range
-			for i := uint64(0); i < 2*ranges && !r.bad; i++ {
-				r.varint()
-			}
-			if kind == frameAckECN {
-				r.varint()
-				r.varint()
-				r.varint()
-			}
-		case frameCrypto:
-			r.varint() // offset
-			r.bytes(r.varint())
-		case frameClose, frameAppEnd:
-			c := closeFrame{code: r.varint()}
-			if kind == frameClose {
-				r.varint()
-			}
-			c.reason = string(r.bytes(r.varint()))
-			if r.bad {
-				return nil, errPacket
-			}
-			return &c, nil
-		default:
-			return nil, errPacket
-		}
-	}
-	if r.bad {
-		return nil, errPacket
-	}
-	return nil, nil
+// headerMask returns the mask for a header. sample begins with a sample of the packet's ciphertext.
+func (k *initialKeys) headerMask(sample []byte) []byte {
+	var mask [aes.BlockSize]byte
+	k.headerCipher.Encrypt(mask[:], sample[:aes.BlockSize])
+	return mask[:]
 }
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -6,135 +6,114 @@
 )
 
 const (
-	version1     = 1
-	minInitial   = 1200 // the smallest datagram that may carry a client's first Initial
-	minOrigCID   = 8    // the shortest id that a client may choose (RFC 9000, section 7.2)
-	longForm     = 0x80
-	fixedBit     = 0x40
-	minReset     = 21 // the smallest stateless reset
-	maxReset     = 42 // a larger one looks no more like a packet
-	maxDatagram  = 65535
-	typeInitial  = 0
-	typeZeroRTT  = 1
-	typeRetry    = 3
-	versionBytes = 4
+	// version1 is the QUIC version of RFC 9000.
+	version1 = 1
+	// minInitialSize is the minimum size of a datagram with a client's first Initial packet.
+	minInitialSize = 1200
+	// minOriginalIDLength is the minimum length of the destination connection ID in a client's first Initial packet
+	// (RFC 9000, section 7.2).
+	minOriginalIDLength = 8
+	// maxDatagramSize is the maximum size of a UDP datagram.
+	maxDatagramSize = 65535
 )
 
-var errPacket = errors.New("packet is cut short or not well-formed")
+// Bits of a packet's first octet.
+const (
+	longHeader = 0x80
+	fixedBit   = 0x40
+)
+
+// packetTypeInitial is the type of Initial packets in long headers of version 1.
+const packetTypeInitial = 0
 
-// packet is what the invariants of RFC 8999 show of a datagram's first packet, and for version 1 its type.
+var errMalformedPacket = errors.New("packet is cut short or not well-formed")
+
+// packet describes the first packet of a datagram, as far as it is not encrypted: the version-independent fields
+// (RFC 8999), and for version 1 its type.
 type packet struct {
-	long       bool
-	version    uint32
-	kind       byte // of a long header of version 1
-	dcid, scid []byte
-	token      []byte // of an Initial
-	pnOffset   int    // of an Initial: where its protected part begins
-	end        int    // of an Initial: where it ends
+	// long says that the packet has a long header.
+	long bool
+	// version is the QUIC version of a long header.
+	version uint32
+	// packetType is the type in a long header of version 1.
+	packetType byte
+	// destinationID is the connection ID of the receiver.
+	destinationID []byte
+	// sourceID is the connection ID of the sender, in a long header.
+	sourceID []byte
+	// token is the address validation token of an Initial packet.
+	token []byte
+	// numberOffset is where the packet number of an Initial packet begins, which is encrypted.
+	numberOffset int
+	// end is where an Initial packet ends.
+	end int
+}
+
+// isInitial reports whether the packet is an Initial packet of version 1.
+func (p *packet) isInitial() bool {
+	return p.long && p.version == version1 && p.packetType == packetTypeInitial
 }
 
-// parsePacket reads a datagram's first packet; a short header's id has the length idLen.
-func parsePacket(b []byte, idLen int) (p packet, err error) {
-	if len(b) == 0 {
-		return p, errPacket
+// parsePacket parses the first packet of a datagram. idLength is the length of the connection ID in short headers. It
+// returns errMalformedPacket if the packet is cut short or its fixed bit is not set.
+func parsePacket(raw []byte, idLength int) (packet, error) {
+	if len(raw) == 0 {
+		return packet{}, errMalformedPacket
 	}
-	if b[0]&longForm == 0 {
-		if len(b) < 1+idLen || b[0]&fixedBit == 0 {
-			return p, errPacket
-		}
-		p.dcid = b[1 : 1+idLen]
-		return p, nil
+	if raw[0]&longHeader == 0 {
+		return parseShortHeader(raw, idLength)
 	}
-	p.long = true
-	r := reader{b: b, at: 1}
+	p := packet{long: true}
+	r := packetReader{data: raw, offset: 1}
 	p.version = r.uint32()
-	p.dcid = r.bytes(uint64(r.byte()))
-	p.scid = r.bytes(uint64(r.byte()))
-	if r.bad {
-		return p, errPacket
+	p.destinationID = r.bytes(uint64(r.byte()))
+	p.sourceID = r.bytes(uint64(r.byte()))
+	if r.truncated {
+		return p, errMalformedPacket
 	}
 	if p.version != version1 {
 		return p, nil
 	}
-	if len(p.dcid) > maxCID || len(p.scid) > maxCID || b[0]&fixedBit == 0 {
-		return p, errPacket
+	if len(p.destinationID) > maxIDLength || len(p.sourceID) > maxIDLength || raw[0]&fixedBit == 0 {
+		return p, errMalformedPacket
 	}
-	p.kind = b[0] >> 4 & 3
-	if p.kind != typeInitial {
+	p.packetType = raw[0] >> 4 & 3
+	if p.packetType != packetTypeInitial {
 		return p, nil
 	}
 	p.token = r.bytes(r.varint())
 	length := r.varint()
-	p.pnOffset = r.at
+	p.numberOffset = r.offset
 	r.bytes(length)
-	p.end = r.at
-	if r.bad {
-		return p, errPacket
+	p.end = r.offset
+	if r.truncated {
+		return p, errMalformedPacket
 	}
 	return p, nil
 }
 
-// reader takes fields off a packet; after a field that is cut short it is bad.
-type reader struct {
-	b   []byte
-	at  int
-	bad bool
-}
-
-func (r *reader) bytes(n uint64) []byte {
-	if r.bad || n > uint64(len(r.b)-r.at) {
-		r.bad = true
-		return nil
-	}
-	r.at += int(n)
-	return r.b[r.at-int(n) : r.at]
-}
-
-func (r *reader) byte() byte {
-	if x := r.bytes(1); x != nil {
-		return x[0]
-	}
-	return 0
-}
-
-func (r *reader) uint32() uint32 {
-	if x := r.bytes(versionBytes); x != nil {
-		return binary.BigEndian.Uint32(x)
+func parseShortHeader(raw []byte, idLength int) (packet, error) {
+	if len(raw) < 1+idLength || raw[0]&fixedBit == 0 {
+		return packet{}, errMalformedPacket
 	}
-	return 0
+	return packet{destinationID: raw[1 : 1+idLength]}, nil
 }
 
-// varint reads a variable-length integer (RFC 9000, section 16).
-func (r *reader) varint() uint64 {
-	first := r.byte()
-	v := uint64(first & 0x3f)
-	for range 1<<(first>>6) - 1 {
-		v = v<<8 | uint64(r.byte())
-	}
-	return v
+// appendLongHeader appends the version-independent fields of a long header.
+func appendLongHeader(b []byte, firstOctet byte, version uint32, destinationID, sourceID []byte) []byte {
+	b = append(b, firstOctet)
+	b = binary.BigEndian.AppendUint32(b, version)
+	b = append(b, byte(len(destinationID)))
+	b = append(b, destinationID...)
+	b = append(b, byte(len(sourceID)))
+	return append(b, sourceID...)
 }
 
-func appendVarint(b []byte, v uint64) []byte {
-	switch {
-	case v < 1<<6:
-		return append(b, byte(v))
-	case v < 1<<14:
-		return binary.BigEndian.AppendUint16(b, uint16(v)|1<<14)
-	case v < 1<<30:
-		return binary.BigEndian.AppendUint32(b, uint32(v)|2<<30)
-	}
-	return binary.BigEndian.AppendUint64(b, v|3<<62)
-}
-
-// appendLong begins a long header.
-func appendLong(b []byte, first byte, version uint32, dcid, scid []byte) []byte {
-	b = binary.BigEndian.AppendUint32(append(b, first), version)
-	b = append(append(b, byte(len(dcid))), dcid...)
-	return append(append(b, byte(len(scid))), scid...)
-}
-
-// versionNegotiation answers a packet of an unknown version (RFC 9000, section 17.2.1).
-func versionNegotiation(p packet) []byte {
-	b := appendLong(nil, longForm|fixedBit, 0, p.scid, p.dcid)
+// newVersionNegotiation returns the packet that answers one of an unsupported version (RFC 9000, section 17.2.1).
+func newVersionNegotiation(p packet) []byte {
+	b := appendLongHeader(nil, longHeader|fixedBit, 0, p.sourceID, p.destinationID)
 	return binary.BigEndian.AppendUint32(b, version1)
 }
+
+// clone returns a copy of b. The copy of an empty slice is nil.
+func clone(b []byte) []byte { return append([]byte(nil), b...) }
--- a/internal/frontend/quic/wire_test.go
+++ b/internal/frontend/quic/packet_bytes_test.go
@@ -9,7 +9,7 @@
 	"cottonplank/decide"
 )
 
-// Room servers issue connection IDs in this form.
+// Room servers, which are other programs, issue connection IDs in this format.
 func TestConnectionIDBytes(t *testing.T) {
 	nonce := []byte{1, 2, 3, 4, 5, 6, 7, 8}
 	for name, v := range map[string]struct {
@@ -35,13 +35,13 @@
 	}
 }
 
-// Clients and room servers of other makers read these bytes.
+// Clients and room servers, which are other programs, parse these bytes.
 func TestPacketBytes(t *testing.T) {
-	closed, err := closePacket(unhex(t, rfcCID), []byte{1, 2, 3}, []byte{4, 5, 6, 7}, 2, "retry-after=1500ms")
+	closed, err := newClosePacket(unhex(t, rfcOriginalID), []byte{1, 2, 3}, []byte{4, 5, 6, 7}, 2, "retry-after=1500ms")
 	if err != nil {
 		t.Fatal(err)
 	}
-	negotiation := versionNegotiation(packet{dcid: []byte{1, 2}, scid: []byte{3, 4, 5}})
+	negotiation := newVersionNegotiation(packet{destinationID: []byte{1, 2}, sourceID: []byte{3, 4, 5}})
 	reset := resetToken(bytes.Repeat([]byte{9}, 32), []byte{1, 2, 3})
 	for name, v := range map[string]struct {
 		got  []byte
@@ -58,25 +58,26 @@
 	}
 }
 
+// The numbers of RFC 9000.
 func TestProtocolNumbers(t *testing.T) {
 	for name, v := range map[string]struct{ got, want int }{
 		"INTERNAL_ERROR":                      {internalError, 0x1},
 		"CONNECTION_REFUSED":                  {connectionRefused, 0x2},
 		"PADDING":                             {framePadding, 0x00},
 		"PING":                                {framePing, 0x01},
-		"ACK":                                 {frameAck, 0x02},
-		"ACK with ECN":                        {frameAckECN, 0x03},
+		"ACK":                                 {frameACK, 0x02},
+		"ACK with ECN":                        {frameACKWithECN, 0x03},
 		"CRYPTO":                              {frameCrypto, 0x06},
-		"CONNECTION_CLOSE":                    {frameClose, 0x1c},
-		"CONNECTION_CLOSE of the application": {frameAppEnd, 0x1d},
-		"header form":                         {longForm, 0x80},
+		"CONNECTION_CLOSE":                    {frameConnectionClose, 0x1c},
+		"CONNECTION_CLOSE of the application": {frameApplicationClose, 0x1d},
+		"header form":                         {longHeader, 0x80},
 		"fixed bit":                           {fixedBit, 0x40},
-		"Initial":                             {typeInitial, 0},
+		"Initial":                             {packetTypeInitial, 0},
 		"version":                             {version1, 1},
-		"smallest datagram of a client's Initial": {minInitial, 1200},
-		"smallest ID of a client's Initial":       {minOrigCID, 8},
-		"smallest stateless reset":                {minReset, 21},
-		"largest stateless reset":                 {maxReset, 42},
+		"smallest datagram of a client's Initial": {minInitialSize, 1200},
+		"smallest ID of a client's Initial":       {minOriginalIDLength, 8},
+		"smallest stateless reset":                {minResetSize, 21},
+		"largest stateless reset":                 {maxResetSize, 42},
 	} {
 		if v.got != v.want {
 			t.Errorf("%s is %#x, want %#x", name, v.got, v.want)
@@ -84,6 +85,7 @@
 	}
 }
 
+// Clients parse the reason phrase.
 func TestRetryAfterText(t *testing.T) {
 	for after, want := range map[time.Duration]string{
 		0:                                   "",
@@ -91,7 +93,7 @@
 		1500 * time.Millisecond:             "retry-after=1500ms",
 		time.Millisecond + time.Microsecond: "retry-after=1ms",
 	} {
-		if got := retryReason(after); got != want {
+		if got := retryAfterReason(after); got != want {
 			t.Errorf("%v: reason phrase %q, want %q", after, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/frontend/quic/test_balancer_test.go
@@ -0,0 +1,128 @@
+package quic
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+	"cottonplank/internal/operations/hotrestart"
+
+	"github.com/sirupsen/logrus"
+)
+
+var testResetKey = bytes.Repeat([]byte{9}, 32)
+
+// noDiscovery is a core.Discovery that finds nothing.
+type noDiscovery struct{}
+
+func (noDiscovery) Watch(context.Context, uint64) {}
+func (noDiscovery) Fetch(context.Context)         {}
+func (noDiscovery) SetAddress(string)             {}
+
+// noProber is a core.Prober that sends nothing.
+type noProber struct{}
+
+func (noProber) Probe(context.Context, uint64, core.Upstream) {}
+func (noProber) Remove(decide.ServerID)                       {}
+
+// testBalancer is a frontend with an engine of its own.
+type testBalancer struct {
+	pause    *hotrestart.Pauser
+	frontend *Frontend
+	engine   *core.Engine
+	stop     func()
+}
+
+func testSettings() decide.Settings {
+	return decide.Settings{
+		Seed:          5,
+		Zone:          "a",
+		MaxAttempts:   3,
+		MaxRetryAfter: 1500 * time.Millisecond,
+		Classes: []decide.Class{{
+			Name:             "solo-play",
+			LatencyObjective: 300 * time.Millisecond,
+			ClientTimeout:    1200 * time.Millisecond,
+		}},
+		Safety: decide.SafetyLimits{
+			DrainGrace:        500 * time.Millisecond,
+			SlowStartShare:    0.3,
+			SlowStartDuration: time.Second,
+			OverloadFactor:    4,
+			OverloadWindow:    time.Second,
+		},
+	}
+}
+
+// newTestBalancer starts a balancer that knows the endpoints and runs until the end of the test, or until its stop is
+// called. change may be nil; else it changes the frontend's configuration.
+func newTestBalancer(t testing.TB, listen string, ids *IDFormat, change func(*Config),
+	endpoints ...core.Endpoint) *testBalancer {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	engine, err := core.New(core.Config{
+		Settings:   testSettings(),
+		Known:      endpoints,
+		MaxClients: 100,
+		Log:        func(string) {},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	address, err := net.ResolveUDPAddr("udp", listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn, err := net.ListenUDP("udp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg := Config{
+		Conn:     conn,
+		IDs:      ids,
+		ResetKey: testResetKey,
+		Timeout:  1200 * time.Millisecond,
+		Idle:     time.Minute,
+		MaxFlows: 100,
+	}
+	if change != nil {
+		change(&cfg)
+	}
+	frontend, pause := New(cfg, engine, log), hotrestart.NewPauser(conn.SetReadDeadline)
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { engine.Run(ctx, noProber{}, noDiscovery{}) })
+	running.Go(func() { frontend.Serve(ctx, pause) })
+	b := &testBalancer{frontend: frontend, pause: pause, engine: engine}
+	b.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
+	t.Cleanup(b.stop)
+	return b
+}
+
+// newTestFormat returns a format of connection IDs, encrypted if there is a key.
+func newTestFormat(t testing.TB, key []byte) *IDFormat {
+	t.Helper()
+	f, err := NewIDFormat(1, 8, key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return f
+}
+
+// eventually waits until a condition that other goroutines cause holds.
+func eventually(t testing.TB, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if condition() {
+			return
+		}
+	}
+	t.Fatalf("%s: not within 10 s", what)
+}
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -37,9 +37,9 @@
 	wordCommit          = "COMMIT"
 	wordSessionReady    = "HELD"
 	wordSessionRetained = "KEPT"
-	wordPos             = "POS"
+	wordPosition        = "POS"
 	wordToken           = "TOKEN"
-	wordAnew            = "ANEW"
+	wordStartOver       = "ANEW"
 )
 
 // HeldLine returns the line with which a room server reports that it holds the session that the balancer has opened,
@@ -55,7 +55,7 @@
 }
 
 // PositionLine returns the line with which a room server acknowledges all of the client's moves up to a position.
-func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPos, position) }
+func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPosition, position) }
 
 // Parse parses a line that consists of a word and decimal numbers, such as those of HeldLine, KeptLine and
 // PositionLine. It returns false if the line does not have that form; the numbers are undefined then.
@@ -75,7 +75,7 @@
 
 // StartOverLine returns the line that tells a client that its session cannot continue. reason is a word of
 // migration.Reason.
-func StartOverLine(reason string) string { return wordAnew + " " + reason }
+func StartOverLine(reason string) string { return wordStartOver + " " + reason }
 
 // parametersOf returns the parameters of a line that begins with a word.
 func parametersOf(line, word string) (fields, error) {
--- a/internal/session/protocol/transfer.go
+++ b/internal/session/protocol/transfer.go
@@ -76,13 +76,13 @@
 
 // First words of the lines that answer Export.
 const (
-	wordState   = "STATE"
-	wordMoved   = "MOVED"
-	wordInUse   = "INUSE"
-	wordUsed    = "USED"
-	wordOver    = "OVER"
-	wordLarge   = "LARGE"
-	wordUnknown = "UNKNOWN"
+	wordState         = "STATE"
+	wordMigrated      = "MOVED"
+	wordInUse         = "INUSE"
+	wordTokenUsed     = "USED"
+	wordEnded         = "OVER"
+	wordStateTooLarge = "LARGE"
+	wordUnknown       = "UNKNOWN"
 )
 
 // AnswerLine returns the line with which a room server answers Export, or rejects a request line with ModeReattach.
@@ -93,15 +93,15 @@
 		return fmt.Sprintf("%s %d %d %d", wordState, answer.Ref.Epoch, answer.Position, len(answer.State))
 	case arbiter.Migrated:
 		server := url.PathEscape(answer.MigratedTo)
-		return fmt.Sprintf("%s %s %d %x", wordMoved, server, answer.Ref.Epoch, answer.Ref.Fence)
+		return fmt.Sprintf("%s %s %d %x", wordMigrated, server, answer.Ref.Epoch, answer.Ref.Fence)
 	case arbiter.InUse:
 		return fmt.Sprintf("%s %d", wordInUse, answer.RetryAfter.Milliseconds())
 	case arbiter.TokenUsed:
-		return wordUsed
+		return wordTokenUsed
 	case arbiter.Ended:
-		return wordOver
+		return wordEnded
 	case arbiter.StateTooLarge:
-		return wordLarge
+		return wordStateTooLarge
 	case arbiter.Unknown:
 		return wordUnknown
 	}
@@ -120,7 +120,7 @@
 		answer.Ref.Epoch = f.decimal()
 		answer.Position = f.decimal()
 		stateSize = f.stateSize()
-	case wordMoved:
+	case wordMigrated:
 		answer.Verdict = arbiter.Migrated
 		answer.MigratedTo = f.name()
 		answer.Ref.Epoch = f.decimal()
@@ -128,11 +128,11 @@
 	case wordInUse:
 		answer.Verdict = arbiter.InUse
 		answer.RetryAfter = f.milliseconds()
-	case wordUsed:
+	case wordTokenUsed:
 		answer.Verdict = arbiter.TokenUsed
-	case wordOver:
+	case wordEnded:
 		answer.Verdict = arbiter.Ended
-	case wordLarge:
+	case wordStateTooLarge:
 		answer.Verdict = arbiter.StateTooLarge
 	case wordUnknown:
 		answer.Verdict = arbiter.Unknown
