--- a/internal/frontend/quic/close_frame.go
+++ b/internal/frontend/quic/close_frame.go
@@ -25,7 +25,9 @@
 
 // closeFrame is a CONNECTION_CLOSE frame.
 type closeFrame struct {
-	code   uint64
+	// code is the error code.
+	code uint64
+	// reason is the reason phrase.
 	reason string
 }
 
--- a/internal/frontend/quic/connection_id.go
+++ b/internal/frontend/quic/connection_id.go
@@ -28,7 +28,9 @@
 // (draft-ietf-quic-load-balancers). The first octet has the config ID in its upper three bits and the length of the
 // rest in the others. The server ID and a nonce follow, encrypted if there is a key.
 type IDFormat struct {
-	configID    byte
+	// configID distinguishes formats, from 0 to maxConfigID.
+	configID byte
+	// nonceLength is the length of the nonce in bytes.
 	nonceLength int
 	// block encrypts the server ID and the nonce; nil for plaintext.
 	block cipher.Block
--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -90,6 +90,7 @@
 	packet packet
 }
 
+// newFlow returns a flow for a client address. Its call and connection IDs have to be set before run.
 func newFlow(frontend *Frontend, from netip.AddrPort) *flow {
 	return &flow{
 		frontend:        frontend,
--- a/internal/frontend/quic/flow_attempt.go
+++ b/internal/frontend/quic/flow_attempt.go
@@ -15,14 +15,18 @@
 	attempt int
 	// server is the attempt's room server.
 	server decide.ServerID
-	conn   *net.UDPConn
+	// conn is connected to the server, so that it reports when the server's port is closed.
+	conn *net.UDPConn
 }
 
 // serverDatagram is a datagram from a room server, or the error that ends its socket.
 type serverDatagram struct {
+	// upstream is the socket that has received the datagram. A late one is not that of the current attempt.
 	upstream *upstream
-	raw      []byte
-	err      error
+	// raw is the datagram; nil if there is an error.
+	raw []byte
+	// err is the error that has ended the socket; nil if there is a datagram.
+	err error
 }
 
 // startAttempt begins an attempt and sends what the client has sent so far.
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -75,8 +75,10 @@
 
 // datagram is a UDP datagram and its sender.
 type datagram struct {
+	// from is the sender's address.
 	from netip.AddrPort
-	raw  []byte
+	// raw is the payload.
+	raw []byte
 }
 
 // New returns a frontend that reports to engine.
@@ -108,8 +110,8 @@
 func (f *Frontend) Serve(ctx context.Context, pause *hotrestart.Pauser) {
 	defer f.actors.Wait()
 	defer close(f.routerDone)
-	// The socket is not closed by context.AfterFunc: if its stop function ran before that call, the reader would
-	// never end.
+	// The socket is not closed by context.AfterFunc: a deferred stop of that could cancel the close before it runs,
+	// and the reader would never end.
 	defer f.conn.Close()
 	f.actors.Go(func() { f.readDatagrams(ctx, pause) })
 	for {
--- a/internal/frontend/quic/initial.go
+++ b/internal/frontend/quic/initial.go
@@ -31,8 +31,10 @@
 // initialKeys protect the Initial packets of one side (RFC 9001, section 5). Since they are derived from a connection
 // ID that is sent in the clear, whoever sees a connection's first packet can derive them.
 type initialKeys struct {
+	// aead encrypts payloads.
 	aead cipher.AEAD
-	iv   []byte
+	// iv is combined with a packet's number into its nonce.
+	iv []byte
 	// headerCipher encrypts packet numbers.
 	headerCipher cipher.Block
 }
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -92,6 +92,7 @@
 	return p, nil
 }
 
+// parseShortHeader parses a packet with a short header.
 func parseShortHeader(raw []byte, idLength int) (packet, error) {
 	if len(raw) < 1+idLength || raw[0]&fixedBit == 0 {
 		return packet{}, errMalformedPacket
--- a/internal/frontend/quic/packet_reader.go
+++ b/internal/frontend/quic/packet_reader.go
@@ -5,7 +5,9 @@
 // packetReader reads the fields of a packet one after the other. If a field is cut short, it and all further fields are
 // zero.
 type packetReader struct {
-	data   []byte
+	// data is the packet.
+	data []byte
+	// offset is the position of the next field in data.
 	offset int
 	// truncated says that a field was cut short.
 	truncated bool
@@ -25,6 +27,7 @@
 	return r.data[start:r.offset]
 }
 
+// byte reads one byte.
 func (r *packetReader) byte() byte {
 	if b := r.bytes(1); b != nil {
 		return b[0]
@@ -32,6 +35,7 @@
 	return 0
 }
 
+// uint32 reads a big-endian number.
 func (r *packetReader) uint32() uint32 {
 	const size = 4
 	if b := r.bytes(size); b != nil {
--- a/internal/operations/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -20,7 +20,8 @@
 
 // Agent answers the requests of one community at one socket.
 type Agent struct {
-	conn      *net.UDPConn
+	conn *net.UDPConn
+	// community is the only community whose requests are answered.
 	community string
 	// name is the balancer's name, which is the value of sysName.
 	name string
--- a/internal/operations/snmp/objects.go
+++ b/internal/operations/snmp/objects.go
@@ -44,18 +44,22 @@
 // column is an object with an instance for each row of type R.
 type column[R any] struct {
 	object
+	// value returns the value for a row.
 	value func(row *R) any
 }
 
 // classRow is a row of the table of request classes.
 type classRow struct {
 	core.ClassCounters
+	// name is the name of the class.
 	name string
 }
 
 // reasonRow is a row of the table of reasons for starting over.
 type reasonRow struct {
-	word  string
+	// word is the reason's word in the wire protocol.
+	word string
+	// count is the number of clients that had to start over for this reason.
 	count uint64
 }
 
--- a/internal/operations/snmp/oid.go
+++ b/internal/operations/snmp/oid.go
@@ -41,6 +41,7 @@
 	)
 )
 
+// scalarOIDs returns the object identifiers of scalars.
 func scalarOIDs(scalars []scalar) []oid {
 	var ids []oid
 	for _, o := range scalars {
@@ -49,6 +50,7 @@
 	return ids
 }
 
+// columnOIDs returns the object identifiers of columns.
 func columnOIDs[R any](columns []column[R]) []oid {
 	var ids []oid
 	for _, c := range columns {
--- a/internal/operations/snmp/view.go
+++ b/internal/operations/snmp/view.go
@@ -18,14 +18,17 @@
 	instances []instance
 	// detailed returns a snapshot with the room servers.
 	detailed func() *core.Snapshot
-	// servers holds the rows of the table of room servers, sorted by ID, once serversLoaded is set.
-	servers       []core.UpstreamStats
+	// servers holds the rows of the table of room servers, sorted by ID; nil unless serversLoaded is set.
+	servers []core.UpstreamStats
+	// serversLoaded says that the detailed snapshot was made.
 	serversLoaded bool
 }
 
 // instance is an instance of an object.
 type instance struct {
+	// oid identifies the instance; its text is pdu.Name.
 	oid oid
+	// pdu is the variable binding in responses.
 	pdu gosnmp.SnmpPDU
 }
 
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -24,14 +24,15 @@
 
 // stateCopy is a copy of a session's state at this room server.
 type stateCopy struct {
+	// ref identifies the copy. Each attachment changes it.
 	ref token.Ref
 	// previous holds earlier attachments of the copy, the oldest first. Their tokens stay valid until the client
 	// has proved that it has the token of ref.
 	previous []attachment
 	// confirmed says that the client has proved that it has the token of ref.
 	confirmed bool
-	// prepared says that a migration that may not be committed has brought the copy. It is not attached until the
-	// migration is committed.
+	// prepared says that a migration has brought the copy and may not be committed yet. The copy is not attached
+	// until it is.
 	prepared bool
 	// conn is the connection to which the copy is attached, or which has prepared it; 0 if there is none.
 	conn Conn
@@ -43,14 +44,16 @@
 	claimExpires time.Time
 	// position is the number of the client's moves in state.
 	position uint64
-	state    []byte
+	// state is the session's state. The arbiter does not interpret it.
+	state []byte
 }
 
 // attachment identifies an earlier attachment of a copy.
 type attachment struct {
+	// ref identified the copy while it was attached.
 	ref token.Ref
-	// confirmed says that the client has proved that it has the token of ref. Then only that token is valid for the
-	// attachment: a tombstone leads to it from a token that the client has replaced by it.
+	// confirmed says that the client has proved that it has the token of ref. A client that a tombstone redirects to
+	// the attachment is rejected then, as it presents an older token, which is used.
 	confirmed bool
 }
 
--- a/internal/session/protocol/fields.go
+++ b/internal/session/protocol/fields.go
@@ -24,6 +24,7 @@
 	err error
 }
 
+// newFields returns the parser of the given fields.
 func newFields(texts []string) fields { return fields{remaining: texts} }
 
 // next returns the next field, or an empty string if there is none.
@@ -63,7 +64,10 @@
 	return value
 }
 
-func (f *fields) decimal() uint64     { return f.unsigned(10, 64) }
+// decimal parses a number in decimal.
+func (f *fields) decimal() uint64 { return f.unsigned(10, 64) }
+
+// hexadecimal parses a number in lower-case hexadecimal.
 func (f *fields) hexadecimal() uint64 { return f.unsigned(16, 64) }
 
 // flag parses 0 or 1.
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -70,6 +70,7 @@
 	return nil
 }
 
+// isKeyID reports whether the text has the form of a key's ID.
 func isKeyID(text string) bool {
 	return len(text) == keyIDDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -37,6 +37,7 @@
 // payloadDecoder rejects payloads with duplicate or unknown keys.
 var payloadDecoder = newPayloadDecoder()
 
+// newPayloadDecoder returns the decoder with limits that are just above what a payload needs.
 func newPayloadDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -127,6 +128,7 @@
 	return nil
 }
 
+// encodePayload returns the CBOR encoding of a token.
 func encodePayload(t Token) ([]byte, error) {
 	return cbor.Marshal(payload{
 		Session:  t.Session[:],
@@ -140,6 +142,7 @@
 	})
 }
 
+// decodePayload decodes the result of encodePayload. It returns an error for any other form.
 func decodePayload(plaintext []byte) (Token, error) {
 	var p payload
 	if err := payloadDecoder.Unmarshal(plaintext, &p); err != nil {
