--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -90,7 +90,8 @@
 	packet packet
 }
 
-// newFlow returns a flow for a client address. Its call and connection IDs have to be set before run.
+// newFlow returns a flow for a client address. Its call has to be set before run, and what is known of its connection
+// IDs before the first datagram is delivered.
 func newFlow(frontend *Frontend, from netip.AddrPort) *flow {
 	return &flow{
 		frontend:        frontend,
