--- a/internal/testbench/hollow/check.go
+++ b/internal/testbench/hollow/check.go
@@ -28,12 +28,12 @@
 
 // Event is one thing that happened.
 type Event struct {
-	At       time.Duration
-	Kind     Kind
-	Balancer int
-	Version  int64
-	Whole    bool
-	Digest   uint64
+	At       time.Duration `json:"At"`
+	Kind     Kind          `json:"Kind"`
+	Balancer int           `json:"Balancer"`
+	Version  int64         `json:"Version"`
+	Whole    bool          `json:"Whole"`
+	Digest   uint64        `json:"Digest"`
 }
 
 // Findings are what a run's events show.
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -28,39 +28,40 @@
 
 // Setup is what a worker is told first, on one line.
 type Setup struct {
-	Known    string            // path of the known list
-	Settings map[string]string // paths of a balancer's configuration, by zone
-	Full     bool              // each hollow balancer's module has the list
+	Known    string            `json:"Known"`    // path of the known list
+	Settings map[string]string `json:"Settings"` // paths of a balancer's configuration, by zone
+	Full     bool              `json:"Full"`     // each hollow balancer's module has the list
 }
 
 // Order is what a worker is told to do, on a line: start some, stop some, or tell how it ends.
 type Order struct {
-	Start []Start
-	Stop  []int
-	End   bool
+	Start []Start `json:"Start"`
+	Stop  []int   `json:"Stop"`
+	End   bool    `json:"End"`
 }
 
 // Start is one hollow balancer to start.
 type Start struct {
-	Balancer int
-	Zone     string
-	Address  string
-	Cold     bool // without the known list
+	Balancer int    `json:"Balancer"`
+	Zone     string `json:"Zone"`
+	Address  string `json:"Address"`
+	Cold     bool   `json:"Cold"` // without the known list
 }
 
 // Usage is what a worker's process costs: its processor time since the last one, and its resident memory.
 type Usage struct {
-	CPU, Over time.Duration
-	Hollow    int // that run
-	Begun     int // whose watches have shown a sign of life
-	RSS       float64
+	CPU    time.Duration `json:"CPU"`
+	Over   time.Duration `json:"Over"`
+	Hollow int           `json:"Hollow"` // that run
+	Begun  int           `json:"Begun"`  // whose watches have shown a sign of life
+	RSS    float64       `json:"RSS"`
 }
 
 // Report is a line that a worker says.
 type Report struct {
-	Events []Event `json:",omitempty"`
-	Usage  *Usage  `json:",omitempty"`
-	Done   bool    `json:",omitempty"` // with the answer to Order.End
+	Events []Event `json:"Events,omitempty"`
+	Usage  *Usage  `json:"Usage,omitempty"`
+	Done   bool    `json:"Done,omitempty"` // with the answer to Order.End
 }
 
 type worker struct {
