--- a/cmd/cottonplank-lab/main.go
+++ b/cmd/cottonplank-lab/main.go
@@ -164,7 +164,7 @@
 	compare.Flags().BoolVar(&asJSON, "json", false, "print one JSON object and nothing else on standard output")
 	work := &cobra.Command{Use: "scale-worker", Hidden: true, Args: cobra.NoArgs, Short: "Run hollow balancers for scale",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := hollow.Work(c.Context(), os.Stdin, out); err != nil {
+			if err := hollow.RunWorker(c.Context(), os.Stdin, out); err != nil {
 				return status{broken, err}
 			}
 			return nil
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -77,9 +77,9 @@
 // tells writes a list and notes what a balancer knows by it.
 func (d *Discovery) tells(balancer string, out *json.Encoder, l listing) bool {
 	for _, e := range l.Instances {
-		kind := invariants.Told
+		kind := invariants.DrainObserved
 		if e.Lifecycle == "active" {
-			kind = invariants.Ready
+			kind = invariants.ReadyObserved
 		}
 		d.recorder.Add(invariants.Event{Kind: kind, Balancer: balancer, Server: e.Instance})
 	}
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -140,7 +140,7 @@
 // Finish tells the recorder of a player that ended without a board; it is called after Play.
 func (p *Player) Finish() {
 	if !p.away.IsZero() && time.Since(p.away) > 3*time.Second {
-		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Stranded, Session: p.name()})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionStranded, Session: p.name()})
 	}
 }
 
@@ -168,23 +168,23 @@
 		race.Go(func() { p.present(asked, again, &t.Raced, &t.RacedUp) })
 		defer race.Wait()
 	}
-	cfg.Recorder.Add(invariants.Event{Kind: invariants.Taken, Request: id, Balancer: name, Until: cfg.Recorder.Now() + cfg.Patience})
+	cfg.Recorder.Add(invariants.Event{Kind: invariants.RequestSent, Request: id, Balancer: name, Deadline: cfg.Recorder.Now() + cfg.Patience})
 	if err := p.ask(conn, id, asked, p.moved); err != nil {
-		cfg.Recorder.Add(invariants.Event{Kind: invariants.Left, Request: id}) // it was not taken
+		cfg.Recorder.Add(invariants.Event{Kind: invariants.ClientLeft, Request: id}) // it was not taken
 		return p.jitter(20*time.Millisecond, 100*time.Millisecond)
 	}
 	readBy(ctx, conn, time.Now().Add(cfg.Patience+goneFor))
 	line, err := textline.Read(r)
 	if err != nil {
-		kind := invariants.Cut
+		kind := invariants.ConnectionLost
 		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			kind = invariants.Left
+			kind = invariants.ClientLeft
 		}
 		cfg.Recorder.Add(invariants.Event{Kind: kind, Request: id})
 		return p.jitter(20*time.Millisecond, 100*time.Millisecond)
 	}
 	readBy(ctx, conn, time.Time{})
-	cfg.Recorder.Add(invariants.Event{Kind: invariants.Answered, Request: id, Text: line})
+	cfg.Recorder.Add(invariants.Event{Kind: invariants.RequestAnswered, Request: id, Answer: line})
 	t.Answers.Add(1)
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
@@ -232,7 +232,7 @@
 	if p.cfg.Tally.Why != nil {
 		p.cfg.Tally.Why(why)
 	}
-	p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Anew, Session: p.name()})
+	p.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionStartedOver, Session: p.name()})
 	p.token, p.used, p.acked = "", "", 0
 	p.session++
 }
@@ -331,7 +331,7 @@
 	}
 	if asked != "" {
 		p.cfg.Tally.Resumed.Add(1)
-		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Resumed, Session: p.name(), Position: position})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionResumed, Session: p.name(), Position: position})
 		p.acked = max(p.acked, position)
 	}
 	p.back(asked != "")
@@ -370,7 +370,7 @@
 		p.token = fresh
 	} else if protocol.Parse(line, "POS", &position) {
 		p.acked = max(p.acked, position)
-		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.Acked, Session: p.name(), Position: position})
+		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.PositionAcknowledged, Session: p.name(), Position: position})
 	}
 	return line == "MOVE"
 }
@@ -400,17 +400,17 @@
 	}
 	defer conn.Close()
 	id, recorder := fmt.Sprintf("%016x", requests.Add(1)), p.cfg.Recorder
-	recorder.Add(invariants.Event{Kind: invariants.Taken, Request: id, Balancer: name, Until: recorder.Now() + p.cfg.Patience})
+	recorder.Add(invariants.Event{Kind: invariants.RequestSent, Request: id, Balancer: name, Deadline: recorder.Now() + p.cfg.Patience})
 	if err := p.ask(conn, id, token, again); err != nil {
-		recorder.Add(invariants.Event{Kind: invariants.Left, Request: id})
+		recorder.Add(invariants.Event{Kind: invariants.ClientLeft, Request: id})
 		return ""
 	}
 	conn.SetReadDeadline(time.Now().Add(p.cfg.Patience + time.Second))
 	line, err := textline.Read(bufio.NewReader(conn))
 	if err != nil {
-		recorder.Add(invariants.Event{Kind: invariants.Cut, Request: id})
+		recorder.Add(invariants.Event{Kind: invariants.ConnectionLost, Request: id})
 		return ""
 	}
-	recorder.Add(invariants.Event{Kind: invariants.Answered, Request: id, Text: line})
+	recorder.Add(invariants.Event{Kind: invariants.RequestAnswered, Request: id, Answer: line})
 	return line
 }
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -257,7 +257,7 @@
 // attemptOver tells that the attempt is over, before what answers it is written.
 func (c *roomConn) attemptOver() {
 	if c.request != "" {
-		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Ended, Request: c.request, Server: c.room.cfg.Name})
+		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.AttemptEnded, Request: c.request, Server: c.room.cfg.Name})
 		c.request = ""
 	}
 }
@@ -265,7 +265,7 @@
 func (c *roomConn) detached() {
 	if c.playing {
 		c.playing = false
-		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Detached, Session: c.session.Ref.Session.String(), Server: c.room.cfg.Name})
+		c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionDetached, Session: c.session.Ref.Session.String(), Server: c.room.cfg.Name})
 	}
 }
 
@@ -322,7 +322,7 @@
 	}
 	if c.request == "" {
 		c.request = parts[1]
-		s.cfg.Recorder.Add(invariants.Event{Kind: invariants.Began, Request: c.request, Server: s.cfg.Name})
+		s.cfg.Recorder.Add(invariants.Event{Kind: invariants.AttemptStarted, Request: c.request, Server: s.cfg.Name})
 	}
 	if s.faults.Load().Fail {
 		c.attemptOver()
@@ -337,7 +337,7 @@
 	s.mu.Unlock()
 	if fallen {
 		if !lay { // it falls once, though more may have come before its listener is closed
-			s.cfg.Recorder.Add(invariants.Event{Kind: invariants.Fell, Server: s.cfg.Name})
+			s.cfg.Recorder.Add(invariants.Event{Kind: invariants.ServerCollapsed, Server: s.cfg.Name})
 			go s.Stop()
 		}
 		return false
@@ -427,7 +427,7 @@
 // attached notes that the client plays here. The room's lock is held, so that events come in the order of the ledger's.
 func (c *roomConn) attached(epoch, position uint64) {
 	c.epoch, c.pos, c.playing = epoch, position, true
-	c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.Attached, Session: c.session.Ref.Session.String(), Epoch: epoch,
+	c.room.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionAttached, Session: c.session.Ref.Session.String(), Epoch: epoch,
 		Server: c.room.cfg.Name})
 }
 
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -74,7 +74,7 @@
 			(&roomConn{room: r}).open("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=solo-play,d=900")
 		}
 		r.Stop()
-		if broken := recorder.Report().Broken; len(broken) != v.falls {
+		if broken := recorder.Report().Violations; len(broken) != v.falls {
 			t.Errorf("cold for %v: %v", v.cold, broken)
 		}
 	}
--- a/internal/testbench/experiment/members.go
+++ b/internal/testbench/experiment/members.go
@@ -254,7 +254,7 @@
 			m.network.paused[i] = false
 			m.base.balancers[i].process.Process.Signal(syscall.SIGCONT)
 			m.note(memberEvent{Kind: memberResumed, Member: i})
-			m.base.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: m.base.balancers[i].name})
+			m.base.recorder.Add(invariants.Event{Kind: invariants.BalancerStarted, Balancer: m.base.balancers[i].name})
 			m.base.front.Add(m.base.balancers[i].name, m.base.balancers[i].address)
 		}
 	}
@@ -271,7 +271,7 @@
 	m.network.paused[i] = true
 	m.base.front.Remove(b.name)
 	time.Sleep(pauseNotice)
-	m.base.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
+	m.base.recorder.Add(invariants.Event{Kind: invariants.BalancerKilled, Balancer: b.name})
 	b.process.Process.Signal(syscall.SIGSTOP)
 	m.note(memberEvent{Kind: memberPaused, Member: i})
 }
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -321,7 +321,7 @@
 	case "kill":
 		if r.alive[t.Balancer] {
 			b := r.balancers[t.Balancer]
-			r.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
+			r.recorder.Add(invariants.Event{Kind: invariants.BalancerKilled, Balancer: b.name})
 			r.alive[t.Balancer] = false
 			r.killed[b.name], r.ended[b.name] = true, true
 			r.result.Killed++
@@ -339,7 +339,7 @@
 				return err
 			}
 		}
-		r.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: b.name})
+		r.recorder.Add(invariants.Event{Kind: invariants.BalancerStarted, Balancer: b.name})
 		r.started(t.Balancer)
 		if err := b.start(ctx); err != nil {
 			return err
@@ -399,14 +399,14 @@
 	res.Raced, res.RacedUp = int(r.tally.Raced.Load()), int(r.tally.RacedUp.Load())
 	res.Replays, res.ReplaysUp = int(r.tally.Replays.Load()), int(r.tally.ReplaysUp.Load())
 	res.Instances, res.Over = r.e.Balancers, int(r.tally.Over.Load())
-	res.Answers, res.LostAnswers = int(r.tally.Answers.Load()), report.LostAnswers
+	res.Answers, res.LostAnswers = int(r.tally.Answers.Load()), report.UnansweredRequests
 	for name, n := range r.broke {
 		if !r.killed[name] {
 			res.BrokenUnmoved += n
 		}
 	}
-	res.AttachedTwice, res.Lost = report.AttachedTwice+report.EpochsBack, report.Lost
-	res.RulesBroken, res.Broken = len(report.Broken), report.Broken
+	res.AttachedTwice, res.Lost = report.DoubleAttachments+report.EpochRegressions, report.LostSessions
+	res.RulesBroken, res.Broken = len(report.Violations), report.Violations
 	if r.took.TotalCount() > 0 {
 		res.P50 = float64(r.took.ValueAtQuantile(50)) / 1000
 		res.P99 = float64(r.took.ValueAtQuantile(99)) / 1000
--- a/internal/testbench/experiment/scale.go
+++ b/internal/testbench/experiment/scale.go
@@ -177,7 +177,7 @@
 
 // look reads all counters: once a second. It returns how many hollow balancers watch.
 func (s *scaleRun) look() (begun int, err error) {
-	rss, err := hollow.Resident(os.Getpid())
+	rss, err := hollow.ResidentMemory(os.Getpid())
 	if err != nil {
 		return 0, err
 	}
@@ -186,10 +186,10 @@
 		if err != nil {
 			return 0, err
 		}
-		begun += u.Begun
-		rss += u.RSS
-		if w.full && u.Hollow > 0 {
-			s.result.ControlMB = max(s.result.ControlMB, grown/float64(u.Hollow))
+		begun += u.Connected
+		rss += u.ResidentMB
+		if w.full && u.Running > 0 {
+			s.result.ControlMB = max(s.result.ControlMB, grown/float64(u.Running))
 		}
 	}
 	s.mu.Lock()
@@ -198,7 +198,7 @@
 		if !s.alive[i] {
 			continue
 		}
-		if mb, err := hollow.Resident(b.process.Process.Pid); err == nil { // it may be on its way down
+		if mb, err := hollow.ResidentMemory(b.process.Process.Pid); err == nil { // it may be on its way down
 			rss += mb
 			s.result.RealMB = max(s.result.RealMB, mb)
 		}
@@ -221,7 +221,7 @@
 // finish asks all for what they have, and checks it.
 func (s *scaleRun) finish(ctx context.Context) error {
 	for _, w := range s.workers {
-		if err := w.orders.Encode(hollow.Order{End: true}); err != nil {
+		if err := w.orders.Encode(hollow.Command{Finish: true}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -29,7 +29,7 @@
 		}
 	}
 	s.mu.Lock()
-	s.events = append(s.events, hollow.Event{At: hollow.Now(), Kind: hollow.Published, Version: s.roster.Publish(*e)})
+	s.events = append(s.events, hollow.Event{At: hollow.Now(), Kind: hollow.VersionPublished, Version: s.roster.Publish(*e)})
 	s.mu.Unlock()
 	s.result.Changes++
 	s.spread()
--- a/internal/testbench/experiment/scale_compare.go
+++ b/internal/testbench/experiment/scale_compare.go
@@ -123,11 +123,11 @@
 		}
 		reals = append(reals, b)
 	}
-	setup := hollow.Setup{Known: filepath.Join(dir, "known.json"), Settings: map[string]string{"a": filepath.Join(dir, "a.json")}, Full: true}
-	if err := os.WriteFile(setup.Known, list, 0o600); err != nil {
+	setup := hollow.Setup{KnownListPath: filepath.Join(dir, "known.json"), ConfigPaths: map[string]string{"a": filepath.Join(dir, "a.json")}, FullEngine: true}
+	if err := os.WriteFile(setup.KnownListPath, list, 0o600); err != nil {
 		return c, err
 	}
-	if err := writeHollow(setup.Settings["a"], e, at); err != nil {
+	if err := writeHollow(setup.ConfigPaths["a"], e, at); err != nil {
 		return c, err
 	}
 	w, err := startWorker(p.Lab, dir, "hollow", setup)
@@ -135,9 +135,9 @@
 		return c, err
 	}
 	defer w.stop()
-	var order hollow.Order
+	var order hollow.Command
 	for i := range each {
-		order.Start = append(order.Start, hollow.Start{Balancer: i, Zone: "a", Address: ports[each+i].Address})
+		order.Start = append(order.Start, hollow.NodeSpec{ID: i, Zone: "a", Address: ports[each+i].Address})
 	}
 	if err := w.orders.Encode(order); err != nil {
 		return c, err
@@ -153,7 +153,7 @@
 			if err != nil {
 				return realCosts, hollowCosts, err
 			}
-			mb, err := hollow.Resident(b.process.Process.Pid)
+			mb, err := hollow.ResidentMemory(b.process.Process.Pid)
 			if err != nil {
 				return realCosts, hollowCosts, err
 			}
--- a/internal/testbench/experiment/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -13,10 +13,10 @@
 
 // start starts hollow balancers.
 func (s *scaleRun) start(ids []int) error {
-	orders := map[*worker][]hollow.Start{}
+	orders := map[*worker][]hollow.NodeSpec{}
 	for _, i := range ids {
 		z := s.e.hollowZone(i)
-		orders[s.of[i]] = append(orders[s.of[i]], hollow.Start{Balancer: i, Zone: zoneName(z), Address: s.ports[i].Address, Cold: s.cold(i)})
+		orders[s.of[i]] = append(orders[s.of[i]], hollow.NodeSpec{ID: i, Zone: zoneName(z), Address: s.ports[i].Address, NoKnownList: s.cold(i)})
 	}
 	s.mu.Lock()
 	for _, i := range ids {
@@ -25,7 +25,7 @@
 	s.reach(ids)
 	s.mu.Unlock()
 	for w, all := range orders {
-		if err := w.orders.Encode(hollow.Order{Start: all}); err != nil {
+		if err := w.orders.Encode(hollow.Command{Start: all}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
@@ -42,7 +42,7 @@
 		orders[s.of[i]] = append(orders[s.of[i]], i)
 	}
 	for w, all := range orders {
-		if err := w.orders.Encode(hollow.Order{Stop: all}); err != nil {
+		if err := w.orders.Encode(hollow.Command{Stop: all}); err != nil {
 			return fmt.Errorf("hollow balancers: %w", err)
 		}
 	}
@@ -60,11 +60,11 @@
 	now := hollow.Now()
 	for _, i := range ids {
 		z := s.e.hollowZone(i)
-		kind := hollow.Reachable
+		kind := hollow.NodeReachable
 		if s.down[i] || s.away[z] || s.parted[s.e.region(z)] {
-			kind = hollow.Cut
+			kind = hollow.NodeUnreachable
 		}
-		s.events = append(s.events, hollow.Event{At: now, Kind: kind, Balancer: i})
+		s.events = append(s.events, hollow.Event{At: now, Kind: kind, Node: i})
 	}
 }
 
@@ -109,9 +109,9 @@
 		}
 		ids := s.in(func(zone int) bool { return zone == z })
 		tell("zone %s is gone with %d hollow balancers and %d real ones", zoneName(z), len(ids), len(reals))
-		s.links[z].Down()
+		s.links[z].Disconnect()
 		s.after(ctx, lasts, func() error {
-			s.links[z].Up()
+			s.links[z].Reconnect()
 			if err := s.start(ids); err != nil {
 				return err
 			}
@@ -146,8 +146,8 @@
 			bytes = lanRate * kb
 		}
 		tell("the link of zone %s takes %d ms each way", zoneName(z), f.Delay)
-		s.links[z].Slow(millis(f.Delay), bytes)
-		s.after(ctx, lasts, func() error { s.links[z].Slow(0, 0); return nil })
+		s.links[z].Throttle(millis(f.Delay), bytes)
+		s.after(ctx, lasts, func() error { s.links[z].Throttle(0, 0); return nil })
 	case "source":
 		i := s.faults.IntN(s.e.Sources)
 		lead := func(led bool) {
@@ -175,7 +175,7 @@
 	if !alive {
 		return
 	}
-	s.recorder.Add(invariants.Event{Kind: invariants.Killed, Balancer: b.name})
+	s.recorder.Add(invariants.Event{Kind: invariants.BalancerKilled, Balancer: b.name})
 	b.kill()
 	s.later.Go(func() {
 		time.Sleep(millis(s.e.NoticeMs))
@@ -191,7 +191,7 @@
 	if alive {
 		return nil
 	}
-	s.recorder.Add(invariants.Event{Kind: invariants.Fresh, Balancer: realName(i)})
+	s.recorder.Add(invariants.Event{Kind: invariants.BalancerStarted, Balancer: realName(i)})
 	b, err := s.serve(ctx, i)
 	if err != nil {
 		return err
--- a/internal/testbench/experiment/scale_open.go
+++ b/internal/testbench/experiment/scale_open.go
@@ -126,9 +126,9 @@
 			if !exist[e.Instance] {
 				continue
 			}
-			kind := invariants.Told
+			kind := invariants.DrainObserved
 			if e.Lifecycle == "active" {
-				kind = invariants.Ready
+				kind = invariants.ReadyObserved
 			}
 			s.recorder.Add(invariants.Event{Kind: kind, Balancer: name, Server: e.Instance})
 		}
@@ -195,21 +195,21 @@
 }
 
 func (s *scaleRun) openHollow(ctx context.Context, list []byte) error {
-	setup := hollow.Setup{Known: filepath.Join(s.dir, "known.json"), Settings: map[string]string{}}
-	if err := os.WriteFile(setup.Known, list, 0o600); err != nil {
+	setup := hollow.Setup{KnownListPath: filepath.Join(s.dir, "known.json"), ConfigPaths: map[string]string{}}
+	if err := os.WriteFile(setup.KnownListPath, list, 0o600); err != nil {
 		return err
 	}
 	e := Experiment{Seed: s.e.Seed, Balancers: s.e.Hollow + s.e.Real, Sessions: 1, Patience: 2000, MemoryMB: 512}
 	for _, zone := range s.zoneNames() {
-		setup.Settings[zone] = filepath.Join(s.dir, zone+".json")
-		if err := writeHollow(setup.Settings[zone], e, place{zone: zone, zones: s.zoneNames(), mode: s.e.Mode}); err != nil {
+		setup.ConfigPaths[zone] = filepath.Join(s.dir, zone+".json")
+		if err := writeHollow(setup.ConfigPaths[zone], e, place{zone: zone, zones: s.zoneNames(), mode: s.e.Mode}); err != nil {
 			return err
 		}
 	}
 	for i := 0; i < s.e.Hollow; {
-		setup.Full = s.full(i)
+		setup.FullEngine = s.full(i)
 		end := min(i+s.e.Each, s.e.Hollow)
-		if setup.Full {
+		if setup.FullEngine {
 			end = min(end, s.e.Modules)
 		}
 		w, err := startWorker(s.programs.Lab, s.dir, fmt.Sprintf("hollow-%d", len(s.workers)), setup)
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -121,7 +121,7 @@
 		}
 		for i, u := range w.usages {
 			switch {
-			case u.Hollow == 0:
+			case u.Running == 0:
 			case i >= w.start:
 				cpu[kind].RecordValue(int64(perSecond(u)))
 			case w.full:
@@ -133,11 +133,11 @@
 	version := s.roster.Version()
 	f := hollow.Check(events, version, digest(s.roster.At(version)), end, inForceWithin)
 	took := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
-	for _, d := range f.Took {
+	for _, d := range f.Latencies {
 		took.RecordValue(max(d.Microseconds(), 1))
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	r.InForce, r.Lost, r.WentBack = len(f.Took), f.Lost, f.WentBack
+	r.InForce, r.Lost, r.WentBack = len(f.Latencies), f.LostUpdates, f.Regressions
 	r.P50, r.P99, r.Most = ms(took.ValueAtQuantile(50)), ms(took.ValueAtQuantile(99)), ms(took.Max())
 	r.CPUModule, r.CPUFollow = ms(cpu[0].ValueAtQuantile(99))/1000, ms(cpu[1].ValueAtQuantile(99))/1000
 	r.CPU = max(r.CPUModule, r.CPUFollow)
@@ -149,13 +149,13 @@
 	}
 	r.Encoded = s.roster.Encoded()
 	report := s.recorder.Report()
-	r.Answers, r.LostAns, r.Rules, r.Broken = int(s.tally.Answers.Load()), report.LostAnswers, len(report.Broken), slices.Concat(report.Broken, f.Broken)
+	r.Answers, r.LostAns, r.Rules, r.Broken = int(s.tally.Answers.Load()), report.UnansweredRequests, len(report.Violations), slices.Concat(report.Violations, f.Violations)
 	r.Missed = r.missed()
 }
 
 // perSecond is the processor time that one hollow balancer takes a second, in nanoseconds.
 func perSecond(u hollow.Usage) float64 {
-	return float64(u.CPU) / float64(u.Hollow) / u.Over.Seconds()
+	return float64(u.CPU) / float64(u.Running) / u.Interval.Seconds()
 }
 
 // Table writes the result for people.
--- a/internal/testbench/experiment/scale_worker.go
+++ b/internal/testbench/experiment/scale_worker.go
@@ -48,7 +48,7 @@
 
 // startWorker runs the lab's program as one.
 func startWorker(program, dir, name string, setup hollow.Setup) (*worker, error) {
-	w := &worker{full: setup.Full, ended: make(chan struct{}), done: make(chan struct{}), process: exec.Command(program, workerCommand)}
+	w := &worker{full: setup.FullEngine, ended: make(chan struct{}), done: make(chan struct{}), process: exec.Command(program, workerCommand)}
 	var err error
 	if w.log, err = os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n := len(w.usages); n > 0 {
-		u, grown = w.usages[n-1], w.usages[n-1].RSS-w.usages[0].RSS
+		u, grown = w.usages[n-1], w.usages[n-1].ResidentMB-w.usages[0].ResidentMB
 	}
 	select {
 	case <-w.ended:
--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -12,10 +12,10 @@
 
 // Datagrams carries datagrams one way, from whoever sends to its address to another one.
 type Datagrams struct {
-	conn *net.UDPConn
-	to   netip.AddrPort
-	path *Path
-	all  sync.WaitGroup
+	conn     *net.UDPConn
+	to       netip.AddrPort
+	path     *Path
+	receiver sync.WaitGroup
 }
 
 // NewDatagrams opens an address, whose datagrams go to another one over a path.
@@ -25,17 +25,17 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	d := &Datagrams{conn: conn, to: to, path: path}
-	d.all.Go(d.carry)
+	d.receiver.Go(d.forward)
 	return d, nil
 }
 
 // Close ends it.
 func (d *Datagrams) Close() {
 	d.conn.Close()
-	d.all.Wait()
+	d.receiver.Wait()
 }
 
-func (d *Datagrams) carry() {
+func (d *Datagrams) forward() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buffer)
@@ -43,17 +43,17 @@
 			return
 		}
 		now, _, _ := d.path.state()
-		if now.Cut || d.path.draw(now.Loss) {
+		if now.Cut || d.path.chance(now.Loss) {
 			continue
 		}
 		copies := 1
-		if d.path.draw(now.Duplicate) {
+		if d.path.chance(now.Duplicate) {
 			copies = 2
 		}
 		for range copies {
-			wait := now.Delay + d.path.spread(now.Jitter)
-			if d.path.draw(now.Reorder) {
-				wait += reorderLag
+			wait := now.Delay + d.path.randomDelay(now.Jitter)
+			if d.path.chance(now.Reorder) {
+				wait += reorderDelay
 			}
 			d.send(append([]byte(nil), buffer[:n]...), wait)
 		}
--- a/internal/testbench/faultproxy/link.go
+++ b/internal/testbench/faultproxy/link.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	chunk      = 4096
-	chunksWait = 64 // of one connection in one direction; past that its sender waits
+	bufferSize       = 4096
+	maxQueuedPackets = 64 // of one connection in one direction; past that its sender waits
 )
 
 // Link carries connections between two places: as far away, as fast, or not at all.
@@ -21,7 +21,7 @@
 	down          bool
 	forward, back *Path // of the bytes of whoever dials, and of the answers
 	target        func(*Port) string
-	open          map[net.Conn]*Port
+	conns         map[net.Conn]*Port
 }
 
 // NewLink returns a link to where target says, empty: nowhere, asked anew for each connection. Both directions are one path.
@@ -32,29 +32,29 @@
 
 // NewLinkOver returns a link whose directions are disturbed by themselves.
 func NewLinkOver(forward, back *Path, target func(*Port) string) *Link {
-	return &Link{forward: forward, back: back, target: target, open: map[net.Conn]*Port{}}
+	return &Link{forward: forward, back: back, target: target, conns: map[net.Conn]*Port{}}
 }
 
-// Slow delays all that begins to cross the link from now on, each way, and bounds its bytes a second; 0, 0 ends that.
-func (l *Link) Slow(delay time.Duration, bytes float64) {
+// Throttle delays all that begins to cross the link from now on, each way, and bounds its bytes a second; 0, 0 ends that.
+func (l *Link) Throttle(delay time.Duration, bytes float64) {
 	for _, p := range []*Path{l.forward, l.back} {
 		p.Set(Conditions{Delay: delay})
 		p.Limit(bytes)
 	}
 }
 
-// Down breaks all connections and takes none until Up.
-func (l *Link) Down() {
+// Disconnect breaks all connections and takes none until Up.
+func (l *Link) Disconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = true
-	for c := range l.open {
+	for c := range l.conns {
 		c.Close()
 	}
 }
 
-// Up takes connections again.
-func (l *Link) Up() {
+// Reconnect takes connections again.
+func (l *Link) Reconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = false
@@ -64,26 +64,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.down {
-		l.open[c] = p
+		l.conns[c] = p
 	}
 	return !l.down
 }
 
-func (l *Link) drop(c net.Conn) {
+func (l *Link) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.open, c)
+	delete(l.conns, c)
 }
 
 // Port is where one balancer finds discovery, behind a link. It counts the bytes of both directions.
 type Port struct {
-	Balancer int
-	Address  string
-	link     *Link
-	listener net.Listener
-	all      sync.WaitGroup
-	bytes    atomic.Uint64
-	calls    atomic.Uint64
+	Balancer   int
+	Address    string
+	link       *Link
+	listener   net.Listener
+	goroutines sync.WaitGroup
+	bytes      atomic.Uint64
+	accepted   atomic.Uint64
 }
 
 // Port opens one.
@@ -96,24 +96,24 @@
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	p := &Port{Balancer: balancer, Address: listener.Addr().String(), link: l, listener: listener}
-	p.all.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
 // Counts tells the bytes carried and the connections taken so far.
-func (p *Port) Counts() (bytes, calls uint64) { return p.bytes.Load(), p.calls.Load() }
+func (p *Port) Counts() (bytes, calls uint64) { return p.bytes.Load(), p.accepted.Load() }
 
 // Close ends the port and its connections.
 func (p *Port) Close() {
 	p.listener.Close()
 	p.link.mu.Lock()
-	for c, owner := range p.link.open {
+	for c, owner := range p.link.conns {
 		if owner == p {
 			c.Close()
 		}
 	}
 	p.link.mu.Unlock()
-	p.all.Wait()
+	p.goroutines.Wait()
 }
 
 func (p *Port) accept() {
@@ -122,18 +122,18 @@
 		if err != nil {
 			return
 		}
-		p.all.Go(func() { p.carry(c) })
+		p.goroutines.Go(func() { p.proxy(c) })
 	}
 }
 
-func (p *Port) carry(near net.Conn) {
+func (p *Port) proxy(near net.Conn) {
 	defer near.Close()
-	p.calls.Add(1)
+	p.accepted.Add(1)
 	now, _, _ := p.link.forward.state()
-	if p.link.forward.draw(now.Loss) || !p.link.add(near, p) {
+	if p.link.forward.chance(now.Loss) || !p.link.add(near, p) {
 		return
 	}
-	defer p.link.drop(near)
+	defer p.link.remove(near)
 	address := p.link.target(p)
 	if address == "" {
 		return
@@ -146,7 +146,7 @@
 	if !p.link.add(far, p) {
 		return
 	}
-	defer p.link.drop(far)
+	defer p.link.remove(far)
 	ctx, cancel := context.WithCancel(context.Background())
 	end := func() { // a watch has ended where one of its directions has
 		cancel()
@@ -159,8 +159,8 @@
 	both.Wait()
 }
 
-// passes waits for the end of a cut; false: ctx ended first.
-func (p *Path) passes(ctx context.Context) bool {
+// waitWhileCut waits for the end of a cut; false: ctx ended first.
+func (p *Path) waitWhileCut(ctx context.Context) bool {
 	for {
 		now, _, changed := p.state()
 		if !now.Cut {
@@ -181,13 +181,13 @@
 
 // copy carries one direction.
 func (p *Port) copy(ctx context.Context, to io.Writer, from io.Reader, path *Path, end func()) {
-	packets := make(chan packet, chunksWait)
+	packets := make(chan packet, maxQueuedPackets)
 	var reading sync.WaitGroup
 	defer reading.Wait()
 	defer end()
 	reading.Go(func() {
 		defer close(packets)
-		buffer := make([]byte, chunk)
+		buffer := make([]byte, bufferSize)
 		for {
 			n, err := from.Read(buffer)
 			if n > 0 {
@@ -215,7 +215,7 @@
 				return
 			}
 		}
-		if !path.passes(ctx) {
+		if !path.waitWhileCut(ctx) {
 			return
 		}
 		if _, limit, _ := path.state(); limit != nil && limit.WaitN(ctx, len(pk.data)) != nil {
--- a/internal/testbench/faultproxy/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// echo answers all that comes on any connection.
-func echo(t *testing.T) string {
+// startEchoServer answers all that comes on any connection.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	return c
 }
 
-// said writes a word and tells whether it comes back.
-func said(c net.Conn, word string) bool {
+// echoed writes a word and tells whether it comes back.
+func echoed(c net.Conn, word string) bool {
 	if _, err := io.WriteString(c, word); err != nil {
 		return false
 	}
@@ -52,7 +52,7 @@
 
 // A link carries and counts what crosses it, is as slow as it is told, and carries nothing while it is down.
 func TestLink(t *testing.T) {
-	at := echo(t)
+	at := startEchoServer(t)
 	link := NewLink(func(*Port) string { return at })
 	p, err := link.Port(0)
 	if err != nil {
@@ -60,29 +60,29 @@
 	}
 	defer p.Close()
 	c := dial(t, p)
-	if !said(c, "hello") {
+	if !echoed(c, "hello") {
 		t.Fatal("nothing came back")
 	}
 	if bytes, calls := p.Counts(); bytes != 10 || calls != 1 {
 		t.Errorf("%d bytes, %d calls", bytes, calls)
 	}
-	link.Slow(50*time.Millisecond, 0)
+	link.Throttle(50*time.Millisecond, 0)
 	begun := time.Now()
-	if !said(c, "hello") || time.Since(begun) < 100*time.Millisecond {
+	if !echoed(c, "hello") || time.Since(begun) < 100*time.Millisecond {
 		t.Errorf("it took %v", time.Since(begun))
 	}
-	link.Slow(0, 100<<10)
+	link.Throttle(0, 100<<10)
 	begun = time.Now()
-	if !said(c, string(make([]byte, 30<<10))) || time.Since(begun) < 300*time.Millisecond {
+	if !echoed(c, string(make([]byte, 30<<10))) || time.Since(begun) < 300*time.Millisecond {
 		t.Errorf("60 KB at 100 KB/s took %v", time.Since(begun))
 	}
-	link.Slow(0, 0)
-	link.Down()
-	if said(c, "hello") || said(dial(t, p), "hello") {
+	link.Throttle(0, 0)
+	link.Disconnect()
+	if echoed(c, "hello") || echoed(dial(t, p), "hello") {
 		t.Error("it carries while it is down")
 	}
-	link.Up()
-	if !said(dial(t, p), "hello") {
+	link.Reconnect()
+	if !echoed(dial(t, p), "hello") {
 		t.Error("it does not carry again")
 	}
 	nowhere, err := NewLink(func(*Port) string { return "" }).Port(1)
@@ -90,14 +90,14 @@
 		t.Fatal(err)
 	}
 	defer nowhere.Close()
-	if said(dial(t, nowhere), "hello") {
+	if echoed(dial(t, nowhere), "hello") {
 		t.Error("it leads to nowhere")
 	}
 }
 
 // A port that closes ends its own connections and no other's.
 func TestPortCloses(t *testing.T) {
-	at := echo(t)
+	at := startEchoServer(t)
 	link := NewLink(func(*Port) string { return at })
 	one, err := link.Port(0)
 	if err != nil {
@@ -109,18 +109,18 @@
 	}
 	defer other.Close()
 	c, d := dial(t, one), dial(t, other)
-	if !said(c, "a") || !said(d, "b") {
+	if !echoed(c, "a") || !echoed(d, "b") {
 		t.Fatal("nothing came back")
 	}
 	one.Close()
-	if said(c, "a") || !said(d, "b") {
+	if echoed(c, "a") || !echoed(d, "b") {
 		t.Error("the wrong one ended")
 	}
 }
 
 // A cut of one direction holds back the bytes of that direction alone, and they come when it ends.
 func TestCutOfOneDirection(t *testing.T) {
-	at := echo(t)
+	at := startEchoServer(t)
 	forward, back := NewPath(1), NewPath(2)
 	p, err := NewLinkOver(forward, back, func(*Port) string { return at }).Port(0)
 	if err != nil {
@@ -141,7 +141,7 @@
 		t.Errorf("after the cut: %q, %v", got, err)
 	}
 	forward.Set(Conditions{Loss: 1})
-	if said(dial(t, p), "hello") {
+	if echoed(dial(t, p), "hello") {
 		t.Error("a stream is taken though all are lost")
 	}
 }
--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -20,16 +20,16 @@
 	Jitter    time.Duration // of datagrams: up to this beside the delay
 }
 
-// reorderLag lets others pass a datagram that is reordered.
-const reorderLag = 40 * time.Millisecond
+// reorderDelay lets others pass a datagram that is reordered.
+const reorderDelay = 40 * time.Millisecond
 
 // Path is one direction between two places.
 type Path struct {
-	mu      sync.Mutex
-	now     Conditions
-	limit   *rate.Limiter // nil: as fast as it goes
-	changed chan struct{} // closed with each change
-	rng     *rand.Rand
+	mu         sync.Mutex
+	conditions Conditions
+	limit      *rate.Limiter // nil: as fast as it goes
+	changed    chan struct{} // closed with each change
+	rng        *rand.Rand
 }
 
 // NewPath returns an undisturbed one whose losses are drawn from the seed.
@@ -41,7 +41,7 @@
 func (p *Path) Set(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now = c
+	p.conditions = c
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -52,7 +52,7 @@
 	defer p.mu.Unlock()
 	p.limit = nil
 	if bytes > 0 {
-		p.limit = rate.NewLimiter(rate.Limit(bytes), max(chunk, int(bytes/10)))
+		p.limit = rate.NewLimiter(rate.Limit(bytes), max(bufferSize, int(bytes/10)))
 	}
 }
 
@@ -60,11 +60,11 @@
 func (p *Path) state() (Conditions, *rate.Limiter, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now, p.limit, p.changed
+	return p.conditions, p.limit, p.changed
 }
 
-// draw tells whether something happens that does so with this probability.
-func (p *Path) draw(probability float64) bool {
+// chance tells whether something happens that does so with this probability.
+func (p *Path) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -73,8 +73,8 @@
 	return p.rng.Float64() < probability
 }
 
-// spread is a random part of a span.
-func (p *Path) spread(span time.Duration) time.Duration {
+// randomDelay is a random part of a span.
+func (p *Path) randomDelay(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/testbench/fuzzcorpus/fuzzcorpus.go
+++ b/internal/testbench/fuzzcorpus/fuzzcorpus.go
@@ -1,5 +1,5 @@
-// Package fuzzcorpus makes the seed corpora of the parsers' fuzz tests: valid messages, random cuts and changes
-// of them, and random garbage, the same at each run.
+// Package fuzzcorpus generates seed corpora for the fuzz tests of parsers: valid messages, truncated and mutated copies
+// of them, and random bytes. The random choices are the same at each run.
 package fuzzcorpus
 
 import (
@@ -7,23 +7,39 @@
 	"testing"
 )
 
-const each = 16 // cuts, changes and garbage for each valid message
+// variantsPerMessage is the number of truncated copies, mutated copies and random messages for each valid message.
+const variantsPerMessage = 16
 
-// Add gives a fuzz test its seeds.
+// Add adds the valid messages, none of which may be empty, and their variants to the seed corpus of a fuzz test.
 func Add(f *testing.F, valid ...[]byte) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, v := range valid {
-		f.Add(v)
-		for range each {
-			f.Add(append([]byte(nil), v[:rng.IntN(len(v)+1)]...))
-			changed := append([]byte(nil), v...)
-			changed[rng.IntN(len(v))] = byte(rng.Uint32())
-			f.Add(changed)
-			garbage := make([]byte, rng.IntN(2*len(v)))
-			for i := range garbage {
-				garbage[i] = byte(rng.Uint32())
-			}
-			f.Add(garbage)
+	for _, message := range valid {
+		f.Add(message)
+		for range variantsPerMessage {
+			f.Add(truncated(rng, message))
+			f.Add(mutated(rng, message))
+			f.Add(randomBytes(rng, rng.IntN(2*len(message))))
 		}
 	}
 }
+
+// truncated returns a copy of a random part of the message, from its start.
+func truncated(rng *rand.Rand, message []byte) []byte {
+	return append([]byte(nil), message[:rng.IntN(len(message)+1)]...)
+}
+
+// mutated returns a copy of the message with one byte replaced.
+func mutated(rng *rand.Rand, message []byte) []byte {
+	changed := append([]byte(nil), message...)
+	changed[rng.IntN(len(message))] = byte(rng.Uint32())
+	return changed
+}
+
+// randomBytes returns a message of random bytes.
+func randomBytes(rng *rand.Rand, length int) []byte {
+	message := make([]byte, length)
+	for i := range message {
+		message[i] = byte(rng.Uint32())
+	}
+	return message
+}
--- a/internal/testbench/hollow/check.go
+++ b/internal/testbench/hollow/check.go
@@ -18,30 +18,30 @@
 
 // The kinds of event, and which fields of Event they use besides At.
 const (
-	Published Kind = iota // Version: the list has a new version
-	Reachable             // Balancer: from now on what is published can reach it
-	Cut                   // Balancer: from now on it cannot
-	Fresh                 // Balancer, Version: a process began under this name, with the list of that version; 0: with none
-	InForce               // Balancer, Version, Whole: the version is in force, told as a change or with the whole list
-	Final                 // Balancer, Version, Digest: at the end of the run
+	VersionPublished Kind = iota // Version: the list has a new version
+	NodeReachable                // Balancer: from now on what is published can reach it
+	NodeUnreachable              // Balancer: from now on it cannot
+	NodeStarted                  // Balancer, Version: a process began under this name, with the list of that version; 0: with none
+	VersionApplied               // Balancer, Version, Whole: the version is in force, told as a change or with the whole list
+	FinalState                   // Balancer, Version, Digest: at the end of the run
 )
 
 // Event is one thing that happened.
 type Event struct {
 	At       time.Duration `json:"At"`
 	Kind     Kind          `json:"Kind"`
-	Balancer int           `json:"Balancer"`
+	Node     int           `json:"Balancer"`
 	Version  int64         `json:"Version"`
-	Whole    bool          `json:"Whole"`
+	Snapshot bool          `json:"Whole"`
 	Digest   uint64        `json:"Digest"`
 }
 
 // Findings are what a run's events show.
 type Findings struct {
-	Took     []time.Duration // from a version's publishing, or the balancer's being reachable if that is later, to its being in force
-	Lost     int             // changes that a balancer skipped, and balancers that did not have the list at the end
-	WentBack int             // times that a balancer's version went down
-	Broken   []string        // each of both, in words
+	Latencies   []time.Duration // from a version's publishing, or the balancer's being reachable if that is later, to its being in force
+	LostUpdates int             // changes that a balancer skipped, and balancers that did not have the list at the end
+	Regressions int             // times that a balancer's version went down
+	Violations  []string        // each of both, in words
 }
 
 // Check goes over the events of a run. Balancers that can be reached for at least so long at the end must have the
@@ -55,7 +55,7 @@
 	}
 	published := map[int64]time.Duration{}
 	for _, e := range events {
-		if e.Kind == Published {
+		if e.Kind == VersionPublished {
 			published[e.Version] = e.At
 		}
 	}
@@ -68,39 +68,39 @@
 	var f Findings
 	all := map[int]*balancer{}
 	for _, e := range events {
-		if e.Kind == Published {
+		if e.Kind == VersionPublished {
 			continue
 		}
-		b := all[e.Balancer]
+		b := all[e.Node]
 		if b == nil {
 			b = &balancer{}
-			all[e.Balancer] = b
+			all[e.Node] = b
 		}
 		switch e.Kind {
-		case Reachable:
+		case NodeReachable:
 			if !b.reachable {
 				b.reachable, b.since = true, e.At
 			}
-		case Cut:
+		case NodeUnreachable:
 			b.reachable = false
-		case Fresh:
+		case NodeStarted:
 			b.has, b.best = e.Version, max(b.best, e.Version)
-		case InForce:
+		case VersionApplied:
 			if e.Version < b.has {
-				f.WentBack++
-				f.breaks("%v: hollow balancer %d went back from version %d to %d", e.At-start, e.Balancer, b.has, e.Version)
+				f.Regressions++
+				f.breaks("%v: hollow balancer %d went back from version %d to %d", e.At-start, e.Node, b.has, e.Version)
 			}
-			if !e.Whole && b.has > 0 && e.Version > b.has+1 {
-				f.Lost += int(e.Version - b.has - 1)
-				f.breaks("%v: hollow balancer %d was told version %d after %d", e.At-start, e.Balancer, e.Version, b.has)
+			if !e.Snapshot && b.has > 0 && e.Version > b.has+1 {
+				f.LostUpdates += int(e.Version - b.has - 1)
+				f.breaks("%v: hollow balancer %d was told version %d after %d", e.At-start, e.Node, e.Version, b.has)
 			}
 			for v := b.best + 1; v <= e.Version; v++ {
 				if at, ok := published[v]; ok {
-					f.Took = append(f.Took, e.At-max(at, b.since))
+					f.Latencies = append(f.Latencies, e.At-max(at, b.since))
 				}
 			}
 			b.has, b.best = e.Version, max(b.best, e.Version)
-		case Final:
+		case FinalState:
 			b.final = &e
 		}
 	}
@@ -118,13 +118,13 @@
 		default:
 			continue
 		}
-		f.Lost++
+		f.LostUpdates++
 	}
 	return f
 }
 
 func (f *Findings) breaks(format string, args ...any) {
-	f.Broken = append(f.Broken, fmt.Sprintf(format, args...))
+	f.Violations = append(f.Violations, fmt.Sprintf(format, args...))
 }
 
 // Digest is what one room server adds to a list's digest: the digests of all of them, in any order, are combined by XOR.
--- a/internal/testbench/hollow/hollow.go
+++ b/internal/testbench/hollow/hollow.go
@@ -41,36 +41,36 @@
 	return httpsource.New(address, version, sink, log)
 }
 
-// shared is the one copy of the list that the followers of a process have: what each room server added to the digest at
+// sharedList is the one copy of the list that the followers of a process have: what each room server added to the digest at
 // each version.
-type shared struct {
-	mu    sync.Mutex
-	of    map[string][]stamped
-	first uint64 // the digest of the known list
+type sharedList struct {
+	mu            sync.Mutex
+	history       map[string][]versionedDigest
+	initialDigest uint64 // the digest of the known list
 }
 
-type stamped struct {
+type versionedDigest struct {
 	version int64
 	digest  uint64
 }
 
-func digestOf(in core.Endpoint) uint64 { return Digest(in.Name, in.Address, in.Zone, in.State) }
+func endpointDigest(in core.Endpoint) uint64 { return Digest(in.Name, in.Address, in.Zone, in.State) }
 
-func versionOf(in core.Endpoint) int64 { return in.Started.UnixMilli() - emulator.StartedAt }
+func endpointVersion(in core.Endpoint) int64 { return in.Started.UnixMilli() - emulator.StartedAt }
 
-func newShared(known []core.Endpoint, version int64) *shared {
-	s := &shared{of: make(map[string][]stamped, len(known))}
+func newSharedList(known []core.Endpoint, version int64) *sharedList {
+	s := &sharedList{history: make(map[string][]versionedDigest, len(known))}
 	for _, in := range known {
-		d := digestOf(in)
-		s.of[in.Name] = []stamped{{version, d}}
-		s.first ^= d
+		d := endpointDigest(in)
+		s.history[in.Name] = []versionedDigest{{version, d}}
+		s.initialDigest ^= d
 	}
 	return s
 }
 
-// at is what a room server adds to the digest of the list of a version. mu is held.
-func (s *shared) at(version int64, name string) (d uint64) {
-	for _, x := range s.of[name] {
+// digestAt is what a room server adds to the digest of the list of a version. mu is held.
+func (s *sharedList) digestAt(version int64, name string) (d uint64) {
+	for _, x := range s.history[name] {
 		if x.version <= version {
 			d = x.digest
 		}
@@ -78,40 +78,40 @@
 	return d
 }
 
-// learn adds a change to the copy.
-func (s *shared) learn(version int64, name string, d uint64) {
-	all := s.of[name]
+// record adds a change to the copy.
+func (s *sharedList) record(version int64, name string, d uint64) {
+	all := s.history[name]
 	i := len(all)
 	for i > 0 && all[i-1].version >= version {
 		i--
 	}
 	if i == len(all) || all[i].version != version {
-		s.of[name] = slices.Insert(all, i, stamped{version, d})
+		s.history[name] = slices.Insert(all, i, versionedDigest{version, d})
 	}
 }
 
-// copied is a follower's list: that of a version in the shared copy, but for the room servers of which it was told
+// nodeList is a follower's list: that of a version in the shared copy, but for the room servers of which it was told
 // something older afterwards.
-type copied struct {
+type nodeList struct {
 	version int64
 	older   map[string]uint64
 	digest  uint64
 }
 
-// change takes a change over.
-func (c *copied) change(s *shared, in core.Endpoint) {
-	v, d := versionOf(in), digestOf(in)
+// applyDelta takes a change over.
+func (c *nodeList) applyDelta(s *sharedList, in core.Endpoint) {
+	v, d := endpointVersion(in), endpointDigest(in)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, ok := c.older[in.Name]
 	if !ok {
-		before = s.at(c.version, in.Name)
+		before = s.digestAt(c.version, in.Name)
 	}
-	s.learn(v, in.Name, d)
+	s.record(v, in.Name, d)
 	c.digest ^= before ^ d
 	c.version = max(c.version, v)
 	delete(c.older, in.Name)
-	if s.at(c.version, in.Name) != d {
+	if s.digestAt(c.version, in.Name) != d {
 		if c.older == nil {
 			c.older = map[string]uint64{}
 		}
@@ -119,33 +119,33 @@
 	}
 }
 
-// whole takes the whole list over.
-func (c *copied) whole(all []core.Endpoint) {
-	*c = copied{}
+// replace takes the whole list over.
+func (c *nodeList) replace(all []core.Endpoint) {
+	*c = nodeList{}
 	for _, in := range all {
-		c.digest ^= digestOf(in)
-		c.version = max(c.version, versionOf(in))
+		c.digest ^= endpointDigest(in)
+		c.version = max(c.version, endpointVersion(in))
 	}
 }
 
-// hollow is a balancer's control code without clients: its follower and its module. One without a module of its own has
+// node is a balancer's control code without clients: its follower and its module. One without a module of its own has
 // one with an empty list, which orders watches and opens them anew as any, and its list is the process's shared copy.
-type hollow struct {
-	id     int
-	full   bool // the module has the list
-	module *core.Engine
-	shared *shared
-	tell   func(Event)
+type node struct {
+	id         int
+	fullEngine bool // the module has the list
+	engine     *core.Engine
+	shared     *sharedList
+	record     func(Event)
 
 	// Owned by the follower's goroutine.
 	version int64 // told last
-	list    copied
+	list    nodeList
 
-	mu     sync.Mutex // of what final reads
-	shown  Event
-	heard  bool
-	cancel context.CancelFunc
-	ended  sync.WaitGroup
+	mu         sync.Mutex // of what final reads
+	latest     Event
+	watchAlive bool
+	cancel     context.CancelFunc
+	ended      sync.WaitGroup
 }
 
 // noProbes stands where there are no room servers to probe.
@@ -154,104 +154,104 @@
 func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
 func (noProbes) Remove(decide.ServerID)                       {}
 
-// startHollow runs one; known is the list of a version, 0: it has none.
-func startHollow(ctx context.Context, h *hollow, cfg core.Config, address string, known []core.Endpoint, version int64) error {
+// startNode runs one; known is the list of a version, 0: it has none.
+func startNode(ctx context.Context, h *node, cfg core.Config, address string, known []core.Endpoint, version int64) error {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
 	cfg.MaxClients, cfg.Log = 1, func(string) {}
 	if h.version = version; version > 0 {
-		h.list = copied{version: version, digest: h.shared.first}
-		if h.full {
+		h.list = nodeList{version: version, digest: h.shared.initialDigest}
+		if h.fullEngine {
 			cfg.Known = known
 		}
 	}
-	h.shown = Event{Kind: Final, Balancer: h.id, Version: h.version, Digest: h.list.digest}
+	h.latest = Event{Kind: FinalState, Node: h.id, Version: h.version, Digest: h.list.digest}
 	var err error
-	if h.module, err = core.New(cfg); err != nil {
+	if h.engine, err = core.New(cfg); err != nil {
 		return err
 	}
 	ctx, h.cancel = context.WithCancel(ctx)
 	list := newFollower(address, version, h, log)
-	h.tell(Event{At: Now(), Kind: Fresh, Balancer: h.id, Version: version})
+	h.record(Event{At: Now(), Kind: NodeStarted, Node: h.id, Version: version})
 	h.ended.Go(func() { list.Run(ctx) })
-	h.ended.Go(func() { h.module.Run(ctx, noProbes{}, list) })
+	h.ended.Go(func() { h.engine.Run(ctx, noProbes{}, list) })
 	return nil
 }
 
 // stop ends it as a crash does: nothing is said to anybody.
-func (h *hollow) stop() {
+func (h *node) stop() {
 	h.cancel()
 	h.ended.Wait()
 }
 
 // WatchAlive hears of a watch's sign of life.
-func (h *hollow) WatchAlive(watch uint64) {
+func (h *node) WatchAlive(watch uint64) {
 	h.mu.Lock()
-	h.heard = true
+	h.watchAlive = true
 	h.mu.Unlock()
-	h.module.WatchAlive(watch)
+	h.engine.WatchAlive(watch)
 }
 
 // EndpointsUpdated takes what the follower brings, and tells of it once it is in force.
-func (h *hollow) EndpointsUpdated(r core.EndpointUpdate) {
+func (h *node) EndpointsUpdated(r core.EndpointUpdate) {
 	if r.Kind == decide.ListFailed {
-		h.module.EndpointsUpdated(r)
+		h.engine.EndpointsUpdated(r)
 		return
 	}
 	before := h.version
 	if r.Kind == decide.ListSnapshot {
-		h.list.whole(r.Endpoints)
+		h.list.replace(r.Endpoints)
 		h.version = h.list.version
 	} else {
 		for _, in := range r.Endpoints {
-			h.list.change(h.shared, in)
-			h.version = versionOf(in)
+			h.list.applyDelta(h.shared, in)
+			h.version = endpointVersion(in)
 		}
 	}
-	if h.full {
-		h.module.EndpointsUpdated(r)
-		if h.module.LeaveLameDuck(barrierWait) != nil { // changes nothing at a module that serves; the list is in force before it
+	if h.fullEngine {
+		h.engine.EndpointsUpdated(r)
+		if h.engine.LeaveLameDuck(barrierWait) != nil { // changes nothing at a module that serves; the list is in force before it
 			return
 		}
 	} else {
-		h.module.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
+		h.engine.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
 	}
 	if h.version == before && r.Kind != decide.ListSnapshot {
 		return
 	}
 	now := Now()
 	h.mu.Lock()
-	h.shown.Version, h.shown.Digest = h.version, h.list.digest
+	h.latest.Version, h.latest.Digest = h.version, h.list.digest
 	h.mu.Unlock()
-	h.tell(Event{At: now, Kind: InForce, Balancer: h.id, Version: h.version, Whole: r.Kind == decide.ListSnapshot})
+	h.record(Event{At: now, Kind: VersionApplied, Node: h.id, Version: h.version, Snapshot: r.Kind == decide.ListSnapshot})
 }
 
-// begun tells whether its watch has shown a sign of life.
-func (h *hollow) begun() bool {
+// connected tells whether its watch has shown a sign of life.
+func (h *node) connected() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.heard
+	return h.watchAlive
 }
 
-// now is what its follower has.
-func (h *hollow) now() Event {
+// state is what its follower has.
+func (h *node) state() Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shown
+	return h.latest
 }
 
-// final tells what it has at the end; a module's own list counts where it has one.
-func (h *hollow) final() Event {
-	e := h.now()
-	if h.full {
+// finalState tells what it has at the end; a module's own list counts where it has one.
+func (h *node) finalState() Event {
+	e := h.state()
+	if h.fullEngine {
 		e.Digest = 0
 		// Rows are shared for a while by all who ask: those of before the last change are not the end's.
 		began := time.Now()
-		all := h.module.DetailedSnapshot(barrierWait)
+		all := h.engine.DetailedSnapshot(barrierWait)
 		for all.At.Before(began) && time.Since(began) < barrierWait {
 			time.Sleep(rowsPause)
-			all = h.module.DetailedSnapshot(barrierWait)
+			all = h.engine.DetailedSnapshot(barrierWait)
 		}
 		for _, s := range all.Upstreams {
 			e.Digest ^= Digest(s.Name, s.Address, s.Zone, s.State)
--- a/internal/testbench/hollow/hollow_test.go
+++ b/internal/testbench/hollow/hollow_test.go
@@ -27,7 +27,7 @@
 }
 
 // A follower's digest is that of the list that it would have, also where it is told a change again or skips one.
-func TestCopied(t *testing.T) {
+func TestNodeListDigest(t *testing.T) {
 	known := []core.Endpoint{instance("a", 1, decide.Ready), instance("b", 1, decide.Ready)}
 	a2, b3, a4 := instance("a", 2, decide.Draining), instance("b", 3, decide.Draining), instance("a", 4, decide.Ready)
 	for name, v := range map[string]struct {
@@ -40,32 +40,32 @@
 		"gone back":    {[]core.Endpoint{a2, b3, a4, a2}, []core.Endpoint{a2, b3}},
 		"and one more": {[]core.Endpoint{a2, b3, a4, a2, b3}, []core.Endpoint{a2, b3}},
 	} {
-		s := newShared(known, 1)
-		other := copied{version: 1, digest: s.first} // that has learned all of it before
+		s := newSharedList(known, 1)
+		other := nodeList{version: 1, digest: s.initialDigest} // that has learned all of it before
 		for _, in := range []core.Endpoint{a2, b3, a4} {
-			other.change(s, in)
+			other.applyDelta(s, in)
 		}
-		c := copied{version: 1, digest: s.first}
+		c := nodeList{version: 1, digest: s.initialDigest}
 		for _, in := range v.told {
-			c.change(s, in)
+			c.applyDelta(s, in)
 		}
 		want := uint64(0)
 		for _, in := range v.has {
-			want ^= digestOf(in)
+			want ^= endpointDigest(in)
 		}
 		if c.digest != want {
 			t.Errorf("%s: another list", name)
 		}
-		if c.whole(v.has); c.digest != want {
+		if c.replace(v.has); c.digest != want {
 			t.Errorf("%s: another whole list", name)
 		}
 	}
-	s := newShared(known, 1)
-	c, skips := copied{version: 1, digest: s.first}, copied{version: 1, digest: s.first}
+	s := newSharedList(known, 1)
+	c, skips := nodeList{version: 1, digest: s.initialDigest}, nodeList{version: 1, digest: s.initialDigest}
 	for _, in := range []core.Endpoint{a2, b3, a4} {
-		c.change(s, in)
+		c.applyDelta(s, in)
 		if in.Name != "b" {
-			skips.change(s, in)
+			skips.applyDelta(s, in)
 		}
 	}
 	if c.digest == skips.digest {
@@ -75,38 +75,38 @@
 
 // fleet is some hollow balancers before one source.
 type fleet struct {
-	roster *emulator.EndpointTable
-	source *emulator.ListServer
+	table  *emulator.EndpointTable
+	server *emulator.ListServer
 	ports  []*faultproxy.Port
-	hollow []*hollow
-	shared *shared
+	nodes  []*node
+	shared *sharedList
 
 	mu     sync.Mutex
 	events []Event
 }
 
-func (f *fleet) note(e Event) {
+func (f *fleet) record(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, e)
 }
 
-// begin starts them and waits for their watches.
-func begin(t *testing.T, full bool, hollows, servers int, known bool) *fleet {
+// startFleet starts them and waits for their watches.
+func startFleet(t *testing.T, full bool, hollows, servers int, known bool) *fleet {
 	t.Helper()
-	f := &fleet{roster: emulator.NewEndpointTable(entries(servers))}
-	f.source = emulator.NewListServer(f.roster)
-	t.Cleanup(f.source.Stop)
-	address, err := f.source.Listen(nil)
+	f := &fleet{table: emulator.NewEndpointTable(entries(servers))}
+	f.server = emulator.NewListServer(f.table)
+	t.Cleanup(f.server.Stop)
+	address, err := f.server.Listen(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	link := faultproxy.NewLink(func(*faultproxy.Port) string { return address })
-	list, err := httpsource.DecodeListing(f.roster.Snapshot(1))
+	list, err := httpsource.DecodeListing(f.table.Snapshot(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.shared = newShared(list.Endpoints, 1)
+	f.shared = newSharedList(list.Endpoints, 1)
 	version := int64(1)
 	if !known {
 		version = 0
@@ -117,22 +117,22 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Close)
-		h := &hollow{id: i, full: full, shared: f.shared, tell: f.note}
-		own, err := httpsource.DecodeListing(f.roster.Snapshot(1))
+		h := &node{id: i, fullEngine: full, shared: f.shared, record: f.record}
+		own, err := httpsource.DecodeListing(f.table.Snapshot(1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.note(Event{Kind: Reachable, Balancer: i})
-		if err := startHollow(t.Context(), h, core.Config{ListPushed: true, Settings: decide.Settings{Zone: "a", Balancers: 2300, WatchList: true,
+		f.record(Event{Kind: NodeReachable, Node: i})
+		if err := startNode(t.Context(), h, core.Config{ListPushed: true, Settings: decide.Settings{Zone: "a", Balancers: 2300, WatchList: true,
 			Classes: []decide.Class{{Name: "x", LatencyObjective: time.Second, ClientTimeout: 2 * time.Second}}, Safety: decide.SafetyLimits{MaxPollInterval: 10 * time.Second}}}, p.Address, own.Endpoints, version); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(h.stop)
-		f.ports, f.hollow = append(f.ports, p), append(f.hollow, h)
+		f.ports, f.nodes = append(f.ports, p), append(f.nodes, h)
 	}
 	f.wait(t, func() bool {
-		for _, h := range f.hollow {
-			if !h.begun() {
+		for _, h := range f.nodes {
+			if !h.connected() {
 				return false
 			}
 		}
@@ -150,21 +150,21 @@
 	}
 }
 
-// change publishes changes and waits until all have them.
-func (f *fleet) change(t *testing.T, n int) {
+// publishAndWait publishes changes and waits until all have them.
+func (f *fleet) publishAndWait(t *testing.T, n int) {
 	t.Helper()
 	for i := range n {
 		e := entries(1)[0]
 		if i%2 == 0 {
 			e.Lifecycle = "leaving"
 		}
-		v := f.roster.Publish(e)
-		f.note(Event{At: Now(), Kind: Published, Version: v})
-		f.source.Reach(v)
+		v := f.table.Publish(e)
+		f.record(Event{At: Now(), Kind: VersionPublished, Version: v})
+		f.server.Reach(v)
 	}
 	f.wait(t, func() bool {
-		for _, h := range f.hollow {
-			if h.now().Version != f.roster.Version() {
+		for _, h := range f.nodes {
+			if h.state().Version != f.table.Version() {
 				return false
 			}
 		}
@@ -173,23 +173,23 @@
 }
 
 // Hollow balancers of both kinds, with and without a known list, end with the list as it is published.
-func TestHollow(t *testing.T) {
+func TestNodesConverge(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		for _, known := range []bool{false, true} {
-			f := begin(t, full, 5, 50, known)
-			f.change(t, 8)
+			f := startFleet(t, full, 5, 50, known)
+			f.publishAndWait(t, 8)
 			digest := uint64(0)
-			for _, e := range f.roster.At(9) {
+			for _, e := range f.table.At(9) {
 				state := decide.Ready
 				if e.Lifecycle == "leaving" {
 					state = decide.Draining
 				}
 				digest ^= Digest(e.Instance, e.Address, e.Zone, state)
 			}
-			for _, h := range f.hollow {
-				f.note(h.final())
+			for _, h := range f.nodes {
+				f.record(h.finalState())
 			}
-			if got := Check(f.events, 9, digest, Now()+time.Hour, time.Minute); got.Lost != 0 || got.WentBack != 0 || len(got.Took) != 5*8 {
+			if got := Check(f.events, 9, digest, Now()+time.Hour, time.Minute); got.LostUpdates != 0 || got.Regressions != 0 || len(got.Latencies) != 5*8 {
 				t.Errorf("full %v, known %v: %+v", full, known, got)
 			}
 		}
@@ -198,12 +198,12 @@
 
 // What a change costs a follower, in bytes and messages, does not grow with the list; what a module and a whole list
 // cost grows with it in proportion. Guards kb_per_s and control_mb_max: a slope that doubles fails.
-func TestSlopes(t *testing.T) {
+func TestUpdateCost(t *testing.T) {
 	const hollows, changes = 10, 20
 	for _, full := range []bool{false, true} {
 		for _, servers := range []int{200, 400, 800} {
-			f := begin(t, full, hollows, servers, true)
-			f.change(t, 1)
+			f := startFleet(t, full, hollows, servers, true)
+			f.publishAndWait(t, 1)
 			bytes := func() (sum uint64) {
 				for _, p := range f.ports {
 					n, _ := p.Counts()
@@ -211,9 +211,9 @@
 				}
 				return sum
 			}
-			before, told := bytes(), f.source.Told()
-			f.change(t, changes)
-			got, now := bytes()-before, f.source.Told()
+			before, told := bytes(), f.server.Told()
+			f.publishAndWait(t, changes)
+			got, now := bytes()-before, f.server.Told()
 			// A change is about 170 bytes with its framing, and one message; the watch that the first poll opens and
 			// empty lines may come among them.
 			if each := float64(got) / hollows / changes; each < 100 || each > 280 {
@@ -230,8 +230,8 @@
 		}
 	}
 	for _, servers := range []int{200, 400, 800} {
-		f := begin(t, false, hollows, servers, false)
-		f.change(t, 1)
+		f := startFleet(t, false, hollows, servers, false)
+		f.publishAndWait(t, 1)
 		var sum uint64
 		for _, p := range f.ports {
 			n, _ := p.Counts()
@@ -254,22 +254,22 @@
 	return float64(m.HeapAlloc)
 }
 
-// memoryEach is what a room server takes in a module and its own copy of the list, in bytes, as measured.
-const memoryEach = 800
+// memoryPerEndpoint is what a room server takes in a module and its own copy of the list, in bytes, as measured.
+const memoryPerEndpoint = 800
 
 // The memory of a module's list is in proportion to the room servers. Guards control_mb_max against a doubled slope.
-func TestModuleMemory(t *testing.T) {
+func TestEngineMemory(t *testing.T) {
 	const hollows = 4
 	var sizes []float64
 	for _, servers := range []int{1000, 2000, 4000} {
 		before := heap()
-		f := begin(t, true, hollows, servers, true)
-		f.change(t, 2)
+		f := startFleet(t, true, hollows, servers, true)
+		f.publishAndWait(t, 2)
 		sizes = append(sizes, (heap()-before)/hollows)
 	}
 	// Tables grow by doubling, so that the slope is taken over two of them.
-	if each := (sizes[2] - sizes[0]) / 3000; each < memoryEach*0.7 || each > memoryEach*1.4 {
-		t.Errorf("%.0f bytes for each room server of a module, were %d: %.0f", each, memoryEach, sizes)
+	if each := (sizes[2] - sizes[0]) / 3000; each < memoryPerEndpoint*0.7 || each > memoryPerEndpoint*1.4 {
+		t.Errorf("%.0f bytes for each room server of a module, were %d: %.0f", each, memoryPerEndpoint, sizes)
 	}
 	t.Logf("%.0f bytes", sizes)
 }
--- a/internal/testbench/hollow/messages_test.go
+++ b/internal/testbench/hollow/messages_test.go
@@ -8,21 +8,21 @@
 
 // The lines between an experiment and its workers have fixed keys: TestMessageEncoding pins each message's bytes.
 func TestMessageEncoding(t *testing.T) {
-	event := Event{At: 1, Kind: InForce, Balancer: 2, Version: 3, Whole: true, Digest: 5}
-	usage := &Usage{CPU: time.Second, Over: 2 * time.Second, Hollow: 3, Begun: 4, RSS: 1.5}
+	event := Event{At: 1, Kind: VersionApplied, Node: 2, Version: 3, Snapshot: true, Digest: 5}
+	usage := &Usage{CPU: time.Second, Interval: 2 * time.Second, Running: 3, Connected: 4, ResidentMB: 1.5}
 	for name, v := range map[string]struct {
 		message any
 		want    string
 	}{
 		"setup": {
-			Setup{Known: "/known.json", Settings: map[string]string{"a": "/a.json"}, Full: true},
+			Setup{KnownListPath: "/known.json", ConfigPaths: map[string]string{"a": "/a.json"}, FullEngine: true},
 			`{"Known":"/known.json","Settings":{"a":"/a.json"},"Full":true}`,
 		},
 		"order": {
-			Order{Start: []Start{{Balancer: 1, Zone: "a", Address: "127.0.0.1:1", Cold: true}}, Stop: []int{2}, End: true},
+			Command{Start: []NodeSpec{{ID: 1, Zone: "a", Address: "127.0.0.1:1", NoKnownList: true}}, Stop: []int{2}, Finish: true},
 			`{"Start":[{"Balancer":1,"Zone":"a","Address":"127.0.0.1:1","Cold":true}],"Stop":[2],"End":true}`,
 		},
-		"empty order":  {Order{}, `{"Start":null,"Stop":null,"End":false}`},
+		"empty order":  {Command{}, `{"Start":null,"Stop":null,"End":false}`},
 		"empty report": {Report{}, `{}`},
 		"report": {
 			Report{Events: []Event{event}, Usage: usage, Done: true},
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -28,33 +28,33 @@
 
 // Setup is what a worker is told first, on one line.
 type Setup struct {
-	Known    string            `json:"Known"`    // path of the known list
-	Settings map[string]string `json:"Settings"` // paths of a balancer's configuration, by zone
-	Full     bool              `json:"Full"`     // each hollow balancer's module has the list
+	KnownListPath string            `json:"Known"`    // path of the known list
+	ConfigPaths   map[string]string `json:"Settings"` // paths of a balancer's configuration, by zone
+	FullEngine    bool              `json:"Full"`     // each hollow balancer's module has the list
 }
 
-// Order is what a worker is told to do, on a line: start some, stop some, or tell how it ends.
-type Order struct {
-	Start []Start `json:"Start"`
-	Stop  []int   `json:"Stop"`
-	End   bool    `json:"End"`
+// Command is what a worker is told to do, on a line: start some, stop some, or tell how it ends.
+type Command struct {
+	Start  []NodeSpec `json:"Start"`
+	Stop   []int      `json:"Stop"`
+	Finish bool       `json:"End"`
 }
 
-// Start is one hollow balancer to start.
-type Start struct {
-	Balancer int    `json:"Balancer"`
-	Zone     string `json:"Zone"`
-	Address  string `json:"Address"`
-	Cold     bool   `json:"Cold"` // without the known list
+// NodeSpec is one hollow balancer to start.
+type NodeSpec struct {
+	ID          int    `json:"Balancer"`
+	Zone        string `json:"Zone"`
+	Address     string `json:"Address"`
+	NoKnownList bool   `json:"Cold"` // without the known list
 }
 
 // Usage is what a worker's process costs: its processor time since the last one, and its resident memory.
 type Usage struct {
-	CPU    time.Duration `json:"CPU"`
-	Over   time.Duration `json:"Over"`
-	Hollow int           `json:"Hollow"` // that run
-	Begun  int           `json:"Begun"`  // whose watches have shown a sign of life
-	RSS    float64       `json:"RSS"`
+	CPU        time.Duration `json:"CPU"`
+	Interval   time.Duration `json:"Over"`
+	Running    int           `json:"Hollow"` // that run
+	Connected  int           `json:"Begun"`  // whose watches have shown a sign of life
+	ResidentMB float64       `json:"RSS"`
 }
 
 // Report is a line that a worker says.
@@ -69,9 +69,9 @@
 	raw      []byte // the known list
 	known    []core.Endpoint
 	version  int64
-	shared   *shared
+	shared   *sharedList
 	settings map[string]*config.Config
-	hollow   map[int]*hollow
+	hollow   map[int]*node
 	cpu      time.Duration
 	at       time.Time
 
@@ -80,25 +80,25 @@
 	out    *json.Encoder
 }
 
-// Work runs hollow balancers as in tells, and says what they do, until in ends.
-func Work(ctx context.Context, in io.Reader, out io.Writer) error {
+// RunWorker runs hollow balancers as in tells, and says what they do, until in ends.
+func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, longLine)
-	w := &worker{hollow: map[int]*hollow{}, settings: map[string]*config.Config{}, out: json.NewEncoder(out), at: time.Now()}
+	w := &worker{hollow: map[int]*node{}, settings: map[string]*config.Config{}, out: json.NewEncoder(out), at: time.Now()}
 	if !lines.Scan() {
 		return errors.New("worker: no setup")
 	}
 	if err := w.open(lines.Bytes()); err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
-	orders := make(chan Order)
+	orders := make(chan Command)
 	failed := make(chan error, 1)
 	go func() {
 		defer close(orders)
 		for lines.Scan() {
-			var o Order
+			var o Command
 			if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 				failed <- err
 				return
@@ -142,7 +142,7 @@
 	if err := json.Unmarshal(raw, &w.setup); err != nil {
 		return err
 	}
-	list, err := os.ReadFile(w.setup.Known)
+	list, err := os.ReadFile(w.setup.KnownListPath)
 	if err != nil {
 		return err
 	}
@@ -151,8 +151,8 @@
 		return err
 	}
 	w.raw, w.known, w.version = list, known.Endpoints, known.Generation
-	w.shared = newShared(w.known, w.version)
-	for zone, path := range w.setup.Settings {
+	w.shared = newSharedList(w.known, w.version)
+	for zone, path := range w.setup.ConfigPaths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			return err
@@ -164,30 +164,30 @@
 	return w.use()
 }
 
-func (w *worker) do(ctx context.Context, o Order) error {
+func (w *worker) do(ctx context.Context, o Command) error {
 	for _, s := range o.Start {
 		cfg := w.settings[s.Zone]
 		if cfg == nil {
 			return fmt.Errorf("zone %q has no settings", s.Zone)
 		}
 		settings := cfg.Settings
-		settings.Seed += uint64(s.Balancer)
-		h := &hollow{id: s.Balancer, full: w.setup.Full, shared: w.shared, tell: w.note}
+		settings.Seed += uint64(s.ID)
+		h := &node{id: s.ID, fullEngine: w.setup.FullEngine, shared: w.shared, record: w.note}
 		known, version := w.known, w.version
-		if w.setup.Full { // a copy of its own, as each process has one
+		if w.setup.FullEngine { // a copy of its own, as each process has one
 			own, err := httpsource.DecodeListing(w.raw)
 			if err != nil {
 				return err
 			}
 			known = own.Endpoints
 		}
-		if s.Cold {
+		if s.NoKnownList {
 			known, version = nil, 0
 		}
-		if err := startHollow(ctx, h, core.Config{Settings: settings, ListPushed: cfg.ListPushed}, s.Address, known, version); err != nil {
+		if err := startNode(ctx, h, core.Config{Settings: settings, ListPushed: cfg.ListPushed}, s.Address, known, version); err != nil {
 			return err
 		}
-		w.hollow[s.Balancer] = h
+		w.hollow[s.ID] = h
 	}
 	var all sync.WaitGroup
 	for _, id := range o.Stop {
@@ -197,11 +197,11 @@
 		}
 	}
 	all.Wait()
-	if !o.End {
+	if !o.Finish {
 		return nil
 	}
 	for _, h := range w.hollow {
-		all.Go(func() { w.note(h.final()) })
+		all.Go(func() { w.note(h.finalState()) })
 	}
 	all.Wait()
 	return w.say(Report{Done: true})
@@ -229,22 +229,22 @@
 		return err
 	}
 	cpu, at := time.Duration(ru.Utime.Nano()+ru.Stime.Nano()), time.Now()
-	rss, err := Resident(os.Getpid())
+	rss, err := ResidentMemory(os.Getpid())
 	if err != nil {
 		return err
 	}
-	u := Usage{CPU: cpu - w.cpu, Over: at.Sub(w.at), Hollow: len(w.hollow), RSS: rss}
+	u := Usage{CPU: cpu - w.cpu, Interval: at.Sub(w.at), Running: len(w.hollow), ResidentMB: rss}
 	for _, h := range w.hollow {
-		if h.begun() {
-			u.Begun++
+		if h.connected() {
+			u.Connected++
 		}
 	}
 	w.cpu, w.at = cpu, at
 	return w.say(Report{Usage: &u})
 }
 
-// Resident is a process's resident memory, in MB.
-func Resident(pid int) (float64, error) {
+// ResidentMemory is a process's resident memory, in MB.
+func ResidentMemory(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, err
--- /dev/null
+++ b/internal/testbench/invariants/checker_test.go
@@ -0,0 +1,154 @@
+package invariants
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// sent returns the event of a request to balancer n1 that its client gives up at the deadline.
+func sent(deadline time.Duration) Event {
+	return Event{Kind: RequestSent, Request: "r", Balancer: "n1", Deadline: deadline}
+}
+
+// answered returns the event of the request's answer.
+func answered(at time.Duration) Event {
+	return Event{At: at, Kind: RequestAnswered, Request: "r", Answer: "UP"}
+}
+
+// lost returns the event of the request's lost connection.
+func lost() Event {
+	return Event{Kind: ConnectionLost, Request: "r"}
+}
+
+// left returns the event of the client's leaving.
+func left(at time.Duration) Event {
+	return Event{At: at, Kind: ClientLeft, Request: "r"}
+}
+
+// started returns the event of an attempt's start.
+func started(at time.Duration, server string) Event {
+	return Event{At: at, Kind: AttemptStarted, Request: "r", Server: server}
+}
+
+// ended returns the event of an attempt's end.
+func ended(at time.Duration, server string) Event {
+	return Event{At: at, Kind: AttemptEnded, Request: "r", Server: server}
+}
+
+// balancerEvent returns an event of a balancer's process.
+func balancerEvent(kind Kind, balancer string) Event {
+	return Event{Kind: kind, Balancer: balancer}
+}
+
+// observed returns the event of a balancer's being told of room server a.
+func observed(kind Kind, balancer string) Event {
+	return Event{Kind: kind, Balancer: balancer, Server: "a"}
+}
+
+// attached returns the event of the session's attachment.
+func attached(epoch uint64, server string) Event {
+	return Event{Kind: SessionAttached, Session: "s", Epoch: epoch, Server: server}
+}
+
+// detached returns the event of the session's detachment.
+func detached(server string) Event {
+	return Event{Kind: SessionDetached, Session: "s", Server: server}
+}
+
+// positioned returns an event of the session at a position.
+func positioned(kind Kind, position uint64) Event {
+	return Event{Kind: kind, Session: "s", Position: position}
+}
+
+// The Checker finds each violation and reports none for sequences that only resemble one. Every experiment, and every
+// test that uses the Checker, relies on this.
+func TestChecker(t *testing.T) {
+	const (
+		deadline     = 100 * ms
+		longDeadline = 2 * time.Second
+		afterGrace   = 551 * ms
+	)
+	for name, v := range map[string]struct {
+		events      []Event
+		violation   string // part of its description; empty if there is none
+		double      int
+		regressions int
+		lost        int
+	}{
+		"served": {events: []Event{sent(deadline), started(0, "a"), answered(9 * ms)}},
+		"answered twice": {
+			events:    []Event{sent(deadline), answered(0), answered(0)},
+			violation: "second final",
+		},
+		"answered late":    {events: []Event{sent(deadline), answered(151 * ms)}, violation: "given up"},
+		"answered in time": {events: []Event{sent(deadline), answered(149 * ms)}},
+		"never answered":   {events: []Event{sent(deadline)}, violation: "never answered"},
+		"connection lost":  {events: []Event{sent(deadline), lost()}, violation: "cut off"},
+		"client left":      {events: []Event{sent(deadline), left(0), lost()}},
+		"client left late": {events: []Event{sent(deadline), left(151 * ms)}, violation: "no answer"},
+		"balancer killed":  {events: []Event{sent(deadline), balancerEvent(BalancerKilled, "n1"), lost()}},
+		"killed before":    {events: []Event{balancerEvent(BalancerKilled, "n1"), sent(deadline), lost()}},
+		"started again": {
+			events: []Event{
+				balancerEvent(BalancerKilled, "n1"), balancerEvent(BalancerStarted, "n1"), sent(deadline), lost(),
+			},
+			violation: "cut off",
+		},
+		"two attempts":    {events: []Event{started(0, "a"), started(0, "b")}, violation: "beside another"},
+		"end seen late":   {events: []Event{started(0, "a"), started(0, "b"), ended(40*ms, "a")}},
+		"attempts in row": {events: []Event{started(0, "a"), ended(0, "a"), started(0, "b")}},
+		"sent to a draining server": {
+			events: []Event{
+				observed(DrainObserved, "n1"), sent(longDeadline), started(afterGrace, "a"), left(afterGrace),
+			},
+			violation: "observed its drain",
+		},
+		"another balancer observed the drain": {
+			events: []Event{
+				observed(DrainObserved, "n2"), sent(longDeadline), started(afterGrace, "a"), left(afterGrace),
+			},
+		},
+		"a previous process observed the drain": {
+			events: []Event{
+				observed(DrainObserved, "n1"), balancerEvent(BalancerStarted, "n1"), sent(longDeadline),
+				started(afterGrace, "a"), left(afterGrace),
+			},
+		},
+		"ready again": {
+			events: []Event{
+				observed(DrainObserved, "n1"), observed(ReadyObserved, "n1"), sent(longDeadline),
+				started(time.Second, "a"), left(time.Second),
+			},
+		},
+		"server collapsed":      {events: []Event{{Kind: ServerCollapsed, Server: "a"}}, violation: "overloaded"},
+		"attached at two":       {events: []Event{attached(1, "a"), attached(2, "b")}, double: 1},
+		"migrated":              {events: []Event{attached(1, "a"), detached("a"), attached(2, "b")}},
+		"attached at one epoch": {events: []Event{attached(1, "a"), detached("a"), attached(1, "b")}, double: 1},
+		"epoch regression":      {events: []Event{attached(3, "a"), detached("a"), attached(2, "b")}, regressions: 1},
+		"moves lost": {
+			events: []Event{positioned(PositionAcknowledged, 5), positioned(SessionResumed, 4)},
+			lost:   1,
+		},
+		"moves stored": {events: []Event{positioned(PositionAcknowledged, 5), positioned(SessionResumed, 6)}},
+		"stranded":     {events: []Event{{Kind: SessionStranded, Session: "s"}}, lost: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := New(Figures{DrainGrace: 500 * ms, Slack: 50 * ms})
+			for _, e := range v.events {
+				c.Add(e)
+			}
+			r := c.Report(time.Second)
+			violations := strings.Join(r.Violations, "; ")
+			if (violations == "") != (v.violation == "") || !strings.Contains(violations, v.violation) {
+				t.Errorf("violations %q, want %q", violations, v.violation)
+			}
+			if r.DoubleAttachments != v.double || r.EpochRegressions != v.regressions || r.LostSessions != v.lost {
+				t.Errorf("%+v, want %d double attachments, %d epoch regressions, %d lost sessions",
+					r, v.double, v.regressions, v.lost)
+			}
+		})
+	}
+}
--- a/internal/testbench/invariants/recorder.go
+++ b/internal/testbench/invariants/recorder.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Recorder lets the parties of a run on sockets add events at once; it gives each its time.
+// Recorder is a Checker for concurrent use, whose events happen as they are added.
 type Recorder struct {
 	start   time.Time
 	mu      sync.Mutex
 	checker *Checker
 }
 
-// NewRecorder returns a recorder whose clock starts now.
-func NewRecorder(f Figures) *Recorder { return &Recorder{start: time.Now(), checker: New(f)} }
+// NewRecorder returns a Recorder whose clock starts now.
+func NewRecorder(limits Figures) *Recorder {
+	return &Recorder{start: time.Now(), checker: New(limits)}
+}
 
-// Now is the time since the start, as in Event.
+// Now returns the time since the start, as in Event.At. A nil Recorder returns 0.
 func (r *Recorder) Now() time.Duration {
 	if r == nil {
 		return 0
@@ -23,7 +25,7 @@
 	return time.Since(r.start)
 }
 
-// Add adds an event that happens now. A nil recorder takes nothing.
+// Add checks an event that happens now; it overwrites Event.At. A nil Recorder ignores the event.
 func (r *Recorder) Add(e Event) {
 	if r == nil {
 		return
@@ -34,7 +36,7 @@
 	r.checker.Add(e)
 }
 
-// Report tells what was found up to now.
+// Report returns what was found up to now.
 func (r *Recorder) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/testbench/invariants/session.go
@@ -0,0 +1,66 @@
+package invariants
+
+// session is what is known of one session.
+type session struct {
+	// server is the room server at which the session is attached; empty if it is detached.
+	server string
+	// epoch is the highest epoch at which the session was attached.
+	epoch uint64
+	// acknowledged is the highest position that the client knows to be stored.
+	acknowledged uint64
+	// lost says that the session was counted as lost.
+	lost bool
+}
+
+// session returns the record of a session, a new one at its first event.
+func (c *Checker) session(id string) *session {
+	s := c.sessions[id]
+	if s == nil {
+		s = &session{}
+		c.sessions[id] = s
+	}
+	return s
+}
+
+// addSessionEvent checks an event that concerns a session.
+func (c *Checker) addSessionEvent(e Event) {
+	s := c.session(e.Session)
+	switch e.Kind {
+	case SessionAttached:
+		c.sessionAttached(s, e)
+	case SessionDetached:
+		if s.server == e.Server {
+			s.server = ""
+		}
+	case PositionAcknowledged:
+		s.acknowledged = max(s.acknowledged, e.Position)
+	case SessionResumed:
+		c.report.Resumed++
+		if e.Position < s.acknowledged {
+			c.sessionLost(s)
+		}
+	case SessionStartedOver:
+		c.report.StartedOver++
+	case SessionStranded:
+		c.sessionLost(s)
+	}
+}
+
+func (c *Checker) sessionAttached(s *session, e Event) {
+	if s.server != "" || e.Epoch == s.epoch {
+		c.report.DoubleAttachments++
+	}
+	if e.Epoch < s.epoch {
+		c.report.EpochRegressions++
+	}
+	s.server = e.Server
+	s.epoch = max(s.epoch, e.Epoch)
+}
+
+// sessionLost counts a lost session once.
+func (c *Checker) sessionLost(s *session) {
+	if !s.lost {
+		s.lost = true
+		c.report.LostSessions++
+	}
+}
