--- a/internal/testbench/experiment/members_result.go
+++ b/internal/testbench/experiment/members_result.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"text/tabwriter"
 	"time"
 )
@@ -46,9 +45,6 @@
 	faultsAim = 30
 )
 
-// fellText marks the rule that a cold room server is not pushed over.
-const fellText = "was pushed over"
-
 func (m *membersRun) result(cpu float64) MembersResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,13 +66,8 @@
 			r.LossPercent = max(r.LossPercent, 100*f.Noise.Loss)
 		}
 	}
-	for _, text := range played.Broken {
-		if strings.Contains(text, fellText) {
-			r.ColdOver++
-		} else {
-			r.RulesBroken++
-		}
-	}
+	r.ColdOver = m.base.collapses
+	r.RulesBroken = played.RulesBroken - m.base.collapses
 	for _, e := range found.FalseFailed {
 		r.FalseReports = append(r.FalseReports, fmt.Sprintf("%v: n%d reports n%d failed", e.At.Round(time.Millisecond), e.Member, e.Other))
 	}
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -70,6 +70,7 @@
 	ended     map[string]bool // processes that did not live throughout
 	broke     map[string]int  // connections, by balancer
 	asked     int             // balancers whose figures were read
+	collapses int             // violations that are room servers overloaded while they warmed up
 
 	prepare func(i int, b *balancer) error // called before a balancer's first start
 	started func(i int)                    // called as its processes start
@@ -406,6 +407,7 @@
 		}
 	}
 	res.AttachedTwice, res.Lost = report.DoubleAttachments+report.EpochRegressions, report.LostSessions
+	r.collapses = report.Collapses
 	res.RulesBroken, res.Broken = len(report.Violations), report.Violations
 	if r.took.TotalCount() > 0 {
 		res.P50 = float64(r.took.ValueAtQuantile(50)) / 1000
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -131,7 +131,7 @@
 		w.mu.Unlock()
 	}
 	version := s.roster.Version()
-	f := hollow.Check(events, version, digest(s.roster.At(version)), end, inForceWithin)
+	f := hollow.Check(events, hollow.FinalList{Version: version, Digest: digest(s.roster.At(version))}, end, inForceWithin)
 	took := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	for _, d := range f.Latencies {
 		took.RecordValue(max(d.Microseconds(), 1))
--- /dev/null
+++ b/internal/testbench/hollow/digest.go
@@ -0,0 +1,119 @@
+package hollow
+
+import (
+	"hash/fnv"
+	"slices"
+	"sync"
+
+	"cottonplank/decide"
+	"cottonplank/internal/core"
+	"cottonplank/internal/testbench/emulator"
+)
+
+// Digest returns the hash of one endpoint. The digest of a list is the XOR of those of its endpoints, so that it does
+// not depend on their order and is updated in constant time.
+func Digest(instance, address, zone string, state decide.State) uint64 {
+	hash := fnv.New64a()
+	for _, s := range []string{instance, address, zone} {
+		hash.Write([]byte(s))
+		hash.Write([]byte{0})
+	}
+	hash.Write([]byte{byte(state)})
+	return hash.Sum64()
+}
+
+func endpointDigest(e core.Endpoint) uint64 {
+	return Digest(e.Name, e.Address, e.Zone, e.State)
+}
+
+// endpointVersion returns the version of the list in which an emulated endpoint last changed.
+func endpointVersion(e core.Endpoint) int64 {
+	return e.Started.UnixMilli() - emulator.StartedAt
+}
+
+// sharedList is the history of the endpoint list, which all nodes of a process share to save memory.
+type sharedList struct {
+	mu sync.Mutex
+	// history holds the digests of each endpoint, by its name, in the order of versions.
+	history map[string][]versionedDigest
+	// initialDigest is the digest of the list that the nodes know at their start.
+	initialDigest uint64
+}
+
+// versionedDigest is the digest of an endpoint from a version on.
+type versionedDigest struct {
+	version int64
+	digest  uint64
+}
+
+// newSharedList returns a history that begins with the known endpoints at a version.
+func newSharedList(known []core.Endpoint, version int64) *sharedList {
+	s := &sharedList{history: make(map[string][]versionedDigest, len(known))}
+	for _, e := range known {
+		digest := endpointDigest(e)
+		s.history[e.Name] = []versionedDigest{{version, digest}}
+		s.initialDigest ^= digest
+	}
+	return s
+}
+
+// digestAt returns the digest of an endpoint at a version; 0 if the list did not have it. The caller holds mu.
+func (s *sharedList) digestAt(version int64, name string) (digest uint64) {
+	for _, entry := range s.history[name] {
+		if entry.version <= version {
+			digest = entry.digest
+		}
+	}
+	return digest
+}
+
+// record adds a change to the history; one that it has already makes no difference. The caller holds mu.
+func (s *sharedList) record(version int64, name string, digest uint64) {
+	entries := s.history[name]
+	i := len(entries)
+	for i > 0 && entries[i-1].version >= version {
+		i--
+	}
+	if i == len(entries) || entries[i].version != version {
+		s.history[name] = slices.Insert(entries, i, versionedDigest{version, digest})
+	}
+}
+
+// nodeList is the list of one node: the shared list at a version, except for the endpoints of which the node was told
+// something older afterwards.
+type nodeList struct {
+	version int64
+	// older holds the digests of the exceptions by the endpoint's name.
+	older  map[string]uint64
+	digest uint64
+}
+
+// applyDelta applies the change of one endpoint and records it in the shared list.
+func (l *nodeList) applyDelta(shared *sharedList, e core.Endpoint) {
+	version, digest := endpointVersion(e), endpointDigest(e)
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	before, ok := l.older[e.Name]
+	if !ok {
+		before = shared.digestAt(l.version, e.Name)
+	}
+	shared.record(version, e.Name, digest)
+	l.digest ^= before ^ digest
+	l.version = max(l.version, version)
+	delete(l.older, e.Name)
+	if shared.digestAt(l.version, e.Name) != digest {
+		if l.older == nil {
+			l.older = map[string]uint64{}
+		}
+		l.older[e.Name] = digest
+	}
+}
+
+// replace applies a full snapshot.
+func (l *nodeList) replace(endpoints []core.Endpoint) {
+	*l = nodeList{}
+	for _, e := range endpoints {
+		l.digest ^= endpointDigest(e)
+		l.version = max(l.version, endpointVersion(e))
+	}
+}
--- a/internal/testbench/hollow/messages_test.go
+++ b/internal/testbench/hollow/messages_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The lines between an experiment and its workers have fixed keys: TestMessageEncoding pins each message's bytes.
+// The keys of the messages between an experiment and its workers are fixed.
 func TestMessageEncoding(t *testing.T) {
 	event := Event{At: 1, Kind: VersionApplied, Node: 2, Version: 3, Snapshot: true, Digest: 5}
 	usage := &Usage{CPU: time.Second, Interval: 2 * time.Second, Running: 3, Connected: 4, ResidentMB: 1.5}
--- /dev/null
+++ b/internal/testbench/hollow/node_test.go
@@ -0,0 +1,111 @@
+package hollow
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+)
+
+// Nodes with and without full engines, started with and without a list, end with the list as it was published.
+func TestNodesConverge(t *testing.T) {
+	const nodes, changes = 5, 8
+	for _, fullEngine := range []bool{false, true} {
+		for _, known := range []bool{false, true} {
+			t.Run(fmt.Sprintf("full engine %v, known list %v", fullEngine, known), func(t *testing.T) {
+				f := startFleet(t, fleetOptions{nodes: nodes, endpoints: 50, fullEngine: fullEngine, known: known})
+				f.publishAndWait(t, changes)
+				for _, n := range f.nodes {
+					f.record(n.finalState())
+				}
+				want := FinalList{Version: 1 + changes, Digest: f.digest(1 + changes)}
+				got := Check(f.events, want, Now()+time.Hour, time.Minute)
+				if got.LostUpdates != 0 || got.Regressions != 0 || len(got.Latencies) != nodes*changes {
+					t.Errorf("%+v, want %d latencies alone", got, nodes*changes)
+				}
+			})
+		}
+	}
+}
+
+// The bytes and messages that an update costs a node do not grow with the list; those of a full snapshot grow in
+// proportion to it. This guards the results kb_per_s and control_mb_max: a cost that doubles fails.
+func TestUpdateCost(t *testing.T) {
+	const nodes = 10
+	sizes := []int{200, 400, 800}
+	for _, fullEngine := range []bool{false, true} {
+		for _, endpoints := range sizes {
+			t.Run(fmt.Sprintf("delta, full engine %v, %d endpoints", fullEngine, endpoints), func(t *testing.T) {
+				options := fleetOptions{nodes: nodes, endpoints: endpoints, fullEngine: fullEngine, known: true}
+				checkDeltaCost(t, startFleet(t, options))
+			})
+		}
+	}
+	for _, endpoints := range sizes {
+		t.Run(fmt.Sprintf("snapshot, %d endpoints", endpoints), func(t *testing.T) {
+			f := startFleet(t, fleetOptions{nodes: nodes, endpoints: endpoints})
+			f.publishAndWait(t, 1)
+			perEndpoint := float64(f.bytes()) / nodes / float64(endpoints)
+			if perEndpoint < 100 || perEndpoint > 200 { // about 125 for each line of the list
+				t.Errorf("%.0f bytes for each endpoint", perEndpoint)
+			} else {
+				t.Logf("%.0f bytes for each endpoint", perEndpoint)
+			}
+		})
+	}
+}
+
+// checkDeltaCost checks what an update costs each node of a fleet.
+func checkDeltaCost(t *testing.T, f *fleet) {
+	t.Helper()
+	const changes = 20
+	nodes := float64(len(f.nodes))
+	f.publishAndWait(t, 1)
+	bytesBefore, before := f.bytes(), f.server.Told()
+	f.publishAndWait(t, changes)
+	bytes, after := f.bytes()-bytesBefore, f.server.Told()
+	// An update is one message of about 170 bytes with its framing. The watch that the first poll starts, and
+	// heartbeats, may add to that.
+	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
+		t.Errorf("%.0f bytes for each update", perChange)
+	} else {
+		t.Logf("%.0f bytes for each update", perChange)
+	}
+	if perChange := float64(after.Messages-before.Messages) / nodes / changes; perChange < 1 || perChange > 1.5 {
+		t.Errorf("%.2f messages for each update", perChange)
+	}
+	if calls := after.Calls - before.Calls; calls > uint64(len(f.nodes)) {
+		t.Errorf("%d calls for updates", calls)
+	}
+}
+
+// liveHeap returns the size of the live objects in bytes.
+func liveHeap() float64 {
+	var m runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&m)
+	return float64(m.HeapAlloc)
+}
+
+// memoryPerEndpoint is what an endpoint takes in an engine and its own copy of the list, in bytes, as measured.
+const memoryPerEndpoint = 800
+
+// The memory of an engine is proportional to the number of endpoints. This guards the result control_mb_max against
+// a slope that doubles.
+func TestEngineMemory(t *testing.T) {
+	const nodes = 4
+	var sizes []float64
+	for _, endpoints := range []int{1000, 2000, 4000} {
+		before := liveHeap()
+		f := startFleet(t, fleetOptions{nodes: nodes, endpoints: endpoints, fullEngine: true, known: true})
+		f.publishAndWait(t, 2)
+		sizes = append(sizes, (liveHeap()-before)/nodes)
+	}
+	// Hash tables grow by doubling, so that the slope is taken over two doublings.
+	perEndpoint := (sizes[2] - sizes[0]) / 3000
+	if perEndpoint < memoryPerEndpoint*0.7 || perEndpoint > memoryPerEndpoint*1.4 {
+		t.Errorf("%.0f bytes for each endpoint of an engine, want about %d: %.0f", perEndpoint, memoryPerEndpoint, sizes)
+	}
+	t.Logf("%.0f bytes", sizes)
+}
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -8,129 +8,114 @@
 	"fmt"
 	"io"
 	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"cottonplank/internal/config"
 	"cottonplank/internal/core"
 	"cottonplank/internal/discovery/httpsource"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
-	tellEvery  = 100 * time.Millisecond
-	usageEvery = time.Second
-	longLine   = 16 << 20
+	// reportInterval is the time between two reports of events.
+	reportInterval = 100 * time.Millisecond
+	// usageInterval is the time between two reports of the consumption of resources.
+	usageInterval = time.Second
+	// maxLineBytes is the longest line that a worker reads.
+	maxLineBytes = 16 << 20
 )
 
-// Setup is what a worker is told first, on one line.
-type Setup struct {
-	KnownListPath string            `json:"Known"`    // path of the known list
-	ConfigPaths   map[string]string `json:"Settings"` // paths of a balancer's configuration, by zone
-	FullEngine    bool              `json:"Full"`     // each hollow balancer's module has the list
-}
-
-// Command is what a worker is told to do, on a line: start some, stop some, or tell how it ends.
-type Command struct {
-	Start  []NodeSpec `json:"Start"`
-	Stop   []int      `json:"Stop"`
-	Finish bool       `json:"End"`
-}
-
-// NodeSpec is one hollow balancer to start.
-type NodeSpec struct {
-	ID          int    `json:"Balancer"`
-	Zone        string `json:"Zone"`
-	Address     string `json:"Address"`
-	NoKnownList bool   `json:"Cold"` // without the known list
-}
-
-// Usage is what a worker's process costs: its processor time since the last one, and its resident memory.
-type Usage struct {
-	CPU        time.Duration `json:"CPU"`
-	Interval   time.Duration `json:"Over"`
-	Running    int           `json:"Hollow"` // that run
-	Connected  int           `json:"Begun"`  // whose watches have shown a sign of life
-	ResidentMB float64       `json:"RSS"`
-}
-
-// Report is a line that a worker says.
-type Report struct {
-	Events []Event `json:"Events,omitempty"`
-	Usage  *Usage  `json:"Usage,omitempty"`
-	Done   bool    `json:"Done,omitempty"` // with the answer to Order.End
-}
+// errNoSetup is returned when a worker's input ends before the setup.
+var errNoSetup = errors.New("worker: no setup")
 
+// worker runs nodes. The goroutine of RunWorker owns it, except for what mu guards.
 type worker struct {
-	setup    Setup
-	raw      []byte // the known list
-	known    []core.Endpoint
-	version  int64
-	shared   *sharedList
-	settings map[string]*config.Config
-	hollow   map[int]*node
-	cpu      time.Duration
-	at       time.Time
-
+	setup Setup
+	// knownRaw is the encoded list that nodes start with.
+	knownRaw []byte
+	// known is the same list, shared by the nodes without full engines.
+	known   []core.Endpoint
+	version int64
+	shared  *sharedList
+	configs map[string]*config.Config
+	nodes   map[int]*node
+	// lastCPU is the processor time at the last usage report.
+	lastCPU time.Duration
+	// lastUsage is when the usage was last reported.
+	lastUsage time.Time
+	out       *json.Encoder
+
+	// mu guards events.
 	mu     sync.Mutex
 	events []Event
-	out    *json.Encoder
 }
 
-// RunWorker runs hollow balancers as in tells, and says what they do, until in ends.
+// RunWorker runs hollow nodes as the commands that it reads from in say, and writes reports to out. It returns nil when
+// in ends, and an error if a command cannot be executed or ctx ends.
 func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longLine)
-	w := &worker{hollow: map[int]*node{}, settings: map[string]*config.Config{}, out: json.NewEncoder(out), at: time.Now()}
+	lines.Buffer(nil, maxLineBytes)
+	w := &worker{
+		configs:   map[string]*config.Config{},
+		nodes:     map[int]*node{},
+		lastUsage: time.Now(),
+		out:       json.NewEncoder(out),
+	}
 	if !lines.Scan() {
-		return errors.New("worker: no setup")
+		return errNoSetup
 	}
-	if err := w.open(lines.Bytes()); err != nil {
+	if err := w.setUp(lines.Bytes()); err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
-	orders := make(chan Command)
-	failed := make(chan error, 1)
-	go func() {
-		defer close(orders)
-		for lines.Scan() {
-			var o Command
-			if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
-				failed <- err
-				return
-			}
-			select {
-			case orders <- o:
-			case <-ctx.Done():
-				return
-			}
+	commands := make(chan Command)
+	invalid := make(chan error, 1)
+	go readCommands(ctx, lines, commands, invalid)
+	return w.run(ctx, commands, invalid)
+}
+
+// readCommands sends the commands that it reads until the input or ctx ends. It closes the channel then, after having
+// sent the error of a line that is not a command.
+func readCommands(ctx context.Context, lines *bufio.Scanner, commands chan<- Command, invalid chan<- error) {
+	defer close(commands)
+	for lines.Scan() {
+		var c Command
+		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
+			invalid <- err
+			return
+		}
+		select {
+		case commands <- c:
+		case <-ctx.Done():
+			return
 		}
-	}()
-	tell, usage := time.NewTicker(tellEvery), time.NewTicker(usageEvery)
-	defer tell.Stop()
-	defer usage.Stop()
+	}
+}
+
+// run executes commands and writes reports until the commands end.
+func (w *worker) run(ctx context.Context, commands <-chan Command, invalid <-chan error) error {
+	reports, usages := time.NewTicker(reportInterval), time.NewTicker(usageInterval)
+	defer reports.Stop()
+	defer usages.Stop()
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case o, ok := <-orders:
+		case c, ok := <-commands:
 			if !ok {
 				select {
-				case err = <-failed:
+				case err = <-invalid:
 				default:
 				}
 				return err
 			}
-			err = w.do(ctx, o)
-		case <-tell.C:
-			err = w.say(Report{})
-		case <-usage.C:
-			err = w.use()
+			err = w.execute(ctx, c)
+		case <-reports.C:
+			err = w.send(Report{})
+		case <-usages.C:
+			err = w.sendUsage()
 		}
 		if err != nil {
 			return fmt.Errorf("worker: %w", err)
@@ -138,82 +123,106 @@
 	}
 }
 
-func (w *worker) open(raw []byte) error {
-	if err := json.Unmarshal(raw, &w.setup); err != nil {
+// setUp reads the setup and the files that it names.
+func (w *worker) setUp(line []byte) error {
+	if err := json.Unmarshal(line, &w.setup); err != nil {
 		return err
 	}
-	list, err := os.ReadFile(w.setup.KnownListPath)
+	raw, err := os.ReadFile(w.setup.KnownListPath)
 	if err != nil {
 		return err
 	}
-	known, err := httpsource.DecodeListing(list)
+	known, err := httpsource.DecodeListing(raw)
 	if err != nil {
 		return err
 	}
-	w.raw, w.known, w.version = list, known.Endpoints, known.Generation
+	w.knownRaw, w.known, w.version = raw, known.Endpoints, known.Generation
 	w.shared = newSharedList(w.known, w.version)
 	for zone, path := range w.setup.ConfigPaths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if w.settings[zone], err = config.Parse(raw, func(string) string { return "" }); err != nil {
+		if w.configs[zone], err = config.Parse(raw, func(string) string { return "" }); err != nil {
 			return err
 		}
 	}
-	return w.use()
+	return w.sendUsage()
 }
 
-func (w *worker) do(ctx context.Context, o Command) error {
-	for _, s := range o.Start {
-		cfg := w.settings[s.Zone]
-		if cfg == nil {
-			return fmt.Errorf("zone %q has no settings", s.Zone)
-		}
-		settings := cfg.Settings
-		settings.Seed += uint64(s.ID)
-		h := &node{id: s.ID, fullEngine: w.setup.FullEngine, shared: w.shared, record: w.note}
-		known, version := w.known, w.version
-		if w.setup.FullEngine { // a copy of its own, as each process has one
-			own, err := httpsource.DecodeListing(w.raw)
-			if err != nil {
-				return err
-			}
-			known = own.Endpoints
-		}
-		if s.NoKnownList {
-			known, version = nil, 0
-		}
-		if err := startNode(ctx, h, core.Config{Settings: settings, ListPushed: cfg.ListPushed}, s.Address, known, version); err != nil {
+// execute executes a command.
+func (w *worker) execute(ctx context.Context, c Command) error {
+	for _, spec := range c.Start {
+		if err := w.start(ctx, spec); err != nil {
 			return err
 		}
-		w.hollow[s.ID] = h
 	}
-	var all sync.WaitGroup
-	for _, id := range o.Stop {
-		if h := w.hollow[id]; h != nil {
-			all.Go(h.stop)
-			delete(w.hollow, id)
+	w.stop(c.Stop)
+	if !c.Finish {
+		return nil
+	}
+	var nodes sync.WaitGroup
+	for _, n := range w.nodes {
+		nodes.Go(func() { w.record(n.finalState()) })
+	}
+	nodes.Wait()
+	return w.send(Report{Done: true})
+}
+
+// start starts a node.
+func (w *worker) start(ctx context.Context, spec NodeSpec) error {
+	cfg := w.configs[spec.Zone]
+	if cfg == nil {
+		return fmt.Errorf("zone %q has no settings", spec.Zone)
+	}
+	settings := cfg.Settings
+	settings.Seed += uint64(spec.ID)
+	start := nodeConfig{
+		engine:  core.Config{Settings: settings, ListPushed: cfg.ListPushed},
+		address: spec.Address,
+		known:   w.known,
+		version: w.version,
+	}
+	if w.setup.FullEngine {
+		// Each engine has a copy of its own, as each process would, so that the memory is comparable.
+		own, err := httpsource.DecodeListing(w.knownRaw)
+		if err != nil {
+			return err
 		}
+		start.known = own.Endpoints
 	}
-	all.Wait()
-	if !o.Finish {
-		return nil
+	if spec.NoKnownList {
+		start.known, start.version = nil, 0
+	}
+	n := &node{id: spec.ID, fullEngine: w.setup.FullEngine, shared: w.shared, record: w.record}
+	if err := startNode(ctx, n, start); err != nil {
+		return err
 	}
-	for _, h := range w.hollow {
-		all.Go(func() { w.note(h.finalState()) })
+	w.nodes[spec.ID] = n
+	return nil
+}
+
+// stop stops the running ones of the given nodes.
+func (w *worker) stop(ids []int) {
+	var nodes sync.WaitGroup
+	for _, id := range ids {
+		if n := w.nodes[id]; n != nil {
+			nodes.Go(n.stop)
+			delete(w.nodes, id)
+		}
 	}
-	all.Wait()
-	return w.say(Report{Done: true})
+	nodes.Wait()
 }
 
-func (w *worker) note(e Event) {
+// record adds an event to the next report. Nodes call it from their goroutines.
+func (w *worker) record(e Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, e)
 }
 
-func (w *worker) say(r Report) error {
+// send writes a report with the events since the last one, if it contains anything.
+func (w *worker) send(r Report) error {
 	w.mu.Lock()
 	r.Events, w.events = w.events, nil
 	w.mu.Unlock()
@@ -223,39 +232,23 @@
 	return w.out.Encode(r)
 }
 
-func (w *worker) use() error {
-	var ru unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &ru); err != nil {
+// sendUsage reports the consumption of resources since the last report.
+func (w *worker) sendUsage() error {
+	cpu, err := ownCPU()
+	if err != nil {
 		return err
 	}
-	cpu, at := time.Duration(ru.Utime.Nano()+ru.Stime.Nano()), time.Now()
-	rss, err := ResidentMemory(os.Getpid())
+	now := time.Now()
+	resident, err := ResidentMemory(os.Getpid())
 	if err != nil {
 		return err
 	}
-	u := Usage{CPU: cpu - w.cpu, Interval: at.Sub(w.at), Running: len(w.hollow), ResidentMB: rss}
-	for _, h := range w.hollow {
-		if h.connected() {
-			u.Connected++
+	usage := Usage{CPU: cpu - w.lastCPU, Interval: now.Sub(w.lastUsage), Running: len(w.nodes), ResidentMB: resident}
+	for _, n := range w.nodes {
+		if n.connected() {
+			usage.Connected++
 		}
 	}
-	w.cpu, w.at = cpu, at
-	return w.say(Report{Usage: &u})
-}
-
-// ResidentMemory is a process's resident memory, in MB.
-func ResidentMemory(pid int) (float64, error) {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
-	if err != nil {
-		return 0, err
-	}
-	fields := strings.Fields(string(raw))
-	if len(fields) < 2 {
-		return 0, fmt.Errorf("statm: %q", raw)
-	}
-	pages, err := strconv.ParseFloat(fields[1], 64)
-	if err != nil {
-		return 0, fmt.Errorf("statm: %w", err)
-	}
-	return pages * float64(os.Getpagesize()) / (1 << 20), nil
+	w.lastCPU, w.lastUsage = cpu, now
+	return w.send(Report{Usage: &usage})
 }
--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -25,6 +25,8 @@
 type Report struct {
 	// Violations describes each violation that concerns requests and room servers, one a string.
 	Violations []string
+	// Collapses counts the violations that are room servers overloaded while they warmed up.
+	Collapses int
 	// DoubleAttachments counts the attachments of a session that was attached already, or at an epoch used before.
 	DoubleAttachments int
 	// EpochRegressions counts the attachments at a lower epoch than an earlier one of the session.
@@ -106,6 +108,7 @@
 	case ReadyObserved:
 		delete(c.drains, observation{e.Balancer, e.Server})
 	case ServerCollapsed:
+		c.report.Collapses++
 		c.violated("%v: room server %s was overloaded while it warmed up", e.At, e.Server)
 	default:
 		c.addSessionEvent(e)
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -74,6 +74,7 @@
 	for name, v := range map[string]struct {
 		events      []Event
 		violation   string // part of its description; empty if there is none
+		collapses   int
 		double      int
 		regressions int
 		lost        int
@@ -123,7 +124,7 @@
 				started(time.Second, "a"), left(time.Second),
 			},
 		},
-		"server collapsed":      {events: []Event{{Kind: ServerCollapsed, Server: "a"}}, violation: "overloaded"},
+		"server collapsed":      {events: []Event{{Kind: ServerCollapsed, Server: "a"}}, violation: "overloaded", collapses: 1},
 		"attached at two":       {events: []Event{attached(1, "a"), attached(2, "b")}, double: 1},
 		"migrated":              {events: []Event{attached(1, "a"), detached("a"), attached(2, "b")}},
 		"attached at one epoch": {events: []Event{attached(1, "a"), detached("a"), attached(1, "b")}, double: 1},
@@ -145,6 +146,9 @@
 			if (violations == "") != (v.violation == "") || !strings.Contains(violations, v.violation) {
 				t.Errorf("violations %q, want %q", violations, v.violation)
 			}
+			if r.Collapses != v.collapses {
+				t.Errorf("%d collapses, want %d", r.Collapses, v.collapses)
+			}
 			if r.DoubleAttachments != v.double || r.EpochRegressions != v.regressions || r.LostSessions != v.lost {
 				t.Errorf("%+v, want %d double attachments, %d epoch regressions, %d lost sessions",
 					r, v.double, v.regressions, v.lost)
