--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -8,62 +8,69 @@
 	"time"
 )
 
-const maxDatagram = 64 << 10
+const maxDatagramBytes = 64 << 10
 
-// Datagrams carries datagrams one way, from whoever sends to its address to another one.
+// Datagrams forwards the UDP datagrams that arrive at its address to a target, in one direction.
 type Datagrams struct {
 	conn     *net.UDPConn
-	to       netip.AddrPort
+	target   netip.AddrPort
 	path     *Path
 	receiver sync.WaitGroup
 }
 
-// NewDatagrams opens an address, whose datagrams go to another one over a path.
-func NewDatagrams(listen, to netip.AddrPort, path *Path) (*Datagrams, error) {
+// NewDatagrams listens on an address and forwards its datagrams to the target, disturbed by the path, until Close.
+func NewDatagrams(listen, target netip.AddrPort, path *Path) (*Datagrams, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("datagram proxy: %w", err)
 	}
-	d := &Datagrams{conn: conn, to: to, path: path}
+	d := &Datagrams{conn: conn, target: target, path: path}
 	d.receiver.Go(d.forward)
 	return d, nil
 }
 
-// Close ends it.
+// Close stops forwarding. Datagrams that are delayed at this moment are lost.
 func (d *Datagrams) Close() {
 	d.conn.Close()
 	d.receiver.Wait()
 }
 
+// forward receives datagrams until the connection is closed.
 func (d *Datagrams) forward() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		now, _, _ := d.path.state()
-		if now.Cut || d.path.chance(now.Loss) {
-			continue
-		}
-		copies := 1
-		if d.path.chance(now.Duplicate) {
-			copies = 2
-		}
-		for range copies {
-			wait := now.Delay + d.path.randomDelay(now.Jitter)
-			if d.path.chance(now.Reorder) {
-				wait += reorderDelay
-			}
-			d.send(append([]byte(nil), buffer[:n]...), wait)
+		d.disturb(buffer[:n])
+	}
+}
+
+// disturb loses or sends a datagram as the path's conditions demand.
+func (d *Datagrams) disturb(datagram []byte) {
+	conditions, _, _ := d.path.current()
+	if conditions.Cut || d.path.chance(conditions.Loss) {
+		return
+	}
+	copies := 1
+	if d.path.chance(conditions.Duplicate) {
+		copies = 2
+	}
+	for range copies {
+		delay := conditions.Delay + d.path.randomDelay(conditions.Jitter)
+		if d.path.chance(conditions.Reorder) {
+			delay += reorderDelay
 		}
+		d.send(append([]byte(nil), datagram...), delay)
 	}
 }
 
-func (d *Datagrams) send(datagram []byte, wait time.Duration) {
-	if wait <= 0 {
-		d.conn.WriteToUDPAddrPort(datagram, d.to)
+// send sends a datagram after a delay.
+func (d *Datagrams) send(datagram []byte, delay time.Duration) {
+	if delay <= 0 {
+		d.conn.WriteToUDPAddrPort(datagram, d.target)
 		return
 	}
-	time.AfterFunc(wait, func() { d.conn.WriteToUDPAddrPort(datagram, d.to) }) // after Close it fails, and is lost
+	time.AfterFunc(delay, func() { d.conn.WriteToUDPAddrPort(datagram, d.target) })
 }
--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -1,5 +1,5 @@
-// Package faultproxy carries loopback connections and datagrams between the lab's processes, and disturbs them: it delays, loses,
-// duplicates, reorders, holds back or breaks what crosses it, each direction by itself.
+// Package faultproxy proxies TCP connections and UDP datagrams between the processes of a test on loopback and injects
+// faults: delay, limited bandwidth, loss, duplication, reordering and cuts, for each direction by itself.
 package faultproxy
 
 import (
@@ -10,34 +10,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Conditions disturb one direction between two places. The zero value disturbs nothing.
+// reorderDelay is the additional delay of a datagram that is reordered, during which others pass it.
+const reorderDelay = 40 * time.Millisecond
+
+// burstsPerSecond is the number of bursts into which the bandwidth of a second is divided.
+const burstsPerSecond = 10
+
+// Conditions are the faults of one direction between two places. The zero value injects none.
 type Conditions struct {
-	Cut       bool          // datagrams are lost, bytes of streams are held back until it ends
-	Loss      float64       // part of the datagrams that are lost, and of the streams that are refused; streams lose no bytes
-	Duplicate float64       // part of the datagrams that come twice
-	Reorder   float64       // part of the datagrams that come reorderLag later
-	Delay     time.Duration // of all
-	Jitter    time.Duration // of datagrams: up to this beside the delay
+	// Cut loses all datagrams, and holds back the bytes of streams until it ends.
+	Cut bool
+	// Loss is the probability that a datagram is lost or that a new stream is refused. Open streams lose nothing.
+	Loss float64
+	// Duplicate is the probability that a datagram is sent twice.
+	Duplicate float64
+	// Reorder is the probability that a datagram is delayed so much that later ones pass it.
+	Reorder float64
+	// Delay is added to the latency of datagrams and streams.
+	Delay time.Duration
+	// Jitter is the upper bound of the random delay that is added to the latency of datagrams.
+	Jitter time.Duration
 }
 
-// reorderDelay lets others pass a datagram that is reordered.
-const reorderDelay = 40 * time.Millisecond
-
-// Path is one direction between two places.
+// Path is one direction between two places. It is safe for concurrent use.
 type Path struct {
+	// mu guards all other fields.
 	mu         sync.Mutex
 	conditions Conditions
-	limit      *rate.Limiter // nil: as fast as it goes
-	changed    chan struct{} // closed with each change
-	rng        *rand.Rand
+	// limit bounds the bandwidth of streams; nil if it is unlimited.
+	limit *rate.Limiter
+	// changed is closed when the conditions change, and replaced by a new channel.
+	changed chan struct{}
+	rng     *rand.Rand
 }
 
-// NewPath returns an undisturbed one whose losses are drawn from the seed.
+// NewPath returns a path without faults; the seed determines its random choices.
 func NewPath(seed uint64) *Path {
 	return &Path{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Set changes the conditions for what comes from now on, and for the bytes of streams that are held back.
+// Set replaces the conditions. They apply to what arrives from now on, and to bytes of streams that are held back.
 func (p *Path) Set(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,24 +58,25 @@
 	p.changed = make(chan struct{})
 }
 
-// Limit bounds the bytes a second of streams; 0 ends that.
-func (p *Path) Limit(bytes float64) {
+// Limit bounds the bandwidth of streams, in bytes a second; 0 removes the limit.
+func (p *Path) Limit(bytesPerSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = nil
-	if bytes > 0 {
-		p.limit = rate.NewLimiter(rate.Limit(bytes), max(bufferSize, int(bytes/10)))
+	if bytesPerSecond > 0 {
+		burst := max(bufferSize, int(bytesPerSecond/burstsPerSecond))
+		p.limit = rate.NewLimiter(rate.Limit(bytesPerSecond), burst)
 	}
 }
 
-// state gives the conditions, and a channel that is closed when they change.
-func (p *Path) state() (Conditions, *rate.Limiter, <-chan struct{}) {
+// current returns the conditions, the bandwidth limit, and a channel that is closed when the conditions change.
+func (p *Path) current() (Conditions, *rate.Limiter, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conditions, p.limit, p.changed
 }
 
-// chance tells whether something happens that does so with this probability.
+// chance reports at random whether an event of the given probability happens.
 func (p *Path) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -73,12 +86,12 @@
 	return p.rng.Float64() < probability
 }
 
-// randomDelay is a random part of a span.
-func (p *Path) randomDelay(span time.Duration) time.Duration {
-	if span <= 0 {
+// randomDelay returns a random delay below the given bound.
+func (p *Path) randomDelay(bound time.Duration) time.Duration {
+	if bound <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.rng.Int64N(int64(span)))
+	return time.Duration(p.rng.Int64N(int64(bound)))
 }
--- /dev/null
+++ b/internal/testbench/faultproxy/port.go
@@ -0,0 +1,98 @@
+package faultproxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"sync/atomic"
+)
+
+// Port is a listener whose connections are proxied over a link.
+type Port struct {
+	// Balancer is the number that the port was opened with, for the link's target function.
+	Balancer int
+	// Address is the address to dial.
+	Address string
+
+	link     *Link
+	listener net.Listener
+	// goroutines counts those that Close waits for.
+	goroutines sync.WaitGroup
+	bytes      atomic.Uint64
+	accepted   atomic.Uint64
+}
+
+// Port opens a port for a balancer at a free address on loopback.
+func (l *Link) Port(balancer int) (*Port, error) {
+	return l.PortAt(balancer, "127.0.0.1:0")
+}
+
+// PortAt opens a port for a balancer at the given address.
+func (l *Link) PortAt(balancer int, address string) (*Port, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("link: %w", err)
+	}
+	p := &Port{Balancer: balancer, Address: listener.Addr().String(), link: l, listener: listener}
+	p.goroutines.Go(p.accept)
+	return p, nil
+}
+
+// Counts returns the number of bytes proxied, in both directions, and of connections accepted.
+func (p *Port) Counts() (bytes, accepted uint64) {
+	return p.bytes.Load(), p.accepted.Load()
+}
+
+// Close closes the port and its connections.
+func (p *Port) Close() {
+	p.listener.Close()
+	p.link.closePort(p)
+	p.goroutines.Wait()
+}
+
+// accept accepts connections until the listener is closed.
+func (p *Port) accept() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		p.goroutines.Go(func() { p.proxy(conn) })
+	}
+}
+
+// proxy connects a client to the link's target and copies both directions until one of them ends.
+func (p *Port) proxy(client net.Conn) {
+	defer client.Close()
+	p.accepted.Add(1)
+	conditions, _, _ := p.link.forward.current()
+	if p.link.forward.chance(conditions.Loss) || !p.link.add(client, p) {
+		return
+	}
+	defer p.link.remove(client)
+	address := p.link.target(p)
+	if address == "" {
+		return
+	}
+	server, err := net.Dial("tcp", address)
+	if err != nil {
+		return
+	}
+	defer server.Close()
+	if !p.link.add(server, p) {
+		return
+	}
+	defer p.link.remove(server)
+	ctx, cancel := context.WithCancel(context.Background())
+	// Half-closed connections are not proxied: those of the product have ended when one direction has.
+	end := func() {
+		cancel()
+		client.Close()
+		server.Close()
+	}
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(ctx, server, client, p.link.forward, end) })
+	directions.Go(func() { p.copy(ctx, client, server, p.link.back, end) })
+	directions.Wait()
+}
--- /dev/null
+++ b/internal/testbench/faultproxy/stream.go
@@ -0,0 +1,96 @@
+package faultproxy
+
+import (
+	"context"
+	"io"
+	"sync"
+	"time"
+)
+
+const (
+	// bufferSize is the size of a stream's read buffer in bytes, and the largest packet.
+	bufferSize = 4096
+	// maxQueuedPackets is how many packets of one direction may be delayed before reading stops.
+	maxQueuedPackets = 64
+)
+
+// packet is a part of a stream that was read at once.
+type packet struct {
+	data []byte
+	// due is when the packet is to be written; zero if it is not delayed.
+	due time.Time
+}
+
+// copy copies one direction of a connection over a path until it ends, and calls end then.
+func (p *Port) copy(ctx context.Context, to io.Writer, from io.Reader, path *Path, end func()) {
+	packets := make(chan packet, maxQueuedPackets)
+	var reader sync.WaitGroup
+	defer reader.Wait()
+	defer end()
+	reader.Go(func() { readPackets(ctx, from, path, packets) })
+	for next := range packets {
+		if !path.hold(ctx, next) {
+			return
+		}
+		p.bytes.Add(uint64(len(next.data)))
+		if _, err := to.Write(next.data); err != nil {
+			return
+		}
+	}
+}
+
+// readPackets reads a stream into packets until it or ctx ends, and closes the channel then.
+func readPackets(ctx context.Context, from io.Reader, path *Path, packets chan<- packet) {
+	defer close(packets)
+	buffer := make([]byte, bufferSize)
+	for {
+		n, err := from.Read(buffer)
+		if n > 0 {
+			conditions, _, _ := path.current()
+			next := packet{data: append([]byte(nil), buffer[:n]...)}
+			if conditions.Delay > 0 {
+				next.due = time.Now().Add(conditions.Delay)
+			}
+			select {
+			case packets <- next:
+			case <-ctx.Done():
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// hold waits until a packet may be written: its delay and any cut have ended and the bandwidth allows it. It reports
+// false if ctx ended first.
+func (p *Path) hold(ctx context.Context, next packet) bool {
+	if !next.due.IsZero() {
+		select {
+		case <-time.After(time.Until(next.due)):
+		case <-ctx.Done():
+			return false
+		}
+	}
+	if !p.waitWhileCut(ctx) {
+		return false
+	}
+	_, limit, _ := p.current()
+	return limit == nil || limit.WaitN(ctx, len(next.data)) == nil
+}
+
+// waitWhileCut waits for the end of a cut. It reports false if ctx ended first.
+func (p *Path) waitWhileCut(ctx context.Context) bool {
+	for {
+		conditions, _, changed := p.current()
+		if !conditions.Cut {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
--- a/internal/testbench/hollow/convergence_test.go
+++ b/internal/testbench/hollow/convergence_test.go
@@ -51,8 +51,11 @@
 		regressions int
 		latencies   []time.Duration
 	}{
-		"all applied":   {events: []Event{applied(110*ms, 2), applied(230*ms, 3), good}, latencies: inOrder},
-		"applied twice": {events: []Event{applied(110*ms, 2), applied(120*ms, 2), applied(230*ms, 3), good}, latencies: inOrder},
+		"all applied": {events: []Event{applied(110*ms, 2), applied(230*ms, 3), good}, latencies: inOrder},
+		"applied twice": {
+			events:    []Event{applied(110*ms, 2), applied(120*ms, 2), applied(230*ms, 3), good},
+			latencies: inOrder,
+		},
 		"one skipped":   {events: []Event{applied(230*ms, 3), good}, lost: 1, latencies: []time.Duration{130 * ms, 30 * ms}},
 		"in a snapshot": {events: []Event{snapshotApplied(230*ms, 3), good}, latencies: []time.Duration{130 * ms, 30 * ms}},
 		"regression": {
@@ -62,11 +65,16 @@
 		},
 		"a new process": {
 			events: []Event{
-				applied(110*ms, 2), applied(230*ms, 3), at(300*ms, NodeStarted, 1), applied(310*ms, 2), applied(311*ms, 3), good,
+				applied(110*ms, 2), applied(230*ms, 3),
+				at(300*ms, NodeStarted, 1), applied(310*ms, 2), applied(311*ms, 3), good,
 			},
 			latencies: inOrder,
 		},
-		"never applied": {events: []Event{applied(110*ms, 2), final(2, digest)}, lost: 1, latencies: []time.Duration{10 * ms}},
+		"never applied": {
+			events:    []Event{applied(110*ms, 2), final(2, digest)},
+			lost:      1,
+			latencies: []time.Duration{10 * ms},
+		},
 		"another list": {
 			events:    []Event{applied(110*ms, 2), applied(230*ms, 3), final(3, digest+1)},
 			lost:      1,
@@ -92,7 +100,8 @@
 		},
 		"latency since it is reachable": {
 			events: []Event{
-				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), at(900*ms, NodeReachable, 0), applied(950*ms, 3), good,
+				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0),
+				at(900*ms, NodeReachable, 0), applied(950*ms, 3), good,
 			},
 			latencies: []time.Duration{10 * ms, 50 * ms},
 		},
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -105,7 +105,8 @@
 	// Hash tables grow by doubling, so that the slope is taken over two doublings.
 	perEndpoint := (sizes[2] - sizes[0]) / 3000
 	if perEndpoint < memoryPerEndpoint*0.7 || perEndpoint > memoryPerEndpoint*1.4 {
-		t.Errorf("%.0f bytes for each endpoint of an engine, want about %d: %.0f", perEndpoint, memoryPerEndpoint, sizes)
+		t.Errorf("%.0f bytes for each endpoint of an engine, want about %d: %.0f",
+			perEndpoint, memoryPerEndpoint, sizes)
 	}
 	t.Logf("%.0f bytes", sizes)
 }
--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -129,7 +129,8 @@
 		r := c.requests[id]
 		if r.awaitsAnswer() && c.overdue(r, now) {
 			report.UnansweredRequests++
-			report.Violations = append(report.Violations, fmt.Sprintf("request %s was never answered by %s", id, r.balancer))
+			violation := fmt.Sprintf("request %s was never answered by %s", id, r.balancer)
+			report.Violations = append(report.Violations, violation)
 		}
 	}
 	return report
@@ -182,7 +183,8 @@
 func (c *Checker) clientLeft(e Event) {
 	r := c.request(e.Request)
 	if r.awaitsAnswer() && c.overdue(r, e.At) {
-		c.violated("%v: request %s had no answer from %s %v after its deadline", e.At, e.Request, r.balancer, e.At-r.deadline)
+		c.violated("%v: request %s had no answer from %s %v after its deadline",
+			e.At, e.Request, r.balancer, e.At-r.deadline)
 		c.report.UnansweredRequests++
 	}
 	r.excused = true
