--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -86,10 +86,10 @@
 	return out.Encode(l) == nil
 }
 
-// Set puts a room server into a lifecycle and tells all watches at once.
-func (d *Discovery) Set(r *RoomServer, zone, lifecycle string) {
+// SetLifecycle puts a room server into a lifecycle and tells all watches at once.
+func (d *Discovery) SetLifecycle(r *RoomServer, zone, lifecycle string) {
 	d.Put(Entry{Instance: r.Name(), Address: r.Address(), Zone: zone, Lifecycle: lifecycle, Weight: 1,
-		Started: r.startedMs()})
+		Started: r.startedMillis()})
 }
 
 // Put sets lines of the list that belong to no Room, as one version, and tells all watches at once.
--- a/internal/testbench/emulator/list_server.go
+++ b/internal/testbench/emulator/list_server.go
@@ -69,11 +69,11 @@
 	return append(raw, '\n')
 }
 
-// Encoded counts the lists and changes encoded so far.
-func (r *EndpointTable) Encoded() uint64 { return r.encoded.Load() }
+// Encodings counts the lists and changes encoded so far.
+func (r *EndpointTable) Encodings() uint64 { return r.encoded.Load() }
 
-// At is the list of a version, with the entries in one order whatever the version.
-func (r *EndpointTable) At(v int64) []Entry {
+// Entries is the list of a version, with the entries in one order whatever the version.
+func (r *EndpointTable) Entries(v int64) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at(v)
@@ -137,8 +137,8 @@
 	return &ListServer{roster: r, version: 1, changed: make(chan struct{})}
 }
 
-// Reach tells that the list up to a version has reached the source; it never goes back.
-func (s *ListServer) Reach(v int64) {
+// AdvanceTo tells that the list up to a version has reached the source; it never goes back.
+func (s *ListServer) AdvanceTo(v int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v > s.version {
@@ -201,12 +201,14 @@
 	return nil
 }
 
-// Told is what a source has done so far: calls taken, messages written, which are lists, changes and empty lines, and
+// ListTraffic is what a source has done so far: calls taken, messages written, which are lists, changes and empty lines, and
 // their bytes.
-type Told struct{ Calls, Messages, Bytes uint64 }
+type ListTraffic struct{ Calls, Messages, Bytes uint64 }
 
-// Told counts it.
-func (s *ListServer) Told() Told { return Told{s.calls.Load(), s.messages.Load(), s.bytes.Load()} }
+// Traffic counts it.
+func (s *ListServer) Traffic() ListTraffic {
+	return ListTraffic{s.calls.Load(), s.messages.Load(), s.bytes.Load()}
+}
 
 func (s *ListServer) now() (int64, <-chan struct{}) {
 	s.mu.Lock()
@@ -230,7 +232,7 @@
 	watch := req.URL.Query().Get("watch") != ""
 	if err != nil || from <= 0 || from > to || !watch {
 		from = to
-		if !write(s.roster.Snapshot(from), func() []Entry { return s.roster.At(from) }) || !watch {
+		if !write(s.roster.Snapshot(from), func() []Entry { return s.roster.Entries(from) }) || !watch {
 			return
 		}
 	} else if from == to && !write(fmt.Appendf(nil, "{\"generation\":%d,\"reset\":false,\"instances\":[]}\n", from), nil) {
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -78,7 +78,7 @@
 		}
 		watches = append(watches, next)
 	}
-	before := roster.Encoded()
+	before := roster.Encodings()
 	change := entries(3)[1]
 	change.Lifecycle = "leaving"
 	for v := int64(2); v <= 4; v++ {
@@ -89,8 +89,8 @@
 	if l := whole(address); l.Generation != 1 {
 		t.Errorf("it tells what has not reached it: %+v", l)
 	}
-	s.Reach(3)
-	s.Reach(2) // late
+	s.AdvanceTo(3)
+	s.AdvanceTo(2) // late
 	for _, next := range watches {
 		for v := int64(2); v <= 3; v++ {
 			if l, ok := next(); !ok || l.Generation != v || len(l.Instances) != 1 || l.Instances[0].Started != StartedAt+v || l.Instances[0].Lifecycle != "leaving" {
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	if n := roster.Encoded() - before; n != 3 {
+	if n := roster.Encodings() - before; n != 3 {
 		t.Errorf("%d encodings for 3 changes and 50 watches", n)
 	}
 	if l, ok := read(t, address, "?watch=1&from=2")(); !ok || l.Generation != 3 {
@@ -139,23 +139,23 @@
 			next()
 			all = append(all, next)
 		}
-		before, encoded := s.Told(), roster.Encoded()
+		before, encoded := s.Traffic(), roster.Encodings()
 		for range changes {
-			s.Reach(roster.Publish(entries(n)[0]))
+			s.AdvanceTo(roster.Publish(entries(n)[0]))
 		}
 		for _, next := range all {
 			for range changes {
 				next()
 			}
 		}
-		after := s.Told()
+		after := s.Traffic()
 		if got := after.Messages - before.Messages; got < watches*changes || got > watches*changes+2*watches { // an empty line every 2 s
 			t.Errorf("%d servers: %d messages for %d changes to %d watches", n, got, changes, watches)
 		}
 		if got := after.Bytes - before.Bytes; got > watches*changes*200 {
 			t.Errorf("%d servers: %d bytes for %d changes to %d watches", n, got, changes, watches)
 		}
-		if got := roster.Encoded() - encoded; got != changes {
+		if got := roster.Encodings() - encoded; got != changes {
 			t.Errorf("%d servers: %d encodings for %d changes", n, got, changes)
 		}
 		s.Stop()
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -12,9 +12,11 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-func opens(t *testing.T, r *RoomServer, id int) (net.Conn, string) {
+// openRequest sends a request to a room server and returns the connection and the first line of the answer; empty if
+// there is none.
+func openRequest(t *testing.T, server *RoomServer, id int) (net.Conn, string) {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.Address())
+	conn, err := net.Dial("tcp", server.Address())
 	if err != nil {
 		return nil, ""
 	}
@@ -25,57 +27,71 @@
 	return conn, line
 }
 
-// A full room server turns clients away, tells its loads, and one that drains sends all away. Guards runs against a stand-in
-// that takes whatever comes.
-func TestRoom(t *testing.T) {
-	r, err := NewRoomServer(RoomServerConfig{Name: "s-1", Capacity: 2, Load: 500})
+// A saturated room server rejects requests and reports its load, and a draining one tells its clients to move and
+// rejects new ones.
+func TestRoomServer(t *testing.T) {
+	server, err := NewRoomServer(RoomServerConfig{Name: "s-1", Capacity: 2, LoadMicros: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Stop()
-	first, line := opens(t, r, 1)
+	defer server.Stop()
+	first, line := openRequest(t, server, 1)
 	if !strings.HasPrefix(line, "UP s-1-") {
 		t.Fatalf("read %q", line)
 	}
-	opens(t, r, 2)
-	if _, line := opens(t, r, 3); line != "BUSY\r\n" || r.Open() != 2 {
-		t.Errorf("full: %q, %d open", line, r.Open())
+	openRequest(t, server, 2)
+	if _, line := openRequest(t, server, 3); line != "BUSY\r\n" || server.Established() != 2 {
+		t.Errorf("saturated: %q, %d established", line, server.Established())
 	}
-	conn, _ := net.Dial("tcp", r.Address())
+	conn, _ := net.Dial("tcp", server.Address())
 	defer conn.Close()
 	io.WriteString(conn, "STATS\r\n")
 	if line, _ := bufio.NewReader(conn).ReadString('\n'); line != "PONG qps=0,inflight=2,x0=1.000\r\n" {
-		t.Errorf("STATS brings %q", line)
+		t.Errorf("load report %q", line)
 	}
-	r.Drain()
+	server.Drain()
 	if rest, _ := io.ReadAll(first); !strings.HasSuffix(string(rest), "MOVE\r\n") {
-		t.Errorf("drained: %q", rest)
+		t.Errorf("draining: %q", rest)
 	}
-	if _, line := opens(t, r, 4); line != "BUSY\r\n" {
-		t.Errorf("while it drains: %q", line)
+	if _, line := openRequest(t, server, 4); line != "BUSY\r\n" {
+		t.Errorf("while draining: %q", line)
 	}
 }
 
-// A cold room server that is sent too much falls, and the checker hears of it; a warm one bears the same.
-func TestColdStart(t *testing.T) {
-	for _, v := range []struct {
-		cold  time.Duration
-		falls int
-	}{{time.Hour, 1}, {time.Nanosecond, 0}} {
-		recorder := invariants.NewRecorder(invariants.Figures{})
-		r, err := NewRoomServer(RoomServerConfig{Name: "s-1", Setups: 10, ColdShare: 0.3, ColdFor: v.cold, FallMultiple: 4, Recorder: recorder})
-		if err != nil {
-			t.Fatal(err)
-		}
-		for id := range 14 { // 0.3 * 10 * 4 is 12 within a second
-			opens(t, r, id)
-		}
-		if v.falls > 0 { // one that comes before the listener is closed, as the 14th may or may not
-			(&roomConn{room: r}).open("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=solo-play,d=900")
-		}
-		r.Stop()
-		if broken := recorder.Report().Violations; len(broken) != v.falls {
-			t.Errorf("cold for %v: %v", v.cold, broken)
-		}
+// A room server that is overloaded while it warms up collapses, and the invariants report it; a warm one does not.
+func TestWarmup(t *testing.T) {
+	for name, v := range map[string]struct {
+		warmup    time.Duration
+		collapses int
+	}{
+		"warming up": {time.Hour, 1},
+		"warm":       {time.Nanosecond, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			recorder := invariants.NewRecorder(invariants.Figures{})
+			server, err := NewRoomServer(RoomServerConfig{
+				Name:           "s-1",
+				SetupRate:      10,
+				WarmupShare:    0.3,
+				WarmupTime:     v.warmup,
+				CollapseFactor: 4,
+				Recorder:       recorder,
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			for id := range 14 { // 0.3 * 10 * 4 is 12 within a second
+				openRequest(t, server, id)
+			}
+			if v.collapses > 0 {
+				// Another request after the collapse, as the 14th is if it comes before the listener is closed.
+				(&roomConn{server: server}).open("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=solo-play,d=900")
+			}
+			server.Stop()
+			report := recorder.Report()
+			if len(report.Violations) != v.collapses || report.Collapses != v.collapses {
+				t.Errorf("%d collapses, want %d: %v", report.Collapses, v.collapses, report.Violations)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/testbench/emulator/room_session.go
@@ -0,0 +1,245 @@
+package emulator
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"strconv"
+	"time"
+
+	"cottonplank/internal/session/arbiter"
+	"cottonplank/internal/session/protocol"
+	"cottonplank/internal/testbench/invariants"
+)
+
+// positionBytes is the size of the position at the start of a session's state.
+const positionBytes = 8
+
+// openSession answers a first line with a session.
+func (c *roomConn) openSession(session protocol.Open) bool {
+	c.session = &session
+	switch session.Mode {
+	case protocol.ModeNew:
+		return c.createSession(session)
+	case protocol.ModeReattach:
+		return c.reattachSession(session)
+	}
+	return c.importSession(session)
+}
+
+// createSession starts a new session. Without one, for lack of space, the connection is established all the same.
+func (c *roomConn) createSession(session protocol.Open) bool {
+	s, now := c.server, time.Now()
+	s.mu.Lock()
+	created := s.arbiter.Create(now, session.Ref, c.id)
+	if created {
+		s.arbiter.SaveState(c.id, session.Ref.Session, 0, c.encodeState(0))
+		c.sessionAttached(session.Ref.Epoch, 0)
+	}
+	s.mu.Unlock()
+	if !created {
+		c.session = nil
+		return c.establish("")
+	}
+	return c.establish(protocol.KeptLine(session.Ref.Epoch, 0))
+}
+
+// reattachSession offers a session that the server has kept. If the arbiter does not grant it, the balancer may send
+// another first line on this connection.
+func (c *roomConn) reattachSession(session protocol.Open) bool {
+	s, now := c.server, time.Now()
+	s.mu.Lock()
+	answer := s.arbiter.Reattach(now, session.Ref, session.Next, session.ViaRedirect, c.id)
+	s.closeDisplaced(answer.Displaced)
+	if answer.Verdict == arbiter.Granted {
+		c.epoch, c.position = answer.Ref.Epoch, answer.Position
+	}
+	s.mu.Unlock()
+	if answer.Verdict != arbiter.Granted {
+		return c.writeLine(protocol.AnswerLine(answer))
+	}
+	return c.writeLine(protocol.HeldLine(answer.Ref.Epoch, answer.Position))
+}
+
+// importSession receives the state of a session from another server.
+func (c *roomConn) importSession(session protocol.Open) bool {
+	s, now := c.server, time.Now()
+	if !c.writeLine(protocol.ReadyLine) {
+		return false
+	}
+	state := make([]byte, session.Size)
+	if _, err := io.ReadFull(c.reader, state); err != nil {
+		return false
+	}
+	s.mu.Lock()
+	prepared := s.arbiter.Prepare(now, session.Ref, session.Position, state, c.id)
+	c.epoch, c.position = session.Ref.Epoch, session.Position
+	s.mu.Unlock()
+	if !prepared {
+		return c.endAttempt(answerBusy)
+	}
+	return c.writeLine(protocol.HeldLine(session.Ref.Epoch, session.Position))
+}
+
+// activateSession attaches a reattached or imported session, and establishes the connection.
+func (c *roomConn) activateSession() bool {
+	s := c.server
+	if c.session == nil || c.established || s.faults.Load().LoseGo {
+		return false
+	}
+	s.mu.Lock()
+	activated := c.session.Mode == protocol.ModeReattach ||
+		s.arbiter.Activate(time.Now(), c.id, c.session.Ref.Session)
+	if activated {
+		c.sessionAttached(c.epoch, c.position)
+	}
+	s.mu.Unlock()
+	return activated && c.establish(protocol.KeptLine(c.epoch, c.position))
+}
+
+// sessionAttached records that the client plays here. The caller holds the server's mu, so that events are recorded in
+// the order of the arbiter's decisions.
+func (c *roomConn) sessionAttached(epoch, position uint64) {
+	c.epoch, c.position, c.playing = epoch, position, true
+	c.server.cfg.Recorder.Add(invariants.Event{
+		Kind:    invariants.SessionAttached,
+		Session: c.session.Ref.Session.String(),
+		Epoch:   epoch,
+		Server:  c.server.cfg.Name,
+	})
+}
+
+// sessionDetached records that the client no longer plays here, if it did. The caller holds the server's mu.
+func (c *roomConn) sessionDetached() {
+	if !c.playing {
+		return
+	}
+	c.playing = false
+	c.server.cfg.Recorder.Add(invariants.Event{
+		Kind:    invariants.SessionDetached,
+		Session: c.session.Ref.Session.String(),
+		Server:  c.server.cfg.Name,
+	})
+}
+
+// encodeState returns a session's state at a position: the position, and padding up to the configured size.
+func (c *roomConn) encodeState(position uint64) []byte {
+	state := make([]byte, max(c.server.cfg.State, positionBytes))
+	binary.BigEndian.PutUint64(state, position)
+	return state
+}
+
+// confirmToken confirms that the client has received its token, and answers with the session's position.
+func (c *roomConn) confirmToken() bool {
+	s := c.server
+	s.mu.Lock()
+	if c.session != nil {
+		s.arbiter.ConfirmToken(c.id, c.session.Ref.Session)
+	}
+	position := c.position
+	s.mu.Unlock()
+	return c.writeLine(protocol.PositionLine(position))
+}
+
+// makeMove makes a move of the game if it is the next one, and answers with the position. It reports false, without an
+// acknowledgement, if the connection has lost its session.
+func (c *roomConn) makeMove(text string) bool {
+	move, err := strconv.ParseUint(text, 10, 64)
+	position, ok := c.saveMove(move, err == nil)
+	return ok && c.writeLine(protocol.PositionLine(position))
+}
+
+// saveMove saves a valid move that is the next one. It returns the position after it, and reports false if the
+// connection has lost its session.
+func (c *roomConn) saveMove(move uint64, valid bool) (position uint64, ok bool) {
+	s := c.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !valid || move != c.position+1 {
+		return c.position, true
+	}
+	if c.session != nil {
+		s.arbiter.ConfirmToken(c.id, c.session.Ref.Session)
+		if !s.arbiter.SaveState(c.id, c.session.Ref.Session, move, c.encodeState(move)) {
+			return 0, false
+		}
+	}
+	c.position = move
+	return c.position, true
+}
+
+// endSession ends the session at the end of the game.
+func (c *roomConn) endSession() {
+	if c.session != nil {
+		c.server.mu.Lock()
+		c.server.arbiter.End(time.Now(), c.id, c.session.Ref.Session)
+		c.server.mu.Unlock()
+	}
+	c.writeLine(endOfGame)
+}
+
+// exportSession sends the state of a session to a balancer.
+func (c *roomConn) exportSession(line string) bool {
+	s, faults := c.server, c.server.faults.Load()
+	export, err := protocol.ParseExport(line)
+	if err != nil {
+		c.writeLine(answerSyntax)
+		return false
+	}
+	if faults.StallExport {
+		return true
+	}
+	c.session = &protocol.Open{Ref: export.Ref}
+	now := time.Now()
+	s.mu.Lock()
+	answer := s.arbiter.Export(now, export.Ref, export.Claim, now.Add(export.ClaimFor), export.MaxState,
+		export.ViaRedirect, c.id)
+	s.closeDisplaced(answer.Displaced)
+	s.mu.Unlock()
+	if answer.Verdict != arbiter.Granted {
+		return c.writeLine(protocol.AnswerLine(answer))
+	}
+	return c.sendState(answer, faults)
+}
+
+// sendState sends an exported state, spoiled as the faults demand.
+func (c *roomConn) sendState(answer arbiter.Answer, faults *Faults) bool {
+	line, state := protocol.AnswerLine(answer), answer.State
+	if faults.HalfExport {
+		state = state[:len(state)/2]
+	}
+	if faults.SmallState {
+		line = fmt.Sprintf("STATE %d %d %d", answer.Ref.Epoch, answer.Position, len(state)+1)
+	}
+	if !c.writeLine(line) {
+		return false
+	}
+	c.writes.Lock()
+	_, err := c.conn.Write(state)
+	c.writes.Unlock()
+	return err == nil && !faults.HalfExport && !faults.SmallState
+}
+
+// commitExport releases a session that was exported.
+func (c *roomConn) commitExport(line string) bool {
+	s, faults := c.server, c.server.faults.Load()
+	commit, err := protocol.ParseCommit(line)
+	if err != nil {
+		c.writeLine(answerSyntax)
+		return false
+	}
+	if faults.StallCommit {
+		s.stalledCommits.Add(1)
+		return true
+	}
+	s.mu.Lock()
+	done := s.arbiter.Commit(time.Now(), commit.Session, commit.Claim, commit.To)
+	s.mu.Unlock()
+	if faults.LoseCommit {
+		return false
+	}
+	if done {
+		return c.writeLine(protocol.CommitDone)
+	}
+	return c.writeLine(protocol.CommitRefused)
+}
--- a/internal/testbench/experiment/members.go
+++ b/internal/testbench/experiment/members.go
@@ -377,11 +377,11 @@
 // addCold starts a room server that is cold.
 func (r *run) addCold(setups float64) error {
 	room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
-		Setups: setups, ColdShare: coldShare, ColdFor: coldFor, FallMultiple: fallMultiple})
+		SetupRate: setups, WarmupShare: coldShare, WarmupTime: coldFor, CollapseFactor: fallMultiple})
 	if err != nil {
 		return err
 	}
 	r.rooms = append(r.rooms, room)
-	r.discovery.Set(room, "a", "active")
+	r.discovery.SetLifecycle(room, "a", "active")
 	return nil
 }
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -64,7 +64,7 @@
 	alive     []bool
 	keys      keys
 	players   []*emulator.Player
-	tally     emulator.Tally
+	tally     emulator.Statistics
 	lagging   sync.WaitGroup
 	killed    map[string]bool // by kill -9
 	ended     map[string]bool // processes that did not live throughout
@@ -90,7 +90,7 @@
 			return err
 		}
 		r.rooms = append(r.rooms, room)
-		r.discovery.Set(room, "a", "active")
+		r.discovery.SetLifecycle(room, "a", "active")
 	}
 	if err := r.keys.add(); err != nil {
 		return err
@@ -179,7 +179,7 @@
 }
 
 func (r *run) play(ctx context.Context) error {
-	r.tally.Resume = func(d time.Duration) {
+	r.tally.OnResumed = func(d time.Duration) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.took.RecordValue(max(d.Microseconds(), 1))
@@ -187,12 +187,12 @@
 			r.result.ResumedWithin++
 		}
 	}
-	r.tally.Why = func(reason string) {
+	r.tally.OnStartedOver = func(reason string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.result.Reasons[reason]++
 	}
-	r.tally.BrokeAt = func(name string) {
+	r.tally.OnBroken = func(name string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.broke[name]++
@@ -200,8 +200,8 @@
 	playing, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
-	cfg := emulator.PlayerConfig{Front: r.front, Recorder: r.recorder, Class: "solo-play", Tenant: "lab", Tokens: r.e.Tokens,
-		Patience: millis(r.e.Patience), Life: time.Duration(r.e.Life * float64(time.Second)), Every: millis(r.e.Every), Tally: &r.tally}
+	cfg := emulator.PlayerConfig{FrontLayer: r.front, Recorder: r.recorder, Class: "solo-play", Tenant: "lab", ResumesSessions: r.e.Tokens,
+		ClientTimeout: millis(r.e.Patience), MeanGame: time.Duration(r.e.Life * float64(time.Second)), MoveInterval: millis(r.e.Every), Statistics: &r.tally}
 	for i := range r.e.Sessions {
 		p := emulator.NewPlayer(cfg, r.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/r.e.Group))
 		r.players = append(r.players, p)
@@ -310,14 +310,14 @@
 	switch t.Do {
 	case "drain":
 		room := r.rooms[t.Room]
-		r.later(r.e.RollLag, func() { r.discovery.Set(room, "a", "leaving") })
+		r.later(r.e.RollLag, func() { r.discovery.SetLifecycle(room, "a", "leaving") })
 		room.Drain()
 	case "return":
-		r.rooms[t.Room].Return()
-		r.later(r.e.RollLag, func() { r.discovery.Set(r.rooms[t.Room], "a", "active") })
+		r.rooms[t.Room].EndDrain()
+		r.later(r.e.RollLag, func() { r.discovery.SetLifecycle(r.rooms[t.Room], "a", "active") })
 	case "crash":
 		room := r.rooms[t.Room]
-		r.later(r.e.RollLag, func() { r.discovery.Set(room, "a", "left") })
+		r.later(r.e.RollLag, func() { r.discovery.SetLifecycle(room, "a", "left") })
 		room.Stop()
 	case "kill":
 		if r.alive[t.Balancer] {
@@ -382,10 +382,10 @@
 func (r *run) progress(at time.Duration) {
 	open := 0
 	for _, room := range r.rooms {
-		open += room.Open()
+		open += room.Established()
 	}
 	r.say(fmt.Sprintf("%4.0f s  %d of %d play, %d moved, %d resumed, %d started over", at.Seconds(), open, r.e.Sessions,
-		r.tally.Moved.Load()+r.tally.Broke.Load(), r.tally.Resumed.Load(), r.tally.StartedOver.Load()))
+		r.tally.Migrated.Load()+r.tally.Broken.Load(), r.tally.Resumed.Load(), r.tally.StartedOver.Load()))
 }
 
 // finish reads the counts off.
@@ -394,12 +394,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &r.result
-	res.Moved = int(r.tally.Moved.Load() + r.tally.Broke.Load())
+	res.Moved = int(r.tally.Migrated.Load() + r.tally.Broken.Load())
 	res.Resumed, res.StartedOver = int(r.tally.Resumed.Load()), int(r.tally.StartedOver.Load())
-	res.Refused, res.Failed = int(r.tally.Refused.Load()), int(r.tally.Failed.Load())
-	res.Raced, res.RacedUp = int(r.tally.Raced.Load()), int(r.tally.RacedUp.Load())
-	res.Replays, res.ReplaysUp = int(r.tally.Replays.Load()), int(r.tally.ReplaysUp.Load())
-	res.Instances, res.Over = r.e.Balancers, int(r.tally.Over.Load())
+	res.Refused, res.Failed = int(r.tally.Rejected.Load()), int(r.tally.Failed.Load())
+	res.Raced, res.RacedUp = int(r.tally.RacedTokens.Load()), int(r.tally.RacesWon.Load())
+	res.Replays, res.ReplaysUp = int(r.tally.ReplayedTokens.Load()), int(r.tally.ReplaysAccepted.Load())
+	res.Instances, res.Over = r.e.Balancers, int(r.tally.GamesEnded.Load())
 	res.Answers, res.LostAnswers = int(r.tally.Answers.Load()), report.UnansweredRequests
 	for name, n := range r.broke {
 		if !r.killed[name] {
--- a/internal/testbench/experiment/scale.go
+++ b/internal/testbench/experiment/scale.go
@@ -70,7 +70,7 @@
 	changes  *rand.Rand
 	recorder *invariants.Recorder
 	front    *emulator.FrontLayer
-	tally    emulator.Tally
+	tally    emulator.Statistics
 	result   ScaleResult
 
 	rooms   []*emulator.RoomServer // that exist
@@ -117,8 +117,8 @@
 	playing, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
-	cfg := emulator.PlayerConfig{Front: s.front, Recorder: s.recorder, Class: "solo-play", Tenant: "lab", Patience: 2 * time.Second,
-		Every: 500 * time.Millisecond, Life: 3 * time.Second, Tally: &s.tally}
+	cfg := emulator.PlayerConfig{FrontLayer: s.front, Recorder: s.recorder, Class: "solo-play", Tenant: "lab", ClientTimeout: 2 * time.Second,
+		MoveInterval: 500 * time.Millisecond, MeanGame: 3 * time.Second, Statistics: &s.tally}
 	for i := range s.e.Sessions {
 		p := emulator.NewPlayer(cfg, s.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/4))
 		all.Go(func() { p.Play(playing) })
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -25,7 +25,7 @@
 		if s.drained[i] = !s.drained[i]; s.drained[i] {
 			s.rooms[i].Drain()
 		} else {
-			s.rooms[i].Return()
+			s.rooms[i].EndDrain()
 		}
 	}
 	s.mu.Lock()
@@ -55,7 +55,7 @@
 			parted := s.parted[region]
 			s.mu.Unlock()
 			if !parted {
-				source.Reach(v)
+				source.AdvanceTo(v)
 			}
 		}
 		if region == 0 {
--- a/internal/testbench/experiment/scale_compare.go
+++ b/internal/testbench/experiment/scale_compare.go
@@ -185,7 +185,7 @@
 		if one.Lifecycle = "leaving"; n/len(entries)%2 == 1 {
 			one.Lifecycle = "active"
 		}
-		source.Reach(roster.Publish(one))
+		source.AdvanceTo(roster.Publish(one))
 	}
 	real2, hollow2, err := read()
 	if err != nil {
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -131,7 +131,7 @@
 		w.mu.Unlock()
 	}
 	version := s.roster.Version()
-	f := hollow.Check(events, hollow.FinalList{Version: version, Digest: digest(s.roster.At(version))}, end, inForceWithin)
+	f := hollow.Check(events, hollow.FinalList{Version: version, Digest: digest(s.roster.Entries(version))}, end, inForceWithin)
 	took := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	for _, d := range f.Latencies {
 		took.RecordValue(max(d.Microseconds(), 1))
@@ -144,10 +144,10 @@
 	r.KBMean, r.KB, r.KBMost = s.kb[0].Mean()/kb, float64(s.kb[0].ValueAtQuantile(99))/kb, float64(s.kb[0].Max())/kb
 	r.RealKB = s.kb[1].Mean() / kb
 	for _, source := range s.sources {
-		t := source.Told()
+		t := source.Traffic()
 		r.Calls, r.Messages = r.Calls+t.Calls, r.Messages+t.Messages
 	}
-	r.Encoded = s.roster.Encoded()
+	r.Encoded = s.roster.Encodings()
 	report := s.recorder.Report()
 	r.Answers, r.LostAns, r.Rules, r.Broken = int(s.tally.Answers.Load()), report.UnansweredRequests, len(report.Violations), slices.Concat(report.Violations, f.Violations)
 	r.Missed = r.missed()
--- a/internal/testbench/hollow/fleet_test.go
+++ b/internal/testbench/hollow/fleet_test.go
@@ -149,7 +149,7 @@
 		}
 		version := f.table.Publish(e)
 		f.record(Event{At: Now(), Kind: VersionPublished, Version: version})
-		f.server.Reach(version)
+		f.server.AdvanceTo(version)
 	}
 	f.wait(t, func() bool {
 		for _, n := range f.nodes {
@@ -172,7 +172,7 @@
 
 // digest returns the digest of a version of the list.
 func (f *fleet) digest(version int64) (digest uint64) {
-	for _, e := range f.table.At(version) {
+	for _, e := range f.table.Entries(version) {
 		state := decide.Ready
 		if e.Lifecycle == "leaving" {
 			state = decide.Draining
--- a/internal/testbench/hollow/messages_test.go
+++ b/internal/testbench/hollow/messages_test.go
@@ -19,7 +19,11 @@
 			`{"Known":"/known.json","Settings":{"a":"/a.json"},"Full":true}`,
 		},
 		"order": {
-			Command{Start: []NodeSpec{{ID: 1, Zone: "a", Address: "127.0.0.1:1", NoKnownList: true}}, Stop: []int{2}, Finish: true},
+			Command{
+				Start:  []NodeSpec{{ID: 1, Zone: "a", Address: "127.0.0.1:1", NoKnownList: true}},
+				Stop:   []int{2},
+				Finish: true,
+			},
 			`{"Start":[{"Balancer":1,"Zone":"a","Address":"127.0.0.1:1","Cold":true}],"Stop":[2],"End":true}`,
 		},
 		"empty order":  {Command{}, `{"Start":null,"Stop":null,"End":false}`},
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -61,9 +61,9 @@
 	const changes = 20
 	nodes := float64(len(f.nodes))
 	f.publishAndWait(t, 1)
-	bytesBefore, before := f.bytes(), f.server.Told()
+	bytesBefore, before := f.bytes(), f.server.Traffic()
 	f.publishAndWait(t, changes)
-	bytes, after := f.bytes()-bytesBefore, f.server.Told()
+	bytes, after := f.bytes()-bytesBefore, f.server.Traffic()
 	// An update is one message of about 170 bytes with its framing. The watch that the first poll starts, and
 	// heartbeats, may add to that.
 	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -124,7 +124,11 @@
 				started(time.Second, "a"), left(time.Second),
 			},
 		},
-		"server collapsed":      {events: []Event{{Kind: ServerCollapsed, Server: "a"}}, violation: "overloaded", collapses: 1},
+		"server collapsed": {
+			events:    []Event{{Kind: ServerCollapsed, Server: "a"}},
+			violation: "overloaded",
+			collapses: 1,
+		},
 		"attached at two":       {events: []Event{attached(1, "a"), attached(2, "b")}, double: 1},
 		"migrated":              {events: []Event{attached(1, "a"), detached("a"), attached(2, "b")}},
 		"attached at one epoch": {events: []Event{attached(1, "a"), detached("a"), attached(1, "b")}, double: 1},
