--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,58 +13,53 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// Entry is one line of the list, in the platform's form.
-type Entry struct {
-	Instance  string  `json:"instanceId"`
-	Address   string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Lifecycle string  `json:"lifecycle"` // active, leaving, left
-	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"`
-}
-
-type listing struct {
-	Generation int64   `json:"generation"`
-	Reset      bool    `json:"reset"`
-	Instances  []Entry `json:"instances"`
-}
-
-// Discovery is a service with a scripted list.
+// Discovery emulates the discovery service. It serves each balancer at an address of its own and records which changes
+// of room servers the balancer was told. It is safe for concurrent use.
 type Discovery struct {
 	recorder *invariants.Recorder
+	calls    atomic.Uint64
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	servers []*http.Server
 	version int64
 	entries []Entry
+	// changed is closed when there is a new version, and replaced by a new channel.
 	changed chan struct{}
-	log     []listing // changes, by version
-	calls   atomic.Uint64
+	// deltas holds the changes; the first made version 1.
+	deltas []listing
 }
 
-// Calls counts the calls so far, of all balancers.
-func (d *Discovery) Calls() uint64 { return d.calls.Load() }
-
-// NewDiscovery returns one with an empty list.
+// NewDiscovery returns a service with an empty list. The recorder may be nil.
 func NewDiscovery(recorder *invariants.Recorder) *Discovery {
 	return &Discovery{recorder: recorder, changed: make(chan struct{})}
 }
 
-// For opens an address at which one balancer finds it, so that what each was told is known.
+// Calls returns the number of calls of all balancers so far.
+func (d *Discovery) Calls() uint64 { return d.calls.Load() }
+
+// For starts to serve a balancer at a free address on loopback, until Stop.
 func (d *Discovery) For(balancer string) (address string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
 	}
-	server := &http.Server{Handler: d.Handler(balancer), ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{Handler: d.Handler(balancer), ReadHeaderTimeout: readHeaderTimeout}
 	d.mu.Lock()
 	d.servers = append(d.servers, server)
 	d.mu.Unlock()
-	go server.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener) // ends when Stop closes the server
+	return listener.Addr().String(), nil
+}
+
+// Handler returns a handler that serves a balancer.
+func (d *Discovery) Handler(balancer string) http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc(listPattern, func(w http.ResponseWriter, req *http.Request) { d.serve(balancer, w, req) })
+	return mux
 }
 
-// Stop ends it, and all watches.
+// Stop stops serving and ends all watches.
 func (d *Discovery) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,100 +68,119 @@
 	}
 }
 
-// tells writes a list and notes what a balancer knows by it.
-func (d *Discovery) tells(balancer string, out *json.Encoder, l listing) bool {
-	for _, e := range l.Instances {
-		kind := invariants.DrainObserved
-		if e.Lifecycle == "active" {
-			kind = invariants.ReadyObserved
-		}
-		d.recorder.Add(invariants.Event{Kind: kind, Balancer: balancer, Server: e.Instance})
-	}
-	return out.Encode(l) == nil
+// SetLifecycle publishes a room server in a lifecycle: active, leaving or left.
+func (d *Discovery) SetLifecycle(server *RoomServer, zone, lifecycle string) {
+	d.Put(Entry{
+		Instance:  server.Name(),
+		Address:   server.Address(),
+		Zone:      zone,
+		Lifecycle: lifecycle,
+		Weight:    1,
+		Started:   server.startedMillis(),
+	})
 }
 
-// SetLifecycle puts a room server into a lifecycle and tells all watches at once.
-func (d *Discovery) SetLifecycle(r *RoomServer, zone, lifecycle string) {
-	d.Put(Entry{Instance: r.Name(), Address: r.Address(), Zone: zone, Lifecycle: lifecycle, Weight: 1,
-		Started: r.startedMillis()})
+// Tell publishes a room server that need not exist.
+func (d *Discovery) Tell(name, address, zone, lifecycle string) {
+	d.Put(Entry{Instance: name, Address: address, Zone: zone, Lifecycle: lifecycle, Weight: 1})
 }
 
-// Put sets lines of the list that belong to no Room, as one version, and tells all watches at once.
+// Put publishes a new version in which the given entries are added, changed, or removed if their lifecycle is left.
 func (d *Discovery) Put(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	places := make(map[string]int, len(d.entries))
+	indexes := make(map[string]int, len(d.entries))
 	for i, e := range d.entries {
-		places[e.Instance] = i
+		indexes[e.Instance] = i
 	}
 	for _, e := range entries {
-		i, listed := places[e.Instance]
+		i, listed := indexes[e.Instance]
 		switch {
 		case listed:
 			d.entries[i] = e
-		case e.Lifecycle != "left":
-			places[e.Instance] = len(d.entries)
+		case e.Lifecycle != lifecycleLeft:
+			indexes[e.Instance] = len(d.entries)
 			d.entries = append(d.entries, e)
 		}
 	}
-	d.entries = slices.DeleteFunc(d.entries, func(e Entry) bool { return e.Lifecycle == "left" })
-	d.log = append(d.log, listing{Generation: d.version, Instances: slices.Clone(entries)})
+	d.entries = slices.DeleteFunc(d.entries, func(e Entry) bool { return e.Lifecycle == lifecycleLeft })
+	d.deltas = append(d.deltas, listing{Generation: d.version, Instances: slices.Clone(entries)})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Known is the list in the form of a balancer's configuration.
+// Known returns the list in the form of the known list of a balancer's configuration.
 func (d *Discovery) Known() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	raw, _ := json.Marshal(listing{d.version, true, slices.Clone(d.entries)}) // strings and numbers always do
-	return raw
+	return mustMarshal(d.snapshot())
+}
+
+// snapshot returns the whole list. The caller holds mu.
+func (d *Discovery) snapshot() listing {
+	return listing{Generation: d.version, Reset: true, Instances: slices.Clone(d.entries)}
 }
 
-// since is what is new after a version, and what tells of more.
-func (d *Discovery) since(from int64) ([]listing, <-chan struct{}) {
+// changesSince returns the deltas after a version, or a snapshot if the version is not known, and a channel that is
+// closed when there is a new version.
+func (d *Discovery) changesSince(version int64) ([]listing, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if from < 0 || from > d.version {
-		return []listing{{d.version, true, slices.Clone(d.entries)}}, d.changed
+	if version < 0 || version > d.version {
+		return []listing{d.snapshot()}, d.changed
 	}
-	return slices.Clone(d.log[from:]), d.changed
+	return slices.Clone(d.deltas[version:]), d.changed
 }
 
+// serve answers a call of a balancer: a poll with a snapshot, a watch with all changes until it ends.
 func (d *Discovery) serve(balancer string, w http.ResponseWriter, req *http.Request) {
 	d.calls.Add(1)
-	from, err := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
-	if err != nil || from == 0 {
-		from = -1
+	query := parseListQuery(req)
+	if query.version == 0 {
+		query.version = noVersion
 	}
-	out, flush := json.NewEncoder(w), w.(http.Flusher)
-	if req.URL.Query().Get("watch") == "" {
-		lists, _ := d.since(-1)
-		d.tells(balancer, out, lists[0])
+	out := json.NewEncoder(w)
+	if !query.watch {
+		lists, _ := d.changesSince(noVersion)
+		d.send(balancer, out, lists[0])
 		return
 	}
-	alive := time.NewTicker(2 * time.Second)
-	defer alive.Stop()
+	d.watch(req, w, balancer, query.version)
+}
+
+// watch writes the changes after a version until the call ends.
+func (d *Discovery) watch(req *http.Request, w http.ResponseWriter, balancer string, version int64) {
+	out, flusher := json.NewEncoder(w), w.(http.Flusher)
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		lists, changed := d.since(from)
+		lists, changed := d.changesSince(version)
 		for _, l := range lists {
-			if !d.tells(balancer, out, l) {
+			if !d.send(balancer, out, l) {
 				return
 			}
-			from = l.Generation
+			version = l.Generation
 		}
 		if first && len(lists) == 0 {
-			out.Encode(listing{Generation: from, Instances: []Entry{}})
+			out.Encode(listing{Generation: version, Instances: []Entry{}})
 		}
-		flush.Flush()
+		flusher.Flush()
 		select {
 		case <-changed:
-		case <-alive.C:
-			w.Write([]byte("\n"))
-			flush.Flush()
+		case <-heartbeat.C:
+			w.Write([]byte(heartbeatLine))
+			flusher.Flush()
 		case <-req.Context().Done():
 			return
 		}
 	}
 }
+
+// send records what a balancer learns from a list and writes the list. It reports whether it was written.
+func (d *Discovery) send(balancer string, out *json.Encoder, l listing) bool {
+	for _, e := range l.Instances {
+		d.recorder.Add(invariants.Event{Kind: e.observation(), Balancer: balancer, Server: e.Instance})
+	}
+	return out.Encode(l) == nil
+}
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -1,254 +1,218 @@
 package emulator
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Outage is how a Door treats those that come.
+// Outage is a fault of a FaultyListener.
 type Outage uint8
 
 // The outages.
 const (
-	Open        Outage = iota // none
-	Refuses                   // nobody listens
-	Resets                    // connections come up and are reset
-	Unavailable               // calls are answered 503
-	Hangs                     // connections come up and are never answered, also after its end
-	CutOff                    // nothing comes up, and what is open falls silent for good
+	// Open is no outage.
+	Open Outage = iota
+	// Refuses refuses connections: nobody listens.
+	Refuses
+	// Resets accepts connections and resets them.
+	Resets
+	// Unavailable answers calls with the status 503.
+	Unavailable
+	// Hangs accepts connections and never answers on them, also after the end of the outage.
+	Hangs
+	// CutOff completes no connections, and open ones are silent from then on.
+	CutOff
 )
 
-// FaultyListener is an address of discovery that can go down and come back, for all balancers that share it.
-type FaultyListener struct {
-	address string
-	handler http.Handler
-	down    Outage
-	l       net.Listener
-	conns   *doorConns
-	kept    []func() // ends what is to stay silent until the end
-	Dials   atomic.Uint64
-	Calls   atomic.Uint64
-}
+const (
+	// faultyListenAddress has a free port of an IP address that clients' connections do not use.
+	faultyListenAddress = "127.77.0.1:0"
+	// defaultBacklog is the backlog of a listener outside of CutOff.
+	defaultBacklog = 1024
+	// maxBacklogConns is the number of connections that fill a backlog of 0 at the latest.
+	maxBacklogConns = 8
+	// backlogTimeout is how long a connection takes that does not fit into the backlog any more.
+	backlogTimeout = 200 * time.Millisecond
+	// relistenTimeout bounds the time until the address can be listened at again.
+	relistenTimeout = 5 * time.Second
+	// faultyReadHeaderTimeout bounds the time that a call may take to send its header.
+	faultyReadHeaderTimeout = 20 * time.Second
+)
 
-// NewFaultyListener opens an address for a handler. Its IP address is one that no client's socket takes its port from.
+// errBacklogNotFull is returned when CutOff fails.
+var errBacklogNotFull = errors.New("the listener's backlog does not fill")
+
+// FaultyListener is an address of discovery, for any number of balancers, that can have outages. All methods but
+// Address have to be called from one goroutine.
+type FaultyListener struct {
+	// Dials counts the connections that were accepted.
+	Dials atomic.Uint64
+	// Calls counts the calls that were received.
+	Calls atomic.Uint64
+
+	address  string
+	handler  http.Handler
+	outage   Outage
+	listener net.Listener
+	// conns are the connections since the latest change of the outage.
+	conns *faultyConns
+	// cleanups close what has to stay silent until Close.
+	cleanups []func()
+}
+
+// NewFaultyListener starts to serve a handler without an outage.
 func NewFaultyListener(handler http.Handler) (*FaultyListener, error) {
-	l, err := net.Listen("tcp", "127.77.0.1:0")
+	listener, err := net.Listen("tcp", faultyListenAddress)
 	if err != nil {
-		return nil, fmt.Errorf("door: %w", err)
+		return nil, fmt.Errorf("faulty listener: %w", err)
 	}
-	d := &FaultyListener{address: l.Addr().String(), handler: handler}
-	d.serve(l)
+	d := &FaultyListener{address: listener.Addr().String(), handler: handler}
+	d.serve(listener)
 	return d, nil
 }
 
-// Address is where balancers find it.
+// Address returns the address at which balancers find discovery.
 func (d *FaultyListener) Address() string { return d.address }
 
-// InTurn lets a handler work through calls in turn: each takes so long, and one that has waited for too long gets 503.
-func InTurn(handler http.Handler, each, patience time.Duration) http.Handler {
-	turn := make(chan struct{}, 1)
+// InTurn returns a handler that executes calls one at a time: each takes the given time, and one that has waited for
+// longer than the timeout is answered with the status 503.
+func InTurn(handler http.Handler, callTime, timeout time.Duration) http.Handler {
+	semaphore := make(chan struct{}, 1)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
-		case turn <- struct{}{}:
-			time.Sleep(each)
-			<-turn
+		case semaphore <- struct{}{}:
+			time.Sleep(callTime)
+			<-semaphore
 			handler.ServeHTTP(w, req)
-		case <-time.After(patience):
+		case <-time.After(timeout):
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 }
 
-// SetOutage changes to an outage, or to none. It is called from one goroutine.
-func (d *FaultyListener) SetOutage(to Outage) error {
-	silent := d.down == Hangs || d.down == CutOff || to == Hangs || to == CutOff
-	conns := d.conns
+// unresponsive reports whether connections are not answered during the outage, nor after its end.
+func (o Outage) unresponsive() bool {
+	return o == Hangs || o == CutOff
+}
+
+// SetOutage ends the current outage and starts another; Open starts none.
+func (d *FaultyListener) SetOutage(outage Outage) error {
+	silent := d.outage.unresponsive() || outage.unresponsive()
 	if silent {
-		conns.mute.Store(true)
-		d.kept = append(d.kept, conns.end)
+		d.conns.muted.Store(true)
+		d.cleanups = append(d.cleanups, d.conns.reset)
 	}
-	if d.down == CutOff { // the same listener goes on, which takes now what comes
-		d.down = to
-		if err := listen(d.l, 1024); err != nil {
-			return err
-		}
-		d.serve(d.l)
-		return nil
+	if d.outage == CutOff {
+		return d.endCutOff(outage)
 	}
-	if d.l != nil {
-		d.l.Close()
+	if d.listener != nil {
+		d.listener.Close()
 	}
 	if !silent {
-		conns.end()
+		d.conns.reset()
 	}
-	d.down, d.l = to, nil
-	if to == Refuses {
+	d.outage, d.listener = outage, nil
+	if outage == Refuses {
 		return nil
 	}
-	l, err := net.Listen("tcp", d.address)
-	for end := time.Now().Add(5 * time.Second); err != nil; l, err = net.Listen("tcp", d.address) {
-		if time.Now().After(end) {
-			return fmt.Errorf("door: %w", err)
-		}
-		time.Sleep(time.Millisecond) // the one before is closed once its accept has returned
+	listener, err := d.listenAgain()
+	if err != nil {
+		return err
 	}
-	if to == CutOff {
-		return d.cutOff(l)
+	if outage == CutOff {
+		return d.cutOff(listener)
 	}
-	d.serve(l)
+	d.serve(listener)
 	return nil
 }
 
-// Close ends it.
+// listenAgain listens at the address. It retries while the previous listener is being closed, which ends when its
+// Accept has returned.
+func (d *FaultyListener) listenAgain() (net.Listener, error) {
+	end := time.Now().Add(relistenTimeout)
+	for {
+		listener, err := net.Listen("tcp", d.address)
+		if err == nil {
+			return listener, nil
+		}
+		if time.Now().After(end) {
+			return nil, fmt.Errorf("faulty listener: %w", err)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// Close stops serving and closes all connections.
 func (d *FaultyListener) Close() {
-	if d.l != nil {
-		d.l.Close()
+	if d.listener != nil {
+		d.listener.Close()
 	}
-	d.conns.end()
-	for _, end := range d.kept {
-		end()
+	d.conns.reset()
+	for _, cleanup := range d.cleanups {
+		cleanup()
 	}
 }
 
-// cutOff leaves no room in the listener's backlog, so that SYNs are lost as on a wire that is cut.
-func (d *FaultyListener) cutOff(l net.Listener) error {
-	d.l = l
-	if err := listen(l, 0); err != nil {
+// cutOff fills the listener's backlog, so that SYNs are lost as in a network that is cut.
+func (d *FaultyListener) cutOff(listener net.Listener) error {
+	d.listener = listener
+	if err := setBacklog(listener, 0); err != nil {
 		return err
 	}
-	for range 8 {
-		conn, err := net.DialTimeout("tcp", d.address, 200*time.Millisecond)
+	for range maxBacklogConns {
+		conn, err := net.DialTimeout("tcp", d.address, backlogTimeout)
 		if err != nil {
 			return nil
 		}
-		d.kept = append(d.kept, func() { conn.Close() })
+		d.cleanups = append(d.cleanups, func() { conn.Close() })
 	}
-	return fmt.Errorf("door: the backlog of %s does not fill", d.address)
+	return fmt.Errorf("faulty listener %s: %w", d.address, errBacklogNotFull)
 }
 
-func listen(l net.Listener, backlog int) (err error) {
-	raw, err := l.(*net.TCPListener).SyscallConn()
+// endCutOff accepts connections again, at the same listener.
+func (d *FaultyListener) endCutOff(outage Outage) error {
+	d.outage = outage
+	if err := setBacklog(d.listener, defaultBacklog); err != nil {
+		return err
+	}
+	d.serve(d.listener)
+	return nil
+}
+
+// setBacklog changes the backlog of a listener.
+func setBacklog(listener net.Listener, backlog int) error {
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
-		return fmt.Errorf("door: %w", err)
+		return fmt.Errorf("faulty listener: %w", err)
 	}
-	if controlErr := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), backlog) }); controlErr != nil {
-		return fmt.Errorf("door: %w", controlErr)
+	var listenErr error
+	err = raw.Control(func(fd uintptr) { listenErr = unix.Listen(int(fd), backlog) })
+	if err := errors.Join(err, listenErr); err != nil {
+		return fmt.Errorf("faulty listener: %w", err)
 	}
-	return err
+	return nil
 }
 
-func (d *FaultyListener) serve(l net.Listener) {
-	d.l, d.conns = l, &doorConns{open: map[*doorConn]struct{}{}}
-	down, conns := d.down, d.conns
+// serve starts an HTTP server for the current outage; it ends when the listener is closed.
+func (d *FaultyListener) serve(listener net.Listener) {
+	d.listener = listener
+	d.conns = &faultyConns{open: map[*faultyConn]struct{}{}}
 	handler := d.handler
-	if down == Unavailable {
+	if d.outage == Unavailable {
 		handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 	}
-	server := &http.Server{ReadHeaderTimeout: 20 * time.Second,
-		Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			d.Calls.Add(1)
-			handler.ServeHTTP(w, req)
-		})}
-	go server.Serve(&doorListener{l, d, conns, down})
-}
-
-// doorListener counts who comes, and treats them as the outage does.
-type doorListener struct {
-	net.Listener
-	door  *FaultyListener
-	conns *doorConns
-	down  Outage
-}
-
-func (l *doorListener) Accept() (net.Conn, error) {
-	for {
-		conn, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		l.door.Dials.Add(1)
-		c := &doorConn{conn.(*net.TCPConn), l.conns}
-		switch l.conns.add(c); l.down {
-		case Resets:
-			c.reset()
-		case Hangs:
-		default:
-			return c, nil
-		}
-	}
-}
-
-// doorConns are the connections since the latest turn.
-type doorConns struct {
-	mute  atomic.Bool // what they would write is lost
-	mu    sync.Mutex
-	ended bool
-	open  map[*doorConn]struct{}
-}
-
-func (s *doorConns) add(c *doorConn) {
-	s.mu.Lock()
-	s.open[c] = struct{}{}
-	ended := s.ended
-	s.mu.Unlock()
-	if ended {
-		c.reset()
-	}
-}
-
-func (s *doorConns) end() {
-	s.mu.Lock()
-	open := s.open
-	s.open, s.ended = map[*doorConn]struct{}{}, true
-	s.mu.Unlock()
-	for c := range open {
-		c.reset()
-	}
-}
-
-type doorConn struct {
-	*net.TCPConn
-	conns *doorConns
-}
-
-func (c *doorConn) reset() {
-	c.SetLinger(0)
-	c.TCPConn.Close()
-}
-
-func (c *doorConn) Write(p []byte) (int, error) {
-	if c.conns.mute.Load() {
-		return len(p), nil
-	}
-	return c.TCPConn.Write(p)
-}
-
-func (c *doorConn) Close() error {
-	if c.conns.mute.Load() {
-		return nil // it is left open until the end
-	}
-	c.conns.mu.Lock()
-	delete(c.conns.open, c)
-	c.conns.mu.Unlock()
-	return c.TCPConn.Close()
-}
-
-// Tell puts a room server of that name into a lifecycle, at an address at which nobody has to be.
-func (d *Discovery) Tell(name, address, zone, lifecycle string) {
-	d.Put(Entry{Instance: name, Address: address, Zone: zone, Lifecycle: lifecycle, Weight: 1})
-}
-
-// Handler serves one balancer's calls at any address.
-func (d *Discovery) Handler(balancer string) http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) { d.serve(balancer, w, req) })
-	return mux
+	counting := http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		d.Calls.Add(1)
+		handler.ServeHTTP(w, req)
+	})
+	server := &http.Server{ReadHeaderTimeout: faultyReadHeaderTimeout, Handler: counting}
+	go server.Serve(&outageListener{Listener: listener, dials: &d.Dials, conns: d.conns, outage: d.outage})
 }
--- a/internal/testbench/emulator/list_server.go
+++ b/internal/testbench/emulator/list_server.go
@@ -1,185 +1,100 @@
 package emulator
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
-	"slices"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// StartedAt is when the entries of a roster started, in milliseconds, less the version of their latest change: whoever
-// has an entry knows by it which version it is of.
-const StartedAt = 1_700_000_000_000
-
-const (
-	aliveEvery = 2 * time.Second // a watch brings an empty line so often
-	wholeKept  = 4               // whole lists kept encoded, the newest
-)
-
-// EndpointTable is a list of room servers that many sources tell. It encodes each change once for all of them.
-type EndpointTable struct {
-	mu       sync.Mutex
-	entries  []Entry // of version 1
-	place    map[string]int
-	changes  []Entry  // the first makes version 2
-	lines    [][]byte // the same, as a watch tells them
-	whole    map[int64][]byte
-	wholeOld []int64
-	encoded  atomic.Uint64
-}
-
-// NewEndpointTable returns a roster of version 1.
-func NewEndpointTable(entries []Entry) *EndpointTable {
-	r := &EndpointTable{entries: slices.Clone(entries), place: map[string]int{}, whole: map[int64][]byte{}}
-	for i := range r.entries {
-		r.entries[i].Started = StartedAt + 1
-		r.place[r.entries[i].Instance] = i
-	}
-	return r
-}
-
-// Version is the newest.
-func (r *EndpointTable) Version() int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.version()
-}
-
-func (r *EndpointTable) version() int64 { return int64(len(r.changes)) + 1 }
-
-// Publish changes an entry that the roster has, or adds one, and returns the new version.
-func (r *EndpointTable) Publish(e Entry) int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v := r.version() + 1
-	e.Started = StartedAt + v
-	r.changes = append(r.changes, e)
-	r.lines = append(r.lines, r.encode(listing{Generation: v, Instances: []Entry{e}}))
-	return v
-}
-
-func (r *EndpointTable) encode(l listing) []byte {
-	r.encoded.Add(1)
-	raw, _ := json.Marshal(l) // strings and numbers always do
-	return append(raw, '\n')
-}
-
-// Encodings counts the lists and changes encoded so far.
-func (r *EndpointTable) Encodings() uint64 { return r.encoded.Load() }
-
-// Entries is the list of a version, with the entries in one order whatever the version.
-func (r *EndpointTable) Entries(v int64) []Entry {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.at(v)
-}
-
-func (r *EndpointTable) at(v int64) []Entry {
-	all, place := slices.Clone(r.entries), r.place
-	for _, e := range r.changes[:v-1] {
-		if i, ok := place[e.Instance]; ok {
-			all[i] = e
-		} else {
-			all = append(all, e)
-		}
-	}
-	return all
-}
-
-// Snapshot is the encoded list of a version. Callers don't change it.
-func (r *EndpointTable) Snapshot(v int64) []byte {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	raw, ok := r.whole[v]
-	if !ok {
-		raw = r.encode(listing{Generation: v, Reset: true, Instances: r.at(v)})
-		r.whole[v] = raw
-		if r.wholeOld = append(r.wholeOld, v); len(r.wholeOld) > wholeKept {
-			delete(r.whole, r.wholeOld[0])
-			r.wholeOld = r.wholeOld[1:]
-		}
-	}
-	return raw
-}
-
-// since is the changes after one version up to another.
-func (r *EndpointTable) since(from, to int64) ([][]byte, []Entry) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lines[from-1 : to-1], r.changes[from-1 : to-1]
-}
-
-// ListServer is one service that tells a roster's list to thousands of watches. It tells what has reached it.
+// ListServer is one replica of the discovery service that serves an EndpointTable to thousands of watches, up to the
+// version that has reached it. It is safe for concurrent use.
 type ListServer struct {
-	roster *EndpointTable
+	table    *EndpointTable
+	calls    atomic.Uint64
+	messages atomic.Uint64
+	bytes    atomic.Uint64
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	version int64
-	changed chan struct{}
-	doors   []door
-	servers []*http.Server // nil: it is gone
-
-	calls, messages, bytes atomic.Uint64
+	// changed is closed when there is a new version, and replaced by a new channel.
+	changed   chan struct{}
+	endpoints []listEndpoint
+	// servers are the running servers; empty while the replica is stopped.
+	servers []*http.Server
 }
 
-type door struct {
+// listEndpoint is an address at which a ListServer serves.
+type listEndpoint struct {
 	address string
-	hear    func([]Entry)
+	// observe is called with the entries that are about to be sent; it may be nil.
+	observe func([]Entry)
+}
+
+// ListTraffic is what a ListServer has served since it was made.
+type ListTraffic struct {
+	// Calls counts the calls received.
+	Calls uint64
+	// Messages counts the snapshots, deltas and heartbeats sent.
+	Messages uint64
+	// Bytes is the size of the messages.
+	Bytes uint64
 }
 
-// NewListServer returns a source that knows version 1.
-func NewListServer(r *EndpointTable) *ListServer {
-	return &ListServer{roster: r, version: 1, changed: make(chan struct{})}
+// NewListServer returns a server of a table's version 1.
+func NewListServer(table *EndpointTable) *ListServer {
+	return &ListServer{table: table, version: 1, changed: make(chan struct{})}
 }
 
-// AdvanceTo tells that the list up to a version has reached the source; it never goes back.
-func (s *ListServer) AdvanceTo(v int64) {
+// AdvanceTo makes the list up to a version available. Older versions than the current one are ignored.
+func (s *ListServer) AdvanceTo(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v > s.version {
-		s.version = v
+	if version > s.version {
+		s.version = version
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 }
 
-// Listen opens an address. Whoever calls there is told what hear notes first, if that is not nil.
-func (s *ListServer) Listen(hear func([]Entry)) (address string, err error) {
+// Listen starts to serve at a free address on loopback. If observe is not nil it is called with the entries that are
+// about to be sent there.
+func (s *ListServer) Listen(observe func([]Entry)) (address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := door{hear: hear}
-	if d.address, err = s.open(d); err == nil {
-		s.doors = append(s.doors, d)
+	endpoint := listEndpoint{observe: observe}
+	if endpoint.address, err = s.start(endpoint); err != nil {
+		return "", err
 	}
-	return d.address, err
+	s.endpoints = append(s.endpoints, endpoint)
+	return endpoint.address, nil
 }
 
-// Address is what the n-th Listen opened, or Start since then.
+// Address returns the current address of the n-th call of Listen, counted from 0.
 func (s *ListServer) Address(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doors[n].address
+	return s.endpoints[n].address
 }
 
-func (s *ListServer) open(d door) (address string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// start starts the server of an endpoint and returns its address. The caller holds mu.
+func (s *ListServer) start(endpoint listEndpoint) (address string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("source: %w", err)
+		return "", fmt.Errorf("list server: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) { s.serve(d.hear, w, req) })
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	mux.HandleFunc(listPattern, func(w http.ResponseWriter, req *http.Request) { s.serve(endpoint.observe, w, req) })
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	s.servers = append(s.servers, server)
-	go server.Serve(l)
-	return l.Addr().String(), nil
+	go server.Serve(listener) // ends when Stop closes the server
+	return listener.Addr().String(), nil
 }
 
-// Stop ends it, and all watches, as a crash does.
+// Stop stops serving and ends all watches, as a crash would.
 func (s *ListServer) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,72 +104,107 @@
 	s.servers = nil
 }
 
-// Start brings it back, at other addresses: somebody's connection may have the old ones by now.
+// Start serves again after Stop, at new addresses: by now, other connections may use the old ports.
 func (s *ListServer) Start() (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, d := range s.doors {
-		if s.doors[i].address, err = s.open(d); err != nil {
+	for i, endpoint := range s.endpoints {
+		if s.endpoints[i].address, err = s.start(endpoint); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ListTraffic is what a source has done so far: calls taken, messages written, which are lists, changes and empty lines, and
-// their bytes.
-type ListTraffic struct{ Calls, Messages, Bytes uint64 }
-
-// Traffic counts it.
+// Traffic returns what was served so far.
 func (s *ListServer) Traffic() ListTraffic {
-	return ListTraffic{s.calls.Load(), s.messages.Load(), s.bytes.Load()}
+	return ListTraffic{Calls: s.calls.Load(), Messages: s.messages.Load(), Bytes: s.bytes.Load()}
 }
 
-func (s *ListServer) now() (int64, <-chan struct{}) {
+// current returns the version, and a channel that is closed when there is a new one.
+func (s *ListServer) current() (int64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.changed
 }
 
-func (s *ListServer) serve(hear func([]Entry), w http.ResponseWriter, req *http.Request) {
+// serve answers a call: a poll with a snapshot, a watch with a snapshot or an empty delta and all changes until it
+// ends.
+func (s *ListServer) serve(observe func([]Entry), w http.ResponseWriter, req *http.Request) {
 	s.calls.Add(1)
-	from, err := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
-	write := func(raw []byte, told func() []Entry) bool {
-		if hear != nil && told != nil {
-			hear(told())
+	call := &listCall{server: s, w: w, observe: observe}
+	query := parseListQuery(req)
+	version, changed := s.current()
+	switch {
+	case !query.watch || query.version <= 0 || query.version > version:
+		query.version = version
+		if !call.sendSnapshot(version) || !query.watch {
+			return
 		}
-		s.messages.Add(1)
-		s.bytes.Add(uint64(len(raw)))
-		_, err := w.Write(raw)
-		return err == nil
-	}
-	to, changed := s.now()
-	watch := req.URL.Query().Get("watch") != ""
-	if err != nil || from <= 0 || from > to || !watch {
-		from = to
-		if !write(s.roster.Snapshot(from), func() []Entry { return s.roster.Entries(from) }) || !watch {
+	case query.version == version:
+		if !call.sendUnchanged(version) {
 			return
 		}
-	} else if from == to && !write(fmt.Appendf(nil, "{\"generation\":%d,\"reset\":false,\"instances\":[]}\n", from), nil) {
-		return
 	}
-	flush := w.(http.Flusher)
-	alive := time.NewTicker(aliveEvery)
-	defer alive.Stop()
+	call.sendChanges(req, query.version, version, changed)
+}
+
+// listCall is a call that a ListServer answers.
+type listCall struct {
+	server  *ListServer
+	w       http.ResponseWriter
+	observe func([]Entry)
+}
+
+// write writes and counts a message and reports whether it was written.
+func (c *listCall) write(message []byte) bool {
+	c.server.messages.Add(1)
+	c.server.bytes.Add(uint64(len(message)))
+	_, err := c.w.Write(message)
+	return err == nil
+}
+
+// sendSnapshot sends the list of a version.
+func (c *listCall) sendSnapshot(version int64) bool {
+	message := c.server.table.Snapshot(version)
+	if c.observe != nil {
+		c.observe(c.server.table.Entries(version))
+	}
+	return c.write(message)
+}
+
+// sendUnchanged sends an empty delta to a watch whose client has the current version.
+func (c *listCall) sendUnchanged(version int64) bool {
+	return c.write(fmt.Appendf(nil, "{\"generation\":%d,\"reset\":false,\"instances\":[]}\n", version))
+}
+
+// sendChange sends the change of an entry.
+func (c *listCall) sendChange(message []byte, e Entry) bool {
+	if c.observe != nil {
+		c.observe([]Entry{e})
+	}
+	return c.write(message)
+}
+
+// sendChanges sends the changes from one version to another, and all further ones until the call ends.
+func (c *listCall) sendChanges(req *http.Request, from, to int64, changed <-chan struct{}) {
+	flusher := c.w.(http.Flusher)
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		lines, entries := s.roster.since(from, to)
-		for i, line := range lines {
-			if !write(line, func() []Entry { return entries[i : i+1] }) {
+		messages, entries := c.server.table.changesBetween(from, to)
+		for i, message := range messages {
+			if !c.sendChange(message, entries[i]) {
 				return
 			}
 		}
 		from = to
-		flush.Flush()
+		flusher.Flush()
 		select {
 		case <-changed:
-			to, changed = s.now()
-		case <-alive.C:
-			if !write([]byte("\n"), nil) {
+			to, changed = c.server.current()
+		case <-heartbeat.C:
+			if !c.write([]byte(heartbeatLine)) {
 				return
 			}
 		case <-req.Context().Done():
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -5,159 +5,209 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"strings"
+	"slices"
 	"testing"
 )
 
-func entries(n int) (all []Entry) {
+// testEntries returns the lines of a list of ready endpoints.
+func testEntries(n int) (entries []Entry) {
 	for i := range n {
-		all = append(all, Entry{Instance: fmt.Sprintf("h-%d", i), Address: "127.1.0.1:1", Zone: "a", Lifecycle: "active", Weight: 1})
-	}
-	return all
+		entries = append(entries, Entry{
+			Instance:  fmt.Sprintf("h-%d", i),
+			Address:   "127.1.0.1:1",
+			Zone:      "a",
+			Lifecycle: "active",
+			Weight:    1,
+		})
+	}
+	return entries
+}
+
+// listClient reads the messages of one call.
+type listClient struct {
+	t     *testing.T
+	lines *bufio.Scanner
 }
 
-// read opens a call and returns what reads its next line that is not empty.
-func read(t *testing.T, address, query string) func() (listing, bool) {
+// callList calls a list server with a query.
+func callList(t *testing.T, address, query string) *listClient {
 	t.Helper()
-	resp, err := http.Get("http://" + address + "/registry/instances" + query)
+	response, err := http.Get("http://" + address + "/registry/instances" + query)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { resp.Body.Close() })
-	lines := bufio.NewScanner(resp.Body)
+	t.Cleanup(func() { response.Body.Close() })
+	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, 1<<20)
-	return func() (l listing, ok bool) {
-		for lines.Scan() {
-			if len(lines.Bytes()) == 0 {
-				continue
-			}
-			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-				t.Fatal(err)
-			}
-			return l, true
+	return &listClient{t, lines}
+}
+
+// next returns the next message that is not a heartbeat. It reports false if the call has ended.
+func (c *listClient) next() (l listing, ok bool) {
+	c.t.Helper()
+	for c.lines.Scan() {
+		if len(c.lines.Bytes()) == 0 {
+			continue
 		}
-		return l, false
+		if err := json.Unmarshal(c.lines.Bytes(), &l); err != nil {
+			c.t.Fatal(err)
+		}
+		return l, true
 	}
+	return l, false
 }
 
-// A source tells the whole list, what is new since a version, and then each change once, each encoded once for all
-// watches; it tells no more than has reached it, and is back after it was gone.
-func TestSource(t *testing.T) {
-	roster := NewEndpointTable(entries(3))
-	s := NewListServer(roster)
-	defer s.Stop()
-	var heard []string
-	address, err := s.Listen(nil)
-	if err != nil {
-		t.Fatal(err)
+// wantDelta checks that the next message is a delta of a version with the given number of entries.
+func (c *listClient) wantDelta(version int64, entries int) listing {
+	c.t.Helper()
+	l, ok := c.next()
+	if !ok || l.Reset || l.Generation != version || len(l.Instances) != entries {
+		c.t.Fatalf("%+v, want a delta of version %d with %d entries", l, version, entries)
+	}
+	return l
+}
+
+// wantSnapshot polls a list server and checks that the answer is a snapshot of a version.
+func wantSnapshot(t *testing.T, address string, version int64) listing {
+	t.Helper()
+	l, ok := callList(t, address, "").next()
+	if !ok || !l.Reset || l.Generation != version {
+		t.Fatalf("%+v, want a snapshot of version %d", l, version)
 	}
-	_, err = s.Listen(func(all []Entry) {
-		for _, e := range all {
-			heard = append(heard, e.Instance+" "+e.Lifecycle)
-		}
-	})
+	return l
+}
+
+// watchList opens watches of a list server whose clients have version 1, which is the current one.
+func watchList(t *testing.T, address string, count int) (watches []*listClient) {
+	t.Helper()
+	for range count {
+		watch := callList(t, address, "?watch=1&from=1")
+		watch.wantDelta(1, 0)
+		watches = append(watches, watch)
+	}
+	return watches
+}
+
+// startListServer starts a server of a table, at an address without an observer.
+func startListServer(t *testing.T, table *EndpointTable) (server *ListServer, address string) {
+	t.Helper()
+	server = NewListServer(table)
+	t.Cleanup(server.Stop)
+	address, err := server.Listen(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := func(at string) listing {
-		t.Helper()
-		l, ok := read(t, at, "")()
-		if !ok || !l.Reset {
-			t.Fatalf("%+v", l)
+	return server, address
+}
+
+// publishLeaving publishes versions of an entry that is leaving, and checks their numbers.
+func publishLeaving(t *testing.T, table *EndpointTable, e Entry, from, to int64) {
+	t.Helper()
+	e.Lifecycle = "leaving"
+	for version := from; version <= to; version++ {
+		if got := table.Publish(e); got != version {
+			t.Fatalf("published version %d, want %d", got, version)
 		}
-		return l
 	}
-	if l := whole(address); l.Generation != 1 || len(l.Instances) != 3 || l.Instances[2].Started != StartedAt+1 {
+}
+
+// A watch receives each change once, encoded once for all watches, and no version that has not reached the server.
+func TestListServerWatch(t *testing.T) {
+	table := NewEndpointTable(testEntries(3))
+	server, address := startListServer(t, table)
+	l := wantSnapshot(t, address, 1)
+	if len(l.Instances) != 3 || l.Instances[2].Started != StartedAt+1 {
 		t.Errorf("%+v", l)
 	}
-	var watches []func() (listing, bool)
-	for range 50 {
-		next := read(t, address, "?watch=1&from=1")
-		if l, ok := next(); !ok || l.Reset || l.Generation != 1 || len(l.Instances) != 0 {
-			t.Fatalf("%+v", l)
-		}
-		watches = append(watches, next)
-	}
-	before := roster.Encodings()
-	change := entries(3)[1]
-	change.Lifecycle = "leaving"
-	for v := int64(2); v <= 4; v++ {
-		if got := roster.Publish(change); got != v {
-			t.Fatalf("version %d", got)
-		}
-	}
-	if l := whole(address); l.Generation != 1 {
-		t.Errorf("it tells what has not reached it: %+v", l)
-	}
-	s.AdvanceTo(3)
-	s.AdvanceTo(2) // late
-	for _, next := range watches {
-		for v := int64(2); v <= 3; v++ {
-			if l, ok := next(); !ok || l.Generation != v || len(l.Instances) != 1 || l.Instances[0].Started != StartedAt+v || l.Instances[0].Lifecycle != "leaving" {
+	watches := watchList(t, address, 50)
+	before := table.Encodings()
+	publishLeaving(t, table, testEntries(3)[1], 2, 4)
+	wantSnapshot(t, address, 1)
+	server.AdvanceTo(3)
+	server.AdvanceTo(2) // does not go back
+	for _, watch := range watches {
+		for version := int64(2); version <= 3; version++ {
+			l := watch.wantDelta(version, 1)
+			if l.Instances[0].Started != StartedAt+version || l.Instances[0].Lifecycle != "leaving" {
 				t.Fatalf("%+v", l)
 			}
 		}
 	}
-	if n := roster.Encodings() - before; n != 3 {
+	if n := table.Encodings() - before; n != 3 {
 		t.Errorf("%d encodings for 3 changes and 50 watches", n)
 	}
-	if l, ok := read(t, address, "?watch=1&from=2")(); !ok || l.Generation != 3 {
-		t.Errorf("since 2: %+v", l)
+	if l, ok := callList(t, address, "?watch=1&from=2").next(); !ok || l.Generation != 3 {
+		t.Errorf("a watch from version 2: %+v", l)
 	}
-	if l, ok := read(t, address, "?watch=1&from=9")(); !ok || !l.Reset || l.Generation != 3 {
-		t.Errorf("from a version that it does not have: %+v", l)
+	if l, ok := callList(t, address, "?watch=1&from=9").next(); !ok || !l.Reset || l.Generation != 3 {
+		t.Errorf("a watch from an unknown version: %+v", l)
+	}
+}
+
+// A stopped server ends its watches and answers nothing. It serves the list again after Start, and its observer is
+// called with what is sent.
+func TestListServerRestart(t *testing.T) {
+	table := NewEndpointTable(testEntries(3))
+	server, address := startListServer(t, table)
+	var observed []string
+	_, err := server.Listen(func(entries []Entry) {
+		for _, e := range entries {
+			observed = append(observed, e.Instance+" "+e.Lifecycle)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
-	s.Stop()
-	if _, ok := watches[0](); ok {
-		t.Error("a watch goes on after the source is gone")
+	watch := watchList(t, address, 1)[0]
+	publishLeaving(t, table, testEntries(3)[1], 2, 3)
+	server.AdvanceTo(3)
+	watch.wantDelta(2, 1)
+	watch.wantDelta(3, 1)
+	server.Stop()
+	if _, ok := watch.next(); ok {
+		t.Error("a watch continues after the server was stopped")
 	}
 	if _, err := http.Get("http://" + address + "/registry/instances"); err == nil {
-		t.Error("it answers after it is gone")
+		t.Error("the server answers after it was stopped")
 	}
-	if err := s.Start(); err != nil {
+	if err := server.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if l := whole(s.Address(1)); l.Generation != 3 || strings.Join(heard, ",") != "h-0 active,h-1 leaving,h-2 active" {
-		t.Errorf("%+v, heard %q", l, heard)
+	wantSnapshot(t, server.Address(1), 3)
+	if want := []string{"h-0 active", "h-1 leaving", "h-2 active"}; !slices.Equal(observed, want) {
+		t.Errorf("observed %q, want %q", observed, want)
 	}
 }
 
-// What a change costs is the same whatever the list's size, and a message for each watch. Guards a source whose cost
-// would be the list's, not the change's.
-func TestSourceCost(t *testing.T) {
-	const watches, changes = 20, 10
+// The cost of a change does not depend on the size of the list, and is one message for each watch.
+func TestListServerCost(t *testing.T) {
+	const watchCount, changes = 20, 10
 	for _, n := range []int{100, 200, 400} {
-		roster := NewEndpointTable(entries(n))
-		s := NewListServer(roster)
-		address, err := s.Listen(nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var all []func() (listing, bool)
-		for range watches {
-			next := read(t, address, "?watch=1&from=1")
-			next()
-			all = append(all, next)
-		}
-		before, encoded := s.Traffic(), roster.Encodings()
-		for range changes {
-			s.AdvanceTo(roster.Publish(entries(n)[0]))
-		}
-		for _, next := range all {
+		t.Run(fmt.Sprintf("%d endpoints", n), func(t *testing.T) {
+			table := NewEndpointTable(testEntries(n))
+			server, address := startListServer(t, table)
+			watches := watchList(t, address, watchCount)
+			before, encodings := server.Traffic(), table.Encodings()
 			for range changes {
-				next()
+				server.AdvanceTo(table.Publish(testEntries(n)[0]))
 			}
-		}
-		after := s.Traffic()
-		if got := after.Messages - before.Messages; got < watches*changes || got > watches*changes+2*watches { // an empty line every 2 s
-			t.Errorf("%d servers: %d messages for %d changes to %d watches", n, got, changes, watches)
-		}
-		if got := after.Bytes - before.Bytes; got > watches*changes*200 {
-			t.Errorf("%d servers: %d bytes for %d changes to %d watches", n, got, changes, watches)
-		}
-		if got := roster.Encodings() - encoded; got != changes {
-			t.Errorf("%d servers: %d encodings for %d changes", n, got, changes)
-		}
-		s.Stop()
+			for _, watch := range watches {
+				for range changes {
+					watch.next()
+				}
+			}
+			after := server.Traffic()
+			messages := after.Messages - before.Messages
+			// There may be a heartbeat every 2 s.
+			if messages < watchCount*changes || messages > watchCount*changes+2*watchCount {
+				t.Errorf("%d messages for %d changes and %d watches", messages, changes, watchCount)
+			}
+			if bytes := after.Bytes - before.Bytes; bytes > watchCount*changes*200 {
+				t.Errorf("%d bytes for %d changes and %d watches", bytes, changes, watchCount)
+			}
+			if got := table.Encodings() - encodings; got != changes {
+				t.Errorf("%d encodings for %d changes", got, changes)
+			}
+		})
 	}
 }
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -41,8 +41,8 @@
 	Tenant string
 	// ClientTimeout is how long a client waits for the answer to a request.
 	ClientTimeout time.Duration
-	// MoveInterval is the time between two moves of the game.
-	MoveInterval time.Duration
+	// PlayInterval is the time between two moves in the game.
+	PlayInterval time.Duration
 	// MeanGame is the mean duration of a game, which is exponentially distributed; 0 if games do not end.
 	MeanGame time.Duration
 	// ResumesSessions says that players use session tokens.
--- a/internal/testbench/emulator/player_session.go
+++ b/internal/testbench/emulator/player_session.go
@@ -37,8 +37,8 @@
 	if p.cfg.MeanGame > 0 {
 		gameOver = time.After(time.Duration(p.rng.ExpFloat64() * float64(p.cfg.MeanGame)))
 	}
-	nextMove := time.NewTimer(p.jitter(0, p.cfg.MoveInterval))
-	defer nextMove.Stop()
+	nextPlay := time.NewTimer(p.jitter(0, p.cfg.PlayInterval))
+	defer nextPlay.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,13 +47,13 @@
 			if _, err := io.WriteString(c, endOfGame+"\r\n"); err != nil {
 				return p.connectionBroken(c.balancer)
 			}
-			nextMove.Stop()
+			nextPlay.Stop()
 			gameOver = nil
-		case <-nextMove.C:
+		case <-nextPlay.C:
 			if _, err := fmt.Fprintf(c, "PLAY %d\r\n", p.acknowledged+1); err != nil {
 				return p.connectionBroken(c.balancer)
 			}
-			nextMove.Reset(p.cfg.MoveInterval)
+			nextPlay.Reset(p.cfg.PlayInterval)
 		case line, ok := <-lines:
 			switch {
 			case !ok && ctx.Err() != nil:
@@ -169,7 +169,7 @@
 func (p *Player) gameEnded() time.Duration {
 	p.cfg.Statistics.GamesEnded.Add(1)
 	p.newSession()
-	return p.jitter(0, p.cfg.MoveInterval)
+	return p.jitter(0, p.cfg.PlayInterval)
 }
 
 // startOver replaces a session that cannot be continued by a new one.
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -102,7 +102,7 @@
 	case protocol.HaveLine:
 		return c.established && c.confirmToken()
 	case "PLAY":
-		return c.established && c.makeMove(rest)
+		return c.established && c.play(rest)
 	case endOfGame:
 		c.endSession()
 		return false
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -43,8 +43,8 @@
 	// SetupRate is the number of connections a second that the server can establish once it is warm. With 0 the
 	// server needs no warm-up and never collapses.
 	SetupRate float64
-	// WarmupShare is the share of SetupRate that the server can establish at its start.
-	WarmupShare float64
+	// WarmupFraction is the share of SetupRate that the server can establish at its start.
+	WarmupFraction float64
 	// WarmupTime is the time after the start at which the server is warm.
 	WarmupTime time.Duration
 	// CollapseFactor is the multiple of the current setup rate at which a server that warms up collapses.
@@ -273,7 +273,7 @@
 	}
 	s.recentSetups = append(s.recentSetups, now)
 	warmth := min(float64(now.Sub(s.started))/float64(s.cfg.WarmupTime), 1)
-	rate := s.cfg.SetupRate * (s.cfg.WarmupShare + (1-s.cfg.WarmupShare)*warmth)
+	rate := s.cfg.SetupRate * (s.cfg.WarmupFraction + (1-s.cfg.WarmupFraction)*warmth)
 	return warmth < 1 && float64(len(s.recentSetups)) > rate*s.cfg.CollapseFactor
 }
 
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -72,7 +72,7 @@
 			server, err := NewRoomServer(RoomServerConfig{
 				Name:           "s-1",
 				SetupRate:      10,
-				WarmupShare:    0.3,
+				WarmupFraction: 0.3,
 				WarmupTime:     v.warmup,
 				CollapseFactor: 4,
 				Recorder:       recorder,
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -141,17 +141,17 @@
 	return c.writeLine(protocol.PositionLine(position))
 }
 
-// makeMove makes a move of the game if it is the next one, and answers with the position. It reports false, without an
+// play makes a move of the game if it is the next one, and answers with the position. It reports false, without an
 // acknowledgement, if the connection has lost its session.
-func (c *roomConn) makeMove(text string) bool {
+func (c *roomConn) play(text string) bool {
 	move, err := strconv.ParseUint(text, 10, 64)
-	position, ok := c.saveMove(move, err == nil)
+	position, ok := c.savePosition(move, err == nil)
 	return ok && c.writeLine(protocol.PositionLine(position))
 }
 
-// saveMove saves a valid move that is the next one. It returns the position after it, and reports false if the
+// savePosition saves a valid move that is the next one. It returns the position after it, and reports false if the
 // connection has lost its session.
-func (c *roomConn) saveMove(move uint64, valid bool) (position uint64, ok bool) {
+func (c *roomConn) savePosition(move uint64, valid bool) (position uint64, ok bool) {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbench/experiment/members.go
+++ b/internal/testbench/experiment/members.go
@@ -377,7 +377,7 @@
 // addCold starts a room server that is cold.
 func (r *run) addCold(setups float64) error {
 	room, err := emulator.NewRoomServer(emulator.RoomServerConfig{Name: fmt.Sprintf("s-%d", len(r.rooms)), Capacity: r.e.Capacity, Recorder: r.recorder,
-		SetupRate: setups, WarmupShare: coldShare, WarmupTime: coldFor, CollapseFactor: fallMultiple})
+		SetupRate: setups, WarmupFraction: coldShare, WarmupTime: coldFor, CollapseFactor: fallMultiple})
 	if err != nil {
 		return err
 	}
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -201,7 +201,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	cfg := emulator.PlayerConfig{FrontLayer: r.front, Recorder: r.recorder, Class: "solo-play", Tenant: "lab", ResumesSessions: r.e.Tokens,
-		ClientTimeout: millis(r.e.Patience), MeanGame: time.Duration(r.e.Life * float64(time.Second)), MoveInterval: millis(r.e.Every), Statistics: &r.tally}
+		ClientTimeout: millis(r.e.Patience), MeanGame: time.Duration(r.e.Life * float64(time.Second)), PlayInterval: millis(r.e.Every), Statistics: &r.tally}
 	for i := range r.e.Sessions {
 		p := emulator.NewPlayer(cfg, r.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/r.e.Group))
 		r.players = append(r.players, p)
--- a/internal/testbench/experiment/scale.go
+++ b/internal/testbench/experiment/scale.go
@@ -118,7 +118,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	cfg := emulator.PlayerConfig{FrontLayer: s.front, Recorder: s.recorder, Class: "solo-play", Tenant: "lab", ClientTimeout: 2 * time.Second,
-		MoveInterval: 500 * time.Millisecond, MeanGame: 3 * time.Second, Statistics: &s.tally}
+		PlayInterval: 500 * time.Millisecond, MeanGame: 3 * time.Second, Statistics: &s.tally}
 	for i := range s.e.Sessions {
 		p := emulator.NewPlayer(cfg, s.e.Seed*1_000_003+uint64(i), fmt.Sprintf("room-%d", i/4))
 		all.Go(func() { p.Play(playing) })
