--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -68,21 +68,19 @@
 	}
 }
 
-// SetLifecycle publishes a room server in a lifecycle: active, leaving or left.
+// SetLifecycle publishes a room server in a lifecycle.
 func (d *Discovery) SetLifecycle(server *RoomServer, zone, lifecycle string) {
-	d.Put(Entry{
-		Instance:  server.Name(),
-		Address:   server.Address(),
-		Zone:      zone,
-		Lifecycle: lifecycle,
-		Weight:    1,
-		Started:   server.startedMillis(),
-	})
+	e := ActiveEntry(server.Name(), server.Address(), zone)
+	e.Lifecycle = lifecycle
+	e.Started = server.startedMillis()
+	d.Put(e)
 }
 
 // Tell publishes a room server that need not exist.
 func (d *Discovery) Tell(name, address, zone, lifecycle string) {
-	d.Put(Entry{Instance: name, Address: address, Zone: zone, Lifecycle: lifecycle, Weight: 1})
+	e := ActiveEntry(name, address, zone)
+	e.Lifecycle = lifecycle
+	d.Put(e)
 }
 
 // Put publishes a new version in which the given entries are added, changed, or removed if their lifecycle is left.
@@ -99,12 +97,12 @@
 		switch {
 		case listed:
 			d.entries[i] = e
-		case e.Lifecycle != lifecycleLeft:
+		case e.Lifecycle != LifecycleLeft:
 			indexes[e.Instance] = len(d.entries)
 			d.entries = append(d.entries, e)
 		}
 	}
-	d.entries = slices.DeleteFunc(d.entries, func(e Entry) bool { return e.Lifecycle == lifecycleLeft })
+	d.entries = slices.DeleteFunc(d.entries, func(e Entry) bool { return e.Lifecycle == LifecycleLeft })
 	d.deltas = append(d.deltas, listing{Generation: d.version, Instances: slices.Clone(entries)})
 	close(d.changed)
 	d.changed = make(chan struct{})
--- a/internal/testbench/emulator/endpoint_table.go
+++ b/internal/testbench/emulator/endpoint_table.go
@@ -7,7 +7,7 @@
 )
 
 // StartedAt is added to the version of an entry's latest change to give its Started, in milliseconds since 1970, so
-// that the version can be told from the entry.
+// that the entry shows the version.
 const StartedAt = 1_700_000_000_000
 
 // maxCachedSnapshots is the number of encoded snapshots that an EndpointTable caches.
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -12,13 +12,7 @@
 // testEntries returns the lines of a list of ready endpoints.
 func testEntries(n int) (entries []Entry) {
 	for i := range n {
-		entries = append(entries, Entry{
-			Instance:  fmt.Sprintf("h-%d", i),
-			Address:   "127.1.0.1:1",
-			Zone:      "a",
-			Lifecycle: "active",
-			Weight:    1,
-		})
+		entries = append(entries, ActiveEntry(fmt.Sprintf("h-%d", i), "127.1.0.1:1", "a"))
 	}
 	return entries
 }
--- a/internal/testbench/emulator/listing.go
+++ b/internal/testbench/emulator/listing.go
@@ -24,8 +24,12 @@
 
 // Values of Entry.Lifecycle.
 const (
-	lifecycleActive = "active"
-	lifecycleLeft   = "left"
+	// LifecycleActive is that of a ready room server.
+	LifecycleActive = "active"
+	// LifecycleLeaving is that of a draining room server.
+	LifecycleLeaving = "leaving"
+	// LifecycleLeft is that of a removed room server.
+	LifecycleLeft = "left"
 )
 
 // Entry is one line of the endpoint list, in the platform's form.
@@ -36,7 +40,7 @@
 	Address string `json:"hostPort"`
 	// Zone is its zone.
 	Zone string `json:"zone"`
-	// Lifecycle is active if it is ready, leaving if it is draining, or left if it is removed.
+	// Lifecycle is LifecycleActive, LifecycleLeaving or LifecycleLeft.
 	Lifecycle string `json:"lifecycle"`
 	// Weight is its relative capacity.
 	Weight float64 `json:"weight"`
@@ -44,9 +48,14 @@
 	Started int64 `json:"startedAtMs"`
 }
 
-// observation returns the kind of the event that a balancer was told the entry.
+// ActiveEntry returns the entry of a ready room server of the usual weight that needs no warm-up.
+func ActiveEntry(name, address, zone string) Entry {
+	return Entry{Instance: name, Address: address, Zone: zone, Lifecycle: LifecycleActive, Weight: 1}
+}
+
+// observation returns the kind of the event that a balancer was sent the entry.
 func (e Entry) observation() invariants.Kind {
-	if e.Lifecycle == lifecycleActive {
+	if e.Lifecycle == LifecycleActive {
 		return invariants.ReadyObserved
 	}
 	return invariants.DrainObserved
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -1,5 +1,5 @@
 // Package emulator emulates the parties that a balancer talks to: room servers, discovery, and clients behind the
-// platform's front layer. They run on loopback, can be told to fail in the ways that the balancer has to handle, and
+// platform's front layer. They run on loopback, can be made to fail in the ways that the balancer has to handle, and
 // record what they observe in an invariants.Recorder. Tests and experiments share them.
 package emulator
 
--- a/internal/testbench/experiment/delivery_clients.go
+++ b/internal/testbench/experiment/delivery_clients.go
@@ -27,7 +27,7 @@
 )
 
 // errRejected is returned for a request that was answered BUSY.
-var errRejected = errors.New("refused for so long")
+var errRejected = errors.New("rejected until the time-out")
 
 // deliveryClients hold connections through a balancer and measure the latencies of the lines that they read.
 type deliveryClients struct {
@@ -59,7 +59,7 @@
 	connecting.Wait()
 	select {
 	case err := <-errs:
-		return c, fmt.Errorf("of %d connections one did not stand: %w", n, err)
+		return c, fmt.Errorf("one of %d connections was not established: %w", n, err)
 	default:
 		return c, nil
 	}
--- a/internal/testbench/experiment/delivery_cost.go
+++ b/internal/testbench/experiment/delivery_cost.go
@@ -60,7 +60,7 @@
 	if err := m.open(ctx, program, options.Connections); err != nil {
 		return nil, err
 	}
-	progress(fmt.Sprintf("%d connections stand", options.Connections))
+	progress(fmt.Sprintf("%d connections are established", options.Connections))
 	if err := sleep(ctx, idleTime); err != nil {
 		return nil, err
 	}
@@ -107,13 +107,7 @@
 	if err != nil {
 		return err
 	}
-	m.discovery.Put(emulator.Entry{
-		Instance:  roomServerName(0),
-		Address:   m.server.address(),
-		Zone:      singleZoneName,
-		Lifecycle: "active",
-		Weight:    1,
-	})
+	m.discovery.Put(emulator.ActiveEntry(roomServerName(0), m.server.address(), singleZoneName))
 	m.balancer, err = newBalancer(balancerSpec{
 		program: program,
 		dir:     m.dir,
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -172,13 +172,10 @@
 
 // entry returns an entry of the list.
 func (m *listMeasurement) entry(i int, weight float64) emulator.Entry {
-	return emulator.Entry{
-		Instance:  fmt.Sprintf("s-%08x", i),
-		Address:   m.roomServers[i%listRoomServers].Address(),
-		Zone:      threeZones[i%len(threeZones)],
-		Lifecycle: "active",
-		Weight:    weight,
-	}
+	address := m.roomServers[i%listRoomServers].Address()
+	e := emulator.ActiveEntry(fmt.Sprintf("s-%08x", i), address, threeZones[i%len(threeZones)])
+	e.Weight = weight
+	return e
 }
 
 // start starts the balancer, waits until it has applied the list and measures what that has cost.
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -184,7 +184,7 @@
 		return err
 	}
 	r.roomServers = append(r.roomServers, server)
-	r.discovery.SetLifecycle(server, singleZoneName, "active")
+	r.discovery.SetLifecycle(server, singleZoneName, emulator.LifecycleActive)
 	return nil
 }
 
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"cottonplank/internal/testbench/emulator"
 	"cottonplank/internal/testbench/invariants"
 )
 
@@ -28,14 +29,14 @@
 	switch f.Action {
 	case actionDrain:
 		server := r.roomServers[f.Room]
-		r.publishLater(f.Room, "leaving")
+		r.publishLater(f.Room, emulator.LifecycleLeaving)
 		server.Drain()
 	case actionEndDrain:
 		r.roomServers[f.Room].EndDrain()
-		r.publishLater(f.Room, "active")
+		r.publishLater(f.Room, emulator.LifecycleActive)
 	case actionCrash:
 		server := r.roomServers[f.Room]
-		r.publishLater(f.Room, "left")
+		r.publishLater(f.Room, emulator.LifecycleLeft)
 		server.Stop()
 	case actionKill:
 		r.kill(f.Balancer)
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cottonplank/internal/testbench/emulator"
 	"cottonplank/internal/testbench/hollow"
 )
 
@@ -17,10 +18,10 @@
 		i = s.nextDrain()
 	}
 	e := &s.entries[i]
-	if e.Lifecycle == "active" {
-		e.Lifecycle = "leaving"
+	if e.Lifecycle == emulator.LifecycleActive {
+		e.Lifecycle = emulator.LifecycleLeaving
 	} else {
-		e.Lifecycle = "active"
+		e.Lifecycle = emulator.LifecycleActive
 	}
 	if i < existing {
 		s.toggleDrain(i)
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -178,7 +178,8 @@
 		return err
 	}
 	for i := range servers {
-		m.entries = append(m.entries, activeEntry(missingServerName(i), unusedAddress(i), singleZoneName))
+		entry := emulator.ActiveEntry(missingServerName(i), unusedAddress(i), singleZoneName)
+		m.entries = append(m.entries, entry)
 	}
 	m.table = emulator.NewEndpointTable(m.entries)
 	m.server = emulator.NewListServer(m.table)
@@ -259,9 +260,9 @@
 		case <-ticker.C:
 		}
 		e := m.entries[n%len(m.entries)]
-		e.Lifecycle = "leaving"
+		e.Lifecycle = emulator.LifecycleLeaving
 		if n/len(m.entries)%2 == 1 {
-			e.Lifecycle = "active"
+			e.Lifecycle = emulator.LifecycleActive
 		}
 		m.server.AdvanceTo(m.table.Publish(e))
 	}
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -133,7 +133,10 @@
 }
 
 // statesByLifecycle holds the states of room servers by the lifecycles of entries.
-var statesByLifecycle = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining}
+var statesByLifecycle = map[string]decide.State{
+	emulator.LifecycleActive:  decide.Ready,
+	emulator.LifecycleLeaving: decide.Draining,
+}
 
 // listDigest returns the digest of a list, as hollow nodes calculate it.
 func listDigest(entries []emulator.Entry) (digest uint64) {
--- a/internal/testbench/experiment/scale_run.go
+++ b/internal/testbench/experiment/scale_run.go
@@ -31,7 +31,7 @@
 )
 
 // errNoFinalStates is returned when a worker does not report the final states in time.
-var errNoFinalStates = errors.New("a process of hollow balancers does not tell how it ends")
+var errNoFinalStates = errors.New("a process of hollow nodes has not reported their final states")
 
 // Programs are the programs that a scale run starts.
 type Programs struct {
--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -96,18 +96,14 @@
 				return err
 			}
 			s.roomServers = append(s.roomServers, server)
-			s.entries = append(s.entries, activeEntry(server.Name(), server.Address(), zoneName(zone)))
+			entry := emulator.ActiveEntry(server.Name(), server.Address(), zoneName(zone))
+			s.entries = append(s.entries, entry)
 		}
 	}
 	s.draining = make([]bool, len(s.roomServers))
 	return nil
 }
 
-// activeEntry returns an entry of a ready room server.
-func activeEntry(name, address, zone string) emulator.Entry {
-	return emulator.Entry{Instance: name, Address: address, Zone: zone, Lifecycle: "active", Weight: 1}
-}
-
 // addMissingServers adds entries of room servers that do not exist up to the length of the list, in zones without real
 // balancers, which would send clients to them.
 func (s *scaleRun) addMissingServers() {
@@ -120,7 +116,8 @@
 	}
 	for i := len(s.roomServers); i < s.e.Servers; i++ {
 		zone := zoneName(zones[i%len(zones)])
-		s.entries = append(s.entries, activeEntry(missingServerName(i), unusedAddress(i), zone))
+		entry := emulator.ActiveEntry(missingServerName(i), unusedAddress(i), zone)
+		s.entries = append(s.entries, entry)
 	}
 }
 
@@ -168,7 +165,7 @@
 				continue
 			}
 			kind := invariants.DrainObserved
-			if e.Lifecycle == "active" {
+			if e.Lifecycle == emulator.LifecycleActive {
 				kind = invariants.ReadyObserved
 			}
 			s.recorder.Add(invariants.Event{Kind: kind, Balancer: balancer, Server: e.Instance})
--- a/internal/testbench/experiment/worker_process.go
+++ b/internal/testbench/experiment/worker_process.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	if err := w.process.Start(); err != nil {
-		return nil, fmt.Errorf("hollow balancers: %w", err)
+		return nil, fmt.Errorf("hollow nodes: %w", err)
 	}
 	w.commands = json.NewEncoder(w.stdin)
 	go w.readReports(reports) // ends with the process, whose end stop waits for
@@ -92,7 +92,7 @@
 	w.sending.Lock()
 	defer w.sending.Unlock()
 	if err := w.commands.Encode(message); err != nil {
-		return fmt.Errorf("hollow balancers: %w", err)
+		return fmt.Errorf("hollow nodes: %w", err)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.invalid = fmt.Errorf("hollow balancers: %w", err)
+		w.invalid = fmt.Errorf("hollow nodes: %w", err)
 	}
 	w.events = append(w.events, report.Events...)
 	if report.Usage != nil {
@@ -144,7 +144,7 @@
 	}
 	select {
 	case <-w.ended:
-		return usage, growthMB, fmt.Errorf("a process of hollow balancers ended: %s", fileTail(w.log.Name()))
+		return usage, growthMB, fmt.Errorf("a process of hollow nodes ended: %s", fileTail(w.log.Name()))
 	default:
 		return usage, growthMB, w.invalid
 	}
--- a/internal/testbench/hollow/digest.go
+++ b/internal/testbench/hollow/digest.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// nodeList is the list of one node: the shared list at a version, except for the endpoints of which the node was told
-// something older afterwards.
+// nodeList is the list of one node: the shared list at a version, except for the endpoints of which the node
+// received an older change afterwards.
 type nodeList struct {
 	version int64
 	// older holds the digests of the exceptions by the endpoint's name.
--- a/internal/testbench/hollow/fleet_test.go
+++ b/internal/testbench/hollow/fleet_test.go
@@ -16,13 +16,7 @@
 // testEntries returns the lines of a list of ready endpoints.
 func testEntries(n int) (entries []emulator.Entry) {
 	for i := range n {
-		entries = append(entries, emulator.Entry{
-			Instance:  fmt.Sprintf("h-%d", i),
-			Address:   "127.1.0.1:1",
-			Zone:      "a",
-			Lifecycle: "active",
-			Weight:    1,
-		})
+		entries = append(entries, emulator.ActiveEntry(fmt.Sprintf("h-%d", i), "127.1.0.1:1", "a"))
 	}
 	return entries
 }
@@ -145,7 +139,7 @@
 	for i := range changes {
 		e := testEntries(1)[0]
 		if i%2 == 0 {
-			e.Lifecycle = "leaving"
+			e.Lifecycle = emulator.LifecycleLeaving
 		}
 		version := f.table.Publish(e)
 		f.record(Event{At: Now(), Kind: VersionPublished, Version: version})
@@ -174,7 +168,7 @@
 func (f *fleet) digest(version int64) (digest uint64) {
 	for _, e := range f.table.Entries(version) {
 		state := decide.Ready
-		if e.Lifecycle == "leaving" {
+		if e.Lifecycle == emulator.LifecycleLeaving {
 			state = decide.Draining
 		}
 		digest ^= Digest(e.Instance, e.Address, e.Zone, state)
