--- a/internal/testbench/hollow/convergence_test.go
+++ b/internal/testbench/hollow/convergence_test.go
@@ -27,30 +27,58 @@
 	return Event{At: when, Kind: VersionApplied, Node: testNode, Version: version, Snapshot: true}
 }
 
-// Check finds each fault and reports none for histories that only resemble one. Every scale run relies on this.
-func TestCheck(t *testing.T) {
-	const (
-		digest = 77
-		end    = 10_000 * ms
-		grace  = 6 * time.Second
-	)
+// The run of these tests: two versions are published, and the node must end with them.
+const (
+	finalDigest = 77
+	endOfRun    = 10_000 * ms
+	gracePeriod = 6 * time.Second
+)
+
+// finalState returns the event of the node's final state.
+func finalState(version int64, digest uint64) Event {
+	return Event{At: endOfRun, Kind: FinalState, Node: testNode, Version: version, Digest: digest}
+}
+
+// good is the final state of a node with the final list.
+var good = finalState(3, finalDigest)
+
+// inOrder are the latencies of a node that applies version 2 at 110 ms and version 3 at 230 ms.
+var inOrder = []time.Duration{10 * ms, 30 * ms}
+
+// checkCase is a history of the node and what Check has to find.
+type checkCase struct {
+	events      []Event
+	lost        int
+	regressions int
+	latencies   []time.Duration
+}
+
+// runCheckCases checks the findings of each case.
+func runCheckCases(t *testing.T, cases map[string]checkCase) {
+	t.Helper()
 	begin := []Event{
 		at(0, NodeReachable, 0),
 		at(0, NodeStarted, 1),
 		{At: 100 * ms, Kind: VersionPublished, Version: 2},
 		{At: 200 * ms, Kind: VersionPublished, Version: 3},
 	}
-	final := func(version int64, digest uint64) Event {
-		return Event{At: end, Kind: FinalState, Node: testNode, Version: version, Digest: digest}
+	want := FinalList{Version: 3, Digest: finalDigest}
+	for name, v := range cases {
+		t.Run(name, func(t *testing.T) {
+			f := Check(slices.Concat(begin, v.events), want, endOfRun, gracePeriod)
+			if f.LostUpdates != v.lost || f.Regressions != v.regressions || len(f.Violations) != v.lost+v.regressions {
+				t.Errorf("%+v, want %d lost updates, %d regressions", f, v.lost, v.regressions)
+			}
+			if !slices.Equal(f.Latencies, v.latencies) {
+				t.Errorf("latencies %v, want %v", f.Latencies, v.latencies)
+			}
+		})
 	}
-	good := final(3, digest)
-	inOrder := []time.Duration{10 * ms, 30 * ms}
-	for name, v := range map[string]struct {
-		events      []Event
-		lost        int
-		regressions int
-		latencies   []time.Duration
-	}{
+}
+
+// Check finds skipped versions and regressions, and measures the latency of each version.
+func TestCheckVersions(t *testing.T) {
+	runCheckCases(t, map[string]checkCase{
 		"all applied": {events: []Event{applied(110*ms, 2), applied(230*ms, 3), good}, latencies: inOrder},
 		"applied twice": {
 			events:    []Event{applied(110*ms, 2), applied(120*ms, 2), applied(230*ms, 3), good},
@@ -70,54 +98,50 @@
 			},
 			latencies: inOrder,
 		},
+		"latency since it is reachable": {
+			events: []Event{
+				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0),
+				at(900*ms, NodeReachable, 0), applied(950*ms, 3), good,
+			},
+			latencies: []time.Duration{10 * ms, 50 * ms},
+		},
+		"slow": {
+			events:    []Event{applied(110*ms, 2), applied(9000*ms, 3), good},
+			latencies: []time.Duration{10 * ms, 8800 * ms},
+		},
+	})
+}
+
+// Check finds nodes without the final list, unless they were not reachable for the grace period.
+func TestCheckFinalState(t *testing.T) {
+	runCheckCases(t, map[string]checkCase{
 		"never applied": {
-			events:    []Event{applied(110*ms, 2), final(2, digest)},
+			events:    []Event{applied(110*ms, 2), finalState(2, finalDigest)},
 			lost:      1,
 			latencies: []time.Duration{10 * ms},
 		},
 		"another list": {
-			events:    []Event{applied(110*ms, 2), applied(230*ms, 3), final(3, digest+1)},
+			events:    []Event{applied(110*ms, 2), applied(230*ms, 3), finalState(3, finalDigest+1)},
 			lost:      1,
 			latencies: inOrder,
 		},
 		"no final state": {events: []Event{applied(110*ms, 2), applied(230*ms, 3)}, lost: 1, latencies: inOrder},
 		"unreachable": {
-			events:    []Event{applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), final(2, 1)},
+			events:    []Event{applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), finalState(2, 1)},
 			latencies: []time.Duration{10 * ms},
 		},
 		"reachable for less than the grace period": {
 			events: []Event{
-				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), at(4001*ms, NodeReachable, 0), final(2, 1),
+				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), at(4001*ms, NodeReachable, 0), finalState(2, 1),
 			},
 			latencies: []time.Duration{10 * ms},
 		},
 		"reachable for the grace period": {
 			events: []Event{
-				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), at(4000*ms, NodeReachable, 0), final(2, 1),
+				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0), at(4000*ms, NodeReachable, 0), finalState(2, 1),
 			},
 			lost:      1,
 			latencies: []time.Duration{10 * ms},
 		},
-		"latency since it is reachable": {
-			events: []Event{
-				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0),
-				at(900*ms, NodeReachable, 0), applied(950*ms, 3), good,
-			},
-			latencies: []time.Duration{10 * ms, 50 * ms},
-		},
-		"slow": {
-			events:    []Event{applied(110*ms, 2), applied(9000*ms, 3), good},
-			latencies: []time.Duration{10 * ms, 8800 * ms},
-		},
-	} {
-		t.Run(name, func(t *testing.T) {
-			f := Check(slices.Concat(begin, v.events), FinalList{Version: 3, Digest: digest}, end, grace)
-			if f.LostUpdates != v.lost || f.Regressions != v.regressions || len(f.Violations) != v.lost+v.regressions {
-				t.Errorf("%+v, want %d lost updates, %d regressions", f, v.lost, v.regressions)
-			}
-			if !slices.Equal(f.Latencies, v.latencies) {
-				t.Errorf("latencies %v, want %v", f.Latencies, v.latencies)
-			}
-		})
-	}
+	})
 }
--- a/internal/testbench/hollow/digest_test.go
+++ b/internal/testbench/hollow/digest_test.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -19,30 +20,40 @@
 	}
 }
 
-// The digest of a node's list is that of the endpoints it was told last, also when a change is repeated or skipped.
+// The known list and its changes in these tests.
+var (
+	knownEndpoints = []core.Endpoint{testEndpoint("a", 1, decide.Ready), testEndpoint("b", 1, decide.Ready)}
+	deltaA2        = testEndpoint("a", 2, decide.Draining)
+	deltaB3        = testEndpoint("b", 3, decide.Draining)
+	deltaA4        = testEndpoint("a", 4, decide.Ready)
+	allDeltas      = []core.Endpoint{deltaA2, deltaB3, deltaA4}
+)
+
+// newTestList returns a list with the known endpoints.
+func newTestList(shared *sharedList) nodeList {
+	return nodeList{version: 1, digest: shared.initialDigest}
+}
+
+// The digest of a node's list is that of the endpoints it received last, also when a change is repeated.
 func TestNodeListDigest(t *testing.T) {
-	known := []core.Endpoint{testEndpoint("a", 1, decide.Ready), testEndpoint("b", 1, decide.Ready)}
-	a2 := testEndpoint("a", 2, decide.Draining)
-	b3 := testEndpoint("b", 3, decide.Draining)
-	a4 := testEndpoint("a", 4, decide.Ready)
+	final, regressed := []core.Endpoint{deltaA4, deltaB3}, []core.Endpoint{deltaA2, deltaB3}
 	for name, v := range map[string]struct {
 		deltas []core.Endpoint
 		want   []core.Endpoint
 	}{
-		"in order":          {[]core.Endpoint{a2, b3, a4}, []core.Endpoint{a4, b3}},
-		"each repeated":     {[]core.Endpoint{a2, a2, b3, b3, a4, a4}, []core.Endpoint{a4, b3}},
-		"all repeated":      {[]core.Endpoint{a2, b3, a4, a2, b3, a4}, []core.Endpoint{a4, b3}},
-		"regression":        {[]core.Endpoint{a2, b3, a4, a2}, []core.Endpoint{a2, b3}},
-		"regression of two": {[]core.Endpoint{a2, b3, a4, a2, b3}, []core.Endpoint{a2, b3}},
+		"in order":          {allDeltas, final},
+		"each repeated":     {[]core.Endpoint{deltaA2, deltaA2, deltaB3, deltaB3, deltaA4, deltaA4}, final},
+		"all repeated":      {slices.Concat(allDeltas, allDeltas), final},
+		"regression":        {slices.Concat(allDeltas, []core.Endpoint{deltaA2}), regressed},
+		"regression of two": {slices.Concat(allDeltas, []core.Endpoint{deltaA2, deltaB3}), regressed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			shared := newSharedList(known, 1)
-			// Another node has recorded all changes before.
-			other := nodeList{version: 1, digest: shared.initialDigest}
-			for _, e := range []core.Endpoint{a2, b3, a4} {
+			shared := newSharedList(knownEndpoints, 1)
+			other := newTestList(shared) // has recorded all changes before
+			for _, e := range allDeltas {
 				other.applyDelta(shared, e)
 			}
-			list := nodeList{version: 1, digest: shared.initialDigest}
+			list := newTestList(shared)
 			for _, e := range v.deltas {
 				list.applyDelta(shared, e)
 			}
@@ -58,18 +69,19 @@
 			}
 		})
 	}
-	t.Run("skipped change", func(t *testing.T) {
-		shared := newSharedList(known, 1)
-		complete := nodeList{version: 1, digest: shared.initialDigest}
-		skipping := nodeList{version: 1, digest: shared.initialDigest}
-		for _, e := range []core.Endpoint{a2, b3, a4} {
-			complete.applyDelta(shared, e)
-			if e.Name != "b" {
-				skipping.applyDelta(shared, e)
-			}
-		}
-		if complete.digest == skipping.digest {
-			t.Error("the digest does not show that a change was skipped")
+}
+
+// The digest of a node's list shows that a change was skipped.
+func TestNodeListSkippedDelta(t *testing.T) {
+	shared := newSharedList(knownEndpoints, 1)
+	complete, skipping := newTestList(shared), newTestList(shared)
+	for _, e := range allDeltas {
+		complete.applyDelta(shared, e)
+		if e.Name != "b" {
+			skipping.applyDelta(shared, e)
 		}
-	})
+	}
+	if complete.digest == skipping.digest {
+		t.Error("the digest does not show that a change was skipped")
+	}
 }
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -63,22 +63,56 @@
 	return Event{Kind: kind, Session: "s", Position: position}
 }
 
-// The Checker finds each violation and reports none for sequences that only resemble one. Every experiment, and every
-// test that uses the Checker, relies on this.
-func TestChecker(t *testing.T) {
-	const (
-		deadline     = 100 * ms
-		longDeadline = 2 * time.Second
-		afterGrace   = 551 * ms
-	)
-	for name, v := range map[string]struct {
-		events      []Event
-		violation   string // part of its description; empty if there is none
-		collapses   int
-		double      int
-		regressions int
-		lost        int
-	}{
+// The limits of the invariants in these tests, and times relative to them.
+const (
+	drainGrace = 500 * ms
+	slack      = 50 * ms
+	deadline   = 100 * ms
+	// longDeadline is after the end of the drain's grace period.
+	longDeadline = 2 * time.Second
+	// afterGrace is after the end of the drain's grace period and the slack.
+	afterGrace = 551 * ms
+)
+
+// checkerCase is a sequence of events and what the Checker has to find.
+type checkerCase struct {
+	events []Event
+	// violation is a part of the violation's description; empty if there is none.
+	violation   string
+	collapses   int
+	double      int
+	regressions int
+	lost        int
+}
+
+// runCheckerCases checks that the Checker finds the violation of each case, and nothing else.
+func runCheckerCases(t *testing.T, cases map[string]checkerCase) {
+	t.Helper()
+	for name, v := range cases {
+		t.Run(name, func(t *testing.T) {
+			c := New(Figures{DrainGrace: drainGrace, Slack: slack})
+			for _, e := range v.events {
+				c.Add(e)
+			}
+			r := c.Report(time.Second)
+			violations := strings.Join(r.Violations, "; ")
+			if (violations == "") != (v.violation == "") || !strings.Contains(violations, v.violation) {
+				t.Errorf("violations %q, want %q", violations, v.violation)
+			}
+			if r.Collapses != v.collapses {
+				t.Errorf("%d collapses, want %d", r.Collapses, v.collapses)
+			}
+			if r.DoubleAttachments != v.double || r.EpochRegressions != v.regressions || r.LostSessions != v.lost {
+				t.Errorf("%+v, want %d double attachments, %d epoch regressions, %d lost sessions",
+					r, v.double, v.regressions, v.lost)
+			}
+		})
+	}
+}
+
+// Each request has to get one answer before its deadline, unless its client leaves or its balancer is killed.
+func TestRequests(t *testing.T) {
+	runCheckerCases(t, map[string]checkerCase{
 		"served": {events: []Event{sent(deadline), started(0, "a"), answered(9 * ms)}},
 		"answered twice": {
 			events:    []Event{sent(deadline), answered(0), answered(0)},
@@ -98,6 +132,13 @@
 			},
 			violation: "cut off",
 		},
+	})
+}
+
+// A request may have one attempt at a time, none at a draining room server, and no room server may be overloaded while
+// it warms up.
+func TestAttempts(t *testing.T) {
+	runCheckerCases(t, map[string]checkerCase{
 		"two attempts":    {events: []Event{started(0, "a"), started(0, "b")}, violation: "beside another"},
 		"end seen late":   {events: []Event{started(0, "a"), started(0, "b"), ended(40*ms, "a")}},
 		"attempts in row": {events: []Event{started(0, "a"), ended(0, "a"), started(0, "b")}},
@@ -129,6 +170,12 @@
 			violation: "overloaded",
 			collapses: 1,
 		},
+	})
+}
+
+// A session may be attached once at a time, at increasing epochs, and must not lose acknowledged moves.
+func TestSessions(t *testing.T) {
+	runCheckerCases(t, map[string]checkerCase{
 		"attached at two":       {events: []Event{attached(1, "a"), attached(2, "b")}, double: 1},
 		"migrated":              {events: []Event{attached(1, "a"), detached("a"), attached(2, "b")}},
 		"attached at one epoch": {events: []Event{attached(1, "a"), detached("a"), attached(1, "b")}, double: 1},
@@ -139,24 +186,5 @@
 		},
 		"moves stored": {events: []Event{positioned(PositionAcknowledged, 5), positioned(SessionResumed, 6)}},
 		"stranded":     {events: []Event{{Kind: SessionStranded, Session: "s"}}, lost: 1},
-	} {
-		t.Run(name, func(t *testing.T) {
-			c := New(Figures{DrainGrace: 500 * ms, Slack: 50 * ms})
-			for _, e := range v.events {
-				c.Add(e)
-			}
-			r := c.Report(time.Second)
-			violations := strings.Join(r.Violations, "; ")
-			if (violations == "") != (v.violation == "") || !strings.Contains(violations, v.violation) {
-				t.Errorf("violations %q, want %q", violations, v.violation)
-			}
-			if r.Collapses != v.collapses {
-				t.Errorf("%d collapses, want %d", r.Collapses, v.collapses)
-			}
-			if r.DoubleAttachments != v.double || r.EpochRegressions != v.regressions || r.LostSessions != v.lost {
-				t.Errorf("%+v, want %d double attachments, %d epoch regressions, %d lost sessions",
-					r, v.double, v.regressions, v.lost)
-			}
-		})
-	}
+	})
 }
