--- a/cmd/cottonplank/check.go
+++ b/cmd/cottonplank/check.go
@@ -61,7 +61,7 @@
 	if err != nil || ring == nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "resumption: site %q, key %s seals, %d keys\n", sessions.Site, ring.Sealing(time.Now()),
+	_, err = fmt.Fprintf(out, "resumption: site %q, key %s seals, %d keys\n", sessions.Site, ring.SealingKeyID(time.Now()),
 		len(ring.Keys()))
 	return err
 }
@@ -89,7 +89,7 @@
 		return frontsError(config.InSection("membership", err))
 	}
 	_, err = fmt.Fprintf(out, "membership: %s at %s, zone %q, region %q, %d seeds, key %s seals, %d keys\n", m.Name,
-		m.Listen, m.Zone, m.Region, len(m.Seeds), ring.Sealing(time.Now()), len(ring.Keys()))
+		m.Listen, m.Zone, m.Region, len(m.Seeds), ring.SealingKeyID(time.Now()), len(ring.Keys()))
 	return err
 }
 
@@ -100,7 +100,7 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "control: site %q, region %q, key %s, %d machines, state in %s\n", c.Site, c.Region,
-		ring.Sealing(time.Now()), len(c.Servers), c.StateFile)
+		ring.SealingKeyID(time.Now()), len(c.Servers), c.StateFile)
 	return err
 }
 
@@ -121,6 +121,6 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "writes term %d from %s: %d room servers, discovery %q\n", server.Term,
-		server.DocumentFile, len(document.Rooms), document.Discovery)
+		server.DocumentFile, len(document.Endpoints), document.Discovery)
 	return err
 }
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -55,12 +55,12 @@
 	if document.Discovery != "" {
 		r.cfg.Discovery = document.Discovery
 	}
-	if len(document.Rooms) > 0 {
+	if len(document.Endpoints) > 0 {
 		r.cfg.KnownEndpoints = controlplane.Endpoints(document)
 	}
 	r.log.WithFields(logrus.Fields{
 		"version":   r.saved.Version.String(),
-		"endpoints": len(document.Rooms),
+		"endpoints": len(document.Endpoints),
 		"discovery": document.Discovery,
 	}).Info("control: starting from the saved document")
 }
@@ -71,10 +71,10 @@
 		return httpsource.New(r.cfg.Discovery, r.cfg.KnownGeneration, updates, r.log)
 	}
 	follower := controlplane.FollowerConfig{
-		Machines: r.settings.Servers,
-		Region:   r.settings.Region,
-		Site:     r.settings.Site,
-		Seed:     followerSeed(r.cfg.Name),
+		Servers: r.settings.Servers,
+		Region:  r.settings.Region,
+		Site:    r.settings.Site,
+		Seed:    followerSeed(r.cfg.Name),
 	}
 	return controlplane.NewSource(follower, r.keys, r.store, r.saved, newDiscovery, engine.SetDiscoveryAddress, engine,
 		r.log)
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -71,8 +71,8 @@
 }
 
 // protocolNames returns the classes and tenants that a client's request may name.
-func protocolNames(cfg *config.Config) platform.Names {
-	names := platform.Names{Classes: map[string]int{}, Tenants: map[string]bool{}}
+func protocolNames(cfg *config.Config) platform.AllowedNames {
+	names := platform.AllowedNames{Classes: map[string]int{}, Tenants: map[string]bool{}}
 	for i, class := range cfg.Settings.Classes {
 		names.Classes[class.Name] = i
 	}
--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -24,9 +24,9 @@
 // newDeploymentWithFaultyDiscovery returns a deployment whose discovery service can go down.
 func newDeploymentWithFaultyDiscovery(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
 	t.Helper()
-	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
 	d.listen = reservedAddress(t)
-	discovery.Tell("s-1", d.server, "a", "active")
+	discovery.PutServer("s-1", d.server, "a", "active")
 	listener, err := emulator.NewFaultyListener(discovery.Handler("any"))
 	if err != nil {
 		t.Fatal(err)
@@ -79,10 +79,10 @@
 		p.waitListed(1)
 	}
 	waitForCalls(t, listener, 12)
-	setOutage(t, listener, emulator.Resets)
-	discovery.Tell("s-2", "127.0.0.1:9", "a", "active")
+	setOutage(t, listener, emulator.ResetConnections)
+	discovery.PutServer("s-2", "127.0.0.1:9", "a", "active")
 	time.Sleep(12 * time.Second)
-	setOutage(t, listener, emulator.Open)
+	setOutage(t, listener, emulator.NoOutage)
 	delays := make([]time.Duration, len(processes))
 	var waits sync.WaitGroup
 	for i, p := range processes {
@@ -156,8 +156,8 @@
 	waitForCalls(t, listener, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	setOutage(t, listener, emulator.Resets)
-	discovery.Tell("s-2", "127.0.0.1:9", "a", "leaving")
+	setOutage(t, listener, emulator.ResetConnections)
+	discovery.PutServer("s-2", "127.0.0.1:9", "a", "leaving")
 	d.connectIdleClients(ctx, 2*descriptors)
 	maxOpen := 0
 	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -168,7 +168,7 @@
 	if dials < 5 {
 		t.Errorf("only %d connections came to discovery", dials)
 	}
-	setOutage(t, listener, emulator.Open)
+	setOutage(t, listener, emulator.NoOutage)
 	delay := p.waitListed(2)
 	t.Logf("%d of %d descriptors were open at most, %d connections came during the outage, listed after %v", maxOpen,
 		descriptors, dials, delay)
--- a/cmd/cottonplank/engine.go
+++ b/cmd/cottonplank/engine.go
@@ -24,15 +24,15 @@
 // newEngine creates the engine with the learned state of the previous process, if there is one.
 func (d *daemon) newEngine() error {
 	engine, err := core.New(core.Config{
-		Settings:     d.cfg.Settings,
-		Known:        d.cfg.KnownEndpoints,
-		MaxClients:   d.cfg.MaxClients,
-		AwaitList:    d.previous != nil,
-		ListPushed:   d.cfg.ListPushed,
-		StateTimeout: sessionStateTimeout(d.fronts.Sessions),
-		Watchdog:     d.monitor.AddTask(engineTask),
-		Learned:      decodeLearned(d.previous, core.DeploymentID(d.cfg.Settings), d.log),
-		Log:          func(text string) { d.log.Info(text) },
+		Settings:       d.cfg.Settings,
+		Known:          d.cfg.KnownEndpoints,
+		MaxClients:     d.cfg.MaxClients,
+		AwaitFirstList: d.previous != nil,
+		ListPushed:     d.cfg.ListPushed,
+		StateTimeout:   sessionStateTimeout(d.fronts.Sessions),
+		Watchdog:       d.monitor.AddTask(engineTask),
+		Learned:        decodeLearned(d.previous, core.DeploymentID(d.cfg.Settings), d.log),
+		Log:            func(text string) { d.log.Info(text) },
 	})
 	d.engine = engine
 	return err
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -94,7 +94,7 @@
 	fmt.Fprintln(table, "KEY\tNOW\tNOT BEFORE\tNOT AFTER")
 	now := time.Now()
 	for _, key := range ring.Keys() {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", key.ID, ring.Use(key.ID, now), formatTime(key.NotBefore),
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", key.ID, ring.KeyUse(key.ID, now), formatTime(key.NotBefore),
 			formatTime(key.NotAfter))
 	}
 	return table.Flush()
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -141,10 +141,10 @@
 // A list of 20,000 room servers is received from discovery in one piece, which is not polled again and again for it.
 func TestLongListFromDiscovery(t *testing.T) {
 	const n = 20_000
-	discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+	discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
 	defer discovery.Stop()
 	discovery.Put(endpointEntries(n)...)
-	address, err := discovery.For("n3")
+	address, err := discovery.ListenFor("n3")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,11 +163,11 @@
 func BenchmarkListedServer(b *testing.B) {
 	for _, n := range []int{600, 5000, 8000, 20_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
+			discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
 			defer discovery.Stop()
 			entries := endpointEntries(n)
 			discovery.Put(entries...)
-			address, err := discovery.For("n3")
+			address, err := discovery.ListenFor("n3")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -196,7 +196,7 @@
 // measureProcessorTime reports the processor time at rest, and with a change of the list each second.
 func measureProcessorTime(b *testing.B, discovery *emulator.Discovery, address string, entries []emulator.Entry) {
 	const interval = 20 * time.Second
-	p := startBalancer(b, address, discovery.Known())
+	p := startBalancer(b, address, discovery.ListingJSON())
 	if !p.waitListed(b, len(entries), 20*time.Second) {
 		b.Fatal("does not start")
 	}
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -22,7 +22,7 @@
 // applies the memory limit, of which both processes get a part while they run beside each other.
 func (d *daemon) inheritSockets() {
 	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
-	d.sockets, d.previous = hotrestart.TakeOver(d.restartPath, d.log)
+	d.sockets, d.previous = hotrestart.ReceiveSockets(d.restartPath, d.log)
 	d.sockets.AddInherited(sdnotify.InheritedSockets())
 	d.cfg.ProcessLimits(d.previous != nil).ApplyMemory()
 }
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -119,7 +119,7 @@
 	if files.sessionKeys != nil {
 		r.sessions.SetKeys(files.sessionKeys)
 		r.log.WithFields(logrus.Fields{
-			"sealing_key": files.sessionKeys.Sealing(time.Now()),
+			"sealing_key": files.sessionKeys.SealingKeyID(time.Now()),
 			"keys":        len(files.sessionKeys.Keys()),
 		}).Info("session keys reloaded")
 	}
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -141,7 +141,7 @@
 	replaced := c.replacements.Serving > 0
 	limits := c.cfg.ProcessLimits(c.previousAlive || c.replacements.Connected > 0)
 	limits.ApplyMemory()
-	c.frontend.SetReserve(limits.ReservedDescriptors)
+	c.frontend.SetDescriptorReserve(limits.ReservedDescriptors)
 	c.engine.SetMaxClients(limits.MaxClients)
 	c.frontend.SetReplaced(replaced)
 	c.applyMembership(replaced)
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -29,7 +29,7 @@
 }
 
 // leaveCluster leaves the cluster while the engine drains; the channel is closed when it has left, within
-// gossip.LeaveWait.
+// gossip.LeaveTimeout.
 func (d *daemon) leaveCluster() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/decide/api.go
+++ b/decide/api.go
@@ -50,12 +50,12 @@
 
 // SafetyLimits are the limits that the decisions must keep to.
 type SafetyLimits struct {
-	DrainGrace        time.Duration // within this, sends to a server that began to drain must have ended
-	MaxPollInterval   time.Duration // longest time between two polls of discovery; 0: no limit
-	SlowStartShare    float64       // fraction of its capacity that a server has when it starts, from 0 to 1
-	SlowStartDuration time.Duration // time from its start until it has its whole capacity
-	OverloadFactor    float64       // multiple of its present capacity that overloads a server which warms up
-	OverloadWindow    time.Duration // time that such a load takes to overload it
+	DrainGrace               time.Duration // within this, sends to a server that began to drain must have ended
+	MaxPollInterval          time.Duration // longest time between two polls of discovery; 0: no limit
+	SlowStartInitialCapacity float64       // fraction of its capacity that a server has when it starts, from 0 to 1
+	SlowStartDuration        time.Duration // time from its start until it has its whole capacity
+	OverloadFactor           float64       // multiple of its present capacity that overloads a server which warms up
+	OverloadWindow           time.Duration // time that such a load takes to overload it
 }
 
 // Costs are costs as a fraction of the value of a request served at the first attempt; 0 means free.
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -12,7 +12,7 @@
 	b, err := decide.New(decide.Settings{
 		Seed: 1, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, MaxAttempts: 3,
 		Classes: []decide.Class{{Name: "session", LatencyObjective: 300 * time.Millisecond}},
-		Safety: decide.SafetyLimits{DrainGrace: time.Second, SlowStartShare: 0.3,
+		Safety: decide.SafetyLimits{DrainGrace: time.Second, SlowStartInitialCapacity: 0.3,
 			SlowStartDuration: 10 * time.Second, OverloadFactor: 3},
 	})
 	if err != nil {
--- a/decide/fleet_simulation_test.go
+++ b/decide/fleet_simulation_test.go
@@ -126,7 +126,7 @@
 	safety := f.balancers[0].settings.Safety
 	for _, s := range f.list {
 		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < safety.SlowStartDuration {
-			return safety.SlowStartShare + (1-safety.SlowStartShare)*float64(age)/float64(safety.SlowStartDuration)
+			return safety.SlowStartInitialCapacity + (1-safety.SlowStartInitialCapacity)*float64(age)/float64(safety.SlowStartDuration)
 		}
 	}
 	return 1
@@ -302,7 +302,7 @@
 	f.sendList()
 	safety := f.balancers[0].settings.Safety
 	perSecond := capacity / defaultLifetime.Seconds()
-	return safety.OverloadFactor * safety.OverloadWindow.Seconds() * perSecond * (safety.SlowStartShare + 0.28)
+	return safety.OverloadFactor * safety.OverloadWindow.Seconds() * perSecond * (safety.SlowStartInitialCapacity + 0.28)
 }
 
 func (f *fleetSimulation) arrive(group string) {
--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -330,7 +330,7 @@
 	safety := b.settings.Safety
 	if b.now >= s.slowStartQuotaUntil {
 		age := float64(b.now-s.Started) / float64(safety.SlowStartDuration)
-		part := safety.SlowStartShare + (1-safety.SlowStartShare)*age
+		part := safety.SlowStartInitialCapacity + (1-safety.SlowStartInitialCapacity)*age
 		window := max(safety.OverloadWindow, tickInterval)
 		demand, balancers := b.expectedDemandFor(r, s, window), b.estimatedZoneBalancers()
 		work := max(part*b.serverCapacity()*window.Seconds(),
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -57,7 +57,7 @@
 		{"MaxRetryAfter", s.MaxRetryAfter < 0},
 		{"Safety.DrainGrace", safety.DrainGrace < 0},
 		{"Safety.MaxPollInterval", safety.MaxPollInterval < 0},
-		{"Safety.SlowStartShare", !(safety.SlowStartShare >= 0 && safety.SlowStartShare <= 1)}, // not NaN either
+		{"Safety.SlowStartInitialCapacity", !isFraction(safety.SlowStartInitialCapacity)},
 		{"Safety.SlowStartDuration", safety.SlowStartDuration < 0},
 		{"Safety.OverloadFactor", !(safety.OverloadFactor >= 0)},
 		{"Safety.OverloadWindow", safety.OverloadWindow < 0},
@@ -72,6 +72,9 @@
 	return nil
 }
 
+// isFraction reports whether a value is from 0 to 1, which NaN is not.
+func isFraction(value float64) bool { return value >= 0 && value <= 1 }
+
 // validate returns an error for the first invalid field of a class, whose name follows the prefix.
 func (c *Class) validate(prefix string) error {
 	switch {
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -15,7 +15,7 @@
 		"Classes[1]: LatencyObjective":        func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
 		"Classes[0]: Idempotency":             func(s *Settings) { s.Classes[0].Idempotency = 9 },
 		"Classes[0]: DedupWindow":             func(s *Settings) { s.Classes[0].DedupWindow = -1 },
-		"Safety.SlowStartShare":               func(s *Settings) { s.Safety.SlowStartShare = 1.5 },
+		"Safety.SlowStartInitialCapacity":     func(s *Settings) { s.Safety.SlowStartInitialCapacity = 1.5 },
 		"Safety.DrainGrace":                   func(s *Settings) { s.Safety.DrainGrace = -1 },
 		"Costs.Probe":                         func(s *Settings) { s.Costs.Probe = -1 },
 		"Classes[2]: ClientTimeout":           func(s *Settings) { s.Classes[2].ClientTimeout = -1 },
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -60,7 +60,7 @@
 func (b *Balancer) slowStartQuota(r *request, s *server, window time.Duration) float64 {
 	safety := b.settings.Safety
 	age := float64(b.now-s.Started) / float64(safety.SlowStartDuration)
-	capacityFraction := safety.SlowStartShare + (1-safety.SlowStartShare)*age
+	capacityFraction := safety.SlowStartInitialCapacity + (1-safety.SlowStartInitialCapacity)*age
 	demand, balancers := b.expectedDemandFor(r, s, window), b.estimatedZoneBalancers()
 	minAccepted := minSlowStartConnections / max(float64(b.fleet.Fleet), balancers)
 	accepted := max(capacityFraction*b.serverCapacity()*window.Seconds(), minAccepted)
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -9,7 +9,7 @@
 func slowStartSettings() Settings {
 	set := settings()
 	set.ProbingAllowed = true
-	set.Safety.SlowStartDuration, set.Safety.SlowStartShare, set.Safety.OverloadFactor,
+	set.Safety.SlowStartDuration, set.Safety.SlowStartInitialCapacity, set.Safety.OverloadFactor,
 		set.Safety.OverloadWindow = 8*time.Second, 0.37, 4, time.Second
 	return set
 }
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -177,7 +177,7 @@
 func (f *slowStartSimulation) capacityFraction(s *simulatedServer, at time.Duration) float64 {
 	if age := at - s.Started; s.Started > 0 && age < f.settings.Safety.SlowStartDuration {
 		warm := max(0, float64(age)/float64(f.settings.Safety.SlowStartDuration))
-		return f.settings.Safety.SlowStartShare + (1-f.settings.Safety.SlowStartShare)*warm
+		return f.settings.Safety.SlowStartInitialCapacity + (1-f.settings.Safety.SlowStartInitialCapacity)*warm
 	}
 	return 1
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	safety := settings().Safety
-	accepted := safety.SlowStartShare * h.b.capacity.perSecond * safety.OverloadWindow.Seconds()
+	accepted := safety.SlowStartInitialCapacity * h.b.capacity.perSecond * safety.OverloadWindow.Seconds()
 	if most := 1 + slowStartSafetyFactor*safety.OverloadFactor*accepted; float64(got) > most {
 		t.Fatalf("%d of a burst of 300 were placed on the warming server, this balancer's quota is %.1f", got, most)
 	}
--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// LeaveWait bounds the time that Leave takes.
-	LeaveWait = 400 * time.Millisecond
+	// LeaveTimeout bounds the time that Leave takes.
+	LeaveTimeout = 400 * time.Millisecond
 	// leavePollInterval is how often Leave checks whether the membership has ended.
 	leavePollInterval = 10 * time.Millisecond
 	// startRetryInterval is the time between two attempts to bind the gossip address, which the previous process of
@@ -102,14 +102,14 @@
 	}
 }
 
-// Leave announces a planned stop to the other members and waits until the announcement is sent, at most LeaveWait.
+// Leave announces a planned stop to the other members and waits until the announcement is sent, at most LeaveTimeout.
 // After AbandonMembership it does nothing.
 func (c *Cluster) Leave() {
 	if c.leaveSilently.Load() {
 		return
 	}
 	c.SetMember(false)
-	deadline := time.Now().Add(LeaveWait)
+	deadline := time.Now().Add(LeaveTimeout)
 	for c.isMember.Load() && time.Now().Before(deadline) {
 		time.Sleep(leavePollInterval)
 	}
--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -89,13 +89,13 @@
 	log.SetOutput(io.Discard)
 	c := New(Config{
 		Settings: config.Membership{
-			Name:          name,
-			Listen:        listen,
-			Zone:          "a",
-			Region:        "x",
-			Seeds:         seeds,
-			Via:           via,
-			PartitionHold: time.Hour,
+			Name:                 name,
+			Listen:               listen,
+			Zone:                 "a",
+			Region:               "x",
+			Seeds:                seeds,
+			DialAddresses:        via,
+			MaxPartitionDuration: time.Hour,
 		},
 		Ring:           ring,
 		ConfiguredSize: decide.FleetSize{Fleet: 5, Zone: 5},
--- a/internal/cluster/gossip/cost_bench_test.go
+++ b/internal/cluster/gossip/cost_bench_test.go
@@ -47,12 +47,12 @@
 	for i := range n {
 		c := New(Config{
 			Settings: config.Membership{
-				Name:          fmt.Sprintf("m%04d", i),
-				Listen:        address(i),
-				Zone:          "a",
-				Region:        "x",
-				Seeds:         []netip.AddrPort{address(0), address(n / 3), address(2 * n / 3)},
-				PartitionHold: time.Hour,
+				Name:                 fmt.Sprintf("m%04d", i),
+				Listen:               address(i),
+				Zone:                 "a",
+				Region:               "x",
+				Seeds:                []netip.AddrPort{address(0), address(n / 3), address(2 * n / 3)},
+				MaxPartitionDuration: time.Hour,
 			},
 			Ring:           ring,
 			ConfiguredSize: decide.FleetSize{Fleet: n, Zone: n},
--- a/internal/cluster/gossip/keys.go
+++ b/internal/cluster/gossip/keys.go
@@ -53,10 +53,10 @@
 // validSecrets returns the secrets that decrypt now, and among them the one that encrypts, or nil if none does.
 func validSecrets(ring *token.Ring, now time.Time) (primary []byte, secrets [][]byte) {
 	for _, key := range ring.Keys() {
-		switch ring.Use(key.ID, now) {
-		case token.Retired:
+		switch ring.KeyUse(key.ID, now) {
+		case token.KeyRetired:
 			continue
-		case token.Seals:
+		case token.KeySeals:
 			primary = key.Secret
 		}
 		secrets = append(secrets, key.Secret)
--- a/internal/cluster/gossip/partition_test.go
+++ b/internal/cluster/gossip/partition_test.go
@@ -43,12 +43,12 @@
 func (w *network) open(t *testing.T, i, j int) netip.AddrPort {
 	t.Helper()
 	address, to := freeAddress(t), w.addresses[j].String()
-	datagrams, err := faultproxy.NewDatagrams(address, w.addresses[j], w.paths[i][j])
+	datagrams, err := faultproxy.NewDatagramProxy(address, w.addresses[j], w.paths[i][j])
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(datagrams.Close)
-	link := faultproxy.NewLinkOver(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to })
+	link := faultproxy.NewLinkWithPaths(w.paths[i][j], w.paths[j][i], func(*faultproxy.Port) string { return to })
 	streams, err := link.PortAt(i, address.String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/gossip/session.go
+++ b/internal/cluster/gossip/session.go
@@ -72,7 +72,7 @@
 		keyring:   keyring,
 		startedAt: now,
 		events:    newEventQueue(),
-		transport: newTransport(libraryTransport, settings.Via, &c.counters),
+		transport: newTransport(libraryTransport, settings.DialAddresses, &c.counters),
 	}
 	s.metadata.Store(&nodeMetadata{
 		Zone:        settings.Zone,
@@ -117,7 +117,7 @@
 		ZoneSize:             size.Zone,
 		Standalone:           s.isStandalone(),
 		WallClock:            time.Duration(s.startedAt.UnixNano()),
-		MaxPartitionDuration: settings.PartitionHold,
+		MaxPartitionDuration: settings.MaxPartitionDuration,
 		DetectionTime:        detectionTime(libraryConfig, size.Fleet),
 	})
 	if err != nil {
@@ -203,7 +203,7 @@
 // leave announces a planned stop to the other members, and closes.
 func (s *session) leave() {
 	s.delegate.announceLeave()
-	s.list.Leave(LeaveWait)
+	s.list.Leave(LeaveTimeout)
 	s.close()
 }
 
--- a/internal/codecheck/codecheck.go
+++ b/internal/codecheck/codecheck.go
@@ -22,6 +22,7 @@
 	Message string
 }
 
+// String returns the finding as file:line: message.
 func (f Finding) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message) }
 
 // WideLines returns the lines of a source that are longer than MaxLineWidth.
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, keysError(fmt.Errorf("%s: %w", path, err))
 	}
-	if ring.Sealing(time.Now()) == "" {
+	if ring.SealingKeyID(time.Now()) == "" {
 		return nil, keysError(fmt.Errorf("%s: %w", path, errNoSealingKey))
 	}
 	return ring, nil
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -18,10 +18,10 @@
 	Seeds    []netip.AddrPort // members through which the instance joins
 	KeysFile string
 
-	// Via is the address to dial for a peer, where it is not the peer's own.
-	Via map[netip.AddrPort]netip.AddrPort
-	// PartitionHold is how long the members that a partition has cut off still count; no partition lasts longer.
-	PartitionHold time.Duration
+	// DialAddresses is the address to dial for a peer, where it is not the peer's own.
+	DialAddresses map[netip.AddrPort]netip.AddrPort
+	// MaxPartitionDuration is how long the members that a partition has cut off still count; no partition lasts longer.
+	MaxPartitionDuration time.Duration
 }
 
 // membershipFile is the section membership of a fronts file.
@@ -74,14 +74,14 @@
 		return Membership{}, err
 	}
 	return Membership{
-		Name:          f.Name,
-		Listen:        listen,
-		Zone:          f.Zone,
-		Region:        f.Region,
-		Seeds:         seeds,
-		KeysFile:      resolvePath(base, f.Keys),
-		Via:           via,
-		PartitionHold: hold,
+		Name:                 f.Name,
+		Listen:               listen,
+		Zone:                 f.Zone,
+		Region:               f.Region,
+		Seeds:                seeds,
+		KeysFile:             resolvePath(base, f.Keys),
+		DialAddresses:        via,
+		MaxPartitionDuration: hold,
 	}, nil
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -43,12 +43,12 @@
 }
 
 type safetyRules struct {
-	MaxPollInterval   float64 `json:"must_ask_in_s"`
-	DrainGrace        float64 `json:"drain_grace_s"`
-	SlowStartShare    float64 `json:"cold_share"`
-	SlowStartDuration float64 `json:"cold_s"`
-	OverloadFactor    float64 `json:"fall_multiple"`
-	OverloadWindow    float64 `json:"fall_s"`
+	MaxPollInterval          float64 `json:"must_ask_in_s"`
+	DrainGrace               float64 `json:"drain_grace_s"`
+	SlowStartInitialCapacity float64 `json:"cold_share"`
+	SlowStartDuration        float64 `json:"cold_s"`
+	OverloadFactor           float64 `json:"fall_multiple"`
+	OverloadWindow           float64 `json:"fall_s"`
 }
 
 type costsFile struct {
@@ -106,7 +106,7 @@
 		{"limits.most_tries", float64(s.Limits.MaxAttempts), maxAttempts},
 		{"rules.must_ask_in_s", s.Rules.MaxPollInterval, maxSeconds},
 		{"rules.drain_grace_s", s.Rules.DrainGrace, maxSeconds},
-		{"rules.cold_share", s.Rules.SlowStartShare, maxFraction},
+		{"rules.cold_share", s.Rules.SlowStartInitialCapacity, maxFraction},
 		{"rules.cold_s", s.Rules.SlowStartDuration, maxSeconds},
 		{"rules.fall_multiple", s.Rules.OverloadFactor, maxOverloadFactor},
 		{"rules.fall_s", s.Rules.OverloadWindow, maxSeconds},
@@ -128,12 +128,12 @@
 		ProbingAllowed: s.Limits.MayProbe,
 		GroupAffinity:  s.Specifics.GroupAffinity,
 		Safety: decide.SafetyLimits{
-			DrainGrace:        seconds(s.Rules.DrainGrace),
-			MaxPollInterval:   seconds(s.Rules.MaxPollInterval),
-			SlowStartShare:    s.Rules.SlowStartShare,
-			SlowStartDuration: seconds(s.Rules.SlowStartDuration),
-			OverloadFactor:    s.Rules.OverloadFactor,
-			OverloadWindow:    seconds(s.Rules.OverloadWindow),
+			DrainGrace:               seconds(s.Rules.DrainGrace),
+			MaxPollInterval:          seconds(s.Rules.MaxPollInterval),
+			SlowStartInitialCapacity: s.Rules.SlowStartInitialCapacity,
+			SlowStartDuration:        seconds(s.Rules.SlowStartDuration),
+			OverloadFactor:           s.Rules.OverloadFactor,
+			OverloadWindow:           seconds(s.Rules.OverloadWindow),
 		},
 		Costs: decide.Costs{
 			Probe:     s.Penalties.Probe,
--- a/internal/controlplane/encoding_test.go
+++ b/internal/controlplane/encoding_test.go
@@ -122,7 +122,7 @@
 	path := filepath.Join(t.TempDir(), "state.db")
 	s, _ := newTestStore(path, "site-1")
 	state := replica.State{Version: replica.Version{Term: 1, Number: 7},
-		Document: replica.Document{Discovery: "127.0.0.1:8500", Rooms: []endpoint.Entry{testEntry}}}
+		Document: replica.Document{Discovery: "127.0.0.1:8500", Endpoints: []endpoint.Entry{testEntry}}}
 	if err := s.Save(state); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -181,7 +181,7 @@
 	if changed {
 		f.log.WithFields(logrus.Fields{
 			"version":   state.Version.String(),
-			"endpoints": len(state.Document.Rooms),
+			"endpoints": len(state.Document.Endpoints),
 			"discovery": state.Document.Discovery,
 		}).Info("control: version applied")
 		f.onState(state)
--- a/internal/controlplane/helpers_test.go
+++ b/internal/controlplane/helpers_test.go
@@ -67,7 +67,7 @@
 func documentOf(length, weight int) replica.Document {
 	var document replica.Document
 	for i := range length {
-		document.Rooms = append(document.Rooms, endpoint.Entry{
+		document.Endpoints = append(document.Endpoints, endpoint.Entry{
 			Name:    fmt.Sprintf("s-%05d", i),
 			Address: fmt.Sprintf("127.1.%d.%d:9000", i>>8, i&255),
 			Zone:    "a",
--- a/internal/controlplane/keyring.go
+++ b/internal/controlplane/keyring.go
@@ -36,7 +36,7 @@
 // sealingKey returns the ID and the secret of the key that new connections use.
 func (k *Keyring) sealingKey() (id string, secret []byte, err error) {
 	ring, now := k.reload(), time.Now()
-	id = ring.Sealing(now)
+	id = ring.SealingKeyID(now)
 	secret, err = findSecret(ring, id, now)
 	return id, secret, err
 }
@@ -48,7 +48,7 @@
 
 func findSecret(ring *token.Ring, id string, now time.Time) ([]byte, error) {
 	for _, key := range ring.Keys() {
-		if key.ID == id && ring.Use(id, now) != token.Retired {
+		if key.ID == id && ring.KeyUse(id, now) != token.KeyRetired {
 			return key.Secret, nil
 		}
 	}
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -124,14 +124,14 @@
 
 // checkConfirmation returns a confirmationError if a document's list needs a confirmation that it does not have.
 func (l *Leader) checkConfirmation(document replica.Document, requested bool) error {
-	current := l.broadcaster.State().Document.Rooms
-	if len(current) == 0 || len(document.Rooms) == 0 {
+	current := l.broadcaster.State().Document.Endpoints
+	if len(current) == 0 || len(document.Endpoints) == 0 {
 		return nil
 	}
 	if l.guard == nil {
 		l.guard = endpoint.NewChangeGuard(endpoint.List{Entries: current})
 	}
-	decision, change := l.guard.Propose(endpoint.List{Entries: document.Rooms}, requested)
+	decision, change := l.guard.Propose(endpoint.List{Entries: document.Endpoints}, requested)
 	if decision == endpoint.NeedsConfirmation {
 		return &confirmationError{change}
 	}
@@ -157,7 +157,7 @@
 		"version":   next.Version.String(),
 		"upserted":  len(change.Upserted),
 		"removed":   len(change.Removed),
-		"endpoints": len(next.Document.Rooms),
+		"endpoints": len(next.Document.Endpoints),
 		"discovery": next.Document.Discovery,
 	}).Info("control: version published")
 	return nil
--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -15,7 +15,7 @@
 			document := longDocument(length)
 			replica := New(State{Version{Term: 1, Number: 1}, document}, false)
 			for i := range b.N {
-				entry := document.Rooms[i%length]
+				entry := document.Endpoints[i%length]
 				entry.Weight = float64(2 + i%2)
 				from := replica.State().Version
 				to := Version{Term: 1, Number: from.Number + 1}
--- a/internal/controlplane/replica/change.go
+++ b/internal/controlplane/replica/change.go
@@ -28,7 +28,7 @@
 	if before.Document.Discovery != after.Document.Discovery {
 		change.Discovery = &after.Document.Discovery
 	}
-	upserted, removed := endpoint.DiffEntries(before.Document.Rooms, after.Document.Rooms)
+	upserted, removed := endpoint.DiffEntries(before.Document.Endpoints, after.Document.Endpoints)
 	change.Upserted = upserted
 	for _, entry := range removed {
 		change.Removed = append(change.Removed, entry.Name)
@@ -52,8 +52,8 @@
 	}
 	slices.Sort(names)
 	// The entries between two touched names are copied as a block.
-	merged := make([]endpoint.Entry, 0, len(document.Rooms)+len(c.Upserted))
-	rest := document.Rooms
+	merged := make([]endpoint.Entry, 0, len(document.Endpoints)+len(c.Upserted))
+	rest := document.Endpoints
 	for _, name := range slices.Compact(names) {
 		i, found := slices.BinarySearchFunc(rest, name, compareName)
 		merged = append(merged, rest[:i]...)
@@ -65,7 +65,7 @@
 			merged = append(merged, entry)
 		}
 	}
-	document.Rooms = append(merged, rest...)
+	document.Endpoints = append(merged, rest...)
 	return document
 }
 
--- a/internal/controlplane/replica/change_test.go
+++ b/internal/controlplane/replica/change_test.go
@@ -14,7 +14,7 @@
 func longDocument(length int) Document {
 	var document Document
 	for i := range length {
-		document.Rooms = append(document.Rooms, endpoint.Entry{
+		document.Endpoints = append(document.Endpoints, endpoint.Entry{
 			Name:    fmt.Sprintf("s-%05d", i),
 			Zone:    "a",
 			Address: fmt.Sprintf("127.%d.%d.%d:9000", 3+i>>16, i>>8&255, i&255),
@@ -38,7 +38,7 @@
 	for i := range 12 {
 		entry := g.entry(i)
 		entry.Address = fmt.Sprintf("127.0.0.1:%d", 1+i)
-		document.Rooms = append(document.Rooms, entry)
+		document.Endpoints = append(document.Endpoints, entry)
 	}
 	return document
 }
@@ -87,8 +87,8 @@
 			before := replica.State()
 			change := generator.change(before.Version)
 			next := change.apply(before.Document)
-			entries := append([]endpoint.Entry{}, next.Rooms...) // validate sorts in place
-			want, wantErr := Document{Discovery: next.Discovery, Rooms: entries}.validate()
+			entries := append([]endpoint.Entry{}, next.Endpoints...) // validate sorts in place
+			want, wantErr := Document{Discovery: next.Discovery, Endpoints: entries}.validate()
 			if upsertsTwice(change) {
 				wantErr = errors.New("an entry is upserted twice")
 			}
@@ -122,7 +122,7 @@
 		weight := 0.0
 		return testing.AllocsPerRun(20, func() {
 			weight++
-			entry, from := document.Rooms[length/2], replica.State().Version
+			entry, from := document.Endpoints[length/2], replica.State().Version
 			entry.Weight = weight
 			to := Version{Term: 1, Number: from.Number + 1}
 			change := Change{From: from, To: to, Upserted: []endpoint.Entry{entry}}
--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -47,8 +47,8 @@
 	// configuration's.
 	Discovery string `json:"discovery,omitempty"`
 
-	// Rooms is the endpoint list, ordered by name. If it is empty, the discovery service provides the list.
-	Rooms []endpoint.Entry `json:"rooms,omitempty"`
+	// Endpoints is the endpoint list, ordered by name. If it is empty, the discovery service provides the list.
+	Endpoints []endpoint.Entry `json:"rooms,omitempty"`
 }
 
 // State is a document with its version. Its encoding is part of the state file's format.
@@ -66,7 +66,7 @@
 	if err := endpoint.DecodeStrict(raw, &document, "document"); err != nil {
 		return Document{}, err
 	}
-	if document.Rooms != nil && len(document.Rooms) == 0 {
+	if document.Endpoints != nil && len(document.Endpoints) == 0 {
 		return Document{}, errors.New("rooms: is empty, every client would be sent away")
 	}
 	return document.validate()
@@ -84,7 +84,7 @@
 // validate returns the document with its entries sorted by name, which happens in place. Errors name the key
 // and the value at fault.
 func (d Document) validate() (Document, error) {
-	if len(d.Rooms) == 0 && d.Discovery == "" {
+	if len(d.Endpoints) == 0 && d.Discovery == "" {
 		return d, errors.New("rooms: is missing, and so is discovery: no room server would be left")
 	}
 	if d.Discovery != "" {
@@ -92,13 +92,13 @@
 			return d, fmt.Errorf("discovery: %q is no address and port", d.Discovery)
 		}
 	}
-	for i, entry := range d.Rooms {
+	for i, entry := range d.Endpoints {
 		if err := validateFieldLengths(entry); err != nil {
 			return d, fmt.Errorf("rooms[%d].%w", i, err)
 		}
 	}
-	if len(d.Rooms) > 0 {
-		if _, err := endpoint.NewList(d.Rooms); err != nil {
+	if len(d.Endpoints) > 0 {
+		if _, err := endpoint.NewList(d.Endpoints); err != nil {
 			return d, err
 		}
 	}
@@ -122,17 +122,17 @@
 
 // find looks an entry up by its name.
 func (d Document) find(name string) (endpoint.Entry, bool) {
-	i, found := slices.BinarySearchFunc(d.Rooms, name, compareName)
+	i, found := slices.BinarySearchFunc(d.Endpoints, name, compareName)
 	if !found {
 		return endpoint.Entry{}, false
 	}
-	return d.Rooms[i], true
+	return d.Endpoints[i], true
 }
 
 // canReplace returns an error if the document must not replace the previous one: an endpoint list that has
 // been published cannot be withdrawn, because every client would lose its server.
 func (d Document) canReplace(previous Document) error {
-	if len(d.Rooms) == 0 && len(previous.Rooms) > 0 {
+	if len(d.Endpoints) == 0 && len(previous.Endpoints) > 0 {
 		return errors.New("rooms: none is left, every client would be sent away")
 	}
 	return nil
--- a/internal/controlplane/replica/document_test.go
+++ b/internal/controlplane/replica/document_test.go
@@ -32,7 +32,7 @@
 func TestParseSortsByName(t *testing.T) {
 	const file = `{"rooms":[{"name":"b","address":"127.0.0.1:1","zone":"a"},` +
 		`{"name":"a","address":"127.0.0.1:2","zone":"a"}]}`
-	if document, err := Parse([]byte(file)); err != nil || document.Rooms[0].Name != "a" {
+	if document, err := Parse([]byte(file)); err != nil || document.Endpoints[0].Name != "a" {
 		t.Error(document, err)
 	}
 }
--- a/internal/controlplane/replica/encoding_test.go
+++ b/internal/controlplane/replica/encoding_test.go
@@ -25,7 +25,7 @@
 		want  string
 	}{
 		{"version", Version{Term: 1, Number: 7}, "820107"},
-		{"state", State{Version{Term: 1, Number: 7}, Document{Discovery: discovery, Rooms: []endpoint.Entry{entry}}},
+		{"state", State{Version{Term: 1, Number: 7}, Document{Discovery: discovery, Endpoints: []endpoint.Entry{entry}}},
 			"a26756657273696f6e82010768446f63756d656e74a269646973636f766572796e3132372e302e302e313a3835303065" +
 				"726f6f6d7381" +
 				encodedEntry},
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -67,7 +67,7 @@
 	if err := r.validateTerm(term); err != nil {
 		return nil, State{}, err
 	}
-	document.Rooms = slices.Clone(document.Rooms) // validate sorts in place
+	document.Endpoints = slices.Clone(document.Endpoints) // validate sorts in place
 	document, err := document.validate()
 	if err != nil {
 		return nil, State{}, err
@@ -197,15 +197,15 @@
 // the entries that the changes touch: the others were valid before, and the list may be long.
 func (r *Replica) validateChanges(document Document, changes []Change) error {
 	previous := r.state.Document
-	firstEntry := document.Rooms[:min(len(document.Rooms), 1)]
-	if _, err := (Document{Discovery: document.Discovery, Rooms: firstEntry}).validate(); err != nil {
+	firstEntry := document.Endpoints[:min(len(document.Endpoints), 1)]
+	if _, err := (Document{Discovery: document.Discovery, Endpoints: firstEntry}).validate(); err != nil {
 		return err
 	}
 	if err := document.canReplace(previous); err != nil {
 		return err
 	}
-	if len(document.Rooms) > endpoint.MaxEntries {
-		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(document.Rooms), endpoint.MaxEntries)
+	if len(document.Endpoints) > endpoint.MaxEntries {
+		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(document.Endpoints), endpoint.MaxEntries)
 	}
 	touched, err := touchedNames(changes)
 	if err != nil {
@@ -255,7 +255,7 @@
 	if r.nameByAddress != nil {
 		return
 	}
-	entries := r.state.Document.Rooms
+	entries := r.state.Document.Endpoints
 	r.nameByAddress = make(map[string]string, len(entries))
 	for _, entry := range entries {
 		r.nameByAddress[entry.Address] = entry.Name
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -25,7 +25,7 @@
 func testDocument(length, weight int) Document {
 	document := Document{Discovery: "127.0.0.1:8500"}
 	for i := range length {
-		document.Rooms = append(document.Rooms, testEntry(i, weight))
+		document.Endpoints = append(document.Endpoints, testEntry(i, weight))
 	}
 	return document
 }
@@ -123,10 +123,10 @@
 	addresses := []string{"", "127.0.0.1:1", "127.0.0.1:2"}
 	document := Document{Discovery: rapid.SampledFrom(addresses).Draw(t, "discovery")}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 700), 1, 60, rapid.ID[int]).Draw(t, "entries") {
-		document.Rooms = append(document.Rooms, testEntry(i, rapid.IntRange(0, 2).Draw(t, "weight")))
+		document.Endpoints = append(document.Endpoints, testEntry(i, rapid.IntRange(0, 2).Draw(t, "weight")))
 	}
 	if rapid.IntRange(0, 9).Draw(t, "long") == 0 { // the change does not fit into one message
-		document.Rooms = testDocument(701, 3).Rooms
+		document.Endpoints = testDocument(701, 3).Endpoints
 	}
 	version := commit(t, c.leader(), document, c.term)
 	c.committed[version] = c.leader().State().Document
@@ -178,7 +178,7 @@
 	replicate(t, follower, leader, math.MaxInt)
 	for i := range 100 {
 		document := testDocument(500, 1)
-		document.Rooms[i].Drain = true
+		document.Endpoints[i].Drain = true
 		commit(t, leader, document, 1)
 		replicate(t, server, leader, math.MaxInt)
 	}
@@ -200,7 +200,7 @@
 	for i := range maxRetainedBytes/(250*maxEncodedEntryBytes(testEntry(1, 1))) + 10 {
 		document := testDocument(300, 1)
 		for j := range 250 {
-			document.Rooms[j].Weight = float64(i + 2)
+			document.Endpoints[j].Weight = float64(i + 2)
 		}
 		commit(t, leader, document, 1)
 	}
@@ -273,7 +273,7 @@
 	commit(t, leader, testDocument(2000, 1), 1)
 	follower := New(leader.State(), false)
 	var allNames []string
-	for _, entry := range leader.State().Document.Rooms {
+	for _, entry := range leader.State().Document.Endpoints {
 		allNames = append(allNames, entry.Name)
 	}
 	version := func(number uint64) Version { return Version{Term: 1, Number: number} }
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -19,7 +19,7 @@
 // Chunks splits a full snapshot of the state into chunks that each fit into one message.
 func (s State) Chunks() []SnapshotChunk {
 	var chunks []SnapshotChunk
-	rest := s.Document.Rooms
+	rest := s.Document.Endpoints
 	for {
 		size, count := 0, 0
 		for count < len(rest) && size < maxBatchBytes {
@@ -64,9 +64,9 @@
 	if !chunk.Last {
 		return false, nil
 	}
-	document := Document{Discovery: chunk.Discovery, Rooms: make([]endpoint.Entry, 0, r.chunkedEntries)}
+	document := Document{Discovery: chunk.Discovery, Endpoints: make([]endpoint.Entry, 0, r.chunkedEntries)}
 	for _, received := range r.chunks {
-		document.Rooms = append(document.Rooms, received.Entries...)
+		document.Endpoints = append(document.Endpoints, received.Entries...)
 	}
 	r.DiscardChunks()
 	return true, r.installSnapshot(State{chunk.Version, document})
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -74,10 +74,10 @@
 
 // FollowerConfig configures the replication of a balancer.
 type FollowerConfig struct {
-	Machines []replica.Server
-	Region   string
-	Site     string
-	Seed     uint64 // followers with different seeds spread over the servers
+	Servers []replica.Server
+	Region  string
+	Site    string
+	Seed    uint64 // followers with different seeds spread over the servers
 }
 
 // NewSource returns a source that starts with a saved state, which the core uses already. newDiscovery
@@ -88,11 +88,11 @@
 	newDiscovery func(core.UpdateHandler) DiscoverySource, setDiscoveryAddress func(address string),
 	handler core.UpdateHandler, log *logrus.Logger,
 ) *Source {
-	servesDocument := len(saved.Document.Rooms) > 0
+	servesDocument := len(saved.Document.Endpoints) > 0
 	broadcaster := NewBroadcaster(saved, false)
 	discoveryHandler := &detachableHandler{handler: handler, detached: servesDocument}
 	// onState is set by Run.
-	follower := NewFollower(broadcaster, config.Machines, config.Region, config.Seed, keys, config.Site, nil, log)
+	follower := NewFollower(broadcaster, config.Servers, config.Region, config.Seed, keys, config.Site, nil, log)
 	discoveryContext, stopDiscovery := context.WithCancel(context.Background())
 	return &Source{
 		broadcaster:         broadcaster,
@@ -108,7 +108,7 @@
 		discoveryContext:    discoveryContext,
 		stopDiscovery:       stopDiscovery,
 		servesDocument:      servesDocument,
-		entries:             saved.Document.Rooms,
+		entries:             saved.Document.Endpoints,
 		discoveryAddress:    saved.Document.Discovery,
 	}
 }
@@ -116,7 +116,7 @@
 // Endpoints returns a document's endpoint list as the core represents it. It is empty if the discovery
 // service provides the list.
 func Endpoints(document replica.Document) []core.Endpoint {
-	return filesource.Endpoints(endpoint.List{Entries: document.Rooms})
+	return filesource.Endpoints(endpoint.List{Entries: document.Endpoints})
 }
 
 // SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
@@ -238,7 +238,7 @@
 
 // sendSnapshot sends the document's list to the handler.
 func (s *Source) sendSnapshot() {
-	endpoints := Endpoints(replica.Document{Rooms: s.entries})
+	endpoints := Endpoints(replica.Document{Endpoints: s.entries})
 	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: endpoints})
 }
 
@@ -249,7 +249,7 @@
 		s.discoveryAddress = address
 	}
 	previous := s.entries
-	s.entries = state.Document.Rooms
+	s.entries = state.Document.Endpoints
 	switch {
 	case len(s.entries) == 0: // the discovery service provides the list
 	case s.servesDocument:
--- a/internal/controlplane/source_test.go
+++ b/internal/controlplane/source_test.go
@@ -110,7 +110,7 @@
 func newSourceFixture(t *testing.T, server replica.Server, keys *Keyring) *sourceFixture {
 	store, _ := newTestStore(filepath.Join(t.TempDir(), "state.db"), "x")
 	return &sourceFixture{
-		config:    FollowerConfig{Machines: []replica.Server{server}, Region: "a", Site: "x"},
+		config:    FollowerConfig{Servers: []replica.Server{server}, Region: "a", Site: "x"},
 		keys:      keys,
 		store:     store,
 		recorder:  newUpdateRecorder(),
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -15,7 +15,7 @@
 	startedLineTimeout = 2800 * time.Millisecond
 	// minHealthCheckInterval is the least interval at which health checks renew firstLineTimeout.
 	minHealthCheckInterval = time.Second
-	// defaultLinger replaces a Traits.Linger of 0.
+	// defaultLinger replaces a ConnTraits.Linger of 0.
 	defaultLinger = 500 * time.Millisecond
 	// requestIDRetention is how long the ID of a finished request stays in use: copies of its first line that
 	// were sent before its end may still wait to be accepted.
@@ -41,7 +41,7 @@
 type Call struct {
 	engine *Engine
 	conn   ClientConn
-	traits Traits
+	traits ConnTraits
 	phase  phase
 	// id names the request to the decision module.
 	id      decide.RequestID
@@ -67,8 +67,8 @@
 	stateTimer *timer
 }
 
-// Traits are the properties of a frontend's client connections.
-type Traits struct {
+// ConnTraits are the properties of a frontend's client connections.
+type ConnTraits struct {
 	// Linger is how long a finished client connection may stay open for the client to read the answer; 0
 	// means 500 ms.
 	Linger time.Duration
@@ -114,7 +114,7 @@
 }
 
 // Accept registers a new client connection, whose first line is awaited for firstLineTimeout.
-func (e *Engine) Accept(conn ClientConn, traits Traits) *Call {
+func (e *Engine) Accept(conn ClientConn, traits ConnTraits) *Call {
 	if traits.Linger == 0 {
 		traits.Linger = defaultLinger
 	}
--- a/internal/core/call_test.go
+++ b/internal/core/call_test.go
@@ -11,9 +11,9 @@
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
 	slow, silent := &fakeClientConn{}, &fakeClientConn{}
-	c := engine.Accept(slow, Traits{Descriptor: true})
+	c := engine.Accept(slow, ConnTraits{Descriptor: true})
 	engine.FirstLineStarted(c)
-	engine.Accept(silent, Traits{Descriptor: true})
+	engine.Accept(silent, ConnTraits{Descriptor: true})
 	time.Sleep(2 * minShedAge)
 	engine.ShedIdle()
 	silent.wait(t, "abort")
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -15,9 +15,9 @@
 	// MaxClients bounds the pending requests and established connections together, as each holds a transport
 	// on both sides. A request beyond it is rejected at once.
 	MaxClients int
-	// AwaitList is set in a process that takes over from a running one: it stays in state Starting until
+	// AwaitFirstList is set in a process that takes over from a running one: it stays in state Starting until
 	// discovery has delivered a list, for 3 s at most.
-	AwaitList bool
+	AwaitFirstList bool
 	// ListPushed is set where a change of the endpoint list is binding as soon as discovery has it. The
 	// engine then stays in state Starting until the first list is there, for 3 s at most, and reopens a
 	// broken watch after a short fixed delay.
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -73,7 +73,7 @@
 		Safety:    decide.SafetyLimits{DrainGrace: grace},
 	}})
 	f.waitForWatches(t, 1)
-	if !engine.AwaitsList() {
+	if !engine.AwaitingFirstList() {
 		t.Error("clients do not wait for the first list")
 	}
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 1})
@@ -84,7 +84,7 @@
 	}
 	engine.WatchAlive(2)
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: []Endpoint{readyEndpoint("s-1")}})
-	if nextSnapshot(engine); engine.AwaitsList() {
+	if nextSnapshot(engine); engine.AwaitingFirstList() {
 		t.Error("clients wait although the first list is there")
 	}
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -51,7 +51,7 @@
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
 	resumable, other := &fakeClientConn{}, &fakeClientConn{}
-	a, b := engine.Accept(resumable, Traits{Resumable: true}), openRequest(engine, other, time.Second)
+	a, b := engine.Accept(resumable, ConnTraits{Resumable: true}), openRequest(engine, other, time.Second)
 	engine.RequestReceived(a, Request{Deadline: time.Now().Add(time.Second)})
 	other.wait(t, "attempt 0")
 	resumable.wait(t, "attempt 0")
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -131,7 +131,7 @@
 	for _, learned := range e.cfg.Learned {
 		e.noteEjection(learned.Server)
 	}
-	if e.cfg.AwaitList || e.cfg.ListPushed {
+	if e.cfg.AwaitFirstList || e.cfg.ListPushed {
 		// Without the random delay of the first poll: no client waits for this process yet.
 		e.requestList()
 		e.timers.set(e.now+startTimeout, e.finishStarting)
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -83,7 +83,7 @@
 }
 
 // HalfClosed reports that one side of an established connection has closed. The other side is aborted if it
-// does not follow within Traits.Linger.
+// does not follow within ConnTraits.Linger.
 func (e *Engine) HalfClosed(c *Call) {
 	e.post(func() { c.abortAt(e.now + c.traits.Linger) })
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -130,9 +130,9 @@
 			ConnectTimeout: 60 * time.Millisecond,
 			Classes:        []decide.Class{interactiveClass()},
 			Safety: decide.SafetyLimits{
-				DrainGrace:     500 * time.Millisecond,
-				SlowStartShare: 0.3,
-				OverloadFactor: 4,
+				DrainGrace:               500 * time.Millisecond,
+				SlowStartInitialCapacity: 0.3,
+				OverloadFactor:           4,
 			},
 		},
 	}, &fakeDiscovery{})
@@ -161,7 +161,7 @@
 
 // openRequest accepts a client connection and its request, whose client waits for the given time.
 func openRequest(engine *Engine, conn ClientConn, timeout time.Duration) *Call {
-	c := engine.Accept(conn, Traits{})
+	c := engine.Accept(conn, ConnTraits{})
 	engine.RequestReceived(c, Request{Deadline: time.Now().Add(timeout)})
 	return c
 }
--- a/internal/core/lameduck_test.go
+++ b/internal/core/lameduck_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	conn := &fakeClientConn{}
-	c := engine.Accept(conn, Traits{Resumable: true})
+	c := engine.Accept(conn, ConnTraits{Resumable: true})
 	engine.RequestReceived(c, Request{Deadline: time.Now().Add(time.Second)})
 	conn.wait(t, "attempt 0")
 	engine.AttemptAccepted(c, 0)
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -13,7 +13,7 @@
 	t.Parallel()
 	engine := startEngine(t, 10)
 	conn := &fakeClientConn{}
-	c := engine.Accept(conn, Traits{})
+	c := engine.Accept(conn, ConnTraits{})
 	engine.RestoreConnection(c, Request{}, ServerID("s-1"), 10*time.Second)
 	engine.EndpointsUpdated(EndpointUpdate{
 		Kind:      decide.ListSnapshot,
@@ -38,6 +38,6 @@
 	t.Parallel()
 	engine := startEngine(t, 10)
 	conn := &fakeClientConn{}
-	engine.RestoreConnection(engine.Accept(conn, Traits{}), Request{}, ServerID("s-unlisted"), 0)
+	engine.RestoreConnection(engine.Accept(conn, ConnTraits{}), Request{}, ServerID("s-unlisted"), 0)
 	conn.wait(t, "fail")
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -50,9 +50,9 @@
 // Ready returns a channel that is closed when the state becomes Serving for the first time.
 func (e *Engine) Ready() <-chan struct{} { return e.ready }
 
-// AwaitsList reports whether clients have to wait for the first endpoint list, which is so only where lists
+// AwaitingFirstList reports whether clients have to wait for the first endpoint list, which is so only where lists
 // are pushed.
-func (e *Engine) AwaitsList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
+func (e *Engine) AwaitingFirstList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
 // SkipListWait ends state Starting without an endpoint list, because the process that this one takes over
 // from has ended.
--- a/internal/core/service_test.go
+++ b/internal/core/service_test.go
@@ -18,7 +18,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := &fakeDiscovery{}
-			engine := runEngine(t, Config{MaxClients: 1, AwaitList: true, Settings: decide.Settings{
+			engine := runEngine(t, Config{MaxClients: 1, AwaitFirstList: true, Settings: decide.Settings{
 				Seed:      3,
 				Zone:      "a",
 				WatchList: true,
--- a/internal/core/statistics_test.go
+++ b/internal/core/statistics_test.go
@@ -16,7 +16,7 @@
 	engine.AttemptAccepted(c, 0)
 	openRequest(engine, second, 5*time.Second)
 	second.wait(t, "reject")
-	engine.RequestMalformed(engine.Accept(&fakeClientConn{}, Traits{}))
+	engine.RequestMalformed(engine.Accept(&fakeClientConn{}, ConnTraits{}))
 	s := engine.CurrentSnapshot(10 * time.Second)
 	if got, want := s.Classes[0], (ClassCounters{Served: 1, Rejected: 1, Attempts: 1}); got != want {
 		t.Errorf("class 0: %+v, want %+v", got, want)
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -109,7 +109,7 @@
 	t.Helper()
 	handler := service.Handler("any")
 	if callTime > 0 {
-		handler = emulator.InTurn(handler, callTime, time.Second)
+		handler = emulator.Serialized(handler, callTime, time.Second)
 	}
 	listener, err := emulator.NewFaultyListener(handler)
 	if err != nil {
@@ -132,30 +132,30 @@
 		config   core.Config
 		within   time.Duration
 	}{
-		{"refused", emulator.Refuses, 0, watchingConfig(fleetSize), observedWithin},
-		{"reset", emulator.Resets, 0, watchingConfig(fleetSize), observedWithin},
-		{"503", emulator.Unavailable, 0, watchingConfig(fleetSize), observedWithin},
-		{"hung", emulator.Hangs, 0, watchingConfig(fleetSize), observedWithin},
-		{"cut off", emulator.CutOff, 0, watchingConfig(fleetSize), observedWithin},
-		{"sequential", emulator.Refuses, 250 * time.Millisecond, watchingConfig(fleetSize), observedWithin},
-		{"2300", emulator.Refuses, 0, watchingConfig(2300), observedWithin},
-		{"polled", emulator.Refuses, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, observedWithin},
+		{"refused", emulator.RefuseConnections, 0, watchingConfig(fleetSize), observedWithin},
+		{"reset", emulator.ResetConnections, 0, watchingConfig(fleetSize), observedWithin},
+		{"503", emulator.ServiceUnavailable, 0, watchingConfig(fleetSize), observedWithin},
+		{"hung", emulator.NoResponse, 0, watchingConfig(fleetSize), observedWithin},
+		{"cut off", emulator.NetworkCut, 0, watchingConfig(fleetSize), observedWithin},
+		{"sequential", emulator.RefuseConnections, 250 * time.Millisecond, watchingConfig(fleetSize), observedWithin},
+		{"2300", emulator.RefuseConnections, 0, watchingConfig(2300), observedWithin},
+		{"polled", emulator.RefuseConnections, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, observedWithin},
 		// The change counts at once, and no new work may be sent after the grace.
-		{"pushed", emulator.Refuses, 0, pushedConfig(), drainGrace},
-		{"pushed, 503", emulator.Unavailable, 0, pushedConfig(), drainGrace},
+		{"pushed", emulator.RefuseConnections, 0, pushedConfig(), drainGrace},
+		{"pushed, 503", emulator.ServiceUnavailable, 0, pushedConfig(), drainGrace},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
-			service.Tell("s-1", "127.0.0.1:9", "a", "active")
+			service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
+			service.PutServer("s-1", "127.0.0.1:9", "a", "active")
 			listener := newFaultyListener(t, service, test.callTime)
 			engines := startBalancers(t, listener.Address(), test.config)
 			waitForList(t, engines, 1)
 			setOutage(t, listener, test.outage)
-			service.Tell("s-2", "127.0.0.1:9", "a", "active")
+			service.PutServer("s-2", "127.0.0.1:9", "a", "active")
 			time.Sleep(downtime)
 			dials, calls := listener.Dials.Load(), listener.Calls.Load()
-			setOutage(t, listener, emulator.Open)
+			setOutage(t, listener, emulator.NoOutage)
 			last := waitForList(t, engines, 2)
 			t.Logf("last observed after %v; %d connections and %d calls during the outage", last, dials, calls)
 			if last > test.within {
@@ -168,22 +168,22 @@
 // The address changes during an outage. Changes count from when the service at the new address can be reached.
 func TestSetAddressDuringOutage(t *testing.T) {
 	t.Parallel()
-	service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Figures{}))
-	service.Tell("s-1", "127.0.0.1:9", "a", "active")
+	service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
+	service.PutServer("s-1", "127.0.0.1:9", "a", "active")
 	oldListener, newListener := newFaultyListener(t, service, 0), newFaultyListener(t, service, 0)
 	engines := startBalancers(t, oldListener.Address(), watchingConfig(fleetSize))
 	waitForList(t, engines, 1)
-	setOutage(t, oldListener, emulator.Refuses)
-	setOutage(t, newListener, emulator.Refuses)
+	setOutage(t, oldListener, emulator.RefuseConnections)
+	setOutage(t, newListener, emulator.RefuseConnections)
 	time.Sleep(4 * time.Second)
 	for _, engine := range engines {
 		engine.SetDiscoveryAddress(newListener.Address())
 	}
 	time.Sleep(4 * time.Second)
 	for i := range 4 {
-		service.Tell(fmt.Sprint("t-", i), "127.0.0.1:9", "a", "active")
+		service.PutServer(fmt.Sprint("t-", i), "127.0.0.1:9", "a", "active")
 	}
-	setOutage(t, newListener, emulator.Open)
+	setOutage(t, newListener, emulator.NoOutage)
 	if last := waitForList(t, engines, 5); last > observedWithin {
 		t.Errorf("the last balancer observes the changes %v after the return, want %v", last, observedWithin)
 	}
--- a/internal/frontend/platform/client_reader.go
+++ b/internal/frontend/platform/client_reader.go
@@ -98,7 +98,7 @@
 
 // isMalformedLine reports whether err says that a line was read which breaks the protocol's form.
 func isMalformedLine(err error) bool {
-	return errors.Is(err, textline.ErrLong) || errors.Is(err, textline.ErrBare)
+	return errors.Is(err, textline.ErrTooLong) || errors.Is(err, textline.ErrMissingCR)
 }
 
 // discard reads on after a final answer, up to maxDiscardedBytes; the engine aborts the connection after a while.
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -101,8 +101,8 @@
 	accepted := b.newClient(t)
 	accepted.send("PING\r\n")
 	accepted.wantLine("PONG\r\n")
-	b.frontend.SetReserve(14)
-	b.frontend.SetReserve(12) // All but four: the connection, its dial, and one that is being accepted.
+	b.frontend.SetDescriptorReserve(14)
+	b.frontend.SetDescriptorReserve(12) // All but four: the connection, its dial, and one that is being accepted.
 	b.pause.Pause()
 	b.frontend.SetReplaced(true)
 	b.engine.Drain(20*time.Second, nil)
@@ -120,7 +120,7 @@
 		t.Errorf("%d descriptors are in use", n)
 	}
 	b.frontend.SetReplaced(false)
-	b.frontend.SetReserve(0)
+	b.frontend.SetDescriptorReserve(0)
 	b.pause.Resume()
 	other.conn.SetDeadline(time.Now().Add(20 * time.Second))
 	other.wantLine("UP receipt-1\r\n")
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -31,7 +31,7 @@
 	engine *core.Engine
 	// sessions is nil if sessions are not resumed.
 	sessions *SessionResumer
-	names    Names
+	names    AllowedNames
 	dialer   net.Dialer
 	log      *logrus.Logger
 
@@ -58,7 +58,7 @@
 }
 
 // New returns a frontend that reports to engine and accepts the request lines that names allows.
-func New(engine *core.Engine, names Names, budget DescriptorBudget, log *logrus.Logger) *Frontend {
+func New(engine *core.Engine, names AllowedNames, budget DescriptorBudget, log *logrus.Logger) *Frontend {
 	f := &Frontend{
 		engine:             engine,
 		names:              names,
@@ -100,7 +100,7 @@
 // pingResponse is the answer to a health check: PONG while clients are welcome, BUSY if they are to go elsewhere.
 func (f *Frontend) pingResponse() string {
 	state := f.engine.ServiceState()
-	if state == core.LameDuck || f.engine.AwaitsList() || state == core.Stopping && !f.replaced.Load() {
+	if state == core.LameDuck || f.engine.AwaitingFirstList() || state == core.Stopping && !f.replaced.Load() {
 		return wordBusy
 	}
 	return wordPong
@@ -122,7 +122,7 @@
 			continue
 		}
 		f.releaseDescriptor()
-		if pause.Paused(ctx, err) {
+		if pause.WaitWhilePaused(ctx, err) {
 			continue
 		}
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -143,7 +143,7 @@
 // accept starts the actor of an accepted connection.
 func (f *Frontend) accept(ctx context.Context, conn *net.TCPConn) {
 	c := f.newClientConn(conn)
-	c.call = f.engine.Accept(c, core.Traits{Descriptor: true})
+	c.call = f.engine.Accept(c, core.ConnTraits{Descriptor: true})
 	f.actors.Go(func() { c.run(ctx) })
 }
 
--- a/internal/frontend/platform/idle_bench_test.go
+++ b/internal/frontend/platform/idle_bench_test.go
@@ -10,7 +10,7 @@
 // BenchmarkIdleSecond is a second in which a balancer with 90 room servers and 20 established idle connections has
 // nothing to do. ns/op is the second itself; the cost shows in a profile, or in the process's CPU time.
 func BenchmarkIdleSecond(b *testing.B) {
-	config := emulator.RoomServerConfig{State: 8, Capacity: 1000}
+	config := emulator.RoomServerConfig{StateBytes: 8, Capacity: 1000}
 	servers := make([]emulator.RoomServerConfig, 90)
 	for i := range servers {
 		servers[i] = config
--- a/internal/frontend/platform/manual_conn_test.go
+++ b/internal/frontend/platform/manual_conn_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	conn, client := newTCPPair(t)
 	c := b.frontend.newClientConn(conn)
-	c.call = b.engine.Accept(c, core.Traits{Descriptor: true})
+	c.call = b.engine.Accept(c, core.ConnTraits{Descriptor: true})
 	t.Cleanup(func() { // Runs before the balancer is stopped.
 		c.closeUpstream(false)
 		close(c.done)
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -104,7 +104,7 @@
 			conn, client := newTCPPair(t)
 			server, _ := newTCPPair(t)
 			c := frontend.newClientConn(conn)
-			c.call = b.engine.Accept(c, core.Traits{})
+			c.call = b.engine.Accept(c, core.ConnTraits{})
 			frontend.descriptors <- struct{}{} // The dial's descriptor, which closing the connection releases.
 			c.upstream = &upstreamConn{conn: server, text: textproto.NewConn(server), cancel: func() {}}
 			c.established = true
@@ -139,7 +139,7 @@
 			conn, client := newTCPPair(t)
 			upstream, server := newTCPPair(t)
 			c := frontend.newClientConn(conn)
-			c.call = b.engine.Accept(c, core.Traits{})
+			c.call = b.engine.Accept(c, core.ConnTraits{})
 			frontend.descriptors <- struct{}{}
 			up := &upstreamConn{conn: upstream, text: textproto.NewConn(upstream), cancel: func() {}}
 			c.upstream, c.established = up, true
--- a/internal/frontend/platform/request_line.go
+++ b/internal/frontend/platform/request_line.go
@@ -20,8 +20,8 @@
 // maxLoadMicroseconds is the largest load that is accepted, in microseconds of work a second.
 const maxLoadMicroseconds = 1e12
 
-// Names are the names that request lines may use, as the settings give them.
-type Names struct {
+// AllowedNames are the names that request lines may use, as the settings give them.
+type AllowedNames struct {
 	// Classes maps the name of each request class to its index.
 	Classes map[string]int
 	// Tenants is the set of the known tenants; if it is empty, any tenant is accepted.
@@ -79,7 +79,7 @@
 
 // parseRequestLine parses a request line without its CRLF. It is strict, because a malformed line must not reach a room
 // server. Unknown fields are accepted and forwarded.
-func parseRequestLine(line string, names Names) (request requestLine, err error) {
+func parseRequestLine(line string, names AllowedNames) (request requestLine, err error) {
 	for _, char := range []byte(line) {
 		if char < ' ' || char > '~' {
 			return request, fmt.Errorf("request line: byte %#x is not printable ASCII", char)
@@ -101,7 +101,7 @@
 
 // parseFields parses the list of fields at the end of line. A field that occurs twice is an error, as is a missing
 // class or timeout.
-func (r *requestLine) parseFields(line, list string, names Names) error {
+func (r *requestLine) parseFields(line, list string, names AllowedNames) error {
 	offset := len(line) - len(list)
 	seen := map[string]bool{}
 	for list != "" {
@@ -134,7 +134,7 @@
 }
 
 // setField parses one field of the list; unknown names are ignored.
-func (r *requestLine) setField(name, value string, names Names) error {
+func (r *requestLine) setField(name, value string, names AllowedNames) error {
 	switch name {
 	case fieldClass:
 		class, ok := names.Classes[value]
--- a/internal/frontend/platform/request_line_test.go
+++ b/internal/frontend/platform/request_line_test.go
@@ -27,7 +27,7 @@
 		beforeTimeout:   before,
 		afterTimeout:    after,
 	}
-	names := Names{Classes: map[string]int{"group-play": 0, "solo-play": 1}}
+	names := AllowedNames{Classes: map[string]int{"group-play": 0, "solo-play": 1}}
 	got, err := parseRequestLine(before+"2000"+after, names)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -157,7 +157,7 @@
 		return true, c.executeStep(flow.UpstreamReady())
 	}
 	var epoch, position uint64
-	if protocol.Parse(line, wordHeld, &epoch, &position) {
+	if protocol.ParseNumbers(line, wordHeld, &epoch, &position) {
 		return true, c.executeStep(flow.UpstreamHolds(epoch, position))
 	}
 	answer, _, ok := protocol.ParseAnswer(line, flow.Ref.Session)
--- a/internal/frontend/platform/session_bench_test.go
+++ b/internal/frontend/platform/session_bench_test.go
@@ -50,7 +50,7 @@
 	} {
 		b.Run(variant.name, func(b *testing.B) {
 			// The capacity is large enough that reservations never delay a request.
-			config := emulator.RoomServerConfig{Keeps: true, State: 2048, Capacity: 1000}
+			config := emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 2048, Capacity: 1000}
 			s := newSessionFixture(b, 1, config, config)
 			warmUp(b, s)
 			if variant.disabled {
@@ -109,8 +109,8 @@
 		b.Run(fmt.Sprintf("state=%d", state), func(b *testing.B) {
 			const sessions = 100
 			s := newSessionFixture(b, 0,
-				emulator.RoomServerConfig{Keeps: true, State: max(state, 8), Capacity: 1000},
-				emulator.RoomServerConfig{Keeps: true, Capacity: 1000})
+				emulator.RoomServerConfig{ResumesSessions: true, StateBytes: max(state, 8), Capacity: 1000},
+				emulator.RoomServerConfig{ResumesSessions: true, Capacity: 1000})
 			s.limits.MaxState, s.limits.MaxBytes, s.limits.MaxMigrations = 65536, 64<<20, sessions
 			s.balancers = append(s.balancers, s.startBalancer())
 			addr := s.balancers[0].addr
@@ -127,7 +127,7 @@
 				if state > 0 {
 					s.setState(1, decide.Ready)
 					s.setOnlyReady(1)
-					s.servers[0].Misbehave(emulator.Faults{StallCommit: true})
+					s.servers[0].InjectFaults(emulator.Faults{StallCommit: true})
 				}
 				var clients []*testClient
 				for _, token := range tokens {
@@ -146,7 +146,7 @@
 				for _, c := range clients {
 					c.conn.Close()
 				}
-				s.servers[0].Misbehave(emulator.Faults{})
+				s.servers[0].InjectFaults(emulator.Faults{})
 			}
 		})
 	}
--- a/internal/frontend/platform/session_fixture_test.go
+++ b/internal/frontend/platform/session_fixture_test.go
@@ -16,7 +16,7 @@
 const stateTimeout = 400 * time.Millisecond
 
 // sessionServer is a room server that keeps sessions, with a state of 100 bytes each.
-var sessionServer = emulator.RoomServerConfig{Keeps: true, State: 100}
+var sessionServer = emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 100}
 
 // sessionFixture is some balancers with common token keys and some room servers that keep sessions.
 type sessionFixture struct {
--- a/internal/frontend/platform/session_migration_test.go
+++ b/internal/frontend/platform/session_migration_test.go
@@ -57,7 +57,7 @@
 	c, _ := s.startSession(s.balancers[0], 0, 3)
 	token := s.drainAndMove(c, 0, 1)
 	s.setState(2, decide.Ready)
-	s.servers[1].Misbehave(emulator.Faults{LoseGo: true})
+	s.servers[1].InjectFaults(emulator.Faults{BreakAtActivate: true})
 	s.presentToken(s.balancers[0], token).wantSession(3, 1)
 }
 
@@ -65,7 +65,7 @@
 func TestInterruptedAttachKeepsSession(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]emulator.Faults{
-		"at GO":              {LoseGo: true},
+		"at GO":              {BreakAtActivate: true},
 		"at COMMIT, done":    {LoseCommit: true},
 		"at COMMIT, stalled": {StallCommit: true},
 	} {
@@ -75,13 +75,13 @@
 			c, _ := s.startSession(s.balancers[0], 0, 3)
 			token := s.drainAndMove(c, 0, 1)
 			for _, server := range s.servers {
-				server.Misbehave(fault)
+				server.InjectFaults(fault)
 			}
 			c = s.presentToken(s.balancers[0], token)
 			time.Sleep(100 * time.Millisecond) // The attach has begun by now.
 			s.balancers[0].stop()              // It ends between export and attach.
 			for _, server := range s.servers {
-				server.Misbehave(emulator.Faults{})
+				server.InjectFaults(emulator.Faults{})
 			}
 			s.setOnlyReady(2)
 			for range 20 { // Until the end of the first attach is noticed, the answer is to retry.
@@ -102,11 +102,11 @@
 	s := newSessionFixture(t, 1, sessionServer, sessionServer)
 	c, _ := s.startSession(s.balancers[0], 0, 3)
 	token := s.drainAndMove(c, 0, 1)
-	s.servers[0].Misbehave(emulator.Faults{StallCommit: true})
+	s.servers[0].InjectFaults(emulator.Faults{StallCommit: true})
 	c = s.presentToken(s.balancers[0], token)
 	time.Sleep(50 * time.Millisecond)
 	closeWithReset(c)
-	s.servers[0].Misbehave(emulator.Faults{})
+	s.servers[0].InjectFaults(emulator.Faults{})
 	time.Sleep(100 * time.Millisecond)
 	s.presentToken(s.balancers[0], token).wantSession(3, 1)
 	if !s.balancers[0].frontend.sessions.migrations.TryAcquire(63) {
@@ -135,14 +135,14 @@
 	s := newSessionFixture(t, 1, sessionServer, sessionServer, sessionServer)
 	c, _ := s.startSession(s.balancers[0], 0, 3)
 	token := s.drainAndMove(c, 0, 1)
-	s.servers[0].Misbehave(emulator.Faults{StallCommit: true})
+	s.servers[0].InjectFaults(emulator.Faults{StallCommit: true})
 	c = s.presentToken(s.balancers[0], token)
 	for end := time.Now().Add(10 * time.Second); s.servers[0].StalledCommits() != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the commit did not come")
 		}
 	}
-	s.servers[0].Misbehave(emulator.Faults{})
+	s.servers[0].InjectFaults(emulator.Faults{})
 	s.setOnlyReady(2)
 	s.servers[1].Stop()
 	c.wantSession(3, 1)
@@ -169,7 +169,7 @@
 func TestWholeGroupMigrates(t *testing.T) {
 	t.Parallel()
 	const players = 60
-	large := emulator.RoomServerConfig{Keeps: true, State: 100, Capacity: 400}
+	large := emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 100, Capacity: 400}
 	s := newSessionFixture(t, 2, large, large, large)
 	var clients []*testClient
 	for i := range players {
@@ -233,7 +233,7 @@
 // A state of exactly the maximum size is migrated.
 func TestStateOfMaximumSize(t *testing.T) {
 	t.Parallel()
-	s := newSessionFixture(t, 1, emulator.RoomServerConfig{Keeps: true, State: 4096}, sessionServer)
+	s := newSessionFixture(t, 1, emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 4096}, sessionServer)
 	c, _ := s.startSession(s.balancers[0], 0, 3)
 	s.presentToken(s.balancers[0], s.drainAndMove(c, 0, 1)).wantSession(3, 1)
 }
@@ -261,20 +261,20 @@
 func TestStartOver(t *testing.T) {
 	t.Parallel()
 	holderFault := func(faults emulator.Faults) func(*sessionFixture) {
-		return func(s *sessionFixture) { s.servers[0].Misbehave(faults) }
+		return func(s *sessionFixture) { s.servers[0].InjectFaults(faults) }
 	}
 	noFault := func(*sessionFixture) {}
-	tooLarge := emulator.RoomServerConfig{Keeps: true, State: 4097}
+	tooLarge := emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 4097}
 	for name, scenario := range map[string]struct {
 		reason       string
 		inject       func(s *sessionFixture)
 		holder, next emulator.RoomServerConfig
 	}{
-		"no state":           {"gone", holderFault(emulator.Faults{Forget: true}), sessionServer, sessionServer},
+		"no state":           {"gone", holderFault(emulator.Faults{LoseSessions: true}), sessionServer, sessionServer},
 		"holder is dead":     {"gone", func(s *sessionFixture) { s.servers[0].Stop() }, sessionServer, sessionServer},
 		"holder stalls":      {"late", holderFault(emulator.Faults{StallExport: true}), sessionServer, sessionServer},
-		"holder dies midway": {"gone", holderFault(emulator.Faults{HalfExport: true}), sessionServer, sessionServer},
-		"wrong size":         {"gone", holderFault(emulator.Faults{SmallState: true}), sessionServer, sessionServer},
+		"holder dies midway": {"gone", holderFault(emulator.Faults{TruncateExport: true}), sessionServer, sessionServer},
+		"wrong size":         {"gone", holderFault(emulator.Faults{OverstateSize: true}), sessionServer, sessionServer},
 		"one byte too large": {"large", noFault, tooLarge, sessionServer},
 		"next unsupported":   {"unsupported", noFault, sessionServer, emulator.RoomServerConfig{}},
 	} {
--- a/internal/frontend/platform/test_balancer_test.go
+++ b/internal/frontend/platform/test_balancer_test.go
@@ -25,7 +25,7 @@
 var largeBudget = DescriptorBudget{Total: 300, DialReserve: 50}
 
 // testNames are the names that newRequestLine uses.
-var testNames = Names{Classes: map[string]int{"solo-play": 0}, Tenants: map[string]bool{"familles": true}}
+var testNames = AllowedNames{Classes: map[string]int{"solo-play": 0}, Tenants: map[string]bool{"familles": true}}
 
 // noDiscovery is a source of the endpoint list that never delivers anything.
 type noDiscovery struct{}
@@ -101,11 +101,11 @@
 			{Name: "solo-play", LatencyObjective: latencyObjective, ClientTimeout: clientTimeout},
 		},
 		Safety: decide.SafetyLimits{
-			DrainGrace:        500 * time.Millisecond,
-			SlowStartShare:    0.3,
-			SlowStartDuration: time.Second,
-			OverloadFactor:    4,
-			OverloadWindow:    time.Second,
+			DrainGrace:               500 * time.Millisecond,
+			SlowStartInitialCapacity: 0.3,
+			SlowStartDuration:        time.Second,
+			OverloadFactor:           4,
+			OverloadWindow:           time.Second,
 		},
 	}
 }
--- a/internal/frontend/platform/token_issuer.go
+++ b/internal/frontend/platform/token_issuer.go
@@ -29,11 +29,11 @@
 	line := strings.TrimRight(string(raw), lineEnd)
 	var epoch, position uint64
 	switch {
-	case !t.enabled && protocol.Parse(line, wordKept, &epoch, &position):
+	case !t.enabled && protocol.ParseNumbers(line, wordKept, &epoch, &position):
 		// If the epoch differs, the server keeps another session; the client gets no token for it.
 		t.enabled, t.position = epoch == t.token.Epoch, position
 		return []byte(t.newTokenLine())
-	case protocol.Parse(line, wordPosition, &position):
+	case protocol.ParseNumbers(line, wordPosition, &position):
 		t.position = position
 	case line == wordMove:
 		return append([]byte(t.newTokenLine()), raw...)
--- a/internal/frontend/quic/client_close_test.go
+++ b/internal/frontend/quic/client_close_test.go
@@ -53,7 +53,7 @@
 	c := newFakeClient(t, b.frontend.Addr())
 	fl := newFlow(b.frontend, c.conn.LocalAddr().(*net.UDPAddr).AddrPort())
 	fl.originalID, fl.clientID = c.originalID, c.ownID
-	fl.call = b.engine.Accept(fl, core.Traits{})
+	fl.call = b.engine.Accept(fl, core.ConnTraits{})
 	defer close(fl.done)
 	for _, raw := range [][]byte{c.initial, c.closeDatagram()} {
 		p, err := parsePacket(raw, ids.Len())
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -136,7 +136,7 @@
 		}
 		if err != nil {
 			// A pause, or an error that concerns one datagram only.
-			pause.Paused(ctx, err)
+			pause.WaitWhilePaused(ctx, err)
 			continue
 		}
 		select {
--- a/internal/frontend/quic/router.go
+++ b/internal/frontend/quic/router.go
@@ -117,7 +117,7 @@
 func (f *Frontend) newFlow(ctx context.Context, d datagram, p packet) *flow {
 	fl := newFlow(f, d.from)
 	f.flows.add(fl, p.destinationID)
-	fl.call = f.engine.Accept(fl, core.Traits{Linger: flowLinger, Idle: f.cfg.Idle, Resumable: true})
+	fl.call = f.engine.Accept(fl, core.ConnTraits{Linger: flowLinger, Idle: f.cfg.Idle, Resumable: true})
 	f.actors.Go(func() { fl.run(ctx) })
 	return fl
 }
--- a/internal/frontend/quic/test_balancer_test.go
+++ b/internal/frontend/quic/test_balancer_test.go
@@ -51,11 +51,11 @@
 			ClientTimeout:    1200 * time.Millisecond,
 		}},
 		Safety: decide.SafetyLimits{
-			DrainGrace:        500 * time.Millisecond,
-			SlowStartShare:    0.3,
-			SlowStartDuration: time.Second,
-			OverloadFactor:    4,
-			OverloadWindow:    time.Second,
+			DrainGrace:               500 * time.Millisecond,
+			SlowStartInitialCapacity: 0.3,
+			SlowStartDuration:        time.Second,
+			OverloadFactor:           4,
+			OverloadWindow:           time.Second,
 		},
 	}
 }
--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -25,9 +25,9 @@
 	conn *net.UnixConn
 }
 
-// TakeOver requests the sockets of the process that listens at path. Without such a process, or if it does not answer
+// ReceiveSockets requests the sockets of the process that listens at path. Without such a process, or if it does not answer
 // within a second, the process returned is nil and the sockets have to be opened anew.
-func TakeOver(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
+func ReceiveSockets(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
 	sockets := &Sockets{inherited: map[string]*os.File{}}
 	conn, err := dialPrevious(path)
 	if err != nil {
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -51,7 +51,7 @@
 func receiveSockets(t *testing.T, path string) (*Sockets, *PreviousProcess) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if s, p := TakeOver(path, discardLog()); p != nil {
+		if s, p := ReceiveSockets(path, discardLog()); p != nil {
 			return s, p
 		}
 	}
@@ -166,11 +166,11 @@
 	}
 	l.SetUnlinkOnClose(false)
 	start := time.Now()
-	if _, p := TakeOver(path, discardLog()); p != nil || time.Since(start) > 5*exchangeTimeout {
+	if _, p := ReceiveSockets(path, discardLog()); p != nil || time.Since(start) > 5*exchangeTimeout {
 		t.Errorf("a hung process: %v after %v", p, time.Since(start))
 	}
 	l.Close()
-	if _, p := TakeOver(path, discardLog()); p != nil {
+	if _, p := ReceiveSockets(path, discardLog()); p != nil {
 		t.Error("a stale path counts as a process")
 	}
 	startServer(t, path, "127.0.0.1:0")
@@ -225,7 +225,7 @@
 		for {
 			conn, err := l.Accept()
 			if err != nil {
-				if p.Paused(context.Background(), err) {
+				if p.WaitWhilePaused(context.Background(), err) {
 					continue
 				}
 				return
--- a/internal/operations/hotrestart/pauser.go
+++ b/internal/operations/hotrestart/pauser.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// Paused reports whether a call failed with err because of a pause, after waiting for the end of the pause. It
+// WaitWhilePaused reports whether a call failed with err because of a pause, after waiting for the end of the pause. It
 // reports false if ctx ends first.
-func (p *Pauser) Paused(ctx context.Context, err error) bool {
+func (p *Pauser) WaitWhilePaused(ctx context.Context, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
--- a/internal/operations/hotrestart/wire_test.go
+++ b/internal/operations/hotrestart/wire_test.go
@@ -89,7 +89,7 @@
 		playPreviousProcess(t, conn)
 		accepted <- conn
 	}()
-	sockets, previous := TakeOver(path, discardLog())
+	sockets, previous := ReceiveSockets(path, discardLog())
 	conn := <-accepted
 	if previous == nil || conn == nil {
 		t.Fatal("no sockets were passed on")
--- a/internal/operations/management/management.go
+++ b/internal/operations/management/management.go
@@ -120,7 +120,7 @@
 	conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	text := textproto.NewConn(conn)
 	request, err := textline.Read(text.R)
-	if err != nil && !errors.Is(err, textline.ErrBare) {
+	if err != nil && !errors.Is(err, textline.ErrMissingCR) {
 		request = "" // too long, truncated or missing: no command
 	}
 	conn.SetWriteDeadline(time.Now().Add(engineTimeout + writeTimeout))
--- a/internal/operations/sdnotify/stuck_tasks_test.go
+++ b/internal/operations/sdnotify/stuck_tasks_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	frontend := platform.New(engine, platform.Names{}, platform.DescriptorBudget{Total: 9000, DialReserve: 10}, log)
+	frontend := platform.New(engine, platform.AllowedNames{}, platform.DescriptorBudget{Total: 9000, DialReserve: 10}, log)
 	frontend.SetWatchdog(monitor.AddTask("frontend"))
 	prober := blockingBackend{released: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/operations/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -68,7 +68,7 @@
 		}
 		if err != nil {
 			// A pause, or an error that concerns one datagram only.
-			pause.Paused(ctx, err)
+			pause.WaitWhilePaused(ctx, err)
 			continue
 		}
 		response := a.respond(buffer[:n])
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -25,8 +25,8 @@
 	ActivateLine = "GO"
 	// CommitDone answers a Commit: the room server has let the session go.
 	CommitDone = "DONE"
-	// CommitRefused answers a Commit: the session was attached or claimed by another.
-	CommitRefused = "NO"
+	// CommitRejected answers a Commit: the session was attached or claimed by another.
+	CommitRejected = "NO"
 	// HaveLine is sent by a client, through its balancer, to confirm that it has its token.
 	HaveLine = "HAVE"
 )
@@ -42,24 +42,24 @@
 	wordStartOver       = "ANEW"
 )
 
-// HeldLine returns the line with which a room server reports that it holds the session that the balancer has opened,
+// SessionReadyLine returns the line with which a room server reports that it holds the session that the balancer has opened,
 // at this epoch and position. The balancer may activate it.
-func HeldLine(epoch, position uint64) string {
+func SessionReadyLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionReady, epoch, position)
 }
 
-// KeptLine returns the line with which a room server reports, first after it has accepted the client, that it retains
+// SessionRetainedLine returns the line with which a room server reports, first after it has accepted the client, that it retains
 // the session: the session can be migrated, and the client gets a token.
-func KeptLine(epoch, position uint64) string {
+func SessionRetainedLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionRetained, epoch, position)
 }
 
 // PositionLine returns the line with which a room server acknowledges all of the client's moves up to a position.
 func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPosition, position) }
 
-// Parse parses a line that consists of a word and decimal numbers, such as those of HeldLine, KeptLine and
+// ParseNumbers parses a line that consists of a word and decimal numbers, such as those of SessionReadyLine, SessionRetainedLine and
 // PositionLine. It returns false if the line does not have that form; the numbers are undefined then.
-func Parse(line, word string, numbers ...*uint64) bool {
+func ParseNumbers(line, word string, numbers ...*uint64) bool {
 	f, err := parametersOf(line, word)
 	if err != nil {
 		return false
--- a/internal/session/protocol/protocol_test.go
+++ b/internal/session/protocol/protocol_test.go
@@ -63,10 +63,10 @@
 
 func TestNumbersAreParsed(t *testing.T) {
 	var epoch, position uint64
-	if !Parse(HeldLine(3, 4), "HELD", &epoch, &position) || epoch != 3 || position != 4 {
+	if !ParseNumbers(SessionReadyLine(3, 4), "HELD", &epoch, &position) || epoch != 3 || position != 4 {
 		t.Errorf("HELD is parsed as epoch %d, position %d", epoch, position)
 	}
-	if Parse("HELD 3", "HELD", &epoch, &position) {
+	if ParseNumbers("HELD 3", "HELD", &epoch, &position) {
 		t.Error("HELD with one number is accepted")
 	}
 }
--- a/internal/session/protocol/transfer.go
+++ b/internal/session/protocol/transfer.go
@@ -46,7 +46,7 @@
 }
 
 // Commit is a balancer's request to let a session go to another room server. The answer is CommitDone or
-// CommitRefused.
+// CommitRejected.
 type Commit struct {
 	// Session is the session's ID.
 	Session token.SessionID
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -119,38 +119,38 @@
 	return keys
 }
 
-// Use is what a key of a ring is used for at a given time.
-type Use string
+// KeyUse is what a key of a ring is used for at a given time.
+type KeyUse string
 
 // The uses of a key. Operators see them in the list of keys.
 const (
-	// Waits means that the key will seal later. It opens tokens already, for balancers whose clock is ahead.
-	Waits Use = "waits"
-	// Seals means that the key seals new tokens, and opens them.
-	Seals Use = "seals"
-	// Opens means that the key opens tokens that it has sealed, but does not seal: another key does, or its time
+	// KeyWaits means that the key will seal later. It opens tokens already, for balancers whose clock is ahead.
+	KeyWaits KeyUse = "waits"
+	// KeySeals means that the key seals new tokens, and opens them.
+	KeySeals KeyUse = "seals"
+	// KeyOpens means that the key opens tokens that it has sealed, but does not seal: another key does, or its time
 	// to seal is over.
-	Opens Use = "opens"
-	// Retired means that all tokens that the key has sealed are expired, or that the key is not in the ring.
-	Retired Use = "retired"
+	KeyOpens KeyUse = "opens"
+	// KeyRetired means that all tokens that the key has sealed are expired, or that the key is not in the ring.
+	KeyRetired KeyUse = "retired"
 )
 
-// Use returns what the key with the given ID is used for at now.
-func (r *Ring) Use(keyID string, now time.Time) Use {
+// KeyUse returns what the key with the given ID is used for at now.
+func (r *Ring) KeyUse(keyID string, now time.Time) KeyUse {
 	key := r.openingKey(keyID, now)
 	switch {
 	case key == nil:
-		return Retired
+		return KeyRetired
 	case key == r.sealingKey(now):
-		return Seals
+		return KeySeals
 	case now.Before(key.NotBefore):
-		return Waits
+		return KeyWaits
 	}
-	return Opens
+	return KeyOpens
 }
 
-// Sealing returns the ID of the key that seals at now, or an empty string if none does.
-func (r *Ring) Sealing(now time.Time) string {
+// SealingKeyID returns the ID of the key that seals at now, or an empty string if none does.
+func (r *Ring) SealingKeyID(now time.Time) string {
 	if key := r.sealingKey(now); key != nil {
 		return key.ID
 	}
--- a/internal/session/token/ring_test.go
+++ b/internal/session/token/ring_test.go
@@ -13,17 +13,17 @@
 	ring := newTestRing(t, next, old)
 	for _, v := range []struct {
 		at        time.Duration // after noon
-		old, next Use
+		old, next KeyUse
 	}{
-		{-time.Minute, Seals, Waits},
-		{0, Opens, Seals},
-		{time.Hour, Opens, Seals},
-		{time.Hour + 4*time.Minute, Retired, Seals},
-		{4*time.Hour - time.Minute, Retired, Opens},
+		{-time.Minute, KeySeals, KeyWaits},
+		{0, KeyOpens, KeySeals},
+		{time.Hour, KeyOpens, KeySeals},
+		{time.Hour + 4*time.Minute, KeyRetired, KeySeals},
+		{4*time.Hour - time.Minute, KeyRetired, KeyOpens},
 	} {
 		t.Run(v.at.String(), func(t *testing.T) {
 			now := noon.Add(v.at)
-			if oldUse, nextUse := ring.Use(old.ID, now), ring.Use(next.ID, now); oldUse != v.old || nextUse != v.next {
+			if oldUse, nextUse := ring.KeyUse(old.ID, now), ring.KeyUse(next.ID, now); oldUse != v.old || nextUse != v.next {
 				t.Errorf("uses are %s and %s, want %s and %s", oldUse, nextUse, v.old, v.next)
 			}
 		})
--- a/internal/session/token/sealed_bytes_test.go
+++ b/internal/session/token/sealed_bytes_test.go
@@ -53,10 +53,10 @@
 		{ErrForged.Error(), "forged"},
 		{ErrExpired.Error(), "expired"},
 		{ErrWrongSite.Error(), "site"},
-		{string(Waits), "waits"},
-		{string(Seals), "seals"},
-		{string(Opens), "opens"},
-		{string(Retired), "retired"},
+		{string(KeyWaits), "waits"},
+		{string(KeySeals), "seals"},
+		{string(KeyOpens), "opens"},
+		{string(KeyRetired), "retired"},
 	} {
 		if v.got != v.want {
 			t.Errorf("text %q, want %q", v.got, v.want)
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -90,8 +90,8 @@
 				KeyScope:    decide.ScopeZone, DedupWindow: 5 * time.Second},
 		},
 		Safety: decide.SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second,
-			SlowStartShare:    0.32,
-			SlowStartDuration: 8800 * time.Millisecond, OverloadFactor: 3, OverloadWindow: 3 * time.Second},
+			SlowStartInitialCapacity: 0.32,
+			SlowStartDuration:        8800 * time.Millisecond, OverloadFactor: 3, OverloadWindow: 3 * time.Second},
 		Costs: decide.Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
 	if len(r.settings) != 1 || !reflect.DeepEqual(r.settings[0], want) {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -84,12 +84,12 @@
 		ProbingAllowed: r.flag("limits.may_probe"),
 		GroupAffinity:  r.flag("specifics.groups"),
 		Safety: decide.SafetyLimits{
-			DrainGrace:        r.requiredSeconds("rules.drain_grace_s"),
-			MaxPollInterval:   r.seconds("rules.must_ask_in_s"),
-			SlowStartShare:    r.requiredDecimal("rules.cold_share"),
-			SlowStartDuration: r.requiredSeconds("rules.cold_s"),
-			OverloadFactor:    r.requiredDecimal("rules.fall_multiple"),
-			OverloadWindow:    r.requiredSeconds("rules.fall_s"),
+			DrainGrace:               r.requiredSeconds("rules.drain_grace_s"),
+			MaxPollInterval:          r.seconds("rules.must_ask_in_s"),
+			SlowStartInitialCapacity: r.requiredDecimal("rules.cold_share"),
+			SlowStartDuration:        r.requiredSeconds("rules.cold_s"),
+			OverloadFactor:           r.requiredDecimal("rules.fall_multiple"),
+			OverloadWindow:           r.requiredSeconds("rules.fall_s"),
 		},
 		Costs: decide.Costs{
 			Probe:     r.decimal("penalties.probe"),
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -38,8 +38,8 @@
 // Calls returns the number of calls of all balancers so far.
 func (d *Discovery) Calls() uint64 { return d.calls.Load() }
 
-// For starts to serve a balancer at a free address on loopback, until Stop.
-func (d *Discovery) For(balancer string) (address string, err error) {
+// ListenFor starts to serve a balancer at a free address on loopback, until Stop.
+func (d *Discovery) ListenFor(balancer string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
@@ -76,8 +76,8 @@
 	d.Put(e)
 }
 
-// Tell publishes a room server that need not exist.
-func (d *Discovery) Tell(name, address, zone, lifecycle string) {
+// PutServer publishes a room server that need not exist.
+func (d *Discovery) PutServer(name, address, zone, lifecycle string) {
 	e := ActiveEntry(name, address, zone)
 	e.Lifecycle = lifecycle
 	d.Put(e)
@@ -108,8 +108,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Known returns the list in the form of the known list of a balancer's configuration.
-func (d *Discovery) Known() json.RawMessage {
+// ListingJSON returns the list in the form of the known list of a balancer's configuration.
+func (d *Discovery) ListingJSON() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return mustMarshal(d.snapshot())
--- a/internal/testbench/emulator/faulty_conns.go
+++ b/internal/testbench/emulator/faulty_conns.go
@@ -25,9 +25,9 @@
 		c := &faultyConn{TCPConn: conn.(*net.TCPConn), conns: l.conns}
 		l.conns.add(c)
 		switch l.outage {
-		case Resets:
+		case ResetConnections:
 			c.reset()
-		case Hangs:
+		case NoResponse:
 		default:
 			return c, nil
 		}
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -16,18 +16,18 @@
 
 // The outages.
 const (
-	// Open is no outage.
-	Open Outage = iota
-	// Refuses refuses connections: nobody listens.
-	Refuses
-	// Resets accepts connections and resets them.
-	Resets
-	// Unavailable answers calls with the status 503.
-	Unavailable
-	// Hangs accepts connections and never answers on them, also after the end of the outage.
-	Hangs
-	// CutOff completes no connections, and open ones are silent from then on.
-	CutOff
+	// NoOutage is no outage.
+	NoOutage Outage = iota
+	// RefuseConnections refuses connections: nobody listens.
+	RefuseConnections
+	// ResetConnections accepts connections and resets them.
+	ResetConnections
+	// ServiceUnavailable answers calls with the status 503.
+	ServiceUnavailable
+	// NoResponse accepts connections and never answers on them, also after the end of the outage.
+	NoResponse
+	// NetworkCut completes no connections, and open ones are silent from then on.
+	NetworkCut
 )
 
 const (
@@ -80,9 +80,9 @@
 // Address returns the address at which balancers find discovery.
 func (d *FaultyListener) Address() string { return d.address }
 
-// InTurn returns a handler that executes calls one at a time: each takes the given time, and one that has waited for
+// Serialized returns a handler that executes calls one at a time: each takes the given time, and one that has waited for
 // longer than the timeout is answered with the status 503.
-func InTurn(handler http.Handler, callTime, timeout time.Duration) http.Handler {
+func Serialized(handler http.Handler, callTime, timeout time.Duration) http.Handler {
 	semaphore := make(chan struct{}, 1)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
@@ -98,7 +98,7 @@
 
 // unresponsive reports whether connections are not answered during the outage, nor after its end.
 func (o Outage) unresponsive() bool {
-	return o == Hangs || o == CutOff
+	return o == NoResponse || o == NetworkCut
 }
 
 // SetOutage ends the current outage and starts another; Open starts none.
@@ -108,7 +108,7 @@
 		d.conns.muted.Store(true)
 		d.cleanups = append(d.cleanups, d.conns.reset)
 	}
-	if d.outage == CutOff {
+	if d.outage == NetworkCut {
 		return d.endCutOff(outage)
 	}
 	if d.listener != nil {
@@ -118,14 +118,14 @@
 		d.conns.reset()
 	}
 	d.outage, d.listener = outage, nil
-	if outage == Refuses {
+	if outage == RefuseConnections {
 		return nil
 	}
 	listener, err := d.listenAgain()
 	if err != nil {
 		return err
 	}
-	if outage == CutOff {
+	if outage == NetworkCut {
 		return d.cutOff(listener)
 	}
 	d.serve(listener)
@@ -204,7 +204,7 @@
 	d.listener = listener
 	d.conns = &faultyConns{open: map[*faultyConn]struct{}{}}
 	handler := d.handler
-	if d.outage == Unavailable {
+	if d.outage == ServiceUnavailable {
 		handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
--- a/internal/testbench/emulator/player_session.go
+++ b/internal/testbench/emulator/player_session.go
@@ -120,7 +120,7 @@
 	}
 	line, err = textline.Read(c.reader)
 	var position uint64
-	if err != nil || !protocol.Parse(line, "POS", &position) {
+	if err != nil || !protocol.ParseNumbers(line, "POS", &position) {
 		return false
 	}
 	resumed := c.token != ""
@@ -194,7 +194,7 @@
 	var position uint64
 	if token, ok := strings.CutPrefix(line, protocol.TokenLine("")); ok {
 		p.token = token
-	} else if protocol.Parse(line, "POS", &position) {
+	} else if protocol.ParseNumbers(line, "POS", &position) {
 		p.acknowledged = max(p.acknowledged, position)
 		p.cfg.Recorder.Add(invariants.Event{
 			Kind:     invariants.PositionAcknowledged,
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -94,9 +94,9 @@
 	case "OPEN":
 		return !c.established && c.open(line)
 	case "EXPORT":
-		return c.server.cfg.Keeps && c.request == "" && c.exportSession(line)
+		return c.server.cfg.ResumesSessions && c.request == "" && c.exportSession(line)
 	case "COMMIT":
-		return c.server.cfg.Keeps && c.request == "" && c.commitExport(line)
+		return c.server.cfg.ResumesSessions && c.request == "" && c.commitExport(line)
 	case protocol.ActivateLine:
 		return c.activateSession()
 	case protocol.HaveLine:
@@ -145,7 +145,7 @@
 		c.request = fields[1]
 		s.cfg.Recorder.Add(invariants.Event{Kind: invariants.AttemptStarted, Request: c.request, Server: s.cfg.Name})
 	}
-	if s.faults.Load().Fail {
+	if s.faults.Load().FailRequests {
 		return c.endAttempt(answerError)
 	}
 	admitted, collapsed := s.admit()
@@ -156,7 +156,7 @@
 		return c.endAttempt(answerBusy)
 	}
 	text := firstLineField(line, protocol.FieldName)
-	if !s.cfg.Keeps || text == "" {
+	if !s.cfg.ResumesSessions || text == "" {
 		return c.establish("")
 	}
 	session, err := protocol.ParseOpen(text)
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -30,10 +30,10 @@
 	Name string
 	// Capacity is the number of connections beyond which requests are rejected; 0 if it is unlimited.
 	Capacity int
-	// Keeps says that the server keeps sessions, which may be resumed.
-	Keeps bool
-	// State is the size of a session's state in bytes.
-	State int
+	// ResumesSessions says that the server keeps sessions, which may be resumed.
+	ResumesSessions bool
+	// StateBytes is the size of a session's state in bytes.
+	StateBytes int
 	// LoadMicros is the load that the server reports for each connection, in microseconds of work a second; 0 if it
 	// reports none.
 	LoadMicros int
@@ -55,20 +55,20 @@
 type Faults struct {
 	// StallExport leaves EXPORT without an answer.
 	StallExport bool
-	// HalfExport breaks the connection in the middle of an exported state.
-	HalfExport bool
+	// TruncateExport breaks the connection in the middle of an exported state.
+	TruncateExport bool
 	// StallCommit leaves COMMIT without an answer and does not execute it.
 	StallCommit bool
 	// LoseCommit executes COMMIT and breaks the connection before the answer.
 	LoseCommit bool
-	// LoseGo breaks the connection at GO.
-	LoseGo bool
-	// Forget loses all sessions once, when the faults are injected.
-	Forget bool
-	// Fail answers every first line with ERR.
-	Fail bool
-	// SmallState sends a state that is one byte shorter than was announced, and ends the connection.
-	SmallState bool
+	// BreakAtActivate breaks the connection at GO.
+	BreakAtActivate bool
+	// LoseSessions loses all sessions once, when the faults are injected.
+	LoseSessions bool
+	// FailRequests answers every first line with ERR.
+	FailRequests bool
+	// OverstateSize sends a state that is one byte shorter than was announced, and ends the connection.
+	OverstateSize bool
 }
 
 // RoomServer emulates a room server. It is safe for concurrent use.
@@ -150,10 +150,10 @@
 	return s.started.UnixMilli()
 }
 
-// Misbehave replaces the server's faults.
-func (s *RoomServer) Misbehave(f Faults) {
+// InjectFaults replaces the server's faults.
+func (s *RoomServer) InjectFaults(f Faults) {
 	s.faults.Store(&f)
-	if f.Forget {
+	if f.LoseSessions {
 		s.mu.Lock()
 		s.arbiter = newArbiter()
 		s.mu.Unlock()
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -68,7 +68,7 @@
 		"warm":       {time.Nanosecond, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			recorder := invariants.NewRecorder(invariants.Figures{})
+			recorder := invariants.NewRecorder(invariants.Limits{})
 			server, err := NewRoomServer(RoomServerConfig{
 				Name:           "s-1",
 				SetupRate:      10,
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -41,7 +41,7 @@
 		c.session = nil
 		return c.establish("")
 	}
-	return c.establish(protocol.KeptLine(session.Ref.Epoch, 0))
+	return c.establish(protocol.SessionRetainedLine(session.Ref.Epoch, 0))
 }
 
 // reattachSession offers a session that the server has kept. If the arbiter does not grant it, the balancer may send
@@ -58,7 +58,7 @@
 	if answer.Verdict != arbiter.Granted {
 		return c.writeLine(protocol.AnswerLine(answer))
 	}
-	return c.writeLine(protocol.HeldLine(answer.Ref.Epoch, answer.Position))
+	return c.writeLine(protocol.SessionReadyLine(answer.Ref.Epoch, answer.Position))
 }
 
 // importSession receives the state of a session from another server.
@@ -78,13 +78,13 @@
 	if !prepared {
 		return c.endAttempt(answerBusy)
 	}
-	return c.writeLine(protocol.HeldLine(session.Ref.Epoch, session.Position))
+	return c.writeLine(protocol.SessionReadyLine(session.Ref.Epoch, session.Position))
 }
 
 // activateSession attaches a reattached or imported session, and establishes the connection.
 func (c *roomConn) activateSession() bool {
 	s := c.server
-	if c.session == nil || c.established || s.faults.Load().LoseGo {
+	if c.session == nil || c.established || s.faults.Load().BreakAtActivate {
 		return false
 	}
 	s.mu.Lock()
@@ -94,7 +94,7 @@
 		c.sessionAttached(c.epoch, c.position)
 	}
 	s.mu.Unlock()
-	return activated && c.establish(protocol.KeptLine(c.epoch, c.position))
+	return activated && c.establish(protocol.SessionRetainedLine(c.epoch, c.position))
 }
 
 // sessionAttached records that the client plays here. The caller holds the server's mu, so that events are recorded in
@@ -124,7 +124,7 @@
 
 // encodeState returns a session's state at a position: the position, and padding up to the configured size.
 func (c *roomConn) encodeState(position uint64) []byte {
-	state := make([]byte, max(c.server.cfg.State, positionBytes))
+	state := make([]byte, max(c.server.cfg.StateBytes, positionBytes))
 	binary.BigEndian.PutUint64(state, position)
 	return state
 }
@@ -205,10 +205,10 @@
 // sendState sends an exported state, spoiled as the faults demand.
 func (c *roomConn) sendState(answer arbiter.Answer, faults *Faults) bool {
 	line, state := protocol.AnswerLine(answer), answer.State
-	if faults.HalfExport {
+	if faults.TruncateExport {
 		state = state[:len(state)/2]
 	}
-	if faults.SmallState {
+	if faults.OverstateSize {
 		line = fmt.Sprintf("STATE %d %d %d", answer.Ref.Epoch, answer.Position, len(state)+1)
 	}
 	if !c.writeLine(line) {
@@ -217,7 +217,7 @@
 	c.writes.Lock()
 	_, err := c.conn.Write(state)
 	c.writes.Unlock()
-	return err == nil && !faults.HalfExport && !faults.SmallState
+	return err == nil && !faults.TruncateExport && !faults.OverstateSize
 }
 
 // commitExport releases a session that was exported.
@@ -241,5 +241,5 @@
 	if done {
 		return c.writeLine(protocol.CommitDone)
 	}
-	return c.writeLine(protocol.CommitRefused)
+	return c.writeLine(protocol.CommitRejected)
 }
--- a/internal/testbench/experiment/delivery_cost.go
+++ b/internal/testbench/experiment/delivery_cost.go
@@ -103,7 +103,7 @@
 		return err
 	}
 	m.discovery = emulator.NewDiscovery(nil)
-	address, err := m.discovery.For(balancerName(0))
+	address, err := m.discovery.ListenFor(balancerName(0))
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 		},
 		placement: singleZone,
 		discovery: address,
-		known:     m.discovery.Known(),
+		known:     m.discovery.ListingJSON(),
 	})
 	if err != nil {
 		return err
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -143,7 +143,7 @@
 		m.roomServers = append(m.roomServers, server)
 	}
 	m.discovery = emulator.NewDiscovery(nil)
-	address, err := m.discovery.For(balancerName(0))
+	address, err := m.discovery.ListenFor(balancerName(0))
 	if err != nil {
 		return err
 	}
--- a/internal/testbench/experiment/membership_network.go
+++ b/internal/testbench/experiment/membership_network.go
@@ -37,7 +37,7 @@
 // memberProxy leads from one instance to another.
 type memberProxy struct {
 	address   netip.AddrPort
-	datagrams *faultproxy.Datagrams
+	datagrams *faultproxy.DatagramProxy
 	streams   *faultproxy.Port
 }
 
@@ -86,11 +86,11 @@
 	if err != nil {
 		return nil, err
 	}
-	datagrams, err := faultproxy.NewDatagrams(address, target, n.paths[from][to])
+	datagrams, err := faultproxy.NewDatagramProxy(address, target, n.paths[from][to])
 	if err != nil {
 		return nil, err
 	}
-	link := faultproxy.NewLinkOver(n.paths[from][to], n.paths[to][from], func(*faultproxy.Port) string {
+	link := faultproxy.NewLinkWithPaths(n.paths[from][to], n.paths[to][from], func(*faultproxy.Port) string {
 		return target.String()
 	})
 	streams, err := link.PortAt(from, address.String())
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -107,7 +107,7 @@
 
 // newRecorder returns a recorder with the time limits that balancers are configured with.
 func newRecorder() *invariants.Recorder {
-	return invariants.NewRecorder(invariants.Figures{DrainGrace: drainGrace, Slack: invariantSlack})
+	return invariants.NewRecorder(invariants.Limits{DrainGrace: drainGrace, Slack: invariantSlack})
 }
 
 // newRun returns a run that open has to start. The directory has to exist.
@@ -149,11 +149,11 @@
 	r.discovery = emulator.NewDiscovery(r.recorder)
 	for i := range r.e.RoomServers {
 		err := r.startRoomServer(emulator.RoomServerConfig{
-			Name:     roomServerName(i),
-			Capacity: r.e.Capacity,
-			Keeps:    true,
-			State:    r.e.StateBytes,
-			Recorder: r.recorder,
+			Name:            roomServerName(i),
+			Capacity:        r.e.Capacity,
+			ResumesSessions: true,
+			StateBytes:      r.e.StateBytes,
+			Recorder:        r.recorder,
 		})
 		if err != nil {
 			return err
@@ -258,7 +258,7 @@
 // startBalancer starts a balancer for the first time and adds it to the front layer.
 func (r *run) startBalancer(ctx context.Context, i int) error {
 	name := balancerName(i)
-	discovery, err := r.discovery.For(name)
+	discovery, err := r.discovery.ListenFor(name)
 	if err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 		experiment: r.e,
 		placement:  singleZone,
 		discovery:  discovery,
-		known:      r.discovery.Known(),
+		known:      r.discovery.ListingJSON(),
 	})
 	if err != nil {
 		return err
--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -10,33 +10,33 @@
 
 const maxDatagramBytes = 64 << 10
 
-// Datagrams forwards the UDP datagrams that arrive at its address to a target, in one direction.
-type Datagrams struct {
+// DatagramProxy forwards the UDP datagrams that arrive at its address to a target, in one direction.
+type DatagramProxy struct {
 	conn     *net.UDPConn
 	target   netip.AddrPort
 	path     *Path
 	receiver sync.WaitGroup
 }
 
-// NewDatagrams listens on an address and forwards its datagrams to the target, disturbed by the path, until Close.
-func NewDatagrams(listen, target netip.AddrPort, path *Path) (*Datagrams, error) {
+// NewDatagramProxy listens on an address and forwards its datagrams to the target, disturbed by the path, until Close.
+func NewDatagramProxy(listen, target netip.AddrPort, path *Path) (*DatagramProxy, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("datagram proxy: %w", err)
 	}
-	d := &Datagrams{conn: conn, target: target, path: path}
+	d := &DatagramProxy{conn: conn, target: target, path: path}
 	d.receiver.Go(d.forward)
 	return d, nil
 }
 
 // Close stops forwarding. Datagrams that are delayed at this moment are lost.
-func (d *Datagrams) Close() {
+func (d *DatagramProxy) Close() {
 	d.conn.Close()
 	d.receiver.Wait()
 }
 
 // forward receives datagrams until the connection is closed.
-func (d *Datagrams) forward() {
+func (d *DatagramProxy) forward() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buffer)
@@ -48,7 +48,7 @@
 }
 
 // disturb loses or sends a datagram as the path's conditions demand.
-func (d *Datagrams) disturb(datagram []byte) {
+func (d *DatagramProxy) disturb(datagram []byte) {
 	conditions, _, _ := d.path.current()
 	if conditions.Cut || d.path.chance(conditions.Loss) {
 		return
@@ -67,7 +67,7 @@
 }
 
 // send sends a datagram after a delay.
-func (d *Datagrams) send(datagram []byte, delay time.Duration) {
+func (d *DatagramProxy) send(datagram []byte, delay time.Duration) {
 	if delay <= 0 {
 		d.conn.WriteToUDPAddrPort(datagram, d.target)
 		return
--- a/internal/testbench/faultproxy/datagram_test.go
+++ b/internal/testbench/faultproxy/datagram_test.go
@@ -23,7 +23,7 @@
 	}
 	t.Cleanup(func() { receiver.Close() })
 	target := netip.MustParseAddrPort(receiver.LocalAddr().String())
-	proxy, err := NewDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), target, path)
+	proxy, err := NewDatagramProxy(netip.MustParseAddrPort("127.0.0.1:0"), target, path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbench/faultproxy/link.go
+++ b/internal/testbench/faultproxy/link.go
@@ -26,11 +26,11 @@
 // the address to dial; if it returns an empty string the connection is closed. Both directions share one path.
 func NewLink(target func(*Port) string) *Link {
 	both := NewPath(0)
-	return NewLinkOver(both, both, target)
+	return NewLinkWithPaths(both, both, target)
 }
 
-// NewLinkOver returns a link whose directions have paths of their own.
-func NewLinkOver(forward, back *Path, target func(*Port) string) *Link {
+// NewLinkWithPaths returns a link whose directions have paths of their own.
+func NewLinkWithPaths(forward, back *Path, target func(*Port) string) *Link {
 	return &Link{forward: forward, back: back, target: target, conns: map[net.Conn]*Port{}}
 }
 
--- a/internal/testbench/faultproxy/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -66,7 +66,7 @@
 func TestCutOfOneDirection(t *testing.T) {
 	server := startEchoServer(t)
 	forward, back := NewPath(1), NewPath(2)
-	port := openPort(t, NewLinkOver(forward, back, func(*Port) string { return server }), 0)
+	port := openPort(t, NewLinkWithPaths(forward, back, func(*Port) string { return server }), 0)
 	conn := dial(t, port)
 	back.Set(Conditions{Cut: true})
 	io.WriteString(conn, "hello")
--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Figures are the time limits of the invariants.
-type Figures struct {
+// Limits are the time limits of the invariants.
+type Limits struct {
 	// DrainGrace is how long new attempts may arrive at a room server after the balancer has observed its drain.
 	DrainGrace time.Duration
 	// Slack is the tolerance that is added to each time limit.
@@ -43,7 +43,7 @@
 
 // Checker checks a sequence of events. It is not safe for concurrent use.
 type Checker struct {
-	limits   Figures
+	limits   Limits
 	requests map[string]*request
 	// drains holds when a balancer observed that a room server drains.
 	drains   map[observation]time.Duration
@@ -74,7 +74,7 @@
 }
 
 // New returns a Checker that has seen no events.
-func New(limits Figures) *Checker {
+func New(limits Limits) *Checker {
 	return &Checker{
 		limits:   limits,
 		requests: map[string]*request{},
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -90,7 +90,7 @@
 	t.Helper()
 	for name, v := range cases {
 		t.Run(name, func(t *testing.T) {
-			c := New(Figures{DrainGrace: drainGrace, Slack: slack})
+			c := New(Limits{DrainGrace: drainGrace, Slack: slack})
 			for _, e := range v.events {
 				c.Add(e)
 			}
--- a/internal/testbench/invariants/recorder.go
+++ b/internal/testbench/invariants/recorder.go
@@ -13,7 +13,7 @@
 }
 
 // NewRecorder returns a Recorder whose clock starts now.
-func NewRecorder(limits Figures) *Recorder {
+func NewRecorder(limits Limits) *Recorder {
 	return &Recorder{start: time.Now(), checker: New(limits)}
 }
 
--- a/internal/textline/fuzz_test.go
+++ b/internal/textline/fuzz_test.go
@@ -19,8 +19,8 @@
 		text, err := Read(bufio.NewReaderSize(bytes.NewReader(raw), maxLine))
 		switch {
 		case err == nil && !bytes.HasPrefix(raw, []byte(text+"\r\n")),
-			errors.Is(err, ErrBare) && !bytes.HasPrefix(raw, []byte(text+"\n")),
-			errors.Is(err, ErrLong) && bytes.IndexByte(raw[:maxLine], '\n') >= 0,
+			errors.Is(err, ErrMissingCR) && !bytes.HasPrefix(raw, []byte(text+"\n")),
+			errors.Is(err, ErrTooLong) && bytes.IndexByte(raw[:maxLine], '\n') >= 0,
 			len(text) > maxLine, bytes.Contains([]byte(text), []byte("\n")):
 			t.Errorf("%.60q is read as %.60q, %v", raw, text, err)
 		}
