--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -24,6 +24,8 @@
 	startPollInterval = 20 * time.Millisecond
 	// stopTimeout is how long a process may take to end, for balancers after SIGTERM.
 	stopTimeout = 6 * time.Second
+	// maxStartAttempts is the number of attempts to start a balancer at free ports.
+	maxStartAttempts = 3
 	// logTailBytes is how much of a process's log an error quotes.
 	logTailBytes = 600
 )
@@ -98,6 +100,29 @@
 	return b, nil
 }
 
+// startBalancer writes the files of a balancer and starts it at free ports. Among many connections, one may take such a
+// port before the balancer does, which is then started at others.
+func startBalancer(ctx context.Context, spec balancerSpec) (b *balancer, err error) {
+	for range maxStartAttempts {
+		if b, err = newBalancer(spec); err != nil {
+			return nil, err
+		}
+		if err = b.start(ctx); err == nil {
+			return b, nil
+		}
+		b.killIfStarted()
+		if !addressInUse(err) {
+			break
+		}
+	}
+	return nil, err
+}
+
+// addressInUse reports whether a balancer's log, which the error quotes, says that its port was in use.
+func addressInUse(err error) bool {
+	return strings.Contains(err.Error(), syscall.EADDRINUSE.Error())
+}
+
 // freeAddress returns an address on loopback at which nobody listens.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -204,7 +204,7 @@
 // startBalancers starts the real balancers.
 func (m *comparisonRun) startBalancers(ctx context.Context) error {
 	for i := range m.nodes {
-		b, err := newBalancer(balancerSpec{
+		b, err := startBalancer(ctx, balancerSpec{
 			program:    m.programs.Balancer,
 			dir:        m.dir,
 			name:       balancerName(i),
@@ -216,10 +216,6 @@
 		if err != nil {
 			return err
 		}
-		if err := b.start(ctx); err != nil {
-			b.killIfStarted()
-			return err
-		}
 		m.balancers = append(m.balancers, b)
 	}
 	return nil
--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
-	"syscall"
 	"time"
 
 	"cottonplank/internal/testbench/emulator"
@@ -20,8 +17,6 @@
 const (
 	// watchTimeout is how long the hollow nodes may take to watch the list; the run continues without the others.
 	watchTimeout = 10 * time.Second
-	// maxStartAttempts is the number of attempts to start a real balancer at free ports.
-	maxStartAttempts = 3
 	// capacityFactor is the number of connections for each client that a room server admits.
 	capacityFactor = 2
 	// knownListFileName is the file of the list that hollow nodes start with.
@@ -242,10 +237,9 @@
 	return nil
 }
 
-// startBalancer starts a real balancer with the initial list at free ports. Among thousands of connections, one may
-// take such a port before the balancer does, which is then started at others.
-func (s *scaleRun) startBalancer(ctx context.Context, i int) (b *balancer, err error) {
-	spec := balancerSpec{
+// startBalancer starts a real balancer with the initial list.
+func (s *scaleRun) startBalancer(ctx context.Context, i int) (*balancer, error) {
+	return startBalancer(ctx, balancerSpec{
 		program:    s.programs.Balancer,
 		dir:        s.dir,
 		name:       balancerName(i),
@@ -253,25 +247,7 @@
 		placement:  s.placement(zoneName(s.e.realZone(i))),
 		discovery:  s.ports[s.e.HollowNodes+i].Address,
 		known:      json.RawMessage(s.table.Snapshot(initialVersion)),
-	}
-	for range maxStartAttempts {
-		if b, err = newBalancer(spec); err != nil {
-			return nil, err
-		}
-		if err = b.start(ctx); err == nil {
-			return b, nil
-		}
-		b.killIfStarted()
-		if !addressInUse(err) {
-			break
-		}
-	}
-	return nil, err
-}
-
-// addressInUse reports whether a balancer's log, which the error quotes, says that its port was in use.
-func addressInUse(err error) bool {
-	return errors.Is(err, syscall.EADDRINUSE) || strings.Contains(err.Error(), syscall.EADDRINUSE.Error())
+	})
 }
 
 // startWorkers writes the files of the workers and starts them.
