--- a/decide/fleet_simulation_test.go
+++ b/decide/fleet_simulation_test.go
@@ -126,7 +126,8 @@
 	safety := f.balancers[0].settings.Safety
 	for _, s := range f.list {
 		if age := f.now - s.Started; s.ID == id && s.Started > 0 && age < safety.SlowStartDuration {
-			return safety.SlowStartInitialCapacity + (1-safety.SlowStartInitialCapacity)*float64(age)/float64(safety.SlowStartDuration)
+			initial := safety.SlowStartInitialCapacity
+			return initial + (1-initial)*float64(age)/float64(safety.SlowStartDuration)
 		}
 	}
 	return 1
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -30,8 +30,9 @@
 				KeyScope: ScopeCell, DedupWindow: 5 * time.Second},
 		},
 		MaxAttempts: 3, // probes are not allowed, so that requests are placed at once
-		Safety: SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second, SlowStartInitialCapacity: 0.3,
-			SlowStartDuration: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second},
+		Safety: SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second,
+			SlowStartInitialCapacity: 0.3, SlowStartDuration: 10 * time.Second,
+			OverloadFactor: 3, OverloadWindow: 2 * time.Second},
 		Costs: Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
 }
--- a/internal/codecheck/codecheck_test.go
+++ b/internal/codecheck/codecheck_test.go
@@ -55,7 +55,7 @@
 		"docs/page.md":            {},
 		".gitignore":              {Data: []byte("/deploy/keys.json\n")},
 		"mibs/A-MIB.txt":          {Data: []byte("cpState OBJECT-TYPE\n")},
-		"internal/core/core.go":   {Data: []byte("package core\n\ntype Engine struct{ inbox int }\n\nfunc (Engine) SetLoad() {}\n")},
+		"internal/core/core.go":   {Data: []byte("package core\n\ntype Engine struct{}\n\nfunc (Engine) SetLoad() {}\n")},
 		"internal/core/a_test.go": {Data: []byte("package core\n\nfunc TestOne() {}\n")},
 	}
 	repository, err := ReadRepository(tree)
--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -111,12 +111,15 @@
 	return nil
 }
 
+// topFolders matches the folders of the repository that pages name.
+const topFolders = `(?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)`
+
 var (
 	link       = regexp.MustCompile(`\]\(([^)#\s]+)`)
 	codeSpan   = regexp.MustCompile("`([^`]+)`")
 	goFile     = regexp.MustCompile(`[\w./-]*\w\.go\b`)
 	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
-	folderPath = regexp.MustCompile(`(?:^|[^\w./-])((?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)/[\w./-]*\w)`)
+	folderPath = regexp.MustCompile(`(?:^|[^\w./-])(` + topFolders + `/[\w./-]*\w)`)
 	qualified  = regexp.MustCompile(`\b[a-z]+\.[A-Z]\w*(?:\.\w+)*`)
 	mibObject  = regexp.MustCompile(`(?m)^\s*(\w+)\s+(?:OBJECT|MODULE|NOTIFICATION)-`)
 	identifier = regexp.MustCompile(`^[A-Za-z]\w*(?:\.[A-Za-z]\w*)*$`)
--- a/internal/frontend/platform/descriptors.go
+++ b/internal/frontend/platform/descriptors.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// SetDescriptorReserve leaves n descriptors of the budget to another process, as they are released. It may be called again with
-// another number, and returns at once after Serve has ended.
+// SetDescriptorReserve leaves n descriptors of the budget to another process, as they are released. It may be called
+// again with another number, and returns at once after Serve has ended.
 func (f *Frontend) SetDescriptorReserve(n int) {
 	total := f.budget.Total
 	f.acceptLimit.Store(int64(total - f.budget.DialReserve*(total-n)/total))
--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -25,8 +25,8 @@
 	conn *net.UnixConn
 }
 
-// ReceiveSockets requests the sockets of the process that listens at path. Without such a process, or if it does not answer
-// within a second, the process returned is nil and the sockets have to be opened anew.
+// ReceiveSockets requests the sockets of the process that listens at path. Without such a process, or if it does not
+// answer within a second, the process returned is nil and the sockets have to be opened anew.
 func ReceiveSockets(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
 	sockets := &Sockets{inherited: map[string]*os.File{}}
 	conn, err := dialPrevious(path)
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -42,14 +42,14 @@
 	wordStartOver       = "ANEW"
 )
 
-// SessionReadyLine returns the line with which a room server reports that it holds the session that the balancer has opened,
-// at this epoch and position. The balancer may activate it.
+// SessionReadyLine returns the line with which a room server reports that it holds the session that the balancer has
+// opened, at this epoch and position. The balancer may activate it.
 func SessionReadyLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionReady, epoch, position)
 }
 
-// SessionRetainedLine returns the line with which a room server reports, first after it has accepted the client, that it retains
-// the session: the session can be migrated, and the client gets a token.
+// SessionRetainedLine returns the line with which a room server reports, first after it has accepted the client, that
+// it retains the session: the session can be migrated, and the client gets a token.
 func SessionRetainedLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionRetained, epoch, position)
 }
@@ -57,8 +57,9 @@
 // PositionLine returns the line with which a room server acknowledges all of the client's moves up to a position.
 func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPosition, position) }
 
-// ParseNumbers parses a line that consists of a word and decimal numbers, such as those of SessionReadyLine, SessionRetainedLine and
-// PositionLine. It returns false if the line does not have that form; the numbers are undefined then.
+// ParseNumbers parses a line that consists of a word and decimal numbers, such as those of SessionReadyLine,
+// SessionRetainedLine and PositionLine. It returns false if the line does not have that form; the numbers are
+// undefined then.
 func ParseNumbers(line, word string, numbers ...*uint64) bool {
 	f, err := parametersOf(line, word)
 	if err != nil {
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -80,8 +80,8 @@
 // Address returns the address at which balancers find discovery.
 func (d *FaultyListener) Address() string { return d.address }
 
-// Serialized returns a handler that executes calls one at a time: each takes the given time, and one that has waited for
-// longer than the timeout is answered with the status 503.
+// Serialized returns a handler that executes calls one at a time: each takes the given time, and one that has waited
+// for longer than the timeout is answered with the status 503.
 func Serialized(handler http.Handler, callTime, timeout time.Duration) http.Handler {
 	semaphore := make(chan struct{}, 1)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
