--- a/cmd/cottonplank/controlplane_test.go
+++ b/cmd/cottonplank/controlplane_test.go
@@ -17,7 +17,8 @@
 // maxPropagationDelay is how long a change of the document may take to reach all balancers.
 const maxPropagationDelay = 6 * time.Second
 
-// startCommand runs the program with arguments; its log may be read once it has ended.
+// startCommand runs the program with arguments; its log may be read once it has ended. The log is printed if the test
+// fails.
 func startCommand(t *testing.T, environment []string, arguments ...string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	command, logs := exec.Command(os.Args[0]), &bytes.Buffer{}
@@ -29,6 +30,9 @@
 	t.Cleanup(func() {
 		command.Process.Kill()
 		command.Wait()
+		if t.Failed() {
+			t.Logf("log of %v:\n%s", arguments, logs)
+		}
 	})
 	return command, logs
 }
