--- a/internal/config/quic.go
+++ b/internal/config/quic.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"encoding/hex"
 	"fmt"
 	"slices"
@@ -83,15 +84,9 @@
 }
 
 func (f *quicFile) setDefaults() {
-	if f.NonceLength == 0 {
-		f.NonceLength = defaultNonceLength
-	}
-	if f.IdleTimeout == 0 {
-		f.IdleTimeout = defaultIdleTimeout
-	}
-	if f.MaxFlows == 0 {
-		f.MaxFlows = defaultMaxFlows
-	}
+	f.NonceLength = cmp.Or(f.NonceLength, defaultNonceLength)
+	f.IdleTimeout = cmp.Or(f.IdleTimeout, defaultIdleTimeout)
+	f.MaxFlows = cmp.Or(f.MaxFlows, defaultMaxFlows)
 }
 
 func (f *quicFile) checkNumbers() error {
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 
@@ -63,21 +64,11 @@
 }
 
 func (f *sessionsFile) setDefaults() {
-	if f.TokenLifetime == 0 {
-		f.TokenLifetime = defaultTokenLifetime
-	}
-	if f.StateTimeout == 0 {
-		f.StateTimeout = defaultStateTimeout
-	}
-	if f.MaxStateBytes == 0 {
-		f.MaxStateBytes = defaultMaxStateBytes
-	}
-	if f.MaxBytesInFlight == 0 {
-		f.MaxBytesInFlight = max(defaultMaxBytesInFlight, int64(f.MaxStateBytes))
-	}
-	if f.MaxMigrations == 0 {
-		f.MaxMigrations = defaultMaxMigrations
-	}
+	f.TokenLifetime = cmp.Or(f.TokenLifetime, defaultTokenLifetime)
+	f.StateTimeout = cmp.Or(f.StateTimeout, defaultStateTimeout)
+	f.MaxStateBytes = cmp.Or(f.MaxStateBytes, defaultMaxStateBytes)
+	f.MaxBytesInFlight = cmp.Or(f.MaxBytesInFlight, max(defaultMaxBytesInFlight, int64(f.MaxStateBytes)))
+	f.MaxMigrations = cmp.Or(f.MaxMigrations, defaultMaxMigrations)
 }
 
 func (f *sessionsFile) check() error {
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -13,6 +13,7 @@
 	"cottonplank/internal/discovery/httpsource"
 	"cottonplank/internal/testbench/emulator"
 	"cottonplank/internal/testbench/invariants"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 )
@@ -32,12 +33,6 @@
 	fleetSize = 300
 )
 
-// noProbes is a prober that does nothing.
-type noProbes struct{}
-
-func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
-func (noProbes) Remove(decide.ServerID)                       {}
-
 // watchingConfig returns a configuration with a watch.
 func watchingConfig(fleetSize int) core.Config {
 	return core.Config{Settings: decide.Settings{WatchList: true, Balancers: fleetSize}}
@@ -76,7 +71,7 @@
 		}
 		source := httpsource.New(address, 0, engine, log)
 		running.Go(func() { source.Run(ctx) })
-		running.Go(func() { engine.Run(ctx, noProbes{}, source) })
+		running.Go(func() { engine.Run(ctx, stub.Prober{}, source) })
 		engines = append(engines, engine)
 	}
 	return engines
--- a/internal/frontend/platform/test_balancer_test.go
+++ b/internal/frontend/platform/test_balancer_test.go
@@ -11,6 +11,7 @@
 	"cottonplank/decide"
 	"cottonplank/internal/core"
 	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 )
@@ -27,19 +28,6 @@
 // testNames are the names that newRequestLine uses.
 var testNames = AllowedNames{Classes: map[string]int{"solo-play": 0}, Tenants: map[string]bool{"familles": true}}
 
-// noDiscovery is a source of the endpoint list that never delivers anything.
-type noDiscovery struct{}
-
-func (noDiscovery) Watch(context.Context, uint64) {}
-func (noDiscovery) Fetch(context.Context)         {}
-func (noDiscovery) SetAddress(string)             {}
-
-// noProber is a prober that never completes a probe.
-type noProber struct{}
-
-func (noProber) Probe(context.Context, uint64, core.Upstream) {}
-func (noProber) Remove(decide.ServerID)                       {}
-
 // testBalancer is a running engine with a frontend on a loopback port.
 type testBalancer struct {
 	engine   *core.Engine
@@ -142,9 +130,9 @@
 	var running sync.WaitGroup
 	if config.maxProbeConns > 0 {
 		prober := NewProber(ctx, engine, config.maxProbeConns)
-		running.Go(func() { engine.Run(ctx, prober, noDiscovery{}); prober.Wait() })
+		running.Go(func() { engine.Run(ctx, prober, stub.Discovery{}); prober.Wait() })
 	} else {
-		running.Go(func() { engine.Run(ctx, noProber{}, noDiscovery{}) })
+		running.Go(func() { engine.Run(ctx, stub.Prober{}, stub.Discovery{}) })
 	}
 	running.Go(func() { b.frontend.Serve(ctx, listener, b.pause) })
 	b.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
--- a/internal/frontend/quic/test_balancer_test.go
+++ b/internal/frontend/quic/test_balancer_test.go
@@ -12,25 +12,13 @@
 	"cottonplank/decide"
 	"cottonplank/internal/core"
 	"cottonplank/internal/operations/hotrestart"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 )
 
 var testResetKey = bytes.Repeat([]byte{9}, 32)
 
-// noDiscovery is a core.Discovery that finds nothing.
-type noDiscovery struct{}
-
-func (noDiscovery) Watch(context.Context, uint64) {}
-func (noDiscovery) Fetch(context.Context)         {}
-func (noDiscovery) SetAddress(string)             {}
-
-// noProber is a core.Prober that sends nothing.
-type noProber struct{}
-
-func (noProber) Probe(context.Context, uint64, core.Upstream) {}
-func (noProber) Remove(decide.ServerID)                       {}
-
 // testBalancer is a frontend with an engine of its own.
 type testBalancer struct {
 	pause    *hotrestart.Pauser
@@ -98,7 +86,7 @@
 	frontend, pause := New(cfg, engine, log), hotrestart.NewPauser(conn.SetReadDeadline)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { engine.Run(ctx, noProber{}, noDiscovery{}) })
+	running.Go(func() { engine.Run(ctx, stub.Prober{}, stub.Discovery{}) })
 	running.Go(func() { frontend.Serve(ctx, pause) })
 	b := &testBalancer{frontend: frontend, pause: pause, engine: engine}
 	b.stop = sync.OnceFunc(func() { cancel(); running.Wait() })
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -14,6 +14,7 @@
 	"cottonplank/decide"
 	"cottonplank/internal/core"
 	"cottonplank/internal/testbench/fuzzcorpus"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 )
@@ -21,15 +22,6 @@
 // testTimeout bounds each wait, so that no test hangs.
 const testTimeout = 20 * time.Second
 
-// unusedPlatform is the probing and the discovery of an engine that needs neither.
-type unusedPlatform struct{}
-
-func (unusedPlatform) Probe(context.Context, uint64, core.Upstream) {}
-func (unusedPlatform) Remove(decide.ServerID)                       {}
-func (unusedPlatform) Watch(context.Context, uint64)                {}
-func (unusedPlatform) Fetch(context.Context)                        {}
-func (unusedPlatform) SetAddress(string)                            {}
-
 // startServer returns the address of a server that holds at most maxConns connections.
 func startServer(t *testing.T, maxConns int) string {
 	t.Helper()
@@ -56,7 +48,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { engine.Run(ctx, unusedPlatform{}, unusedPlatform{}) })
+	running.Go(func() { engine.Run(ctx, stub.Prober{}, stub.Discovery{}) })
 	server := New(engine, []string{"solo-play", "team-play"}, maxConns, log)
 	running.Go(func() { server.Serve(ctx, listener) })
 	t.Cleanup(func() {
--- a/internal/operations/sdnotify/stuck_tasks_test.go
+++ b/internal/operations/sdnotify/stuck_tasks_test.go
@@ -18,22 +18,15 @@
 	"cottonplank/internal/frontend/platform"
 	"cottonplank/internal/operations/hotrestart"
 	"cottonplank/internal/operations/sdnotify"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 )
 
-// noopBackend is a prober and a list source that do nothing.
-type noopBackend struct{}
-
-func (noopBackend) Probe(context.Context, uint64, core.Upstream) {}
-func (noopBackend) Remove(decide.ServerID)                       {}
-func (noopBackend) Watch(context.Context, uint64)                {}
-func (noopBackend) Fetch(context.Context)                        {}
-func (noopBackend) SetAddress(string)                            {}
-
 // blockingBackend is a prober and a receiver of lists whose methods block until it is released.
 type blockingBackend struct {
-	noopBackend
+	stub.Prober
+	stub.Discovery
 	released chan struct{}
 }
 
@@ -85,7 +78,7 @@
 	prober := blockingBackend{released: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { engine.Run(ctx, prober, noopBackend{}) })
+	running.Go(func() { engine.Run(ctx, prober, stub.Discovery{}) })
 	running.Go(func() { frontend.Serve(ctx, l, hotrestart.NewPauser(l.SetDeadline)) })
 	defer func() { cancel(); running.Wait() }()
 	time.Sleep(2 * limit)
--- a/internal/testbench/hollow/node.go
+++ b/internal/testbench/hollow/node.go
@@ -12,6 +12,7 @@
 	"cottonplank/decide"
 	"cottonplank/internal/core"
 	"cottonplank/internal/discovery/httpsource"
+	"cottonplank/internal/testbench/stub"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
@@ -70,15 +71,6 @@
 	running    sync.WaitGroup
 }
 
-// noProbes is the prober of nodes, which have no room servers to probe.
-type noProbes struct{}
-
-// Probe does nothing.
-func (noProbes) Probe(context.Context, uint64, core.Upstream) {}
-
-// Remove does nothing.
-func (noProbes) Remove(decide.ServerID) {}
-
 // nodeConfig is how a node is started.
 type nodeConfig struct {
 	engine core.Config
@@ -115,7 +107,7 @@
 	discovery := newFollower(cfg.address, cfg.version, n, log)
 	n.record(Event{At: Now(), Kind: NodeStarted, Node: n.id, Version: cfg.version})
 	n.running.Go(func() { discovery.Run(ctx) })
-	n.running.Go(func() { n.engine.Run(ctx, noProbes{}, discovery) })
+	n.running.Go(func() { n.engine.Run(ctx, stub.Prober{}, discovery) })
 	return nil
 }
 
