--- a/internal/frontend/platform/response.go
+++ b/internal/frontend/platform/response.go
@@ -7,7 +7,7 @@
 	"cottonplank/decide"
 )
 
-// reportValueLimit bounds the values of a load report, which must be less.
+// reportValueLimit is the exclusive upper bound of the values in a load report.
 const reportValueLimit = 1e9
 
 // The names of the values that are read from a load report.
@@ -20,14 +20,14 @@
 type response struct {
 	// accepted reports whether the server has accepted the request.
 	accepted bool
-	// code is the outcome of the attempt if it was not accepted.
+	// code is the outcome of the attempt if the request was not accepted.
 	code decide.Code
-	// report is the server's load report, decide.NoLoadReport if the answer has none.
+	// report is the server's load report, or decide.NoLoadReport if the answer has none.
 	report decide.LoadReport
 }
 
-// parseResponse parses the answer to a request line. Only the exact form of an acceptance counts as one. An unknown
-// answer counts as an error after which the request may have been executed.
+// parseResponse parses the answer to a request line. An acceptance must have exactly the form of wordUp and one word.
+// An unknown answer counts as an error after which the request may have been executed.
 func parseResponse(line string) response {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
@@ -36,7 +36,7 @@
 			return response{accepted: true, report: decide.NoLoadReport}
 		}
 	case wordBusy:
-		// BUSY proves that the request was not executed, so a corrupted line must not count as one.
+		// BUSY means that the request was not executed, so a corrupted line must not count as BUSY.
 		if rest == "" || isLoadReport(rest) {
 			return response{code: decide.Rejected, report: parseLoadReport(rest)}
 		}
@@ -55,12 +55,12 @@
 	return decide.OK, parseLoadReport(rest)
 }
 
-// isPrintableWord reports whether a text is one word of printable ASCII characters.
+// isPrintableWord reports whether text is one word of printable ASCII characters.
 func isPrintableWord(text string) bool {
 	return text != "" && strings.IndexFunc(text, func(char rune) bool { return char <= ' ' || char > '~' }) < 0
 }
 
-// isLoadReport reports whether a text has the form of a load report, whatever its values are.
+// isLoadReport reports whether text has the form of a load report, without checking the values.
 func isLoadReport(text string) bool {
 	for pair := range strings.SplitSeq(text, ",") {
 		if name, value, _ := strings.Cut(pair, "="); !isPrintableWord(name) || !isPrintableWord(value) {
@@ -70,8 +70,8 @@
 	return true
 }
 
-// parseLoadReport parses a load report such as `inflight=7,x0=0.61`. A missing or invalid value stays as it is in
-// decide.NoLoadReport.
+// parseLoadReport parses a load report such as `inflight=7,x0=0.61`. A value that is missing or invalid keeps its
+// value from decide.NoLoadReport.
 func parseLoadReport(text string) decide.LoadReport {
 	report := decide.NoLoadReport
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/frontend/platform/wire.go
+++ b/internal/frontend/platform/wire.go
@@ -6,15 +6,16 @@
 	wordOpen = "OPEN"
 	// wordUp begins a room server's acceptance of a request.
 	wordUp = "UP"
-	// wordBusy is a rejection; the request was not executed.
+	// wordBusy rejects a request that was not executed, or answers a health check if the balancer accepts no new
+	// clients.
 	wordBusy = "BUSY"
-	// wordErr is a failure; the request may have been executed.
+	// wordErr reports a failed request, which may have been executed.
 	wordErr = "ERR"
-	// wordMove tells a client to connect again, to be placed at another server.
+	// wordMove tells a client to connect again, so that it is placed at another server.
 	wordMove = "MOVE"
-	// wordBye announces that the room server closes the connection in the regular way.
+	// wordBye announces that the room server closes the connection regularly.
 	wordBye = "BYE"
-	// wordLoad begins a room server's line with the present load of one connection.
+	// wordLoad begins a line with which a room server reports the present load of the connection.
 	wordLoad = "LOAD"
 	// wordPing is a health check of a balancer.
 	wordPing = "PING"
@@ -26,27 +27,27 @@
 
 // The words of the session extension that a room server sends to a balancer. Package protocol writes these lines.
 const (
-	// wordKept begins the line with which a room server offers to keep a session: epoch and position.
+	// wordKept begins the line with which a room server confirms that it keeps a session: epoch and position.
 	wordKept = "KEPT"
-	// wordHeld begins the line with which a room server confirms that it has a session: epoch and position.
+	// wordHeld begins the line with which a room server reports that it holds a session: epoch and position.
 	wordHeld = "HELD"
-	// wordPosition begins the line that acknowledges a client's messages up to a position.
+	// wordPosition begins the line with which a room server acknowledges a client's messages up to a position.
 	wordPosition = "POS"
 )
 
-// The names of the fields in the list at the end of a request line. protocol.FieldName is one more.
+// The names of the fields at the end of a request line. The session extension adds protocol.FieldName.
 const (
 	fieldClass          = "c"
 	fieldTenant         = "t"
-	fieldTimeout        = "d"
-	fieldGroup          = "g"
-	fieldLoad           = "h"
-	fieldResume         = "resume"
-	fieldReturning      = "again"
-	fieldPreviousServer = "at"
+	fieldTimeout        = "d"      // in milliseconds
+	fieldGroup          = "g"      // the connections of a group share work on one server
+	fieldLoad           = "h"      // expected load, in microseconds of work a second
+	fieldResume         = "resume" // session token, or protocol.NewToken
+	fieldReturning      = "again"  // "1": the client was connected before
+	fieldPreviousServer = "at"     // the room server of a connection to restore
 )
 
-// maxLineLength is the longest line of the protocol in bytes, its CRLF included.
+// maxLineLength is the maximum length of a line in bytes, including its CRLF.
 const maxLineLength = 4096
 
 // lineEnd ends each line of the protocol.
