--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -12,8 +12,9 @@
 	"cottonplank/internal/textline"
 )
 
-// upstreamConn is the connection of one attempt to its room server. The goroutine of clientConn.run owns it; once
-// established is closed, relayToClient reads from it and relayToUpstream writes to it.
+// upstreamConn is the connection of one attempt to its room server. The goroutine of clientConn.run owns it. Before
+// established is closed, readUpstream reads from it; afterwards relayToClient reads from it and relayToUpstream
+// writes to it.
 type upstreamConn struct {
 	// number is the engine's number of the attempt.
 	number int
@@ -25,21 +26,23 @@
 	text *textproto.Conn
 	// acceptLine is the server's acceptance of the request, without its CRLF.
 	acceptLine string
-	// accepted reports whether the engine was told that the server has accepted the request.
+	// accepted reports whether the acceptance by the server was reported to the engine.
 	accepted bool
-	// timeout is how long the engine waits for the server's answer.
+	// timeout is how long the engine waits for the connection to be established.
 	timeout time.Duration
-	// requestLineSent reports whether the request line was written: the server may have executed the request.
+	// requestLineSent reports whether the request line was written, after which the server may have executed the
+	// request.
 	requestLineSent bool
-	// established is closed when the relay of this connection begins.
+	// established is closed when the relay of this connection starts.
 	established chan struct{}
 }
 
-// errClientNotWaiting ends a dial whose client has closed the connection or has broken the protocol.
-var errClientNotWaiting = errors.New("the client has closed, or has sent more than its request line")
+// errClientNotWaiting is returned instead of dialing for a client that has closed the connection or has sent data
+// after its request line.
+var errClientNotWaiting = errors.New("the client has closed the connection or sent data after its request line")
 
-// startAttempt starts to dial the room server of an attempt. The dial has a goroutine of its own; the request line is
-// written by the actor, so that an attempt that was cancelled meanwhile writes nothing.
+// startAttempt starts a goroutine that dials the room server of an attempt. The actor writes the request line after
+// the dial, so that an attempt that is cancelled during the dial writes nothing.
 func (c *clientConn) startAttempt(ctx context.Context, attempt core.Attempt) {
 	ctx, cancel := context.WithCancel(ctx)
 	up := &upstreamConn{
@@ -62,9 +65,9 @@
 	})
 }
 
-// dialUpstream connects to a room server as soon as a descriptor is available. It runs outside the actor's goroutine.
-// It returns errClientNotWaiting without dialing if the client has gone: the actor may not have handled that event
-// yet.
+// dialUpstream waits for a descriptor and connects to a room server. It runs outside the actor's goroutine. It
+// returns errClientNotWaiting without dialing if the client no longer waits, as the actor may not have handled that
+// event yet.
 func (c *clientConn) dialUpstream(ctx context.Context, address string) (net.Conn, error) {
 	if err := c.frontend.acquireForDial(ctx); err != nil {
 		return nil, err
@@ -81,14 +84,14 @@
 	return conn, nil
 }
 
-// handleDialed sends the request line on the new connection, or reports that the dial has failed. It returns false if
-// the actor has to end.
+// handleDialed sends the request line on the new connection, or reports to the engine that the dial has failed. It
+// returns false if the actor has to end.
 func (c *clientConn) handleDialed(e dialedEvent) bool {
 	if e.upstream != c.upstream {
 		c.frontend.closeServerConn(e.conn)
 		return true
 	}
-	if errors.Is(e.err, errClientNotWaiting) { // The server is not to blame.
+	if errors.Is(e.err, errClientNotWaiting) { // This is not a fault of the server, which was not dialed.
 		_, keepRunning := c.checkClientWaits()
 		return keepRunning
 	}
@@ -116,8 +119,8 @@
 	return true
 }
 
-// readUpstream reads the server's answer and relays once the connection is established. A server that resumes a session
-// sends several lines before its acceptance. It runs in its own goroutine.
+// readUpstream reads the server's answer and, once the connection is established, relays what the server sends. A
+// server that resumes a session sends several lines before its acceptance. readUpstream runs in its own goroutine.
 func (c *clientConn) readUpstream(up *upstreamConn, resuming bool) {
 	for {
 		line, err := textline.Read(up.text.R)
@@ -133,7 +136,7 @@
 	}
 }
 
-// sendRequestLine writes the request line, from which on the server may execute the request. Nothing is written for a
+// sendRequestLine writes the request line, after which the server may execute the request. It writes nothing for a
 // client that no longer waits. It returns false if the actor has to end.
 func (c *clientConn) sendRequestLine() bool {
 	up := c.upstream
@@ -149,14 +152,16 @@
 	return true
 }
 
-// cancelAttempt ends the current attempt and reports its outcome. Only this actor writes the request line and handles
-// the answer, so it decides here what the outcome is.
+// cancelAttempt cancels an attempt and reports its outcome to the engine. The outcome is determined here, because
+// only the actor, which writes the request line and handles the answer, knows how far the attempt has got. code is
+// the outcome that the engine expects.
 func (c *clientConn) cancelAttempt(attempt int, code decide.Code) {
 	switch up := c.upstream; {
 	case up == nil || up.number != attempt || up.accepted:
-		// The engine has been told of the attempt's end or of its acceptance.
+		// The end or the acceptance of the attempt was reported to the engine before.
 	case up.requestLineSent && code.NeverExecuted():
-		// The request line was written as the dial's timeout expired: the attempt continues.
+		// The request line was written before this command was handled, so the request may be executed, and code does
+		// not apply: the attempt continues.
 	case !up.requestLineSent && !code.NeverExecuted():
 		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 	default:
@@ -197,14 +202,14 @@
 	return true
 }
 
-// reportAccepted tells the engine that the room server has accepted the request.
+// reportAccepted reports to the engine that the room server has accepted the request.
 func (c *clientConn) reportAccepted() {
 	c.upstream.accepted = true
 	c.frontend.engine.AttemptAccepted(c.call, c.upstream.number)
 }
 
-// disconnectCode is the outcome of an attempt whose connection broke: the request may have been executed once its line
-// was written.
+// disconnectCode returns the outcome of an attempt whose connection has failed. If the request line was written, the
+// request may have been executed.
 func (c *clientConn) disconnectCode() decide.Code {
 	if c.upstream.requestLineSent {
 		return decide.Reset
@@ -212,14 +217,15 @@
 	return decide.ConnectFailed
 }
 
-// endAttempt closes the attempt's connection, then reports the outcome to the engine.
+// endAttempt closes the connection of the current attempt, then reports the outcome to the engine.
 func (c *clientConn) endAttempt(code decide.Code, report decide.LoadReport) {
 	attempt := c.upstream.number
 	c.closeUpstream(false)
 	c.frontend.engine.AttemptEnded(c.call, attempt, code, report)
 }
 
-// closeUpstream closes the connection to the room server, if there is one, with a TCP reset if reset is true.
+// closeUpstream closes the connection to the room server, if there is one. If reset is true, the server receives a
+// TCP reset.
 func (c *clientConn) closeUpstream(reset bool) {
 	if c.upstream == nil {
 		return
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -12,13 +12,14 @@
 	"cottonplank/internal/core"
 )
 
-// clientConn is the actor of one client connection and implements core.ClientConn. It owns the connection to the
-// client and the one to the client's room server.
+// clientConn is the actor of one client connection and implements core.ClientConn: the goroutine of run owns its
+// state and handles commands and events one at a time. A clientConn owns the connection to the client and the one to
+// the client's room server.
 //
-// The goroutine of run owns every field that has no other owner below. The engine reaches it by commands; the
-// goroutines that read from the two connections reach it by events. Only readClient reads from the client. Writes to
-// the client come from one goroutine at a time: from readClient, which answers health checks, until the request line;
-// from relayToClient while the connection is established; from run's goroutine between the two and after the relay.
+// The goroutine of run owns all fields whose comments name no other owner. The engine sends commands to it; the
+// goroutines that dial, read or call a room server send events to it. Only readClient reads from the client. One
+// goroutine at a time writes to the client: readClient, which answers health checks, until the request line is read;
+// relayToClient while the connection is established; run's goroutine between these two and after the relay.
 type clientConn struct {
 	frontend *Frontend
 	// call is the engine's record of this connection.
@@ -29,11 +30,11 @@
 
 	// commands is the mailbox for the engine's commands, which are executed in order.
 	commands chan command
-	// events brings what the reader and dial goroutines have observed.
+	// events receives what the reader, dial and call goroutines report.
 	events chan event
 	// done is closed when run returns.
 	done chan struct{}
-	// relayTo hands the established upstream connection to readClient, once.
+	// relayTo passes the established upstream connection to readClient. One value at most is sent.
 	relayTo chan *upstreamConn
 	// finalAnswerSent is closed once a final answer has been written to the client.
 	finalAnswerSent chan struct{}
@@ -42,81 +43,84 @@
 	request requestLine
 	// session is nil if the client uses no session.
 	session *session
-	// upstream is the connection of the current attempt, later that of the established connection; nil between
-	// attempts.
+	// upstream is the connection of the current attempt or, later, the established connection. It is nil between
+	// attempts and after the end of the established connection.
 	upstream *upstreamConn
 	// established reports whether bytes are relayed in both directions.
 	established bool
 	// clientHalfClosed reports whether the client of an established connection has closed its sending side.
 	clientHalfClosed bool
-	// requestSubmitted reports whether the request line was handled by the actor.
+	// requestSubmitted reports whether the actor has handled the request line.
 	requestSubmitted bool
-	// requestLineRead reports whether readClient has read the request line; the actor may not have handled it yet.
+	// requestLineRead reports whether readClient has read the request line, which the actor may not have handled yet.
 	requestLineRead atomic.Bool
-	// earlyDataRead reports whether readClient has seen data after the request line and before the answer.
+	// earlyDataRead reports whether readClient has seen data after the request line. Before the answer, such data is
+	// a protocol error.
 	earlyDataRead atomic.Bool
 
-	// awaitingMutex guards awaitingResponse. It is held during the report to the engine as well, so that the engine
+	// awaitingMutex guards awaitingResponse. It is also held during the report to the engine, so that the engine
 	// receives the reports of both relay goroutines in the order in which the field changed.
 	awaitingMutex sync.Mutex
-	// awaitingResponse reports whether the client has sent something that the server has not answered yet.
+	// awaitingResponse reports whether the client has sent data after which the server has sent nothing yet.
 	awaitingResponse bool
 }
 
-// mailboxSize is the number of commands that can be pending for one call, whatever the settings allow: the engine
-// starts an attempt only after it was told of the end of the one before, and each attempt can be cancelled for at
-// most three reasons.
+// mailboxSize is the capacity of a connection's mailbox. It is enough under any settings: the engine starts an
+// attempt only after the previous one was reported as ended, and cancels each attempt for at most three reasons (the
+// connect timeout, the attempt's timeout, and a server that became unavailable).
 const mailboxSize = 32
 
-// restoreTimeout is how long a connection that was open before a restart may take to be established again.
+// restoreTimeout limits the time in which a connection that was open before a restart is established again at its
+// room server.
 const restoreTimeout = 40 * time.Second
 
 // expiredDeadline is a deadline in the past: setting it interrupts pending reads and writes of a connection.
 var expiredDeadline = time.Unix(1, 0)
 
-// event is something that a reader or dial goroutine has observed.
+// event is something that a reader, dial or call goroutine has observed.
 type event interface {
 	// handle applies the event. It is called by the actor and returns false if the actor has to end.
 	handle(c *clientConn) (keepRunning bool)
 }
 
 type (
-	// requestLineEvent is the client's first line that is no health check.
+	// requestLineEvent reports the client's first line that is not a health check.
 	requestLineEvent struct {
-		// line has no CRLF; it is empty if what was read is malformed.
+		// line is the line without its CRLF, or an empty string if the input is malformed.
 		line string
 		// readAt is when the last byte of the line was read.
 		readAt time.Time
 	}
-	// earlyDataEvent is data from the client before its request was answered.
+	// earlyDataEvent reports that the client has sent data after its request line.
 	earlyDataEvent struct{}
-	// clientClosedEvent is the end of what the client sends.
+	// clientClosedEvent reports that nothing more can be read from the client.
 	clientClosedEvent struct {
-		// err is io.EOF after a regular close; nil if the upstream connection failed first.
+		// err is io.EOF after a regular close, or nil if the upstream connection failed first.
 		err error
 	}
-	// dialedEvent is the end of an attempt's dial.
+	// dialedEvent reports the result of an attempt's dial.
 	dialedEvent struct {
 		upstream *upstreamConn
 		conn     net.Conn
 		err      error
 	}
-	// responseEvent is a line that a room server sent before the connection was established.
+	// responseEvent reports a line that a room server sent before the connection was established, or the error that
+	// ended the read.
 	responseEvent struct {
 		upstream *upstreamConn
 		line     string
 		err      error
 	}
-	// upstreamClosedEvent is the end of what the room server sends on an established connection.
+	// upstreamClosedEvent reports that nothing more can be read from the room server of an established connection.
 	upstreamClosedEvent struct {
-		// code is the outcome that the engine is told.
+		// code is the outcome to report to the engine.
 		code decide.Code
-		// err is io.EOF after a regular close and os.ErrDeadlineExceeded if a migration interrupted the reader.
+		// err is io.EOF after a regular close, or os.ErrDeadlineExceeded if a migration interrupted the reader.
 		err error
 	}
 )
 
-// notify delivers an event to the actor, unless the actor has ended.
+// notify sends an event to the actor. It drops the event if the actor has ended.
 func (c *clientConn) notify(e event) {
 	select {
 	case c.events <- e:
@@ -124,8 +128,8 @@
 	}
 }
 
-// run executes commands and handles events until one of them ends the connection or ctx ends. Both connections are
-// closed when it returns.
+// run executes commands and handles events until one of them ends the connection or ctx ends. It closes both
+// connections before it returns.
 func (c *clientConn) run(ctx context.Context) {
 	defer c.frontend.engine.ClientClosed(c.call)
 	defer c.closeUpstream(false)
@@ -174,10 +178,11 @@
 func (e responseEvent) handle(c *clientConn) bool       { return c.handleResponse(e) }
 func (e upstreamClosedEvent) handle(c *clientConn) bool { return c.handleUpstreamClosed(e) }
 
-// submitRequest parses the request line and submits the request to the engine. The client's timeout counts from readAt.
+// submitRequest parses the request line and submits the request to the engine. The client's timeout starts at readAt.
 func (c *clientConn) submitRequest(line string, readAt time.Time) {
 	parsed, err := parseRequestLine(line, c.frontend.names)
-	// Only a balancer may tell a room server to attach a session, so a client's line with that field is malformed.
+	// The session field is reserved for balancers, which tell room servers with it which session to open. While sessions
+	// are enabled, a client's line with that field is malformed.
 	if err != nil || parsed.hasSessionField && c.frontend.sessions != nil {
 		c.frontend.engine.RequestMalformed(c.call)
 		return
@@ -203,8 +208,8 @@
 	c.frontend.engine.RequestReceived(c.call, request)
 }
 
-// sendFinalAnswer writes the final answer and closes the sending side to the client. The client closes then, or the
-// engine aborts the connection after a while. It returns false if the actor has to end.
+// sendFinalAnswer writes the final answer and closes the sending side of the client connection. The engine aborts the
+// connection if the client does not close it in time. sendFinalAnswer returns false if the actor has to end.
 func (c *clientConn) sendFinalAnswer(line string) bool {
 	c.closeUpstream(false)
 	c.closeHolder()
@@ -215,11 +220,11 @@
 	return c.conn.CloseWrite() == nil
 }
 
-// establish passes the room server's acceptance of the attempt on to the client and starts to relay in both directions.
-// It returns false if the actor has to end.
+// establish forwards the room server's acceptance to the client and starts the relay in both directions. It returns
+// false if the actor has to end.
 func (c *clientConn) establish(attempt int) bool {
 	if c.upstream == nil || c.upstream.number != attempt {
-		return true // The attempt has ended meanwhile, and the engine is being told.
+		return true // The attempt has ended, and its end was reported to the engine.
 	}
 	if err := c.text.PrintfLine("%s", c.upstream.acceptLine); err != nil {
 		return false
--- a/internal/frontend/platform/client_reader.go
+++ b/internal/frontend/platform/client_reader.go
@@ -13,18 +13,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPipelinedPings is how many health checks may arrive together; a regular health check waits for each answer.
+// maxPipelinedPings limits how many health checks a client may send without waiting for the answers. A regular health
+// check waits for each answer.
 const maxPipelinedPings = 8
 
-// maxDiscardedBytes bounds what is read and discarded after a final answer. Unread bytes would make the kernel reset
-// the connection before the client has read the answer; the bound keeps a client that never stops sending cheap.
+// maxDiscardedBytes limits how much is read and discarded after a final answer. If the connection were closed with
+// unread bytes, the kernel would reset it, and the client could lose the answer. The limit bounds the cost of a
+// client that never stops sending.
 const maxDiscardedBytes = 1 << 20
 
-// firstLineStartedInterval is the shortest interval between two reports of a request line that arrives byte by byte.
+// firstLineStartedInterval is the minimum interval between two FirstLineStarted reports for one line that arrives in
+// pieces.
 const firstLineStartedInterval = 50 * time.Millisecond
 
-// readClient reads from the client: health checks, the request line, then everything else once the connection is
-// established. It runs in its own goroutine until the client closes or the actor ends.
+// readClient reads from the client: health checks, the request line and, once the connection is established,
+// everything else. It runs in its own goroutine until the client closes or the actor ends.
 func (c *clientConn) readClient() {
 	line, err := c.readUntilRequest()
 	if err != nil {
@@ -48,8 +51,8 @@
 	}
 }
 
-// readUntilRequest answers health checks and returns the first other line without its CRLF. A malformed line, or one
-// that came together with more data, is returned as an empty line, which is no valid request.
+// readUntilRequest answers health checks and returns the first other line without its CRLF. It returns an empty
+// string, which is not a valid request, if the line is malformed or if more data has arrived with it.
 func (c *clientConn) readUntilRequest() (string, error) {
 	for pipelined := 0; ; {
 		line, err := c.readRequestLine()
@@ -77,7 +80,7 @@
 	}
 }
 
-// readRequestLine reads one line and reports to the engine if it arrives in pieces.
+// readRequestLine reads one line. If the line arrives in pieces, it reports that to the engine.
 func (c *clientConn) readRequestLine() (string, error) {
 	var reported time.Time
 	for n := 0; ; {
@@ -96,12 +99,13 @@
 	return textline.Read(c.text.R)
 }
 
-// isMalformedLine reports whether err says that a line was read which breaks the protocol's form.
+// isMalformedLine reports whether err means that a line was too long or did not end with CRLF.
 func isMalformedLine(err error) bool {
 	return errors.Is(err, textline.ErrTooLong) || errors.Is(err, textline.ErrMissingCR)
 }
 
-// discard reads on after a final answer, up to maxDiscardedBytes; the engine aborts the connection after a while.
+// discard reads and discards what the client sends after a final answer, up to maxDiscardedBytes. If the client does
+// not close the connection, the engine aborts it.
 func (c *clientConn) discard() {
 	if _, err := io.CopyN(io.Discard, c.conn, maxDiscardedBytes); err != nil {
 		c.notify(clientClosedEvent{err})
@@ -109,7 +113,7 @@
 }
 
 // clientState reports whether a client that waits for its answer has closed the connection, and whether it has sent
-// more data. It asks the kernel, because on a busy machine readClient's events may be behind.
+// more data. It queries the kernel, because the events of readClient may be delayed on a busy machine.
 func (c *clientConn) clientState() (closed, sentMore bool) {
 	n, err := peekSocket(c.conn)
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
@@ -119,7 +123,8 @@
 }
 
 // checkClientWaits reports whether the client still waits for its answer. If it has sent more data instead, the
-// engine is told and answers it. keepRunning is false if the client has closed the connection, which ends the actor.
+// request is reported to the engine as malformed, and the engine answers it. keepRunning is false if the client has
+// closed the connection, which ends the actor.
 func (c *clientConn) checkClientWaits() (waits, keepRunning bool) {
 	closed, sentMore := c.clientState()
 	if sentMore {
@@ -128,15 +133,15 @@
 	return !closed && !sentMore, !closed
 }
 
-// hasUnreadData reports whether the kernel holds received bytes of conn that were not read. It consumes none.
+// hasUnreadData reports whether the kernel's receive buffer of conn holds data. It consumes none.
 func hasUnreadData(conn *net.TCPConn) bool {
 	n, err := peekSocket(conn)
 	return err == nil && n > 0
 }
 
-// peekSocket looks at the kernel's receive buffer of conn without waiting and without consuming. It returns 1 if
-// there is data, 0 if the peer has closed its side, EAGAIN if there is neither, or the error that the connection
-// ended with.
+// peekSocket inspects the kernel's receive buffer of conn without blocking and without consuming data. n is 1 if
+// there is data, and 0 without an error if the peer has closed its side. If there is neither, err is EAGAIN.
+// Otherwise err is the error with which the connection ended.
 func peekSocket(conn *net.TCPConn) (n int, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/frontend/platform/commands.go
+++ b/internal/frontend/platform/commands.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/session/protocol"
 )
 
-// command is an instruction of the engine to a clientConn. The clientConn's actor executes the commands in the order in
-// which the engine gave them.
+// command is an instruction of the engine to a clientConn. The actor executes the commands in the order in which the
+// engine issued them.
 type command interface {
 	// execute carries out the command. It returns false if the actor has to end.
 	execute(ctx context.Context, c *clientConn) (keepRunning bool)
@@ -37,8 +37,8 @@
 	startOverCommand struct{ reason core.Reason }
 )
 
-// enqueue puts a command into the mailbox. The engine must never block, so a connection whose mailbox is full is
-// closed.
+// enqueue puts a command into the mailbox. The engine must never block, so if the mailbox is full, the client
+// connection is closed instead.
 func (c *clientConn) enqueue(cmd command) {
 	select {
 	case c.commands <- cmd:
@@ -50,16 +50,16 @@
 // StartAttempt implements core.ClientConn: it starts an attempt at a room server.
 func (c *clientConn) StartAttempt(attempt core.Attempt) { c.enqueue(startAttemptCommand{attempt}) }
 
-// CancelAttempt implements core.ClientConn: it asks for the end of an attempt that has no answer yet.
+// CancelAttempt implements core.ClientConn: it cancels an attempt that has no answer yet.
 func (c *clientConn) CancelAttempt(attempt int, code decide.Code) {
 	c.enqueue(cancelAttemptCommand{attempt, code})
 }
 
-// Establish implements core.ClientConn: it passes the room server's acceptance to the client and relays from then on.
+// Establish implements core.ClientConn: it forwards the room server's acceptance to the client and starts the relay.
 func (c *clientConn) Establish(attempt int) { c.enqueue(establishCommand{attempt}) }
 
-// Reject implements core.ClientConn: it answers that a retry is harmless, after retryAfter if that is not 0, and
-// closes.
+// Reject implements core.ClientConn: it answers that the request was not executed and may be retried, after
+// retryAfter if that is not 0, and closes.
 func (c *clientConn) Reject(retryAfter time.Duration) { c.enqueue(rejectCommand{retryAfter}) }
 
 // Fail implements core.ClientConn: it answers that the request failed, and closes.
@@ -68,10 +68,10 @@
 // Migrate implements core.ClientConn: it tells the client of an established connection to connect again, and closes.
 func (c *clientConn) Migrate() { c.enqueue(migrateCommand{}) }
 
-// Abort implements core.ClientConn: it closes whatever is still open.
+// Abort implements core.ClientConn: it closes all connections that are still open.
 func (c *clientConn) Abort() { c.enqueue(abortCommand{}) }
 
-// HolderLocated implements core.Resumer: it answers the engine's LocateHolder.
+// HolderLocated implements core.Resumer: it delivers the result of Engine.LocateHolder.
 func (c *clientConn) HolderLocated(attempt int, holder core.Upstream, known bool) {
 	c.enqueue(holderLocatedCommand{attempt, holder, known})
 }
@@ -114,20 +114,21 @@
 }
 
 func (migrateCommand) execute(_ context.Context, c *clientConn) bool {
-	// A draining room server closes its connections itself, so this command may come after the connection has ended;
-	// the client has been told then.
+	// A draining room server closes its connections itself, so this command may arrive after the connection has ended.
+	// The end was relayed to the client in that case, and nothing is left to do.
 	if c.established && c.upstream != nil {
-		// The reader stops between two lines and sends an event; the actor handles other events and commands until
-		// then.
+		// The expired deadline interrupts relayToClient, which stops between two lines and sends an upstreamClosedEvent.
+		// Until then the actor handles other events and commands.
 		c.upstream.conn.SetReadDeadline(expiredDeadline)
-		// A client that reads nothing must block neither the reader nor this actor in a write, or the process would not
-		// stop in time.
+		// A client that does not read must not block relayToClient or this actor in a write, or the process would not
+		// stop in time. lineRemainderTimeout counts against this deadline.
 		c.conn.SetWriteDeadline(time.Now().Add(migrateWriteTimeout))
 	}
 	return true
 }
 
 func (abortCommand) execute(_ context.Context, c *clientConn) bool {
-	// A request that has arrived is served, although a busy machine may read it only after the engine's time limit.
+	// A busy machine may read a request only after the engine's timeout for the first line has expired. A request that
+	// has arrived must still be served, so its connection is not aborted.
 	return !c.requestSubmitted && (c.requestLineRead.Load() || hasUnreadData(c.conn))
 }
--- a/internal/frontend/platform/descriptors.go
+++ b/internal/frontend/platform/descriptors.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// descriptorRetryInterval is how long the accept loop waits for a released descriptor before it sheds another
-// connection.
+// descriptorRetryInterval is how long the accept loop waits for a released descriptor before it asks the engine to
+// shed another idle connection.
 const descriptorRetryInterval = 5 * time.Millisecond
 
-// DescriptorBudget is the number of file descriptors that a Frontend may use.
+// DescriptorBudget limits the file descriptors that a Frontend may use.
 type DescriptorBudget struct {
-	// Total bounds the client connections and the connections to room servers together.
+	// Total is the maximum number of client connections and connections to room servers together.
 	Total int
-	// DialReserve is the part of Total that client connections leave to connections to room servers.
+	// DialReserve is the number of descriptors out of Total that only connections to room servers may use.
 	DialReserve int
 }
 
-// acquireForAccept takes a descriptor for a client connection. While none is available, the engine sheds the connection
-// that has been idle longest, and clients wait in the listener's backlog. It returns false if ctx ends first.
+// acquireForAccept acquires a descriptor for a client connection. While none is available, the engine sheds the
+// connection that has been idle longest, and clients wait in the listener's backlog. It returns false if ctx ends
+// first.
 func (f *Frontend) acquireForAccept(ctx context.Context) bool {
 	for len(f.descriptors) >= int(f.acceptLimit.Load()) {
 		f.engine.ShedIdle()
@@ -29,12 +30,13 @@
 		case <-time.After(descriptorRetryInterval):
 		}
 	}
-	f.descriptors <- struct{}{} // Dials cannot fill it: the accepted clients bound them.
+	f.descriptors <- struct{}{} // Does not block, as accepted clients limit the number of dials.
 	return true
 }
 
-// acquireForDial takes a descriptor for a connection to a room server. It waits until one is released, which is soon,
-// as client connections leave DialReserve free. It returns the error of ctx if that ends first.
+// acquireForDial acquires a descriptor for a connection to a room server. If none is free, it waits until one is
+// released. The wait is short, because client connections leave DialReserve free. It returns the error of ctx if ctx
+// ends first.
 func (f *Frontend) acquireForDial(ctx context.Context) error {
 	select {
 	case f.descriptors <- struct{}{}:
@@ -50,7 +52,7 @@
 	}
 }
 
-// releaseDescriptor gives a descriptor back.
+// releaseDescriptor releases a descriptor and wakes the accept loop.
 func (f *Frontend) releaseDescriptor() {
 	<-f.descriptors
 	select {
@@ -59,8 +61,8 @@
 	}
 }
 
-// SetDescriptorReserve leaves n descriptors of the budget to another process, as they are released. It may be called
-// again with another number, and returns at once after Serve has ended.
+// SetDescriptorReserve reserves n descriptors of the budget for another process. Descriptors in use are reserved when
+// they are released. A later call replaces n. SetDescriptorReserve does not block after Serve has returned.
 func (f *Frontend) SetDescriptorReserve(n int) {
 	total := f.budget.Total
 	f.acceptLimit.Store(int64(total - f.budget.DialReserve*(total-n)/total))
@@ -70,14 +72,15 @@
 	}
 }
 
-// runReserve holds the descriptors that are left to another process. It is an actor that runs until ctx ends.
+// runReserve acquires and holds the descriptors that are reserved for another process. It is an actor that runs until
+// ctx ends.
 func (f *Frontend) runReserve(ctx context.Context) {
 	defer close(f.reserveEnded)
 	for reserved, target := 0, 0; ; {
 		for ; reserved > target; reserved-- {
 			f.releaseDescriptor()
 		}
-		var acquire chan<- struct{} // nil, which blocks, while nothing is to be acquired
+		var acquire chan<- struct{} // nil, which blocks, if none is to be acquired
 		if reserved < target {
 			acquire = f.descriptors
 		}
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,7 @@
-// Package platform is the frontend for the platform's line protocol: clients and room servers speak lines of text over
-// TCP. It parses, relays and reports what it observes; package core makes the decisions and keeps all timeouts.
+// Package platform implements the frontend for the platform's line protocol, in which clients and room servers
+// exchange lines of text over TCP. It parses request lines, relays data, and reports what it observes to package
+// core. Package core makes all decisions and keeps the timeouts, except those of the reads and writes of a migration
+// (relay.go).
 package platform
 
 import (
@@ -19,17 +21,17 @@
 )
 
 const (
-	// acceptRetryInterval is the pause after a failed accept.
+	// acceptRetryInterval is the delay before the next accept after a failed one.
 	acceptRetryInterval = 5 * time.Millisecond
-	// acceptWarningInterval is the shortest interval between two logged warnings about failed accepts.
+	// acceptWarningInterval is the minimum interval between two logged warnings about failed accepts.
 	acceptWarningInterval = time.Second
 )
 
 // Frontend accepts client connections and runs a clientConn for each. Its methods may be called concurrently, except
-// those that have to be called before Serve.
+// those that must be called before Serve.
 type Frontend struct {
 	engine *core.Engine
-	// sessions is nil if sessions are not resumed.
+	// sessions is nil if the resumption of sessions is disabled.
 	sessions *SessionResumer
 	names    AllowedNames
 	dialer   net.Dialer
@@ -40,24 +42,25 @@
 	descriptors chan struct{}
 	// descriptorReleased wakes the accept loop when a descriptor is released.
 	descriptorReleased chan struct{}
-	// acceptLimit is the number of descriptors in use up to which clients are accepted.
+	// acceptLimit is the number of descriptors in use from which on no further clients are accepted.
 	acceptLimit atomic.Int64
-	// reserveTarget tells runReserve how many descriptors to leave to another process.
+	// reserveTarget sends runReserve the number of descriptors to reserve for another process.
 	reserveTarget chan int
 	// reserveEnded is closed when runReserve returns.
 	reserveEnded chan struct{}
 
 	// watchdog monitors the accept loop; it may be nil.
 	watchdog core.Watchdog
-	// replaced reports whether another process serves clients at the same address.
+	// replaced reports whether another process accepts clients at the same address. See SetReplaced.
 	replaced atomic.Bool
-	// actors counts the goroutines of runReserve and of each clientConn.run.
+	// actors waits for the goroutines of runReserve and of each clientConn.run.
 	actors sync.WaitGroup
-	// readers counts the goroutines that read, dial or write for a clientConn.
+	// readers waits for the goroutines that read, dial or write for a clientConn.
 	readers sync.WaitGroup
 }
 
-// New returns a frontend that reports to engine and accepts the request lines that names allows.
+// New returns a frontend that reports to engine. It accepts only the classes and tenants in names, and uses at most
+// the file descriptors in budget.
 func New(engine *core.Engine, names AllowedNames, budget DescriptorBudget, log *logrus.Logger) *Frontend {
 	f := &Frontend{
 		engine:             engine,
@@ -74,16 +77,19 @@
 	return f
 }
 
-// SetWatchdog sets the watchdog of the accept loop. It must be called before Serve.
+// SetWatchdog sets the watchdog that monitors the accept loop. It must be called before Serve.
 func (f *Frontend) SetWatchdog(watchdog core.Watchdog) { f.watchdog = watchdog }
 
-// EnableSessions lets clients resume sessions. It must be called before Serve.
+// EnableSessions enables the resumption of sessions. It must be called before Serve.
 func (f *Frontend) EnableSessions(sessions *SessionResumer) { f.sessions = sessions }
 
-// SetReplaced says whether another process serves clients at the same address.
+// SetReplaced sets whether another process accepts clients at the same address. While one does, ClientsWaiting
+// returns false, and health checks are answered with PONG even if this process is stopping, because new clients reach
+// the other process.
 func (f *Frontend) SetReplaced(replaced bool) { f.replaced.Store(replaced) }
 
-// ClientsWaiting reports whether clients wait in the listener's backlog that only this process can accept.
+// ClientsWaiting reports whether the listener's backlog holds clients that only this process can accept. It returns
+// false if the backlog cannot be polled.
 func (f *Frontend) ClientsWaiting(listener *net.TCPListener) bool {
 	raw, err := listener.SyscallConn()
 	if err != nil || f.replaced.Load() {
@@ -97,7 +103,8 @@
 	return err == nil && ready > 0
 }
 
-// pingResponse is the answer to a health check: PONG while clients are welcome, BUSY if they are to go elsewhere.
+// pingResponse returns the answer to a health check: PONG if new clients may connect, BUSY if they have to use
+// another balancer.
 func (f *Frontend) pingResponse() string {
 	state := f.engine.ServiceState()
 	if state == core.LameDuck || f.engine.AwaitingFirstList() || state == core.Stopping && !f.replaced.Load() {
@@ -106,8 +113,8 @@
 	return wordPong
 }
 
-// Serve accepts clients until ctx ends, then waits for all goroutines of the frontend. While pause holds the listener,
-// accepted connections are served and none is accepted.
+// Serve accepts clients until ctx ends, then waits for all goroutines of the frontend. While pause is active, no
+// client is accepted; connections that were accepted before are still served.
 func (f *Frontend) Serve(ctx context.Context, listener *net.TCPListener, pause *hotrestart.Pauser) {
 	f.actors.Go(func() { f.runReserve(ctx) })
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -128,7 +135,7 @@
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		// Other errors, such as a lack of descriptors, are temporary and must not end the process.
+		// Other errors, such as a shortage of file descriptors, are temporary and must not end the process.
 		if time.Since(warned) > acceptWarningInterval {
 			warned = time.Now()
 			f.log.WithError(err).Warn("accept failed")
@@ -140,14 +147,14 @@
 	}
 }
 
-// accept starts the actor of an accepted connection.
+// accept registers an accepted connection with the engine and starts its actor.
 func (f *Frontend) accept(ctx context.Context, conn *net.TCPConn) {
 	c := f.newClientConn(conn)
 	c.call = f.engine.Accept(c, core.ConnTraits{Descriptor: true})
 	f.actors.Go(func() { c.run(ctx) })
 }
 
-// newClientConn returns the actor for an accepted connection; the caller sets its call and runs it.
+// newClientConn returns the actor of an accepted connection. The caller sets its call field and starts run.
 func (f *Frontend) newClientConn(conn *net.TCPConn) *clientConn {
 	return &clientConn{
 		frontend:        f,
@@ -161,7 +168,7 @@
 	}
 }
 
-// closeServerConn closes a connection to a room server and releases its descriptor; it does nothing if conn is nil.
+// closeServerConn closes a connection to a room server and releases its descriptor. It does nothing if conn is nil.
 func (f *Frontend) closeServerConn(conn net.Conn) {
 	if conn != nil {
 		conn.Close()
--- a/internal/frontend/platform/probe_conn.go
+++ b/internal/frontend/platform/probe_conn.go
@@ -19,19 +19,19 @@
 	server core.Upstream
 }
 
-// probeConn is the actor that probes one room server. It reuses one connection, as each new one costs the server a
-// handshake. The goroutine of run owns all fields but lastUsed.
+// probeConn is the actor that probes one room server. It reuses one connection, because each new one costs the server
+// a handshake. The goroutine of run owns all fields except lastUsed.
 type probeConn struct {
 	prober *Prober
-	// requests is the mailbox; closing it ends the actor.
+	// requests is the mailbox. The actor ends when it is closed.
 	requests chan probeRequest
-	// lastUsed is the prober's probeCount at the latest probe. The engine's goroutine owns it.
+	// lastUsed is the value of Prober.probeCount at the latest probe. The engine's goroutine owns it.
 	lastUsed uint64
 	// conn is nil while there is no connection.
 	conn net.Conn
 	// text reads and writes conn line by line.
 	text *textproto.Conn
-	// address is the server's address that conn was dialed to.
+	// address is the address to which conn was dialed.
 	address string
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// probe probes the server on the open connection. If that turns out to be closed, it probes once more on a new one.
+// probe probes the server on the open connection. If that connection fails, it probes once more on a new one.
 func (p *probeConn) probe(request probeRequest) (decide.Code, decide.LoadReport) {
 	if p.conn != nil && p.address == request.server.Address {
 		if line, err := p.requestStats(request.ctx); err == nil {
@@ -77,7 +77,7 @@
 	return parseProbeResponse(line)
 }
 
-// requestStats sends a probe and returns the line that answers it. The end of ctx interrupts it.
+// requestStats sends a probe and returns the line with which the server answers. It is interrupted when ctx ends.
 func (p *probeConn) requestStats(ctx context.Context) (string, error) {
 	conn := p.conn
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(expiredDeadline) })
--- a/internal/frontend/platform/prober.go
+++ b/internal/frontend/platform/prober.go
@@ -10,22 +10,23 @@
 	"cottonplank/internal/core"
 )
 
-// probeBacklog is how many probes may wait for one room server; the engine lets further ones time out.
+// probeBacklog is the maximum number of probes that wait for one room server. Further probes are dropped and time out
+// in the engine.
 const probeBacklog = 4
 
-// Prober implements core.Prober: it keeps an actor with one connection for each room server that is probed. Probe and
-// Remove must be called by the engine's goroutine only, which owns all fields.
+// Prober implements core.Prober. For each room server that is probed it keeps an actor with one connection. Only the
+// engine's goroutine may call Probe and Remove; it owns all fields.
 type Prober struct {
 	// ctx ends all actors.
 	ctx    context.Context
 	engine *core.Engine
 	dialer net.Dialer
 	conns  map[decide.ServerID]*probeConn
-	// maxConns bounds the number of conns, each of which keeps a descriptor.
+	// maxConns is the maximum number of conns, each of which uses a descriptor.
 	maxConns int
-	// probeCount is the number of probes so far; it orders the connections by their latest use.
+	// probeCount is the number of probes so far. It orders the connections by their latest use.
 	probeCount uint64
-	// actors counts the goroutines of the connections.
+	// actors waits for the goroutines of the connections.
 	actors sync.WaitGroup
 }
 
@@ -43,7 +44,8 @@
 // Wait waits until all goroutines of the prober have ended.
 func (p *Prober) Wait() { p.actors.Wait() }
 
-// Probe sends a probe to a room server. The result goes to the engine's ProbeCompleted with seq, unless ctx ends first.
+// Probe sends a probe to a room server. The result is reported to Engine.ProbeCompleted with seq, unless ctx ends
+// first.
 func (p *Prober) Probe(ctx context.Context, seq uint64, server core.Upstream) {
 	conn := p.conns[server.ID]
 	if conn == nil {
@@ -62,8 +64,8 @@
 	}
 }
 
-// leastRecentlyUsed returns the room server whose latest probe was the earliest. Its connection makes place for another
-// one when the list of servers is longer than maxConns.
+// leastRecentlyUsed returns the room server with the least recent probe. Its connection is closed to make room for
+// another one when the list of servers is longer than maxConns.
 func (p *Prober) leastRecentlyUsed() (id decide.ServerID) {
 	earliest := uint64(math.MaxUint64)
 	for server, conn := range p.conns {
@@ -74,7 +76,7 @@
 	return id
 }
 
-// Remove ends the actor of a room server and closes its connection.
+// Remove ends the actor of a room server, if there is one, and closes its connection.
 func (p *Prober) Remove(server decide.ServerID) {
 	if conn := p.conns[server]; conn != nil {
 		close(conn.requests)
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -11,15 +11,18 @@
 	"cottonplank/decide"
 )
 
-// lineRemainderTimeout is how long a migration waits for the rest of a line of which a part has been read.
+// lineRemainderTimeout is how long a migration waits for the rest of a line that was read in part.
 const lineRemainderTimeout = 300 * time.Millisecond
 
-// migrateWriteTimeout is the time from the start of a migration in which the client must accept what is written to it,
-// MOVE included. A wait of up to lineRemainderTimeout is part of it.
+// migrateWriteTimeout limits the time for all writes to the client during a migration, MOVE included. It starts with
+// the migrate command, so the wait for the rest of a line takes up to lineRemainderTimeout of it. This is a known
+// fault: after such a wait, a delay of more than 200 ms makes the write fail, and the client's connection closes
+// without MOVE.
 const migrateWriteTimeout = 500 * time.Millisecond
 
-// relayToUpstream forwards the client's bytes as they arrive. It returns the error that ended the client's side, or nil
-// if the upstream connection failed. A server that does not read holds the client back.
+// relayToUpstream forwards the client's bytes as they arrive. It returns the error with which reading from the client
+// ended, or nil if the upstream connection failed. If the server does not read, relayToUpstream stops reading from
+// the client.
 func (c *clientConn) relayToUpstream(up *upstreamConn) error {
 	for {
 		if _, err := c.text.R.Peek(1); err != nil {
@@ -34,7 +37,7 @@
 	}
 }
 
-// setAwaitingResponse tells the engine when the client begins to wait for a response, and when one has come.
+// setAwaitingResponse records whether the client waits for a response, and reports each change to the engine.
 func (c *clientConn) setAwaitingResponse(awaiting bool) {
 	c.awaitingMutex.Lock()
 	defer c.awaitingMutex.Unlock()
@@ -49,8 +52,9 @@
 	}
 }
 
-// relayToClient forwards the server's lines, each one complete, so that a migration can write MOVE between two of them.
-// It runs in its own goroutine and sends an upstreamClosedEvent when the server's side has ended.
+// relayToClient forwards what the server sends line by line, so that a migration can write MOVE between two lines. A
+// line that is longer than the read buffer is forwarded in parts. relayToClient runs in its own goroutine and sends
+// an upstreamClosedEvent when reading from the server has ended.
 func (c *clientConn) relayToClient(up *upstreamConn) {
 	var tokens *tokenIssuer
 	if c.session != nil {
@@ -63,7 +67,7 @@
 		raw, err := readLineOrChunk(up)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			if closeAnnounced {
-				err = io.EOF // The client has been told already and must not get MOVE after that.
+				err = io.EOF // The server's BYE or MOVE was forwarded, and no MOVE may follow it.
 			} else {
 				code = decide.Cancelled
 			}
@@ -81,7 +85,7 @@
 				raw = tokens.filterLine(raw)
 			}
 			if _, err := c.conn.Write(raw); err != nil {
-				return // readClient reports how the client's side ended.
+				return // readClient reports how the client's side has ended.
 			}
 		}
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
@@ -91,8 +95,8 @@
 	}
 }
 
-// inspectServerLine tells the engine the connection's load if the line names it. If the line announces the end of the
-// connection, it returns the outcome to report and true.
+// inspectServerLine reports the connection's load to the engine if the line is a valid LOAD line. If the line is BYE
+// or MOVE, which announce the end of the connection, it returns the outcome to report and true.
 func (c *clientConn) inspectServerLine(raw []byte) (code decide.Code, closeAnnounced bool) {
 	word, rest, _ := bytes.Cut(bytes.TrimRight(raw, lineEnd), []byte{' '})
 	switch string(word) {
@@ -108,9 +112,9 @@
 	return decide.OK, false
 }
 
-// readLineOrChunk reads a line, or as much of a long one as the buffer holds. If a migration interrupts it within a
-// line, it waits up to lineRemainderTimeout for the rest, so that the client gets the complete line or nothing of it.
-// It returns os.ErrDeadlineExceeded once it is interrupted between two lines.
+// readLineOrChunk reads a line, or as much of it as the read buffer holds. If a migration interrupts the read within
+// a line, it waits up to lineRemainderTimeout for the rest, so that the client gets either the complete line or none
+// of it. It returns os.ErrDeadlineExceeded if it is interrupted between two lines, or if the rest does not arrive.
 func readLineOrChunk(up *upstreamConn) ([]byte, error) {
 	raw, err := up.text.R.ReadSlice('\n')
 	if len(raw) == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -126,10 +130,11 @@
 	return append(start, raw...), nil
 }
 
-// handleClientClosed relays the end of the client's side to the room server: a close as a close, a reset as a reset.
+// handleClientClosed relays the end of the client's side to the room server: a FIN as a FIN, a reset as a reset. It
+// returns false if the actor has to end.
 func (c *clientConn) handleClientClosed(err error) bool {
 	if !c.established || c.upstream == nil {
-		return false // The client closed before its answer, or after a final one.
+		return false // The client closed before its answer, or after the final answer.
 	}
 	if err == nil {
 		return true
@@ -147,16 +152,16 @@
 	return true
 }
 
-// abandonUpstream closes the server's side of an established connection whose client has gone, with a TCP reset if
-// reset is true.
+// abandonUpstream closes the connection to the room server after the client of an established connection has closed
+// or reset its side, and reports the end to the engine. If reset is true, the server receives a TCP reset.
 func (c *clientConn) abandonUpstream(reset bool) {
 	attempt := c.upstream.number
 	c.closeUpstream(reset)
 	c.frontend.engine.AttemptEnded(c.call, attempt, decide.Cancelled, decide.NoLoadReport)
 }
 
-// handleUpstreamClosed relays the end of the server's side to the client: a close as a close, a reset as a reset. If a
-// migration interrupted the reader, it tells the client to connect again.
+// handleUpstreamClosed relays the end of the server's side to the client: a FIN as a FIN, a reset as a reset. If a
+// migration interrupted the reader, it tells the client to connect again. It returns false if the actor has to end.
 func (c *clientConn) handleUpstreamClosed(e upstreamClosedEvent) bool {
 	if c.upstream == nil {
 		return false
@@ -164,7 +169,7 @@
 	attempt := c.upstream.number
 	code := e.code
 	if c.clientHalfClosed && code == decide.Reset {
-		code = decide.Cancelled // The server is not to blame for a reset that follows its client's close.
+		code = decide.Cancelled // A reset that follows the client's close is not a fault of the server.
 	}
 	if errors.Is(e.err, os.ErrDeadlineExceeded) {
 		if !c.sendMigrate() {
@@ -182,8 +187,8 @@
 	return c.conn.CloseWrite() == nil
 }
 
-// sendMigrate tells the client to connect again, with a new session token where it has a session. It returns false if
-// the client cannot be written to.
+// sendMigrate writes MOVE to the client. If the client's session can be resumed, a line with a new session token
+// precedes it. sendMigrate returns false if the write fails.
 func (c *clientConn) sendMigrate() bool {
 	line := wordMove
 	if c.session != nil {
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -12,17 +12,20 @@
 	"cottonplank/internal/session/token"
 )
 
-// maxSessionFieldGrowth is by how many bytes a request line can grow when the client's session field is replaced by the
-// balancer's. A longer line is forwarded without its session, as it could exceed maxLineLength.
+// maxSessionFieldGrowth is the maximum number of bytes by which a request line grows when the client's resume field
+// is replaced by the balancer's session field. If a request line has less room than that, its resume field is not
+// replaced but forwarded like an unknown field, because the new line could exceed maxLineLength.
 const maxSessionFieldGrowth = 160
 
-// session is a client connection's part in a session. The goroutine of clientConn.run owns it, but for tokens.
+// session is the state of a client connection that uses a session. The goroutine of clientConn.run owns all fields
+// but tokens; see tokenIssuer.
 type session struct {
-	// open is what the request line tells the room server to do with the session.
+	// open is the session field of the request line to the room server.
 	open protocol.Open
-	// flow decides how the session is resumed; nil for a new session.
+	// flow decides how the session is resumed. It is nil for a new session.
 	flow *migration.Flow
-	// holder is the connection to the server that holds the state; nil unless there is a claim on the state.
+	// holder is the connection to the server that holds the session's state. It is nil unless this connection claims,
+	// or is about to claim, the state.
 	holder *stateHolder
 	// server is the room server of the current attempt.
 	server core.Upstream
@@ -30,11 +33,13 @@
 	tokens tokenIssuer
 }
 
-// resumesSession reports whether the request resumes a session, as opposed to a new session or none.
+// resumesSession reports whether the request resumes an existing session. It is false for a new session, and for a
+// request without a session.
 func (c *clientConn) resumesSession() bool { return c.session != nil && c.session.flow != nil }
 
-// beginSession handles the session field of the request line. It returns false if the token is rejected: the engine
-// answers the client then. A field that cannot be used is forwarded like an unknown one.
+// beginSession handles the resume field of the request line. It returns false if the token is invalid; it has then
+// reported that to the engine, which answers the client. A resume field that cannot be used is forwarded like an
+// unknown field.
 func (c *clientConn) beginSession(request *core.Request, now time.Time) bool {
 	resumeToken, sessions := c.request.resumeToken, c.frontend.sessions
 	lineLength := len(c.request.beforeTimeout) + len(c.request.afterTimeout)
@@ -63,7 +68,7 @@
 	return true
 }
 
-// coreReason returns the reason as the engine counts it and as the client is told.
+// coreReason returns the reason as the word that the engine counts and the client receives.
 func coreReason(reason migration.Reason) core.Reason { return core.Reason(reason.String()) }
 
 // randomNonzero returns a random number that is not 0, for fencing tokens and claims.
@@ -85,20 +90,21 @@
 	return c.request.withSession(timeout, c.session.open)
 }
 
-// writeUpstreamLine writes a line to the attempt's room server. The reader of the connection reports a failure.
+// writeUpstreamLine writes a line to the attempt's room server. It ignores a failure, because the reader of the
+// connection reports it.
 func (c *clientConn) writeUpstreamLine(line string) { c.upstream.text.PrintfLine("%s", line) }
 
-// resumeSession begins to resume the session at the attempt's room server, whose connection is open. It returns false
-// if the actor has to end.
+// resumeSession starts the resumption of the session at the attempt's room server, to which the connection is open.
+// It returns false if the actor has to end.
 func (c *clientConn) resumeSession() bool {
 	c.frontend.engine.AttemptDialed(c.call, c.upstream.number)
 	return c.executeStep(c.session.flow.Attempt(c.session.server.Name))
 }
 
-// executeStep carries out the migration's next step. It returns false if the actor has to end.
+// executeStep executes a step of the session's migration.Flow. It returns false if the actor has to end.
 func (c *clientConn) executeStep(step migration.Step) bool {
 	flow, engine, attempt := c.session.flow, c.frontend.engine, c.upstream.number
-	// Nothing more is sent for a client that closed while its state was being transferred.
+	// Nothing more is sent for a client that no longer waits, for example because it closed during the transfer.
 	if waits, keepRunning := c.checkClientWaits(); !waits {
 		return keepRunning
 	}
@@ -120,7 +126,8 @@
 			Size:     len(flow.State),
 		})
 	case migration.SendState:
-		// The room server may read slowly, so the actor does not wait. The reader of the connection reports a failure.
+		// A room server that reads slowly must not block the actor, so the write has its own goroutine. The reader of
+		// the connection reports a failure.
 		up, state := c.upstream, flow.State
 		c.frontend.readers.Go(func() { up.conn.Write(state) })
 	case migration.Commit:
@@ -138,8 +145,9 @@
 	return true
 }
 
-// openSession writes a request line that opens the session at the attempt's room server. A further line on the same
-// connection does not count as a new request. It returns false if the actor has to end.
+// openSession writes a request line that opens the session at the attempt's room server. If a request line was sent
+// on the same connection before, the further one is not reported to the engine as another request. openSession
+// returns false if the actor has to end.
 func (c *clientConn) openSession(open protocol.Open) bool {
 	c.session.open = open
 	if c.upstream.requestLineSent {
@@ -149,8 +157,8 @@
 	return c.sendRequestLine()
 }
 
-// handleSessionResponse handles a line that the attempt's room server sends while it resumes a session. known is false
-// if the line is none of these; keepRunning is false if the actor has to end.
+// handleSessionResponse handles a line that the attempt's room server sends while it resumes a session. known is
+// false if the line does not belong to the resumption. keepRunning is false if the actor has to end.
 func (c *clientConn) handleSessionResponse(line string) (known, keepRunning bool) {
 	flow := c.session.flow
 	if line == protocol.ReadyLine {
@@ -167,7 +175,8 @@
 	return true, c.executeStep(flow.HolderAnswered(answer))
 }
 
-// enableTokens prepares an established connection to issue tokens, for the case that the room server keeps the session.
+// enableTokens prepares the tokenIssuer of an established connection. It issues tokens only once the room server
+// confirms that it keeps the session.
 func (c *clientConn) enableTokens() {
 	ref := c.session.open.Ref
 	if flow := c.session.flow; flow != nil {
--- a/internal/frontend/platform/session_resumer.go
+++ b/internal/frontend/platform/session_resumer.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// SessionLimits bound the resources that the migration of sessions may use.
+// SessionLimits are the site, the token lifetime and the resource limits for the migration of sessions.
 type SessionLimits struct {
 	// Site is the name of the site; tokens of other sites are rejected.
 	Site string
 	// TokenLifetime is how long a session token is valid.
 	TokenLifetime time.Duration
-	// MaxState is the largest state of one session, in bytes.
+	// MaxState is the maximum size of one session's state in bytes.
 	MaxState int
-	// MaxBytes bounds the sum of all states in flight, in bytes.
+	// MaxBytes is the maximum total size of all states in flight in bytes.
 	MaxBytes int64
-	// MaxMigrations bounds the number of states in flight.
+	// MaxMigrations is the maximum number of states in flight.
 	MaxMigrations int
 }
 
-// SessionResumer holds what all connections share to resume sessions: the limits, the token keys and the resources in
-// use. It is safe for concurrent use.
+// SessionResumer holds what all connections of a frontend share to resume sessions: the limits, the token keys and
+// the resources in use. It is safe for concurrent use.
 type SessionResumer struct {
 	limits SessionLimits
 	// ring holds the keys that seal and open tokens.
@@ -46,5 +46,6 @@
 	return r
 }
 
-// SetKeys replaces the token keys. Tokens that were issued before are opened with the new keys as well.
+// SetKeys replaces the token keys. From then on all tokens are opened with the new keys, including those issued
+// before.
 func (r *SessionResumer) SetKeys(ring *token.Ring) { r.ring.Store(ring) }
--- a/internal/frontend/platform/state_export.go
+++ b/internal/frontend/platform/state_export.go
@@ -13,39 +13,41 @@
 	"cottonplank/internal/textline"
 )
 
-// claimMargin is by how much a claim on a state outlives the timeout of the attempt that made it.
+// claimMargin is added to the attempt's timeout to get the lifetime of the claim that the attempt makes on a
+// session's state.
 const claimMargin = time.Second
 
 // stateHolder is the connection to the room server that holds a session's state. The claim on the state lasts as long
-// as the connection. The goroutine of clientConn.run owns it; while callPending is set, the goroutine of the call
-// does, and gives it back with its event.
+// as the connection. The goroutine of clientConn.run owns the stateHolder. While callPending is set, the goroutine of
+// the call owns it instead, and returns the ownership with its event.
 type stateHolder struct {
-	// ctx interrupts calls. It is stored because the calls begin in different commands and events.
+	// ctx interrupts calls. It is a field because calls are started by different commands and events.
 	ctx    context.Context
 	cancel context.CancelFunc
 	// conn is nil until the dial has succeeded.
 	conn net.Conn
 	// text reads and writes conn line by line.
 	text *textproto.Conn
-	// callPending reports whether a call is in progress. The actor's goroutine always owns it.
+	// callPending reports whether a call is in progress. This field is always owned by the goroutine of
+	// clientConn.run.
 	callPending bool
-	// reservedBytes is what was acquired from SessionResumer.stateBytes.
+	// reservedBytes is the number of bytes acquired from SessionResumer.stateBytes.
 	reservedBytes int64
-	// migrationReserved reports whether one was acquired from SessionResumer.migrations.
+	// migrationReserved reports whether a slot was acquired from SessionResumer.migrations.
 	migrationReserved bool
 }
 
 type (
-	// exportAnsweredEvent is the end of an export call.
+	// exportAnsweredEvent reports the result of an export call.
 	exportAnsweredEvent struct {
 		holder *stateHolder
 		answer arbiter.Answer
 		err    error
 	}
-	// commitAnsweredEvent is the end of a commit call.
+	// commitAnsweredEvent reports the result of a commit call.
 	commitAnsweredEvent struct {
 		holder *stateHolder
-		// done reports whether the holder has let the session go.
+		// done reports whether the holder has released the session.
 		done bool
 		err  error
 	}
@@ -54,8 +56,8 @@
 func (e exportAnsweredEvent) handle(c *clientConn) bool { return c.handleExportAnswered(e) }
 func (e commitAnsweredEvent) handle(c *clientConn) bool { return c.handleCommitAnswered(e) }
 
-// handleHolderLocated exports the state from the server that holds it, if the engine knows that server. It returns
-// false if the actor has to end.
+// handleHolderLocated starts the export of the state from the server that holds it, if the engine knows that server.
+// It returns false if the actor has to end.
 func (c *clientConn) handleHolderLocated(ctx context.Context, cmd holderLocatedCommand) bool {
 	if c.upstream == nil || c.upstream.number != cmd.attempt {
 		return true
@@ -82,7 +84,7 @@
 	return true
 }
 
-// requestCommit asks the holder to let the session go to the attempt's room server.
+// requestCommit asks the holder to release the session to the attempt's room server.
 func (c *clientConn) requestCommit() {
 	flow, holder := c.session.flow, c.session.holder
 	commit := protocol.Commit{Session: flow.Ref.Session, Claim: flow.Claim, To: c.session.server.Name}
@@ -92,7 +94,8 @@
 	})
 }
 
-// callHolder runs call in a goroutine of its own, which owns holder until the actor gets the event.
+// callHolder runs call in its own goroutine, which owns holder until the actor receives the event that call returns.
+// If the actor has ended, the goroutine releases holder.
 func (c *clientConn) callHolder(holder *stateHolder, call func() event) {
 	holder.callPending = true
 	c.frontend.readers.Go(func() {
@@ -105,8 +108,9 @@
 	})
 }
 
-// exportState connects to the holder and fetches the session's state. It runs in the goroutine of callHolder. An answer
-// that grants no state is no error; an error means that the holder could not be reached or has disconnected.
+// exportState connects to the holder and fetches the session's state. It runs in the goroutine of callHolder. An
+// answer that does not grant the state is not an error. An error means that the holder was not reached or has
+// disconnected, or that ctx has ended.
 func (c *clientConn) exportState(ctx context.Context, holder *stateHolder, address string, export protocol.Export) (
 	arbiter.Answer, error,
 ) {
@@ -124,7 +128,7 @@
 		return arbiter.Answer{}, err
 	}
 	answer, size, ok := protocol.ParseAnswer(line, export.Ref.Session)
-	if !ok { // The server does not know the session extension.
+	if !ok { // The server does not support the session extension.
 		return arbiter.Answer{Verdict: arbiter.Unknown}, nil
 	}
 	if size > export.MaxState {
@@ -133,8 +137,8 @@
 	if answer.Verdict != arbiter.Granted {
 		return answer, nil
 	}
-	// Beyond the limit the client is told to retry later. The state stays with its holder, and the claim on it ends
-	// with the connection.
+	// If the state exceeds what is left of MaxBytes, the client is told to retry later. The state stays with its holder,
+	// and the claim on it ends with the connection.
 	if !c.frontend.sessions.stateBytes.TryAcquire(int64(size)) {
 		return arbiter.Answer{Verdict: arbiter.InUse}, nil
 	}
@@ -143,7 +147,7 @@
 	return answer, err
 }
 
-// call sends a line to the holder and returns the line that answers it.
+// call sends a line to the holder and returns the line with which the holder answers.
 func (h *stateHolder) call(line string) (string, error) {
 	stop := h.interruptOnCancel()
 	defer stop()
@@ -162,18 +166,19 @@
 	return state, err
 }
 
-// interruptOnCancel makes the end of h.ctx interrupt reads and writes of the connection, until stop is called.
+// interruptOnCancel makes the end of h.ctx interrupt reads and writes of the connection until stop is called.
 func (h *stateHolder) interruptOnCancel() (stop func() bool) {
 	return context.AfterFunc(h.ctx, func() { h.conn.SetDeadline(expiredDeadline) })
 }
 
-// handleExportAnswered continues with the answer to an export call. It returns false if the actor has to end.
+// handleExportAnswered passes the result of an export call to the session's migration.Flow and executes the next
+// step. It returns false if the actor has to end.
 func (c *clientConn) handleExportAnswered(e exportAnsweredEvent) bool {
 	if !c.reclaimHolder(e.holder) {
 		return true
 	}
 	if c.upstream == nil {
-		c.closeHolder() // The attempt has ended meanwhile; the next one exports the state again.
+		c.closeHolder() // The attempt has ended. The next one exports the state again.
 		return true
 	}
 	if e.err != nil {
@@ -188,14 +193,15 @@
 	return c.executeStep(c.session.flow.HolderAnswered(e.answer))
 }
 
-// handleCommitAnswered continues with the answer to a commit call. It returns false if the actor has to end.
+// handleCommitAnswered passes the result of a commit call to the session's migration.Flow and executes the next step.
+// It returns false if the actor has to end.
 func (c *clientConn) handleCommitAnswered(e commitAnsweredEvent) bool {
 	if !c.reclaimHolder(e.holder) {
 		return true
 	}
 	c.closeHolder()
 	if c.upstream == nil {
-		return true // The next attempt asks whether the move was committed.
+		return true // The attempt has ended. The next one finds out whether the migration was committed.
 	}
 	if e.err != nil {
 		return c.executeStep(c.session.flow.HolderDisconnected())
@@ -203,8 +209,8 @@
 	return c.executeStep(c.session.flow.Committed(e.done))
 }
 
-// reclaimHolder ends a holder's pending call. It returns false if the holder was given up meanwhile, and releases it
-// then.
+// reclaimHolder returns the ownership of a holder to the actor after a call. If closeHolder was called during the
+// call, it releases the holder and returns false.
 func (c *clientConn) reclaimHolder(holder *stateHolder) bool {
 	holder.callPending = false
 	if c.session.holder == holder {
@@ -214,8 +220,8 @@
 	return false
 }
 
-// closeHolder gives up the claim on the session's state, if there is one. A holder with a pending call is released when
-// the event of the call arrives.
+// closeHolder ends the claim on the session's state, if there is one, by closing the connection to the holder. If a
+// call is pending, it is interrupted, and the holder is released when the event of the call arrives.
 func (c *clientConn) closeHolder() {
 	if c.session == nil || c.session.holder == nil {
 		return
@@ -228,15 +234,15 @@
 	}
 }
 
-// cancelPendingCall gives up the holder if a call is pending whose attempt is over. A state that has been fetched is
-// retained for the next attempt.
+// cancelPendingCall closes the holder if a call of an earlier attempt is pending. Otherwise it keeps the holder,
+// because the next attempt uses the state that was fetched.
 func (c *clientConn) cancelPendingCall() {
 	if c.session != nil && c.session.holder != nil && c.session.holder.callPending {
 		c.closeHolder()
 	}
 }
 
-// releaseHolder closes a holder's connection and releases the resources that it has acquired.
+// releaseHolder closes a holder's connection and releases the resources that were acquired for it.
 func (c *clientConn) releaseHolder(holder *stateHolder) {
 	c.frontend.closeServerConn(holder.conn)
 	holder.conn = nil
--- a/internal/frontend/platform/token_issuer.go
+++ b/internal/frontend/platform/token_issuer.go
@@ -9,28 +9,28 @@
 	"cottonplank/internal/session/token"
 )
 
-// tokenIssuer issues session tokens to the client of an established connection. The goroutine of relayToClient owns it
-// while that runs, the one of clientConn.run before and after.
+// tokenIssuer issues session tokens to the client of an established connection. The goroutine of relayToClient owns
+// it while that function runs; before and after, the goroutine of clientConn.run does.
 type tokenIssuer struct {
 	frontend *Frontend
-	// enabled reports whether the room server keeps the session, so that it can be resumed.
+	// enabled reports whether the room server has confirmed that it keeps the session, so that it can be resumed.
 	enabled bool
-	// token is the token to issue, but for its position and its expiry.
+	// token is the content of the next token, without the position and the expiry, which newTokenLine sets.
 	token token.Token
-	// renewAt is when the client gets a new token: half a lifetime after the last one.
+	// renewAt is when the client gets a new token, half a token lifetime after the last one.
 	renewAt time.Time
 	// position is the last position that the room server has acknowledged.
 	position uint64
 }
 
-// filterLine inspects a complete line of the room server and returns the bytes to write to the client in its place. A
-// token comes in the same write as the line, so that the client gets both or neither.
+// filterLine inspects a complete line of the room server and returns the bytes to write to the client instead. A
+// token is part of the same write as the line that it accompanies, so that the client gets both or neither.
 func (t *tokenIssuer) filterLine(raw []byte) []byte {
 	line := strings.TrimRight(string(raw), lineEnd)
 	var epoch, position uint64
 	switch {
 	case !t.enabled && protocol.ParseNumbers(line, wordKept, &epoch, &position):
-		// If the epoch differs, the server keeps another session; the client gets no token for it.
+		// If the epoch differs, the server keeps another session, for which the client gets no token.
 		t.enabled, t.position = epoch == t.token.Epoch, position
 		return []byte(t.newTokenLine())
 	case protocol.ParseNumbers(line, wordPosition, &position):
@@ -44,8 +44,8 @@
 	return raw
 }
 
-// newTokenLine returns a line with a new token, its CRLF included. It returns an empty string if the session cannot be
-// resumed or if no key can seal a token; the client starts over then if it has to connect again.
+// newTokenLine returns a line with a new token, including its CRLF. It returns an empty string if the session cannot
+// be resumed or if no key can seal a token. Without a token the client has to start over if it connects again.
 func (t *tokenIssuer) newTokenLine() string {
 	if !t.enabled {
 		return ""
