--- a/internal/frontend/platform/client_close_load_test.go
+++ b/internal/frontend/platform/client_close_load_test.go
@@ -14,14 +14,15 @@
 	"cottonplank/internal/operations/hotrestart"
 )
 
-// settleTime is how long after a client's close nothing may be started for it any more.
+// settleTime is the time after a client's close in which an attempt for it may still start, because the engine is
+// busy.
 const settleTime = 100 * time.Millisecond
 
-// closesPerKind is the number of clients that close in each way of clientCloses.
+// closesPerKind is the number of clients that close in each of the ways of clientCloses.
 const closesPerKind = 10
 
-// A balancer with many requests and established connections, and so with a busy engine: clients that closed before they
-// were accepted, or while they waited for their room server, start nothing later than settleTime.
+// In a balancer whose engine is busy with many requests and established connections, no attempt may start later than
+// settleTime for a client that has closed before it was accepted or while it waited for its room server.
 func TestClientsCloseUnderLoad(t *testing.T) {
 	t.Parallel()
 	budget := DescriptorBudget{Total: 600, DialReserve: 200}
@@ -30,7 +31,7 @@
 	b := newTestBalancerWithSettings(t, budget, func(*decide.Settings) {}, s1, s2)
 	stopLoad := startLoad(t, b.addr)
 
-	// The clients of this listener lie in its backlog when they close; a second frontend accepts them afterwards.
+	// The clients of this listener close while they are in its backlog. A second frontend accepts them afterwards.
 	listener, err := (&hotrestart.Sockets{}).ListenTCP("clients", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,21 +41,21 @@
 	closed.closeWhileWaiting(t, b)
 	time.Sleep(settleTime)
 
-	// Within its grace it is dialed only for connections that were open there.
+	// Within its drain grace period it is dialed only to restore connections that were open there.
 	b.engine.EndpointsUpdated(restored.deltaWithState(decide.Draining))
 	serveListener(t, New(b.engine, testNames, budget, b.frontend.log), listener)
-	time.Sleep(beyondRestoreRetry)
+	time.Sleep(restoreRetryWait)
 	stopLoad()
 
 	for _, s := range []*fakeServer{s1, s2} {
 		closed.wantNoneForwarded(t, s)
 	}
 	if n := restored.countDials(t); n > 0 {
-		t.Errorf("%d connections to the room server that came back", n)
+		t.Errorf("%d connections to the draining room server, want none", n)
 	}
 }
 
-// startLoad runs clients that connect again and again. stop ends them; they end with the test in any case.
+// startLoad runs clients that connect repeatedly until stop is called. They end with the test in any case.
 func startLoad(t *testing.T, addr string) (stop func()) {
 	t.Helper()
 	const players = 20
@@ -75,25 +76,26 @@
 	return stop
 }
 
-// serveListener serves a listener until the test ends, and waits until all that lay in its backlog is accepted and
-// closed.
+// serveListener serves a listener until the test ends, and waits until all connections in its backlog are accepted
+// and closed.
 func serveListener(t *testing.T, frontend *Frontend, listener *net.TCPListener) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { frontend.Serve(ctx, listener, hotrestart.NewPauser(listener.SetDeadline)) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	last := dialClient(t, listener.Addr().String()) // It is accepted after all others.
+	last := dialClient(t, listener.Addr().String()) // It is accepted after all other clients.
 	last.send("PING\r\n")
 	last.wantLine("PONG\r\n")
 	last.conn.Close()
-	waitUntil(t, "the end of all", func() bool { return len(frontend.descriptors) == 1 })
+	waitUntil(t, "the end of all connections", func() bool { return len(frontend.descriptors) == 1 })
 }
 
-// closedRequests are the beginnings of the request lines whose clients have closed, as far as their ids.
+// closedRequests identifies the requests whose clients have closed by the beginnings of their lines, up to
+// requestIDEnd.
 type closedRequests map[string]bool
 
-// send dials a client that sends a request with further fields.
+// send dials a client and sends a request with additional fields.
 func (r closedRequests) send(t *testing.T, addr, fields string) *testClient {
 	t.Helper()
 	c := dialClient(t, addr)
@@ -114,7 +116,8 @@
 	}
 }
 
-// closeWhileWaiting sends requests for a room server that is not listed and closes their clients while they wait.
+// closeWhileWaiting sends requests for a room server that is not listed, and closes their clients while they wait for
+// it.
 func (r closedRequests) closeWhileWaiting(t *testing.T, b *testBalancer) {
 	t.Helper()
 	clients := map[*testClient]func(*testClient){}
@@ -123,16 +126,17 @@
 			clients[r.send(t, b.addr, ",at=s-9")] = closeConn
 		}
 	}
-	waitUntil(t, "the requests", func() bool { return b.snapshot().Waiting >= len(clients) })
+	waitUntil(t, "the requests to reach the engine", func() bool { return b.snapshot().Waiting >= len(clients) })
 	for c, closeConn := range clients {
 		closeConn(c)
 	}
 }
 
-// wantNoneForwarded checks that a room server got neither a request line nor an empty connection for a closed client.
+// wantNoneForwarded checks that a room server has received no request line for a closed client, and no connection
+// without a request line.
 func (r closedRequests) wantNoneForwarded(t *testing.T, s *fakeServer) {
 	t.Helper()
-	last := dialClient(t, s.listener.Addr().String()) // It is accepted after all others.
+	last := dialClient(t, s.listener.Addr().String()) // It is accepted after all other connections.
 	last.send("last\r\n")
 	last.wantLine("UP receipt-1\r\n")
 	last.conn.Close()
@@ -140,13 +144,13 @@
 	defer s.mu.Unlock()
 	for _, line := range s.requestLines {
 		if r[line[:min(len(line), requestIDEnd)]] {
-			t.Errorf("forwarded: %q", line)
+			t.Errorf("forwarded %q for a closed client", line)
 		}
 	}
 	if s.accepted > len(s.requestLines) {
-		t.Errorf("%s: %d connections, %d lines", s.name, s.accepted, len(s.requestLines))
+		t.Errorf("%s: %d connections, but only %d request lines", s.name, s.accepted, len(s.requestLines))
 	}
-	t.Logf("%s: %d requests beside %d clients that closed", s.name, len(s.requestLines), len(r))
+	t.Logf("%s: %d requests received; %d clients have closed", s.name, len(s.requestLines), len(r))
 }
 
 // runShortSession connects, exchanges a few lines and closes.
--- a/internal/frontend/platform/client_close_test.go
+++ b/internal/frontend/platform/client_close_test.go
@@ -12,10 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// These tests close a client at each point of its request's way: no room server may get a connection or a line for it
-// afterwards. What the kernel has received counts, since on a loaded machine the events of readClient come later.
+// These tests close a client at each stage of its request: afterwards no room server may receive a connection or a line
+// for it. The close counts from when the kernel has received it, because on a busy machine the events of readClient
+// follow only later.
 
-// A client closes while its server is being dialed. The actor handles the end of the dial first.
+// A client closes during the dial to its room server. The actor handles the end of the dial before the close.
 func TestClientClosesDuringDial(t *testing.T) {
 	t.Parallel()
 	for name, closeConn := range fullCloses {
@@ -26,7 +27,7 @@
 			dialed := c.submitAndDial()
 			c.closeClient(closeConn)
 			if c.handle(dialed) {
-				t.Error("the actor continues without its client")
+				t.Error("the actor continues after its client has closed")
 			}
 			c.closeUpstream(false)
 			if n := len(s.receivedLines()); n > 0 {
@@ -36,7 +37,7 @@
 	}
 }
 
-// A client closes while its request waits in a running frontend: it is neither forwarded nor retried.
+// A client closes while its request waits in a running frontend. The request is neither forwarded nor retried.
 func TestClientClosesWhileWaiting(t *testing.T) {
 	t.Parallel()
 	for name, closeConn := range fullCloses {
@@ -46,7 +47,7 @@
 			closeConn(b.newWaitingClient(t))
 			waitForClosedClient(t, b)
 			s := newFakeServer(t, "s-1", serveEcho)
-			b.engine.EndpointsUpdated(s.deltaWithState(decide.Ready)) // A waiting request would be placed now.
+			b.engine.EndpointsUpdated(s.deltaWithState(decide.Ready)) // A request that still waits would be placed now.
 			wantNoEarlierRequest(t, b, s)
 		})
 		t.Run("for a descriptor/"+name, func(t *testing.T) {
@@ -69,12 +70,12 @@
 			b := newTestBalancer(t, s1)
 			c := b.newClient(t)
 			c.send(newRequestLine())
-			waitUntil(t, "the attempt", func() bool { return len(s1.receivedLines()) == 1 })
+			waitUntil(t, "the attempt's request line", func() bool { return len(s1.receivedLines()) == 1 })
 			b.engine.EndpointsUpdated(s2.deltaWithState(decide.Ready))
 			closeConn(c)
 			<-closed
 			waitForClosedClient(t, b)
-			b.engine.EndpointsUpdated(s1.deltaWithState(decide.Draining)) // For the client that comes next.
+			b.engine.EndpointsUpdated(s1.deltaWithState(decide.Draining)) // So the next client is placed at s2.
 			wantNoEarlierRequest(t, b, s2)
 		})
 		t.Run("to be read/"+name, func(t *testing.T) {
@@ -83,7 +84,7 @@
 			b := newTestBalancer(t, s)
 			closeConn(b.newBacklogClient(t))
 			b.pause.Resume()
-			waitUntil(t, "the client's close", func() bool {
+			waitUntil(t, "the client's close to be handled", func() bool {
 				return b.snapshot().Clients == 0 && len(b.frontend.descriptors) == 1
 			})
 			wantNoEarlierRequest(t, b, s)
@@ -105,13 +106,13 @@
 	}
 }
 
-// waitForClosedClient waits until the engine was told that a client has closed.
+// waitForClosedClient waits until the engine knows that a client has closed.
 func waitForClosedClient(t *testing.T, b *testBalancer) {
 	t.Helper()
-	waitUntil(t, "the client's close", func() bool { return b.snapshot().ClientsLeft == 1 })
+	waitUntil(t, "the client's close to be handled", func() bool { return b.snapshot().ClientsLeft == 1 })
 }
 
-// takeAllDescriptors takes all descriptors of a balancer but the one with which it accepts the next client.
+// takeAllDescriptors acquires all descriptors of a balancer except the one for the next client to accept.
 func takeAllDescriptors(t *testing.T, b *testBalancer) {
 	t.Helper()
 	waitUntil(t, "the accept loop's descriptor", func() bool { return len(b.frontend.descriptors) == 1 })
@@ -120,7 +121,7 @@
 	}
 }
 
-// wantNoEarlierRequest checks that a room server has received no request but the one of a client that comes now.
+// wantNoEarlierRequest sends a request and checks that the room server has received no other request before it.
 func wantNoEarlierRequest(t *testing.T, b *testBalancer, s *fakeServer) {
 	t.Helper()
 	c := b.newClient(t)
@@ -129,13 +130,13 @@
 	c.wantLine("UP receipt-1\r\n")
 	for _, got := range s.receivedLines() {
 		if !strings.HasPrefix(got, line[:requestIDEnd]) {
-			t.Errorf("forwarded: %q", got)
+			t.Errorf("forwarded %q, want only the last request", got)
 		}
 	}
 }
 
-// commandSetups bring a request to the point where the engine has commanded an attempt at a server, and return that
-// command, which is not executed yet.
+// commandSetups prepare requests of different kinds for which the engine has issued the command to start an attempt
+// at a server. They return that command, which is not executed yet.
 var commandSetups = map[string]func(t *testing.T, s *fakeServer) (*manualConn, command){
 	"first attempt": func(t *testing.T, s *fakeServer) (*manualConn, command) {
 		c := newTestBalancer(t, s).newManualConn(t)
@@ -143,7 +144,7 @@
 		return c, <-c.commands
 	},
 	"retry": func(t *testing.T, s *fakeServer) (*manualConn, command) {
-		b := newTestBalancer(t, newFakeServer(t, "s-1", respond("BUSY\r\n"))) // In the own zone, so it is first.
+		b := newTestBalancer(t, newFakeServer(t, "s-1", respond("BUSY\r\n"))) // In the own zone, so it is tried first.
 		b.engine.EndpointsUpdated(s.deltaInZone("b"))
 		c := b.newManualConn(t)
 		c.handle(c.submitAndDial())
@@ -175,8 +176,8 @@
 	},
 }
 
-// A client closes while the command for an attempt lies in the actor's mailbox, and no event has told the actor: the
-// dial is not made, no room server is ejected for it, and the actor ends.
+// A client closes while the command to start an attempt is in the actor's mailbox, and before the actor receives an
+// event about the close. No dial is made, no room server is ejected for it, and the actor ends.
 func TestNoDialAfterClientCloses(t *testing.T) {
 	t.Parallel()
 	for setup, prepare := range commandSetups {
@@ -186,19 +187,19 @@
 				s := newBacklogServer(t, "s-9")
 				c, cmd := prepare(t, s)
 				if !isCommand[startAttemptCommand](cmd) {
-					t.Fatalf("the engine commands %T, want an attempt", cmd)
+					t.Fatalf("the engine sent %T, want a startAttemptCommand", cmd)
 				}
 				ejectedBefore := c.balancer.snapshot().Ejected
 				c.closeClient(closeConn)
 				c.execute(t.Context(), cmd)
 				if c.handle(<-c.events) {
-					t.Error("the actor continues without its client")
+					t.Error("the actor continues after its client has closed")
 				}
 				if n := s.countDials(t); n > 0 {
-					t.Errorf("%d connections to the room server", n)
+					t.Errorf("%d connections to the room server, want none", n)
 				}
 				if n := c.balancer.snapshot().Ejected; n > ejectedBefore {
-					t.Errorf("%d room servers are ejected, %d before", n, ejectedBefore)
+					t.Errorf("%d room servers are ejected, want %d as before", n, ejectedBefore)
 				}
 			})
 		}
@@ -217,10 +218,10 @@
 				b.frontend.releaseDescriptor()
 			}
 			if c.handle(<-c.events) {
-				t.Error("the actor continues without its client")
+				t.Error("the actor continues after its client has closed")
 			}
 			if n := s.countDials(t); n > 0 || len(b.frontend.descriptors) > 1 {
-				t.Errorf("%d connections to the room server, %d descriptors in use", n, len(b.frontend.descriptors))
+				t.Errorf("%d connections to the room server, want 0; %d descriptors in use, want 1", n, len(b.frontend.descriptors))
 			}
 		})
 	}
@@ -232,20 +233,20 @@
 		cmd := <-c.commands
 		c.client.send("more")
 		closeWithFIN(c.client) // The FIN follows the unread data.
-		waitUntil(t, "more", func() bool { _, sentMore := c.clientState(); return sentMore })
+		waitUntil(t, "the additional data", func() bool { _, sentMore := c.clientState(); return sentMore })
 		c.execute(t.Context(), cmd)
 		c.handle(<-c.events)
 		if cmd := <-c.commands; !isCommand[failCommand](cmd) {
-			t.Errorf("the engine commands %T, want the final answer", cmd)
+			t.Errorf("the engine sent %T, want a failCommand", cmd)
 		}
 		if n := s.countDials(t); n > 0 {
-			t.Errorf("%d connections to the room server", n)
+			t.Errorf("%d connections to the room server, want none", n)
 		}
 	})
 }
 
-// A client closes while its session's state is being looked for or transferred: whichever step the migration has
-// reached, nothing more is sent to any room server.
+// A client closes while the state of its session is located or transferred. Whichever step the migration has reached,
+// nothing further is sent to any room server.
 func TestNoSessionCallAfterClientCloses(t *testing.T) {
 	t.Parallel()
 	const minimumSteps = 5
@@ -263,11 +264,11 @@
 	}
 }
 
-// closeClientAfterSteps runs a number of the steps of a session's migration, closes the client and checks the steps
-// that follow. It returns true without closing the client if the migration was over before.
+// closeClientAfterSteps executes a number of steps of a session's migration, closes the client and checks the steps
+// that follow. If the migration ends before, it returns true without closing the client.
 func closeClientAfterSteps(t *testing.T, steps int, closeConn func(*testClient)) (over bool) {
 	t.Helper()
-	// A command that is executed once more, and the event that it brings.
+	// One command that was issued before, and the event that it causes.
 	const maxFurtherSteps = 2
 	s := newSessionFixture(t, 1, sessionServer, sessionServer)
 	client, _ := s.startSession(s.balancers[0], 0, 3)
@@ -283,28 +284,29 @@
 	c.closeClient(closeConn)
 	stepper.clientClosed = true
 	further := 0
-	// Once the connection is established there is nothing left to send.
+	// Once the connection is established, nothing is left to send.
 	for keepRunning, established := true, false; keepRunning && !established && further < 5; further++ {
 		keepRunning, established = stepper.step()
 	}
 	if further > maxFurtherSteps {
-		t.Errorf("closed after %d steps: %d more steps", steps, further)
+		t.Errorf("the client closed after %d steps, and %d more steps follow", steps, further)
 	}
 	c.closeUpstream(false)
 	c.closeHolder()
 	return false
 }
 
-// migrationStepper applies the commands and events of a session's migration one by one.
+// migrationStepper executes the commands and handles the events of a session's migration one by one.
 type migrationStepper struct {
 	*manualConn
-	// clientClosed reports whether the client has closed.
+	// clientClosed reports whether the client has closed its connection.
 	clientClosed bool
-	// dialCommanded reports whether a command that dials was executed after the client closed.
+	// dialCommanded reports whether a command that dials was executed after clientClosed was set.
 	dialCommanded bool
 }
 
-// step applies the next command or event. It fails the test if that shows a dial for a closed client.
+// step executes the next command or handles the next event. If the event shows that a dial was made for a closed
+// client, the test fails.
 func (m *migrationStepper) step() (keepRunning, established bool) {
 	select {
 	case cmd := <-m.commands:
@@ -316,13 +318,13 @@
 		exported, _ := e.(exportAnsweredEvent)
 		connected := dialed.conn != nil || exported.holder != nil && exported.holder.conn != nil
 		if m.dialCommanded && connected {
-			m.t.Errorf("closed before %T: it was dialed", e)
+			m.t.Errorf("a room server was dialed for a closed client, as %T shows", e)
 		}
 		return m.handle(e), false
 	}
 }
 
-// The client closes during a dial to a room server whose backlog is full: the dial is cancelled.
+// A client closes while a dial hangs because the room server's backlog is full. The dial is cancelled.
 func TestDialCancelledWhenClientCloses(t *testing.T) {
 	t.Parallel()
 	for name, closeConn := range clientCloses {
@@ -341,15 +343,15 @@
 			defer filler.conn.Close()
 			b := newTestBalancer(t, s)
 			c := b.newWaitingClient(t)
-			// One descriptor is the client's, one the accept loop's, one the dial's.
+			// The client, the accept loop and the dial use one descriptor each.
 			waitUntil(t, "the dial", func() bool { return len(b.frontend.descriptors) == 3 })
 			closeConn(c)
-			waitUntil(t, "the end of both", func() bool {
+			waitUntil(t, "the end of the dial and of the request", func() bool {
 				return len(b.frontend.descriptors) == 1 && b.snapshot().ClientsLeft == 1
 			})
 			raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 16) })
 			if n := s.countDials(t, filler); n > 0 || err != nil {
-				t.Errorf("%d connections to the room server, %v", n, err)
+				t.Errorf("%d connections to the room server, want none; listen error: %v", n, err)
 			}
 		})
 	}
--- a/internal/frontend/platform/dial_race_test.go
+++ b/internal/frontend/platform/dial_race_test.go
@@ -8,8 +8,9 @@
 	"cottonplank/internal/core"
 )
 
-// A dial succeeds as its timeout expires. Whichever the actor handles first, there is one attempt: a request line that
-// was written may have been executed, so that attempt continues; one that was not written is not written any more.
+// A dial succeeds at the moment when its timeout expires. Whichever the actor handles first, only one request line is
+// sent. If the line was written, the server may execute the request, so the attempt continues. If it was not, it must
+// not be written any more.
 func TestDialCrossesTimeout(t *testing.T) {
 	t.Parallel()
 	shortTimeout := func(settings *decide.Settings) {
@@ -24,22 +25,22 @@
 			dialed := c.submitAndDial()
 			timeout := <-c.commands
 			if !isCommand[cancelAttemptCommand](timeout) {
-				t.Fatalf("the engine commands %T, want the end of the attempt", timeout)
+				t.Fatalf("the engine sent %T, want a cancelAttemptCommand", timeout)
 			}
 			if cmd, ok := c.pendingCommand(); ok {
-				t.Fatalf("the engine commands %T before the attempt has ended", cmd)
+				t.Fatalf("the engine sent %T before the attempt has ended", cmd)
 			}
 			if dialFirst {
 				c.handle(dialed)
 			}
 			c.execute(t.Context(), timeout)
 			if !dialFirst {
-				c.handle(dialed) // Too late.
+				c.handle(dialed) // The attempt was cancelled before.
 				c.handle(c.startNextAttempt())
 			}
 			c.handle(<-c.events) // The acceptance.
 			if cmd := <-c.commands; !isCommand[establishCommand](cmd) {
-				t.Errorf("the engine commands %T, want to establish", cmd)
+				t.Errorf("the engine sent %T, want an establishCommand", cmd)
 			}
 			if n := len(s1.receivedLines()) + len(s2.receivedLines()); n != 1 {
 				t.Errorf("%d request lines were sent, want one", n)
@@ -48,8 +49,8 @@
 	}
 }
 
-// An attempt's acceptance crosses its timeout: the engine takes what the connection has reported, and the client is
-// served.
+// A server accepts an attempt at the moment when the attempt times out. The acceptance was reported to the engine
+// first, so the client is served.
 func TestResponseCrossesTimeout(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancerWithSettings(t, largeBudget, setNotIdempotent, newFakeServer(t, "s-1", serveEcho))
@@ -61,8 +62,8 @@
 	c.client.wantLine("UP receipt-1\r\n")
 }
 
-// A room server begins to drain, is removed, is missing in a snapshot of the list, or changes its address or start time
-// while it is being dialed. Nothing is sent there, and the request goes to another server at once.
+// While a room server is being dialed, it begins to drain, is removed, is missing in a snapshot of the list, or
+// changes its address or start time. Nothing is sent to it, and the request is sent to another server at once.
 func TestDialCancelledByEndpointUpdate(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*core.EndpointUpdate){
@@ -88,13 +89,13 @@
 			c.handle(dialed)
 			c.handle(c.startNextAttempt())
 			if n, m := len(s1.receivedLines()), len(s2.receivedLines()); n > 0 {
-				t.Errorf("%d lines went to the server that left, %d to the other", n, m)
+				t.Errorf("%d lines reached the server whose dial was cancelled, %d the other one", n, m)
 			}
 		})
 	}
 }
 
-// Room servers that restart while one of them is being dialed are not ejected for the cancelled dial.
+// Room servers that restart while one of them is being dialed are not ejected because of the cancelled dial.
 func TestCancelledDialEjectsNoServer(t *testing.T) {
 	t.Parallel()
 	s1, s2 := newFakeServer(t, "s-1", serveEcho), newFakeServer(t, "s-2", serveEcho)
@@ -110,12 +111,12 @@
 	c.execute(t.Context(), cmd)
 	c.handle(dialed)
 	if n := b.snapshot().Ejected; n > 0 {
-		t.Errorf("%d room servers are ejected", n)
+		t.Errorf("%d room servers are ejected, want none", n)
 	}
 }
 
-// A client that sends more while its server is being dialed gets ERR, and its request is not forwarded, whether the
-// reader has read the additional data or not.
+// A client that sends more data while its server is being dialed gets ERR, and its request is not forwarded. This
+// holds whether or not the reader has read the additional data.
 func TestDataDuringDialFails(t *testing.T) {
 	t.Parallel()
 	for name, read := range map[string]bool{"unread": false, "read": true} {
@@ -125,7 +126,7 @@
 			c := b.newManualConn(t)
 			dialed := c.submitAndDial()
 			c.client.send("more")
-			waitUntil(t, "more", func() bool { _, sentMore := c.clientState(); return sentMore })
+			waitUntil(t, "the additional data", func() bool { _, sentMore := c.clientState(); return sentMore })
 			if read {
 				c.text.R.Peek(1)
 				c.earlyDataRead.Store(true)
@@ -134,7 +135,7 @@
 			c.execute(t.Context(), <-c.commands)
 			c.client.wantLine("ERR\r\n")
 			if n := len(s.receivedLines()); n > 0 {
-				t.Errorf("%d lines were forwarded", n)
+				t.Errorf("%d lines were forwarded, want none", n)
 			}
 		})
 	}
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -8,7 +8,8 @@
 	"cottonplank/internal/core"
 )
 
-// A planned stop: established clients are migrated, new ones are served in the grace period, then the drain is over.
+// In a planned stop, established clients are migrated and new clients are served during the grace period. Then the
+// drain ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
@@ -28,12 +29,12 @@
 	select {
 	case <-drained:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the drain does not end")
+		t.Fatal("timed out waiting for the end of the drain")
 	}
 }
 
-// A lame duck answers health checks with BUSY at once, also on an open connection. It serves clients that still come,
-// migrates all of them well within 4 s, rejects later ones, and serves again after LeaveLameDuck.
+// A lame duck answers health checks with BUSY at once, also on an open connection. It serves clients that still
+// arrive, migrates all of them well within 4 s and rejects later ones. After LeaveLameDuck it serves clients again.
 func TestLameDuck(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
@@ -72,14 +73,14 @@
 		if strings.HasPrefix(line, "BUSY ") {
 			break
 		}
-		if err != nil || line != "UP receipt-1\r\n" { // Before the last step it is served, and migrated then.
+		if err != nil || line != "UP receipt-1\r\n" { // Until the last step, late clients are served and then migrated.
 			t.Fatalf("a late client reads %q, %v", line, err)
 		}
 		late.wantLine("MOVE\r\n")
 		late.conn.Close()
 	}
 	if d := time.Since(start); d > 4*time.Second {
-		t.Errorf("all are migrated after %v", d)
+		t.Errorf("all clients are migrated only after %v", d)
 	}
 	if err := b.engine.LeaveLameDuck(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -91,9 +92,9 @@
 	again.wantLine("UP receipt-1\r\n")
 }
 
-// Descriptors that are left to another process are not used for clients, and can be taken back. While the listener is
-// paused, the frontend serves the connections that it has accepted, accepts none, and answers health checks for the
-// process that does.
+// Descriptors that are reserved for another process are not used for clients, and can be taken back. While the
+// listener is paused, the frontend serves the connections that it has accepted before but accepts no others. It
+// answers health checks with PONG, because the other process accepts clients.
 func TestServeBesideAnotherProcess(t *testing.T) {
 	t.Parallel()
 	budget := DescriptorBudget{Total: 16, DialReserve: 4}
@@ -102,7 +103,7 @@
 	accepted.send("PING\r\n")
 	accepted.wantLine("PONG\r\n")
 	b.frontend.SetDescriptorReserve(14)
-	b.frontend.SetDescriptorReserve(12) // All but four: the connection, its dial, and one that is being accepted.
+	b.frontend.SetDescriptorReserve(12) // Four are left: for the connection, its dial, and one to accept.
 	b.pause.Pause()
 	b.frontend.SetReplaced(true)
 	b.engine.Drain(20*time.Second, nil)
@@ -114,10 +115,10 @@
 	other.send(newRequestLine())
 	other.conn.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if line, err := other.r.ReadString('\n'); err == nil {
-		t.Errorf("accepted while paused: %q", line)
+		t.Errorf("read %q from a frontend that is paused", line)
 	}
 	if n := len(b.frontend.descriptors); n > 16 {
-		t.Errorf("%d descriptors are in use", n)
+		t.Errorf("%d descriptors are in use, want at most 16", n)
 	}
 	b.frontend.SetReplaced(false)
 	b.frontend.SetDescriptorReserve(0)
@@ -126,7 +127,7 @@
 	other.wantLine("UP receipt-1\r\n")
 }
 
-// A drain is not over while a client waits in the listener's backlog.
+// A drain does not end while a client waits in the listener's backlog.
 func TestDrainWaitsForBacklog(t *testing.T) {
 	t.Parallel()
 	s := newFakeServer(t, "s-1", serveEcho)
@@ -138,13 +139,13 @@
 		checks <- waiting
 		return waiting
 	})
-	if !<-checks { // The first check, when the drain could be over.
-		t.Error("the waiting client is not seen")
+	if !<-checks { // The first check, made when nothing else delays the end of the drain.
+		t.Error("ClientsWaiting does not report the waiting client")
 	}
 	b.waitForEngine()
 	select {
 	case <-drained:
-		t.Error("the drain is over before the client is accepted")
+		t.Error("the drain ended before the client was accepted")
 	default:
 	}
 	b.pause.Resume()
@@ -153,21 +154,21 @@
 	<-drained
 }
 
-// A drain is not over while a request line lies unread in an accepted connection.
+// A drain does not end while an accepted connection has an unread request line.
 func TestDrainWaitsForUnreadRequest(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
 	c := b.newManualConn(t)
 	c.client.send(newRequestLine())
-	waitUntil(t, "the line", func() bool { return hasUnreadData(c.conn) })
+	waitUntil(t, "the line to arrive", func() bool { return hasUnreadData(c.conn) })
 	drained := b.engine.Drain(20*time.Second, nil)
-	if !c.execute(t.Context(), <-c.commands) { // It aborts idle connections only.
-		t.Fatal("a request that has arrived is aborted")
+	if !c.execute(t.Context(), <-c.commands) { // The abort command; it applies to idle connections only.
+		t.Fatal("a connection whose request has arrived is aborted")
 	}
 	b.waitForEngine()
 	select {
 	case <-drained:
-		t.Fatal("the drain is over with a request unread")
+		t.Fatal("the drain ended with a request unread")
 	default:
 	}
 	c.frontend.readers.Go(c.readClient)
@@ -185,25 +186,25 @@
 	c.client.wantLine("UP receipt-1\r\n")
 }
 
-// A health check that lies unread when the drain could be over is answered, and does not delay the drain further.
+// A health check that is unread when the drain could end is answered, and does not delay the drain further.
 func TestDrainDoesNotWaitForHealthChecks(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t)
 	c := b.newManualConn(t)
 	c.client.send("PING\r\n")
-	waitUntil(t, "the line", func() bool { return hasUnreadData(c.conn) })
-	drained := b.engine.Drain(1900*time.Millisecond, nil) // Less than the time limit of an idle connection.
+	waitUntil(t, "the line to arrive", func() bool { return hasUnreadData(c.conn) })
+	drained := b.engine.Drain(1900*time.Millisecond, nil) // Shorter than the timeout of an idle connection.
 	if !c.execute(t.Context(), <-c.commands) {
-		t.Fatal("a line that has arrived is aborted")
+		t.Fatal("a connection whose line has arrived is aborted")
 	}
 	c.frontend.readers.Go(c.readClient)
 	c.client.wantLine("BUSY\r\n")
 	select {
 	case cmd := <-c.commands:
 		if c.execute(t.Context(), cmd) {
-			t.Fatal("a health check that was answered keeps its connection")
+			t.Fatal("a connection whose health check was answered is not aborted")
 		}
 	case <-drained:
-		t.Error("the drain took all of its time")
+		t.Error("the drain ended only when its budget was exhausted")
 	}
 }
--- a/internal/frontend/platform/fake_server_test.go
+++ b/internal/frontend/platform/fake_server_test.go
@@ -12,7 +12,7 @@
 	"cottonplank/internal/core"
 )
 
-// serverHandler is what a fakeServer does on a connection after it has read the request line from r.
+// serverHandler handles a connection of a fakeServer after the request line has been read from r.
 type serverHandler func(conn net.Conn, r *bufio.Reader)
 
 // fakeServer is a room server that reads the request line of each connection and leaves the rest to a serverHandler.
@@ -22,15 +22,15 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// requestLines are the request lines that were received.
+	// requestLines are the received request lines.
 	requestLines []string
-	// accepted is the number of connections, with a request line or without.
+	// accepted is the number of accepted connections, with or without a request line.
 	accepted int
-	// open is the number of connections that have sent their request line and are open.
+	// open is the number of open connections that have sent their request line.
 	open int
 }
 
-// newFakeServer starts a room server on a loopback port. It ends with the test.
+// newFakeServer starts a room server on a loopback port. It is stopped at the end of the test.
 func newFakeServer(t *testing.T, name string, handler serverHandler) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,21 +72,21 @@
 	s.mu.Unlock()
 }
 
-// receivedLines returns the request lines that were received so far.
+// receivedLines returns the request lines received so far.
 func (s *fakeServer) receivedLines() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.requestLines...)
 }
 
-// openConns returns the number of connections that have sent their request line and are open.
+// openConns returns the number of open connections that have sent their request line.
 func (s *fakeServer) openConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// endpoint returns the server's line in the endpoint list.
+// endpoint returns the server's entry in the endpoint list.
 func (s *fakeServer) endpoint() core.Endpoint {
 	return core.Endpoint{
 		Name:    s.name,
@@ -95,27 +95,27 @@
 	}
 }
 
-// upstream returns the server as an attempt or a probe names it.
+// upstream returns the server as the engine passes it in an attempt or a probe.
 func (s *fakeServer) upstream() core.Upstream {
 	endpoint := s.endpoint()
 	return core.Upstream{ID: endpoint.ID, Name: endpoint.Name, Address: endpoint.Address}
 }
 
-// deltaWithState returns an update of the endpoint list that gives the server a state.
+// deltaWithState returns an update of the endpoint list that sets the server's state.
 func (s *fakeServer) deltaWithState(state decide.State) core.EndpointUpdate {
 	endpoint := s.endpoint()
 	endpoint.State = state
 	return core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{endpoint}}
 }
 
-// deltaInZone returns an update of the endpoint list that puts the server into a zone.
+// deltaInZone returns an update of the endpoint list that sets the server's zone.
 func (s *fakeServer) deltaInZone(zone string) core.EndpointUpdate {
 	endpoint := s.endpoint()
 	endpoint.Zone = zone
 	return core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{endpoint}}
 }
 
-// serveEcho accepts the request and answers each further line.
+// serveEcho accepts the request and answers each further line with "re " and that line.
 func serveEcho(conn net.Conn, r *bufio.Reader) {
 	io.WriteString(conn, "UP receipt-1\r\n")
 	for {
@@ -127,7 +127,7 @@
 	}
 }
 
-// respond returns a handler that writes a text and closes.
+// respond returns a handler that writes a text and closes the connection.
 func respond(text string) serverHandler {
 	return func(conn net.Conn, _ *bufio.Reader) { io.WriteString(conn, text) }
 }
@@ -135,7 +135,8 @@
 // neverRespond reads until the balancer closes the connection.
 func neverRespond(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
 
-// newBacklogServer returns a room server that accepts no connection until countDials is called.
+// newBacklogServer returns a room server that accepts no connections until countDials is called. Until then they stay
+// in the listener's backlog.
 func newBacklogServer(t *testing.T, name string) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -146,8 +147,8 @@
 	return &fakeServer{name: name, listener: listener}
 }
 
-// countDials accepts what waits in a backlog server's backlog and returns the number of connections, without those of
-// the test's own clients.
+// countDials accepts the connections in a backlog server's backlog and returns their number. It does not count those
+// of own, the test's own clients.
 func (s *fakeServer) countDials(t *testing.T, own ...*testClient) (dials int) {
 	t.Helper()
 	last := dialClient(t, s.listener.Addr().String())
@@ -170,5 +171,5 @@
 	}
 }
 
-// serverName returns the name of the server with an index.
+// serverName returns the name of the server with index i.
 func serverName(i int) string { return "s-" + strconv.Itoa(i) }
--- a/internal/frontend/platform/fuzz_test.go
+++ b/internal/frontend/platform/fuzz_test.go
@@ -10,7 +10,7 @@
 	"cottonplank/internal/textline"
 )
 
-// An accepted request line is forwarded in a form that is accepted again, with nothing but its timeout changed.
+// An accepted request line is forwarded as a line that is also valid, and in which only the timeout differs.
 func FuzzRequestLine(f *testing.F) {
 	const (
 		head    = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
@@ -31,7 +31,7 @@
 	})
 }
 
-// A line is at most 4 KiB long, and only a line that begins with UP counts as an acceptance.
+// A line is at most 4 KiB long, only a line that begins with UP is an acceptance, and reported loads are in range.
 func FuzzResponses(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("UP receipt\r\n"), []byte("BUSY inflight=7,queue=2,x0=0.61\r\n"),
 		[]byte("PONG x0=1e3\r\n"))
--- a/internal/frontend/platform/idle_bench_test.go
+++ b/internal/frontend/platform/idle_bench_test.go
@@ -7,8 +7,8 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// BenchmarkIdleSecond is a second in which a balancer with 90 room servers and 20 established idle connections has
-// nothing to do. ns/op is the second itself; the cost shows in a profile, or in the process's CPU time.
+// BenchmarkIdleSecond runs a balancer with 90 room servers and 20 established idle connections for one second per
+// iteration. The reported ns/op is that second. The cost is visible in a profile, or in the CPU time of the process.
 func BenchmarkIdleSecond(b *testing.B) {
 	config := emulator.RoomServerConfig{StateBytes: 8, Capacity: 1000}
 	servers := make([]emulator.RoomServerConfig, 90)
--- a/internal/frontend/platform/idle_test.go
+++ b/internal/frontend/platform/idle_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxTimeToServe is far less than 60 idle connections take to time out by themselves, 12 at a time and each after 2 s.
+// maxTimeToServe is much shorter than the time in which 60 idle connections time out: 12 at a time, each after 2 s.
 const maxTimeToServe = 6 * time.Second
 
-// A connection that sends nothing, half a line, or one PING is closed well within 3 s; one whose health checks continue
-// stays open.
+// A connection that sends nothing, half a line, or one PING is closed well within 3 s. One that continues to send
+// health checks stays open.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
@@ -23,10 +23,10 @@
 		time.Sleep(1200 * time.Millisecond)
 	}
 	for _, c := range []*testClient{silent, half, once} {
-		c.conn.SetDeadline(time.Now().Add(time.Millisecond)) // It has been closed by now.
+		c.conn.SetDeadline(time.Now().Add(time.Millisecond)) // The balancer must have closed it by now.
 		c.wantEOF()
 	}
-	// A request line in pieces has its full time, however long ago the connection was accepted.
+	// A request line in pieces gets the full timeout, however long ago the connection was accepted.
 	line := newRequestLine()
 	check.send(line[:20])
 	time.Sleep(100 * time.Millisecond)
@@ -34,8 +34,8 @@
 	check.wantLine("UP receipt-1\r\n")
 }
 
-// Idle connections take no descriptor away from clients with requests: the one that has been idle longest is shed, and
-// dials find a descriptor. A client may open hundreds of connections and send nothing.
+// A client that opens hundreds of connections and sends nothing must not use up the descriptors for clients with
+// requests. The connection that has been idle longest is shed, and dials still get a descriptor.
 func TestIdleConnectionsAreShed(t *testing.T) {
 	t.Parallel()
 	budget := DescriptorBudget{Total: 16, DialReserve: 4}
@@ -53,7 +53,7 @@
 		c.wantLine("UP receipt-1\r\n")
 	}
 	if d := time.Since(start); d > maxTimeToServe {
-		t.Errorf("served after %v, as if the idle ones had timed out by themselves", d)
+		t.Errorf("served only after %v: the idle connections timed out instead of being shed", d)
 	}
 	established.send("x\r\n")
 	established.wantLine("re x\r\n")
--- a/internal/frontend/platform/manual_conn_test.go
+++ b/internal/frontend/platform/manual_conn_test.go
@@ -8,8 +8,9 @@
 	"cottonplank/internal/core"
 )
 
-// manualConn is a clientConn on real sockets whose actor does not run: the test takes the engine's commands and the
-// readers' events one by one and applies them. It forces two things that happen at the same time into an order.
+// manualConn is a clientConn on real sockets whose actor does not run. The test receives the engine's commands and
+// the readers' events and applies them one by one. This determines the order of commands and events that are
+// concurrent otherwise.
 type manualConn struct {
 	*clientConn
 	t        *testing.T
@@ -17,7 +18,7 @@
 	client   *testClient
 }
 
-// newManualConn accepts a client's connection at a balancer.
+// newManualConn accepts a client connection at a balancer without starting its actor.
 func (b *testBalancer) newManualConn(t *testing.T) *manualConn {
 	t.Helper()
 	conn, client := newTCPPair(t)
@@ -31,35 +32,38 @@
 	return &manualConn{clientConn: c, t: t, balancer: b, client: client}
 }
 
-// submit submits a request line to the engine.
+// submit submits a request line to the engine, as the actor does.
 func (m *manualConn) submit(line string) {
 	m.requestSubmitted = true
 	m.submitRequest(strings.TrimRight(line, "\r\n"), time.Now())
 }
 
-// submitAndDial submits a request, starts the first attempt and returns the end of its dial, which is not handled yet.
+// submitAndDial submits a request, starts the first attempt and returns the event at the end of its dial, which is
+// not handled yet.
 func (m *manualConn) submitAndDial() dialedEvent {
 	m.t.Helper()
 	m.submit(newRequestLine())
 	return m.startNextAttempt()
 }
 
-// startNextAttempt executes the engine's next command, which must start an attempt, and returns the end of its dial.
+// startNextAttempt executes the engine's next command, which must start an attempt, and returns the event at the end
+// of its dial.
 func (m *manualConn) startNextAttempt() dialedEvent {
 	m.t.Helper()
 	cmd := <-m.commands
 	if !isCommand[startAttemptCommand](cmd) {
-		m.t.Fatalf("the engine commands %T, want an attempt", cmd)
+		m.t.Fatalf("the engine sent %T, want a startAttemptCommand", cmd)
 	}
 	m.execute(m.t.Context(), cmd)
 	dialed, ok := (<-m.events).(dialedEvent)
 	if !ok || dialed.err != nil {
-		m.t.Fatalf("the dial brings %+v", dialed)
+		m.t.Fatalf("the event of the dial is %+v, want a connection", dialed)
 	}
 	return dialed
 }
 
-// pendingCommand returns the command that the engine has given by now, if any.
+// pendingCommand waits until the engine has handled all earlier reports, and returns its next command, if there is
+// one.
 func (m *manualConn) pendingCommand() (cmd command, ok bool) {
 	m.balancer.waitForEngine()
 	select {
@@ -70,14 +74,14 @@
 	}
 }
 
-// closeClient closes the client's connection and waits until the kernel has received that.
+// closeClient closes the client's connection and waits until the balancer's side of the connection has received that.
 func (m *manualConn) closeClient(closeConn func(*testClient)) {
 	m.t.Helper()
 	closeConn(m.client)
-	waitUntil(m.t, "the client's close", func() bool { closed, _ := m.clientState(); return closed })
+	waitUntil(m.t, "the client's close to arrive", func() bool { closed, _ := m.clientState(); return closed })
 }
 
-// isCommand reports whether a command is of a type.
+// isCommand reports whether cmd has type T.
 func isCommand[T command](cmd command) bool {
 	_, ok := cmd.(T)
 	return ok
--- a/internal/frontend/platform/prober_test.go
+++ b/internal/frontend/platform/prober_test.go
@@ -11,7 +11,7 @@
 	"cottonplank/decide"
 )
 
-// probeOnce probes a fake room server, for which the probe is the request line.
+// probeOnce probes a fake room server, which receives the probe as its request line.
 func probeOnce(t *testing.T, conn *probeConn, server *fakeServer) (decide.Code, decide.LoadReport) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -37,13 +37,13 @@
 			conn := &probeConn{prober: &Prober{ctx: context.Background()}}
 			defer conn.close()
 			if code, report := probeOnce(t, conn, server); code != want.code || report.Load != want.load {
-				t.Errorf("%v, %+v", code, report)
+				t.Errorf("probe returned %v, %+v", code, report)
 			}
 		})
 	}
 }
 
-// The connection is reused, and a new one is dialed after the server has closed it.
+// A probe reuses the connection of the previous one. If the server has closed it, a new one is dialed.
 func TestProbeConnectionIsReused(t *testing.T) {
 	t.Parallel()
 	server := newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// With more room servers than connections are allowed, the least recently used connection is closed.
+// If there are more room servers than allowed connections, the least recently used connection is closed.
 func TestProbeConnectionLimit(t *testing.T) {
 	t.Parallel()
 	const maxConns = 3
@@ -82,16 +82,16 @@
 			}
 		}))
 	}
-	for _, i := range []int{0, 1, 2, 0, 3, 4, 5} { // 0 is used again, so that 1 is closed first.
+	for _, i := range []int{0, 1, 2, 0, 3, 4, 5} { // 0 is used twice, so 1 is closed first.
 		prober.Probe(ctx, 1, servers[i].upstream())
 		for end := time.Now().Add(10 * time.Second); len(servers[i].receivedLines()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if len(prober.conns) > maxConns {
-			t.Fatalf("%d are open", len(prober.conns))
+			t.Fatalf("%d connections are open, more than the limit", len(prober.conns))
 		}
 		if i == 3 && (prober.conns[servers[1].endpoint().ID] != nil || prober.conns[servers[0].endpoint().ID] == nil) {
-			t.Error("another than the least recently used one was closed")
+			t.Error("the connection that was closed is not the least recently used one")
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -103,7 +103,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are open, %d wanted", open, maxConns)
+			t.Fatalf("%d connections are open, want %d", open, maxConns)
 		}
 	}
 }
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The end of one side is relayed as it is: a close as a close, a reset as a reset.
+// A close of one side is relayed to the other as a close, a reset as a reset.
 func TestCloseIsRelayed(t *testing.T) {
 	t.Parallel()
 	t.Run("server's FIN", func(t *testing.T) {
@@ -59,14 +59,15 @@
 			}
 			c.conn.Close()
 			if err := <-readErrors; (err != nil) != reset {
-				t.Errorf("the server read until %v", err)
+				t.Errorf("the server's read ended with %v", err)
 			}
 		})
 	}
 }
 
-// A room server that closes a connection after its client did, with a FIN or with a RST, has not failed. Otherwise
-// servers would be ejected for clients that hang up, and a crowd that drops would find none when it comes back.
+// A room server that closes a connection after its client did, with a FIN or a RST, has not failed. If this counted
+// as a failure, servers would be ejected because their clients disconnect, and clients that all disconnect at once
+// would find no server when they reconnect.
 func TestClientCloseIsNoServerFault(t *testing.T) {
 	t.Parallel()
 	reset := func(conn net.Conn, r *bufio.Reader) {
@@ -88,46 +89,49 @@
 				}
 			}
 			if s := b.engine.CurrentSnapshot(5 * time.Second); s.Ejected != 0 || s.Listed != 2 {
-				t.Errorf("%d of %d room servers are ejected", s.Ejected, s.Listed)
+				t.Errorf("%d of %d room servers are ejected, want 0 of 2", s.Ejected, s.Listed)
 			}
 		})
 	}
 }
 
-// The engine's command to migrate a client crosses the room server's own close. The client sees one end and no MOVE
-// after it.
+// The engine's command to migrate a client is executed after the room server has closed the connection. The client
+// sees one end of the connection, and no MOVE after it.
 func TestMigrateCrossesServerClose(t *testing.T) {
 	b := newTestBalancer(t)
-	frontend := New(b.engine, testNames, largeBudget, logrus.New()) // It does not serve.
+	frontend := New(b.engine, testNames, largeBudget, logrus.New()) // Serve is not called.
 	for name, code := range map[string]decide.Code{"after BYE": decide.OK, "after MOVE": decide.Cancelled} {
 		t.Run(name, func(t *testing.T) {
 			conn, client := newTCPPair(t)
 			server, _ := newTCPPair(t)
 			c := frontend.newClientConn(conn)
 			c.call = b.engine.Accept(c, core.ConnTraits{})
-			frontend.descriptors <- struct{}{} // The dial's descriptor, which closing the connection releases.
+			frontend.descriptors <- struct{}{} // The dial's descriptor, which the close releases.
 			c.upstream = &upstreamConn{conn: server, text: textproto.NewConn(server), cancel: func() {}}
 			c.established = true
 			if !c.handleUpstreamClosed(upstreamClosedEvent{code, io.EOF}) {
 				t.Fatal("the actor ended before its client did")
 			}
 			if !c.execute(context.Background(), migrateCommand{}) {
-				t.Fatal("the late command ended the actor")
+				t.Fatal("the migrate command ended the actor")
 			}
 			client.wantEOF()
 			if n := len(frontend.descriptors); n != 0 {
-				t.Fatalf("%d descriptors are in use after the end", n)
+				t.Fatalf("%d descriptors are in use after the close, want 0", n)
 			}
 		})
 	}
 }
 
-// A migration that finds a line half read relays the complete line before MOVE. After the room server's own end no MOVE
-// follows.
+// If a line was read in part when a migration starts, the complete line is relayed before MOVE. After the room
+// server's own BYE or MOVE, no further MOVE follows.
+//
+// Known fault: the write deadline of 0.5 s starts with the migrate command, and the wait for the rest of a line uses
+// up to 0.3 s of it. This test may therefore fail if a goroutine is delayed by more than 0.2 s.
 func TestMigrateBetweenLines(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t)
-	frontend := New(b.engine, testNames, largeBudget, b.frontend.log) // It does not serve.
+	frontend := New(b.engine, testNames, largeBudget, b.frontend.log) // Serve is not called.
 	for name, lines := range map[string]struct{ before, after, want string }{
 		"half a line, then its rest": {"re he", "llo\r\n", "re hello\r\nMOVE\r\n"},
 		"half a line, no rest":       {"re he", "", "MOVE\r\n"},
@@ -144,7 +148,7 @@
 			up := &upstreamConn{conn: upstream, text: textproto.NewConn(upstream), cancel: func() {}}
 			c.upstream, c.established = up, true
 			server.send(lines.before)
-			up.text.R.Peek(len(lines.before)) // It is buffered, but not relayed yet.
+			up.text.R.Peek(len(lines.before)) // The line is buffered, but not relayed yet.
 			c.execute(context.Background(), migrateCommand{})
 			server.send(lines.after)
 			frontend.readers.Go(func() { c.relayToClient(up) })
@@ -158,7 +162,7 @@
 	}
 }
 
-// The client of an established connection whose room server stops responding is migrated well within 7 s.
+// If the room server of an established connection stops responding, the client is migrated well within 7 s.
 func TestUnresponsiveServerMigratesClient(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", func(conn net.Conn, r *bufio.Reader) {
@@ -173,11 +177,11 @@
 	c.wantLine("MOVE\r\n")
 	c.wantEOF()
 	if d := time.Since(start); d > 7*time.Second {
-		t.Errorf("migrated after %v", d)
+		t.Errorf("migrated only after %v", d)
 	}
 }
 
-// A client that does not read slows its room server down and affects nobody else, nor a drain.
+// A client that does not read slows down its room server. It affects no other client and does not delay a drain.
 func TestBackpressure(t *testing.T) {
 	t.Parallel()
 	written := make(chan int, 1)
@@ -195,16 +199,16 @@
 	slow.send(newRequestLine())
 	slow.wantLine("UP r\r\n")
 	if n := <-written; n > 64<<10 {
-		t.Errorf("%d KiB were accepted for a client that does not read", n)
+		t.Errorf("the balancer accepted %d KiB for a client that does not read", n)
 	}
 	other := b.newClient(t)
 	other.send(newRequestLine())
 	other.wantLine("UP r\r\n")
-	// Draining ends, and all actors do.
+	// The drain ends, and so do all actors.
 	select {
 	case <-b.engine.Drain(3*time.Second, nil):
 	case <-time.After(20 * time.Second):
-		t.Fatal("the drain does not end")
+		t.Fatal("timed out waiting for the end of the drain")
 	}
 	b.stop()
 }
--- a/internal/frontend/platform/request_line_test.go
+++ b/internal/frontend/platform/request_line_test.go
@@ -7,7 +7,7 @@
 	"cottonplank/decide"
 )
 
-// Each field of a request line is parsed by its name on the wire.
+// Each field of a request line is parsed under its name on the wire.
 func TestParseRequestLine(t *testing.T) {
 	const (
 		before = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,t=familles,d="
@@ -37,7 +37,7 @@
 	}
 }
 
-// The values of a load report are parsed by their names on the wire.
+// The values of a load report are parsed under their names on the wire.
 func TestParseLoadReport(t *testing.T) {
 	want := decide.NoLoadReport
 	want.Load, want.Connections = 0.61, 7
--- a/internal/frontend/platform/request_test.go
+++ b/internal/frontend/platform/request_test.go
@@ -28,7 +28,7 @@
 	got := s.receivedLines()[0]
 	before, after, _ := strings.Cut(line, "d=2000")
 	if !strings.HasPrefix(got, before+"d=") || !strings.HasSuffix(got, after) || got == line {
-		t.Errorf("forwarded %q", got)
+		t.Errorf("forwarded %q, want only the timeout changed", got)
 	}
 }
 
@@ -68,11 +68,11 @@
 	c.send(newRequestLine())
 	c.wantLine("UP receipt-1\r\n")
 	if n := len(s.receivedLines()); n != 1 {
-		t.Errorf("%d lines reached the room server, want the valid one", n)
+		t.Errorf("%d lines reached the room server, want only the valid one", n)
 	}
 }
 
-// A request whose id belongs to an open connection, or did so lately, fails at once; the first one is not affected.
+// A request with the ID of an open or recently closed connection fails at once. The first request is not affected.
 func TestDuplicateRequestIDFails(t *testing.T) {
 	t.Parallel()
 	s := newFakeServer(t, "s-1", serveEcho)
@@ -93,11 +93,11 @@
 	third.send(duplicate)
 	third.wantLine("ERR\r\n")
 	if n := len(s.receivedLines()); n != 1 {
-		t.Errorf("%d lines reached the room server, want the first", n)
+		t.Errorf("%d lines reached the room server, want only the first", n)
 	}
 }
 
-// A client that sends more before its answer gets ERR at once, and its attempt is cancelled.
+// A client that sends more data before its answer gets ERR at once, and its attempt is cancelled.
 func TestDataBeforeAnswerFails(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
@@ -116,7 +116,8 @@
 	<-closed
 }
 
-// A line without an end is answered before all of it is read, and the client gets the answer although it sends on.
+// A line that never ends is answered as soon as it exceeds the maximum length. The client gets the answer although it
+// continues to send.
 func TestUnterminatedLineFails(t *testing.T) {
 	t.Parallel()
 	c := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho)).newClient(t)
@@ -129,11 +130,12 @@
 	}()
 	c.wantLine("ERR\r\n")
 	if line, err := c.r.ReadString('\n'); err == nil {
-		t.Errorf("read %q, want the end", line)
+		t.Errorf("read %q, want an error", line)
 	}
 }
 
-// A client that takes more than 2 s to write its request line in two pieces is served, wherever the line is cut.
+// A client is served if it sends its request line in two pieces that are more than 2 s apart, wherever the line is
+// split.
 func TestSlowRequestLinesAreServed(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
@@ -152,8 +154,8 @@
 	writers.Wait()
 }
 
-// A request that has arrived but was not read yet is not aborted like an idle connection. On a machine with all cores
-// busy, one of 675 clients was cut off that way.
+// A connection whose request has arrived but is not read yet must not be aborted as idle. Such a delay occurs on a
+// machine with all cores busy, where one of 675 clients was disconnected that way.
 func TestUnreadRequestIsNotAborted(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t)
@@ -205,12 +207,12 @@
 		c.wantLine(fmt.Sprintf("re %d\r\n", i))
 	}
 	if n := len(s1.receivedLines()); n > 0 {
-		t.Errorf("%d lines went to the other server", n)
+		t.Errorf("%d lines reached the other server", n)
 	}
 }
 
-// A connection that was open before a restart is not restored at a draining room server once its grace is over; a dial
-// that began before is cancelled then.
+// A connection that was open before a restart is not restored at a draining room server after its grace period. A
+// dial that began before the end of the grace period is cancelled when it ends.
 func TestRestoreEndsWithDrainGrace(t *testing.T) {
 	t.Parallel()
 	s := newFakeServer(t, "s-1", serveEcho)
@@ -220,19 +222,19 @@
 	b.engine.EndpointsUpdated(s.deltaWithState(decide.Draining))
 	c.submit(strings.TrimRight(newRequestLine(), "\r\n") + ",at=s-1")
 	b.waitForEngine()
-	if cmd, ok := c.pendingCommand(); ok { // The grace was not over yet.
+	if cmd, ok := c.pendingCommand(); ok { // The grace period has not ended yet.
 		c.execute(t.Context(), cmd)
 		dialed := (<-c.events).(dialedEvent)
-		c.execute(t.Context(), <-c.commands) // The cancellation at its end.
+		c.execute(t.Context(), <-c.commands) // The cancellation at the end of the grace period.
 		c.handle(dialed)
 	}
-	for range 2 { // A further attempt would be commanded within this time.
-		time.Sleep(beyondRestoreRetry)
+	for range 2 { // The engine would start a further attempt within this time.
+		time.Sleep(restoreRetryWait)
 		if cmd, ok := c.pendingCommand(); ok {
-			t.Fatalf("the engine commands %T", cmd)
+			t.Fatalf("the engine sent %T, want no further command", cmd)
 		}
 	}
 	if n := len(s.receivedLines()); n > 0 {
-		t.Errorf("%d lines went to the draining room server", n)
+		t.Errorf("%d lines reached the draining room server", n)
 	}
 }
--- a/internal/frontend/platform/retry_test.go
+++ b/internal/frontend/platform/retry_test.go
@@ -10,7 +10,7 @@
 	"cottonplank/decide"
 )
 
-// After each bad response the request is retried at another server.
+// A request whose room server responds in one of these ways, or not at all, is retried at another server.
 func TestRetryAfterBadResponse(t *testing.T) {
 	t.Parallel()
 	for name, handler := range map[string]serverHandler{
@@ -37,13 +37,13 @@
 				c.wantLine("UP receipt-1\r\n")
 			}
 			if n := len(bad.receivedLines()); n == 0 {
-				t.Error("the bad server was never tried")
+				t.Error("no request was sent to the bad server")
 			}
 		})
 	}
 }
 
-// A request that no server accepts is rejected at once, not near its deadline.
+// A request that no server accepts is rejected at once, long before its deadline.
 func TestRejectedWithoutWaiting(t *testing.T) {
 	t.Parallel()
 	s1, s2 := newFakeServer(t, "s-1", respond("BUSY\r\n")), newFakeServer(t, "s-2", respond("BUSY\r\n"))
@@ -64,16 +64,17 @@
 	answerErr  = "ERR"
 )
 
-// idempotencyCase is a setting of the request class, and the answers to requests whose first attempt failed.
+// idempotencyCase is a setting of the request class, with the expected answers to requests whose first attempt
+// failed.
 type idempotencyCase struct {
 	change func(*decide.Settings)
-	// mayHaveExecuted is the answer if the first attempt may have been executed.
+	// mayHaveExecuted is the answer if the first attempt may have been executed and did not time out.
 	mayHaveExecuted string
-	// timedOut is the answer if it may have been executed and timed out.
+	// timedOut is the answer if the first attempt may have been executed and timed out.
 	timedOut string
 }
 
-// setIdempotentByKey makes requests of the class idempotent by their key.
+// setIdempotentByKey returns a change of the settings that makes the requests of the class idempotent by key.
 func setIdempotentByKey(scope decide.KeyScope, window time.Duration) func(*decide.Settings) {
 	return func(settings *decide.Settings) {
 		class := &settings.Classes[0]
@@ -81,9 +82,9 @@
 	}
 }
 
-// idempotencyCases are the cases by their names.
+// idempotencyCases returns the cases by name.
 func idempotencyCases() map[string]idempotencyCase {
-	windowLikeDial := func(settings *decide.Settings) {
+	windowEqualsDialTimeout := func(settings *decide.Settings) {
 		setIdempotentByKey(decide.ScopeAll, time.Second)(settings)
 		settings.ConnectTimeout = time.Second
 	}
@@ -94,12 +95,12 @@
 		"by key in the zone":           {setIdempotentByKey(decide.ScopeZone, 5*time.Second), answerErr, answerErr},
 		"by key in the cell":           {setIdempotentByKey(decide.ScopeCell, 5*time.Second), answerErr, answerErr},
 		"by key, window over":          {setIdempotentByKey(decide.ScopeAll, time.Nanosecond), answerBusy, answerBusy},
-		"by key, window over in dials": {windowLikeDial, answerBusy, answerBusy},
+		"by key, window over in dials": {windowEqualsDialTimeout, answerBusy, answerBusy},
 	}
 }
 
-// Whether a failed attempt is retried depends on the class's idempotency. No request is executed twice that must not
-// be, and the client is told that a retry is harmless only if it is.
+// The idempotency of the class determines whether a failed attempt is retried. No request is executed twice unless
+// that is allowed, and the client gets BUSY, which permits a retry, only if a retry is harmless.
 func TestRetriesByIdempotency(t *testing.T) {
 	t.Parallel()
 	reset := func(conn net.Conn, _ *bufio.Reader) { conn.(*net.TCPConn).SetLinger(0) }
@@ -122,7 +123,7 @@
 		} {
 			t.Run(idempotency+"/"+fault, func(t *testing.T) {
 				t.Parallel()
-				// The own zone is preferred, so the first attempt fails and a retry goes to the other zone.
+				// The own zone is preferred, so the first attempt fails, and a retry is sent to the other zone.
 				bad, good := newFakeServer(t, "s-1", first.handler), newFakeServer(t, "s-2", serveEcho)
 				if first.handler == nil {
 					bad.listener.Close()
@@ -137,15 +138,15 @@
 					t.Errorf("answered %q, want %s", line, first.want)
 				}
 				if n := len(good.receivedLines()); (n == 1) != (first.want == answerUp) {
-					t.Errorf("%d lines went to the next server", n)
+					t.Errorf("%d lines reached the next server", n)
 				}
 			})
 		}
 	}
 }
 
-// A drain ends attempts at a room server that hangs. The answer says that a retry is harmless only if it is, and when
-// to retry only if the settings allow that.
+// A drain ends attempts at a room server that hangs. The answer is BUSY, which permits a retry, only if a retry is
+// harmless. It says when to retry only if the settings allow that.
 func TestDrainAnswersByIdempotency(t *testing.T) {
 	t.Parallel()
 	oneAttempt := func(settings *decide.Settings) {
@@ -154,8 +155,8 @@
 	}
 	noRetryAfter := func(settings *decide.Settings) { settings.MaxRetryAfter, settings.MaxAttempts = 0, 1 }
 	for name, answers := range map[string]struct {
-		change                        func(*decide.Settings)
-		duringAttempt, afterAdmission string
+		change                       func(*decide.Settings)
+		duringAttempt, afterLastStep string
 	}{
 		"not idempotent": {oneAttempt, "ERR\r\n", "BUSY 1000\r\n"},
 		"no retry after": {noRetryAfter, "BUSY\r\n", "BUSY\r\n"},
@@ -165,12 +166,12 @@
 			b := newTestBalancerWithSettings(t, largeBudget, answers.change, s)
 			c := b.newClient(t)
 			c.send(newRequestLine())
-			waitUntil(t, "the attempt", func() bool { return len(s.receivedLines()) == 1 })
+			waitUntil(t, "the attempt's request line", func() bool { return len(s.receivedLines()) == 1 })
 			b.engine.Drain(time.Second, nil)
 			c.wantLine(answers.duringAttempt)
-			late := b.newClient(t) // It comes after the drain's last step, and nothing is forwarded for it.
+			late := b.newClient(t) // It arrives after the drain's last step, so its request is not forwarded.
 			late.send(newRequestLine())
-			late.wantLine(answers.afterAdmission)
+			late.wantLine(answers.afterLastStep)
 		})
 	}
 }
--- a/internal/frontend/platform/session_bench_test.go
+++ b/internal/frontend/platform/session_bench_test.go
@@ -12,7 +12,7 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// establish sends a request and waits for its acceptance.
+// establish sends a request and waits for the acceptance.
 func establish(b *testing.B, addr, line string) *testClient {
 	b.Helper()
 	c := dialClient(b, addr)
@@ -23,7 +23,8 @@
 	return c
 }
 
-// establishSession sends a request with a token, or with "new", and waits for its acceptance and for the next token.
+// establishSession sends a request with a token, or with "new" instead of one, and waits for the acceptance and the
+// next token.
 func establishSession(b *testing.B, addr, token string) (c *testClient, nextToken string) {
 	b.Helper()
 	c = establish(b, addr, requestLineWithToken(token))
@@ -34,9 +35,9 @@
 	return c, strings.TrimSpace(strings.TrimPrefix(line, "TOKEN "))
 }
 
-// BenchmarkEstablish is the establishment and the end of a connection through one balancer: with sessions disabled,
-// with sessions enabled for a client that asks for none, for one that gets a token, and for one whose session
-// migrates.
+// BenchmarkEstablish measures the establishment and the close of a connection through one balancer. The variants are:
+// sessions disabled ("off"); sessions enabled, but not requested ("on"); a new session with a token ("token"); a
+// session that migrates ("move").
 func BenchmarkEstablish(b *testing.B) {
 	for _, variant := range []struct {
 		name     string
@@ -73,7 +74,7 @@
 	c.conn.Close()
 }
 
-// migrateSession measures the establishment of a session that migrates, without the start of the session before.
+// migrateSession measures the establishment of a session that migrates. The start of the session is not measured.
 func migrateSession(b *testing.B, s *sessionFixture, i int) {
 	b.StopTimer()
 	s.setOnlyReady(i % 2)
@@ -85,8 +86,8 @@
 	c.conn.Close()
 }
 
-// warmUp establishes some connections at each room server, so that the balancer learns the load of a connection and
-// delays no request later.
+// warmUp establishes some connections at each room server. From these the balancer estimates the load of a
+// connection, so that it does not delay later requests.
 func warmUp(b *testing.B, s *sessionFixture) {
 	for server := range s.servers {
 		s.setOnlyReady(server)
@@ -103,7 +104,8 @@
 	time.Sleep(3 * time.Second)
 }
 
-// BenchmarkSessionMemory is the memory of an established connection, and of one whose session's state is in flight.
+// BenchmarkSessionMemory measures the memory of an established connection (state=0), and of a connection whose
+// session's state is in flight.
 func BenchmarkSessionMemory(b *testing.B) {
 	for _, state := range []int{0, 2048, 65536} {
 		b.Run(fmt.Sprintf("state=%d", state), func(b *testing.B) {
--- a/internal/frontend/platform/session_fixture_test.go
+++ b/internal/frontend/platform/session_fixture_test.go
@@ -15,10 +15,10 @@
 // stateTimeout is how long the balancers of a sessionFixture wait for a session's state.
 const stateTimeout = 400 * time.Millisecond
 
-// sessionServer is a room server that keeps sessions, with a state of 100 bytes each.
+// sessionServer configures a room server that keeps sessions with 100 bytes of state each.
 var sessionServer = emulator.RoomServerConfig{ResumesSessions: true, StateBytes: 100}
 
-// sessionFixture is some balancers with common token keys and some room servers that keep sessions.
+// sessionFixture is a set of balancers with common token keys, and of room servers that keep sessions.
 type sessionFixture struct {
 	t         testing.TB
 	servers   []*emulator.RoomServer
@@ -27,7 +27,7 @@
 	limits    SessionLimits
 }
 
-// newSessionFixture starts room servers and a number of balancers.
+// newSessionFixture starts the given room servers and a number of balancers.
 func newSessionFixture(t testing.TB, balancers int, servers ...emulator.RoomServerConfig) *sessionFixture {
 	t.Helper()
 	key, err := token.NewKey(time.Now().Add(-time.Hour), time.Now().Add(time.Hour), zeroReader{})
@@ -56,19 +56,19 @@
 	return s
 }
 
-// withT returns the fixture for a subtest.
+// withT returns a copy of the fixture for a subtest.
 func (s *sessionFixture) withT(t testing.TB) *sessionFixture {
 	forSubtest := *s
 	forSubtest.t = t
 	return &forSubtest
 }
 
-// zeroReader is a source of random bytes that are all 0.
+// zeroReader is a source of zero bytes, in place of random ones.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// startBalancer starts another balancer, as after a restart: it knows the keys and no session.
+// startBalancer starts another balancer. Like a balancer after a restart, it has the token keys but knows no session.
 func (s *sessionFixture) startBalancer() *testBalancer {
 	s.t.Helper()
 	var known []core.Endpoint
@@ -96,7 +96,7 @@
 	})
 }
 
-// endpoint returns a room server's line in the endpoint list.
+// endpoint returns a room server's entry in the endpoint list.
 func (s *sessionFixture) endpoint(server int, state decide.State) core.Endpoint {
 	emulated := s.servers[server]
 	return core.Endpoint{
@@ -106,7 +106,7 @@
 	}
 }
 
-// setState tells all balancers the state of a room server.
+// setState updates the state of a room server in the endpoint lists of all balancers.
 func (s *sessionFixture) setState(server int, state decide.State) {
 	update := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: []core.Endpoint{s.endpoint(server, state)}}
 	for _, b := range s.balancers {
@@ -115,7 +115,7 @@
 	}
 }
 
-// setOnlyReady makes one room server ready and all others draining.
+// setOnlyReady sets the state of one room server to ready and that of all others to draining.
 func (s *sessionFixture) setOnlyReady(server int) {
 	for i := range s.servers {
 		state := decide.Draining
@@ -126,12 +126,12 @@
 	}
 }
 
-// requestLineWithToken returns a request line with a new id and a session token.
+// requestLineWithToken returns a request line with a new ID and a session token.
 func requestLineWithToken(token string) string {
 	return strings.Replace(newRequestLine(), "\r\n", ",resume="+token+"\r\n", 1)
 }
 
-// startSession starts a session at a room server and plays some moves; it returns its client and its token.
+// startSession starts a session at a room server and plays some moves. It returns the client and its token.
 func (s *sessionFixture) startSession(b *testBalancer, server, moves int) (*testClient, string) {
 	s.t.Helper()
 	s.setOnlyReady(server)
@@ -140,8 +140,8 @@
 	return c, c.wantSession(0, moves)
 }
 
-// wantSession reads the acceptance and the token, wants the session at a position, and plays some moves. It returns the
-// token.
+// wantSession reads the acceptance and the token, checks that the session is at the given position, and plays some
+// moves. It returns the token.
 func (c *testClient) wantSession(position, moves int) string {
 	c.t.Helper()
 	if line := c.readLine(); !strings.HasPrefix(line, "UP s-") {
@@ -149,7 +149,7 @@
 	}
 	token, ok := strings.CutPrefix(c.readLine(), "TOKEN ")
 	if !ok {
-		c.t.Fatalf("read no token: %q", token)
+		c.t.Fatalf("read %q, want a TOKEN line", token)
 	}
 	c.send("HAVE\r\n")
 	c.wantLine(fmt.Sprintf("POS %d\r\n", position))
@@ -160,7 +160,7 @@
 	return token
 }
 
-// presentToken sends a request with a token and returns its client.
+// presentToken sends a request with a token and returns the client.
 func (s *sessionFixture) presentToken(b *testBalancer, token string) *testClient {
 	s.t.Helper()
 	c := b.newClient(s.t)
@@ -168,7 +168,8 @@
 	return c
 }
 
-// wantFinalAnswer presents a token and wants a final answer within a time, and the end of the connection after it.
+// wantFinalAnswer presents a token and checks that the balancer answers with want within a time and closes the
+// connection.
 func (s *sessionFixture) wantFinalAnswer(b *testBalancer, token, want string, within time.Duration) {
 	s.t.Helper()
 	start := time.Now()
@@ -177,26 +178,27 @@
 		s.t.Fatalf("answered %q, want %q", line, want)
 	}
 	if took := time.Since(start); took > within {
-		s.t.Errorf("%s after %v", want, took)
+		s.t.Errorf("answer %q took %v", want, took)
 	}
 	c.wantEOF()
 }
 
-// drainAndMove drains the client's room server and makes another one ready. It returns the token that the client gets.
+// drainAndMove drains the client's room server and sets another one to ready. It checks that the client gets MOVE,
+// and returns the token that the client gets with it.
 func (s *sessionFixture) drainAndMove(c *testClient, from, to int) string {
 	s.t.Helper()
 	s.setOnlyReady(to)
 	s.servers[from].Drain()
 	token, ok := strings.CutPrefix(c.readLine(), "TOKEN ")
 	if !ok {
-		s.t.Fatalf("read %q before MOVE", token)
+		s.t.Fatalf("read %q, want a TOKEN line before MOVE", token)
 	}
 	c.wantLine("MOVE\r\n")
 	c.wantEOF()
 	return token
 }
 
-// startedOverCount returns how many sessions a balancer has answered to start over for a reason.
+// startedOverCount returns how many clients a balancer has told to start over for a reason.
 func (s *sessionFixture) startedOverCount(b *testBalancer, reason core.Reason) uint64 {
 	return b.engine.CurrentSnapshot(5 * time.Second).StartedOver[reason]
 }
--- a/internal/frontend/platform/session_migration_test.go
+++ b/internal/frontend/platform/session_migration_test.go
@@ -15,8 +15,8 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// A session whose room server drains continues at another server through another balancer, twice, with every move kept:
-// token, export, import, commit and attach.
+// A session whose room server drains continues at another server and through another balancer, twice, without losing
+// a move. This covers token, export, import, commit and attach.
 func TestSessionMigrates(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer, sessionServer, sessionServer)
@@ -25,7 +25,7 @@
 	c = s.presentToken(s.balancers[1], token)
 	next := c.wantSession(3, 2)
 	if next == token {
-		t.Error("no new token")
+		t.Error("the resumed session got its old token again, want a new one")
 	}
 	token = s.drainAndMove(c, 1, 2)
 	s.presentToken(s.balancers[0], token).wantSession(5, 1)
@@ -35,11 +35,12 @@
 		}
 	}
 	if n := s.balancers[1].engine.CurrentSnapshot(5 * time.Second).Resumed; n != 1 {
-		t.Errorf("%d resumed at the second balancer", n)
+		t.Errorf("%d sessions resumed at the second balancer, want 1", n)
 	}
 }
 
-// A client whose balancer dies comes back to the room server that still has its session; its old token is used then.
+// A client whose balancer stops reconnects to the room server that still holds its session. After that, its old token
+// is rejected as used.
 func TestSessionReattachesAfterRestart(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer)
@@ -50,7 +51,8 @@
 	s.wantFinalAnswer(restarted, token, "ANEW used", time.Second)
 }
 
-// A balancer that loses the connection at GO retries within the same request, redirected by the old server's tombstone.
+// A balancer that loses the connection to the new room server at GO retries within the same request. The tombstone at
+// the old server redirects it.
 func TestLostActivateIsRetried(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer, sessionServer)
@@ -61,7 +63,7 @@
 	s.presentToken(s.balancers[0], token).wantSession(3, 1)
 }
 
-// A balancer dies during an attach, before the client was told: the token stays valid and no move is lost.
+// A balancer stops during an attach, before the client gets an answer. The token stays valid, and no move is lost.
 func TestInterruptedAttachKeepsSession(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]emulator.Faults{
@@ -78,13 +80,13 @@
 				server.InjectFaults(fault)
 			}
 			c = s.presentToken(s.balancers[0], token)
-			time.Sleep(100 * time.Millisecond) // The attach has begun by now.
-			s.balancers[0].stop()              // It ends between export and attach.
+			time.Sleep(100 * time.Millisecond) // The attach has started by now.
+			s.balancers[0].stop()              // The request is interrupted between export and attach.
 			for _, server := range s.servers {
 				server.InjectFaults(emulator.Faults{})
 			}
 			s.setOnlyReady(2)
-			for range 20 { // Until the end of the first attach is noticed, the answer is to retry.
+			for range 20 { // The answer is BUSY until the servers have noticed the end of the first attach.
 				c = s.presentToken(s.balancers[1], token)
 				if raw, _ := c.r.Peek(4); string(raw) != "BUSY" {
 					break
@@ -96,7 +98,7 @@
 	}
 }
 
-// A client that closes during the transfer of its state leaves no resources in use, and can come back to its session.
+// A client that closes during the transfer of its state leaves no resources in use, and can resume its session later.
 func TestClientClosesDuringStateTransfer(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer)
@@ -110,26 +112,26 @@
 	time.Sleep(100 * time.Millisecond)
 	s.presentToken(s.balancers[0], token).wantSession(3, 1)
 	if !s.balancers[0].frontend.sessions.migrations.TryAcquire(63) {
-		t.Error("the cancelled migration is still counted")
+		t.Error("the cancelled migration still holds its slot")
 	}
 }
 
-// The new room server drains during the migration: the session continues at a third one.
+// The new room server drains during the migration. The session continues at a third one.
 func TestTargetDrainsDuringMigration(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer, sessionServer, sessionServer)
 	c, _ := s.startSession(s.balancers[0], 0, 3)
 	token := s.drainAndMove(c, 0, 1)
-	s.servers[1].Drain() // Discovery is late: the balancers still have it as ready.
+	s.servers[1].Drain() // Discovery is delayed: in the balancers' lists it is still ready.
 	s.setState(2, decide.Ready)
 	s.presentToken(s.balancers[1], token).wantSession(3, 1)
 	if _, n := s.servers[2].Sessions(); n != 1 {
-		t.Errorf("%d attached at the third", n)
+		t.Errorf("%d sessions attached at the third server, want 1", n)
 	}
 }
 
-// The new room server dies while the migration waits for its commit: the balancer asks whether it was committed, and
-// the session continues at a third server.
+// The new room server stops while the migration waits for its commit. The balancer asks the old server whether the
+// migration was committed, and the session continues at a third one.
 func TestTargetDiesDuringMigration(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer, sessionServer)
@@ -139,7 +141,7 @@
 	c = s.presentToken(s.balancers[0], token)
 	for end := time.Now().Add(10 * time.Second); s.servers[0].StalledCommits() != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the commit did not come")
+			t.Fatal("timed out waiting for the commit")
 		}
 	}
 	s.servers[0].InjectFaults(emulator.Faults{})
@@ -148,8 +150,8 @@
 	c.wantSession(3, 1)
 }
 
-// The clients of a lame duck get their tokens with MOVE and continue through another balancer at the same server, as
-// after any migration that a balancer starts itself.
+// The clients of a lame duck get new tokens with MOVE and continue at the same server through another balancer. The
+// same holds for any migration that a balancer starts.
 func TestLameDuckMigratesSessions(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer)
@@ -159,13 +161,13 @@
 	}
 	token, ok := strings.CutPrefix(c.readLine(), "TOKEN ")
 	if !ok || token == first {
-		t.Fatalf("read %q", token)
+		t.Fatalf("read %q, want a line with a new token", token)
 	}
 	c.wantLine("MOVE\r\n")
 	s.presentToken(s.balancers[1], token).wantSession(3, 1)
 }
 
-// A group of 60 clients is migrated at once: all of them continue, at one room server.
+// A group of 60 clients is migrated at once. All clients continue at the same room server.
 func TestWholeGroupMigrates(t *testing.T) {
 	t.Parallel()
 	const players = 60
@@ -176,18 +178,18 @@
 		c, _ := s.startSession(s.balancers[i%2], 0, 1)
 		clients = append(clients, c)
 	}
-	// Clients of other groups, from which the balancers learn the load of a connection.
+	// From clients of other groups the balancers estimate the load of a connection.
 	for i := range players {
 		s.setOnlyReady(1 + i%2)
 		c := s.balancers[i/2%2].newClient(t)
 		c.send(strings.Replace(newRequestLine(), "g=5c0f6e1a", fmt.Sprintf("g=other%d", i), 1))
 		if line := c.readLine(); !strings.HasPrefix(line, "UP s-") {
-			t.Fatalf("read %q", line)
+			t.Fatalf("read %q, want UP", line)
 		}
 	}
 	s.setState(1, decide.Ready)
 	s.setState(2, decide.Ready)
-	time.Sleep(1500 * time.Millisecond) // Both are probed by then, as servers that have run for a while are.
+	time.Sleep(1500 * time.Millisecond) // By then both servers were probed, like servers in normal operation.
 	s.setState(0, decide.Draining)
 	s.servers[0].Drain()
 	var migrations sync.WaitGroup
@@ -197,7 +199,7 @@
 			token, hasToken := strings.CutPrefix(string(rest), "TOKEN ")
 			token, hasMove := strings.CutSuffix(token, "\r\nMOVE\r\n")
 			if !hasToken || !hasMove {
-				t.Errorf("read %q", rest)
+				t.Errorf("read %q, want TOKEN and MOVE", rest)
 				return
 			}
 			reconnectWithToken(t, s.balancers[(i+1)%2].addr, token)
@@ -207,12 +209,11 @@
 	_, atSecond := s.servers[1].Sessions()
 	_, atThird := s.servers[2].Sessions()
 	if atSecond+atThird != players || atSecond != 0 && atThird != 0 {
-		t.Errorf("%d and %d attached", atSecond, atThird)
+		t.Errorf("%d sessions attached at the second server and %d at the third, want all at one of them", atSecond, atThird)
 	}
 }
 
-// reconnectWithToken presents a token and wants the session to be resumed. It may be called outside the test's
-// goroutine.
+// reconnectWithToken presents a token and checks that the session is resumed. It may be called from any goroutine.
 func reconnectWithToken(t *testing.T, addr, token string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -238,7 +239,8 @@
 	s.presentToken(s.balancers[0], s.drainAndMove(c, 0, 1)).wantSession(3, 1)
 }
 
-// Beyond the limit on state bytes in flight a client is told to retry, and its state stays where it is.
+// If the limit on state bytes in flight is reached, a client is told to retry, and its state stays at its room
+// server.
 func TestStateBytesLimit(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer)
@@ -246,7 +248,7 @@
 	token := s.drainAndMove(c, 0, 1)
 	sessions := s.balancers[0].frontend.sessions
 	if !sessions.stateBytes.TryAcquire(1 << 20) {
-		t.Fatal("state bytes are in use already")
+		t.Fatal("state bytes are in use before the test")
 	}
 	s.wantFinalAnswer(s.balancers[0], token, "BUSY 250", time.Second)
 	sessions.stateBytes.Release(1 << 20)
@@ -256,8 +258,8 @@
 	}
 }
 
-// A session that cannot be resumed is answered at once with the reason, and the client can start over. It must neither
-// hang nor continue with an empty session unknowingly.
+// A request whose session cannot be resumed is answered at once with the reason, and the client can start a new
+// session. It must neither hang nor get an empty session without knowing it.
 func TestStartOver(t *testing.T) {
 	t.Parallel()
 	holderFault := func(faults emulator.Faults) func(*sessionFixture) {
@@ -286,11 +288,11 @@
 			scenario.inject(s)
 			s.wantFinalAnswer(s.balancers[0], token, "ANEW "+scenario.reason, stateTimeout+time.Second)
 			if n := s.startedOverCount(s.balancers[0], core.Reason(scenario.reason)); n != 1 {
-				t.Errorf("%d counted", n)
+				t.Errorf("%d clients counted with this reason, want 1", n)
 			}
 			c = s.presentToken(s.balancers[0], "new")
 			if line := c.readLine(); !strings.HasPrefix(line, "UP ") {
-				t.Errorf("cannot start over: %q", line)
+				t.Errorf("a new session is answered with %q, want UP", line)
 			}
 		})
 	}
--- a/internal/frontend/platform/session_token_test.go
+++ b/internal/frontend/platform/session_token_test.go
@@ -12,8 +12,8 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// A token that is presented again is rejected, at every balancer and at any time. Otherwise an old token could attach a
-// second client to the session, or steal it.
+// A token that is presented again is rejected, at every balancer and at any time. Otherwise an old token could attach
+// a second client to the session, or take the session over.
 func TestReplayedTokenIsRejected(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer, sessionServer)
@@ -21,7 +21,7 @@
 	secondToken := s.drainAndMove(c, 0, 1)
 	c = s.presentToken(s.balancers[0], secondToken)
 	c.wantSession(3, 1)
-	for _, b := range append(s.balancers, s.startBalancer()) { // The last one as after a restart.
+	for _, b := range append(s.balancers, s.startBalancer()) { // The last balancer is like one after a restart.
 		s.wantFinalAnswer(b, secondToken, "ANEW used", time.Second)
 		s.wantFinalAnswer(b, firstToken, "ANEW used", time.Second)
 	}
@@ -32,8 +32,8 @@
 	s.wantFinalAnswer(s.balancers[1], secondToken, "ANEW over", time.Second)
 }
 
-// One token that is presented many times at once at two balancers attaches one client; the others are told to retry, or
-// that the token is used.
+// If one token is presented many times concurrently at two balancers, one client is attached. The others are told to
+// retry, or that the token was used.
 func TestConcurrentReplayAttachesOnce(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer, sessionServer)
@@ -52,20 +52,20 @@
 			case strings.HasPrefix(line, "UP "):
 				attached++
 			case !strings.HasPrefix(line, "BUSY") && !strings.HasPrefix(line, "ANEW used"):
-				t.Errorf("answered %q", line)
+				t.Errorf("answered %q, want UP, BUSY or ANEW used", line)
 			}
 		})
 	}
 	clients.Wait()
 	if attached != 1 {
-		t.Errorf("%d attached", attached)
+		t.Errorf("%d clients attached, want 1", attached)
 	}
 	if _, n := s.servers[1].Sessions(); n != 1 {
-		t.Errorf("%d sessions attached", n)
+		t.Errorf("%d sessions attached at the second server, want 1", n)
 	}
 }
 
-// sealToken seals a valid token that differs by change, for a session that no room server has.
+// sealToken seals a valid token, modified by change, for a session that no room server has.
 func sealToken(t *testing.T, key token.Key, change func(*token.Token)) string {
 	t.Helper()
 	ring, err := token.NewRing([]token.Key{key}, time.Hour)
@@ -81,8 +81,9 @@
 	return text
 }
 
-// Every token that is rejected is rejected with its own reason, before any room server is asked. A client that sends
-// the field of a balancer is rejected as well.
+// Each kind of invalid token is rejected with its own reason, before any room server is asked. A valid token of a
+// session that no room server has is rejected as well, and so is a client that sends the field reserved for
+// balancers.
 func TestRejectedTokens(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer)
@@ -117,7 +118,7 @@
 	s.presentToken(s.balancers[0], valid).wantSession(1, 1)
 }
 
-// While sessions are not enabled, every line about them is relayed unchanged.
+// While sessions are disabled, all lines of the session extension are relayed unchanged.
 func TestSessionsDisabledRelaysUnchanged(t *testing.T) {
 	t.Parallel()
 	const response = "UP receipt-1\r\nKEPT 1 0\r\nPOS 3\r\nTOKEN x\r\nMOVE\r\n"
@@ -134,7 +135,7 @@
 			c.send(line)
 			got, err := io.ReadAll(c.r)
 			if err != nil || string(got) != response {
-				t.Errorf("%q brings %q, %v", line, got, err)
+				t.Errorf("the answer to %q is %q, %v", line, got, err)
 			}
 			lines := server.receivedLines()
 			before, after, _ := strings.Cut(line, "d=2000")
@@ -146,7 +147,7 @@
 	}
 }
 
-// While sessions are enabled, clients that ask for none and room servers without the extension are served as before.
+// While sessions are enabled, clients that request none and room servers without the extension are served as before.
 func TestPeersWithoutSessionExtension(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, emulator.RoomServerConfig{})
@@ -165,10 +166,10 @@
 		t.Fatalf("read %q", line)
 	}
 	c.send("hello\r\n")
-	c.wantLine("RE hello\r\n") // No token comes before it.
+	c.wantLine("RE hello\r\n") // No token precedes it.
 }
 
-// The line that is forwarded differs from the client's only in the timeout and in the session's field.
+// The forwarded line differs from the client's only in the timeout and in the session's field.
 func TestRequestLineWithSession(t *testing.T) {
 	const head = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=solo-play,"
 	line, err := parseRequestLine(head+"resume=new,t=familles,d=2000,g=5c0f", testNames)
@@ -178,6 +179,6 @@
 	open := protocol.Open{Mode: protocol.ModeNew, Ref: token.Ref{Epoch: 1, Fence: 0xab}}
 	want := head + "session=" + open.String() + ",t=familles,d=1500,g=5c0f"
 	if got := line.withSession(1500*time.Millisecond, open); got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("line %q, want %q", got, want)
 	}
 }
--- a/internal/frontend/platform/test_balancer_test.go
+++ b/internal/frontend/platform/test_balancer_test.go
@@ -16,16 +16,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// waitTimeout bounds the wait for an event that is sure to come.
+// waitTimeout limits the wait for an event that must happen.
 const waitTimeout = 20 * time.Second
 
-// beyondRestoreRetry is longer than the engine's pause between two dials for a connection that is being restored.
-const beyondRestoreRetry = 300 * time.Millisecond
+// restoreRetryWait is longer than the engine's interval between two attempts to restore a connection.
+const restoreRetryWait = 300 * time.Millisecond
 
 // largeBudget is a descriptor budget that no test exhausts by accident.
 var largeBudget = DescriptorBudget{Total: 300, DialReserve: 50}
 
-// testNames are the names that newRequestLine uses.
+// testNames are the class and the tenant that newRequestLine uses.
 var testNames = AllowedNames{Classes: map[string]int{"solo-play": 0}, Tenants: map[string]bool{"familles": true}}
 
 // testBalancer is a running engine with a frontend on a loopback port.
@@ -35,11 +35,11 @@
 	pause    *hotrestart.Pauser
 	listener *net.TCPListener
 	addr     string
-	// stop ends the balancer and waits for its goroutines.
+	// stop stops the balancer and waits for its goroutines.
 	stop func()
 }
 
-// testBalancerConfig is what test balancers differ in.
+// testBalancerConfig holds the parameters of startTestBalancer.
 type testBalancerConfig struct {
 	engine core.Config
 	budget DescriptorBudget
@@ -49,19 +49,19 @@
 	maxProbeConns int
 }
 
-// newTestBalancer starts a balancer with the usual settings that knows some room servers.
+// newTestBalancer starts a balancer with the usual settings and with servers as its endpoint list.
 func newTestBalancer(t *testing.T, servers ...*fakeServer) *testBalancer {
 	t.Helper()
 	return newTestBalancerWithBudget(t, largeBudget, servers...)
 }
 
-// newTestBalancerWithBudget starts a balancer with another descriptor budget.
+// newTestBalancerWithBudget is like newTestBalancer with another descriptor budget.
 func newTestBalancerWithBudget(t *testing.T, budget DescriptorBudget, servers ...*fakeServer) *testBalancer {
 	t.Helper()
 	return newTestBalancerWithSettings(t, budget, func(*decide.Settings) {}, servers...)
 }
 
-// newTestBalancerWithSettings starts a balancer whose settings differ from the usual ones by change.
+// newTestBalancerWithSettings is like newTestBalancerWithBudget with settings that change has modified.
 func newTestBalancerWithSettings(
 	t *testing.T, budget DescriptorBudget, change func(*decide.Settings), servers ...*fakeServer,
 ) *testBalancer {
@@ -98,12 +98,12 @@
 	}
 }
 
-// setNotIdempotent makes requests of the class ones that must not be executed twice.
+// setNotIdempotent marks the request class as not idempotent: its requests must not be executed twice.
 func setNotIdempotent(settings *decide.Settings) {
 	settings.Classes[0].Idempotency = decide.NotIdempotent
 }
 
-// startTestBalancer starts a balancer, which ends with the test.
+// startTestBalancer starts a balancer, which is stopped at the end of the test.
 func startTestBalancer(t testing.TB, config testBalancerConfig) *testBalancer {
 	t.Helper()
 	log := logrus.New()
@@ -140,7 +140,7 @@
 	return b
 }
 
-// newClient dials a client, which is closed at the end of the test.
+// newClient dials a client, whose connection is closed at the end of the test.
 func (b *testBalancer) newClient(t testing.TB) *testClient {
 	t.Helper()
 	c := dialClient(t, b.addr)
@@ -148,38 +148,41 @@
 	return c
 }
 
-// newWaitingClient dials a client whose request the engine has but cannot forward yet.
+// newWaitingClient dials a client and sends a request. It returns when the engine has the request but cannot forward
+// it yet.
 func (b *testBalancer) newWaitingClient(t *testing.T) *testClient {
 	t.Helper()
 	c := b.newClient(t)
 	c.send(newRequestLine())
-	waitUntil(t, "the request", func() bool { return b.snapshot().Waiting == 1 })
+	waitUntil(t, "the request to reach the engine", func() bool { return b.snapshot().Waiting == 1 })
 	return c
 }
 
-// newBacklogClient dials a client whose request lies in the listener's backlog until b.pause is resumed.
+// newBacklogClient dials a client and sends a request while the balancer accepts nothing. The connection stays in the
+// listener's backlog until b.pause is resumed.
 func (b *testBalancer) newBacklogClient(t *testing.T) *testClient {
 	t.Helper()
 	b.waitForEngine()
 	b.pause.Pause()
-	waitUntil(t, "the pause", func() bool { return len(b.frontend.descriptors) == 0 })
+	waitUntil(t, "the pause to take effect", func() bool { return len(b.frontend.descriptors) == 0 })
 	c := b.newClient(t)
 	c.send(newRequestLine())
 	return c
 }
 
-// snapshot returns the engine's present counts.
+// snapshot returns the engine's current counts.
 func (b *testBalancer) snapshot() *core.Snapshot { return b.engine.CurrentSnapshot(waitTimeout) }
 
-// waitForEngine waits until the engine has handled everything that it was told before.
+// waitForEngine waits until the engine has handled everything that was reported to it before.
 func (b *testBalancer) waitForEngine() { b.snapshot() }
 
-// waitUntil waits for a condition that is sure to become true.
+// waitUntil waits until condition returns true, and fails the test after waitTimeout. what names the event that is
+// awaited.
 func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s does not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/frontend/platform/test_client_test.go
+++ b/internal/frontend/platform/test_client_test.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// testClient is a client of the platform.
+// testClient is a client's connection to a balancer.
 type testClient struct {
 	t    testing.TB
 	conn *net.TCPConn
 	r    *bufio.Reader
 }
 
-// dialClient dials a client, which its caller closes.
+// dialClient dials a client. The caller closes its connection.
 func dialClient(t testing.TB, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(waitTimeout)) // No test may hang.
+	conn.SetDeadline(time.Now().Add(waitTimeout)) // Without a deadline a test could hang.
 	return &testClient{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// send writes a text.
+// send writes a text to the balancer.
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// wantLine reads a line, which must be text with its line end.
+// wantLine reads a line and fails the test unless it equals text, which includes the line end.
 func (c *testClient) wantLine(text string) {
 	c.t.Helper()
 	line, err := c.r.ReadString('\n')
@@ -47,11 +47,11 @@
 	}
 }
 
-// wantEOF wants the balancer to have closed its side without another byte.
+// wantEOF fails the test unless the balancer has closed its side without sending anything more.
 func (c *testClient) wantEOF() {
 	c.t.Helper()
 	if line, err := c.r.ReadString('\n'); !errors.Is(err, io.EOF) || line != "" {
-		c.t.Fatalf("read %q, %v, want the end", line, err)
+		c.t.Fatalf("read %q, %v, want EOF", line, err)
 	}
 }
 
@@ -60,19 +60,19 @@
 	c.t.Helper()
 	line, err := c.r.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("read %q, %v", line, err)
+		c.t.Fatalf("read %q, %v, want a line", line, err)
 	}
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// clientCloses are the ways in which a client can give up.
+// clientCloses are the ways in which a client can close its connection.
 var clientCloses = map[string]func(*testClient){
 	"fin":        closeWithFIN,
 	"rst":        closeWithReset,
-	"half close": func(c *testClient) { c.conn.CloseWrite() }, // It waits for the balancer to close.
+	"half close": func(c *testClient) { c.conn.CloseWrite() }, // The balancer closes the other side.
 }
 
-// fullCloses are those of clientCloses that close both directions.
+// fullCloses are the ways of clientCloses that close both directions.
 var fullCloses = map[string]func(*testClient){"fin": closeWithFIN, "rst": closeWithReset}
 
 func closeWithFIN(c *testClient) { c.conn.Close() }
@@ -82,19 +82,19 @@
 	c.conn.Close()
 }
 
-// lastRequestID is the id of the latest request.
+// lastRequestID is the ID of the latest request.
 var lastRequestID atomic.Uint64
 
-// requestIDEnd is the length of "OPEN " and the id, by which a request line is recognized.
+// requestIDEnd is the length of "OPEN " and the ID. This beginning of a request line identifies the request.
 const requestIDEnd = len("OPEN 0123456789abcdef")
 
-// newRequestLine returns a request line with a new id.
+// newRequestLine returns a request line with a new ID.
 func newRequestLine() string {
 	const format = "OPEN %016x 7f3a9c21e0b4d655 c=solo-play,t=familles,d=2000,g=5c0f6e1a\r\n"
 	return fmt.Sprintf(format, lastRequestID.Add(1))
 }
 
-// newTCPPair returns the two ends of a connection.
+// newTCPPair returns the two ends of a TCP connection.
 func newTCPPair(t *testing.T) (*net.TCPConn, *testClient) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
