--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -154,7 +154,7 @@
 
 // cancelAttempt cancels an attempt and reports its outcome to the engine. The outcome is determined here, because
 // only the actor, which writes the request line and handles the answer, knows how far the attempt has got. code is
-// the outcome that the engine expects.
+// the outcome that the engine proposes.
 func (c *clientConn) cancelAttempt(attempt int, code decide.Code) {
 	switch up := c.upstream; {
 	case up == nil || up.number != attempt || up.accepted:
@@ -163,6 +163,7 @@
 		// The request line was written before this command was handled, so the request may be executed, and code does
 		// not apply: the attempt continues.
 	case !up.requestLineSent && !code.NeverExecuted():
+		// Nothing was written, so the request was not executed, which code does not say.
 		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 	default:
 		c.endAttempt(code, decide.NoLoadReport)
--- a/internal/frontend/platform/descriptors.go
+++ b/internal/frontend/platform/descriptors.go
@@ -30,7 +30,7 @@
 		case <-time.After(descriptorRetryInterval):
 		}
 	}
-	f.descriptors <- struct{}{} // Does not block, as accepted clients limit the number of dials.
+	f.descriptors <- struct{}{} // Expected not to block: accepted clients limit the number of dials.
 	return true
 }
 
--- a/internal/frontend/platform/response.go
+++ b/internal/frontend/platform/response.go
@@ -26,8 +26,8 @@
 	report decide.LoadReport
 }
 
-// parseResponse parses the answer to a request line. An acceptance must have exactly the form of wordUp and one word.
-// An unknown answer counts as an error after which the request may have been executed.
+// parseResponse parses the answer to a request line. Only UP with exactly one word counts as an acceptance. An
+// unknown answer counts as an error after which the request may have been executed.
 func parseResponse(line string) response {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
--- a/internal/frontend/platform/wire.go
+++ b/internal/frontend/platform/wire.go
@@ -13,7 +13,7 @@
 	wordErr = "ERR"
 	// wordMove tells a client to connect again, so that it is placed at another server.
 	wordMove = "MOVE"
-	// wordBye announces that the room server closes the connection regularly.
+	// wordBye announces a regular close of the connection by the room server.
 	wordBye = "BYE"
 	// wordLoad begins a line with which a room server reports the present load of the connection.
 	wordLoad = "LOAD"
