--- a/internal/controlplane/leader_test.go
+++ b/internal/controlplane/leader_test.go
@@ -13,7 +13,7 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// replaceFile replaces a file in one step.
+// replaceFile replaces a file atomically, so that a reader never sees a part of the content.
 func replaceFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(content), 0o600); err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// documentFile returns an operator's file with endpoints of the given names.
+// documentFile returns the content of a document's file that lists endpoints with the given names.
 func documentFile(names ...string) string {
 	var entries []string
 	for i, name := range names {
@@ -33,9 +33,9 @@
 	return `{"rooms":[` + strings.Join(entries, ",") + `]}`
 }
 
-// A changed file is saved and published. A file that is invalid, too long, leaves no endpoint or removes most
-// of them is not, and each reason is logged once.
-func TestLeader(t *testing.T) {
+// The leader saves and publishes the document of a changed file. It does so neither for a file that is invalid or too
+// long, nor for one that leaves no endpoint or removes most of them. It logs each reason once.
+func TestLeaderPublishesValidChanges(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "document.json")
@@ -47,8 +47,8 @@
 	stop := startUntilCleanup(t, func(ctx context.Context) { leader.Run(ctx, reloads) })
 	waitUntil(t, "the first version", atVersion(broadcaster, version(1)))
 	for _, rejected := range []struct{ file, want string }{
-		{`{"rooms":[]}`, "rooms: is empty"},
-		{`{"discovery":"127.0.0.1:1"}`, "rooms: none is left"},
+		{`{"rooms":[]}`, "rooms: the list is empty"},
+		{`{"discovery":"127.0.0.1:1"}`, "rooms: a published list cannot be withdrawn"},
 		{`{"rooms`, "EOF"},
 		{documentFile("a", "b") + strings.Repeat(" ", 10<<20), "longer than"},
 		{documentFile("a"), "pending: removes or drains over half"},
@@ -58,17 +58,17 @@
 	}
 	time.Sleep(2 * filePollInterval)
 	if n := strings.Count(output.String(), "document rejected"); n != 5 || broadcaster.State().Version != version(1) {
-		t.Errorf("logged %d times, at %s, log:\n%s", n, broadcaster.State().Version, output)
+		t.Errorf("%d rejections logged, want 5; at version %s, log:\n%s", n, broadcaster.State().Version, output)
 	}
 	reloads <- nil
 	waitUntil(t, "the pending list after its confirmation", atVersion(broadcaster, version(2)))
 	if got := store.Load(); !reflect.DeepEqual(got, broadcaster.State()) {
-		t.Errorf("saved %s", got.Version)
+		t.Errorf("the saved state, of version %s, is not the published one", got.Version)
 	}
 	replaceFile(t, path, documentFile("a", "b"))
 	waitUntil(t, "a change", atVersion(broadcaster, version(3)))
 	stop()
-	// A leader that starts again continues after its last version, whatever the file contains.
+	// After a restart, the leader continues with the number after the saved version.
 	replaceFile(t, path, documentFile("a", "b", "c"))
 	broadcaster = NewBroadcaster(store.Load(), true)
 	leader = NewLeader(path, 1, broadcaster, store, log)
@@ -76,7 +76,8 @@
 	waitUntil(t, "the version after the restart", atVersion(broadcaster, version(4)))
 }
 
-// A state that cannot be saved is not published: after a restart its version would be given to another document.
+// A leader must not publish a state that it cannot save. After a restart it would not know the version, and would
+// publish another document under the same one.
 func TestLeaderSavesBeforePublishing(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "document.json")
@@ -89,6 +90,6 @@
 	startUntilCleanup(t, func(ctx context.Context) { NewLeader(path, 1, broadcaster, store, log).Run(ctx, nil) })
 	waitUntil(t, "the log of the failure", output.contains("document rejected"))
 	if got := broadcaster.State().Version; got != (replica.Version{}) {
-		t.Errorf("published as %s", got)
+		t.Errorf("the unsaved document is published as version %s", got)
 	}
 }
--- a/internal/controlplane/replica/bench_test.go
+++ b/internal/controlplane/replica/bench_test.go
@@ -7,8 +7,8 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// BenchmarkApplyChange measures how long a follower takes to apply a change of one entry, by the length of
-// the list.
+// BenchmarkApplyChange measures how long a follower takes to apply a change of one entry to lists of different
+// lengths.
 func BenchmarkApplyChange(b *testing.B) {
 	for _, length := range []int{600, 5000, 20_000} {
 		b.Run(strconv.Itoa(length), func(b *testing.B) {
--- a/internal/controlplane/replica/change.go
+++ b/internal/controlplane/replica/change.go
@@ -6,11 +6,11 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// Upper bounds of what the CBOR encoding adds to the texts that it contains, in bytes.
+// Upper bounds of the size of the CBOR encoding beyond the strings that it contains, in bytes.
 const (
-	entryOverheadBytes       = 64
-	changeOverheadBytes      = 64
-	removedNameOverheadBytes = 4
+	entryOverheadBytes       = 64 // of an endpoint entry
+	changeOverheadBytes      = 64 // of a Change without its entries and names
+	removedNameOverheadBytes = 4  // of a name in Change.Removed
 )
 
 // Change is the difference between two versions of the document.
@@ -36,7 +36,8 @@
 	return change, change.Discovery != nil || len(change.Upserted)+len(change.Removed) > 0
 }
 
-// apply returns the document that results from the change. The result has not been validated.
+// apply returns the document that results from applying the change. It does not validate the result, and does not
+// modify the entries of the given document.
 func (c Change) apply(document Document) Document {
 	if c.Discovery != nil {
 		document.Discovery = *c.Discovery
@@ -51,7 +52,7 @@
 		names = append(names, entry.Name)
 	}
 	slices.Sort(names)
-	// The entries between two touched names are copied as a block.
+	// The unchanged entries between two names of the change are copied as a block.
 	merged := make([]endpoint.Entry, 0, len(document.Endpoints)+len(c.Upserted))
 	rest := document.Endpoints
 	for _, name := range slices.Compact(names) {
--- a/internal/controlplane/replica/change_test.go
+++ b/internal/controlplane/replica/change_test.go
@@ -26,7 +26,7 @@
 // changeGenerator generates random changes, some of which are invalid.
 type changeGenerator struct{ random *rand.Rand }
 
-// entry returns an entry whose address may be that of another one.
+// entry returns the entry with the number i. Its address may be the same as that of an entry with another number.
 func (g changeGenerator) entry(i int) endpoint.Entry {
 	port := 1 + (i+g.random.IntN(3)/2)%30
 	return endpoint.Entry{Name: fmt.Sprintf("s-%02d", i), Zone: "a", Address: fmt.Sprintf("127.0.0.1:%d", port)}
@@ -43,7 +43,7 @@
 	return document
 }
 
-// change returns a change from a version to the next.
+// change returns a change from the given version to the next one. It may lead to an invalid document.
 func (g changeGenerator) change(from Version) Change {
 	change := Change{From: from, To: Version{Term: 1, Number: from.Number + 1}}
 	for range 1 + g.random.IntN(3) {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// ApplyChanges validates only the entries that a change touches. It must come to the result that a validation
-// of the whole document comes to, and must leave the state alone if the change is invalid.
+// ApplyChanges validates only the entries that a change touches. It must accept and reject the same changes as a
+// validation of the whole resulting document does. A rejected change must not modify the state.
 func TestChangeValidationMatchesDocumentValidation(t *testing.T) {
 	for seed := range uint64(40) {
 		generator := changeGenerator{rand.New(rand.NewPCG(seed, 1))}
@@ -94,27 +94,29 @@
 			}
 			changed, err := replica.ApplyChanges([]Change{change})
 			if (err == nil) != (wantErr == nil) {
-				t.Fatalf("seed %d: %+v: error %v, whole document: %v", seed, change, err, wantErr)
+				t.Fatalf("seed %d: change %+v: ApplyChanges returned %v, validating the whole document %v",
+					seed, change, err, wantErr)
 			}
 			if err != nil {
 				rejected++
 				if !reflect.DeepEqual(replica.State(), before) {
-					t.Fatal("an invalid change has been applied")
+					t.Fatal("a rejected change has modified the state")
 				}
 				continue
 			}
 			applied++
 			if !changed || !reflect.DeepEqual(replica.State().Document, want) {
-				t.Fatalf("seed %d: %+v leads to\n%v, want\n%v", seed, change, replica.State().Document, want)
+				t.Fatalf("seed %d: change %+v leads to\n%v, want\n%v", seed, change, replica.State().Document, want)
 			}
 		}
 		if applied < 20 || rejected < 20 {
-			t.Errorf("seed %d: %d changes applied, %d rejected", seed, applied, rejected)
+			t.Errorf("seed %d: %d changes applied, %d rejected, want at least 20 of each", seed, applied, rejected)
 		}
 	}
 }
 
-// A change costs what it touches and one copy of the list. The number of allocations does not grow with the list.
+// Applying a change copies the list once and otherwise allocates memory only for the entries that it touches. The
+// number of allocations must not grow with the length of the list.
 func TestChangeCostDoesNotGrowWithList(t *testing.T) {
 	allocations := func(length int) float64 {
 		document := longDocument(length)
--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -1,9 +1,9 @@
-// Package replica implements the replication of the operator's document from the control plane's leader to
-// its followers.
+// Package replica implements the replication of the operators' document from the leader of the control plane to
+// its followers: other control-plane servers, and balancers.
 //
 // It holds the document's versions, computes and applies the changes between them, splits full snapshots into
-// chunks, and selects the server that a follower connects to. The package is pure: it does no I/O and reads
-// no clock. Package controlplane carries its types over the network.
+// chunks, and selects the control-plane server that a follower connects to. The package is pure: it does no I/O
+// and reads no clock. Package controlplane sends its types over the network.
 package replica
 
 import (
@@ -17,15 +17,16 @@
 )
 
 const (
-	// MaxFileBytes limits the size of the operator's file.
+	// MaxFileBytes limits the size of the file that contains the operators' document.
 	MaxFileBytes = 8 << 20
 
-	// maxFieldBytes limits an entry's name, zone and address, so that each entry fits into one message.
+	// maxFieldBytes limits the length of an entry's name, of its zone and of its address, so that each entry fits
+	// into one message.
 	maxFieldBytes = 128
 )
 
-// Version identifies a document. The leader of a term numbers the documents that it publishes from 1 on, so
-// that no two documents share a version. The zero Version means that there is no document.
+// Version identifies a published document. The leader of a term numbers the documents that it publishes, starting
+// at 1, so that no two documents share a version. The zero Version means that there is no document.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
 	Term   uint64
@@ -40,34 +41,36 @@
 // String formats the version as TERM.NUMBER.
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Term, v.Number) }
 
-// Document is the configuration that the operator sets for all balancers. It is immutable once it has been
-// validated.
+// Document is the configuration that the operators set for all balancers. It must not be modified after it has
+// been validated.
 type Document struct {
-	// Discovery is the address of the discovery service. If it is empty, each balancer uses its own
-	// configuration's.
+	// Discovery is the address of the discovery service. If it is empty, each balancer uses the address in its
+	// own configuration.
 	Discovery string `json:"discovery,omitempty"`
 
-	// Endpoints is the endpoint list, ordered by name. If it is empty, the discovery service provides the list.
+	// Endpoints is the list of room servers, ordered by name. If it is empty, the discovery service provides the
+	// list.
 	Endpoints []endpoint.Entry `json:"rooms,omitempty"`
 }
 
-// State is a document with its version. Its encoding is part of the state file's format.
+// State is a document with its version. Its CBOR encoding is part of the state file's format.
 type State struct {
 	Version  Version  `cbor:"Version"`
 	Document Document `cbor:"Document"`
 }
 
-// Parse decodes and validates an operator's file. Errors name the key and the value at fault.
+// Parse decodes and validates the file that contains the operators' document. Errors name the key and the value
+// at fault.
 func Parse(raw []byte) (Document, error) {
 	if len(raw) > MaxFileBytes {
-		return Document{}, fmt.Errorf("document: is longer than %d bytes", MaxFileBytes)
+		return Document{}, fmt.Errorf("document: the file is longer than %d bytes", MaxFileBytes)
 	}
 	var document Document
 	if err := endpoint.DecodeStrict(raw, &document, "document"); err != nil {
 		return Document{}, err
 	}
 	if document.Endpoints != nil && len(document.Endpoints) == 0 {
-		return Document{}, errors.New("rooms: is empty, every client would be sent away")
+		return Document{}, errors.New("rooms: the list is empty, every client would lose its room server")
 	}
 	return document.validate()
 }
@@ -75,21 +78,21 @@
 // RestoreState validates a state that was read from a file.
 func RestoreState(state State) (State, error) {
 	if state.Version == (Version{}) {
-		return State{}, errors.New("no version")
+		return State{}, errors.New("the state has no version")
 	}
 	document, err := state.Document.validate()
 	return State{state.Version, document}, err
 }
 
-// validate returns the document with its entries sorted by name, which happens in place. Errors name the key
-// and the value at fault.
+// validate checks the document and returns it. It sorts the entries by name, in place. Errors name the key and
+// the value at fault.
 func (d Document) validate() (Document, error) {
 	if len(d.Endpoints) == 0 && d.Discovery == "" {
-		return d, errors.New("rooms: is missing, and so is discovery: no room server would be left")
+		return d, errors.New("rooms: is missing, and discovery is not set: one of the two is required")
 	}
 	if d.Discovery != "" {
 		if _, err := netip.ParseAddrPort(d.Discovery); err != nil {
-			return d, fmt.Errorf("discovery: %q is no address and port", d.Discovery)
+			return d, fmt.Errorf("discovery: invalid address %q: expected IP:port", d.Discovery)
 		}
 	}
 	for i, entry := range d.Endpoints {
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// find looks an entry up by its name.
+// find returns the entry with the given name, and whether there is one.
 func (d Document) find(name string) (endpoint.Entry, bool) {
 	i, found := slices.BinarySearchFunc(d.Endpoints, name, compareName)
 	if !found {
@@ -129,11 +132,11 @@
 	return d.Endpoints[i], true
 }
 
-// canReplace returns an error if the document must not replace the previous one: an endpoint list that has
-// been published cannot be withdrawn, because every client would lose its server.
+// canReplace returns an error if the document must not replace the previous one. Once a document with an endpoint
+// list has been published, all later ones need a list too. Without it, every client would lose its room server.
 func (d Document) canReplace(previous Document) error {
 	if len(d.Endpoints) == 0 && len(previous.Endpoints) > 0 {
-		return errors.New("rooms: none is left, every client would be sent away")
+		return errors.New("rooms: a published list cannot be withdrawn, every client would lose its room server")
 	}
 	return nil
 }
--- a/internal/controlplane/replica/document_test.go
+++ b/internal/controlplane/replica/document_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Errors name what is wrong in a file.
+// An error names the key and the value at fault, so that the operators can find them in the file.
 func TestParseErrors(t *testing.T) {
 	longName := strings.Repeat("a", 129)
 	for _, test := range []struct{ name, file, want string }{
 		{"empty file", ``, "EOF"},
 		{"empty document", `{}`, "rooms: is missing"},
-		{"empty list", `{"rooms":[]}`, "rooms: is empty"},
-		{"empty list beside discovery", `{"rooms":[],"discovery":"127.0.0.1:1"}`, "rooms: is empty"},
-		{"discovery address", `{"discovery":"here"}`, `discovery: "here"`},
+		{"empty list", `{"rooms":[]}`, "rooms: the list is empty"},
+		{"empty list beside discovery", `{"rooms":[],"discovery":"127.0.0.1:1"}`, "rooms: the list is empty"},
+		{"discovery address", `{"discovery":"here"}`, `discovery: invalid address "here"`},
 		{"discovery type", `{"discovery":7}`, "discovery: a string"},
 		{"unknown key", `{"x":1}`, `"x"`},
 		{"trailing data", `{"discovery":"127.0.0.1:1"} 1`, "more follows"},
@@ -23,7 +23,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := Parse([]byte(test.file)); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("error %v, want it to contain %q", err, test.want)
 			}
 		})
 	}
--- a/internal/controlplane/replica/encoding_test.go
+++ b/internal/controlplane/replica/encoding_test.go
@@ -10,12 +10,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encodedEntry is the encoding of the endpoint entry of these tests.
+// encodedEntry is the CBOR encoding, in hexadecimal, of the endpoint entry in TestEncodingIsFixed.
 const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030" +
 	"647a6f6e65616166776569676874fb3ff800000000000065647261696ef5"
 
-// Replicas of different releases exchange these types and read each other's saved states, so their encoding
-// is fixed.
+// Processes of different releases exchange these types and read each other's state files, so their encoding must
+// not change.
 func TestEncodingIsFixed(t *testing.T) {
 	discovery := "127.0.0.1:8500"
 	entry := endpoint.Entry{Name: "s-1", Address: "127.0.0.1:9000", Zone: "a", Weight: 1.5, Drain: true}
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -8,48 +8,53 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// MaxMessageBytes limits the encoded size of a message. A message holds at most maxBatchBytes, which the last
-// change or entry in it may exceed.
+// MaxMessageBytes limits the encoded size of a message. It exceeds maxBatchBytes, because a snapshot chunk may be
+// longer than maxBatchBytes by one entry and each message has some overhead.
 const MaxMessageBytes = 64 << 10
 
 const (
-	maxBatchBytes      = 32 << 10 // of the changes or the snapshot chunk in one message
-	maxRetainedBytes   = 4 << 20  // of the changes that a server retains
-	maxRetainedChanges = 8192
+	maxBatchBytes      = 32 << 10 // target size of the changes or of the snapshot chunk in one message
+	maxRetainedBytes   = 4 << 20  // total size of the changes that a control-plane server retains
+	maxRetainedChanges = 8192     // number of changes that a control-plane server retains
 )
 
-// Errors for which a follower rejects what it receives. It then connects to another server.
+// Errors for which a follower rejects a change or a snapshot chunk. It then connects to another control-plane
+// server.
 var (
 	ErrGap             = errors.New("a preceding change or snapshot chunk is missing")
 	ErrInvalidDocument = errors.New("invalid document")
 )
 
 // Replica is one process's copy of the document. A replica that serves followers also retains the latest
-// changes. A Replica is not safe for concurrent use.
+// changes, so that a follower that is a few versions behind needs no full snapshot. A Replica is not safe for
+// concurrent use.
 type Replica struct {
 	state          State
 	retainsChanges bool
 
-	// retained holds consecutive changes, of which the last leads to state.
+	// retained holds consecutive changes. The To version of the last one is the version of state. It is empty if
+	// the change to that version was not retained.
 	retained []Change
 
 	// retainedBytes is the sum of the retained changes' maxEncodedBytes.
 	retainedBytes int
 
-	// newestFollower is the newest version that a follower had, if that is newer than state's.
+	// newestFollower is the newest version that a follower reported while it was ahead of this replica. It is zero
+	// if no follower was.
 	newestFollower Version
 
-	// nameByAddress indexes the entries of state. It is nil until the first changes are validated.
+	// nameByAddress maps the addresses of state's entries to their names. It is nil until changes are validated, and
+	// is reset to nil after a snapshot or a rejected change.
 	nameByAddress map[string]string
 
-	// chunks are the chunks received so far of a snapshot that is not complete yet.
+	// chunks holds the chunks of an incomplete snapshot that have been received so far.
 	chunks []SnapshotChunk
 
-	// chunkedEntries counts the entries in chunks.
+	// chunkedEntries is the total number of entries in chunks.
 	chunkedEntries int
 }
 
-// New returns a replica of a state. A replica that serves followers has to retain changes for them.
+// New returns a replica with an initial state. retainsChanges must be true if the replica serves followers.
 func New(state State, retainsChanges bool) *Replica {
 	return &Replica{state: state, retainsChanges: retainsChanges}
 }
@@ -58,11 +63,11 @@
 func (r *Replica) State() State { return r.state }
 
 // Propose validates a document as the next version of a term. It returns the change that leads to that
-// version and the resulting state, without applying them. If the document is the current one, the change is
-// nil.
+// version and the resulting state, without applying them. If both the document and the term are the current
+// ones, the change is nil.
 //
-// Only the leader calls Propose. It must save the new state before it applies the change: a version that a
-// follower may have received must never be reused for another document.
+// Only the leader calls Propose. It must save the new state before it applies the change. Otherwise a leader
+// that restarts could reuse a version, which a follower may have received, for another document.
 func (r *Replica) Propose(document Document, term uint64) (*Change, State, error) {
 	if err := r.validateTerm(term); err != nil {
 		return nil, State{}, err
@@ -86,22 +91,22 @@
 	return &change, next, nil
 }
 
-// validateTerm returns an error if a version of the term could collide with, or precede, one that was
+// validateTerm returns an error if a new version in the term could be equal to or older than a version that was
 // published before.
 func (r *Replica) validateTerm(term uint64) error {
 	if r.newestFollower.Compare(r.state.Version) > 0 && term <= r.newestFollower.Term {
-		return fmt.Errorf("term: %d is not above that of version %s, which a follower has and this server has not",
+		return fmt.Errorf("term: %d must be above the term of version %s, which a follower has and this server lacks",
 			term, r.newestFollower)
 	}
 	if term < r.state.Version.Term {
-		return fmt.Errorf("term: %d is below that of version %s, which is in force", term, r.state.Version)
+		return fmt.Errorf("term: %d is below the term of the current version %s", term, r.state.Version)
 	}
 	return nil
 }
 
 // ObserveFollower records the version of a follower and reports whether it is newer than the replica's own.
-// For a leader that means that its state was lost. Propose then fails in that term, because another document
-// could get the same version.
+// If the replica is the leader's, a newer version means that the leader's state was lost. Propose then returns an
+// error until the term is raised, because it could publish another document under the follower's version.
 func (r *Replica) ObserveFollower(version Version) (newer bool) {
 	if version.Compare(r.state.Version) <= 0 {
 		return false
@@ -112,9 +117,9 @@
 	return true
 }
 
-// ChangesSince returns the changes that a follower at the given version is missing, as many as fit into one
-// message. It reports true if those changes are no longer retained, so that a full snapshot has to be sent.
-// It returns neither for a follower that is up to date or ahead.
+// ChangesSince returns the next changes for a follower at the given version, as many as fit into one message.
+// If those changes are not retained, it returns no changes and needsSnapshot is true. For a follower that is up
+// to date or ahead, it returns no changes and needsSnapshot is false.
 func (r *Replica) ChangesSince(version Version) (changes []Change, needsSnapshot bool) {
 	if version.Compare(r.state.Version) >= 0 {
 		return nil, false
@@ -135,8 +140,8 @@
 }
 
 // ApplyChanges applies consecutive changes, all or none, and reports whether the state has changed. It skips
-// changes to versions that the replica has already passed. It returns an error that wraps ErrGap if a change
-// is missing, or ErrInvalidDocument if the result is invalid.
+// changes whose To version is not newer than the replica's. It returns an error that wraps ErrGap if a change
+// is missing, or ErrInvalidDocument if the resulting document is invalid.
 func (r *Replica) ApplyChanges(changes []Change) (changed bool, err error) {
 	next := r.state
 	var applied []Change
@@ -145,7 +150,8 @@
 			continue
 		}
 		if change.From != next.Version {
-			return false, fmt.Errorf("%w: change from %s to %s, replica at %s", ErrGap, change.From, change.To, next.Version)
+			return false, fmt.Errorf("%w: received a change from version %s to %s, expected one from %s",
+				ErrGap, change.From, change.To, next.Version)
 		}
 		next = State{change.To, change.apply(next.Document)}
 		applied = append(applied, change)
@@ -154,7 +160,7 @@
 		return false, nil
 	}
 	if err := r.validateChanges(next.Document, applied); err != nil {
-		r.nameByAddress = nil // it may have been updated in part
+		r.nameByAddress = nil // may have been updated for some of the entries
 		return false, fmt.Errorf("%w: version %s: %w", ErrInvalidDocument, next.Version, err)
 	}
 	r.state = next
@@ -170,7 +176,7 @@
 	}
 	for _, change := range changes {
 		size := change.maxEncodedBytes()
-		if size > maxBatchBytes { // too large for one message: followers need a snapshot
+		if size > maxBatchBytes { // too large for one message: followers need a snapshot to get past it
 			r.dropRetained()
 			continue
 		}
@@ -187,16 +193,16 @@
 	}
 }
 
-// dropRetained drops all retained changes.
 func (r *Replica) dropRetained() {
 	r.retained = nil
 	r.retainedBytes = 0
 }
 
-// validateChanges validates the document that changes have led to, and updates nameByAddress. It checks only
-// the entries that the changes touch: the others were valid before, and the list may be long.
+// validateChanges validates the document that results from changes, and updates nameByAddress. It checks only
+// the entries that the changes touch, because the list may be long and the other entries were valid before.
 func (r *Replica) validateChanges(document Document, changes []Change) error {
 	previous := r.state.Document
+	// One entry is enough to check the fields of the document itself.
 	firstEntry := document.Endpoints[:min(len(document.Endpoints), 1)]
 	if _, err := (Document{Discovery: document.Discovery, Endpoints: firstEntry}).validate(); err != nil {
 		return err
@@ -205,14 +211,14 @@
 		return err
 	}
 	if len(document.Endpoints) > endpoint.MaxEntries {
-		return fmt.Errorf("rooms: %d of them, 1 to %d expected", len(document.Endpoints), endpoint.MaxEntries)
+		return fmt.Errorf("rooms: %d entries, expected 1 to %d", len(document.Endpoints), endpoint.MaxEntries)
 	}
 	touched, err := touchedNames(changes)
 	if err != nil {
 		return err
 	}
 	r.buildAddressIndex()
-	// The old addresses go first: entries may have exchanged theirs.
+	// All old addresses are removed before a new one is added, because two entries may swap their addresses.
 	for name := range touched {
 		if old, ok := previous.find(name); ok {
 			delete(r.nameByAddress, old.Address)
@@ -230,15 +236,15 @@
 	return nil
 }
 
-// touchedNames returns the names of the entries that changes upsert or remove. It returns an error if one
-// change upserts an entry twice.
+// touchedNames returns the names of the entries that changes upsert or remove. It returns an error if a single
+// change upserts the same entry twice.
 func touchedNames(changes []Change) (map[string]bool, error) {
 	touched := map[string]bool{}
 	for _, change := range changes {
 		upserted := map[string]bool{}
 		for _, entry := range change.Upserted {
 			if upserted[entry.Name] {
-				return nil, fmt.Errorf("rooms: %q is there twice", entry.Name)
+				return nil, fmt.Errorf("rooms: duplicate name %q", entry.Name)
 			}
 			upserted[entry.Name] = true
 			touched[entry.Name] = true
@@ -268,7 +274,7 @@
 		return fmt.Errorf("rooms: %q: %w", entry.Name, err)
 	}
 	if other, ok := r.nameByAddress[entry.Address]; ok {
-		return fmt.Errorf("rooms: %q: address: %q is that of %q", entry.Name, entry.Address, other)
+		return fmt.Errorf("rooms: %q: address: %q is already used by %q", entry.Name, entry.Address, other)
 	}
 	r.nameByAddress[entry.Address] = entry.Name
 	return nil
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// fataler is what the helpers need of testing.T and rapid.T.
+// fataler is implemented by testing.T and rapid.T, so that tests of both kinds can use the same helpers.
 type fataler interface{ Fatal(...any) }
 
 func testEntry(i, weight int) endpoint.Entry {
@@ -30,7 +30,7 @@
 	return document
 }
 
-// commit proposes and applies a document, as the leader does, but does not save it.
+// commit proposes and applies a document, as the leader does, but does not save the state to a file.
 func commit(t fataler, leader *Replica, document Document, term uint64) Version {
 	change, next, err := leader.Propose(document, term)
 	if err == nil && change != nil {
@@ -45,8 +45,9 @@
 	return next.Version
 }
 
-// replicate applies to a follower the messages that a server sends it, up to a limit. It returns the number
-// of snapshots among them.
+// replicate sends changes and snapshots from a server to a follower until the follower is up to date, or until
+// maxMessages have been sent, as if the connection were then lost. It returns the number of snapshots, of which the
+// last may be incomplete.
 func replicate(t fataler, follower, server *Replica, maxMessages int) (snapshots int) {
 	defer follower.DiscardChunks()
 	sentVersion := follower.State().Version
@@ -77,20 +78,21 @@
 			sentVersion = changes[len(changes)-1].To
 		}
 		if follower.State().Version.Compare(before) <= 0 {
-			t.Fatal("no progress from ", before)
+			t.Fatal("the follower stays at version ", before)
 		}
 	}
 }
 
-// serverCount is the number of replicas in a cluster that retain changes, the leader among them.
+// serverCount is the number of replicas in a cluster that retain changes, including the leader's.
 const serverCount = 3
 
-// cluster is a leader, which is the first replica, with servers and plain followers.
+// cluster contains the replicas of a control plane: the leader's, those of serverCount-1 other servers, and those of
+// followers that serve no others.
 type cluster struct {
-	replicas  []*Replica
+	replicas  []*Replica // the first one is the leader's
 	term      uint64
 	committed map[Version]Document
-	observed  []Version // by each replica, at the last check
+	observed  []Version // the version of each replica at the last check
 }
 
 func newCluster() *cluster {
@@ -104,21 +106,22 @@
 
 func (c *cluster) leader() *Replica { return c.replicas[0] }
 
-// checkInvariants fails the test if a version has gone back, or if a replica has another document than was
-// committed.
+// checkInvariants fails the test if a replica has an older version than at the last check, or if its document is not
+// the one that was committed under its version.
 func (c *cluster) checkInvariants(t *rapid.T) {
 	for i, replica := range c.replicas {
 		state := replica.State()
 		if state.Version.Compare(c.observed[i]) < 0 {
-			t.Fatalf("replica %d goes back from %s to %s", i, c.observed[i], state.Version)
+			t.Fatalf("replica %d went back from version %s to %s", i, c.observed[i], state.Version)
 		}
 		c.observed[i] = state.Version
 		if want := c.committed[state.Version]; !reflect.DeepEqual(state.Document, want) {
-			t.Fatalf("replica %d has another document as %s:\n%v\n%v", i, state.Version, state.Document, want)
+			t.Fatalf("replica %d has a wrong document for version %s:\n%v\nwant\n%v", i, state.Version, state.Document, want)
 		}
 	}
 }
 
+// write commits a random document at the leader.
 func (c *cluster) write(t *rapid.T) {
 	addresses := []string{"", "127.0.0.1:1", "127.0.0.1:2"}
 	document := Document{Discovery: rapid.SampledFrom(addresses).Draw(t, "discovery")}
@@ -132,6 +135,7 @@
 	c.committed[version] = c.leader().State().Document
 }
 
+// pull replicates from a random server to a random follower. The connection may be lost on the way.
 func (c *cluster) pull(t *rapid.T) {
 	follower := rapid.IntRange(1, len(c.replicas)-1).Draw(t, "follower")
 	server := rapid.IntRange(0, serverCount-1).Draw(t, "server")
@@ -140,13 +144,15 @@
 	}
 }
 
+// restart replaces a random replica by one that has only its state, without retained changes and received chunks.
 func (c *cluster) restart(t *rapid.T) {
 	i := rapid.IntRange(0, len(c.replicas)-1).Draw(t, "replica")
 	c.replicas[i] = New(c.replicas[i].State(), i < serverCount)
 }
 
-// In any order of writes, lost connections, restarts and pulls, no replica goes back, each has the document
-// that was committed under its version, and all have the last one once they reach the leader.
+// For any sequence of writes, new terms, interrupted replications and restarts: no replica goes back to an older
+// version, each replica has the document that was committed under its version, and all replicas reach the leader's
+// version once they can replicate from the leader without interruption.
 func TestReplicasConverge(t *testing.T) {
 	flag.Set("rapid.seed", "20261202")
 	flag.Set("rapid.nofailfile", "true")
@@ -162,15 +168,15 @@
 		for _, follower := range c.replicas[1:] {
 			replicate(t, follower, c.leader(), math.MaxInt)
 			if follower.State().Version != c.leader().State().Version {
-				t.Fatalf("%s at last, the leader has %s", follower.State().Version, c.leader().State().Version)
+				t.Fatalf("a follower ends at version %s, the leader at %s", follower.State().Version, c.leader().State().Version)
 			}
 		}
 		c.checkInvariants(t)
 	})
 }
 
-// A follower that was disconnected for 100 versions receives only those changes, also from a server that is a
-// follower itself.
+// A follower that was disconnected while 100 versions were published receives only the changes, and no snapshot. The
+// same holds if its server is itself a follower of the leader.
 func TestCatchUpWith100Changes(t *testing.T) {
 	leader, server, follower := New(State{}, true), New(State{}, true), New(State{}, false)
 	commit(t, leader, testDocument(500, 1), 1)
@@ -184,15 +190,16 @@
 	}
 	changes, needsSnapshot := server.ChangesSince(follower.State().Version)
 	if needsSnapshot || len(changes) != 100 {
-		t.Errorf("%d changes, needs a snapshot: %v", len(changes), needsSnapshot)
+		t.Errorf("%d changes, want 100; needs a snapshot: %v", len(changes), needsSnapshot)
 	}
 	snapshots := replicate(t, follower, server, math.MaxInt)
 	if snapshots != 0 || !reflect.DeepEqual(follower.State(), leader.State()) {
-		t.Errorf("%d snapshots, at %s", snapshots, follower.State().Version)
+		t.Errorf("%d snapshots were sent, the follower is at version %s", snapshots, follower.State().Version)
 	}
 }
 
-// Retained changes are limited in number and in bytes. A follower that is further behind gets a snapshot.
+// The changes that a server retains are limited in number and in bytes. A follower that needs older ones receives a
+// snapshot.
 func TestSnapshotWhenChangesAreNotRetained(t *testing.T) {
 	leader, follower := New(State{}, true), New(State{}, false)
 	commit(t, leader, testDocument(300, 1), 1)
@@ -211,17 +218,19 @@
 		t.Error("changes are sent although some are no longer retained")
 	}
 	if replicate(t, follower, leader, math.MaxInt) != 1 || !reflect.DeepEqual(follower.State(), leader.State()) {
-		t.Errorf("at %s", follower.State().Version)
+		t.Errorf("the follower did not receive exactly one snapshot, or has a wrong state; it is at version %s",
+			follower.State().Version)
 	}
 	for i := range maxRetainedChanges + 5 {
 		commit(t, leader, testDocument(1, i+1000), 1)
 	}
 	if len(leader.retained) != maxRetainedChanges {
-		t.Errorf("%d changes are retained", len(leader.retained))
+		t.Errorf("%d changes are retained, want maxRetainedChanges", len(leader.retained))
 	}
 }
 
-// A state that is older than the follower's changes nothing, as a snapshot or as changes.
+// A follower ignores a state older than its own, whether it receives a snapshot or changes. That can happen when it
+// connects to another server, which lags behind.
 func TestOlderStateIsIgnored(t *testing.T) {
 	leader, older, follower := New(State{}, true), New(State{}, true), New(State{}, false)
 	commit(t, leader, testDocument(10, 1), 1)
@@ -241,17 +250,17 @@
 		t.Errorf("the older server sends %d changes, needs a snapshot: %v", len(changes), needsSnapshot)
 	}
 	if !reflect.DeepEqual(follower.State(), leader.State()) {
-		t.Errorf("at %s", follower.State().Version)
+		t.Errorf("the follower no longer has the leader's state, it is at version %s", follower.State().Version)
 	}
 }
 
-// A chunk that arrives after a gap, or an empty document, is rejected.
+// A chunk is rejected if one before it is missing, or if it completes a snapshot of an empty document.
 func TestInvalidChunksAreRejected(t *testing.T) {
 	leader := New(State{}, true)
 	commit(t, leader, testDocument(2000, 1), 1)
 	chunks := leader.State().Chunks()
 	if len(chunks) < 3 {
-		t.Fatalf("%d chunks", len(chunks))
+		t.Fatalf("%d chunks, the test needs at least 3", len(chunks))
 	}
 	follower := New(State{}, false)
 	follower.ApplyChunk(chunks[0])
@@ -263,11 +272,12 @@
 	}
 	empty := SnapshotChunk{Version: Version{Term: 1, Number: 9}, Last: true}
 	if _, err := follower.ApplyChunk(empty); !errors.Is(err, ErrInvalidDocument) {
-		t.Errorf("an empty document: %v", err)
+		t.Errorf("error for an empty document: %v", err)
 	}
 }
 
-// A change that arrives after a gap, or that leads to an invalid document, leaves the replica as it was.
+// A change is rejected if one before it is missing, or if the resulting document is invalid. The replica then keeps
+// its version.
 func TestInvalidChangesAreRejected(t *testing.T) {
 	leader := New(State{}, true)
 	commit(t, leader, testDocument(2000, 1), 1)
@@ -294,32 +304,33 @@
 		t.Run(test.name, func(t *testing.T) {
 			changed, err := follower.ApplyChanges([]Change{test.change})
 			if !errors.Is(err, test.want) || follower.State().Version != version(1) {
-				t.Errorf("changed %v, %v, at %s", changed, err, follower.State().Version)
+				t.Errorf("changed: %v, error: %v, version: %s", changed, err, follower.State().Version)
 			}
 		})
 	}
 }
 
-// A leader whose state was lost must not reuse versions that followers may have with another document.
+// A leader whose state file was lost starts without a version. It must not publish a document under a version that
+// followers already have with another document. Once the operators have raised the term, it can publish again.
 func TestLeaderThatLostItsState(t *testing.T) {
 	leader := New(State{}, true)
 	if !leader.ObserveFollower(Version{Term: 1, Number: 50}) {
-		t.Error("a newer version is not reported as one")
+		t.Error("ObserveFollower does not report that the follower's version is newer")
 	}
 	if _, _, err := leader.Propose(testDocument(3, 1), 1); err == nil || !strings.Contains(err.Error(), "1.50") {
-		t.Errorf("it accepts a proposal in the same term: %v", err)
+		t.Errorf("proposal in the lost term: error %v", err)
 	}
 	if version := commit(t, leader, testDocument(3, 1), 2); version != (Version{Term: 2, Number: 1}) {
 		t.Error(version)
 	}
 	if _, _, err := leader.Propose(testDocument(4, 1), 1); err == nil {
-		t.Error("it accepts a proposal in an older term")
+		t.Error("a proposal in an older term is accepted")
 	}
 	_, _, err := leader.Propose(Document{Discovery: "127.0.0.1:1"}, 2)
-	if err == nil || !strings.Contains(err.Error(), "rooms: none") {
-		t.Errorf("a document without entries: %v", err)
+	if err == nil || !strings.Contains(err.Error(), "rooms: a published list cannot be withdrawn") {
+		t.Errorf("proposal of a document without entries: error %v", err)
 	}
 	if change, _, err := leader.Propose(testDocument(3, 1), 2); change != nil || err != nil {
-		t.Errorf("the current document again: %v, %v", change, err)
+		t.Errorf("proposal of the current document: change %v, error %v", change, err)
 	}
 }
--- a/internal/controlplane/replica/server_selector.go
+++ b/internal/controlplane/replica/server_selector.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// Timing of replication. A follower that loses its server after IdleTimeout, and whose next attempts each
-// take ReplyTimeout, has time for three such attempts and the backoff between them before LeaderTimeout ends.
+// Timing of replication. A follower notices after IdleTimeout that its control-plane server no longer responds.
+// LeaderTimeout leaves it time for three more attempts that fail after ReplyTimeout, and for the backoffs.
 const (
-	// LeaderTimeout is how long a follower goes without contact to the leader before it reports the leader as
-	// stale.
+	// LeaderTimeout is the time without contact to the leader after which a follower reports the leader as stale.
+	// The contact is direct or through other control-plane servers.
 	LeaderTimeout = 6 * time.Second
 
-	// HeartbeatInterval is the time between a server's heartbeats.
+	// HeartbeatInterval is the time between the heartbeats that a control-plane server sends to a follower.
 	HeartbeatInterval = time.Second
 
-	// IdleTimeout is how long a follower waits for any message before it leaves its server.
+	// IdleTimeout is the time without any message after which a follower leaves its control-plane server.
 	IdleTimeout = 2 * time.Second
 
-	// ReplyTimeout is how long each side waits for the other's first messages.
+	// ReplyTimeout limits the dial, and the wait for each message of the handshake and for the first message after
+	// it.
 	ReplyTimeout = 600 * time.Millisecond
 
-	// MaxLeaderAge caps the reported time since the last contact to the leader.
+	// MaxLeaderAge is the longest time since the last contact to the leader that is reported. Longer times are
+	// reported as MaxLeaderAge.
 	MaxLeaderAge = time.Hour
 )
 
 const (
-	// maxServerStaleness is how long a server may lack contact to the leader, or lag, before its follower
-	// leaves it.
+	// maxServerStaleness is how long a control-plane server may be without contact to the leader, or have an older
+	// version than its follower, before the follower leaves it.
 	maxServerStaleness = 3 * time.Second
 
-	// isolatedServerTimeout is how long a follower stays at a server without contact to the leader when all
-	// others have been tried.
+	// isolatedServerTimeout is how long a follower stays connected to a server without contact to the leader if it
+	// has tried all other servers.
 	isolatedServerTimeout = 2 * time.Second
 
-	// maxInitialBackoff limits the backoff before an attempt until each server has been tried once.
+	// maxInitialBackoff limits the backoff before an attempt while not all servers have been tried.
 	maxInitialBackoff = 200 * time.Millisecond
 
-	// maxBackoff limits the backoff before an attempt after that.
+	// maxBackoff limits the backoff before an attempt after all servers have been tried.
 	maxBackoff = time.Second
 
-	// minBackoffDivisor sets the lower limit of a backoff: the upper one divided by it.
+	// minBackoffDivisor sets the lower limit of a backoff: its upper limit divided by minBackoffDivisor.
 	minBackoffDivisor = 4
 )
 
@@ -50,29 +52,30 @@
 	Region  string
 }
 
-// ServerSelector decides which server a follower connects to, after which backoff, and when it leaves a
-// server. Servers of the follower's own region come first. A ServerSelector is not safe for concurrent use.
+// ServerSelector decides which control-plane server a follower connects to, after which backoff, and when it
+// leaves a server. It tries the servers of the follower's own region first. A ServerSelector is not safe for
+// concurrent use.
 type ServerSelector struct {
 	servers   []Server // in the order of the attempts
-	nextIndex int      // of the server for the next attempt
-	attempts  int      // since a server with contact to the leader was found
+	nextIndex int      // index in servers for the next attempt
+	attempts  int      // since the last heartbeat of a server that was up to date and in contact with the leader
 	random    *rand.Rand
 	startedAt time.Time
 
-	// lastLeaderContact is the latest time at which the leader is known to have been up. It is zero before
-	// the first heartbeat.
+	// lastLeaderContact is the latest time at which a heartbeat has shown the leader to be up. It is zero before the
+	// first heartbeat.
 	lastLeaderContact time.Time
 
-	// laggingSince is when the current server began to lag behind the follower or to lack contact to the
-	// leader. It is zero if it does neither.
+	// laggingSince is the time since which the current server has had an older version than the follower, or no
+	// contact to the leader. It is zero if neither is the case.
 	laggingSince time.Time
 
 	// reportedStale is the last result of LeaderStale.
 	reportedStale bool
 }
 
-// NewServerSelector returns a selector that starts with a random server of the given region. Followers with
-// different seeds spread over the servers.
+// NewServerSelector returns a selector for a follower in the given region. It orders the servers of the region,
+// and those of other regions, at random. Different seeds spread the followers over the servers.
 func NewServerSelector(servers []Server, region string, seed uint64, now time.Time) *ServerSelector {
 	selector := &ServerSelector{random: rand.New(rand.NewPCG(seed, 0)), startedAt: now}
 	var local, remote []Server
@@ -101,9 +104,9 @@
 	return server, floor + time.Duration(s.random.Int64N(int64(limit-floor)))
 }
 
-// HeartbeatReceived records a heartbeat of the current server, which was in contact with the leader at most
-// leaderAge ago and has the given version. It reports whether the follower, which has its own version, stays
-// with the server.
+// HeartbeatReceived records a heartbeat of the current server. leaderAge is the time since the server's last
+// contact to the leader. serverVersion is the server's version, own is the follower's. HeartbeatReceived reports
+// whether the follower stays connected to the server.
 func (s *ServerSelector) HeartbeatReceived(
 	now time.Time, leaderAge time.Duration, serverVersion, own Version,
 ) (stays bool) {
@@ -119,13 +122,13 @@
 	if s.laggingSince.IsZero() {
 		s.laggingSince = now
 	}
-	lagging := now.Sub(s.laggingSince)
+	lagDuration := now.Sub(s.laggingSince)
 	if inContact {
-		return lagging < maxServerStaleness
+		return lagDuration < maxServerStaleness
 	}
-	// When all servers have been tried, the leader itself may be down. This server will notice its return as
-	// soon as any.
-	return s.attempts > len(s.servers) && lagging < isolatedServerTimeout
+	// If all servers have been tried, the leader itself may be down. No other server is a better choice then, since
+	// this one detects the leader's return as early as any other.
+	return s.attempts > len(s.servers) && lagDuration < isolatedServerTimeout
 }
 
 // LeaderAge returns the time since the last contact to the leader, at most MaxLeaderAge. It returns
@@ -137,8 +140,9 @@
 	return min(now.Sub(s.lastLeaderContact), MaxLeaderAge)
 }
 
-// LeaderStale reports whether there has been no contact to the leader for LeaderTimeout, counted from the
-// start at the earliest, and whether that differs from the previous call's result.
+// LeaderStale reports whether there has been no contact to the leader for LeaderTimeout. The time counts from the
+// last contact or from the selector's creation, whichever is later. changed says whether the result differs from
+// the previous call's.
 func (s *ServerSelector) LeaderStale(now time.Time) (stale, changed bool) {
 	since := s.lastLeaderContact
 	if s.startedAt.After(since) {
--- a/internal/controlplane/replica/server_selector_test.go
+++ b/internal/controlplane/replica/server_selector_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testStart is the time at which the selectors of these tests start.
+// testStart is the creation time of the selectors in these tests.
 var testStart = time.Unix(1e9, 0)
 
 // sixServers returns two servers in each of three regions.
@@ -18,8 +18,8 @@
 	return servers
 }
 
-// connect tries servers from the given time on until one is up. The others do not reply. It returns the time
-// of the first heartbeat and the server that sent it.
+// connect simulates attempts from the given time on until one reaches a server that is up. Attempts at the servers
+// in down fail after ReplyTimeout. It returns the time of the first heartbeat and the server that sent it.
 func connect(selector *ServerSelector, now time.Time, down map[string]bool) (time.Time, Server) {
 	for {
 		server, backoff := selector.Next()
@@ -32,14 +32,15 @@
 	}
 }
 
-// With three of six servers down, each follower finds a server within LeaderTimeout, trying those of its own
-// region first. It finds another in time when that one fails too.
+// With three of six control-plane servers down, each follower connects to another one within LeaderTimeout, after
+// trying those of its own region. If that one fails too, the follower connects to a further one, also within
+// LeaderTimeout. No follower may report the leader as stale because of failed servers.
 func TestThreeOfSixServersFail(t *testing.T) {
 	firstServers := map[string]int{}
 	for seed := range uint64(300) {
 		selector := NewServerSelector(sixServers(), "r1", seed, testStart)
 		if selector.servers[0].Region != "r1" || selector.servers[1].Region != "r1" {
-			t.Fatalf("order %v", selector.servers)
+			t.Fatalf("the servers of region r1 do not come first: %v", selector.servers)
 		}
 		firstServers[selector.servers[0].Address]++
 		connected, server := connect(selector, testStart, map[string]bool{"m0": true, "m2": true, "m3": true})
@@ -53,32 +54,33 @@
 		}
 	}
 	if firstServers["m2"] < 100 || firstServers["m3"] < 100 {
-		t.Errorf("followers are spread as %v", firstServers)
+		t.Errorf("followers per first server: %v, want at least 100 for both m2 and m3", firstServers)
 	}
 }
 
-// A server that lags behind the follower, or lacks contact to the leader, is left.
+// A follower leaves a server that keeps an older version than its own for maxServerStaleness, and one that has no
+// contact to the leader.
 func TestLaggingServerIsLeft(t *testing.T) {
 	selector := NewServerSelector(sixServers(), "r1", 1, testStart)
 	own, older := Version{Term: 1, Number: 9}, Version{Term: 1, Number: 8}
 	selector.Next()
 	if !selector.HeartbeatReceived(testStart, 0, older, own) {
-		t.Error("a server that may be about to catch up is left at once")
+		t.Error("a server is left at its first heartbeat with an older version, without time to catch up")
 	}
 	if selector.HeartbeatReceived(testStart.Add(maxServerStaleness), 0, older, own) {
 		t.Error("a server that keeps lagging is not left")
 	}
 	selector.Next()
 	if !selector.HeartbeatReceived(testStart.Add(maxServerStaleness), 0, older, own) {
-		t.Error("the time for which the previous server lagged counts for the next one")
+		t.Error("the time for which the previous server lagged counts against the next one")
 	}
 	if selector.HeartbeatReceived(testStart.Add(maxServerStaleness), maxServerStaleness+1, own, own) {
 		t.Error("a server without contact to the leader is not left")
 	}
 }
 
-// Heartbeats of a server that lacks contact to the leader do not make the leader fresh. Each transition is
-// reported once.
+// Heartbeats of a server without contact to the leader do not keep the leader from becoming stale. Each transition
+// between stale and not stale is reported once.
 func TestLeaderStaleTransitions(t *testing.T) {
 	selector := NewServerSelector(sixServers(), "r1", 1, testStart)
 	if age := selector.LeaderAge(testStart); age != MaxLeaderAge {
@@ -97,12 +99,12 @@
 		}
 	}
 	if transitions != "22 true 30 false " {
-		t.Errorf("transitions: %s", transitions)
+		t.Errorf("transitions (step and stale): %s", transitions)
 	}
 }
 
-// Staleness counts from the start at the earliest, while the age is that of the server's last contact to the
-// leader.
+// The leader is not stale right after the follower's start, even if the server's last contact to the leader was long
+// ago. LeaderAge nevertheless returns the time since that contact.
 func TestLeaderStaleAtStart(t *testing.T) {
 	for name, leaderAge := range map[string]time.Duration{
 		"no contact":       MaxLeaderAge,
@@ -113,18 +115,18 @@
 			now := testStart.Add(time.Second)
 			selector.HeartbeatReceived(now, leaderAge, Version{}, Version{})
 			if stale, _ := selector.LeaderStale(now); stale || selector.LeaderAge(now) != leaderAge {
-				t.Errorf("age %v at the start: stale %v, age %v", leaderAge, stale, selector.LeaderAge(now))
+				t.Errorf("leader age %v in the heartbeat: stale %v, LeaderAge %v", leaderAge, stale, selector.LeaderAge(now))
 			}
 		})
 	}
 	selector := NewServerSelector(sixServers(), "r1", 1, testStart)
 	if stale, _ := selector.LeaderStale(testStart.Add(LeaderTimeout)); !stale {
-		t.Error("not stale without any heartbeat since the start")
+		t.Error("the leader is not stale although there was no heartbeat for LeaderTimeout after the start")
 	}
 }
 
-// The backoff grows once all servers have been tried, so that a fleet does not flood its servers while the
-// leader is down.
+// The backoff grows once all servers have been tried, so that the followers of a fleet do not overload the
+// control-plane servers with connections while the leader is down.
 func TestBackoff(t *testing.T) {
 	selector := NewServerSelector(sixServers(), "r1", 7, testStart)
 	for i := range 18 {
@@ -134,7 +136,7 @@
 			limit = maxBackoff
 		}
 		if backoff < limit/minBackoffDivisor || backoff > limit {
-			t.Errorf("attempt %d: backoff %v", i, backoff)
+			t.Errorf("attempt %d: backoff %v is out of range", i, backoff)
 		}
 	}
 	now, attempts := testStart, 0
@@ -146,10 +148,10 @@
 		}
 	}
 	if limit := 10 * 60 / 2; attempts > limit {
-		t.Errorf("%d attempts in 10 minutes without a leader, %d at most", attempts, limit)
+		t.Errorf("%d attempts in 10 minutes without a leader, want at most %d", attempts, limit)
 	}
 	selector.HeartbeatReceived(now, 0, Version{}, Version{})
 	if _, backoff := selector.Next(); backoff > maxInitialBackoff {
-		t.Errorf("backoff %v after a good server", backoff)
+		t.Errorf("backoff %v after a heartbeat of a server in contact with the leader", backoff)
 	}
 }
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -6,17 +6,18 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// SnapshotChunk is a part of a full snapshot of a state. The chunks of a snapshot are sent in the order of
-// their indexes, over one connection.
+// SnapshotChunk is one of the chunks that a full snapshot of a state is split into. The chunks of a snapshot are
+// sent over a single connection, in the order of their indexes.
 type SnapshotChunk struct {
 	Version   Version          `cbor:"1,keyasint"`
-	Index     int              `cbor:"2,keyasint"` // from 0 on
+	Index     int              `cbor:"2,keyasint"` // counts from 0
 	Last      bool             `cbor:"3,keyasint,omitempty"`
-	Discovery string           `cbor:"4,keyasint,omitempty"` // the document's, in each chunk
+	Discovery string           `cbor:"4,keyasint,omitempty"` // the document's discovery address, repeated in each chunk
 	Entries   []endpoint.Entry `cbor:"5,keyasint,omitempty"`
 }
 
-// Chunks splits a full snapshot of the state into chunks that each fit into one message.
+// Chunks splits a full snapshot of the state into chunks, each of which fits into one message. It returns at least
+// one chunk.
 func (s State) Chunks() []SnapshotChunk {
 	var chunks []SnapshotChunk
 	rest := s.Document.Endpoints
@@ -41,9 +42,10 @@
 	}
 }
 
-// ApplyChunk adds a chunk to the snapshot being received. With the last chunk it installs the snapshot, and
-// reports whether the state has changed. It ignores snapshots that are not newer than the current state. It
-// returns an error that wraps ErrGap if a chunk is missing, or ErrInvalidDocument if the snapshot is invalid.
+// ApplyChunk adds a chunk to the snapshot that is being received. After the last chunk it installs the snapshot.
+// It reports whether the state has changed; this result has no meaning if there is an error. It ignores snapshots
+// that are not newer than the current state. It returns an error that wraps ErrGap if a chunk is missing, or
+// ErrInvalidDocument if the snapshot is invalid.
 func (r *Replica) ApplyChunk(chunk SnapshotChunk) (changed bool, err error) {
 	if chunk.Version.Compare(r.state.Version) <= 0 {
 		return false, nil
@@ -53,12 +55,12 @@
 	}
 	if !r.expectsChunk(chunk) {
 		r.DiscardChunks()
-		return false, fmt.Errorf("%w: chunk %d of version %s", ErrGap, chunk.Index, chunk.Version)
+		return false, fmt.Errorf("%w: received chunk %d of version %s", ErrGap, chunk.Index, chunk.Version)
 	}
 	r.chunkedEntries += len(chunk.Entries)
 	if r.chunkedEntries > endpoint.MaxEntries || chunk.Index > endpoint.MaxEntries {
 		r.DiscardChunks()
-		return false, fmt.Errorf("%w: over %d room servers", ErrInvalidDocument, endpoint.MaxEntries)
+		return false, fmt.Errorf("%w: more than %d room servers", ErrInvalidDocument, endpoint.MaxEntries)
 	}
 	r.chunks = append(r.chunks, chunk)
 	if !chunk.Last {
@@ -72,7 +74,7 @@
 	return true, r.installSnapshot(State{chunk.Version, document})
 }
 
-// expectsChunk reports whether a chunk continues the snapshot being received.
+// expectsChunk reports whether a chunk is the next one of the snapshot that is being received.
 func (r *Replica) expectsChunk(chunk SnapshotChunk) bool {
 	if chunk.Index != len(r.chunks) {
 		return false
@@ -84,15 +86,15 @@
 	return chunk.Version == first.Version && chunk.Discovery == first.Discovery
 }
 
-// DiscardChunks drops the chunks of an incomplete snapshot. A follower calls it when it leaves the server
-// that sent them.
+// DiscardChunks drops the chunks of an incomplete snapshot. A follower calls it when its connection to the
+// control-plane server that sent them ends.
 func (r *Replica) DiscardChunks() {
 	r.chunks = nil
 	r.chunkedEntries = 0
 }
 
-// installSnapshot validates a state and makes it the current one. The retained changes do not lead to it and
-// are dropped.
+// installSnapshot validates a state and makes it the current one. It drops the retained changes, because there is
+// no change that leads from the last of them to this state.
 func (r *Replica) installSnapshot(state State) error {
 	document, err := state.Document.validate()
 	if err == nil {
