--- a/internal/controlplane/broadcaster.go
+++ b/internal/controlplane/broadcaster.go
@@ -7,17 +7,17 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// Broadcaster holds a replica and notifies the goroutines that serve it when it changes. It is safe for
-// concurrent use.
+// Broadcaster holds a replica and notifies the goroutines that serve followers when the replica's state changes.
+// It is safe for concurrent use.
 type Broadcaster struct {
 	mu        sync.Mutex // guards all fields
 	replica   *replica.Replica
-	changed   chan struct{} // closed when the state changes
+	changed   chan struct{} // closed when the state changes, and then replaced
 	leaderAge func(now time.Time) time.Duration
 }
 
-// NewBroadcaster returns a broadcaster with a state. If the state is served to followers, it has to retain
-// changes.
+// NewBroadcaster returns a broadcaster with an initial state. retainsChanges must be true if the broadcaster serves
+// followers.
 func NewBroadcaster(state replica.State, retainsChanges bool) *Broadcaster {
 	return &Broadcaster{
 		replica:   replica.New(state, retainsChanges),
@@ -33,8 +33,8 @@
 	return b.replica.State()
 }
 
-// setLeaderAge sets the function that returns the time since the last contact to the leader. Without it the
-// broadcaster is the leader's, and the time is 0.
+// setLeaderAge sets the function that returns the time since the last contact to the leader. It is not called for
+// the leader's own broadcaster, where that time is always 0.
 func (b *Broadcaster) setLeaderAge(leaderAge func(now time.Time) time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,20 +46,24 @@
 	b.mu.Lock()
 	leaderAge := b.leaderAge
 	b.mu.Unlock()
-	return leaderAge(time.Now()) // without the mutex: a Follower calls State while it holds its own
+	// The mutex must not be held here. Follower.leaderAge locks the follower's mutex, and the follower calls State
+	// while it holds that mutex: the two would deadlock.
+	return leaderAge(time.Now())
 }
 
-// applyChanges applies changes to the replica and wakes those that serve it. It returns the state after them.
+// applyChanges applies changes to the replica and notifies the goroutines that serve followers. It returns the
+// resulting state and whether it has changed.
 func (b *Broadcaster) applyChanges(changes []replica.Change) (state replica.State, changed bool, err error) {
 	return b.update(func(r *replica.Replica) (bool, error) { return r.ApplyChanges(changes) })
 }
 
-// applyChunk adds a snapshot chunk to the replica and wakes those that serve it when the snapshot is
-// complete. It returns the state after it.
+// applyChunk adds a snapshot chunk to the replica. When the snapshot is complete, it notifies the goroutines that
+// serve followers. It returns the resulting state and whether it has changed.
 func (b *Broadcaster) applyChunk(chunk replica.SnapshotChunk) (state replica.State, changed bool, err error) {
 	return b.update(func(r *replica.Replica) (bool, error) { return r.ApplyChunk(chunk) })
 }
 
+// update calls apply with the replica, and notifies the goroutines that serve followers if apply reports a change.
 func (b *Broadcaster) update(apply func(*replica.Replica) (bool, error)) (replica.State, bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +78,7 @@
 	return b.replica.State(), changed, nil
 }
 
-// discardChunks drops the chunks of an incomplete snapshot.
+// discardChunks drops the chunks of an incomplete snapshot; see replica.Replica.DiscardChunks.
 func (b *Broadcaster) discardChunks() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,22 +92,24 @@
 	return b.replica.Propose(document, term)
 }
 
-// observeFollower records a follower's version and reports whether it is newer than the current one.
+// observeFollower records a follower's version and reports whether it is newer than the current one; see
+// replica.Replica.ObserveFollower.
 func (b *Broadcaster) observeFollower(version replica.Version) (newer bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.replica.ObserveFollower(version)
 }
 
-// pendingUpdate is what a follower is missing.
+// pendingUpdate contains the changes that a follower has to receive next, or the state to send as a snapshot. A
+// follower that is up to date has to receive neither.
 type pendingUpdate struct {
-	state         replica.State    // the current one
-	changes       []replica.Change // the next ones to send; see replica.Replica.ChangesSince
-	needsSnapshot bool             // a snapshot of state has to be sent instead
+	state         replica.State    // the current state
+	changes       []replica.Change // the next changes to send; see replica.Replica.ChangesSince
+	needsSnapshot bool             // a snapshot of state has to be sent instead of changes
 	nextChange    <-chan struct{}  // closed when the state changes again
 }
 
-// updateSince returns what a follower at a version is missing.
+// updateSince returns the pending update for a follower at the given version.
 func (b *Broadcaster) updateSince(version replica.Version) pendingUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/controlplane/connection_test.go
+++ b/internal/controlplane/connection_test.go
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// sealFrame returns a frame with a snapshot of a state.
+// sealFrame returns a frame with the first chunk of a state's snapshot and a valid tag.
 func sealFrame(t *testing.T, peer *secureConn, state replica.State) []byte {
 	t.Helper()
 	body, err := cbor.Marshal(message{Chunk: &state.Chunks()[0]})
@@ -23,8 +23,9 @@
 	return append(append(header, body...), frameTag(peer.sendMAC, peer.sendSequence, body)...)
 }
 
-// startInvalidServer accepts followers and answers each subscription with the bytes that invalidFrame
-// returns. The result of each answer is sent to the channel.
+// startInvalidServer starts a server that completes the handshake with each follower, and answers its subscription
+// with the bytes that invalidFrame returns. The channel receives the error of each connection, nil if the bytes were
+// sent.
 func startInvalidServer(
 	t *testing.T, keys *Keyring, invalidFrame func(peer *secureConn) []byte,
 ) (replica.Server, <-chan error) {
@@ -58,7 +59,7 @@
 // expectOnlyState fails the test unless a follower has applied exactly one state, with the given version.
 func expectOnlyState(t *testing.T, follower testFollower, want replica.Version) {
 	t.Helper()
-	// The broadcaster has a version a moment before the follower calls onState.
+	// The state may still be missing in the channel: the follower updates the broadcaster before it calls onState.
 	select {
 	case applied := <-follower.states:
 		if applied.Version != want {
@@ -72,7 +73,8 @@
 	}
 }
 
-// A follower rejects invalid frames, although they contain a newer version, and goes on to a valid server.
+// A follower rejects frames that were truncated, modified, reordered or are too long, although they contain a newer
+// version. It then connects to the next server.
 func TestInvalidFramesAreRejected(t *testing.T) {
 	t.Parallel()
 	keys, valid := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
@@ -116,7 +118,8 @@
 	}
 }
 
-// A frame that is too long is rejected before memory is allocated for it.
+// A frame that is too long is neither read nor sent. A reader rejects it by its header, before it allocates memory
+// for the body.
 func TestFrameLength(t *testing.T) {
 	t.Parallel()
 	local, remote := net.Pipe()
--- a/internal/controlplane/detachable_handler.go
+++ b/internal/controlplane/detachable_handler.go
@@ -6,11 +6,12 @@
 	"cottonplank/internal/core"
 )
 
-// detachableHandler forwards the discovery service's updates to a handler until it is detached.
+// detachableHandler forwards updates from the discovery service to another handler until it is detached.
 type detachableHandler struct {
 	handler core.UpdateHandler
 
-	// mu is held during each call of handler, so that none is in progress when detach returns.
+	// mu guards detached. It is also held during each call of handler, so that no call is in progress when detach
+	// returns.
 	mu       sync.Mutex
 	detached bool
 }
@@ -33,7 +34,7 @@
 	}
 }
 
-// detach drops all later updates.
+// detach makes the handler drop all later updates.
 func (h *detachableHandler) detach() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/controlplane/encoding_test.go
+++ b/internal/controlplane/encoding_test.go
@@ -23,11 +23,11 @@
 	testEntry       = endpoint.Entry{Name: "s-1", Address: "127.0.0.1:9000", Zone: "a", Weight: 1.5, Drain: true}
 )
 
-// encodedEntry is the encoding of testEntry.
+// encodedEntry is the CBOR encoding of testEntry, in hexadecimal.
 const encodedEntry = "a5646e616d6563732d3167616464726573736e3132372e302e302e313a39303030" +
 	"647a6f6e65616166776569676874fb3ff800000000000065647261696ef5"
 
-// Servers and followers of different releases talk to each other, so the encoding of each message is fixed.
+// Servers and followers of different releases exchange messages, so the encoding of each message must not change.
 func TestMessageEncodingIsFixed(t *testing.T) {
 	has := replica.Version{Term: 1, Number: 7}
 	next := replica.Version{Term: 1, Number: 8}
@@ -36,9 +36,9 @@
 		value any
 		want  string
 	}{
-		{"hello", clientHello{1, "k1", testClientNonce},
+		{"client hello", clientHello{1, "k1", testClientNonce},
 			"a3010102626b310350636c69656e74206e6f6e636520313662"},
-		{"welcome", serverHello{testServerNonce}, "a10150736572766572206e6f6e636520313662"},
+		{"server hello", serverHello{testServerNonce}, "a10150736572766572206e6f6e636520313662"},
 		{"subscribe", message{Subscribe: &has}, "a101820107"},
 		{"heartbeat", message{Heartbeat: &heartbeat{has, 1500}}, "a102a201820107021905dc"},
 		{"changes", message{Changes: []replica.Change{{From: has, To: next,
@@ -62,7 +62,8 @@
 	}
 }
 
-// A frame's length, body and tag, and the derivation of the keys that the tags are made with, are fixed.
+// The layout of a frame, its tag, and the derivation of the tags' keys must not change, because servers and followers
+// of different releases exchange frames.
 func TestFrameEncodingIsFixed(t *testing.T) {
 	has := replica.Version{Term: 1, Number: 7}
 	for _, test := range []struct {
@@ -105,7 +106,7 @@
 	}
 }
 
-// The key of a follower's first frame depends on the shared secret and the site alone.
+// The tag of a follower's first frame must not change either. Its key depends only on the shared secret and the site.
 func TestHelloKeyIsFixed(t *testing.T) {
 	mac, err := newMAC(testSecret, nil, "hello", "site-1")
 	if err != nil {
@@ -117,7 +118,8 @@
 	}
 }
 
-// A state file is read by the releases before and after this one: its bucket, its key and its value are fixed.
+// Earlier and later releases read the same state file, so its bucket, its key and the encoding of its value must not
+// change.
 func TestSavedStateIsFixed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.db")
 	s, _ := newTestStore(path, "site-1")
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -13,31 +13,31 @@
 	"github.com/sirupsen/logrus"
 )
 
-// staleCheckInterval is the time between two checks whether the leader is stale.
+// staleCheckInterval is the time between two checks of whether the leader is stale.
 const staleCheckInterval = 250 * time.Millisecond
 
-// errServerLagging says that the selector has decided to leave a server.
-var errServerLagging = errors.New("no contact to the leader, or lags behind")
+// errServerLagging means that the selector has decided to leave a server because of its heartbeat.
+var errServerLagging = errors.New("the server has no contact to the leader or an older version than this follower")
 
-// Follower replicates the document into a broadcaster, from one control-plane server at a time.
+// Follower replicates the document from one control-plane server at a time into a broadcaster.
 type Follower struct {
 	broadcaster *Broadcaster
 	keys        *Keyring
 	site        string
 	log         *logrus.Logger
 
-	// onState is called from Run for each new state, in the order of the versions.
+	// onState is called from Run for each new state, in ascending order of the versions.
 	onState func(replica.State)
 
 	mu            sync.Mutex // guards the fields below
 	selector      *replica.ServerSelector
-	lastFailure   string // why the last server was left
-	loggedServer  string // address of the server that the log named last
-	currentServer string // address of the server that sent the last good heartbeat
+	lastFailure   string // address of the last server that was left or not reached, and the error
+	loggedServer  string // address of the server in the last "replicating" log line
+	currentServer string // address of the server whose heartbeat last led the selector to stay
 }
 
-// NewFollower returns a follower that calls onState for each new state. onState may block. Followers with
-// different seeds spread over the servers.
+// NewFollower returns a follower that calls onState for each new state. onState may block, which delays replication.
+// Different seeds spread the followers over the servers.
 func NewFollower(
 	broadcaster *Broadcaster, servers []replica.Server, region string, seed uint64, keys *Keyring, site string,
 	onState func(replica.State), log *logrus.Logger,
@@ -54,6 +54,7 @@
 	return follower
 }
 
+// leaderAge returns the time since the last contact to the leader.
 func (f *Follower) leaderAge(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,7 +68,8 @@
 	return f.checkLeaderStale()
 }
 
-// checkLeaderStale reports whether the leader is stale, and logs each transition. The caller holds mu.
+// checkLeaderStale reports whether the leader is stale, and logs each transition between stale and not stale. The
+// caller holds mu.
 func (f *Follower) checkLeaderStale() bool {
 	stale, changed := f.selector.LeaderStale(time.Now())
 	if !changed {
@@ -83,7 +85,7 @@
 	return stale
 }
 
-// Run replicates until ctx ends.
+// Run replicates until ctx ends. When a connection fails or its server is left, it connects to the next server.
 func (f *Follower) Run(ctx context.Context) {
 	var monitor sync.WaitGroup
 	defer monitor.Wait()
@@ -103,7 +105,8 @@
 	}
 }
 
-// monitorLeader checks periodically whether the leader is stale, until ctx ends.
+// monitorLeader checks periodically whether the leader is stale, until ctx ends. Without it, nothing would be logged
+// while no heartbeat arrives.
 func (f *Follower) monitorLeader(ctx context.Context) {
 	ticker := time.NewTicker(staleCheckInterval)
 	defer ticker.Stop()
@@ -123,6 +126,7 @@
 	return f.selector.Next()
 }
 
+// recordFailure records why a server was left or not reached. The next log line about a stale leader contains it.
 func (f *Follower) recordFailure(failure string) {
 	f.log.WithField("cause", failure).Debug("control: trying the next server")
 	f.mu.Lock()
@@ -130,7 +134,8 @@
 	f.lastFailure = failure
 }
 
-// replicateFrom applies what a server sends. It returns the reason for which the server was left or lost.
+// replicateFrom connects to a server and applies the messages that the server sends. It returns the error that ended
+// the connection.
 func (f *Follower) replicateFrom(ctx context.Context, server replica.Server) error {
 	dialer := net.Dialer{Timeout: replica.ReplyTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", server.Address)
@@ -161,7 +166,8 @@
 	}
 }
 
-// handleMessage applies a message. It returns errServerLagging if the server is to be left.
+// handleMessage applies a message of a server. It returns an error if the message is rejected, and errServerLagging
+// if the follower has to leave the server.
 func (f *Follower) handleMessage(server replica.Server, received message) error {
 	if received.Heartbeat != nil {
 		return f.handleHeartbeat(server, *received.Heartbeat)
@@ -189,7 +195,8 @@
 	return nil
 }
 
-// handleHeartbeat records a heartbeat. It returns errServerLagging if the server is to be left.
+// handleHeartbeat records a heartbeat of a server. It returns errServerLagging if the follower has to leave the
+// server.
 func (f *Follower) handleHeartbeat(server replica.Server, received heartbeat) error {
 	own := f.broadcaster.State().Version
 	ageMillis := min(received.LeaderAgeMillis, uint64(replica.MaxLeaderAge.Milliseconds()))
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -11,8 +11,9 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// A follower receives a snapshot of many chunks and then changes from a server that is a follower itself.
-// When that server stops, it continues at another one with changes only.
+// A follower receives a snapshot of many chunks, and then changes, from a server that is itself a follower of the
+// leader. When that server stops, the follower connects to another one and receives only changes from it. When no
+// server is left, it logs once that the leader is stale.
 func TestReplicateThroughFollower(t *testing.T) {
 	t.Parallel()
 	keys := newTestKeyring(t)
@@ -34,23 +35,24 @@
 	publishDocument(t, leader, documentOf(20002, 1))
 	waitUntil(t, "a change from the other server", atVersion(follower.broadcaster, version(3)))
 	if took := time.Since(start); took > replica.LeaderTimeout {
-		t.Errorf("the change after the server's stop took %v", took)
+		t.Errorf("the change arrived %v after the server was stopped", took)
 	}
 	state := follower.broadcaster.State()
 	if !reflect.DeepEqual(state, leader.State()) || len(follower.states) != 3 ||
 		!strings.Contains(follower.log.String(), other.Address) {
-		t.Errorf("at %s after %d states, log:\n%s", state.Version, len(follower.states), follower.log)
+		t.Errorf("version %s, %d states applied, want 3; log:\n%s", state.Version, len(follower.states), follower.log)
 	}
 	stopFirst()
 	waitUntil(t, "a stale leader", follower.log.contains("no contact to the leader for 6s"))
 	time.Sleep(500 * time.Millisecond)
 	if n := strings.Count(follower.log.String(), "no contact to the leader for"); n != 1 {
-		t.Errorf("the stale leader is logged %d times", n)
+		t.Errorf("the stale leader is logged %d times, want once", n)
 	}
 }
 
-// A follower starts 100 versions behind while one server hangs, two are down, and the others have different
-// versions. It reaches the newest version in time and never goes back.
+// A follower starts 100 versions behind. One server does not answer, two are down, and the remaining two have
+// different versions. The follower reaches the newest version within replica.LeaderTimeout. When only the server with
+// the older version is left, the follower keeps its version.
 func TestServersWithDifferentVersions(t *testing.T) {
 	t.Parallel()
 	keys := newTestKeyring(t)
@@ -71,22 +73,23 @@
 	start := time.Now()
 	waitUntil(t, "the newer state", atVersion(follower.broadcaster, version(101)))
 	if took := time.Since(start); took > replica.LeaderTimeout {
-		t.Errorf("it took %v", took)
+		t.Errorf("the newer state arrived after %v", took)
 	}
 	stopNewer() // only the older one is left
 	time.Sleep(3 * time.Second)
 	for len(follower.states) > 0 {
 		if state := <-follower.states; state.Version.Compare(oldState.Version) <= 0 {
-			t.Errorf("went back to %s", state.Version)
+			t.Errorf("the follower went back to version %s", state.Version)
 		}
 	}
 	if current := follower.broadcaster.State().Version; current != version(101) {
-		t.Errorf("at %s", current)
+		t.Errorf("the follower is at version %s, want that of the newer server", current)
 	}
 }
 
-// A server stops sending after a heartbeat, with its connection open, and does not answer new connections.
-// The follower finds another server before it reports the leader as stale.
+// A server sends nothing after its first heartbeat, although the connection stays open, and does not answer new
+// connections. This happens when its process hangs. The follower connects to another server before it reports the
+// leader as stale.
 func TestUnresponsiveServerIsLeft(t *testing.T) {
 	t.Parallel()
 	keys, broadcaster := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
@@ -114,12 +117,12 @@
 	waitUntil(t, "the other server's state", atVersion(follower.broadcaster, want.Version))
 	if took := time.Since(start); took > replica.LeaderTimeout ||
 		strings.Contains(follower.log.String(), "no contact to the leader for") {
-		t.Errorf("it took %v, log:\n%s", took, follower.log)
+		t.Errorf("the other server's state arrived after %v, log:\n%s", took, follower.log)
 	}
 }
 
-// After a restart only the changes since the saved state are transferred. A saved state that is newer than
-// the server's is kept.
+// A follower that restarts with a saved state receives only the changes since that state. It keeps a saved state
+// that is newer than the server's.
 func TestRestartFromSavedState(t *testing.T) {
 	t.Parallel()
 	keys, broadcaster := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
@@ -138,12 +141,12 @@
 	var received message
 	err = errors.Join(peer.send(message{Subscribe: &saved.Version}), peer.receive(&received, time.Second))
 	if err != nil || len(received.Changes) != 1 {
-		t.Fatalf("%v, %+v", err, received)
+		t.Fatalf("error %v, received %+v, want one change", err, received)
 	}
 	newer := replica.State{Version: replica.Version{Term: 3, Number: 1}, Document: documentOf(7, 1)}
 	follower := startFollower(t, newer, keys, "x", server)
 	time.Sleep(1500 * time.Millisecond)
 	if state := follower.broadcaster.State(); !reflect.DeepEqual(state, newer) || len(follower.states) != 0 {
-		t.Errorf("at %s after %d states", state.Version, len(follower.states))
+		t.Errorf("the newer saved state was replaced: version %s, %d states applied", state.Version, len(follower.states))
 	}
 }
--- a/internal/controlplane/handshake.go
+++ b/internal/controlplane/handshake.go
@@ -7,14 +7,15 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// newNonce returns random bytes for one handshake.
+// newNonce returns a random nonce for one handshake.
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
 	rand.Read(nonce)
 	return nonce
 }
 
-// clientHandshake authenticates a follower and its server to each other, on the follower's side.
+// clientHandshake performs the mutual authentication of a follower and a server, on the follower's side. It uses
+// the keyring's sealing key.
 func (c *secureConn) clientHandshake(keys *Keyring, site string) error {
 	keyID, secret, err := keys.sealingKey()
 	if err != nil {
@@ -33,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	// The key of the answer's tag depends on the nonce in the answer, which is therefore decoded before it is
-	// verified.
+	// The key of the answer's tag depends on the nonce in the answer. The answer is therefore decoded before its tag
+	// is verified.
 	var answer serverHello
 	if err := decodeMode.Unmarshal(body, &answer); err != nil || len(answer.Nonce) != nonceBytes {
 		return errProtocol
@@ -45,14 +46,16 @@
 	return c.verifyAndDecode(body, tag, &answer)
 }
 
-// serverHandshake authenticates a follower and its server to each other, on the server's side.
+// serverHandshake performs the mutual authentication of a follower and a server, on the server's side. It uses the
+// key that the follower names. The follower's clientHello can be replayed, so the follower is authenticated only
+// when the server has received its next message.
 func (c *secureConn) serverHandshake(keys *Keyring, site string) error {
 	c.conn.SetReadDeadline(time.Now().Add(replica.ReplyTimeout))
 	body, tag, err := c.readFrame()
 	if err != nil {
 		return err
 	}
-	// The key of the tag is named in the message, which is therefore decoded before it is verified.
+	// The message contains the ID of its tag's key. It is therefore decoded before its tag is verified.
 	var hello clientHello
 	if err := decodeMode.Unmarshal(body, &hello); err != nil || !hello.valid() {
 		return errProtocol
@@ -74,7 +77,7 @@
 	return c.send(serverHello{Nonce: serverNonce})
 }
 
-// valid reports whether a server of this protocol version can answer the message.
+// valid reports whether the message has the supported protocol version, a nonce of the right length and a key ID.
 func (h clientHello) valid() bool {
 	return h.ProtocolVersion == protocolVersion && len(h.Nonce) == nonceBytes && h.KeyID != ""
 }
--- a/internal/controlplane/helpers_test.go
+++ b/internal/controlplane/helpers_test.go
@@ -17,10 +17,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// testTimeout limits how long a test waits for something that has to happen.
+// testTimeout limits the time that a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
-// logBuffer collects log output. It can be read while it is written to.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -38,6 +38,7 @@
 	return b.text.String()
 }
 
+// contains returns a condition for waitUntil: that the output contains the text.
 func (b *logBuffer) contains(text string) func() bool {
 	return func() bool { return strings.Contains(b.String(), text) }
 }
@@ -48,7 +49,7 @@
 	return log, output
 }
 
-// newTestKeyring returns a keyring with one key that no other keyring has.
+// newTestKeyring returns a keyring with a new random key.
 func newTestKeyring(t *testing.T) *Keyring {
 	t.Helper()
 	key, err := token.NewKey(time.Now().Add(-time.Minute), time.Now().Add(time.Hour), rand.Reader)
@@ -91,7 +92,8 @@
 	return state
 }
 
-// startUntilCleanup runs a function until the test ends or stop is called. stop waits for the function to return.
+// startUntilCleanup runs a function in a goroutine, and cancels its context when the test ends or stop is called.
+// stop waits for the function to return.
 func startUntilCleanup(t *testing.T, run func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -114,12 +116,12 @@
 	return listener
 }
 
-// serverAt returns the server at a listener's address.
+// serverAt returns a replica.Server with a listener's address.
 func serverAt(listener net.Listener, region string) replica.Server {
 	return replica.Server{Address: listener.Addr().String(), Region: region}
 }
 
-// startServer serves a broadcaster in region "a".
+// startServer starts a control-plane server in region "a" that serves a broadcaster's document.
 func startServer(
 	t *testing.T, broadcaster *Broadcaster, keys *Keyring, site string,
 ) (server replica.Server, stop func()) {
@@ -132,10 +134,10 @@
 	return serverAt(listener, "a"), stop
 }
 
-// testFollower is a running follower of a test.
+// testFollower contains the broadcaster, the applied states and the log of a running follower.
 type testFollower struct {
 	broadcaster *Broadcaster
-	states      chan replica.State // those that it has applied
+	states      chan replica.State // the states that it has applied
 	log         *logBuffer
 }
 
@@ -156,7 +158,7 @@
 	return f
 }
 
-// waitUntil fails the test if a condition does not come true within testTimeout.
+// waitUntil waits until a condition is true. It fails the test if that takes longer than testTimeout.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -166,9 +168,10 @@
 	}
 }
 
+// atVersion returns a condition for waitUntil: that a broadcaster is at the given version.
 func atVersion(broadcaster *Broadcaster, version replica.Version) func() bool {
 	return func() bool { return broadcaster.State().Version == version }
 }
 
-// version returns a version of term 1.
+// version returns the version with the given number in term 1.
 func version(number uint64) replica.Version { return replica.Version{Term: 1, Number: number} }
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// filePollInterval is the time between two checks of the operator's file.
+	// filePollInterval is the time between two checks of whether the document's file has changed.
 	filePollInterval = 500 * time.Millisecond
 
-	// minFileAge is the least age of a file for its modification time to tell it from a later one: the file
-	// system may give two writes within that time the same one.
+	// minFileAge is the minimum age of a file for its modification time to be reliable. A younger file is read again
+	// at the next check, because the file system may record the same modification time for two writes that follow
+	// each other closely.
 	minFileAge = 2 * time.Second
 )
 
-// ReadDocument reads and validates an operator's file. Errors name the file and the key and value at fault.
+// ReadDocument reads and validates the file that contains the operators' document. Errors name the file, the key and
+// the value at fault.
 func ReadDocument(path string) (replica.Document, error) {
 	raw, err := filesource.ReadLimited(path, replica.MaxFileBytes)
 	if err != nil {
@@ -35,8 +37,8 @@
 	return document, nil
 }
 
-// confirmationError says that a list removes or drains over half of the active endpoints and needs a
-// confirmation.
+// confirmationError means that a list needs the operators' confirmation, because it removes or drains over half of
+// the active endpoints.
 type confirmationError struct{ change endpoint.Change }
 
 // Error implements error.
@@ -45,9 +47,9 @@
 	return fmt.Sprintf(format, e.change)
 }
 
-// Leader publishes an operator's file as the next version of the document whenever the file changes. It
-// rejects invalid files and logs each reason once. A file that removes over half of the endpoints needs a
-// confirmation.
+// Leader reads the operators' document from a file whenever the file changes, and publishes it as the next version.
+// It rejects an invalid document, and logs the reason once rather than at each poll. A document that removes or
+// drains over half of the active endpoints needs the operators' confirmation.
 type Leader struct {
 	path        string
 	term        uint64
@@ -58,11 +60,11 @@
 	// The fields below are owned by Run's goroutine.
 
 	file        *filesource.FileTracker
-	guard       *endpoint.ChangeGuard // nil until it is created from the current list
-	lastFailure string                // the last logged reason; empty after a success
+	guard       *endpoint.ChangeGuard // decides which lists need a confirmation; nil until it is needed
+	lastFailure string                // the reason for which the last read was rejected; empty if it was not
 }
 
-// NewLeader returns the leader of a term.
+// NewLeader returns a leader that reads the document from the file at path and publishes it in the given term.
 func NewLeader(path string, term uint64, broadcaster *Broadcaster, store *Store, log *logrus.Logger) *Leader {
 	return &Leader{
 		path:        path,
@@ -74,7 +76,8 @@
 	}
 }
 
-// Run publishes until ctx ends. A signal on reloads has the file read again, and confirms a list that is pending.
+// Run publishes the document until ctx ends. When it receives a signal from reloads, it reads the file again even if
+// it has not changed. If the file then contains the list that is pending, the signal confirms the list.
 func (l *Leader) Run(ctx context.Context, reloads <-chan os.Signal) {
 	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
@@ -93,7 +96,8 @@
 	}
 }
 
-// reload reads and publishes the file. requested says that the operator requested it.
+// reload reads the file and publishes the document. requested says that the operators requested the reload with a
+// signal. The reason for a rejection is then logged even if it is the same as before.
 func (l *Leader) reload(requested bool) {
 	l.file.BeginRead()
 	err := l.readAndPublish(requested)
@@ -116,13 +120,13 @@
 		return err
 	}
 	if err := l.publish(document); err != nil {
-		l.guard = nil // its current list may be one that was not published
+		l.guard = nil // the guard may have accepted a list that was not published
 		return err
 	}
 	return nil
 }
 
-// checkConfirmation returns a confirmationError if a document's list needs a confirmation that it does not have.
+// checkConfirmation returns a confirmationError if the document's list needs a confirmation and is not confirmed.
 func (l *Leader) checkConfirmation(document replica.Document, requested bool) error {
 	current := l.broadcaster.State().Document.Endpoints
 	if len(current) == 0 || len(document.Endpoints) == 0 {
@@ -144,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	if change == nil { // it is the current version already
+	if change == nil { // the document is the current one
 		return nil
 	}
 	if err := l.store.Save(next); err != nil {
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -18,34 +18,35 @@
 	Nonce           []byte `cbor:"3,keyasint"`
 }
 
-// serverHello is the server's answer to a clientHello.
+// serverHello is a control-plane server's answer to a clientHello.
 type serverHello struct {
 	Nonce []byte `cbor:"1,keyasint"`
 }
 
 // message is any message after the handshake. Exactly one of its fields is set.
 type message struct {
-	// Subscribe is the first message of a follower: the version that it has. The follower sends nothing after it.
+	// Subscribe is sent by a follower after the handshake. It is the follower's current version. The follower sends
+	// no further messages.
 	Subscribe *replica.Version `cbor:"1,keyasint,omitempty"`
 
-	// Heartbeat is sent by a server every replica.HeartbeatInterval.
+	// Heartbeat is sent by a server once the follower is up to date, and then every replica.HeartbeatInterval.
 	Heartbeat *heartbeat `cbor:"2,keyasint,omitempty"`
 
-	// Changes are sent by a server that still has the changes since the follower's version.
+	// Changes are sent by a server that has retained the changes since the follower's version.
 	Changes []replica.Change `cbor:"3,keyasint,omitempty"`
 
-	// Chunk is sent by a server that does not.
+	// Chunk is sent by a server that has not retained them. It is one of the chunks of a full snapshot.
 	Chunk *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
 }
 
-// heartbeat reports a server's version and its contact to the leader.
+// heartbeat reports a server's version and the time since its last contact to the leader.
 type heartbeat struct {
 	Version         replica.Version `cbor:"1,keyasint"`
 	LeaderAgeMillis uint64          `cbor:"2,keyasint"` // milliseconds since the last contact to the leader
 }
 
-// decodeMode rejects what this program never encodes: duplicate keys, indefinite lengths, tags and unknown
-// fields.
+// decodeMode rejects CBOR features that this program never uses in its messages: duplicate keys, indefinite lengths,
+// tags and unknown fields.
 var decodeMode = newDecodeMode()
 
 func newDecodeMode() cbor.DecMode {
@@ -56,7 +57,7 @@
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constant and valid
 	}
 	return mode
 }
--- a/internal/controlplane/persister.go
+++ b/internal/controlplane/persister.go
@@ -7,13 +7,14 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// saveInterval is the least time between two writes of the state file.
+// saveInterval is the minimum time between two writes of the state file. Only the last write, before Run returns, may
+// follow earlier.
 const saveInterval = time.Second
 
-// Persister saves the latest state in the background, so that a slow disk does not delay replication.
+// Persister saves the latest state to a Store in the background, so that a slow disk does not delay replication.
 type Persister struct {
 	store  *Store
-	latest chan replica.State // holds the latest state that is not saved yet
+	latest chan replica.State // holds the latest state until it is saved
 }
 
 // NewPersister returns a persister that writes to a store.
@@ -21,8 +22,8 @@
 	return &Persister{store: store, latest: make(chan replica.State, 1)}
 }
 
-// Enqueue schedules a state to be saved, in place of an earlier one that is still waiting. It does not block.
-// It must not be called concurrently.
+// Enqueue schedules a state to be saved. It replaces an earlier state that has not been saved yet. It does not
+// block. It must not be called concurrently.
 func (p *Persister) Enqueue(state replica.State) {
 	select {
 	case <-p.latest: // superseded
@@ -31,7 +32,8 @@
 	p.latest <- state
 }
 
-// Run saves states until ctx ends, and then the one that is still waiting.
+// Run saves states until ctx ends. Before it returns, it saves the state that has not been saved yet, if there is
+// one.
 func (p *Persister) Run(ctx context.Context) {
 	for {
 		select {
@@ -48,7 +50,7 @@
 	}
 }
 
-// flush saves the state that is still waiting, if there is one.
+// flush saves the state that has not been saved yet, if there is one.
 func (p *Persister) flush() {
 	select {
 	case state := <-p.latest:
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	maxFollowers = 4096 // at one server
+	maxFollowers = 4096 // connections that one control-plane server accepts at a time
 
-	// acceptBackoff is the time between failed calls of Accept: file descriptors may have run out.
+	// acceptBackoff is the wait after a failed call of Accept. Without it the loop would spin while the process has
+	// no free file descriptors.
 	acceptBackoff = 100 * time.Millisecond
 
-	// logInterval is the least time between two equal warnings that a follower can cause.
+	// logInterval is the minimum time between two warnings of the same kind that a remote peer can cause.
 	logInterval = 10 * time.Second
 )
 
-// Server sends a broadcaster's document to followers.
+// Server accepts connections of followers on a control-plane server and sends them a broadcaster's document.
 type Server struct {
 	broadcaster *Broadcaster
 	keys        *Keyring
@@ -33,7 +34,8 @@
 	rejectionLog     rate.Sometimes
 }
 
-// NewServer returns a server of a broadcaster's document. Followers need a key of the keyring and the same site.
+// NewServer returns a server that sends a broadcaster's document. It accepts followers of the same site that have a
+// key of the keyring.
 func NewServer(broadcaster *Broadcaster, keys *Keyring, site string, log *logrus.Logger) *Server {
 	return &Server{
 		broadcaster:      broadcaster,
@@ -45,7 +47,8 @@
 	}
 }
 
-// Serve accepts followers until ctx ends. It closes the listener, and returns when all connections have ended.
+// Serve accepts followers until ctx ends. It then closes the listener and all connections, and returns when no
+// connection is being served any more.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var connections sync.WaitGroup
@@ -67,7 +70,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			conn.Close() // the follower tries another server
+			conn.Close() // the follower will try another server
 			continue
 		}
 		connections.Go(func() {
@@ -93,7 +96,8 @@
 	}
 }
 
-// serveFollower sends a follower what it is missing, then each change, and heartbeats in between.
+// serveFollower sends a follower the changes or the snapshot that bring it up to date, and then each new change. It
+// sends a heartbeat at the start, once the follower is up to date, and then every replica.HeartbeatInterval.
 func (s *Server) serveFollower(ctx context.Context, peer *secureConn) error {
 	sentVersion, err := s.receiveSubscription(peer)
 	if err != nil {
@@ -136,7 +140,8 @@
 	}
 }
 
-// receiveSubscription returns the version that a follower has.
+// receiveSubscription receives a follower's Subscribe message and returns the follower's version. It logs a warning
+// if that version is newer than the server's.
 func (s *Server) receiveSubscription(peer *secureConn) (replica.Version, error) {
 	var received message
 	if err := peer.receive(&received, replica.ReplyTimeout); err != nil {
@@ -158,13 +163,14 @@
 	return version, nil
 }
 
-// waitForDisconnect returns when the connection ends. A follower sends nothing after its subscription.
+// waitForDisconnect returns when the connection ends, or when the follower sends a byte. A follower sends nothing
+// after its subscription, so the connection is closed in both cases.
 func waitForDisconnect(peer *secureConn) {
 	peer.conn.SetReadDeadline(time.Time{})
 	peer.reader.ReadByte()
 }
 
-// sendUpdate sends changes or a snapshot. It returns the version that the follower has after them.
+// sendUpdate sends changes or a snapshot. It returns the version that the follower has once it has applied them.
 func sendUpdate(peer *secureConn, update pendingUpdate) (replica.Version, error) {
 	if !update.needsSnapshot {
 		err := peer.send(message{Changes: update.changes})
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -11,8 +11,8 @@
 	"cottonplank/internal/controlplane/replica"
 )
 
-// Peers with another key, or of another site, neither get nor give anything. A key that is added later takes
-// effect without a signal.
+// Peers with another key or of another site cannot complete the handshake: a server does not send them its document,
+// and a follower does not accept one from them. A key that is added later takes effect without a signal.
 func TestForeignKeysAndSitesAreRejected(t *testing.T) {
 	t.Parallel()
 	keys, foreignKeys := newTestKeyring(t), newTestKeyring(t)
@@ -29,10 +29,10 @@
 	waitUntil(t, "the log of a rejection", output.contains("control: follower rejected"))
 	time.Sleep(300 * time.Millisecond)
 	if got := otherKey.broadcaster.State().Version; got != (replica.Version{}) {
-		t.Errorf("a follower with another key gets %s", got)
+		t.Errorf("a follower with another key receives version %s", got)
 	}
 	if got := otherSite.broadcaster.State().Version; got != (replica.Version{}) {
-		t.Errorf("a follower of another site gets %s", got)
+		t.Errorf("a follower of another site receives version %s", got)
 	}
 	// A server without the key cannot complete the handshake with a follower that has it.
 	foreignServer, _ := startServer(t, broadcaster, foreignKeys, "x")
@@ -50,7 +50,8 @@
 	waitUntil(t, "the state under the new key", atVersion(otherKey.broadcaster, version(1)))
 }
 
-// A server disconnects a peer that sends nothing, and stops although followers have disconnected at any time.
+// A server disconnects a peer that sends nothing. It can be stopped after followers have disconnected at any point,
+// which would hang if a goroutine of a connection did not end.
 func TestDisconnectedFollowers(t *testing.T) {
 	t.Parallel()
 	keys, broadcaster := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
@@ -63,7 +64,7 @@
 	defer idle.Close()
 	idle.SetDeadline(time.Now().Add(testTimeout))
 	if received, err := io.ReadAll(idle); len(received) > 0 || err != nil {
-		t.Errorf("%d bytes, %v", len(received), err)
+		t.Errorf("an idle peer receives %d bytes, error %v", len(received), err)
 	}
 	for range 20 {
 		conn, err := net.Dial("tcp", server.Address)
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// watchHeartbeatInterval is the time between two reports that the watch is alive.
+	// watchHeartbeatInterval is the time between two reports to the core that its watch is alive.
 	watchHeartbeatInterval = 2 * time.Second
 
-	// requestQueueSize is the number of the core's requests that wait for Run.
+	// requestQueueSize is the maximum number of the core's requests that wait for Run.
 	requestQueueSize = 8
 )
 
-// DiscoverySource provides the endpoint list where the document contains none.
+// DiscoverySource provides the endpoint list of the discovery service, while the document contains none.
 type DiscoverySource interface {
 	core.Discovery
 	core.Dialer
 	Run(context.Context)
 }
 
-// Source is a balancer's source of the endpoint list. It forwards the discovery service's list until the
-// document contains one, and from then on serves the document's. It also applies the document's discovery
-// address.
+// Source is a balancer's source of the endpoint list. It implements core.Discovery and core.Dialer. It forwards the
+// discovery service's list until the document contains a list. From then on it serves the document's list. It also
+// passes the document's discovery address to the core.
 type Source struct {
 	broadcaster *Broadcaster
 	follower    *Follower
@@ -39,21 +39,21 @@
 	log         *logrus.Logger
 	watchdog    core.Watchdog // nil: none
 
-	// handler receives the list's updates.
+	// handler receives the updates of the endpoint list. In a balancer, it is the core's engine.
 	handler core.UpdateHandler
 
-	// discovery provides the list while the document contains none. It reports to discoveryHandler.
+	// discovery provides the list while the document contains none. It sends its updates to discoveryHandler.
 	discovery        DiscoverySource
 	discoveryHandler *detachableHandler
 
-	// setDiscoveryAddress tells the core the discovery service's address. The core then calls SetAddress.
+	// setDiscoveryAddress sets the discovery service's address in the core. The core then calls SetAddress.
 	setDiscoveryAddress func(address string)
 
 	requests chan request
 	states   chan replica.State // from the follower
 
-	// discoveryContext is the parent of the discovery's watches. stopDiscovery ends it when the document's
-	// list replaces the discovery's.
+	// discoveryContext ends the watches that were forwarded to discovery. stopDiscovery cancels it when the
+	// document's list replaces the discovery service's, and when Run returns.
 	discoveryContext context.Context
 	stopDiscovery    context.CancelFunc
 
@@ -61,15 +61,15 @@
 
 	servesDocument   bool             // the document contains a list
 	entries          []endpoint.Entry // the document's list
-	discoveryAddress string           // the last one that the document set
-	watch            request          // the latest one with a watch ID
+	discoveryAddress string           // the last discovery address that the document set
+	watch            request          // the latest request with a watch ID; its ctx is nil if there was none
 }
 
-// request is a call of the core that waits for Run.
+// request is a call of the core that is queued for Run.
 type request struct {
 	ctx      context.Context
-	watchID  uint64               // 0: no watch, only the current list
-	onDialed func(reachable bool) // set if the discovery service is to be dialled
+	watchID  uint64               // 0: only the current list is requested
+	onDialed func(reachable bool) // callback of a Dial; nil for other requests
 }
 
 // FollowerConfig configures the replication of a balancer.
@@ -77,12 +77,12 @@
 	Servers []replica.Server
 	Region  string
 	Site    string
-	Seed    uint64 // followers with different seeds spread over the servers
+	Seed    uint64 // different seeds spread the followers over the servers
 }
 
-// NewSource returns a source that starts with a saved state, which the core uses already. newDiscovery
-// creates the discovery's source for a handler. setDiscoveryAddress tells the core the discovery service's
-// address.
+// NewSource returns a source that starts with a saved state. The core must already use that state's document.
+// newDiscovery returns a DiscoverySource that sends its updates to the given handler. setDiscoveryAddress sets the
+// discovery service's address in the core.
 func NewSource(
 	config FollowerConfig, keys *Keyring, store *Store, saved replica.State,
 	newDiscovery func(core.UpdateHandler) DiscoverySource, setDiscoveryAddress func(address string),
@@ -91,7 +91,7 @@
 	servesDocument := len(saved.Document.Endpoints) > 0
 	broadcaster := NewBroadcaster(saved, false)
 	discoveryHandler := &detachableHandler{handler: handler, detached: servesDocument}
-	// onState is set by Run.
+	// Run sets the follower's onState.
 	follower := NewFollower(broadcaster, config.Servers, config.Region, config.Seed, keys, config.Site, nil, log)
 	discoveryContext, stopDiscovery := context.WithCancel(context.Background())
 	return &Source{
@@ -113,8 +113,8 @@
 	}
 }
 
-// Endpoints returns a document's endpoint list as the core represents it. It is empty if the discovery
-// service provides the list.
+// Endpoints converts a document's endpoint list to the core's type. The result is empty if the document contains no
+// list.
 func Endpoints(document replica.Document) []core.Endpoint {
 	return filesource.Endpoints(endpoint.List{Entries: document.Endpoints})
 }
@@ -122,25 +122,25 @@
 // SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
 func (s *Source) SetWatchdog(watchdog core.Watchdog) { s.watchdog = watchdog }
 
-// SetAddress sets the discovery service's address.
+// SetAddress implements core.Discovery. It sets the discovery service's address.
 func (s *Source) SetAddress(address string) { s.discovery.SetAddress(address) }
 
-// Watch requests the current list and all later changes.
+// Watch implements core.Discovery. It requests the current list and all later changes.
 func (s *Source) Watch(ctx context.Context, watch uint64) {
 	s.enqueue(request{ctx: ctx, watchID: watch})
 }
 
-// Fetch requests the current list once.
+// Fetch implements core.Discovery. It requests the current list once.
 func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx: ctx}) }
 
-// Dial calls done with whether the discovery service accepts a connection. It always does if the document
-// contains a list.
+// Dial implements core.Dialer. While the document contains no list, it dials the discovery service. Afterwards it
+// calls done with true, because the list no longer depends on the discovery service.
 func (s *Source) Dial(ctx context.Context, done func(reachable bool)) {
 	s.enqueue(request{ctx: ctx, onDialed: done})
 }
 
-// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
-// block, and the core repeats requests that have no answer.
+// enqueue queues a request for Run. It drops the request if the queue is full, because the core's event loop must
+// not block. The core repeats requests that are not answered.
 func (s *Source) enqueue(r request) {
 	select {
 	case s.requests <- r:
@@ -148,9 +148,9 @@
 	}
 }
 
-// SetFallbackAddress applies the discovery address of a balancer's own configuration after a reload. The
-// document's address takes precedence. While the leader is stale, the current address stays, because a newer
-// document may set another.
+// SetFallbackAddress applies the discovery address of the balancer's own configuration after a reload. It ignores
+// the address if the document sets one. It also ignores it while the leader is stale, because a newer document,
+// which this follower has not received, may set another address.
 func (s *Source) SetFallbackAddress(address string) {
 	switch {
 	case s.broadcaster.State().Document.Discovery != "":
@@ -164,7 +164,7 @@
 	}
 }
 
-// Run serves requests and applies new states until ctx ends.
+// Run replicates the document, answers the core's requests and applies new states until ctx ends.
 func (s *Source) Run(ctx context.Context) {
 	s.follower.onState = func(state replica.State) {
 		select {
@@ -196,7 +196,7 @@
 	}
 }
 
-// handleRequest answers a request, or passes it on to the discovery's source.
+// handleRequest answers a request from the document, or forwards it to the discovery service's source.
 func (s *Source) handleRequest(r request) {
 	if r.onDialed != nil {
 		s.handleDial(r)
@@ -223,8 +223,8 @@
 	s.discovery.Dial(r.ctx, r.onDialed)
 }
 
-// forward passes a request on to the discovery's source. A watch ends early if the document's list replaces the
-// discovery's.
+// forward forwards a request to the discovery service's source. A watch also ends when the document's list replaces
+// the discovery service's.
 func (s *Source) forward(r request) {
 	if r.watchID == 0 {
 		s.discovery.Fetch(r.ctx)
@@ -242,7 +242,7 @@
 	s.handler.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: endpoints})
 }
 
-// applyState applies a new state and has it saved.
+// applyState passes a new state's discovery address and list to the core, and enqueues the state to be saved.
 func (s *Source) applyState(state replica.State) {
 	if address := state.Document.Discovery; address != "" && address != s.discoveryAddress {
 		s.setDiscoveryAddress(address)
@@ -260,7 +260,7 @@
 	s.persister.Enqueue(state)
 }
 
-// replaceDiscovery ends the discovery's watches and serves the document's list from now on.
+// replaceDiscovery ends the watches of the discovery service and starts to serve the document's list.
 func (s *Source) replaceDiscovery() {
 	s.servesDocument = true
 	s.discoveryHandler.detach()
@@ -271,8 +271,9 @@
 	s.sendSnapshot()
 }
 
-// delta returns the endpoints that differ between two lists that are ordered by name. The core is spared a
-// snapshot for each change.
+// delta returns the endpoints that differ between two lists, both ordered by name. Endpoints that are missing from
+// the second list have the state decide.Removed. With a delta, the core need not process the whole list at each
+// change.
 func delta(before, after []endpoint.Entry) []core.Endpoint {
 	upserted, removed := endpoint.DiffEntries(before, after)
 	endpoints := filesource.Endpoints(endpoint.List{Entries: removed})
--- a/internal/controlplane/source_test.go
+++ b/internal/controlplane/source_test.go
@@ -12,7 +12,7 @@
 	"cottonplank/internal/core"
 )
 
-// fakeDiscovery records the calls that it gets. Its only endpoint is named "of discovery".
+// fakeDiscovery is a DiscoverySource that records its calls. Its list contains one endpoint, named "of discovery".
 type fakeDiscovery struct {
 	handler core.UpdateHandler
 	calls   chan string
@@ -39,7 +39,8 @@
 
 func (d *fakeDiscovery) Run(ctx context.Context) { <-ctx.Done() }
 
-// updateRecorder records the names in each update, and the watches that are alive.
+// updateRecorder is a core.UpdateHandler. It records the endpoints' names of each update, and the IDs of the watches
+// that are reported alive.
 type updateRecorder struct {
 	lists chan string
 	alive chan uint64
@@ -64,7 +65,8 @@
 	}
 }
 
-// expectNext fails the test if the next value of a channel is another one, or does not come within testTimeout.
+// expectNext receives a value from a channel. It fails the test if the value is not the wanted one, or if none is
+// received within testTimeout.
 func expectNext[T comparable](t *testing.T, values <-chan T, want T) {
 	t.Helper()
 	select {
@@ -77,20 +79,20 @@
 	}
 }
 
-// sourceFixture is what the sources of a test have in common.
+// sourceFixture contains the dependencies that the sources of a test share, and records the sources' calls.
 type sourceFixture struct {
 	config    FollowerConfig
 	keys      *Keyring
 	store     *Store
 	recorder  updateRecorder
-	calls     chan string // of the fake discovery
-	addresses chan string // that the source has set
-	log       *logBuffer
+	calls     chan string // calls of the fake discovery
+	addresses chan string // discovery addresses that the source has set
+	log       *logBuffer  // log of the latest source
 }
 
 // newSource returns a source that starts with the saved state.
 func (f *sourceFixture) newSource() *Source {
-	// Each source has a fake of its own: the previous one may still be ending.
+	// Each source has its own fake, because the goroutines of the previous source may still use theirs.
 	discovery := &fakeDiscovery{calls: f.calls}
 	newDiscovery := func(handler core.UpdateHandler) DiscoverySource {
 		discovery.handler = handler
@@ -102,7 +104,7 @@
 	return NewSource(f.config, f.keys, f.store, f.store.Load(), newDiscovery, setAddress, f.recorder, log)
 }
 
-// dial has a source dial the discovery service. The result is recorded as a list.
+// dial makes a source dial the discovery service. It records the result in recorder.lists.
 func (f *sourceFixture) dial(t *testing.T, source *Source) {
 	source.Dial(t.Context(), func(reachable bool) { f.recorder.lists <- fmt.Sprint(reachable) })
 }
@@ -119,9 +121,10 @@
 	}
 }
 
-// A source forwards the discovery service's list until the document contains one, which it then serves, and
-// saves for the next start. The document's discovery address takes precedence over that of a reload.
-func TestSource(t *testing.T) {
+// A source forwards the discovery service's list until the document contains a list. It then serves the document's
+// list, and saves it for the next start. The document's discovery address takes precedence over the address of a
+// reloaded configuration.
+func TestSourceReplacesDiscovery(t *testing.T) {
 	t.Parallel()
 	keys, broadcaster := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
 	server, stopServer := startServer(t, broadcaster, keys, "x")
@@ -153,7 +156,7 @@
 	expectNext(t, fixture.calls, "dial")
 	expectNext(t, lists, "false")
 	if len(fixture.addresses) > 0 || len(lists) > 0 {
-		t.Error("a reload's discovery address takes precedence over the document's")
+		t.Error("the discovery address of a reload takes precedence over the document's")
 	}
 }
 
@@ -163,7 +166,7 @@
 	lists := fixture.recorder.lists
 	document := documentOf(2, 1)
 	publishDocument(t, broadcaster, document)
-	expectNext(t, fixture.calls, "watch ended") // what it reports then is not forwarded
+	expectNext(t, fixture.calls, "watch ended") // the update that it sends then is not forwarded
 	expectNext(t, lists, "s-00000 s-00001 ")
 	expectNext(t, fixture.recorder.alive, 1)
 	fixture.dial(t, source)
@@ -174,16 +177,16 @@
 		return func() bool { return fixture.store.Load().Version == version(number) }
 	}
 	waitUntil(t, "the save", savedVersion(2))
-	publishDocument(t, broadcaster, documentOf(3, 1)) // only the difference is reported
+	publishDocument(t, broadcaster, documentOf(3, 1)) // the update contains only the difference
 	expectNext(t, lists, "s-00002 ")
 	publishDocument(t, broadcaster, documentOf(1, 1))
-	expectNext(t, lists, "s-00001 s-00002 ") // removed
+	expectNext(t, lists, "s-00001 s-00002 ") // the removed endpoints
 	publishDocument(t, broadcaster, document)
 	expectNext(t, lists, "s-00001 ")
 	waitUntil(t, "the save", savedVersion(5))
 }
 
-// checkRestartWithoutServer tests a source that starts with a saved list and finds no server.
+// checkRestartWithoutServer tests a source that starts with a saved list and cannot reach a control-plane server.
 func checkRestartWithoutServer(t *testing.T, fixture *sourceFixture) {
 	t.Helper()
 	source := fixture.newSource()
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -26,41 +26,43 @@
 	// asideSuffix is appended to the name of an unusable state file.
 	asideSuffix = ".aside"
 
-	// lockTimeout limits the wait for the file's lock. During a hot restart, two processes use the file.
+	// lockTimeout limits the wait for the file's lock. During a hot restart, two processes use the same file.
 	lockTimeout = time.Second
 )
 
-// The bucket and the key of the state file's only value: a SHA-256 checksum, then a savedState as CBOR.
+// The bbolt bucket and key of the state file's only value. The value is the SHA-256 checksum of the rest, followed by
+// a savedState in CBOR.
 var (
 	bucketName = []byte("control")
 	stateKey   = []byte("state")
 )
 
-// errCorrupt says that a state file is damaged.
-var errCorrupt = errors.New("is corrupt")
+// errCorrupt means that a state file is damaged.
+var errCorrupt = errors.New("the state file is corrupt")
 
-// savedState is the content of a state file.
+// savedState is the value that a state file contains.
 type savedState struct {
 	FileVersion int           `cbor:"1,keyasint"`
 	Site        string        `cbor:"2,keyasint"`
 	State       replica.State `cbor:"3,keyasint"`
 }
 
-// Store keeps the latest state in a file, so that after a restart only the changes since then are
-// transferred. The file is open, and locked, only while it is read or written.
+// Store keeps the latest state in a file, so that a follower that restarts requests only the changes since that
+// state. The file is open and locked only while it is read or written.
 type Store struct {
 	path string
 	site string
 	log  *logrus.Logger
 }
 
-// NewStore returns a store that uses the file at a path.
+// NewStore returns a store that uses the file at path. It accepts only states of the given site.
 func NewStore(path, site string, log *logrus.Logger) *Store {
 	return &Store{path: path, site: site, log: log}
 }
 
-// Load returns the saved state, or the zero State if there is none. It renames a file that is corrupt, of
-// another site or of another file version, and logs that.
+// Load returns the saved state. It returns the zero State if there is no file, if the file is locked by another
+// process, or if the file is unusable: corrupt, of another site or file version, or with an invalid state. It
+// renames an unusable file, and logs why it does not load a file that exists.
 func (s *Store) Load() replica.State {
 	state, err := s.read()
 	switch {
@@ -74,7 +76,8 @@
 	return replica.State{}
 }
 
-// renameUnusable renames an unusable state file.
+// renameUnusable appends asideSuffix to the name of an unusable state file, and logs the cause. The operators can
+// examine the file, and the next save creates a new one.
 func (s *Store) renameUnusable(cause error) {
 	aside := s.path + asideSuffix
 	entry := s.log.WithError(cause).WithFields(logrus.Fields{"file": s.path, "aside": aside})
@@ -85,8 +88,9 @@
 	entry.Warn("control: the saved state is unusable and was moved aside, requesting a snapshot")
 }
 
-// recoverFaults calls access and returns panics and memory faults as errors: bbolt maps the file into memory,
-// and follows the offsets in a corrupt file without checks.
+// recoverFaults calls access and returns its panics and memory faults as errors. They occur because bbolt maps the
+// file into memory and does not check all offsets in it, so that it can access invalid addresses if the file is
+// corrupt.
 func recoverFaults(access func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -97,8 +101,8 @@
 	return access()
 }
 
-// read returns the saved state. The error wraps fs.ErrNotExist if there is no file, and
-// bbolterrors.ErrTimeout if it is locked.
+// read returns the saved state. The error wraps fs.ErrNotExist if there is no file, and bbolterrors.ErrTimeout if
+// the file is locked by another process.
 func (s *Store) read() (replica.State, error) {
 	if _, err := os.Stat(s.path); err != nil {
 		return replica.State{}, err
@@ -125,11 +129,11 @@
 func (s *Store) decode(tx *bbolt.Tx) (replica.State, error) {
 	bucket := tx.Bucket(bucketName)
 	if bucket == nil {
-		return replica.State{}, fmt.Errorf("%w: contains no state", errCorrupt)
+		return replica.State{}, fmt.Errorf("%w: the state is missing", errCorrupt)
 	}
 	raw := bucket.Get(stateKey)
 	if len(raw) < sha256.Size {
-		return replica.State{}, fmt.Errorf("%w: contains no checksum", errCorrupt)
+		return replica.State{}, fmt.Errorf("%w: the checksum is missing", errCorrupt)
 	}
 	body := raw[sha256.Size:]
 	if !bytes.Equal(checksum(body), raw[:sha256.Size]) {
@@ -140,10 +144,11 @@
 		return replica.State{}, err
 	}
 	if saved.FileVersion != stateFileVersion {
-		return replica.State{}, fmt.Errorf("has file version %d, only %d is supported", saved.FileVersion, stateFileVersion)
+		return replica.State{}, fmt.Errorf("unsupported state file version %d: expected %d",
+			saved.FileVersion, stateFileVersion)
 	}
 	if saved.Site != s.site {
-		return replica.State{}, fmt.Errorf("is of site %q, this is %q", saved.Site, s.site)
+		return replica.State{}, fmt.Errorf("the state file belongs to site %q: expected %q", saved.Site, s.site)
 	}
 	return replica.RestoreState(saved.State)
 }
@@ -153,7 +158,8 @@
 	return sum[:]
 }
 
-// Save writes a state unless the file contains one that is not older. It replaces an unusable file.
+// Save writes a state unless the file contains the same version or a newer one. It renames an unusable file and
+// creates a new one.
 func (s *Store) Save(state replica.State) error {
 	body, err := cbor.Marshal(savedState{FileVersion: stateFileVersion, Site: s.site, State: state})
 	if err != nil {
@@ -165,14 +171,15 @@
 	if err == nil || errors.Is(err, bbolterrors.ErrTimeout) {
 		return err
 	}
-	if _, statErr := os.Stat(s.path); statErr != nil { // there is no file, and none can be created
+	if _, statErr := os.Stat(s.path); statErr != nil { // the file does not exist and could not be created
 		return err
 	}
 	s.renameUnusable(err)
 	return recoverFaults(write)
 }
 
-// write stores the encoded state of a version unless the file contains one that is not older.
+// write stores value, the encoded state of the given version, unless the file contains the same version or a newer
+// one.
 func (s *Store) write(version replica.Version, value []byte) error {
 	db, err := bbolt.Open(s.path, stateFileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -21,12 +21,12 @@
 	return NewStore(path, site, log), output
 }
 
-// A saved state is loaded again, and an older state does not replace a newer one.
-func TestStore(t *testing.T) {
+// Load returns the state that was saved. Saving an older state does not replace a newer one.
+func TestStoreKeepsNewestState(t *testing.T) {
 	t.Parallel()
 	store, log := newTestStore(filepath.Join(t.TempDir(), "state.db"), "x")
 	if got := store.Load(); got.Version != (replica.Version{}) || log.String() != "" {
-		t.Errorf("no file: %v, log %s", got.Version, log)
+		t.Errorf("without a file: loaded version %v, log %s", got.Version, log)
 	}
 	state := replica.State{Version: version(7), Document: documentOf(3000, 1)}
 	older := replica.State{Version: version(6), Document: documentOf(1, 1)}
@@ -36,17 +36,17 @@
 		}
 	}
 	if got := store.Load(); !reflect.DeepEqual(got, state) {
-		t.Fatalf("saved %s, loaded %s, log %s", state.Version, got.Version, log)
+		t.Fatalf("saved version %s, loaded version %s, log %s", state.Version, got.Version, log)
 	}
 }
 
-// unusableFile writes a state file that must not be loaded.
+// unusableFile is a way in which a state file can be unusable. Such a file must not be loaded.
 type unusableFile struct {
 	name  string
 	write func(t *testing.T, path string)
 }
 
-// writeSavedState returns a function that writes an intact file with the given content.
+// writeSavedState returns a function that writes an undamaged state file with the given content.
 func writeSavedState(saved savedState) func(*testing.T, string) {
 	return func(t *testing.T, path string) {
 		body, err := cbor.Marshal(saved)
@@ -70,7 +70,7 @@
 	}
 }
 
-// writeDamaged returns a function that writes an intact file's content after damaging it.
+// writeDamaged returns a function that writes a damaged copy of an intact file's content.
 func writeDamaged(intact []byte, damage func([]byte) []byte) func(*testing.T, string) {
 	return func(t *testing.T, path string) {
 		if err := os.WriteFile(path, damage(bytes.Clone(intact)), stateFileMode); err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// unusableFiles returns the ways in which a file with the given state can be unusable.
+// unusableFiles returns ways in which a file with the given state can be unusable.
 func unusableFiles(t *testing.T, state replica.State) []unusableFile {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "state.db")
@@ -102,7 +102,7 @@
 		{"not a database", writeDamaged(intact, func([]byte) []byte { return []byte("{}") })},
 		{"zeroes", writeDamaged(intact, func(b []byte) []byte { return make([]byte, len(b)) })},
 		{"modified name", writeDamaged(intact, func(b []byte) []byte {
-			b[strings.LastIndex(string(b), "s-01234")] ^= 1 // the name stays a valid one
+			b[strings.LastIndex(string(b), "s-01234")] ^= 1 // the new name is valid: only the checksum shows the damage
 			return b
 		})},
 	}
@@ -119,8 +119,9 @@
 	return files
 }
 
-// A file that is corrupt, of another site or of a newer file version is moved aside, and the next save
-// creates a new one. The same holds for a file that becomes unusable while the store is in use.
+// A file that is corrupt, of another site or of a newer file version is renamed, and the next save creates a new
+// file. The same holds for a file that becomes unusable while the store is in use. A damaged file could otherwise
+// crash the process at each start, since bbolt does not check all offsets in the file.
 func TestUnusableFileIsMovedAside(t *testing.T) {
 	t.Parallel()
 	state := replica.State{Version: version(7), Document: documentOf(3000, 1)}
@@ -130,29 +131,29 @@
 			store, log := newTestStore(path, "x")
 			file.write(t, path)
 			if got := store.Load(); got.Version != (replica.Version{}) {
-				t.Errorf("%s is loaded", got.Version)
+				t.Errorf("version %s is loaded from an unusable file", got.Version)
 			}
 			if _, err := os.Stat(path + ".aside"); err != nil || !strings.Contains(log.String(), "was moved aside") {
-				t.Errorf("%v, log %q", err, log)
+				t.Errorf("the file was not moved aside: %v, log %q", err, log)
 			}
 			if err := store.Save(state); err != nil {
 				t.Error(err)
 			}
 			if got := store.Load(); !reflect.DeepEqual(got, state) {
-				t.Errorf("saved again: %s", got.Version)
+				t.Errorf("after a new save: loaded version %s", got.Version)
 			}
 			file.write(t, path)
 			if err := store.Save(replica.State{Version: version(8), Document: documentOf(2, 1)}); err != nil {
 				t.Error(err)
 			}
 			if got := store.Load(); got.Version != version(8) {
-				t.Errorf("saved over an unusable file: %s, log %s", got.Version, log)
+				t.Errorf("after a save over an unusable file: loaded version %s, log %s", got.Version, log)
 			}
 		})
 	}
 }
 
-// Two processes share the file during a hot restart. The newest state stays, whichever process saves last.
+// Two processes share the file during a hot restart. The file keeps the newest state, whichever process saves last.
 func TestStoreSharedByTwoProcesses(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "state.db")
@@ -171,6 +172,6 @@
 	saving.Wait()
 	store, log := newTestStore(path, "x")
 	if got := store.Load(); got.Version != version(6) || log.String() != "" {
-		t.Errorf("%s is saved, log %s", got.Version, log)
+		t.Errorf("version %s is saved, log %s", got.Version, log)
 	}
 }
