--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -6,8 +6,8 @@
 	"cottonplank/decide"
 )
 
-// claimFinalAnswer ends the wait for the final answer. It reports true once for each request: the caller then
-// gives the answer.
+// claimFinalAnswer finishes a pending request. It reports true once for each request: that caller has to give the
+// final answer. The client connection is aborted if it is still open after ConnTraits.Linger.
 func (c *Call) claimFinalAnswer() bool {
 	if c.phase != phasePending {
 		return false
@@ -19,8 +19,8 @@
 	return true
 }
 
-// reject answers that the request was not executed and may be retried, after retryAfter as far as the
-// settings allow it.
+// reject answers that the request was not executed and may be retried after retryAfter, which is limited to the
+// settings' MaxRetryAfter.
 func (c *Call) reject(retryAfter time.Duration) {
 	retryAfter = min(retryAfter, c.engine.cfg.Settings.MaxRetryAfter)
 	if !c.claimFinalAnswer() {
@@ -47,8 +47,8 @@
 	c.releaseRequest(c.answeredAttemptCode())
 }
 
-// startOver answers that the session cannot be resumed. The active attempt ends as cancelled, as the server
-// that it was sent to is not at fault.
+// startOver answers that the session cannot be resumed. The active attempt ends as cancelled, because this is no
+// failure of its server.
 func (c *Call) startOver(why Reason) {
 	if !c.claimFinalAnswer() {
 		return
@@ -58,9 +58,8 @@
 	c.releaseRequest(decide.Cancelled)
 }
 
-// releaseRequest ends the active attempt, if there is one, with the given code and removes the request from
-// the table of those that the decision module knows. The client connection closes the attempt's transport
-// with the answer.
+// releaseRequest ends the active attempt, if there is one, with the given code, and removes the request from
+// callTable.byID. The client connection closes the attempt's transport when it sends the final answer.
 func (c *Call) releaseRequest(code decide.Code) {
 	if c.attempt.active {
 		c.attemptEnded(c.attempt.number, code, decide.NoLoadReport)
@@ -68,8 +67,8 @@
 	delete(c.engine.calls.byID, c.id)
 }
 
-// answeredAttemptCode returns how the active attempt ends when the final answer is given: as timed out if its
-// timer has expired at this moment too, else as cancelled.
+// answeredAttemptCode returns the code with which the active attempt ends when the final answer is given: TimedOut if
+// the attempt's time is over as well, although its timer has not run yet, otherwise Cancelled.
 func (c *Call) answeredAttemptCode() decide.Code {
 	if t := c.attempt.timer; t != nil && t.at <= c.engine.now {
 		return decide.TimedOut
@@ -77,20 +76,20 @@
 	return decide.Cancelled
 }
 
-// answerNow gives the final answer before the request has expired. The decision module chooses the answer,
-// because an attempt may have been executed.
+// answerNow gives a pending request its final answer before the client's deadline. The decision module chooses the
+// answer, because an attempt may have been executed.
 func (c *Call) answerNow() {
 	switch {
 	case c.phase != phasePending:
 	case c.restore.active:
-		c.fail() // the server held the connection before, so nothing says that it was not executed
+		c.fail() // a rejection would be wrong: the server may have executed the request in the earlier connection
 	default:
 		c.engine.handle(decide.RequestExpired{ID: c.id})
 	}
 }
 
-// RequestMalformed reports that the first line of a client connection is no request, or that more was sent
-// before the answer. The request fails and its active attempt is cancelled.
+// RequestMalformed reports that the first line of a client connection is not a valid request, or that the client sent
+// more data before the answer. The request fails and its active attempt is cancelled.
 func (e *Engine) RequestMalformed(c *Call) {
 	e.post(func() {
 		if c.phase == phaseAccepted {
@@ -101,7 +100,7 @@
 		if c.phase == phasePending {
 			id := c.id
 			c.fail()
-			// The answer was not the decision module's, which may still hold the request.
+			// The decision module has not given this answer and may still have the request.
 			e.handle(decide.ClientDisconnected{ID: id})
 		}
 	})
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -6,7 +6,7 @@
 	"cottonplank/decide"
 )
 
-// connectSlack is added to the connect timeout for delays of this machine itself.
+// connectSlack is added to the configured connect timeout, to allow for scheduling delays on this machine.
 const connectSlack = 20 * time.Millisecond
 
 // noAttempt is the attempt number before the first attempt.
@@ -16,19 +16,20 @@
 type attemptState struct {
 	// number counts the attempts of the request from 0; noAttempt before the first.
 	number int
-	// active is set from the attempt's start to its end, which is also the end of its established connection.
+	// active is set from the attempt's start to its end. An attempt that establishes a connection ends with that
+	// connection.
 	active   bool
 	upstream *upstreamState
 	started  time.Duration
 	timeout  time.Duration
-	// connectTimer expires when the connection to the server takes too long.
+	// connectTimer expires when connecting to the server takes too long.
 	connectTimer *timer
-	// timer expires timeout after the start.
+	// timer expires when the attempt has not been accepted within timeout.
 	timer *timer
 }
 
-// startAttempt executes an action of the decision module. An attempt at a server that is not known any more
-// ends as not sent.
+// startAttempt executes the action StartAttempt of the decision module. An attempt at a server that the engine no
+// longer knows ends immediately with code decide.NotSent.
 func (e *Engine) startAttempt(action decide.StartAttempt) {
 	c := e.calls.byID[action.ID]
 	if c == nil {
@@ -58,8 +59,8 @@
 	c.conn.StartAttempt(Attempt{Number: n, Upstream: u.Upstream, Timeout: timeout})
 }
 
-// connectTimeout returns how long a connection to a server may take in an attempt with the given timeout. It
-// ends with the server's drain grace, as nothing may be sent after that.
+// connectTimeout returns how long connecting to a server may take in an attempt with the given timeout. For a server
+// in its drain grace that is at most the rest of the grace, because no request may be sent after it.
 func (e *Engine) connectTimeout(u *upstreamState, timeout time.Duration) time.Duration {
 	connect := timeout
 	if configured := e.cfg.Settings.ConnectTimeout; configured > 0 && configured < timeout {
@@ -81,22 +82,22 @@
 	return c.isActiveAttempt(n) && c.phase == phasePending
 }
 
-// cancelAttempt cancels an attempt that has timed out. The client connection reports how it ended: an attempt
-// without a connection may have been sent at this very moment. It stays active until then, so that a request
-// never has two active attempts.
+// cancelAttempt cancels an attempt that has timed out. The attempt stays active until the client connection has
+// reported how it ended, so that a request never has two active attempts. The engine cannot determine the outcome
+// itself: the request may have been sent to the server just now, with the report still in the inbox.
 func (c *Call) cancelAttempt(n int, why decide.Code) {
 	if c.isPendingAttempt(n) {
 		c.conn.CancelAttempt(n, why)
 	}
 }
 
-// AttemptDialed reports that attempt n has its connection but has not sent its request yet.
+// AttemptDialed reports that attempt n has connected to the server but has not sent its request yet.
 func (e *Engine) AttemptDialed(c *Call, n int) {
 	e.post(func() { c.stopConnectTimer(n) })
 }
 
-// AttemptSent reports that the request of attempt n was written completely. The attempt counts from here on,
-// even if the request was answered meanwhile, because the server has it.
+// AttemptSent reports that the request of attempt n was written completely. ClassCounters.Attempts counts the attempt
+// even if the request has got its final answer in the meantime, because the server receives the request anyway.
 func (e *Engine) AttemptSent(c *Call, n int) {
 	e.post(func() {
 		if counters := c.classCounters(); counters != nil {
@@ -106,7 +107,7 @@
 	})
 }
 
-// stopConnectTimer stops the connect timer of attempt n, unless that has ended.
+// stopConnectTimer stops the connect timer of attempt n, unless that attempt has ended.
 func (c *Call) stopConnectTimer(n int) {
 	if c.isActiveAttempt(n) {
 		c.engine.timers.stop(c.attempt.connectTimer)
@@ -123,7 +124,7 @@
 	})
 }
 
-// establish passes the server's answer on to the client and notifies the decision module.
+// establish passes the server's answer to the client and notifies the decision module.
 func (c *Call) establish() {
 	e := c.engine
 	c.stopAttemptTimers()
@@ -151,13 +152,13 @@
 	}
 }
 
-// AttemptEnded reports how attempt n, or its established connection, ended. Its transport to the server is
-// closed.
+// AttemptEnded reports how attempt n, or the connection that it established, ended. The transport to the server must
+// be closed already.
 func (e *Engine) AttemptEnded(c *Call, n int, code decide.Code, report decide.LoadReport) {
 	e.post(func() { c.attemptEnded(n, code, report) })
 }
 
-// attemptEnded ends an attempt. It does nothing if the attempt has ended before.
+// attemptEnded ends an attempt. It does nothing if the attempt has ended already.
 func (c *Call) attemptEnded(n int, code decide.Code, report decide.LoadReport) {
 	if !c.isActiveAttempt(n) {
 		return
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// firstLineTimeout is when a client connection that has sent nothing is closed. Each health check renews
-	// it.
+	// firstLineTimeout is how long after its accept a client connection that has sent nothing is closed. Each health
+	// check restarts the timeout.
 	firstLineTimeout = 2 * time.Second
-	// startedLineTimeout is when a client connection whose first line is still incomplete is closed.
+	// startedLineTimeout replaces firstLineTimeout once a part of the first line has arrived.
 	startedLineTimeout = 2800 * time.Millisecond
-	// minHealthCheckInterval is the least interval at which health checks renew firstLineTimeout.
+	// minHealthCheckInterval is the minimum time between two health checks that restart firstLineTimeout.
 	minHealthCheckInterval = time.Second
 	// defaultLinger replaces a ConnTraits.Linger of 0.
 	defaultLinger = 500 * time.Millisecond
-	// requestIDRetention is how long the ID of a finished request stays in use: copies of its first line that
-	// were sent before its end may still wait to be accepted.
+	// requestIDRetention is how long the ID of a request stays reserved after its connection was closed. Other
+	// connections that were opened before with a copy of the same request may still wait to be accepted.
 	requestIDRetention = 10 * time.Second
-	// overloadRetryAfter is what clients beyond Config.MaxClients are told to wait.
+	// overloadRetryAfter is the retry-after of requests that are rejected beyond Config.MaxClients or during a drain.
 	overloadRetryAfter = time.Second
-	// unknownClass is the class of a client connection whose first line has not named one.
+	// unknownClass is the class of a request before its first line was read, or if that line names no class.
 	unknownClass = -1
 )
 
@@ -31,8 +31,8 @@
 
 const (
 	phaseAccepted    phase = iota // the client connection is open and has requested nothing
-	phasePending                  // the request has no final answer
-	phaseEstablished              // a server's answer was passed on and the connection is open
+	phasePending                  // the request was received and has no final answer
+	phaseEstablished              // a server's answer was passed to the client and the connection is open
 	phaseFinished                 // the final answer was given, or the established connection has ended
 )
 
@@ -43,25 +43,26 @@
 	conn   ClientConn
 	traits ConnTraits
 	phase  phase
-	// id names the request to the decision module.
+	// id identifies the request in the decision module.
 	id      decide.RequestID
 	request Request
 	attempt attemptState
 	restore restoreState
-	// retryAfter replaces the decision module's Retry-After if above 0. It is set if another request holds
-	// the session.
+	// retryAfter replaces the decision module's retry-after if it is above 0. It is set if another request holds the
+	// session.
 	retryAfter time.Duration
-	// lastActivity is when the client connection last proved to be alive, or when its call finished.
+	// lastActivity is the time of the accept, of the latest health check or of the latest part of the first line;
+	// after the call has finished, it is the time of the finish.
 	lastActivity time.Duration
 	// lineStarted says that a part of the first line has arrived.
 	lineStarted bool
 	// shed says that the connection was aborted because it was idle.
 	shed bool
-	// migrating says that the client was asked to reconnect elsewhere.
+	// migrating says that the client was asked to open a new connection.
 	migrating bool
 	// closeTimer aborts the client connection. During a restore it starts the next attempt instead.
 	closeTimer *timer
-	// responseTimer expires when the server does not respond on an established connection.
+	// responseTimer expires when the server has not responded on an established connection within responseTimeout.
 	responseTimer *timer
 	// stateTimer expires when the transfer of a session's state takes too long.
 	stateTimer *timer
@@ -72,12 +73,13 @@
 	// Linger is how long a finished client connection may stay open for the client to read the answer; 0
 	// means 500 ms.
 	Linger time.Duration
-	// Idle closes an established connection without traffic after this time, for transports that do not show
-	// the end of a connection; 0 disables it.
+	// Idle is how long an established connection may stay without traffic before it is closed; 0 means forever. It is
+	// meant for transports that do not show the end of a connection.
 	Idle time.Duration
-	// Resumable connections outlive this process: a planned stop leaves them to the process that starts next.
+	// Resumable says that the connection survives the end of this process: a planned stop leaves it open for the
+	// process that starts next.
 	Resumable bool
-	// Descriptor says that the client connection holds a file descriptor, which is freed when it is aborted.
+	// Descriptor says that the client connection holds a file descriptor, which an abort releases.
 	Descriptor bool
 }
 
@@ -88,7 +90,8 @@
 	// byID holds the calls whose request the decision module knows.
 	byID   map[decide.RequestID]*Call
 	lastID uint64
-	// clientIDs holds Request.ID of open requests, and of those that ended within requestIDRetention.
+	// clientIDs holds the reserved values of Request.ID: those of open client connections, and of connections that
+	// were closed within requestIDRetention.
 	clientIDs map[string]struct{}
 	// attempting holds the calls that have an active attempt and are not established.
 	attempting map[*Call]struct{}
@@ -113,7 +116,7 @@
 	return decide.RequestID(strconv.FormatUint(t.lastID, 10))
 }
 
-// Accept registers a new client connection, whose first line is awaited for firstLineTimeout.
+// Accept registers a new client connection. It is aborted if no first line arrives within firstLineTimeout.
 func (e *Engine) Accept(conn ClientConn, traits ConnTraits) *Call {
 	if traits.Linger == 0 {
 		traits.Linger = defaultLinger
@@ -134,9 +137,9 @@
 	return c
 }
 
-// FirstLineStarted reports that a part of the first line has arrived, and may be called again for further
-// parts. Clients that write slowly get startedLineTimeout, which further parts do not renew, and are shed
-// only after those that have sent nothing.
+// FirstLineStarted reports that a part of the first line has arrived, and may be called again for further parts.
+// Clients that write slowly get startedLineTimeout, which further parts do not restart. They are shed only after
+// clients that have sent nothing.
 func (e *Engine) FirstLineStarted(c *Call) {
 	e.post(func() {
 		if c.phase != phaseAccepted {
@@ -144,20 +147,22 @@
 		}
 		if !c.lineStarted {
 			c.lineStarted = true
-			// lastActivity is the accept, or the latest health check: one may request something after a long
-			// time.
+			// lastActivity is the time of the accept or of the latest health check. The timeout counts from there, so
+			// that a connection that sends its request after a long series of health checks gets the whole timeout.
 			c.abortAt(c.lastActivity + startedLineTimeout)
 		}
 		c.lastActivity = e.now
 	})
 }
 
-// HealthCheckReceived reports a health check on a client connection that has requested nothing. A connection
-// that goes on sending them stays open. Health checks in a burst do not count: such a connection is closed
-// like one that sent nothing.
+// HealthCheckReceived reports a health check on a client connection that has not sent a request. A connection that
+// keeps sending health checks stays open. A health check less than minHealthCheckInterval after the last activity
+// does not restart the timeout, so a connection that only sends a burst of them is closed like one that has sent
+// nothing.
 func (e *Engine) HealthCheckReceived(c *Call) {
 	e.post(func() {
-		// What had started to arrive, or was not read yet, was this health check.
+		// The part of a line that had arrived was this health check. It may also be the unread data for which the
+		// implementation of ClientConn ignored an Abort.
 		c.lineStarted, c.shed = false, false
 		if c.phase == phaseAccepted && e.now-c.lastActivity >= minHealthCheckInterval {
 			c.lastActivity = e.now
@@ -167,8 +172,8 @@
 	})
 }
 
-// RequestReceived reports the request of a client connection. Exactly one final answer follows while the
-// connection is open.
+// RequestReceived reports the request of a client connection. The client gets exactly one final answer, unless its
+// connection closes first.
 func (e *Engine) RequestReceived(c *Call, r Request) {
 	e.post(func() {
 		if !c.admit(r) {
@@ -180,8 +185,8 @@
 	})
 }
 
-// ClientClosed reports that a client connection and everything that belonged to it is closed. A client that
-// left before its final answer gets none.
+// ClientClosed reports that a client connection is closed, including its transport to a server. A client that left
+// before its final answer gets none.
 func (e *Engine) ClientClosed(c *Call) {
 	e.post(func() {
 		e.timers.stop(c.closeTimer)
@@ -212,14 +217,14 @@
 	}
 }
 
-// admit makes the request pending, gives it an ID and reports whether it did. Beyond Config.MaxClients, and
-// at the end of a drain, it rejects the request instead.
+// admit makes the request pending, assigns its ID and reports whether it did so. Beyond Config.MaxClients, and in the
+// last part of a drain, it rejects the request instead.
 func (c *Call) admit(r Request) bool {
 	e := c.engine
 	if c.phase != phaseAccepted || !c.bindRequest(r) {
 		return false
 	}
-	// Each call takes memory and descriptors, so none beyond the bound may start an attempt.
+	// Each call uses memory and file descriptors, so a call beyond the limit may not start an attempt.
 	if e.calls.pending+e.calls.established > e.cfg.MaxClients || e.rejectsNewRequests() {
 		c.reject(overloadRetryAfter)
 		return false
@@ -228,14 +233,14 @@
 	return true
 }
 
-// register gives the request the ID under which the decision module knows it.
+// register assigns the ID that identifies the request in the decision module.
 func (c *Call) register() {
 	c.id = c.engine.calls.newID()
 	c.engine.calls.byID[c.id] = c
 }
 
-// bindRequest makes the request of an accepted connection pending and reports whether it did. A request whose
-// ID is in use fails instead.
+// bindRequest makes the request of an accepted connection pending and reports whether it did so. A request whose ID
+// is in use fails instead.
 func (c *Call) bindRequest(r Request) bool {
 	e := c.engine
 	e.timers.stop(c.closeTimer)
@@ -245,8 +250,8 @@
 		return true
 	}
 	if _, inUse := e.calls.clientIDs[r.ID]; inUse {
-		// Servers tell requests apart by their IDs, so this one must not disturb the other. Without an ID of
-		// its own it does not release the other's when it closes.
+		// Servers identify requests by their IDs, so this request must not reach a server while the other one has the
+		// same ID. Its ID is cleared, so that ClientClosed does not release the ID of the other request.
 		c.request.ID = ""
 		c.fail()
 		return false
@@ -255,7 +260,7 @@
 	return true
 }
 
-// requestArrived returns the event that describes the request, without the remaining time.
+// requestArrived returns the event that describes the request, in which Remaining is not set.
 func (c *Call) requestArrived() decide.RequestArrived {
 	return decide.RequestArrived{
 		ID:        c.id,
@@ -267,12 +272,12 @@
 	}
 }
 
-// remaining returns the time until the client stops waiting.
+// remaining returns the time until the client's deadline.
 func (c *Call) remaining() time.Duration {
 	return clockStart + c.request.Deadline.Sub(c.engine.epoch) - c.engine.now
 }
 
-// abortAt replaces the close timer by one that aborts the client connection at the given time.
+// abortAt replaces the close timer with one that aborts the client connection at the given time.
 func (c *Call) abortAt(at time.Duration) {
 	c.engine.timers.stop(c.closeTimer)
 	c.closeTimer = c.engine.timers.set(at, c.conn.Abort)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -10,24 +10,24 @@
 type Config struct {
 	// Settings configure the decision module.
 	Settings decide.Settings
-	// Known are the endpoints that this balancer knew before its start.
+	// Known is the endpoint list from before the start of this process, which may be out of date.
 	Known []Endpoint
-	// MaxClients bounds the pending requests and established connections together, as each holds a transport
-	// on both sides. A request beyond it is rejected at once.
+	// MaxClients limits the sum of pending requests and established connections, because each of them holds a
+	// transport to the client and one to the server. A request beyond the limit is rejected immediately.
 	MaxClients int
-	// AwaitFirstList is set in a process that takes over from a running one: it stays in state Starting until
+	// AwaitFirstList is set in a process that replaces a running one. The engine then stays in state Starting until
 	// discovery has delivered a list, for 3 s at most.
 	AwaitFirstList bool
-	// ListPushed is set where a change of the endpoint list is binding as soon as discovery has it. The
-	// engine then stays in state Starting until the first list is there, for 3 s at most, and reopens a
-	// broken watch after a short fixed delay.
+	// ListPushed is set if a change of the endpoint list takes effect as soon as discovery has it, without an
+	// allowance for the time until this balancer has read it. The engine then stays in state Starting until discovery
+	// has delivered the first list, for 3 s at most, and reopens a broken watch after a short fixed delay.
 	ListPushed bool
-	// Learned is what the previous process has learned about the servers.
+	// Learned is the learned state that the previous process has exported.
 	Learned []decide.LearnedState
 	// StateTimeout is how long the transfer of a session's state may take; 0 disables resuming sessions.
 	StateTimeout time.Duration
-	// Watchdog observes the iterations of the event loop; nil disables it.
+	// Watchdog observes the iterations of the event loop; nil if they are not observed.
 	Watchdog Watchdog
-	// Log receives lines for operators.
+	// Log writes a line to the operators' log.
 	Log func(text string)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,14 +1,13 @@
-// Package core is the event loop of one balancer. Its Engine owns the decision module (package decide) and
-// all state around it: client requests and their attempts, upstream servers, discovery calls, timers and
-// counters.
+// Package core is the event loop of one balancer. Its Engine owns the decision module (package decide) and all state
+// around it: client requests and their attempts, upstream servers, discovery calls, timers and counters.
 //
-// The package knows no network protocol. Frontends report what happens on their client connections by calling
-// the Engine; it turns these reports into events of the decision module and executes the actions that the
-// module returns through the interfaces ClientConn, Prober and Discovery.
+// The package is independent of network protocols. Frontends report the events of their client connections by calling
+// methods of the Engine, which turns them into events of the decision module. The Engine executes the actions that
+// the module returns by calling the interfaces ClientConn, Prober and Discovery.
 //
-// One goroutine, the one that calls Engine.Run, owns all state. The methods of an Engine may be called from
-// any other goroutine: unless their comment says otherwise they put a function into the engine's inbox and
-// return before it has run. They block only while the inbox is full.
+// The goroutine that calls Engine.Run owns all state. The methods of an Engine may be called from any other
+// goroutine: unless their comment says otherwise, they put a function into the engine's inbox and return before that
+// function has run. They block only while the inbox is full.
 package core
 
 import (
@@ -19,42 +18,45 @@
 	"cottonplank/decide"
 )
 
-// ClientConn is the client's side of one request, implemented by a frontend. The engine calls it from its
-// event loop, so no method may block on a peer: an implementation queues the command for its own goroutine
-// and returns.
+// ClientConn is the client's side of one request, implemented by a frontend. The engine calls it from its event loop,
+// so no method may block on a peer: an implementation queues the command for its own goroutine and returns.
 type ClientConn interface {
-	// StartAttempt starts an attempt at an upstream server. Any earlier attempt has ended or was cancelled;
-	// the implementation closes its transport before it sends anything of the new one.
+	// StartAttempt starts an attempt at an upstream server. An earlier attempt of the request has ended or was
+	// cancelled; the implementation closes the earlier attempt's transport before it sends anything for the new one.
 	StartAttempt(Attempt)
-	// CancelAttempt asks for the end of attempt n, which has no answer yet. Only the implementation knows
-	// what it has written, so it decides how the attempt ended and reports that once with
-	// Engine.AttemptEnded: as NotSent if nothing was sent, else with code why. An attempt that has its answer
-	// goes on, and so does one whose request was sent meanwhile if why says that it never executed.
+	// CancelAttempt requests the cancellation of attempt n, which the server has not answered as far as the engine
+	// knows. Only the implementation knows what it has written to the server. It therefore determines how the attempt
+	// ended and reports that once with Engine.AttemptEnded: with a code for which decide.Code.NeverExecuted is true
+	// if the request was not sent, otherwise with the code why.
+	//
+	// The attempt continues, and nothing is reported, in two cases: the server has already answered, or the request
+	// was sent before the command was executed and why is a code for requests that were never executed.
 	CancelAttempt(n int, why decide.Code)
-	// Establish passes the server's answer to attempt n on to the client and relays in both directions from
-	// then on.
+	// Establish passes the server's answer to attempt n to the client. From then on the implementation relays data in
+	// both directions.
 	Establish(n int)
-	// Reject answers that the request was not executed and may be retried, after retryAfter if that is above
-	// 0, and closes the connection.
+	// Reject answers that the request was not executed and may be retried, after retryAfter if that is above 0, and
+	// closes the connection.
 	Reject(retryAfter time.Duration)
 	// Fail answers that the request failed and closes the connection.
 	Fail()
-	// Migrate asks the client of an established connection to reconnect elsewhere and closes both sides.
+	// Migrate asks the client of an established connection to open a new connection, and closes both sides.
 	Migrate()
-	// Abort closes at once whatever is still open.
+	// Abort closes immediately whatever is still open. An implementation may keep a client connection open whose
+	// request has arrived but is not reported to the engine yet.
 	Abort()
 }
 
 // Reason says why a session has to start over. Its text is sent to the client.
 type Reason string
 
-// ReasonStateTimeout means that the session's state was not transferred within Config.StateTimeout.
+// ReasonStateTimeout means that the transfer of the session's state took longer than Config.StateTimeout.
 const ReasonStateTimeout Reason = "late"
 
 // Resumer is implemented by client connections whose request resumes a session. Its methods must not block.
 type Resumer interface {
-	// HolderLocated answers Engine.LocateHolder for attempt n: s is the server that holds the session, if
-	// known.
+	// HolderLocated answers Engine.LocateHolder for attempt n. If known is true, s is the server that holds the
+	// session; otherwise the engine does not know that server.
 	HolderLocated(n int, s Upstream, known bool)
 	// StartOver answers that the session cannot be resumed and closes the connection.
 	StartOver(why Reason)
@@ -66,7 +68,7 @@
 	Number int
 	// Upstream is the server to connect to.
 	Upstream Upstream
-	// Timeout is how long the engine waits for the connection to be established.
+	// Timeout is how long the engine waits for the server's answer that establishes the connection.
 	Timeout time.Duration
 }
 
@@ -79,10 +81,11 @@
 
 // Prober sends health checks to servers. Its methods must not block.
 type Prober interface {
-	// Probe requests a load report. The result goes to Engine.ProbeCompleted with the same seq, unless ctx
-	// ends first.
+	// Probe requests a load report. The implementation passes the result to Engine.ProbeCompleted with the same seq,
+	// unless ctx ends first.
 	Probe(ctx context.Context, seq uint64, server Upstream)
-	// Remove releases what is kept for a server that was removed from the endpoint list.
+	// Remove releases the resources of a server that was removed from the endpoint list, such as its probe
+	// connection.
 	Remove(server decide.ServerID)
 }
 
@@ -91,41 +94,40 @@
 	decide.Server
 	Name    string
 	Address string
-	// Started is when the server's process started; the zero time means long ago. It takes the place of
-	// Server.Started, which counts on the host clock.
+	// Started is the wall-clock time at which the server's process started; the zero time means long ago. The engine
+	// derives Server.Started, a host-clock time, from it and ignores the value that Server.Started has here.
 	Started time.Time
 }
 
-// EndpointUpdate is what a discovery call brought: a snapshot of the endpoint list, changed entries, or a
-// failure.
+// EndpointUpdate is the result of a discovery call: a snapshot of the endpoint list, changed entries, or a failure.
 type EndpointUpdate struct {
 	Kind      decide.ListKind
 	Endpoints []Endpoint
-	// WatchID is the watch that failed; 0 if another call failed.
+	// WatchID is used only for a failure: it is the ID of the watch that failed, or 0 if another call failed.
 	WatchID uint64
 }
 
-// Request is what a client asks for.
+// Request is a client's request for a connection.
 type Request struct {
-	// ID is the client's own identifier, unique among all requests; empty if the client gave none.
+	// ID is the identifier that the client chose for the request, unique among all requests; empty if it chose none.
 	ID string
 	// Class is an index into decide.Settings.Classes.
 	Class int
 	// Key is the idempotency key.
 	Key string
-	// Group names the group of connections that share work on one server.
+	// Group names the group of connections that share work on one server; empty if the request has none.
 	Group string
 	// Deadline is when the client stops waiting for the answer.
 	Deadline time.Time
 	// Load is the expected work in seconds per second; 0 means unknown.
 	Load float64
-	// Returning says that the client is back after a broken or migrated connection.
+	// Returning says that the client reconnects after a broken or migrated connection.
 	Returning bool
 	// Resumer is set if the request resumes a session, else nil.
 	Resumer Resumer
 }
 
-// ServerID derives a server's numeric ID from its instance name. The ID is equal at all balancers and after a
+// ServerID derives a server's numeric ID from its instance name. The ID must be equal at all balancers and after a
 // restart, because the preferred servers of a group and connection IDs depend on it.
 func ServerID(instance string) decide.ServerID {
 	h := fnv.New32a()
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// departedRetention is how long the address of a removed server stays known: its process may need as long
-	// to end, and hands its sessions over until then.
+	// departedRetention is how long the address of a server is kept after its removal from the endpoint list. The
+	// server's process may run for that long, and other servers can fetch the state of its sessions until it ends.
 	departedRetention = 30 * time.Second
-	// maxDeparted bounds the number of such servers.
+	// maxDeparted limits the number of removed servers that are kept.
 	maxDeparted = 256
 )
 
-// departedUpstream is a server that has left the endpoint list.
+// departedUpstream is a server that was removed from the endpoint list within departedRetention.
 type departedUpstream struct {
 	Upstream
-	// timer forgets the server.
+	// timer deletes the server from the table.
 	timer *timer
 }
 
-// rememberDeparted keeps the address of a removed server for departedRetention, if sessions can be resumed.
+// rememberDeparted keeps the address of a removed server for departedRetention. It does nothing if sessions cannot be
+// resumed, as nobody asks for the address then, or if maxDeparted servers are kept already.
 func (e *Engine) rememberDeparted(s Upstream) {
 	departed := e.upstreams.departed
 	if e.cfg.StateTimeout == 0 || len(departed) >= maxDeparted {
--- a/internal/core/detailed_snapshot.go
+++ b/internal/core/detailed_snapshot.go
@@ -18,10 +18,10 @@
 	sortOnce sync.Once
 }
 
-// DetailedSnapshot returns a snapshot with an entry for each server, at most snapshotInterval old. If the
-// event loop does not answer within the given time, it returns the latest detailed snapshot, or one without
-// entries if there is none. Detailed snapshots are taken on request alone, and one is shared by all requests
-// within snapshotInterval, because their cost grows with the number of servers.
+// DetailedSnapshot returns a snapshot with an entry for each server, at most snapshotInterval old. If the event loop
+// does not answer within the given time, it returns the latest detailed snapshot, or a snapshot without entries if
+// there is none. The cost of a detailed snapshot grows with the number of servers. For that reason it is taken only
+// on request, and all requests within snapshotInterval share one.
 func (e *Engine) DetailedSnapshot(within time.Duration) *Snapshot {
 	d := e.detailedSnapshot.Load()
 	if d == nil || time.Since(d.snapshot.At) >= snapshotInterval {
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// discoveryTimeout is when a discovery call without any answer has failed.
+	// discoveryTimeout is how long a discovery call may take until its first answer before it counts as failed.
 	discoveryTimeout = 4 * time.Second
-	// watchTimeout is when a watch without heartbeats counts as stale; discovery sends one every 2 s.
+	// watchTimeout is how long after its last heartbeat a watch counts as stale. Discovery sends one every 2 s.
 	watchTimeout = 3 * time.Second
 )
 
-// Discovery is the source of the endpoint list. Its methods must not block. What a call brings goes to an
-// UpdateHandler, until ctx ends.
+// Discovery is the source of the endpoint list. Its methods must not block. It passes the results of a call to an
+// UpdateHandler until the call's ctx ends.
 type Discovery interface {
-	// SetAddress directs later calls to discovery at another address. The first watch there starts with a
-	// snapshot.
+	// SetAddress makes later calls use discovery at another address. The first watch there starts with a snapshot.
 	SetAddress(address string)
 	// Watch opens a watch for changes of the list. Its heartbeats and its failure carry the given ID.
 	Watch(ctx context.Context, watch uint64)
@@ -26,7 +25,7 @@
 	Fetch(ctx context.Context)
 }
 
-// UpdateHandler receives what a Discovery learns. Engine implements it.
+// UpdateHandler receives the results of a Discovery's calls. Engine implements it.
 type UpdateHandler interface {
 	// EndpointsUpdated delivers a snapshot, changed entries, or the failure of a call.
 	EndpointsUpdated(EndpointUpdate)
@@ -36,15 +35,16 @@
 
 // discoveryCalls are the engine's calls to discovery. The event loop owns them.
 type discoveryCalls struct {
-	// pendingWatch is the latest watch while it has not been heard of, else nil.
+	// pendingWatch is the latest watch, until it sends a heartbeat or fails; otherwise nil.
 	pendingWatch *discoveryCall
 	// lastWatchID is the ID of the latest watch; IDs count from 1.
 	lastWatchID uint64
 	// watchTimer expires when no watch has sent a heartbeat for watchTimeout.
 	watchTimer *timer
-	// fetch is the latest request for a snapshot until a snapshot arrives, else nil.
+	// fetch is the latest request for a snapshot, until a snapshot arrives; otherwise nil.
 	fetch *discoveryCall
-	// listUpdated is when the list last changed or was confirmed.
+	// listUpdated is when the last snapshot or delta arrived. A delta without entries counts, too: it confirms the
+	// list.
 	listUpdated time.Duration
 }
 
@@ -57,16 +57,16 @@
 	timer   *timer
 }
 
-// openWatch opens a watch. A watch that is open already stays until the new one answers, so that no change is
+// openWatch opens a watch. A watch that is already open stays open until the new one answers, so that no change is
 // missed.
 func (e *Engine) openWatch() {
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.discoveryCalls.lastWatchID++
 	watch := e.discoveryCalls.lastWatchID
-	// An earlier watch that is still pending keeps its own timer: nothing else would end it.
+	// An earlier watch that is still pending keeps its own timer, because only that timer cancels it.
 	expiry := e.timers.set(e.now+discoveryTimeout, func() {
 		cancel()
-		// The Discovery may have dropped the call without any report, so it fails here.
+		// The Discovery may have dropped the call without a report, so the engine reports the failure itself.
 		if e.isPendingWatch(watch) {
 			e.discoveryFailed(EndpointUpdate{Kind: decide.ListFailed, WatchID: watch})
 		}
@@ -75,20 +75,20 @@
 	e.discovery.Watch(ctx, watch)
 }
 
-// ensureWatch opens a watch, unless one is pending or the engine is reconnecting to discovery, which ends
-// with a watch.
+// ensureWatch opens a watch, unless one is pending or a reconnect to discovery is in progress, at whose end a watch
+// is opened.
 func (e *Engine) ensureWatch() {
 	if e.discoveryCalls.pendingWatch == nil && e.reconnect.step == reconnectIdle {
 		e.openWatch()
 	}
 }
 
-// isPendingWatch reports whether a watch is the latest one and has not been heard of.
+// isPendingWatch reports whether a watch is the latest one and has neither sent a heartbeat nor failed.
 func (e *Engine) isPendingWatch(watch uint64) bool {
 	return e.discoveryCalls.pendingWatch != nil && e.discoveryCalls.pendingWatch.watchID == watch
 }
 
-// resolvePendingWatch ends the wait for a pending watch that has shown a heartbeat or has failed.
+// resolvePendingWatch stops the timeout of a pending watch that has sent a heartbeat or has failed.
 func (e *Engine) resolvePendingWatch(watch uint64) {
 	if e.isPendingWatch(watch) {
 		e.timers.stop(e.discoveryCalls.pendingWatch.timer)
@@ -96,9 +96,8 @@
 	}
 }
 
-// requestSnapshot fetches a snapshot, unless the engine is reconnecting: the call that ends the reconnect
-// brings all changes. This spares a discovery that is down a further call from each balancer at each
-// time-out.
+// requestSnapshot fetches a snapshot, unless a reconnect is in progress: the call at its end delivers all changes.
+// While discovery is down, this saves an additional call of each balancer at each time-out.
 func (e *Engine) requestSnapshot() {
 	if e.reconnect.step == reconnectIdle {
 		e.fetchSnapshot()
@@ -114,8 +113,7 @@
 	ctx, cancel := context.WithCancel(e.ctx)
 	expiry := e.timers.set(e.now+discoveryTimeout, func() {
 		cancel()
-		// The Discovery may have dropped the call without any report, and the reconnect would wait for it
-		// forever.
+		// The Discovery may have dropped the call without a report, and the reconnect would wait for it forever.
 		if e.reconnect.step == reconnectCalling && !e.cfg.Settings.WatchList {
 			e.discoveryFailed(EndpointUpdate{Kind: decide.ListFailed})
 		}
@@ -124,8 +122,8 @@
 	e.discovery.Fetch(ctx)
 }
 
-// requestList opens a watch or fetches a snapshot, as the settings say, without waiting for the decision
-// module's poll.
+// requestList opens a watch or fetches a snapshot, depending on the settings, without waiting for the decision
+// module's next poll.
 func (e *Engine) requestList() {
 	if e.cfg.Settings.WatchList {
 		e.openWatch()
@@ -134,12 +132,12 @@
 	}
 }
 
-// SetDiscoveryAddress switches to discovery at another address and opens a watch there at once. The present
-// list stays in force meanwhile, and client connections are not affected.
+// SetDiscoveryAddress switches to discovery at another address and opens a watch there immediately. The current list
+// stays in force until the new watch answers, and client connections are not affected.
 func (e *Engine) SetDiscoveryAddress(address string) {
 	e.post(func() {
 		e.discovery.SetAddress(address)
-		e.stopReconnect() // it concerned the old address
+		e.stopReconnect() // a reconnect in progress was for the previous address
 		e.reconnect.lastStaleWatchID = e.discoveryCalls.lastWatchID
 		e.openWatch()
 	})
@@ -150,26 +148,26 @@
 func (e *Engine) WatchAlive(watch uint64) {
 	e.post(func() {
 		e.resolvePendingWatch(watch)
-		e.watchConfirmsDiscovery(watch)
+		e.stopReconnectOnHeartbeat(watch)
 		e.timers.stop(e.discoveryCalls.watchTimer)
 		e.discoveryCalls.watchTimer = e.timers.set(e.now+watchTimeout, e.ensureWatch)
 	})
 }
 
-// discoveryAnswered notes that a list of the given kind has arrived.
+// discoveryAnswered updates the state of the discovery calls after a list of the given kind has arrived.
 func (e *Engine) discoveryAnswered(kind decide.ListKind) {
 	if e.discoveryCalls.fetch != nil && kind == decide.ListSnapshot {
 		e.timers.stop(e.discoveryCalls.fetch.timer)
 		e.discoveryCalls.fetch = nil
 	}
 	if !e.cfg.Settings.WatchList && kind != decide.ListRestored {
-		e.stopReconnect() // without a watch no heartbeat would stop it
+		e.stopReconnect() // without a watch, no heartbeat would stop it
 	}
 	e.discoveryCalls.listUpdated = e.now
 }
 
-// discoveryFailed handles a failed call and starts to reconnect. The decision module is notified too, but the
-// calls that it asks for are left out until the reconnect has ended.
+// discoveryFailed handles a failed call and starts a reconnect. The decision module is notified too, but the calls
+// that it requests are not made until the reconnect has ended.
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
@@ -180,8 +178,8 @@
 	e.handle(decide.ListReceived{Kind: update.Kind})
 }
 
-// callStart returns when a failed call was started, or the present time for a watch that had been
-// established.
+// callStart returns when a failed call was started. For a call that is no longer pending, such as a watch that had
+// answered, it returns the current time.
 func (e *Engine) callStart(watch uint64) time.Duration {
 	switch {
 	case e.isPendingWatch(watch):
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Times of a planned stop, from the call of Drain on.
+// Times of a planned stop, measured from the call of Drain.
 const (
-	// drainAcceptWindow is the least time before the last clients are migrated: new ones still arrive for up
+	// drainAcceptWindow is the minimum time until all remaining clients are migrated: new clients still arrive for up
 	// to 400 ms.
 	drainAcceptWindow = 450 * time.Millisecond
-	// drainAnswerReserve is the part of the budget that remains when the last pending requests are answered.
+	// drainAnswerReserve is how long before the end of the budget all pending requests are answered.
 	drainAnswerReserve = 300 * time.Millisecond
-	// drainRecheckInterval is the interval between checks whether clients still wait to be accepted.
+	// drainRecheckInterval is the interval between checks whether the drain is complete.
 	drainRecheckInterval = 10 * time.Millisecond
-	// drainMinDuration is the least duration of a drain, for clients that arrive late.
+	// drainMinDuration is the minimum duration of a planned stop, so that clients that arrive late are served.
 	drainMinDuration = 900 * time.Millisecond
 )
 
-// drain sends all clients to other balancers: in a planned stop, which is final, or as a lame duck, which may
-// be revoked. Clients that arrive at first are served, all pending requests are answered, and all established
-// connections are migrated. The migrations are spread over time, and in a planned stop they begin late:
-// migrating all clients at once, at the signal, would leave clients without a balancer in a rolling restart
-// whose previous balancer is not back yet.
+// drain is the state of a drain, which moves all clients to other balancers. It is either a planned stop, which is
+// final, or a lame duck, which LeaveLameDuck can revoke. Clients that arrive early in the drain are served, all
+// pending requests are answered, and all established connections are migrated.
+//
+// The migrations are spread over time, and in a planned stop they start late. In a rolling restart, the balancer that
+// was stopped before this one may not be serving again yet: migrating all clients immediately would leave clients
+// without a balancer.
 type drain struct {
 	// final is set in a planned stop.
 	final bool
-	// migrateAll says that all connections were migrated and that new ones are migrated as soon as they are
-	// established.
+	// migrateAll says that all established connections were migrated and that further ones are migrated as soon as
+	// they are established.
 	migrateAll bool
-	// rejectNew says that new requests are rejected at once.
+	// rejectNew says that new requests are rejected immediately.
 	rejectNew bool
 	// minimumElapsed says that drainMinDuration is over.
 	minimumElapsed bool
@@ -36,16 +38,18 @@
 	closed bool
 	// recheckTimer starts the next check whether the drain is complete.
 	recheckTimer *timer
-	// clientsQueued reports whether clients wait to be accepted; nil means that none do.
+	// clientsQueued reports whether clients wait to be accepted; nil stands for a function that reports false.
 	clientsQueued func() bool
 	// timers are the scheduled steps.
 	timers []*timer
 }
 
-// Drain starts a planned stop that lasts at most for the given budget. The returned channel is closed when it
-// is complete. While clientsQueued reports that clients wait to be accepted the drain goes on, within the
-// budget; nil means that none do. If a planned stop is in progress already, Drain changes nothing and its
-// channel is never closed.
+// Drain starts a planned stop, which takes at most the given budget, and returns a channel that is closed when the
+// stop is complete. While clientsQueued reports that clients wait to be accepted, the stop is not complete until the
+// budget is over; nil stands for a function that reports false.
+//
+// Known fault: if a planned stop is already in progress, Drain changes nothing and returns a channel that is never
+// closed.
 func (e *Engine) Drain(budget time.Duration, clientsQueued func() bool) <-chan struct{} {
 	done := make(chan struct{})
 	e.post(func() {
@@ -55,7 +59,8 @@
 		e.cancelDrain() // of a lame duck
 		e.drain = &drain{final: true, done: done, clientsQueued: clientsQueued}
 		e.setServiceState(Stopping)
-		// A client that reads nothing any more is disconnected before the budget is over.
+		// The last migrations start migrationTimeout before the end of the budget, so that clients that no longer
+		// read are disconnected within the budget.
 		last := max(budget-migrationTimeout, drainAcceptWindow)
 		e.migrateBetween(min(budget/2, last), last)
 		e.scheduleDrainStep(drainMinDuration, func() {
@@ -83,7 +88,8 @@
 	e.drain = nil
 }
 
-// migrateBetween spreads the migration of all established connections between two times from now.
+// migrateBetween migrates the established connections one after the other between two times, which are counted from
+// now. At the second time it migrates all that remain.
 func (e *Engine) migrateBetween(first, last time.Duration) {
 	e.scheduleDrainStep(first, func() {
 		interval := (last - first) / time.Duration(max(len(e.calls.open), 1))
@@ -101,15 +107,15 @@
 	})
 }
 
-// migrateForDrain migrates an established connection. A planned stop leaves resumable connections to the next
-// process; a lame duck has no next process.
+// migrateForDrain migrates an established connection, except for a resumable one in a planned stop, which is left
+// open for the next process. No process follows a lame duck.
 func (c *Call) migrateForDrain() {
 	if !c.traits.Resumable || !c.engine.drain.final {
 		c.migrate()
 	}
 }
 
-// rejectAll answers all pending requests and rejects new ones from now on.
+// rejectAll answers all pending requests and makes the engine reject new ones.
 func (e *Engine) rejectAll() {
 	e.drain.rejectNew = true
 	for c := range e.calls.open {
@@ -117,11 +123,11 @@
 	}
 }
 
-// rejectsNewRequests reports whether a drain has come to the point where new requests are rejected.
+// rejectsNewRequests reports whether a drain has reached the step from which on new requests are rejected.
 func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// finishDrainIfIdle ends a planned stop before its budget is over, once no client waits to be accepted, no
-// first line is awaited, no request is pending, and all connections that remain are resumable.
+// finishDrainIfIdle ends a planned stop before its budget is over if no client waits to be accepted, no accepted
+// connection may still send its request, no request is pending, and all remaining connections are resumable.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
@@ -145,7 +151,7 @@
 	}
 }
 
-// blocksDrain reports whether a planned stop must not end before this call.
+// blocksDrain reports whether a planned stop must not end while the client connection is open.
 func (c *Call) blocksDrain() bool {
 	switch c.phase {
 	case phaseAccepted, phasePending:
@@ -155,10 +161,10 @@
 	}
 }
 
-// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the
-// connection is too young for that, as its first line may not be read yet. The implementation of ClientConn
-// checks for unread data too and keeps the connection open then, as for one whose first line has started to
-// arrive.
+// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the connection
+// was active too recently to be closed, as its first line may have arrived without being read. A connection whose
+// first line has started to arrive stays open. So does one with unread data, for which the implementation of
+// ClientConn ignores the Abort.
 func (c *Call) closeUnusedForDrain() (tooYoung bool) {
 	switch {
 	case c.lineStarted || c.shed:
@@ -183,7 +189,7 @@
 	})
 }
 
-// finishDrain reports the end of a planned stop.
+// finishDrain reports the end of a planned stop by closing its channel.
 func (e *Engine) finishDrain() {
 	if !e.drain.closed {
 		e.drain.closed = true
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// clockStart is the host clock's reading when the engine is created. It is far above 0, so that servers
-	// that started before this process have positive start times.
+	// clockStart is the host-clock time at which the engine is created. It is far above 0, so that servers that
+	// started before this process have positive start times.
 	clockStart = 24 * time.Hour
 	// inboxSize is how many functions the inbox holds before senders block.
 	inboxSize = 1024
-	// startTimeout ends state Starting without an answer of discovery: the engine then serves from the list
-	// it has.
+	// startTimeout is the maximum time in state Starting. If discovery has not answered by then, the engine serves
+	// with the endpoint list that it has.
 	startTimeout = 3 * time.Second
 )
 
@@ -38,14 +38,14 @@
 	// ready is closed when the service state becomes Serving for the first time.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// epoch is the wall time at which the host clock read clockStart.
+	// epoch is the wall-clock time that corresponds to the host-clock time clockStart.
 	epoch time.Time
 
 	// The fields from here to generation are owned by the event loop, the goroutine of Run.
 
 	// ctx is the context of Run; probes and discovery calls derive theirs from it.
 	ctx context.Context
-	// now is the host clock's reading in the present iteration.
+	// now is the host-clock time of the current iteration.
 	now            time.Duration
 	timers         *timerQueue
 	events         eventQueue
@@ -58,23 +58,25 @@
 	// drain is the drain in progress, else nil.
 	drain   *drain
 	service ServiceState
-	// generation numbers the configuration in force.
+	// generation is the number of the configuration in force.
 	generation uint64
 
 	// snapshot is the latest published snapshot; any goroutine may read it.
 	snapshot atomic.Pointer[Snapshot]
-	// detailedSnapshot is nil if none was requested lately; any goroutine may read it.
+	// detailedSnapshot is the latest detailed snapshot, nil if none was requested within detailedRetention; any
+	// goroutine may read it.
 	detailedSnapshot atomic.Pointer[detailedSnapshot]
 }
 
-// eventQueue holds events for the decision module that were raised while it handles another one.
+// eventQueue holds the events that wait for the decision module.
 type eventQueue struct {
-	pending     []decide.Event
+	pending []decide.Event
+	// dispatching says that handle is running; events that are raised meanwhile are only queued.
 	dispatching bool
 }
 
-// New returns an engine that Run starts. It returns an error if the decision module does not accept the
-// settings.
+// New returns an engine, which does nothing until Run is called. It returns an error if the decision module does not
+// accept the settings.
 func New(cfg Config) (*Engine, error) {
 	balancer, err := decide.New(cfg.Settings)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return e, nil
 }
 
-// Run runs the event loop until ctx ends. It calls the prober and discovery from this goroutine alone.
+// Run runs the event loop until ctx ends. It calls the prober and discovery only from the goroutine that calls Run.
 func (e *Engine) Run(ctx context.Context, prober Prober, discovery Discovery) {
 	defer close(e.done)
 	e.ctx, e.prober, e.discovery = ctx, prober, discovery
@@ -122,7 +124,8 @@
 	}
 }
 
-// start hands the decision module what is known at the start and begins the periodic work.
+// start passes the restored endpoint list and the learned state to the decision module, requests the first endpoint
+// list if the engine has to wait for one, and starts the periodic publication of snapshots.
 func (e *Engine) start() {
 	e.tick()
 	e.handle(decide.Started{})
@@ -132,7 +135,8 @@
 		e.noteEjection(learned.Server)
 	}
 	if e.cfg.AwaitFirstList || e.cfg.ListPushed {
-		// Without the random delay of the first poll: no client waits for this process yet.
+		// The list is requested without the random delay that the decision module adds to its first poll: clients use
+		// this process only once it has left state Starting, which is when the list arrives.
 		e.requestList()
 		e.timers.set(e.now+startTimeout, e.finishStarting)
 	} else {
@@ -141,7 +145,7 @@
 	e.publishPeriodically()
 }
 
-// runIteration runs a function from the inbox, which may be nil, and the timers that have expired.
+// runIteration runs a function from the inbox, which may be nil, and then the timers that have expired.
 func (e *Engine) runIteration(do func()) {
 	if do != nil {
 		e.tick()
@@ -151,11 +155,11 @@
 	e.timers.runExpired(e.now)
 }
 
-// tick reads the host clock, the only time that the decision module knows.
+// tick sets now to the host-clock time, the only clock that the decision module uses.
 func (e *Engine) tick() { e.now = clockStart + time.Since(e.epoch) }
 
-// post puts a function into the inbox and blocks while that is full. The event loop itself must not call it:
-// nothing would empty the inbox.
+// post puts a function into the inbox and blocks while the inbox is full. The event loop itself must not call it:
+// with a full inbox it would wait for itself.
 func (e *Engine) post(do func()) {
 	select {
 	case e.inbox <- do:
@@ -163,8 +167,8 @@
 	}
 }
 
-// await runs a function in the event loop and waits for its end, for at most the given time. It returns
-// ErrBusy after that, although the function may still run later, and ErrStopping if the event loop has ended.
+// await runs a function in the event loop and waits for its end, for at most the given time. It returns ErrBusy if
+// the time is over; the function may still run later. It returns ErrStopping if the event loop has ended.
 func (e *Engine) await(within time.Duration, do func()) error {
 	finished := make(chan struct{})
 	timeout := time.After(within)
@@ -185,8 +189,8 @@
 	}
 }
 
-// handle passes an event to the decision module and executes the actions that it returns. An event that is
-// raised by such an action is handled after the remaining actions of the present one.
+// handle passes an event to the decision module and executes the actions that the module returns. An event that is
+// raised by such an action is handled after the remaining actions of the current event.
 func (e *Engine) handle(event decide.Event) {
 	e.events.pending = append(e.events.pending, event)
 	if e.events.dispatching {
@@ -211,7 +215,7 @@
 	e.events = eventQueue{}
 }
 
-// execute carries out one action of the decision module.
+// execute executes one action of the decision module. It ignores actions for requests that have ended.
 func (e *Engine) execute(action decide.Action) {
 	switch action := action.(type) {
 	case decide.StartAttempt:
@@ -241,7 +245,8 @@
 	}
 }
 
-// SetFleetSize sets the number of balancers among which the budgets of the fleet are divided.
+// SetFleetSize sets the number of balancers among which the budgets of the fleet are divided, and over which the
+// reconnects to discovery are spread.
 func (e *Engine) SetFleetSize(size decide.FleetSize) {
 	e.post(func() {
 		e.reconnect.schedule.SetFleetSize(size.Fleet)
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// responseTimeout is when an established connection is migrated because its server does not respond.
+	// responseTimeout is how long the server of an established connection may take to respond before the connection
+	// is migrated.
 	responseTimeout = 3 * time.Second
-	// migrationTimeout is when a client that was asked to migrate is disconnected if it reads nothing any
-	// more.
+	// migrationTimeout is the minimum time after which a client that was asked to migrate is disconnected, for
+	// example because it no longer reads.
 	migrationTimeout = 900 * time.Millisecond
 )
 
-// migrate asks the client of an established connection to reconnect elsewhere.
+// migrate asks the client of an established connection to open a new connection.
 func (c *Call) migrate() {
 	if c.phase != phaseEstablished || c.migrating {
 		return
@@ -24,13 +25,13 @@
 	e.statistics.counters.Migrations++
 	e.timers.stop(c.responseTimer)
 	c.conn.Migrate()
-	// A client that reads nothing any more must not hold up the migration. An idle timer goes on beside this
-	// one.
+	// A client that no longer reads must not delay the migration. Known fault: a running idle timer is not stopped.
+	// It continues beside this timer, because closeTimer no longer refers to it.
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
-// ResponseAwaited reports that the client of an established connection has sent something that the server has
-// not answered yet. Without a response the connection is migrated after responseTimeout.
+// ResponseAwaited reports that the client of an established connection has sent data to which the server has not
+// responded yet. The connection is migrated if no response is reported within responseTimeout.
 func (e *Engine) ResponseAwaited(c *Call) {
 	e.post(func() {
 		if c.phase == phaseEstablished && !c.migrating {
@@ -40,7 +41,7 @@
 	})
 }
 
-// ServerResponded reports that the server of an established connection has sent something.
+// ServerResponded reports that the server of an established connection has sent data.
 func (e *Engine) ServerResponded(c *Call) {
 	e.post(func() {
 		e.timers.stop(c.responseTimer)
@@ -48,8 +49,8 @@
 	})
 }
 
-// serverUnresponsive migrates the client of a server that has vanished without closing the connection. The
-// decision module is notified of a reset, as TCP may report nothing for a long time.
+// serverUnresponsive migrates the client of a server that no longer responds although its connection is open. It
+// reports a reset to the decision module itself, because TCP may take long to report an error.
 func (c *Call) serverUnresponsive() {
 	if c.phase == phaseEstablished && !c.migrating {
 		c.engine.statistics.counters.Unresponsive++
@@ -58,8 +59,8 @@
 	}
 }
 
-// TrafficSeen reports traffic on an established connection. A frontend calls it now and then, not for each
-// packet.
+// TrafficSeen reports traffic on an established connection, which restarts its idle timeout. A frontend calls it at
+// intervals that are shorter than ConnTraits.Idle, not for each packet.
 func (e *Engine) TrafficSeen(c *Call) {
 	e.post(func() {
 		if c.phase == phaseEstablished {
@@ -68,7 +69,7 @@
 	})
 }
 
-// resetIdleTimer restarts the idle timeout of an established connection, if its frontend wants one.
+// resetIdleTimer restarts the idle timeout of an established connection, if ConnTraits.Idle sets one.
 func (c *Call) resetIdleTimer() {
 	if c.traits.Idle <= 0 || c.migrating {
 		return
@@ -77,18 +78,18 @@
 	timers.stop(c.closeTimer)
 	c.closeTimer = timers.set(c.engine.now+c.traits.Idle, func() {
 		c.conn.Abort()
-		// The likely cause is a regular end that the transport does not show.
+		// The connection has probably ended normally, which the transport does not show.
 		c.attemptEnded(c.attempt.number, decide.OK, decide.NoLoadReport)
 	})
 }
 
-// HalfClosed reports that one side of an established connection has closed. The other side is aborted if it
-// does not follow within ConnTraits.Linger.
+// HalfClosed reports that one side of an established connection has closed. The other side is aborted if it does not
+// close within ConnTraits.Linger.
 func (e *Engine) HalfClosed(c *Call) {
 	e.post(func() { c.abortAt(e.now + c.traits.Linger) })
 }
 
-// SetLoad reports the present load of an established connection in seconds of work per second.
+// SetLoad reports the current load of an established connection in seconds of work per second.
 func (e *Engine) SetLoad(c *Call, load float64) {
 	e.post(func() {
 		if c.phase == phaseEstablished {
--- a/internal/core/lameduck.go
+++ b/internal/core/lameduck.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// Times of a lame duck, from the call of EnterLameDuck on.
+// Times of a lame duck, measured from the call of EnterLameDuck.
 const (
-	// lameDuckMigrationStart is when the first client is migrated: frontends still accept clients for a
-	// while.
+	// lameDuckMigrationStart is when the migrations start. Until then, new clients may still arrive.
 	lameDuckMigrationStart = 500 * time.Millisecond
-	// lameDuckMigrationEnd is when all clients are migrated. Those that read nothing any more are
-	// disconnected migrationTimeout later.
+	// lameDuckMigrationEnd is when the last clients are migrated. Clients that no longer read are disconnected
+	// migrationTimeout later.
 	lameDuckMigrationEnd = 2500 * time.Millisecond
 )
 
-// EnterLameDuck sends all clients to other balancers while the process stays up: new clients are served at
-// first, and rejected once all are migrated. It changes nothing if a drain is in progress.
+// EnterLameDuck moves all clients to other balancers while the process keeps running. New clients are served until
+// all clients are migrated, and rejected from then on. It changes nothing if a drain is in progress.
 //
-// It waits until the event loop has run it, for at most the given time, and returns ErrBusy after that. It
-// returns ErrStopping if the event loop has ended.
+// It waits until the event loop has executed the call, for at most the given time, and returns ErrBusy if that time
+// is over. It returns ErrStopping if the event loop has ended.
 func (e *Engine) EnterLameDuck(within time.Duration) error {
 	return e.await(within, func() {
 		if e.drain != nil {
@@ -29,8 +28,8 @@
 	})
 }
 
-// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay. It returns ErrStopping in a
-// planned stop, which is final, else errors like EnterLameDuck.
+// LeaveLameDuck revokes EnterLameDuck: clients that were not migrated yet stay connected. It returns ErrStopping
+// during a planned stop, which is final, and otherwise the same errors as EnterLameDuck.
 func (e *Engine) LeaveLameDuck(within time.Duration) error {
 	var refused error
 	err := e.await(within, func() {
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -11,18 +11,18 @@
 	"cottonplank/decide"
 )
 
-// ErrOtherDeployment means that learned state comes from a process with another DeploymentID.
+// ErrOtherDeployment means that learned state was exported by a process with another DeploymentID.
 var ErrOtherDeployment = errors.New("learned state: from another deployment")
 
-// learnedLine is the JSON encoding of what was learned about one server. Other versions of the program read
-// it.
+// learnedLine is the learned state of one server, as it is encoded in JSON. Other versions of the program read this
+// encoding.
 type learnedLine struct {
 	decide.LearnedState
 	// DeploymentID identifies the settings under which the state was learned.
 	DeploymentID string `json:"of"`
 }
 
-// DeploymentID identifies the settings that give learned state its meaning: the zones and the request
+// DeploymentID identifies the settings on which the meaning of learned state depends: the zones and the request
 // classes. It does not depend on the seed, nor on settings that may be tuned from one version to the next.
 func DeploymentID(s decide.Settings) string {
 	h := fnv.New64a()
@@ -33,9 +33,8 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// ExportLearned returns what the decision module has learned about the servers, encoded as one line for each,
-// for the process that takes over from this one. It returns nil if the event loop does not answer within the
-// given time.
+// ExportLearned returns the decision module's learned state for the replacement process, encoded as one line for each
+// server. It returns nil if the event loop does not answer within the given time.
 func (e *Engine) ExportLearned(within time.Duration) (lines []string) {
 	exported := make(chan []decide.LearnedState, 1)
 	if e.await(within, func() { exported <- e.balancer.ExportLearned() }) != nil {
@@ -50,9 +49,8 @@
 	return lines
 }
 
-// DecodeLearned decodes a line of ExportLearned. It returns ErrOtherDeployment if the line comes from another
-// deployment, whose process may have run on the same machine, and another error if the line cannot be
-// decoded.
+// DecodeLearned decodes a line of ExportLearned. It returns ErrOtherDeployment if the line was exported by a process of
+// another deployment, which may have run on the same machine, and another error if the line cannot be decoded.
 func DecodeLearned(line, deployment string) (decide.LearnedState, error) {
 	var decoded learnedLine
 	if err := json.Unmarshal([]byte(line), &decoded); err != nil {
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -7,10 +7,10 @@
 	"cottonplank/decide"
 )
 
-// probeTimeout is when a probe without an answer counts as timed out.
+// probeTimeout is how long a probe waits for its result before it counts as timed out.
 const probeTimeout = 200 * time.Millisecond
 
-// probe is a probe that waits for its result.
+// probe is a load-report request that waits for its result.
 type probe struct {
 	server decide.ServerID
 	sent   time.Duration
@@ -28,7 +28,7 @@
 	return probeTable{bySeq: map[uint64]*probe{}}
 }
 
-// startProbe sends a probe to a server, unless that is not listed any more.
+// startProbe sends a probe to a server. It does nothing if the engine no longer knows the server.
 func (e *Engine) startProbe(server decide.ServerID) {
 	u := e.upstreams.byID[server]
 	if u == nil {
@@ -44,7 +44,7 @@
 	e.prober.Probe(ctx, seq, u.Upstream)
 }
 
-// ProbeCompleted delivers the result of probe seq. A result that comes after the probe's time-out is ignored.
+// ProbeCompleted delivers the result of probe seq. A result that arrives after the probe's time-out is ignored.
 func (e *Engine) ProbeCompleted(seq uint64, code decide.Code, report decide.LoadReport) {
 	e.post(func() { e.probeCompleted(seq, code, report) })
 }
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -7,18 +7,17 @@
 	"cottonplank/decide"
 )
 
-// Bounds of the delay before a broken watch is reopened where lists are pushed; between them it is a quarter
-// of the drain grace.
+// Bounds of the delay before a broken watch is reopened if Config.ListPushed is set. Within the bounds, the delay is
+// a quarter of the drain grace.
 const (
 	maxPushedReconnectDelay = 250 * time.Millisecond
 	minPushedReconnectDelay = 20 * time.Millisecond
 )
 
-// Dialer is implemented by a Discovery that can dial without making a call, to find out whether discovery is
-// reachable.
+// Dialer is implemented by a Discovery that can check whether discovery is reachable without making a call.
 type Dialer interface {
-	// Dial must not block. It reports with done whether discovery accepted the connection, unless ctx ends
-	// first.
+	// Dial connects to discovery without blocking the caller. It calls done with whether the connection was accepted,
+	// unless ctx ends first.
 	Dial(ctx context.Context, done func(reachable bool))
 }
 
@@ -26,34 +25,34 @@
 type reconnectStep uint8
 
 const (
-	reconnectIdle    reconnectStep = iota // there is no reconnect in progress
-	reconnectWaiting                      // waits to dial, for the end of a dial, or to call
-	reconnectCalling                      // waits for the answer of a call
+	reconnectIdle    reconnectStep = iota // no reconnect is in progress
+	reconnectWaiting                      // for the time of a dial, the result of a dial, or the time of the call
+	reconnectCalling                      // for the answer to the call
 )
 
 // reconnect is the state of the reconnect to discovery after a failed call. The event loop owns it.
 type reconnect struct {
 	schedule decide.ReconnectSchedule
 	step     reconnectStep
-	// failedStart is when the latest attempt that failed was started.
+	// failedStart is when the latest failed call or dial was started.
 	failedStart time.Duration
-	// dialStart is when the present dial was started.
+	// dialStart is when the current dial was started.
 	dialStart time.Duration
-	// lastStaleWatchID is the latest watch that was opened before discovery's address changed; 0 if it never
-	// has.
+	// lastStaleWatchID is the ID of the last watch that was opened before the latest change of discovery's address; 0
+	// if the address has never changed.
 	lastStaleWatchID uint64
-	// generation counts the steps, to recognize the result of a dial that was cancelled.
+	// generation is incremented whenever a step is cancelled, so that the late result of a dial is recognized.
 	generation uint64
 	// timer starts the next step.
 	timer *timer
-	// cancel ends the present dial.
+	// cancel cancels the current dial.
 	cancel context.CancelFunc
 }
 
 func newReconnect(cfg Config) reconnect {
 	fixedDelay := time.Duration(0)
 	if cfg.ListPushed {
-		// Changes are binding at once, so the watch has to be back before the drain grace of a server ends.
+		// Changes take effect immediately, so the watch must be open again before the drain grace of a server ends.
 		fixedDelay = max(min(cfg.Settings.Safety.DrainGrace/4, maxPushedReconnectDelay), minPushedReconnectDelay)
 	}
 	balancers := max(cfg.Settings.Balancers, 1)
@@ -63,21 +62,21 @@
 	}
 }
 
-// startReconnect starts or restarts a reconnect after the failure of an attempt that was started at the given
+// startReconnect starts or restarts a reconnect after the failure of a call or dial that was started at the given
 // time.
 func (e *Engine) startReconnect(failedStart time.Duration) {
 	e.reconnect.failedStart = failedStart
 	e.scheduleReconnect(e.reconnect.schedule.DialAt(failedStart, e.now), e.dialDiscovery)
 }
 
-// scheduleReconnect cancels the present step and schedules the next one.
+// scheduleReconnect cancels the current step and schedules the next one.
 func (e *Engine) scheduleReconnect(at time.Duration, next func()) {
 	e.stopReconnect()
 	e.reconnect.step = reconnectWaiting
 	e.reconnect.timer = e.timers.set(at, next)
 }
 
-// stopReconnect cancels the present dial and the next step. A call in progress goes on.
+// stopReconnect cancels the current dial and the next step. A call in progress continues.
 func (e *Engine) stopReconnect() {
 	r := &e.reconnect
 	e.timers.stop(r.timer)
@@ -86,16 +85,17 @@
 	r.generation++
 }
 
-// watchConfirmsDiscovery stops the reconnect on a heartbeat of any watch, as one that was open all the time
-// has missed no change. A watch at a former address confirms nothing about the present one.
-func (e *Engine) watchConfirmsDiscovery(watch uint64) {
+// stopReconnectOnHeartbeat stops the reconnect on a heartbeat of any watch at the current address, because a watch
+// that has stayed open has missed no change. A heartbeat of a watch at a previous address does not show that
+// discovery is reachable at the current one.
+func (e *Engine) stopReconnectOnHeartbeat(watch uint64) {
 	if watch > e.reconnect.lastStaleWatchID {
 		e.stopReconnect()
 	}
 }
 
-// dialDiscovery finds out whether discovery is reachable. A Discovery that is no Dialer is called at once
-// instead.
+// dialDiscovery dials discovery to check whether it is reachable. If the Discovery is not a Dialer, the call is
+// scheduled without that check.
 func (e *Engine) dialDiscovery() {
 	r := &e.reconnect
 	dialer, ok := e.discovery.(Dialer)
@@ -113,7 +113,7 @@
 	})
 }
 
-// dialCompleted handles the result of a dial, unless the reconnect has gone on without it.
+// dialCompleted handles the result of a dial, unless the dial was cancelled before.
 func (e *Engine) dialCompleted(generation uint64, reachable bool) {
 	switch {
 	case generation != e.reconnect.generation:
@@ -125,8 +125,8 @@
 	}
 }
 
-// scheduleDiscoveryCall schedules the one call that follows a successful dial; the schedule spreads these
-// calls over the fleet.
+// scheduleDiscoveryCall schedules the one call that follows a successful dial. The ReconnectSchedule spreads these
+// calls of all balancers over time.
 func (e *Engine) scheduleDiscoveryCall() {
 	e.scheduleReconnect(e.reconnect.schedule.CallAt(e.reconnect.failedStart, e.now), func() {
 		e.stopReconnect()
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -9,20 +9,21 @@
 // restoreRetryInterval is the interval between attempts to restore a connection.
 const restoreRetryInterval = 250 * time.Millisecond
 
-// restoreState describes a connection that was established before this process started and is opened again.
-// Its zero value belongs to all other calls.
+// restoreState is the state of a call that reopens a connection which was established before this process started. It
+// is the zero value for all other calls.
 type restoreState struct {
 	active bool
 	server decide.ServerID
-	// deadline is when the attempts end.
+	// deadline is when no further attempt is started and the request fails.
 	deadline time.Duration
-	// firstAttempt is the attempt that restored the connection; the decision module counts it as attempt 0.
+	// firstAttempt is the number of the attempt that restored the connection. The decision module counts that attempt
+	// as attempt 0.
 	firstAttempt int
 }
 
-// RestoreConnection reopens a connection that was established before this process started, at the same server
-// and at no other. It tries for the time of patience, also while the server is not listed; after that the
-// request fails.
+// RestoreConnection reopens a connection that was established before this process started. It tries only the given
+// server, and retries until the time of patience is over, also while the server is not listed. Then the request
+// fails.
 func (e *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	e.post(func() {
 		if c.phase != phaseAccepted || !c.bindRequest(r) {
@@ -33,7 +34,8 @@
 	})
 }
 
-// tryRestore starts an attempt at the server, or schedules one if the server accepts none now.
+// tryRestore starts an attempt at the server. If the server is unknown or may not get requests now, it schedules a
+// retry.
 func (c *Call) tryRestore() {
 	if c.phase != phasePending {
 		return
@@ -47,7 +49,7 @@
 	c.startAttempt(u, max(c.restore.deadline-e.now, restoreRetryInterval))
 }
 
-// retryRestore schedules the next attempt, or fails the request after the deadline.
+// retryRestore schedules the next attempt, or fails the request if the deadline is over.
 func (c *Call) retryRestore() {
 	e := c.engine
 	if e.now >= c.restore.deadline {
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -7,7 +7,7 @@
 
 // The management protocol sends the texts of these errors to its clients.
 var (
-	// ErrBusy means that the event loop did not run a function in time.
+	// ErrBusy means that the event loop did not execute a call in time.
 	ErrBusy = errors.New("busy")
 	// ErrStopping means that the process is stopping.
 	ErrStopping = errors.New("stopping")
@@ -22,7 +22,7 @@
 	Starting ServiceState = iota
 	// Serving means that the process accepts clients.
 	Serving
-	// LameDuck means that the process sends its clients to other balancers until LeaveLameDuck is called.
+	// LameDuck means that the process moves its clients to other balancers, until LeaveLameDuck is called.
 	LameDuck
 	// Stopping means that the process is draining and will exit. This state is final.
 	Stopping
@@ -33,7 +33,7 @@
 	return [...]string{"starting", "serving", "lame duck", "stopping"}[s]
 }
 
-// ServiceState returns the present state. It never waits for the event loop.
+// ServiceState returns the state of the latest published snapshot. It never waits for the event loop.
 func (e *Engine) ServiceState() ServiceState { return e.snapshot.Load().Service }
 
 // setServiceState changes the state and publishes it at once.
@@ -42,7 +42,7 @@
 	e.cfg.Log("service state: " + s.String())
 	e.publish()
 	if s == Serving {
-		// After publish: whoever waits for Ready must find the state Serving.
+		// This must follow publish: a goroutine that waits for Ready must then read the state Serving.
 		e.readyOnce.Do(func() { close(e.ready) })
 	}
 }
@@ -50,12 +50,12 @@
 // Ready returns a channel that is closed when the state becomes Serving for the first time.
 func (e *Engine) Ready() <-chan struct{} { return e.ready }
 
-// AwaitingFirstList reports whether clients have to wait for the first endpoint list, which is so only where lists
-// are pushed.
+// AwaitingFirstList reports whether clients have to wait for the first endpoint list. It is always false unless
+// Config.ListPushed is set.
 func (e *Engine) AwaitingFirstList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
-// SkipListWait ends state Starting without an endpoint list, because the process that this one takes over
-// from has ended.
+// SkipListWait ends state Starting before an endpoint list has arrived. It is called if the previous process has
+// ended, so that no process would serve clients.
 func (e *Engine) SkipListWait() { e.post(e.finishStarting) }
 
 // finishStarting changes the state from Starting to Serving.
@@ -70,14 +70,14 @@
 	e.post(func() { e.cfg.MaxClients = maxClients })
 }
 
-// SetConfigGeneration sets the number of the configuration in force, for snapshots.
+// SetConfigGeneration sets the number of the configuration in force, which snapshots contain as Generation.
 func (e *Engine) SetConfigGeneration(generation uint64) {
 	e.post(func() { e.generation = generation })
 }
 
-// CurrentSnapshot returns a snapshot of the present state, or the latest published one if the event loop does
-// not answer within the given time.
+// CurrentSnapshot returns a snapshot of the current state, or the latest published one if the event loop does not
+// answer within the given time.
 func (e *Engine) CurrentSnapshot(within time.Duration) *Snapshot {
-	_ = e.await(within, e.publish) // on an error the latest snapshot is good enough
+	_ = e.await(within, e.publish) // after an error, the latest published snapshot is returned
 	return e.snapshot.Load()
 }
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -6,13 +6,13 @@
 	"cottonplank/decide"
 )
 
-// answerReserve is the part of the client's time that is reserved for the answer itself.
+// answerReserve is how long before the client's deadline an attempt must end, so that the answer arrives in time.
 const answerReserve = 20 * time.Millisecond
 
-// LocateHolder requests the address of the server that holds the session of attempt n; Resumer.HolderLocated
-// delivers it. From the first such call on, the session's state has Config.StateTimeout to arrive. Servers
-// that are draining or were removed lately are located too, because fetching a session's state is not a new
-// request.
+// LocateHolder requests the address of the server that holds the session of attempt n, whose instance name is given.
+// Resumer.HolderLocated delivers the result. The first call for a request starts Config.StateTimeout, within which
+// StateFetched must be called. Servers that are draining or were removed recently are located too, because fetching a
+// session's state is not a new request.
 func (e *Engine) LocateHolder(c *Call, n int, instance string) {
 	e.post(func() {
 		if !c.isPendingAttempt(n) {
@@ -26,7 +26,7 @@
 	})
 }
 
-// locate returns the server with the given instance name, also if it was removed lately.
+// locate returns the server with the given instance name, also if it was removed within departedRetention.
 func (e *Engine) locate(instance string) (Upstream, bool) {
 	if u := e.upstreams.byID[ServerID(instance)]; u != nil && u.Name == instance {
 		return u.Upstream, true
@@ -35,9 +35,8 @@
 	return departed.Upstream, known
 }
 
-// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, as far as
-// the client's deadline allows: the time that the transfer took must not count against the server that
-// receives the session.
+// StateFetched reports that the session's state has arrived. The attempt's timeout starts again, limited by the
+// client's deadline: the duration of the transfer must not count against the server that receives the session.
 func (e *Engine) StateFetched(c *Call, n int) {
 	e.post(func() {
 		if !c.isPendingAttempt(n) {
@@ -51,7 +50,7 @@
 	})
 }
 
-// StartOver reports that the session of attempt n cannot be resumed, which becomes the final answer.
+// StartOver reports that the session of attempt n cannot be resumed. The client gets this as the final answer.
 func (e *Engine) StartOver(c *Call, n int, why Reason) {
 	e.post(func() {
 		if c.isActiveAttempt(n) {
@@ -60,8 +59,8 @@
 	})
 }
 
-// RetryLater reports that another request holds the session of attempt n. The request is answered at once; if
-// it is rejected, the client is told to retry after the given time.
+// RetryLater reports that another request holds the session of attempt n. The request is answered immediately; if it
+// is rejected, the answer contains the given time as its retry-after.
 func (e *Engine) RetryLater(c *Call, n int, after time.Duration) {
 	e.post(func() {
 		if c.isActiveAttempt(n) {
@@ -71,8 +70,8 @@
 	})
 }
 
-// RejectToken reports a request whose session token is not valid. No attempt is made for it: the client has
-// to start over.
+// RejectToken reports a request whose session token is not valid. No attempt is made: the final answer is that the
+// client has to start over.
 func (e *Engine) RejectToken(c *Call, r Request, why Reason) {
 	e.post(func() {
 		if c.phase == phaseAccepted && c.bindRequest(r) {
@@ -81,8 +80,8 @@
 	})
 }
 
-// TokenIssued reports that a client got a session token, or, if sealed is false, that it got none because
-// there is no key to seal one with.
+// TokenIssued counts a session token that was sent to a client. If sealed is false, it counts a client that got no
+// token because no key was available to seal one.
 func (e *Engine) TokenIssued(sealed bool) {
 	e.post(func() {
 		if sealed {
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minShedAge is how long a client connection must have been inactive before it is shed: the first line of a
-// younger one is probably on its way.
+// minShedAge is how long a client connection must have been inactive before it is shed or, in a drain, closed: the
+// first line of a connection that was accepted more recently is probably still in transit.
 const minShedAge = 10 * time.Millisecond
 
-// ShedIdle reports that a frontend is short of file descriptors. The client connection that has been inactive
-// longest is aborted, out of those that have requested nothing and those that linger after their answer. This
-// protects regular clients, upstream connections and probes from clients that open many connections and send
-// nothing.
+// ShedIdle reports that a frontend is short of file descriptors. The engine aborts the client connection that has
+// been inactive for the longest time, out of those that have not sent a request and those that are still open after
+// their final answer. This keeps clients that open many connections and send nothing from using the descriptors that
+// regular clients, upstream connections and probes need.
 func (e *Engine) ShedIdle() {
 	e.post(func() {
 		var victim *Call
@@ -33,8 +33,8 @@
 		c.engine.now-c.lastActivity >= minShedAge
 }
 
-// shedsBefore reports whether the client connection is shed before another one: those whose first line has
-// started to arrive come last, otherwise the one that has been inactive longest comes first.
+// shedsBefore reports whether the client connection is shed before another one. Connections whose first line has
+// started to arrive are shed last; otherwise the connection that has been inactive for longer is shed first.
 func (c *Call) shedsBefore(other *Call) bool {
 	mine, others := c.isReceivingLine(), other.isReceivingLine()
 	if mine != others {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -13,13 +13,13 @@
 
 // Snapshot is the state of an Engine at one moment. It is immutable once it is published.
 type Snapshot struct {
-	// ClassCounters are the totals of all classes; Failed includes Malformed.
+	// ClassCounters are the totals of all classes; their Failed also includes Counters.Malformed.
 	ClassCounters
 	Counters
 	// Classes are indexed like decide.Settings.Classes.
 	Classes []ClassCounters
 	Service ServiceState
-	// Generation numbers the configuration in force; 0 if it was never set.
+	// Generation is the number of the configuration in force; 0 if it was never set.
 	Generation uint64
 	// SessionsEnabled says that sessions can be resumed with a token.
 	SessionsEnabled bool
@@ -27,7 +27,7 @@
 	At time.Time
 	// Started is when the engine was created.
 	Started time.Time
-	// ListUpdated is when the endpoint list last changed or was confirmed.
+	// ListUpdated is when the last snapshot or delta of the endpoint list arrived, even if it changed nothing.
 	ListUpdated time.Time
 	// Clients counts open client connections.
 	Clients int
@@ -37,35 +37,35 @@
 	Established int
 	// Listed counts the servers of the endpoint list.
 	Listed int
-	// Ejected counts the listed servers that are draining or ejected, which get no new requests.
+	// Ejected counts the listed servers that get no new requests because they are draining or ejected.
 	Ejected int
-	// Upstreams are sorted by ID; only a detailed snapshot has them.
+	// Upstreams has an entry for each server, sorted by ID, in a detailed snapshot; otherwise it is nil.
 	Upstreams []UpstreamStats
 }
 
-// UpstreamStats describe one server in a detailed snapshot.
+// UpstreamStats describes one server in a detailed snapshot.
 type UpstreamStats struct {
 	Upstream
 	Zone  string
 	State decide.State
 	// Connections counts the established connections.
 	Connections int
-	// Attempts counts the attempts since the start.
+	// Attempts counts the attempts since the engine was created.
 	Attempts uint64
-	// Load is the latest reported load over capacity; below 0 if there was no report.
+	// Load is the latest reported load as a fraction of the capacity; below 0 if there was no report.
 	Load float64
 }
 
 // Snapshot returns the latest published snapshot. It never waits for the event loop.
 func (e *Engine) Snapshot() *Snapshot { return e.snapshot.Load() }
 
-// publishPeriodically publishes a snapshot now and after each snapshotInterval.
+// publishPeriodically publishes a snapshot now and then one per snapshotInterval.
 func (e *Engine) publishPeriodically() {
 	e.publish()
 	e.timers.set(e.now+snapshotInterval, e.publishPeriodically)
 }
 
-// publish publishes a snapshot and drops a detailed one that nobody has requested for detailedRetention.
+// publish publishes a snapshot and deletes a detailed snapshot that is older than detailedRetention.
 func (e *Engine) publish() {
 	s := &Snapshot{
 		Counters:        e.statistics.counters,
@@ -101,15 +101,16 @@
 	s.Failed += s.Malformed
 }
 
-// noteEjection notes whether the decision module has ejected a server. It ejects a server only when an event
-// about that server arrives, so that it suffices to check after these.
+// noteEjection adds a server to the table of ejected ones if the decision module has ejected it. The module ejects a
+// server only while it handles an event about that server, so it is sufficient to check after such events.
 func (e *Engine) noteEjection(id decide.ServerID) {
 	if e.balancer.Ejected(id) {
 		e.upstreams.ejected[id] = struct{}{}
 	}
 }
 
-// countEjected counts the ready servers that are ejected now, and forgets those whose ejection has ended.
+// countEjected counts the ready servers that are ejected now, and deletes those from the table whose ejection has
+// ended.
 func (e *Engine) countEjected() (n int) {
 	for id := range e.upstreams.ejected {
 		if !e.balancer.Ejected(id) {
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -8,7 +8,7 @@
 	Rejected uint64
 	// Failed counts requests that were answered as failed.
 	Failed uint64
-	// Attempts counts requests that were written completely to a server.
+	// Attempts counts attempts whose request was written completely to a server.
 	Attempts uint64
 }
 
@@ -18,9 +18,9 @@
 	Malformed uint64
 	// Restored counts connections that were established before the start and were reopened.
 	Restored uint64
-	// ClientsLeft counts clients that left before their final answer.
+	// ClientsLeft counts clients that disconnected before their final answer.
 	ClientsLeft uint64
-	// Migrations counts clients that were asked to reconnect elsewhere.
+	// Migrations counts clients of established connections that were asked to open a new connection.
 	Migrations uint64
 	// Probes counts probes that were sent to servers.
 	Probes uint64
@@ -41,7 +41,7 @@
 	TokensUnsealed uint64
 	// Resumed counts requests that resumed their session.
 	Resumed uint64
-	// StartedOver counts requests that could not, by reason.
+	// StartedOver counts requests whose session could not be resumed, by reason.
 	StartedOver map[Reason]uint64
 }
 
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set wait
-// for the next call, so that a callback that sets its own timer again cannot keep the event loop here.
+// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set are not run
+// before the next call, so that a callback that always sets another expired timer cannot block the event loop.
 func (q *timerQueue) runExpired(now time.Duration) {
 	last := q.seq
 	for {
--- a/internal/core/upstreams.go
+++ b/internal/core/upstreams.go
@@ -6,20 +6,20 @@
 	"cottonplank/decide"
 )
 
-// upstreamState is what the engine knows of one server.
+// upstreamState holds the state of one server.
 type upstreamState struct {
 	Upstream
 	zone    string
 	started time.Time
 	state   decide.State
-	// drainNotifiedAt is when this process learned that the server is draining or was removed; 0 if it is
-	// ready, or was not ready already in the list that was restored at the start.
+	// drainNotifiedAt is when this process received the list update after which the server was no longer ready. It is
+	// 0 for a ready server, and for one that was not ready in the list that was restored at the start either.
 	drainNotifiedAt time.Duration
 	// connections counts the established connections.
 	connections int
-	// attempts counts the attempts since the start.
+	// attempts counts the attempts since the engine was created.
 	attempts uint64
-	// load is the latest reported load over capacity; below 0 if there was no report.
+	// load is the latest reported load as a fraction of the capacity; below 0 if there was no report.
 	load float64
 }
 
@@ -27,10 +27,10 @@
 type upstreamTable struct {
 	// byID holds the servers of the endpoint list, and removed ones that still have connections.
 	byID map[decide.ServerID]*upstreamState
-	// ejected holds servers that the decision module has ejected; it may also hold some whose ejection has
-	// ended.
+	// ejected holds the servers that the decision module has ejected. It may also hold servers whose ejection has
+	// ended, until countEjected deletes them.
 	ejected map[decide.ServerID]struct{}
-	// departed holds servers that were removed lately, by name.
+	// departed holds servers that were removed within departedRetention, by name.
 	departed map[string]departedUpstream
 	// listed counts the servers of byID that are not removed.
 	listed int
@@ -46,7 +46,7 @@
 	}
 }
 
-// add adds a server that is new in the endpoint list. It counts as ready until its state is set.
+// add adds a server that is new in the endpoint list. The server is in state Ready until setUpstreamState is called.
 func (t *upstreamTable) add(endpoint Endpoint) *upstreamState {
 	u := &upstreamState{load: -1, Upstream: Upstream{Address: endpoint.Address}, started: endpoint.Started}
 	t.byID[endpoint.ID] = u
@@ -54,7 +54,8 @@
 	return u
 }
 
-// count adds n servers in the given state to the counters, so that a snapshot need not visit all servers.
+// count adds n, which may be negative, to the counters for servers in the given state. With these counters, taking a
+// snapshot does not have to visit all servers.
 func (t *upstreamTable) count(state decide.State, n int) {
 	if state != decide.Removed {
 		t.listed += n
@@ -64,15 +65,15 @@
 	}
 }
 
-// deleteUnused deletes a removed server once it has no connections, so that the table does not grow with each
-// deployment. If the server was listed again meanwhile, its new entry stays.
+// deleteUnused deletes a removed server that has no connections, so that the table does not grow with each deployment
+// of servers. If another entry has replaced u in the meantime because the server was listed again, that entry stays.
 func (t *upstreamTable) deleteUnused(u *upstreamState) {
 	if u.state == decide.Removed && u.connections == 0 && t.byID[u.ID] == u {
 		delete(t.byID, u.ID)
 	}
 }
 
-// EndpointsUpdated delivers what a discovery call brought: a snapshot, changed entries, or a failure.
+// EndpointsUpdated delivers the result of a discovery call: a snapshot, changed entries, or a failure.
 func (e *Engine) EndpointsUpdated(update EndpointUpdate) {
 	e.post(func() { e.applyUpdate(update) })
 }
@@ -102,7 +103,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that a snapshot does not name and adds them to unavailable.
+// removeUnlisted removes the servers that a snapshot does not contain and adds them to unavailable.
 func (e *Engine) removeUnlisted(endpoints []Endpoint, unavailable map[*upstreamState]bool) {
 	listed := make(map[decide.ServerID]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -116,8 +117,8 @@
 	}
 }
 
-// applyEndpoint applies one entry of the endpoint list. It adds the server to unavailable if that accepts no
-// new requests from now on, or is another process than before.
+// applyEndpoint applies one entry of the endpoint list. It adds the server to unavailable if the server accepts no
+// new requests, or if another process has taken its place: the address or the start time has changed.
 func (e *Engine) applyEndpoint(endpoint Endpoint, kind decide.ListKind, unavailable map[*upstreamState]bool) {
 	u := e.upstreams.byID[endpoint.ID]
 	if u == nil {
@@ -135,7 +136,8 @@
 	}
 }
 
-// setUpstreamState sets a server's state and notes when this process learned that it accepts no new requests.
+// setUpstreamState sets a server's state, and records the current time in drainNotifiedAt if the server is no longer
+// ready.
 func (e *Engine) setUpstreamState(u *upstreamState, state decide.State, kind decide.ListKind) {
 	switch {
 	case state == decide.Ready:
@@ -148,7 +150,7 @@
 	e.upstreams.count(u.state, 1)
 }
 
-// removeUpstream handles a server that has left the endpoint list.
+// removeUpstream handles the removal of a server from the endpoint list.
 func (e *Engine) removeUpstream(u *upstreamState) {
 	e.setUpstreamState(u, decide.Removed, decide.ListDelta)
 	e.rememberDeparted(u.Upstream)
@@ -156,32 +158,34 @@
 	e.upstreams.deleteUnused(u)
 }
 
-// cancelUnsentAttempts cancels the attempts at the given servers whose request was not sent yet. A connection
-// that comes up late would otherwise send a new request to a server after its drain grace.
+// cancelUnsentAttempts cancels the attempts at the given servers whose request was not sent yet. Otherwise an attempt
+// that connects late would send its request to a server after the server's drain grace.
 func (e *Engine) cancelUnsentAttempts(unavailable map[*upstreamState]bool) {
 	if len(unavailable) == 0 {
 		return
 	}
 	for c := range e.calls.attempting {
 		if c.attempt.active && c.phase == phasePending && unavailable[c.attempt.upstream] {
-			c.conn.CancelAttempt(c.attempt.number, decide.NotSent) // no fault of the server
+			// With NotSent, the decision module does not count the attempt as a failure of the server.
+			c.conn.CancelAttempt(c.attempt.number, decide.NotSent)
 		}
 	}
 }
 
-// drainGraceEnd returns when the drain grace of a server ends; it reports false if the server is not in one.
+// drainGraceEnd returns when the drain grace of a server ends. It reports false if the server has none: it is ready,
+// or this process does not know when the drain began.
 func (e *Engine) drainGraceEnd(u *upstreamState) (time.Duration, bool) {
 	return u.drainNotifiedAt + e.cfg.Settings.Safety.DrainGrace, u.drainNotifiedAt > 0
 }
 
-// closedToAttempts reports whether nothing may be sent to a server any more: it was removed, or its drain
-// grace is over.
+// closedToAttempts reports whether no request may be sent to a server: it was removed, or its drain grace is over.
 func (e *Engine) closedToAttempts(u *upstreamState) bool {
 	graceEnd, draining := e.drainGraceEnd(u)
 	return u.state == decide.Removed || draining && e.now >= graceEnd
 }
 
-// hostTime converts wall time to host-clock time, above 0. The zero time, which means long ago, stays 0.
+// hostTime converts wall-clock time to host-clock time. The zero time, which means long ago, becomes 0; the result is
+// at least 1 for all other times.
 func (e *Engine) hostTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -189,5 +193,5 @@
 	return max(clockStart+t.Sub(e.epoch), 1)
 }
 
-// wallTime converts host-clock time to wall time.
+// wallTime converts host-clock time to wall-clock time.
 func (e *Engine) wallTime(at time.Duration) time.Time { return e.epoch.Add(at - clockStart) }
--- a/internal/core/watchdog.go
+++ b/internal/core/watchdog.go
@@ -1,9 +1,10 @@
 package core
 
-// Watchdog observes an event loop, to detect one that hangs: each iteration calls Busy at its start and Idle
-// at its end.
+// Watchdog observes an event loop to detect an iteration that hangs.
 type Watchdog interface {
+	// Busy is called at the start of an iteration.
 	Busy()
+	// Idle is called at the end of an iteration.
 	Idle()
 }
 
