--- a/internal/discovery/endpoint/diff.go
+++ b/internal/discovery/endpoint/diff.go
@@ -8,9 +8,9 @@
 // Change describes the differences between two lists by the names of the endpoints.
 type Change struct {
 	Added    []string
-	Changed  []string // modified otherwise than in the ways of Drained and Returned
-	Drained  []string // draining, and not so before
-	Returned []string // no longer draining
+	Changed  []string // other fields than Entry.Drain were modified
+	Drained  []string // Entry.Drain was set, and other fields may have been modified
+	Returned []string // Entry.Drain was reset, and other fields may have been modified
 	Removed  []string
 }
 
@@ -40,7 +40,7 @@
 	return cmp.Or(strings.Join(parts, "; "), "nothing")
 }
 
-// Diff returns the change that leads from one list to the next.
+// Diff returns the change from one list to the next.
 func Diff(before, after List) Change {
 	var change Change
 	walkDifferences(before.Entries, after.Entries, func(old, new *Entry) {
@@ -60,8 +60,8 @@
 	return change
 }
 
-// DiffEntries returns the entries that have been added or modified, as they are in after, and those that have
-// been removed, as they were in before. Both slices must be ordered by name.
+// DiffEntries returns the entries that were added or modified, with their values in after, and the entries that were
+// removed, with their values in before. Both slices must be ordered by name.
 func DiffEntries(before, after []Entry) (upserted, removed []Entry) {
 	walkDifferences(before, after, func(old, new *Entry) {
 		if new == nil {
@@ -73,8 +73,8 @@
 	return upserted, removed
 }
 
-// walkDifferences calls visit, in the order of the names, for each entry that differs between two slices that
-// are ordered by name. old is nil for an entry that has been added, new for one that has been removed.
+// walkDifferences calls visit, in the order of the names, for each entry that differs between two slices that are
+// ordered by name. old is nil for an entry that was added, and new is nil for an entry that was removed.
 func walkDifferences(before, after []Entry, visit func(old, new *Entry)) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
--- a/internal/discovery/endpoint/diff_test.go
+++ b/internal/discovery/endpoint/diff_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// DiffEntries returns the entries as they are after a change, and the removed ones as they were before it.
+// DiffEntries returns added and modified entries with their values after the change, and removed entries with their
+// values before it.
 func TestDiffEntries(t *testing.T) {
 	entry := func(name string, weight float64) Entry { return Entry{Name: name, Weight: weight} }
 	a, b, c, d := entry("a", 1), entry("b", 1), entry("c", 1), entry("d", 1)
@@ -25,7 +26,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			upserted, removed := DiffEntries(test.before, test.after)
 			if !reflect.DeepEqual(upserted, test.upserted) || !reflect.DeepEqual(removed, test.removed) {
-				t.Errorf("upserted %v, removed %v, want %v and %v", upserted, removed, test.upserted, test.removed)
+				t.Errorf("got upserted %v, removed %v, want upserted %v, removed %v",
+					upserted, removed, test.upserted, test.removed)
 			}
 		})
 	}
--- a/internal/discovery/endpoint/guard.go
+++ b/internal/discovery/endpoint/guard.go
@@ -11,15 +11,15 @@
 	// Apply means that the proposed list has become the current one.
 	Apply
 
-	// NeedsConfirmation means that the proposed list removes or drains over half of the active endpoints. It
-	// is pending until the operator confirms it by requesting the same list again.
+	// NeedsConfirmation means that the proposed list removes or drains over half of the active endpoints. It is
+	// pending until the operator confirms it by requesting a reload of the same list.
 	NeedsConfirmation
 )
 
 // ChangeGuard protects the current list against accidental mass removals. It is not safe for concurrent use.
 type ChangeGuard struct {
 	current List
-	pending *List // the last proposed list if it needs confirmation, else nil
+	pending *List // the last proposed list if it needs confirmation, otherwise nil
 }
 
 // NewChangeGuard returns a guard whose current list is first.
@@ -28,9 +28,9 @@
 // Current returns the current list.
 func (g *ChangeGuard) Current() List { return g.current }
 
-// Propose decides whether a list that has been read becomes the current one, and returns what it changes.
-// requested says that the operator requested a reload. A list that removes too much is applied only if it is
-// already pending and requested.
+// Propose decides whether a list that was read becomes the current one, and returns what it changes. requested says
+// that the operator requested a reload. A list that removes or drains over half of the active endpoints is applied
+// only if it is requested and equals the pending list.
 func (g *ChangeGuard) Propose(proposed List, requested bool) (Decision, Change) {
 	change := Diff(g.current, proposed)
 	if change.Empty() {
--- a/internal/discovery/endpoint/list.go
+++ b/internal/discovery/endpoint/list.go
@@ -1,6 +1,6 @@
-// Package endpoint defines the operator's endpoint list, which replaces the discovery service where there is
-// none: its file format, the differences between two lists, and the guard that decides which changes are
-// applied. The package is pure: it does no I/O and reads no clock.
+// Package endpoint defines the operator's endpoint list, which replaces the discovery service in fleets without one:
+// the list's file format, the differences between two lists, and the guard that decides which changes are applied.
+// The package does no I/O and reads no clock.
 package endpoint
 
 import (
@@ -25,15 +25,14 @@
 	Address string  `json:"address"` // IP address and port
 	Zone    string  `json:"zone"`
 	Weight  float64 `json:"weight"` // capacity relative to other endpoints; 0 means 1
-	Drain   bool    `json:"drain"`  // it finishes its current work and receives no more
+	Drain   bool    `json:"drain"`  // the room server finishes its current work and receives no new work
 }
 
 // List is a valid list, ordered by name.
 type List struct{ Entries []Entry }
 
-// Parse decodes and validates a list of the form {"rooms":[{"name":...,"address":...,"zone":...}]}. Errors
-// name the entry, the key and the value at fault. An empty list is an error, because every client would lose
-// its server.
+// Parse decodes and validates a list of the form {"rooms":[{"name":...,"address":...,"zone":...}]}. Errors name the
+// entry, the key and the invalid value. An empty list is an error, because every client would lose its server.
 func Parse(raw []byte) (List, error) {
 	var file struct {
 		Rooms []Entry `json:"rooms"`
@@ -44,8 +43,9 @@
 	return NewList(file.Rooms)
 }
 
-// DecodeStrict decodes a single JSON value into target. It returns an error that names the key for unknown
-// keys and wrong types, and an error that names the description for data after the value.
+// DecodeStrict decodes a single JSON value into target. For an unknown key or a wrong type it returns an error that
+// names the key. For data after the value it returns an error that contains the description, which names the kind of
+// value.
 func DecodeStrict(raw []byte, target any, description string) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -62,32 +62,33 @@
 	return nil
 }
 
-// Validate checks the entry's fields. The error names the key and the value at fault.
+// Validate checks the entry's fields. The error names the key and the invalid value.
 func (e Entry) Validate() error {
 	if e.Name == "" || strings.ContainsFunc(e.Name, isUnprintable) {
-		return fmt.Errorf("name: %q is empty or not printable ASCII without spaces", e.Name)
+		return fmt.Errorf("name: %q is not valid, expected printable ASCII characters without spaces", e.Name)
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
-		return fmt.Errorf("address: %q is no address and port", e.Address)
+		return fmt.Errorf("address: %q is not an IP address and port", e.Address)
 	}
 	if e.Zone == "" {
-		return errors.New("zone: is missing")
+		return errors.New("zone: is missing or empty")
 	}
-	// JSON can encode neither NaN nor infinity, but CBOR can. The negation rejects NaN.
+	// Entries may come from JSON, which cannot encode NaN or infinity, or from CBOR, which can. The negated
+	// comparison rejects NaN as well.
 	if !(e.Weight >= 0) || math.IsInf(e.Weight, 1) {
-		return fmt.Errorf("weight: %v is below 0", e.Weight)
+		return fmt.Errorf("weight: %v is negative or not finite", e.Weight)
 	}
 	return nil
 }
 
-// isUnprintable reports whether a character is anything but printable ASCII, or a space.
+// isUnprintable reports whether a character is a space or not printable ASCII.
 func isUnprintable(char rune) bool { return char <= ' ' || char > '~' }
 
-// NewList validates entries and returns them as a list. It sorts them in place unless they are already
-// sorted. Errors are those of Parse.
+// NewList validates entries and returns them as a list. It sorts them in place unless they are already sorted. Its
+// errors are the same as those of Parse for a decoded list.
 func NewList(entries []Entry) (List, error) {
 	if len(entries) == 0 || len(entries) > MaxEntries {
-		return List{}, fmt.Errorf("rooms: %d of them, 1 to %d expected", len(entries), MaxEntries)
+		return List{}, fmt.Errorf("rooms: %d entries, expected 1 to %d", len(entries), MaxEntries)
 	}
 	indexByName := map[string]int{}
 	indexByAddress := map[string]int{}
@@ -96,16 +97,16 @@
 			return List{}, fmt.Errorf("rooms[%d].%w", i, err)
 		}
 		if other, ok := indexByName[entry.Name]; ok {
-			return List{}, fmt.Errorf("rooms[%d].name: %q is that of rooms[%d]", i, entry.Name, other)
+			return List{}, fmt.Errorf("rooms[%d].name: %q is already used by rooms[%d]", i, entry.Name, other)
 		}
 		if other, ok := indexByAddress[entry.Address]; ok {
-			return List{}, fmt.Errorf("rooms[%d].address: %q is that of rooms[%d]", i, entry.Address, other)
+			return List{}, fmt.Errorf("rooms[%d].address: %q is already used by rooms[%d]", i, entry.Address, other)
 		}
 		indexByName[entry.Name] = i
 		indexByAddress[entry.Address] = i
 	}
 	compareNames := func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) }
-	// Sorted entries may be shared with concurrent readers, so they must not be written to.
+	// Entries that are already sorted may be shared with concurrent readers, so they must not be written to.
 	if !slices.IsSortedFunc(entries, compareNames) {
 		slices.SortFunc(entries, compareNames)
 	}
--- a/internal/discovery/endpoint/list_test.go
+++ b/internal/discovery/endpoint/list_test.go
@@ -10,7 +10,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// listOf returns a list of endpoints with the given names. Those whose names end in "!" are to be drained.
+// listOf returns a list of endpoints with the given names. For a name that ends in "!", Drain is set and the "!" is
+// removed.
 func listOf(names ...string) List {
 	var list List
 	for i, name := range names {
@@ -21,7 +22,7 @@
 	return list
 }
 
-// longList returns a list of the given length.
+// longList returns a list of the given length, ordered by name.
 func longList(length int) List {
 	var list List
 	for i := range length {
@@ -31,7 +32,7 @@
 	return list
 }
 
-// encode returns the file that Parse reads a list from.
+// encode returns the file content that Parse decodes into the given list.
 func encode(t *testing.T, list List) []byte {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{"rooms": list.Entries})
@@ -41,7 +42,7 @@
 	return raw
 }
 
-// Errors name the entry, the key and the value at fault. Truncated and empty lists are errors too.
+// Errors name the entry, the key and the invalid value. Truncated and empty lists are errors too.
 func TestParseErrors(t *testing.T) {
 	const entry = `{"name":"s-1","address":"127.0.0.1:9000","zone":"a"}`
 	replaced := func(old, new string) string {
@@ -65,7 +66,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := Parse([]byte(test.file)); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, want it to contain %q", err, test.want)
+				t.Errorf("got error %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
@@ -85,13 +86,13 @@
 	}
 }
 
-// Any list that is accepted has entries with names and zones.
+// A list that Parse accepts is not empty, and its first entry has a name and a zone.
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(`{"rooms":[{"name":"s-1","address":"127.0.0.1:9000","zone":"a","weight":1.5,"drain":true}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		list, err := Parse(raw)
 		if err == nil && (len(list.Entries) == 0 || list.Entries[0].Name == "" || list.Entries[0].Zone == "") {
-			t.Errorf("%q is accepted as %+v", raw, list)
+			t.Errorf("invalid list %q is accepted as %+v", raw, list)
 		}
 	})
 }
@@ -99,7 +100,7 @@
 func TestMaxEntries(t *testing.T) {
 	list, err := Parse(encode(t, longList(20_000)))
 	if err != nil || len(list.Entries) != 20_000 {
-		t.Fatalf("%d endpoints, %v", len(list.Entries), err)
+		t.Fatalf("a list of 20000 entries: got %d entries, error %v", len(list.Entries), err)
 	}
 	if _, err := Parse(encode(t, longList(MaxEntries+1))); err == nil {
 		t.Error("a list longer than MaxEntries is accepted")
--- a/internal/discovery/filesource/file.go
+++ b/internal/discovery/filesource/file.go
@@ -17,17 +17,17 @@
 	return io.ReadAll(io.LimitReader(file, limit+1))
 }
 
-// FileTracker detects by a file's identity, size and modification time whether it has changed since it was
-// read. Reading a long list takes more time than anything else that an idle process does. A FileTracker is
-// not safe for concurrent use.
+// FileTracker detects by a file's identity, size and modification time whether the file has changed since it was
+// read. It avoids reading an unchanged file again: reading a long list takes more time than all other work of an idle
+// process. A FileTracker is not safe for concurrent use.
 type FileTracker struct {
 	path     string
 	minAge   time.Duration
-	lastRead os.FileInfo // nil: the file has to be read
+	lastRead os.FileInfo // of the file when it was last read; nil if the file has to be read
 }
 
-// NewFileTracker returns a tracker of the file at a path. A file that was modified less than minAge before it
-// was read counts as changed, because its modification time may not tell it from one that is written next.
+// NewFileTracker returns a tracker of the file at a path. A file that was modified less than minAge before it was
+// read counts as changed, because a later write may leave it with the same modification time.
 func NewFileTracker(path string, minAge time.Duration) *FileTracker {
 	return &FileTracker{path: path, minAge: minAge}
 }
@@ -42,8 +42,8 @@
 		current.ModTime().Equal(t.lastRead.ModTime())
 }
 
-// BeginRead records the file as read. It must be called before the file is read, so that writes during the
-// read are detected.
+// BeginRead records the file's present state as the one that is read. It must be called before the file is read, so
+// that writes during the read are detected as changes.
 func (t *FileTracker) BeginRead() {
 	t.lastRead = nil
 	if info, err := os.Stat(t.path); err == nil && time.Since(info.ModTime()) > t.minAge {
@@ -51,5 +51,5 @@
 	}
 }
 
-// Invalidate has the file count as changed until it is read again.
+// Invalidate makes the file count as changed until BeginRead is called again.
 func (t *FileTracker) Invalidate() { t.lastRead = nil }
--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -20,15 +20,15 @@
 const (
 	maxFileBytes = 1 << 25
 
-	// settleDelay is how long the file must go without an event before it is read, so that it is not read
-	// while it is being written.
+	// settleDelay is how long after the latest event of the watched directory the file is read. The delay keeps a
+	// file from being read while it is being written.
 	settleDelay = 100 * time.Millisecond
 
-	// maxSettleDelay limits the time from the first event to the read.
+	// maxSettleDelay limits the time from the first event after a read to the next read, if events keep arriving.
 	maxSettleDelay = time.Second
 
-	// pollInterval is the time between two checks of the file without any event. The target of a symbolic
-	// link can change in a directory that is not watched.
+	// pollInterval is the time between two checks whether the file has changed without an event. That happens, for
+	// example, if the path is a symbolic link: the directory of the link's target is not watched.
 	pollInterval = 2 * time.Second
 
 	// watchHeartbeatInterval is the time between two reports that the watch is alive.
@@ -38,12 +38,12 @@
 	requestQueueSize = 8
 )
 
-// Source provides the endpoint list of a file to the core.
+// Source provides the endpoint list of a file to the core. It implements core.Discovery.
 type Source struct {
 	path      string
 	handler   core.UpdateHandler
 	log       *logrus.Logger
-	watchdog  core.Watchdog // nil: none
+	watchdog  core.Watchdog // nil if Run is not monitored
 	requests  chan request
 	proposals chan endpoint.List
 
@@ -51,24 +51,24 @@
 
 	guard       *endpoint.ChangeGuard
 	file        *FileTracker
-	watch       request // the latest one with a watch ID
-	lastFailure string  // the last logged failure; empty after a success
+	watch       request // the latest request that opened a watch; its ctx is nil if there was none
+	lastFailure string  // the failure that was logged last; empty after a success
 }
 
-// request is a call of the core that waits for Run.
+// request is a call of Watch or Fetch that waits for Run.
 type request struct {
 	ctx     context.Context
-	watchID uint64 // 0: no watch, only the current list
+	watchID uint64 // 0 for Fetch
 }
 
-// Read reads and validates the list in a file. Errors name the file and what is wrong in it.
+// Read reads and validates the list in a file. Errors name the file and the fault in it.
 func Read(path string) (endpoint.List, error) {
 	raw, err := ReadLimited(path, maxFileBytes)
 	if err != nil {
 		return endpoint.List{}, fmt.Errorf("rooms: %w", err)
 	}
 	if len(raw) > maxFileBytes {
-		return endpoint.List{}, fmt.Errorf("rooms: %s: is longer than %d bytes", path, maxFileBytes)
+		return endpoint.List{}, fmt.Errorf("rooms: %s: the file is longer than %d bytes", path, maxFileBytes)
 	}
 	list, err := endpoint.Parse(raw)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return endpoints
 }
 
-// New returns a source of the file at a path, whose list the caller has read already.
+// New returns a source of the file at a path. first is the list that the caller has already read from the file.
 func New(path string, first endpoint.List, handler core.UpdateHandler, log *logrus.Logger) *Source {
 	return &Source{
 		path:      path,
@@ -115,17 +115,18 @@
 // SetWatchdog sets the watchdog that monitors the iterations of Run. It must be called before Run.
 func (s *Source) SetWatchdog(watchdog core.Watchdog) { s.watchdog = watchdog }
 
-// SetAddress does nothing: it sets the address of the discovery service, and a file has none.
+// SetAddress implements core.Discovery. It does nothing, because a file has no address.
 func (s *Source) SetAddress(string) {}
 
-// Watch requests the current list and all later changes.
+// Watch implements core.Discovery: it requests the current list and heartbeats of the watch. Later changes of the
+// list are delivered whether there is a watch or not.
 func (s *Source) Watch(ctx context.Context, watch uint64) { s.enqueue(request{ctx, watch}) }
 
-// Fetch requests the current list once.
+// Fetch implements core.Discovery: it requests the current list once.
 func (s *Source) Fetch(ctx context.Context) { s.enqueue(request{ctx, 0}) }
 
-// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
-// block, and the core repeats requests that have no answer.
+// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not block,
+// and the core repeats requests that are not answered.
 func (s *Source) enqueue(r request) {
 	select {
 	case s.requests <- r:
@@ -133,7 +134,7 @@
 	}
 }
 
-// Propose passes on a list that was read because the operator requested it by a signal. It returns when Run
+// Propose passes to Run a list that was read because the operator requested a reload by a signal. It returns when Run
 // has received the list or ctx has ended.
 func (s *Source) Propose(ctx context.Context, list endpoint.List) {
 	select {
@@ -152,7 +153,7 @@
 	defer watchHeartbeat.Stop()
 	settled := time.NewTimer(0)
 	settled.Stop()
-	var firstEvent time.Time // of those after the last read; zero: none
+	var firstEvent time.Time // when the first event after the last read arrived; zero if there was none
 	for {
 		select {
 		case <-ctx.Done():
@@ -182,8 +183,8 @@
 	}
 }
 
-// watchDirectory watches the file's directory rather than the file, because a file that is renamed over it is
-// another one. If there can be no watch, the channels are nil.
+// watchDirectory watches the file's directory rather than the file itself: a watch of the file would end when another
+// file is renamed over it. If no watcher can be created, the channels are nil.
 func (s *Source) watchDirectory() (events <-chan fsnotify.Event, watchErrors <-chan error, stop func()) {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -217,7 +218,8 @@
 	}
 }
 
-// reload reads the file and proposes its list. An invalid file changes nothing, and is logged once.
+// reload reads the file and proposes its list. An invalid file changes nothing, and the same error is logged only
+// once in succession.
 func (s *Source) reload() {
 	s.file.BeginRead()
 	list, err := Read(s.path)
@@ -232,7 +234,7 @@
 	s.propose(list, false)
 }
 
-// propose proposes a list to the guard and applies its decision. requested says that the operator requested
+// propose proposes a list to the guard and executes the guard's decision. requested says that the operator requested
 // the reload.
 func (s *Source) propose(list endpoint.List, requested bool) {
 	decision, change := s.guard.Propose(list, requested)
--- a/internal/discovery/filesource/source_test.go
+++ b/internal/discovery/filesource/source_test.go
@@ -21,10 +21,10 @@
 // waitTimeout limits how long a test waits for a list.
 const waitTimeout = 20 * time.Second
 
-// updateRecorder records the latest list and counts the updates.
+// updateRecorder records the latest list and counts the lists and heartbeats that it receives.
 type updateRecorder struct {
 	mu         sync.Mutex
-	names      string // separated by spaces; a draining endpoint's ends in "!"
+	names      string // of the latest list's endpoints, separated by spaces; "!" is appended for a draining endpoint
 	lists      int
 	heartbeats int
 }
@@ -67,7 +67,7 @@
 	t.Fatalf("the list is %q, want %q", names, want)
 }
 
-// listFile returns a file with endpoints of the given names.
+// listFile returns the content of a list file with endpoints of the given names.
 func listFile(names ...string) string {
 	var entries []string
 	for i, name := range names {
@@ -76,7 +76,7 @@
 	return `{"rooms":[` + strings.Join(entries, ",") + `]}`
 }
 
-// replaceFile replaces a file in one step.
+// replaceFile replaces a file atomically.
 func replaceFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(content), 0o600); err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// startSource runs a source of a file until the test ends, with a watch.
+// startSource runs a source of a file until the test ends, and opens a watch.
 func startSource(t *testing.T, path string) (*Source, *updateRecorder) {
 	t.Helper()
 	first, err := Read(path)
@@ -109,8 +109,8 @@
 	return source, recorder
 }
 
-// A file that is replaced, or written in place, is applied. One that is half written, empty or missing
-// changes nothing.
+// A list is applied when its file is replaced or written in place. A file that is half written, contains no endpoints
+// or is missing does not change the list.
 func TestFileChangesAreApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rooms.json")
 	replaceFile(t, path, listFile("a", "b", "c"))
@@ -127,7 +127,7 @@
 	file.WriteString(content[:len(content)/2])
 	time.Sleep(3 * settleDelay)
 	if names, _, _ := recorder.latest(); names != "a b c d" {
-		t.Errorf("half a file leads to %q", names)
+		t.Errorf("after half of the file was written, the list is %q, want it unchanged", names)
 	}
 	file.WriteString(content[len(content)/2:])
 	recorder.waitFor(t, "a b c d e")
@@ -136,13 +136,14 @@
 	os.Remove(path)
 	time.Sleep(3 * settleDelay)
 	if names, _, _ := recorder.latest(); names != "a b c d e" {
-		t.Errorf("an empty file, and then none, lead to %q", names)
+		t.Errorf("after a file without endpoints and then a missing file, the list is %q, want it unchanged", names)
 	}
 	replaceFile(t, path, listFile("a", "b", "c", "d"))
 	recorder.waitFor(t, "a b c d")
 }
 
-// A symbolic link to a directory that is swapped as a whole, as configuration management does it, is followed.
+// Configuration management replaces a directory by pointing a symbolic link at a new one. The file's own directory
+// gets no event then, and the new content must still be applied.
 func TestSymlinkSwap(t *testing.T) {
 	dir := t.TempDir()
 	for name, endpoints := range map[string][]string{"one": {"a", "b"}, "two": {"a", "b", "c"}} {
@@ -169,7 +170,7 @@
 	recorder.waitFor(t, "a b c")
 }
 
-// A file that is replaced 100 times a second is read now and then, and its last content is applied in the end.
+// A file that is replaced 100 times a second is read much less often, and its last content is applied in the end.
 func TestFileReplacedContinuously(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rooms.json")
 	replaceFile(t, path, listFile("a", "b"))
@@ -183,14 +184,14 @@
 	}
 	replaceFile(t, path, listFile("a", "b", "last"))
 	recorder.waitFor(t, "a b last")
-	// The limit grows with the time taken: with a slow disk, more of the files settle before the next one.
+	// The limit grows with the time taken: on a slow disk, settleDelay passes more often before the next replacement.
 	if _, lists, _ := recorder.latest(); lists-before > 10+int(time.Since(start)/(4*settleDelay)) {
-		t.Errorf("%d lists for 201 files in %v", lists-before, time.Since(start))
+		t.Errorf("%d lists were applied for 201 replacements of the file in %v", lists-before, time.Since(start))
 	}
 }
 
-// A list that removes over half of the endpoints is pending until the operator requests it. Meanwhile
-// requests are answered with the current list, and the watch stays alive.
+// A list that removes over half of the endpoints is pending until the operator requests a reload. Until then,
+// requests are answered with the current list, and the watch sends heartbeats.
 func TestConfirmationOfLargeRemoval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rooms.json")
 	replaceFile(t, path, listFile("a", "b", "c", "d"))
@@ -204,14 +205,14 @@
 		t.Fatal(err)
 	}
 	if names, _, heartbeats := recorder.latest(); names != "a b c d" || heartbeats == 0 {
-		t.Errorf("the list is %q, %d heartbeats", names, heartbeats)
+		t.Errorf("the list is %q after %d heartbeats, want the list unchanged and at least one heartbeat", names, heartbeats)
 	}
 	source.Propose(t.Context(), list)
 	recorder.waitFor(t, "a")
 }
 
-// A long list is applied, and the file is not read again until it changes, once its modification time is old
-// enough to tell.
+// A long list is applied, and its file is not read again until it changes. A file counts as unchanged only once its
+// modification time is old enough: two writes in quick succession may leave the same modification time.
 func TestLongFileIsReadOnce(t *testing.T) {
 	var names []string
 	for i := range 20_000 {
@@ -230,21 +231,21 @@
 		}
 	}
 	if source.reloadIfChanged(); length() != 20_000 || source.file.lastRead != nil {
-		t.Fatalf("%d endpoints, and a file that was just written counts as unchanged", length())
+		t.Fatalf("%d endpoints, want 20000; or a file that was just written counts as unchanged", length())
 	}
 	setAge(60)
 	source.reloadIfChanged()
 	if got := testing.AllocsPerRun(10, source.reloadIfChanged); got > 20 {
-		t.Errorf("the check of an unchanged file takes %.0f allocations", got)
+		t.Errorf("checking an unchanged file takes %.0f allocations, want at most 20", got)
 	}
 	replaceFile(t, path, listFile(append(names, "s-20000")...))
-	setAge(60) // the same age, but another file
+	setAge(60) // another file with the same age must be detected by its identity or size
 	if source.reloadIfChanged(); length() != 20_001 {
-		t.Errorf("%d endpoints", length())
+		t.Errorf("after the file was replaced: %d endpoints, want 20001", length())
 	}
 	replaceFile(t, path, "{")
 	setAge(90)
 	if source.reloadIfChanged(); source.file.lastRead != nil || length() != 20_001 {
-		t.Error("an invalid file counts as unchanged")
+		t.Error("an invalid file counts as unchanged, or has changed the list")
 	}
 }
--- a/internal/discovery/httpsource/bounded_reader.go
+++ b/internal/discovery/httpsource/bounded_reader.go
@@ -5,20 +5,20 @@
 	"io"
 )
 
-// boundedReader reads a stream of JSON values for a json.Decoder. It limits the size of each value and of
-// each of its parts, so that a value without an end does not exhaust the memory, and it reports the empty
-// lines between two values.
+// boundedReader reads a stream of JSON values for a json.Decoder. It limits the size of each value and of each of its
+// parts, so that an endless value does not exhaust the memory, and it reports the empty lines between two values. A
+// part is what the decoder reads between two calls of markConsumed, for example one entry of a list.
 type boundedReader struct {
 	source      io.Reader
 	onEmptyLine func()
 
-	// deliveredBytes counts the bytes that Read has returned. It corresponds to the decoder's input offset.
+	// deliveredBytes counts the bytes that Read has returned. The decoder's input offset counts the same stream.
 	deliveredBytes int64
 
-	// valueBytes counts the bytes of the current value, with the white space before it.
+	// valueBytes counts the bytes of the current value that have been read, including the white space before it.
 	valueBytes int64
 
-	// partBytes counts those of them that the decoder has not consumed yet.
+	// partBytes counts the bytes of the current value that have been read but not been consumed by the decoder.
 	partBytes int64
 
 	// valueStarted says that the current value's first byte has been read.
@@ -28,13 +28,13 @@
 	atLineStart bool
 }
 
-// Read implements io.Reader. It does not deliver the white space before a value, because the decoder would
-// buffer all of it.
+// Read implements io.Reader. It does not return the white space before a value, because the decoder would buffer all
+// of it.
 func (r *boundedReader) Read(p []byte) (int, error) {
 	for {
 		limit := min(maxEntryBytes-r.partBytes, maxListBytes-r.valueBytes)
 		if limit <= 0 {
-			return 0, fmt.Errorf("a value is longer than %d bytes, or a part of it than %d", maxListBytes, maxEntryBytes)
+			return 0, fmt.Errorf("list exceeds %d bytes, or a value in it exceeds %d", maxListBytes, maxEntryBytes)
 		}
 		n, err := r.source.Read(p[:min(int64(len(p)), limit)])
 		r.scan(p[:n])
@@ -45,7 +45,8 @@
 	}
 }
 
-// scan counts bytes that have been read, and reports the empty lines in them up to the beginning of a value.
+// scan counts bytes that were read from the source. Up to the beginning of a value, it reports each empty line in
+// them and restarts the counts there.
 func (r *boundedReader) scan(raw []byte) {
 	r.valueBytes += int64(len(raw))
 	r.partBytes += int64(len(raw))
@@ -65,16 +66,16 @@
 	}
 }
 
-// markConsumed records that the decoder has consumed all bytes before an input offset.
+// markConsumed records that the decoder has consumed all bytes before the given input offset.
 func (r *boundedReader) markConsumed(offset int64) { r.partBytes = r.deliveredBytes - offset }
 
-// startNextValue begins a value. buffered contains what the decoder has read beyond the end of the last one.
-// The rest of the last value's line does not count as an empty line.
+// startNextValue prepares for the next value. buffered contains the bytes that the decoder has read beyond the end of
+// the previous value. The rest of the previous value's line does not count as an empty line.
 func (r *boundedReader) startNextValue(buffered io.Reader) {
 	r.valueBytes = 0
 	r.partBytes = 0
 	r.valueStarted = false
 	r.atLineStart = false
-	raw, _ := io.ReadAll(buffered) // from memory, which does not fail
+	raw, _ := io.ReadAll(buffered) // buffered is in memory, so reading it cannot fail
 	r.scan(raw)
 }
--- a/internal/discovery/httpsource/call.go
+++ b/internal/discovery/httpsource/call.go
@@ -14,31 +14,31 @@
 // listPath is the path of the list at the discovery service.
 const listPath = "/registry/instances"
 
-// errWatchEnded says that the discovery service has ended a watch without an error.
-var errWatchEnded = errors.New("watch ended")
+// errWatchEnded means that the discovery service has ended a watch without an error.
+var errWatchEnded = errors.New("the discovery service ended the watch")
 
-// call is a request of the core and, once it has been started, the call to the discovery service that serves it.
+// call is a request of the core and, once it is started, the call to the discovery service that serves it.
 type call struct {
 	ctx      context.Context
 	watch    bool
-	watchID  uint64               // the core's; 0 if watch is not set
-	onDialed func(reachable bool) // set if the service is only to be dialled
+	watchID  uint64               // the core's ID of the watch; 0 if watch is not set
+	onDialed func(reachable bool) // set if the service is only to be dialled; gets the result
 
 	// The fields below are set when the call starts.
 
-	cancel         context.CancelFunc // ends ctx
+	cancel         context.CancelFunc // cancels ctx
 	number         int                // later calls have higher numbers
 	url            string
-	addressEpoch   int   // that of Source when the call was started
-	fromGeneration int64 // that of Source when the call was started
+	addressEpoch   int   // Source.addressEpoch when the call was started
+	fromGeneration int64 // Source.generation when the call was started
 	snapshotFirst  bool  // for a watch: fetch a snapshot before it
 }
 
-// callEvent is a listing that a call has delivered, a heartbeat of a watch, or the end of a call.
+// callEvent is a listing that a call has delivered, a heartbeat of a watch, or the failure of a call.
 type callEvent struct {
 	call    call
-	listing *Listing // nil: a heartbeat, or the end
-	err     error    // set at the end
+	listing *Listing // nil for a heartbeat and for a failure
+	err     error    // set for a failure
 }
 
 func listURL(address string) string { return "http://" + address + listPath }
@@ -55,8 +55,8 @@
 	}
 }
 
-// fetchAndWatch fetches a snapshot, watches for changes, or does one after the other. A watch always ends
-// with an error.
+// fetchAndWatch executes a call: it fetches a snapshot, watches for changes, or first fetches a snapshot and then
+// watches for changes from there on. A watch always ends with an error.
 func (s *Source) fetchAndWatch(ctx context.Context, c call) error {
 	fromGeneration := c.fromGeneration
 	onListing := func(listing *Listing) {
@@ -79,7 +79,7 @@
 	return errWatchEnded
 }
 
-// emit sends an event to Run unless ctx, which is Run's, has ended.
+// emit sends an event to Run, unless Run's context ctx has ended.
 func (s *Source) emit(ctx context.Context, event callEvent) {
 	select {
 	case s.events <- event:
@@ -87,11 +87,12 @@
 	}
 }
 
-// readListings makes an HTTP call and passes on the listings in its answer: the first limit ones, or all if
-// limit is 0. It passes on nil for each empty line between two listings, which is a heartbeat.
+// readListings makes an HTTP call and calls onListing for each listing in its response, but for no more than limit
+// listings if limit is not 0. An empty line between two listings is a heartbeat, for which it calls onListing with
+// nil.
 //
-// An invalid listing ends the call with an error. A later listing must not be used then, because its
-// generation would include the change that could not be read.
+// An invalid listing ends the call with an error. The listings that follow must not be used, because their
+// generations would include the change that could not be read.
 func (s *Source) readListings(ctx context.Context, url string, limit int, onListing func(*Listing)) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -103,9 +104,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("list call: status %d", response.StatusCode)
+		return fmt.Errorf("list call: unexpected status %d", response.StatusCode)
 	}
-	// The answer is a stream of JSON values, which may be broken into lines anywhere.
+	// The response is a stream of JSON values. A value may extend over several lines.
 	reader := &boundedReader{source: response.Body, atLineStart: true, onEmptyLine: func() { onListing(nil) }}
 	decoder := json.NewDecoder(reader)
 	markConsumed := func() { reader.markConsumed(decoder.InputOffset()) }
@@ -115,7 +116,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("list answer: %w", err)
+			return fmt.Errorf("list response: %w", err)
 		}
 		onListing(&listing)
 		if count == limit {
@@ -125,7 +126,7 @@
 	}
 }
 
-// canConnect reports whether an address accepts a TCP connection. It closes the connection at once.
+// canConnect reports whether an address accepts a TCP connection. It closes the connection immediately.
 func canConnect(ctx context.Context, address string) bool {
 	dialer := net.Dialer{KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -14,14 +14,14 @@
 	"cottonplank/internal/core"
 )
 
-// Limits of a list, which bound the memory that an endless one takes.
+// Limits of a list, which bound the memory that an endless list takes.
 const (
 	maxEntries    = 1 << 16
-	maxEntryBytes = 1 << 16 // of an entry, or of anything else between two of them
-	maxListBytes  = 1 << 25 // three times what maxEntries entries of usual length have
+	maxEntryBytes = 1 << 16 // limits an entry, and also the text between two entries and each other value
+	maxListBytes  = 1 << 25 // about three times the size of maxEntries entries of usual length
 )
 
-// wireInstance is an entry of the list in the discovery service's form.
+// wireInstance is an entry of the list, as the discovery service encodes it.
 type wireInstance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -32,7 +32,7 @@
 	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds
 }
 
-// lifecycleStates maps the values of wireInstance.Lifecycle.
+// lifecycleStates maps the values of wireInstance.Lifecycle to the states of the decision module.
 var lifecycleStates = map[string]decide.State{
 	"active":  decide.Ready,
 	"leaving": decide.Draining,
@@ -41,13 +41,13 @@
 
 // Listing is a decoded list.
 type Listing struct {
-	Generation int64
-	Reset      bool // a full snapshot rather than a delta
+	Generation int64 // the list's version at the discovery service
+	Reset      bool  // a full snapshot rather than a delta
 	Endpoints  []core.Endpoint
 }
 
-// DecodeListing decodes a list in the discovery service's form. A single invalid entry makes the list
-// invalid, because the endpoints that are left out would look removed.
+// DecodeListing decodes a list in the discovery service's encoding. A single invalid entry makes the whole list
+// invalid: if the entry were skipped, its endpoint would look removed.
 func DecodeListing(raw []byte) (Listing, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	listing, err := decodeListing(decoder, func() {})
@@ -55,13 +55,14 @@
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return Listing{}, errors.New("list: more follows it")
+		return Listing{}, errors.New("list: unexpected data after the list")
 	}
 	return listing, nil
 }
 
-// decodeListing decodes the next list of a stream. It decodes entry by entry, so that the decoder buffers no
-// more than one, and calls onConsumed after each part. It returns io.EOF if the stream has ended.
+// decodeListing decodes the next list of a stream. It decodes entry by entry, so that the decoder buffers at most one
+// entry, and calls onConsumed after each entry and after each value of the list's object. It returns io.EOF if the
+// stream has ended.
 func decodeListing(decoder *json.Decoder, onConsumed func()) (Listing, error) {
 	if err := expectDelim(decoder, '{'); err != nil {
 		return Listing{}, err
@@ -75,13 +76,13 @@
 			return Listing{}, unexpectedEOF(err)
 		}
 		name, _ := key.(string)
-		switch { // names match in any case of letters, as in encoding/json
+		switch { // like in encoding/json, upper and lower case letters match
 		case strings.EqualFold(name, "generation"):
 			err = decoder.Decode(&generation)
 		case strings.EqualFold(name, "reset"):
 			err = decoder.Decode(&listing.Reset)
 		case strings.EqualFold(name, "instances") && hasInstances:
-			err = errors.New("instances are there twice")
+			err = errors.New(`duplicate key "instances"`)
 		case strings.EqualFold(name, "instances"):
 			hasInstances = true
 			listing.Endpoints, err = decodeInstances(decoder, onConsumed)
@@ -104,16 +105,17 @@
 	return listing, nil
 }
 
-// expectDelim reads the beginning of an object or an array.
+// expectDelim reads a token and returns an error if it is not the given delimiter.
 func expectDelim(decoder *json.Decoder, want json.Delim) error {
 	got, err := decoder.Token()
 	if err == nil && got != want {
-		err = fmt.Errorf("%v was found where %v was expected", got, want)
+		err = fmt.Errorf("found %v, expected %v", got, want)
 	}
 	return err
 }
 
-// unexpectedEOF replaces io.EOF, which means the end of the stream between two lists, by io.ErrUnexpectedEOF.
+// unexpectedEOF replaces io.EOF with io.ErrUnexpectedEOF for an error within a list. decodeListing returns io.EOF
+// only if the stream has ended between two lists.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -121,7 +123,7 @@
 	return err
 }
 
-// decodeInstances decodes the entries of a list. null is an empty list. Two entries whose names have the same
+// decodeInstances decodes the entries of a list; null stands for an empty list. Two different names with the same
 // server ID are an error.
 func decodeInstances(decoder *json.Decoder, onConsumed func()) ([]core.Endpoint, error) {
 	first, err := decoder.Token()
@@ -129,20 +131,20 @@
 		return nil, err
 	}
 	if first != json.Delim('[') {
-		return nil, fmt.Errorf("instances: %v was found where a list was expected", first)
+		return nil, fmt.Errorf("instances: found %v, expected an array", first)
 	}
 	var endpoints []core.Endpoint
 	nameByID := map[decide.ServerID]string{}
 	for decoder.More() {
 		if len(endpoints) == maxEntries {
-			return nil, fmt.Errorf("instances: more than %d", maxEntries)
+			return nil, fmt.Errorf("instances: more than %d entries", maxEntries)
 		}
 		decoded, err := decodeInstance(decoder)
 		if err != nil {
 			return nil, fmt.Errorf("instances[%d]: %w", len(endpoints), err)
 		}
 		if other, ok := nameByID[decoded.ID]; ok && other != decoded.Name {
-			return nil, fmt.Errorf("instances %q and %q share a derived number", other, decoded.Name)
+			return nil, fmt.Errorf("instances %q and %q have the same server ID", other, decoded.Name)
 		}
 		nameByID[decoded.ID] = decoded.Name
 		endpoints = append(endpoints, decoded)
@@ -170,10 +172,10 @@
 		return core.Endpoint{}, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
 	}
 	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && state != decide.Removed {
-		return core.Endpoint{}, fmt.Errorf("hostPort: %q is no address and port", w.HostPort)
+		return core.Endpoint{}, fmt.Errorf("hostPort: %q is not an IP address and port", w.HostPort)
 	}
 	if w.Weight < 0 || w.StartedAtMs < 0 {
-		return core.Endpoint{}, errors.New("weight or startedAtMs is below 0")
+		return core.Endpoint{}, errors.New("weight or startedAtMs is negative")
 	}
 	decoded := core.Endpoint{
 		Name:    w.InstanceID,
--- a/internal/discovery/httpsource/decode_test.go
+++ b/internal/discovery/httpsource/decode_test.go
@@ -21,7 +21,8 @@
 // testList is a snapshot of generation 41 with one entry.
 const testList = `{"generation":41,"reset":true,"instances":[` + testEntry + `]}`
 
-// longList returns a snapshot of generation 41. Its entries have names with different server IDs.
+// longList returns a snapshot of generation 41 with as many entries as length says. The server IDs of their names are
+// all different.
 func longList(length int) string {
 	var b strings.Builder
 	b.WriteString(`{"generation":41,"reset":true,"instances":[`)
@@ -52,15 +53,15 @@
 func TestDecode(t *testing.T) {
 	listing, err := DecodeListing([]byte(testList))
 	if err != nil || len(listing.Endpoints) != 1 {
-		t.Fatalf("%+v, %v", listing, err)
+		t.Fatalf("got listing %+v, error %v, want one endpoint", listing, err)
 	}
 	if listing.Generation != 41 || !listing.Reset {
-		t.Errorf("generation %d, reset %v", listing.Generation, listing.Reset)
+		t.Errorf("got generation %d, reset %v, want 41, true", listing.Generation, listing.Reset)
 	}
 	decoded := listing.Endpoints[0]
 	if decoded.Name != "s-5be2a07c" || decoded.ID != core.ServerID(decoded.Name) || decoded.Zone != "a" ||
 		decoded.Cell != 3 || decoded.State != decide.Ready || !decoded.Started.Equal(time.UnixMilli(1700000000000)) {
-		t.Errorf("%+v", decoded)
+		t.Errorf("endpoint %+v differs from the entry in testList", decoded)
 	}
 }
 
@@ -77,13 +78,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			raw := strings.Replace(testList, test.old, test.new, 1)
 			if listing, err := DecodeListing([]byte(raw)); err == nil {
-				t.Errorf("%s is decoded as %+v", raw, listing)
+				t.Errorf("invalid list %s is decoded as %+v", raw, listing)
 			}
 		})
 	}
 }
 
-// jsonLists are lists that are valid, invalid in form, or invalid in content.
+// jsonLists are lists that are valid, malformed, or well-formed with invalid content.
 var jsonLists = []string{
 	testList,
 	`{"generation":0,"instances":null}`,
@@ -116,7 +117,8 @@
 	`{"generation":1,"instances":[` + testEntry + `]`,
 }
 
-// A list is accepted if encoding/json accepts the whole of it, except for one whose entries are there twice.
+// DecodeListing, which decodes entry by entry, accepts the same lists as encoding/json, which decodes a list as a
+// whole. A list with a second key "instances" is the exception: DecodeListing rejects it.
 func TestDecodeAgreesWithEncodingJSON(t *testing.T) {
 	for _, raw := range jsonLists {
 		t.Run(raw, func(t *testing.T) {
@@ -133,20 +135,20 @@
 			}
 			listing, err := DecodeListing([]byte(raw))
 			if valid != (err == nil) {
-				t.Fatalf("%+v, %v, valid: %v", listing, err, valid)
+				t.Fatalf("got listing %+v, error %v; valid for encoding/json: %v", listing, err, valid)
 			}
 			if valid && (listing.Generation != *want.Generation || listing.Reset != want.Reset ||
 				len(listing.Endpoints) != len(want.Instances)) {
-				t.Errorf("%+v, want %+v", listing, want)
+				t.Errorf("got listing %+v, want %+v", listing, want)
 			}
 		})
 	}
 }
 
-// The memory that an entry takes to decode does not grow with the list.
+// The memory for decoding one entry does not grow with the length of the list.
 func TestDecodeCostDoesNotGrowWithList(t *testing.T) {
 	if listing, err := DecodeListing([]byte(longList(20_000))); err != nil || len(listing.Endpoints) != 20_000 {
-		t.Errorf("%d entries, %v", len(listing.Endpoints), err)
+		t.Errorf("a list of 20000 entries: got %d entries, error %v", len(listing.Endpoints), err)
 	}
 	allocated := func(length int) (allocations, bytes float64) {
 		raw := longList(length)
@@ -160,17 +162,17 @@
 	}
 	shortAllocations, shortBytes := allocated(600)
 	for _, length := range []int{5000, 20_000} {
-		// The slice and the map grow by doubling, so that an entry's part of them differs by up to two times.
+		// The slice and the map grow by doubling, so the bytes per entry differ by a factor of up to two.
 		allocations, bytes := allocated(length)
 		if allocations > 1.1*shortAllocations || bytes > 2*shortBytes {
-			t.Errorf("an entry of %d takes %.2f allocations and %.0f bytes, one of 600 takes %.2f and %.0f",
+			t.Errorf("per entry of a list of %d: %.2f allocations and %.0f bytes; of a list of 600: %.2f and %.0f",
 				length, allocations, bytes, shortAllocations, shortBytes)
 		}
 	}
 }
 
-// At most one entry of a list that is being read is buffered, and nothing of empty lines, which come for as
-// long as a watch stands.
+// The decoder buffers at most one entry of a list, and no empty lines. A watch sends empty lines as heartbeats for as
+// long as it is open, so buffering them would use more and more memory.
 func TestBufferedBytesAreBounded(t *testing.T) {
 	for _, test := range []struct{ name, start, repeated string }{
 		{"empty lines", "", "\r\n"},
@@ -190,13 +192,15 @@
 			})
 			rest, _ := io.ReadAll(decoder.Buffered())
 			if err == nil || largest > maxEntryBytes || len(rest) > maxEntryBytes {
-				t.Errorf("%d bytes are buffered, and %d at the end, %v", largest, len(rest), err)
+				t.Errorf("up to %d bytes are buffered, and %d at the end, want at most maxEntryBytes; error %v, want an error",
+					largest, len(rest), err)
 			}
 		})
 	}
 }
 
-// repeatingReader reads a text and then repetitions of another one, up to a number of bytes.
+// repeatingReader provides text and then repetitions of another text, until it has provided about as many bytes as
+// remaining says.
 type repeatingReader struct {
 	text      string
 	repeated  string
@@ -216,14 +220,14 @@
 	return n, nil
 }
 
-// The endpoints of a list that is accepted are valid.
+// All endpoints of a list that DecodeListing accepts are valid. For a list that it rejects, it returns no endpoints.
 func FuzzDecode(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(testList), []byte(`{"generation":0,"instances":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		listing, err := DecodeListing(raw)
 		for _, decoded := range listing.Endpoints {
 			if err != nil || decoded.Name == "" || decoded.State > decide.Removed || decoded.Weight < 0 {
-				t.Errorf("%q is decoded as %+v, %v", raw, decoded, err)
+				t.Errorf("list %q: got the invalid endpoint %+v, error %v", raw, decoded, err)
 			}
 		}
 	})
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// observedWithin is the time within which a balancer has to observe a change, after the discovery service
-	// has it and can be reached.
+	// observedWithin is how long after the discovery service has a change and can be reached a balancer may take to
+	// observe the change.
 	observedWithin = 6 * time.Second
 
-	// drainGrace is the time after which a draining endpoint must get nothing new.
+	// drainGrace is how long after the start of its drain an endpoint may still get new requests.
 	drainGrace = 500 * time.Millisecond
 
+	// balancers is the number of engines that a test runs.
 	balancers = 12
 
-	// fleetSize is the number of balancers that the settings of a test name, unless the test is about that
-	// number.
+	// fleetSize is the configured number of balancers in tests that do not vary it. Reconnects to discovery are
+	// spread over time by that number.
 	fleetSize = 300
 )
 
@@ -38,14 +39,14 @@
 	return core.Config{Settings: decide.Settings{WatchList: true, Balancers: fleetSize}}
 }
 
-// pushedConfig returns a configuration with a watch for a list whose changes count at once.
+// pushedConfig returns a configuration with a watch for a list whose changes take effect immediately.
 func pushedConfig() core.Config {
 	config := watchingConfig(fleetSize)
 	config.ListPushed = true
 	return config
 }
 
-// startBalancers runs engines that each have a source of the discovery service at an address.
+// startBalancers runs engines until the test ends, each with a source of the discovery service at an address.
 func startBalancers(t *testing.T, address string, config core.Config) []*core.Engine {
 	t.Helper()
 	log := logrus.New()
@@ -77,14 +78,14 @@
 	return engines
 }
 
-// waitForList waits until each engine has a list of the given length, and returns how long the last one took.
+// waitForList waits until each engine has a list of the given length. It returns how long that took.
 func waitForList(t *testing.T, engines []*core.Engine, length int) time.Duration {
 	t.Helper()
 	start, last := time.Now(), time.Duration(0)
 	for _, engine := range engines {
 		for engine.CurrentSnapshot(time.Second).Listed != length {
 			if time.Since(start) > 60*time.Second {
-				t.Fatalf("a list has %d entries, want %d", engine.Snapshot().Listed, length)
+				t.Fatalf("a balancer has a list of %d entries after 60 s, want %d", engine.Snapshot().Listed, length)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -114,16 +115,18 @@
 	return listener
 }
 
-// After an outage of any kind, all balancers observe in time a change that the discovery service has at its
-// return. The service runs on real sockets: calls are refused, reset, answered 503 or not at all, the host is
-// unreachable, or the service handles one call after the other and rejects those that wait too long.
+// After an outage, all balancers observe within the time limit a change that the discovery service got during the
+// outage. A balancer would be late if it waited too long before it reconnects, or if the reconnects of all balancers
+// overloaded the service. The service runs on real sockets. In the outages, connections are refused or reset, calls
+// are answered with 503 or not at all, or the host is unreachable. In one case, the service handles one call after
+// the other and rejects calls that wait too long.
 func TestDiscoveryReturns(t *testing.T) {
 	t.Parallel()
 	const downtime = 9 * time.Second
 	for _, test := range []struct {
 		name     string
 		outage   emulator.Outage
-		callTime time.Duration // for which a call keeps the service busy; 0: calls are concurrent
+		callTime time.Duration // how long the service takes for a call, one call at a time; 0: calls are concurrent
 		config   core.Config
 		within   time.Duration
 	}{
@@ -135,7 +138,7 @@
 		{"sequential", emulator.RefuseConnections, 250 * time.Millisecond, watchingConfig(fleetSize), observedWithin},
 		{"2300", emulator.RefuseConnections, 0, watchingConfig(2300), observedWithin},
 		{"polled", emulator.RefuseConnections, 0, core.Config{Settings: decide.Settings{Balancers: 1}}, observedWithin},
-		// The change counts at once, and no new work may be sent after the grace.
+		// The change takes effect as soon as discovery has it, so it must be observed within the drain grace.
 		{"pushed", emulator.RefuseConnections, 0, pushedConfig(), drainGrace},
 		{"pushed, 503", emulator.ServiceUnavailable, 0, pushedConfig(), drainGrace},
 	} {
@@ -154,13 +157,14 @@
 			last := waitForList(t, engines, 2)
 			t.Logf("last observed after %v; %d connections and %d calls during the outage", last, dials, calls)
 			if last > test.within {
-				t.Errorf("the last balancer observes the change %v after the return, want %v", last, test.within)
+				t.Errorf("the last balancer observed the change %v after the outage, want at most %v", last, test.within)
 			}
 		})
 	}
 }
 
-// The address changes during an outage. Changes count from when the service at the new address can be reached.
+// If the address of the discovery service changes during an outage, all balancers observe the list's changes in time
+// after the service can be reached at the new address, and stop calling the previous address.
 func TestSetAddressDuringOutage(t *testing.T) {
 	t.Parallel()
 	service := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
@@ -180,9 +184,9 @@
 	}
 	setOutage(t, newListener, emulator.NoOutage)
 	if last := waitForList(t, engines, 5); last > observedWithin {
-		t.Errorf("the last balancer observes the changes %v after the return, want %v", last, observedWithin)
+		t.Errorf("the last balancer observed the changes %v after the outage, want at most %v", last, observedWithin)
 	}
 	if calls := oldListener.Calls.Load(); calls > 3*balancers {
-		t.Errorf("the previous address got %d calls", calls)
+		t.Errorf("the previous address got %d calls, want at most three of each balancer", calls)
 	}
 }
--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -13,18 +13,19 @@
 	"github.com/sirupsen/logrus"
 )
 
-// requestQueueSize is the number of the core's requests, and of changes of the address, that wait for Run.
+// requestQueueSize is the maximum number of the core's requests that wait for Run, and also that of waiting changes
+// of the address.
 const requestQueueSize = 8
 
-// Source provides the discovery service's endpoint list to the core.
+// Source provides the discovery service's endpoint list to the core. It implements core.Discovery and core.Dialer.
 type Source struct {
 	client         *http.Client
 	handler        core.UpdateHandler
 	log            *logrus.Logger
-	watchdog       core.Watchdog // nil: none
+	watchdog       core.Watchdog // nil if Run is not monitored
 	requests       chan call
 	addressChanges chan string
-	events         chan callEvent // from the goroutines of calls
+	events         chan callEvent // from the calls' goroutines to Run
 	calls          sync.WaitGroup
 
 	// The fields below are owned by Run's goroutine.
@@ -34,22 +35,22 @@
 	// addressEpoch counts the changes of the address. Generations of different addresses cannot be compared.
 	addressEpoch int
 
-	// generation is the list's version, and generationCall the number of the call that delivered it.
+	// generation is the version of the current list, and generationCall the number of the call that delivered it.
 	generation     int64
 	generationCall int
 
-	// hasSnapshot says that generation is one of the current address.
+	// hasSnapshot says that generation comes from the service at the current address.
 	hasSnapshot bool
 
 	lastCallNumber int
 
-	// activeWatch is the number of the call whose watch is in use, and cancelActiveWatch ends that call.
+	// activeWatch is the number of the call whose watch is in use, and cancelActiveWatch cancels that call.
 	activeWatch       int
 	cancelActiveWatch func()
 }
 
-// New returns a source of the discovery service at an address, for a core that has the list of the given
-// generation.
+// New returns a source of the discovery service at an address. generation is the version of the list that the core
+// already has.
 func New(address string, generation int64, handler core.UpdateHandler, log *logrus.Logger) *Source {
 	return &Source{
 		client:            &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
@@ -65,8 +66,8 @@
 	}
 }
 
-// SetAddress sets the discovery service's address for all later requests. The current list, and the watch of
-// the previous address, stay in use until the first of those requests is answered.
+// SetAddress sets the discovery service's address for all later requests. The current list and the watch at the
+// previous address stay in use until the first of these requests is answered.
 func (s *Source) SetAddress(address string) {
 	select {
 	case s.addressChanges <- address:
@@ -75,7 +76,7 @@
 	}
 }
 
-// Watch requests all changes since the current generation, and those to come.
+// Watch requests all changes since the current generation and all future ones.
 func (s *Source) Watch(ctx context.Context, watch uint64) {
 	s.enqueue(call{ctx: ctx, watch: true, watchID: watch})
 }
@@ -83,13 +84,14 @@
 // Fetch requests a snapshot of the list once.
 func (s *Source) Fetch(ctx context.Context) { s.enqueue(call{ctx: ctx}) }
 
-// Dial calls done with whether the discovery service accepts a connection. It makes no HTTP call.
+// Dial implements core.Dialer: it calls done with whether the discovery service accepts a TCP connection, without
+// making an HTTP call.
 func (s *Source) Dial(ctx context.Context, done func(reachable bool)) {
 	s.enqueue(call{ctx: ctx, onDialed: done})
 }
 
-// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not
-// block, and the core repeats requests that have no answer.
+// enqueue queues a request for Run. It drops the request if the queue is full: the core's event loop must not block,
+// and the core repeats requests that are not answered.
 func (s *Source) enqueue(c call) {
 	select {
 	case s.requests <- c:
@@ -118,7 +120,7 @@
 
 // startCall starts a call or a dial in a goroutine of its own.
 func (s *Source) startCall(ctx context.Context, c call) {
-	s.applyAddressChanges() // those that were requested before this call
+	s.applyAddressChanges() // the changes that were requested before this call
 	address := s.address
 	if c.onDialed != nil {
 		s.calls.Go(func() { c.onDialed(canConnect(c.ctx, address)) })
@@ -134,7 +136,7 @@
 	s.calls.Go(func() { s.run(ctx, c) })
 }
 
-// applyAddressChanges applies all changes of the address that wait.
+// applyAddressChanges applies all queued changes of the address.
 func (s *Source) applyAddressChanges() {
 	for {
 		select {
@@ -148,16 +150,16 @@
 	}
 }
 
-// handleEvent handles a listing, a heartbeat or the end of a call. The first answer of a newer watch ends the
-// active one, whose later events are ignored.
+// handleEvent handles a listing, a heartbeat or the failure of a call. The first answer of a newer watch makes it the
+// active one: the previous active watch is cancelled and its later events are ignored.
 func (s *Source) handleEvent(event callEvent) {
 	c := event.call
 	if c.watch && c.number < s.activeWatch {
 		return
 	}
 	if c.addressEpoch != s.addressEpoch && (event.err != nil || c.number != s.activeWatch) {
-		// The address has changed. Only the active watch of the previous address still counts, and its end
-		// says nothing about the service at the new address.
+		// The address has changed since the call was started. Of the previous address's calls, only the active watch
+		// is still in use, and its failure is not reported: it does not concern the service at the new address.
 		c.cancel()
 		return
 	}
@@ -179,7 +181,8 @@
 	}
 }
 
-// handleListing passes a listing on to the handler, without its endpoints if it is overtaken.
+// handleListing passes a listing to the handler. If a newer list has already been delivered, it passes an empty delta
+// instead.
 func (s *Source) handleListing(c call, listing Listing) {
 	update := core.EndpointUpdate{Kind: decide.ListDelta, Endpoints: listing.Endpoints}
 	if listing.Reset {
@@ -187,7 +190,8 @@
 	}
 	switch {
 	case c.addressEpoch != s.addressEpoch:
-		// The active watch of the previous address: its changes count, but not its generations.
+		// The listing comes from the active watch at the previous address. Its changes are applied, but its
+		// generation has no meaning at the current address.
 	case s.overtaken(c, listing):
 		update = core.EndpointUpdate{Kind: decide.ListDelta}
 	default:
@@ -198,12 +202,13 @@
 	s.handler.EndpointsUpdated(update)
 }
 
-// overtaken reports whether another call has delivered a newer list than a listing. Such a listing must not
-// be applied: it would, for example, make a draining endpoint ready again.
+// overtaken reports whether another call has already delivered a newer list than the given listing. Such a listing
+// must not be applied: it would, for example, make a draining endpoint ready again.
 //
-// A lower generation alone does not show that, because the discovery service may have restarted, and then
-// counts from the beginning. It has restarted if the watch that delivered the current generation now delivers
-// a lower one, or if a watch gets a snapshot that is older than the generation that it asked for.
+// A lower generation is not sufficient evidence, because a discovery service that has restarted counts generations
+// from the beginning. The service must have restarted if the watch that delivered the current generation now delivers
+// a lower one, or if a watch gets a snapshot whose generation is lower than the one from which the watch was
+// requested.
 func (s *Source) overtaken(c call, listing Listing) bool {
 	if !s.hasSnapshot || listing.Generation >= s.generation {
 		return false
--- a/internal/discovery/httpsource/source_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -23,44 +23,44 @@
 // updateRecorder records updates.
 type updateRecorder struct {
 	updates chan core.EndpointUpdate
-	alive   chan uint64 // the watches that are alive
+	alive   chan uint64 // the watch of each heartbeat
 }
 
 func (r *updateRecorder) EndpointsUpdated(update core.EndpointUpdate) { r.updates <- update }
 func (r *updateRecorder) WatchAlive(watch uint64)                     { r.alive <- watch }
 
-// expect fails the test if the next update is of another kind or length, or does not come in time.
+// expect fails the test if the next update is of another kind or length, or does not arrive in time.
 func (r *updateRecorder) expect(t *testing.T, kind decide.ListKind, length int) {
 	t.Helper()
 	select {
 	case update := <-r.updates:
 		if update.Kind != kind || len(update.Endpoints) != length {
-			t.Fatalf("update %+v, want kind %d with %d endpoints", update, kind, length)
+			t.Fatalf("got update %+v, want kind %d with %d endpoints", update, kind, length)
 		}
 	case <-time.After(waitTimeout):
 		t.Fatal("timed out waiting for an update")
 	}
 }
 
-// expectAlive fails the test unless the watch is reported as alive exactly so many times.
+// expectAlive fails the test unless exactly the given number of heartbeats of the watch has been reported.
 func (r *updateRecorder) expectAlive(t *testing.T, want uint64, times int) {
 	t.Helper()
 	for range times {
 		select {
 		case watch := <-r.alive:
 			if watch != want {
-				t.Fatalf("watch %d is alive, want %d", watch, want)
+				t.Fatalf("got a heartbeat of watch %d, want one of watch %d", watch, want)
 			}
 		case <-time.After(waitTimeout):
 			t.Fatal("timed out waiting for a heartbeat")
 		}
 	}
 	if len(r.alive) > 0 {
-		t.Fatal("one heartbeat too many")
+		t.Fatal("more heartbeats were reported than expected")
 	}
 }
 
-// startSource runs a source with generation 40 of a discovery service until the test ends.
+// startSource runs a source of the given discovery service until the test ends. The source starts at generation 40.
 func startSource(t *testing.T, service http.HandlerFunc) (*Source, *updateRecorder) {
 	t.Helper()
 	server := httptest.NewServer(service)
@@ -91,17 +91,17 @@
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
-// withGeneration returns testList with another generation.
+// withGeneration returns testList with the given generation.
 func withGeneration(generation int) string {
 	return strings.Replace(testList, "41", strconv.Itoa(generation), 1)
 }
 
-// deltaWithGeneration returns a delta with the entry of testList.
+// deltaWithGeneration returns a delta of the given generation with the entry of testList.
 func deltaWithGeneration(generation int) string {
 	return strings.Replace(withGeneration(generation), `"reset":true`, `"reset":false`, 1)
 }
 
-// Lists of 20,000 endpoints are applied, and so is the delta between them.
+// Snapshots of 20,000 endpoints are delivered in full, and so is a delta between two of them.
 func TestLongLists(t *testing.T) {
 	snapshot := longList(20_000)
 	source, recorder := startSource(t, func(w http.ResponseWriter, request *http.Request) {
@@ -139,28 +139,28 @@
 	recorder.expect(t, decide.ListSnapshot, 1)
 	source.Watch(t.Context(), 1)
 	if got := <-watchedFrom; got != "41" {
-		t.Errorf("watch from %s", got)
+		t.Errorf("the watch starts from generation %s, want 41", got)
 	}
 	texts <- `{"generation":42,"reset":false,"instances":[]}`
 	recorder.expect(t, decide.ListDelta, 0)
 	texts <- ``
 	texts <- deltaWithGeneration(43)
 	recorder.expect(t, decide.ListDelta, 1)
-	source.Fetch(t.Context()) // its answer is older than the watch's and changes nothing
+	source.Fetch(t.Context()) // gets generation 41, which is older than the watch's 43, and changes nothing
 	recorder.expect(t, decide.ListDelta, 0)
-	texts <- `garbage` // ends the watch; the next one continues from the last generation that was read
+	texts <- `garbage` // ends the watch; the next watch starts from the last generation that was read
 	recorder.expect(t, decide.ListFailed, 0)
 	source.Watch(t.Context(), 1)
 	if got := <-watchedFrom; got != "43" {
-		t.Errorf("watch after garbage from %s", got)
+		t.Errorf("the watch after the invalid listing starts from generation %s, want 43", got)
 	}
 	close(texts)
 	recorder.expect(t, decide.ListFailed, 0)
 }
 
-// After a change of the address, the list and its watch stay in use until the new address answers with a
-// snapshot. Generations of the old address mean nothing at the new one, and the end of the old watch is not a
-// failed call.
+// After a change of the address, the list and the watch at the old address stay in use until the new address answers
+// with a snapshot. Generations of the old address have no meaning at the new one, so the first call there must ask
+// for a snapshot. The end of the old watch must not be reported as a failed call.
 func TestSetAddress(t *testing.T) {
 	oldTexts, disconnectOld := make(chan string), make(chan struct{})
 	source, recorder := startSource(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -192,7 +192,7 @@
 	source.SetAddress(strings.TrimPrefix(newServer.URL, "http://"))
 	source.Watch(t.Context(), 1)
 	if got := <-queries; got != "" {
-		t.Errorf("the first call at the new address asks for %q, want a snapshot", got)
+		t.Errorf("the first call at the new address has the query %q, want none, for a snapshot", got)
 	}
 	oldTexts <- deltaWithGeneration(401)
 	recorder.expect(t, decide.ListDelta, 1)
@@ -200,13 +200,13 @@
 	answer <- struct{}{}
 	recorder.expect(t, decide.ListSnapshot, 1)
 	if got := <-queries; got != "watch=1&from=7" {
-		t.Errorf("then it asks for %q", got)
+		t.Errorf("the second call at the new address has the query %q, want watch=1&from=7", got)
 	}
 	close(answer)
 	recorder.expect(t, decide.ListSnapshot, 1)
 }
 
-// Dial reports whether the service accepts a connection, without a call.
+// Dial reports whether the service accepts a connection, and makes no call.
 func TestDial(t *testing.T) {
 	source, _ := startSource(t, func(http.ResponseWriter, *http.Request) { t.Error("the service is called") })
 	dial := func() bool {
@@ -222,17 +222,17 @@
 		}
 	}
 	if !dial() {
-		t.Error("a service that is up is not reachable")
+		t.Error("a service that is up is reported as unreachable")
 	}
 	down := httptest.NewServer(http.NotFoundHandler())
 	down.Close()
 	source.SetAddress(strings.TrimPrefix(down.URL, "http://"))
 	if dial() {
-		t.Error("a service that is down is reachable")
+		t.Error("a service that is down is reported as reachable")
 	}
 }
 
-// Errors, invalid answers and calls that hang are reported as failed calls.
+// HTTP errors, invalid responses and calls that hang are reported as failed calls.
 func TestFailedCalls(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -268,9 +268,9 @@
 	}
 }
 
-// A list may be broken into lines and fragments anywhere. Empty lines between two lists are heartbeats; those
-// within a list, and a part of a list, are not. Each fragment is sent when the updates of the one before it
-// have come.
+// A list may be broken into lines and fragments anywhere. Empty lines between two lists are heartbeats; an empty line
+// within a list is not, and neither is a fragment of a list. Where the test expects updates for a fragment, it waits
+// for them before it sends the next fragment.
 func TestListsInFragments(t *testing.T) {
 	indented := strings.NewReplacer(
 		`{"`, "{\n  \"",
@@ -303,12 +303,12 @@
 	recorder.expect(t, decide.ListDelta, 1)
 	recorder.expectAlive(t, 7, 1)
 	fragments <- delta[:len(delta)-1] + "\n\n\n"
-	close(fragments) // within a list
+	close(fragments) // the stream ends within a list
 	recorder.expect(t, decide.ListFailed, 0)
 	recorder.expectAlive(t, 7, 0)
 }
 
-// Values without an end fail the call, at a limit or where they become invalid.
+// An endless value fails the call, either when it exceeds a limit or as soon as it becomes invalid.
 func TestEndlessLists(t *testing.T) {
 	entriesStart := testList[:strings.Index(testList, "[")+1]
 	for _, test := range []struct{ name, start, repeated string }{
@@ -330,21 +330,22 @@
 			source.Watch(t.Context(), 1)
 			recorder.expect(t, decide.ListFailed, 0)
 			if len(recorder.alive) > 0 {
-				t.Error("it is reported as alive")
+				t.Error("a heartbeat was reported for an endless list")
 			}
 		})
 	}
 }
 
-// A watch is opened beside one that continues. Then the second delivers again what the first has delivered
-// already, as a delta or as a snapshot. The list never goes back, and newer changes are applied.
+// A second watch is opened while the first one continues. The second watch then delivers a generation that is older
+// than one that the first watch has delivered, as a delta or as a snapshot. It must not replace the newer list, for
+// example make a draining endpoint ready again. Changes that are newer than the list are applied.
 func TestOvertakenWatch(t *testing.T) {
 	for name, overtaken := range map[string]string{"delta": deltaWithGeneration(41), "snapshot": testList} {
 		t.Run(name, func(t *testing.T) {
 			firstTexts, secondTexts := make(chan string), make(chan string)
-			first := make(chan struct{}, 1) // holds a value until the first watch has come
+			first := make(chan struct{}, 1) // holds a value until the first watch is requested
 			first <- struct{}{}
-			watchedFrom := make(chan string, 1) // by the second watch
+			watchedFrom := make(chan string, 1) // the generation from which the second watch is requested
 			source, recorder := startSource(t, func(w http.ResponseWriter, request *http.Request) {
 				texts := secondTexts
 				select {
@@ -370,7 +371,7 @@
 			recorder.expect(t, decide.ListSnapshot, 1)
 			source.Watch(t.Context(), 2)
 			if from := <-watchedFrom; from != "41" {
-				t.Fatalf("the second watch asks from %s", from)
+				t.Fatalf("the second watch starts from generation %s, want 41", from)
 			}
 			firstTexts <- draining(43)
 			recorder.expect(t, decide.ListDelta, 1)
@@ -384,7 +385,8 @@
 	}
 }
 
-// A discovery service that has restarted counts generations from the beginning. Its snapshot is applied.
+// A discovery service that has restarted counts generations from the beginning. Its snapshot must be applied although
+// its generation is lower than that of the current list.
 func TestLowerGenerationAfterRestart(t *testing.T) {
 	source, recorder := startSource(t, func(w http.ResponseWriter, request *http.Request) {
 		write(w, withGeneration(3)+"\n")
--- a/internal/textline/fuzz_test.go
+++ b/internal/textline/fuzz_test.go
@@ -9,10 +9,11 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// maxLine is the reader's buffer size and so the length limit.
+// maxLine is the reader's buffer size, which is the limit of a line's length.
 const maxLine = 4096
 
-// A line that is read is one line within the limit, and with its terminator it is the beginning of the input.
+// Whatever the input, Read returns a single line that is no longer than the limit, and the input begins with that
+// line and its terminator. An input that has a line terminator within the limit is not rejected as too long.
 func FuzzRead(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("PING\r\n"), []byte("LAMEDUCK\n"), bytes.Repeat([]byte("x"), 5000))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -22,7 +23,7 @@
 			errors.Is(err, ErrMissingCR) && !bytes.HasPrefix(raw, []byte(text+"\n")),
 			errors.Is(err, ErrTooLong) && bytes.IndexByte(raw[:maxLine], '\n') >= 0,
 			len(text) > maxLine, bytes.Contains([]byte(text), []byte("\n")):
-			t.Errorf("%.60q is read as %.60q, %v", raw, text, err)
+			t.Errorf("input %.60q: read line %.60q, error %v", raw, text, err)
 		}
 	})
 }
--- a/internal/textline/textline.go
+++ b/internal/textline/textline.go
@@ -1,4 +1,4 @@
-// Package textline reads the lines of the program's text protocols: at most 4 KiB each, terminated by CRLF.
+// Package textline reads the lines of the program's text protocols. A line has at most 4 KiB and ends with CRLF.
 package textline
 
 import (
@@ -15,11 +15,12 @@
 	ErrMissingCR = errors.New("line does not end with CRLF")
 )
 
-// Read reads one line and returns it without its line terminator. The buffer of r bounds the line's length;
-// the reader of a textproto.Conn has 4 KiB. (textproto.Reader.ReadLine has no bound.)
+// Read reads one line and returns it without its line terminator. The buffer size of r limits the line's length; the
+// reader of a textproto.Conn has 4 KiB. textproto.Reader.ReadLine has no such limit.
 //
-// Read returns ErrTooLong for a line that is too long. With ErrMissingCR it also returns the line, as some protocols
-// accept a bare LF. Other errors are those of r, such as io.EOF if the input ends before the line does.
+// Read returns ErrTooLong for a line that does not fit into the buffer. Together with ErrMissingCR it returns the
+// line, because some protocols accept a bare LF. Other errors are those of r, such as io.EOF if the input ends before
+// the line does.
 func Read(r *bufio.Reader) (string, error) {
 	raw, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
