--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A request gets one final answer, whatever is reported after it.
+// A request gets exactly one final answer, whatever a frontend reports after it.
 func TestOneFinalAnswer(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
@@ -20,14 +20,14 @@
 	engine.RequestReceived(c, Request{Deadline: time.Now().Add(time.Second)})
 	engine.ClientClosed(c)
 	if s := nextSnapshot(engine); s.Rejected != 1 || s.Served+s.Failed+s.ClientsLeft > 0 {
-		t.Errorf("%+v, commands %q", s.Counters, conn.commands())
+		t.Errorf("want one rejection only, got counters %+v, commands %q", s.Counters, conn.commands())
 	}
 	if n := strings.Count(conn.commands(), "reject"); n != 1 {
-		t.Errorf("%d answers in %q", n, conn.commands())
+		t.Errorf("got %d rejections in commands %q, want 1", n, conn.commands())
 	}
 }
 
-// A request beyond Config.MaxClients is rejected at once; the one before it goes on waiting for a server.
+// A request beyond Config.MaxClients is rejected immediately; the request before it continues to wait for a server.
 func TestRequestsPastMaxClientsAreRejected(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 1)
@@ -36,6 +36,6 @@
 	openRequest(engine, second, 5*time.Second)
 	second.wait(t, "reject")
 	if got := first.commands(); got != "" {
-		t.Errorf("the first client got %q", got)
+		t.Errorf("the first client got the commands %q, want none", got)
 	}
 }
--- a/internal/core/call_test.go
+++ b/internal/core/call_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A client whose first line has started to arrive gets more time than one that sends nothing, is shed after
-// it, and holds up a planned stop. This protects slow clients among many that send nothing.
+// A client whose first line has started to arrive gets more time than a client that sends nothing, is shed after it,
+// and delays the end of a planned stop. Otherwise slow clients would be closed with the many clients that send
+// nothing.
 func TestStartedLinesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
@@ -17,16 +18,16 @@
 	time.Sleep(2 * minShedAge)
 	engine.ShedIdle()
 	silent.wait(t, "abort")
-	drained := engine.Drain(20*time.Second, nil) // the budget is long: only the client holds it up
+	drained := engine.Drain(20*time.Second, nil) // the budget is long, so that only the client delays the end
 	time.Sleep(firstLineTimeout + 100*time.Millisecond)
-	engine.FirstLineStarted(c) // must not renew the timeout
+	engine.FirstLineStarted(c) // must not restart the timeout
 	select {
 	case <-drained:
-		t.Error("the planned stop was complete before the first line")
+		t.Error("the planned stop was complete although a first line had started to arrive")
 	default:
 	}
 	if got := slow.commands(); got != "" {
-		t.Errorf("the slow client got %q", got)
+		t.Errorf("the slow client got the commands %q, want none", got)
 	}
 	slow.wait(t, "abort")
 }
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -8,8 +8,8 @@
 	"cottonplank/decide"
 )
 
-// A new address takes effect at once, with a watch there. A watch that never answers ends even though a later
-// one was opened.
+// SetDiscoveryAddress opens a watch at the new address immediately. A watch that is never answered is cancelled, even
+// if another watch has been opened after it.
 func TestSetDiscoveryAddressOpensWatchAtOnce(t *testing.T) {
 	t.Parallel()
 	f := &fakeDiscovery{}
@@ -25,18 +25,18 @@
 	got, first := strings.Join(f.requests, ", "), f.watchContexts[0]
 	f.mu.Unlock()
 	if got != "address 127.0.0.1:1, watch, address 127.0.0.1:2, watch" {
-		t.Errorf("requests are %q", got)
+		t.Errorf("requests are %q, want a watch after each address", got)
 	}
 	select {
 	case <-first.Done():
 	case <-time.After(20 * time.Second):
-		t.Error("the first watch, which is never answered, does not end")
+		t.Error("the first watch was never answered and is not cancelled")
 	}
 }
 
-// A watch without heartbeats is replaced by a second one beside it, well before a missed change becomes
-// binding after 6 s. A heartbeat of the old watch does not count as an answer of the new one, whose call
-// times out.
+// If a watch sends no heartbeats, a second one is opened beside it. That happens well before a change that the watch
+// may have missed counts as observed, 6 s after discovery has it. A heartbeat of the old watch does not count as an
+// answer of the new one, whose call times out.
 func TestStaleWatchIsReplaced(t *testing.T) {
 	t.Parallel()
 	engine, f := startEngineWith(t, Config{})
@@ -46,25 +46,25 @@
 	lastHeartbeat := time.Now()
 	f.waitForWatches(t, 2)
 	if d := time.Since(lastHeartbeat); d < 2*time.Second || d > 5*time.Second {
-		t.Errorf("reopened after %v, a heartbeat comes every 2 s", d)
+		t.Errorf("a watch was opened %v after the last heartbeat, want 2 s to 5 s", d)
 	}
-	engine.WatchAlive(1) // the old watch recovers, the new one does not answer
+	engine.WatchAlive(1) // the old watch sends heartbeats again, and the new one does not answer
 	f.mu.Lock()
 	second := f.watchContexts[1]
 	f.mu.Unlock()
 	select {
 	case <-second.Done():
 	case <-time.After(20 * time.Second):
-		t.Error("the second watch, which is never answered, does not end")
+		t.Error("the second watch was never answered and is not cancelled")
 	}
 	nextSnapshot(engine)
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
-	engine.WatchAlive(1) // the old watch becomes stale once more
+	engine.WatchAlive(1) // the last heartbeat of the old watch, which becomes stale again
 	f.waitForWatches(t, 3)
 }
 
-// Where lists are pushed, a change is binding as soon as discovery has it: frontends make clients wait for
-// the first list, and a broken watch is reopened within the drain grace.
+// If lists are pushed, a change takes effect as soon as discovery has it. So clients have to wait for the first list,
+// and a broken watch is reopened within the drain grace.
 func TestPushedListReconnectsWithinGrace(t *testing.T) {
 	t.Parallel()
 	const grace = 400 * time.Millisecond
@@ -74,23 +74,23 @@
 	}})
 	f.waitForWatches(t, 1)
 	if !engine.AwaitingFirstList() {
-		t.Error("clients do not wait for the first list")
+		t.Error("AwaitingFirstList is false before the first list")
 	}
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 1})
 	failed := time.Now()
 	f.waitForWatches(t, 2)
 	if d := time.Since(failed); d > grace {
-		t.Errorf("reopened after %v, the drain grace is %v", d, grace)
+		t.Errorf("the watch was reopened after %v, want it within the drain grace of %v", d, grace)
 	}
 	engine.WatchAlive(2)
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListSnapshot, Endpoints: []Endpoint{readyEndpoint("s-1")}})
 	if nextSnapshot(engine); engine.AwaitingFirstList() {
-		t.Error("clients wait although the first list is there")
+		t.Error("AwaitingFirstList is true after the first list")
 	}
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed, WatchID: 2})
 	failed = time.Now()
 	f.waitForWatches(t, 3)
 	if d := time.Since(failed); d > grace {
-		t.Errorf("reopened after %v, the drain grace is %v", d, grace)
+		t.Errorf("the watch was reopened after %v, want it within the drain grace of %v", d, grace)
 	}
 }
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -8,8 +8,8 @@
 	"cottonplank/decide"
 )
 
-// A planned stop leaves established connections alone for half of the budget, then migrates them one after
-// the other.
+// A planned stop migrates no established connection in the first half of its budget. After that it migrates them one
+// after the other.
 func TestDrainMigratesLate(t *testing.T) {
 	t.Parallel()
 	const clients, budget = 8, 3 * time.Second
@@ -38,15 +38,15 @@
 		last = <-migrated
 	}
 	if d := first.Sub(start); d < budget/2 {
-		t.Errorf("the first client was migrated after %v of %v", d, budget)
+		t.Errorf("the first client was migrated after %v, want at least half of the budget of %v", d, budget)
 	}
 	if d := last.Sub(first); d < budget/20 {
-		t.Errorf("all clients were migrated within %v", d)
+		t.Errorf("all clients were migrated within %v, want the migrations spread over time", d)
 	}
 	<-drained
 }
 
-// A planned stop does not migrate resumable connections, nor wait for their end.
+// A planned stop neither migrates resumable connections nor waits for their end.
 func TestDrainKeepsResumableConnections(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
@@ -63,6 +63,6 @@
 	engine.ClientClosed(b)
 	<-drained
 	if got := resumable.commands(); got != "attempt 0 s-1, establish 0" {
-		t.Errorf("the resumable connection got %q", got)
+		t.Errorf("the resumable connection got the commands %q, want no migrate", got)
 	}
 }
--- a/internal/core/established_test.go
+++ b/internal/core/established_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The client of a server that does not respond is migrated; that of a server that does stays.
+// The client of a server that does not respond is migrated; the client of a server that responds is not.
 func TestUnresponsiveServerMigratesClient(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
@@ -19,9 +19,9 @@
 	engine.ServerResponded(b)
 	unresponsive.wait(t, "attempt 0 s-1, establish 0, migrate")
 	if s := nextSnapshot(engine); s.Unresponsive != 1 || s.Migrations != 1 {
-		t.Errorf("%+v", s.Counters)
+		t.Errorf("got counters %+v, want one unresponsive server and one migration", s.Counters)
 	}
 	if got := healthy.commands(); got != "attempt 0 s-1, establish 0" {
-		t.Errorf("the client of the healthy server got %q", got)
+		t.Errorf("the client of the healthy server got the commands %q, want no migrate", got)
 	}
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -11,7 +11,7 @@
 	"cottonplank/decide"
 )
 
-// fakeClientConn records the commands that it gets from the engine.
+// fakeClientConn records the commands that the engine sends to it.
 type fakeClientConn struct {
 	mu       sync.Mutex
 	received []string
@@ -33,14 +33,14 @@
 func (f *fakeClientConn) Migrate()                           { f.record("migrate") }
 func (f *fakeClientConn) Abort()                             { f.record("abort") }
 
-// commands returns the commands so far, separated by commas.
+// commands returns the commands that were recorded so far, separated by commas.
 func (f *fakeClientConn) commands() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return strings.Join(f.received, ", ")
 }
 
-// wait waits until the commands begin with want.
+// wait waits until the recorded commands begin with want.
 func (f *fakeClientConn) wait(t *testing.T, want string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -48,10 +48,10 @@
 			return
 		}
 	}
-	t.Fatalf("commands are %q, want %q first", f.commands(), want)
+	t.Fatalf("commands are %q, want them to begin with %q", f.commands(), want)
 }
 
-// fakeDiscovery is a Discovery and a Prober that records calls and never answers.
+// fakeDiscovery is a Discovery and a Prober that records calls of Watch and SetAddress, and never answers.
 type fakeDiscovery struct {
 	mu sync.Mutex
 	// requests are the calls of Watch and SetAddress.
@@ -117,7 +117,7 @@
 	return engine
 }
 
-// startEngine runs an engine that knows the given endpoints from the start.
+// startEngine runs an engine whose restored endpoint list contains the given endpoints.
 func startEngine(t *testing.T, maxClients int, known ...Endpoint) *Engine {
 	t.Helper()
 	return runEngine(t, Config{
@@ -138,7 +138,7 @@
 	}, &fakeDiscovery{})
 }
 
-// startEngineWith runs an engine with the given configuration, whose endpoint lists the test delivers.
+// startEngineWith runs an engine with the given configuration. The test itself delivers the endpoint lists.
 func startEngineWith(t *testing.T, cfg Config) (*Engine, *fakeDiscovery) {
 	t.Helper()
 	cfg.MaxClients = 10
@@ -159,7 +159,7 @@
 	return Endpoint{Name: name, Address: "x", Server: decide.Server{ID: ServerID(name), Zone: "a"}}
 }
 
-// openRequest accepts a client connection and its request, whose client waits for the given time.
+// openRequest accepts a client connection and its request, whose deadline is after the given time.
 func openRequest(engine *Engine, conn ClientConn, timeout time.Duration) *Call {
 	c := engine.Accept(conn, ConnTraits{})
 	engine.RequestReceived(c, Request{Deadline: time.Now().Add(timeout)})
--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The core knows no network protocol: neither it nor the decision module imports package net or a frontend.
+// The core and the decision module are independent of network protocols: they import neither package net nor another
+// package of internal, such as a frontend.
 func TestImportsNoNetwork(t *testing.T) {
 	for _, dir := range []string{".", "../../decide"} {
 		pkg, err := build.ImportDir(dir, 0)
--- a/internal/core/lameduck_test.go
+++ b/internal/core/lameduck_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// LeaveLameDuck cancels all steps of the drain, so that clients stay. A lame duck migrates resumable
-// connections too, as no process follows it. Repeated calls change nothing, and neither call changes a
-// planned stop.
+// LeaveLameDuck cancels all steps of the drain, so that clients stay connected. A lame duck also migrates resumable
+// connections, because no process follows it that could keep them. Repeated calls of either method change nothing,
+// and neither method changes a planned stop.
 func TestLeaveLameDuckUndoesEnterLameDuck(t *testing.T) {
 	t.Parallel()
 	const timeout = 10 * time.Second
@@ -23,17 +23,17 @@
 	engine.AttemptAccepted(c, 0)
 	for range 2 {
 		if err := engine.EnterLameDuck(timeout); err != nil || engine.ServiceState() != LameDuck {
-			t.Fatalf("%v, %v", engine.ServiceState(), err)
+			t.Fatalf("after EnterLameDuck: state %v, error %v", engine.ServiceState(), err)
 		}
 	}
 	for range 2 {
 		if err := engine.LeaveLameDuck(timeout); err != nil || engine.ServiceState() != Serving {
-			t.Fatalf("%v, %v", engine.ServiceState(), err)
+			t.Fatalf("after LeaveLameDuck: state %v, error %v", engine.ServiceState(), err)
 		}
 	}
 	time.Sleep(lameDuckMigrationEnd + 200*time.Millisecond)
 	if got := conn.commands(); got != "attempt 0 s-1, establish 0" {
-		t.Errorf("after LeaveLameDuck the client got %q", got)
+		t.Errorf("after LeaveLameDuck, the client got the commands %q, want no migrate", got)
 	}
 	if err := engine.EnterLameDuck(timeout); err != nil {
 		t.Fatal(err)
@@ -41,9 +41,9 @@
 	conn.wait(t, "attempt 0 s-1, establish 0, migrate")
 	engine.Drain(3*time.Second, nil)
 	if err := engine.EnterLameDuck(timeout); err != nil || engine.ServiceState() != Stopping {
-		t.Errorf("EnterLameDuck in a planned stop: %v, %v", engine.ServiceState(), err)
+		t.Errorf("after EnterLameDuck in a planned stop: state %v, error %v", engine.ServiceState(), err)
 	}
 	if err := engine.LeaveLameDuck(timeout); !errors.Is(err, ErrStopping) || engine.ServiceState() != Stopping {
-		t.Errorf("LeaveLameDuck in a planned stop: %v, %v", engine.ServiceState(), err)
+		t.Errorf("after LeaveLameDuck in a planned stop: state %v, error %v", engine.ServiceState(), err)
 	}
 }
--- a/internal/core/learned_fuzz_test.go
+++ b/internal/core/learned_fuzz_test.go
@@ -9,8 +9,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// Whatever learned state another process hands over, the decision module accepts no negative values and
-// ejects no server for longer than a minute.
+// Whatever learned state another process sends, the decision module accepts no negative values from it and ejects no
+// server for longer than a minute.
 func FuzzLearned(f *testing.F) {
 	line, err := json.Marshal(learnedLine{decide.LearnedState{
 		Server:              1,
@@ -42,7 +42,7 @@
 		balancer.ImportLearned([]decide.LearnedState{state})
 		for _, got := range balancer.ExportLearned() {
 			if got.Load < 0 || got.LoadPerConnection < 0 || got.ConsecutiveFailures < 0 || got.EjectedFor > time.Minute {
-				t.Errorf("%q is imported as %+v", raw, got)
+				t.Errorf("learned state %q is imported with the invalid values %+v", raw, got)
 			}
 		}
 	})
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -8,8 +8,8 @@
 	"cottonplank/decide"
 )
 
-// Learned state of another deployment is refused. The seed, and settings that may be tuned from one version
-// to the next, do not make another deployment.
+// Learned state of another deployment is rejected. Settings with another seed, or with other values that may be tuned
+// from one version to the next, belong to the same deployment.
 func TestDecodeLearnedRejectsOtherDeployment(t *testing.T) {
 	settings := decide.Settings{
 		Seed:    1,
@@ -24,7 +24,7 @@
 	tuned := settings
 	tuned.Seed, tuned.MaxAttempts = 2, 5
 	if state, err := DecodeLearned(string(line), DeploymentID(tuned)); err != nil || state.LoadPerConnection != 0.3 {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("learned state of the same deployment: got %+v, error %v", state, err)
 	}
 	for name, change := range map[string]func(*decide.Settings){
 		"zone":    func(s *decide.Settings) { s.Zone = "b" },
@@ -42,6 +42,6 @@
 		})
 	}
 	if _, err := DecodeLearned(`{"server":1,"each":0.3}`, DeploymentID(settings)); !errors.Is(err, ErrOtherDeployment) {
-		t.Errorf("without a deployment: %v", err)
+		t.Errorf("learned state without a deployment: got error %v, want ErrOtherDeployment", err)
 	}
 }
--- a/internal/core/literals_test.go
+++ b/internal/core/literals_test.go
@@ -8,7 +8,7 @@
 	"cottonplank/decide"
 )
 
-// These texts are sent by the management protocol and by the session protocol: clients match them.
+// The management protocol and the session protocol send these texts to clients, which match them.
 func TestProtocolTextsAreStable(t *testing.T) {
 	for got, want := range map[string]string{
 		Starting.String():          "starting",
@@ -25,7 +25,7 @@
 	}
 }
 
-// The encoding of learned state is read by other versions of the program during a hot restart.
+// Other versions of the program read the encoding of learned state during a hot restart.
 func TestLearnedStateEncodingIsStable(t *testing.T) {
 	state := decide.LearnedState{Server: 7, Load: 0.5, Age: time.Second, LoadPerConnection: 0.25, ConsecutiveFailures: 2,
 		EjectedFor: 3 * time.Second}
--- a/internal/core/reconnect_test.go
+++ b/internal/core/reconnect_test.go
@@ -8,7 +8,7 @@
 	"cottonplank/decide"
 )
 
-// fakeDialer is a Discovery whose dials the test answers.
+// fakeDialer is a Discovery and a Dialer. The test receives each dial from dials and reports its result.
 type fakeDialer struct {
 	fakeDiscovery
 	dials chan dialRequest
@@ -35,7 +35,7 @@
 	}
 }
 
-// startDialingEngine runs an engine whose first poll comes at once.
+// startDialingEngine runs an engine with a Dialer and a short poll interval, so that it opens its first watch early.
 func startDialingEngine(t *testing.T) (*Engine, *fakeDialer) {
 	t.Helper()
 	f := &fakeDialer{dials: make(chan dialRequest, 10)}
@@ -50,7 +50,8 @@
 	return engine, f
 }
 
-// A watch that the Discovery has dropped without any report is opened again after its time-out.
+// A watch that the Discovery has dropped without a report is opened again after its time-out. Otherwise the engine
+// would wait for its answer forever.
 func TestUnansweredWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	engine, f := startEngineWith(t, Config{Settings: decide.Settings{WatchList: true}})
@@ -58,8 +59,8 @@
 	f.waitForWatches(t, 2)
 }
 
-// While discovery is unreachable the engine dials it and makes no calls. A dial that hangs is cancelled and
-// repeated, and its late result is ignored. The first dial that succeeds is followed by one call.
+// While discovery is unreachable, the engine dials it and makes no calls. A dial that hangs is cancelled and
+// repeated, and its late result is ignored. The first successful dial is followed by one call and no further dial.
 func TestDiscoveryIsDialedUntilReachable(t *testing.T) {
 	t.Parallel()
 	engine, f := startDialingEngine(t)
@@ -77,19 +78,19 @@
 	nextSnapshot(engine)
 	f.mu.Lock()
 	if n := len(f.watchContexts); n != 1 {
-		t.Errorf("%d watches were opened before a dial succeeded, want the first alone", n)
+		t.Errorf("%d watches were opened before a dial succeeded, want only the first one", n)
 	}
 	f.mu.Unlock()
 	again.done(true)
 	f.waitForWatches(t, 2)
 	nextSnapshot(engine)
 	if n := len(f.dials); n > 0 {
-		t.Errorf("%d more dials", n)
+		t.Errorf("%d more dials after a dial succeeded, want none", n)
 	}
 }
 
-// A heartbeat of an open watch ends the reconnect, as no change is missed; one of a watch at a former address
-// does not.
+// A heartbeat of an open watch ends the reconnect, because that watch has missed no change. A heartbeat of a watch at
+// a previous address does not end it.
 func TestOnlyCurrentWatchesConfirmDiscovery(t *testing.T) {
 	t.Parallel()
 	engine, f := startDialingEngine(t)
@@ -105,8 +106,8 @@
 	engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed}) // a fetch beside the watch
 	engine.WatchAlive(3)
 	nextSnapshot(engine)
-	time.Sleep(2 * time.Second) // a dial would start 1.5 s after the failure at the latest
+	time.Sleep(2 * time.Second) // without the heartbeat, a dial would start at most 1.5 s after the failure
 	if n := len(f.dials); n > 0 {
-		t.Errorf("%d dials although a watch is alive", n)
+		t.Errorf("%d dials although a watch sends heartbeats, want none", n)
 	}
 }
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -7,8 +7,8 @@
 	"cottonplank/decide"
 )
 
-// The restore of a connection waits for its server to be listed and is retried when an attempt fails. The
-// decision module counts the attempt that succeeds as attempt 0.
+// The restore of a connection waits until its server is listed, and is retried after an attempt has failed. The
+// decision module counts the successful attempt as attempt 0.
 func TestRestoreConnectionRetries(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10)
@@ -29,11 +29,11 @@
 	s := nextDetailedSnapshot(engine)
 	connections := s.Upstreams[0].Connections + s.Upstreams[1].Connections
 	if s.Restored != 1 || s.Served != 1 || s.Clients > 0 || connections > 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("want one restored request and no open connection, got snapshot %+v", s)
 	}
 }
 
-// Without patience the restore fails at once if the server is not listed.
+// With a patience of 0, the restore fails immediately if the server is not listed.
 func TestRestoreConnectionFailsAfterPatience(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10)
--- a/internal/core/service_test.go
+++ b/internal/core/service_test.go
@@ -8,7 +8,8 @@
 	"cottonplank/decide"
 )
 
-// A process that takes over becomes ready with the first list, or when the previous process has ended.
+// A process that replaces another one becomes ready when the first list arrives or when the previous process has
+// ended, but not when a discovery call has failed.
 func TestReadyAfterFirstListOrSkip(t *testing.T) {
 	t.Parallel()
 	for name, finishStart := range map[string]func(*Engine){
@@ -26,27 +27,27 @@
 			}}, f)
 			engine.EndpointsUpdated(EndpointUpdate{Kind: decide.ListFailed})
 			if s := engine.CurrentSnapshot(10 * time.Second); s.Service != Starting {
-				t.Errorf("state before the list: %v", s.Service)
+				t.Errorf("before the list, the state is %v, want starting", s.Service)
 			}
 			f.mu.Lock()
 			if len(f.requests) != 1 {
-				t.Errorf("requests to discovery are %q, want one at once", f.requests)
+				t.Errorf("requests to discovery are %q, want one right after the start", f.requests)
 			}
 			f.mu.Unlock()
 			finishStart(engine)
 			select {
 			case <-engine.Ready():
 			case <-time.After(10 * time.Second):
-				t.Fatal("not ready")
+				t.Fatal("the channel of Ready was not closed")
 			}
 			if engine.ServiceState() != Serving {
-				t.Errorf("state after it: %v", engine.ServiceState())
+				t.Errorf("after Ready, the state is %v, want serving", engine.ServiceState())
 			}
 		})
 	}
 }
 
-// Callers never wait longer than they asked for, even if the event loop hangs or the inbox is full.
+// Callers never wait longer than the time that they pass, even if the event loop hangs or the inbox is full.
 func TestQueriesAreBoundedWhileEngineIsBusy(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
@@ -55,15 +56,15 @@
 	<-busy
 	defer close(release)
 	if s := engine.CurrentSnapshot(50 * time.Millisecond); s.Listed != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("got snapshot %+v, want the latest published one with one listed server", s)
 	}
 	if err := engine.EnterLameDuck(50 * time.Millisecond); !errors.Is(err, ErrBusy) {
-		t.Errorf("a function that was not run: %v, want %v", err, ErrBusy)
+		t.Errorf("a call that the event loop does not execute returns error %v, want %v", err, ErrBusy)
 	}
 	for len(engine.inbox) < cap(engine.inbox) {
 		engine.post(func() {})
 	}
 	if err := engine.LeaveLameDuck(50 * time.Millisecond); !errors.Is(err, ErrBusy) {
-		t.Errorf("a function that did not fit into the inbox: %v, want %v", err, ErrBusy)
+		t.Errorf("a call that does not fit into the inbox returns error %v, want %v", err, ErrBusy)
 	}
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -35,8 +35,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// newStoppedEngine returns an engine with n endpoints whose event loop does not run, so that the test may
-// call its methods.
+// newStoppedEngine returns an engine with n endpoints whose event loop does not run, so that the test may call
+// methods that belong to the event loop.
 func newStoppedEngine(t testing.TB, n int) *Engine {
 	t.Helper()
 	engine, err := New(Config{
@@ -57,8 +57,8 @@
 	return engine
 }
 
-// The costs of a snapshot and of a change of one endpoint do not grow with the list. A detailed snapshot is
-// taken on request alone, once for all requests within snapshotInterval.
+// The memory that a snapshot and a change of one endpoint allocate does not grow with the list. A detailed snapshot
+// is taken only on request, and one serves all requests within snapshotInterval.
 func TestSnapshotCostIsIndependentOfListSize(t *testing.T) {
 	const (
 		times    = 100
@@ -73,10 +73,11 @@
 				}
 			})
 			if got := snapshots / times; got > maxBytes {
-				t.Errorf("a snapshot takes %d bytes", got)
+				t.Errorf("a snapshot allocates %d bytes", got)
 			}
 			if s := engine.Snapshot(); s.Listed != n || s.Ejected != 0 || s.Upstreams != nil {
-				t.Errorf("%d listed, %d ejected, %d entries", s.Listed, s.Ejected, len(s.Upstreams))
+				t.Errorf("got %d listed, %d ejected, %d entries, want all listed, none ejected and no entries",
+					s.Listed, s.Ejected, len(s.Upstreams))
 			}
 			one := readyEndpoints(1)
 			changes := allocatedBytes(func() {
@@ -86,7 +87,7 @@
 				}
 			})
 			if got := changes / times; got > maxBytes {
-				t.Errorf("a change takes %d bytes", got)
+				t.Errorf("a change of one endpoint allocates %d bytes", got)
 			}
 			first := allocatedBytes(engine.publishDetailed)
 			further := allocatedBytes(func() {
@@ -95,18 +96,19 @@
 				}
 			})
 			if first < uint64(n)*64 || further > maxBytes {
-				t.Errorf("a detailed snapshot takes %d bytes, %d further requests take %d", first, times, further)
+				t.Errorf("a detailed snapshot allocates %d bytes, %d further requests allocate %d", first, times, further)
 			}
 			engine.now += detailedRetention + time.Second
 			if engine.publish(); engine.detailedSnapshot.Load() != nil {
-				t.Error("a detailed snapshot is kept although nobody requests it")
+				t.Error("a detailed snapshot is kept after detailedRetention")
 			}
 		})
 	}
 }
 
-// The entries of a detailed snapshot are sorted and current, and the counts of servers agree with them after
-// any change.
+// The entries of a detailed snapshot are sorted and up to date, and the counts of servers in a snapshot agree with
+// them. The engine updates these counts with each change of the list, so a mistake in one change would make them
+// wrong from then on.
 func TestCountsAgreeWithDetailedSnapshot(t *testing.T) {
 	t.Parallel()
 	all := readyEndpoints(300)
@@ -136,31 +138,33 @@
 		name   string
 		change func()
 		listed int
-		// maxEjected bounds the draining and ejected servers: an ejection may have ended by itself.
+		// maxEjected is the maximum count of draining and ejected servers; there are fewer if an ejection has
+		// expired.
 		maxEjected int
 	}{
 		{"start", func() {}, 300, 0},
 		{"20 drain", setState(decide.Draining, 0, 20), 300, 20},
-		{"10 of them again", setState(decide.Draining, 10, 20), 300, 20},
-		{"5 of them are removed", setState(decide.Removed, 0, 5), 295, 15},
-		{"and again", setState(decide.Removed, 0, 5), 295, 15},
+		{"10 of the draining are reported as draining again", setState(decide.Draining, 10, 20), 300, 20},
+		{"5 of the draining are removed", setState(decide.Removed, 0, 5), 295, 15},
+		{"the 5 removed are reported as removed again", setState(decide.Removed, 0, 5), 295, 15},
 		{"2 are ejected", eject(all[100], all[101]), 295, 17},
 		{"one ejected drains", setState(decide.Draining, 100, 101), 295, 17},
-		{"the other is removed", setState(decide.Removed, 101, 102), 294, 16},
+		{"the other ejected is removed", setState(decide.Removed, 101, 102), 294, 16},
 		{"the first 20 are ready", setState(decide.Ready, 0, 20), 299, 1},
-		{"a snapshot lists 200, 2 of them still ejected", replaceList(all[:200]), 200, 2},
+		{"a snapshot lists 200, up to 2 of them ejected", replaceList(all[:200]), 200, 2},
 		{"a snapshot is empty", replaceList(nil), 0, 0},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			step.change()
 			s := engine.CurrentSnapshot(10 * time.Second)
 			if s.Listed != step.listed || s.Ejected > step.maxEjected {
-				t.Errorf("%d listed and %d ejected, want %d and at most %d", s.Listed, s.Ejected, step.listed, step.maxEjected)
+				t.Errorf("got %d listed, %d ejected, want %d listed, at most %d ejected",
+					s.Listed, s.Ejected, step.listed, step.maxEjected)
 			}
 			detailed := nextDetailedSnapshot(engine)
 			s, listed, ejected := countUpstreams(engine)
 			if s.Listed != listed || s.Ejected != ejected || len(detailed.Upstreams) != listed {
-				t.Errorf("%d listed, %d ejected, %d entries, want %d and %d",
+				t.Errorf("got %d listed, %d ejected, %d entries, want %d listed and as many entries, %d ejected",
 					s.Listed, s.Ejected, len(detailed.Upstreams), listed, ejected)
 			}
 			for i := range detailed.Upstreams[min(1, len(detailed.Upstreams)):] {
@@ -172,8 +176,8 @@
 	}
 }
 
-// countUpstreams visits all servers to count those that are listed, and those of them that are draining or
-// ejected. It returns a snapshot of the same moment.
+// countUpstreams visits all servers to count the listed ones, and among these the draining and ejected ones. It
+// returns a snapshot that was taken at the same time.
 func countUpstreams(engine *Engine) (s *Snapshot, listed, ejected int) {
 	done := make(chan struct{})
 	engine.post(func() {
@@ -194,8 +198,8 @@
 	return s, listed, ejected
 }
 
-// BenchmarkEndpointList measures snapshots, detailed snapshots and changes of the list by its size. "change
-// decided" is the decision module's part of "change".
+// BenchmarkEndpointList measures snapshots, detailed snapshots ("rows") and changes of the list for different list
+// sizes. "change decided" is the part of "change" that the decision module takes.
 func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range listSizes {
 		engine := newStoppedEngine(b, n)
--- a/internal/core/statistics_test.go
+++ b/internal/core/statistics_test.go
@@ -22,6 +22,6 @@
 		t.Errorf("class 0: %+v, want %+v", got, want)
 	}
 	if s.Malformed != 1 || s.Failed != 1 || s.Established != 1 || s.Waiting != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("want one malformed request, which also counts as failed, and one established; got snapshot %+v", s)
 	}
 }
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -21,14 +21,14 @@
 	queue.stop(nil)
 	queue.runExpired(2)
 	if !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("the first run ran %q", got)
+		t.Errorf("the first call of runExpired ran %q, want a and b", got)
 	}
 	queue.runExpired(2)
 	queue.runExpired(3)
 	if !slices.Equal(got, []string{"a", "b", "next run", "c"}) {
-		t.Errorf("all runs ran %q", got)
+		t.Errorf("all calls of runExpired ran %q, want a, b, next run, c", got)
 	}
 	if _, ok := queue.next(); ok {
-		t.Error("a timer is left")
+		t.Error("the queue has a timer left after all have run")
 	}
 }
