--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -20,7 +20,8 @@
 	// requestIDRetention is how long the ID of a request stays reserved after its connection was closed. Other
 	// connections that were opened before with a copy of the same request may still wait to be accepted.
 	requestIDRetention = 10 * time.Second
-	// overloadRetryAfter is the retry-after of requests that are rejected beyond Config.MaxClients or during a drain.
+	// overloadRetryAfter is the retry-after of requests that are rejected without the decision module: those beyond
+	// Config.MaxClients, and those that arrive in the last part of a drain.
 	overloadRetryAfter = time.Second
 	// unknownClass is the class of a request before its first line was read, or if that line names no class.
 	unknownClass = -1
@@ -73,8 +74,8 @@
 	// Linger is how long a finished client connection may stay open for the client to read the answer; 0
 	// means 500 ms.
 	Linger time.Duration
-	// Idle is how long an established connection may stay without traffic before it is closed; 0 means forever. It is
-	// meant for transports that do not show the end of a connection.
+	// Idle is how long an established connection may stay without traffic before it is closed; 0 disables the
+	// time-out. It is meant for transports that do not show the end of a connection.
 	Idle time.Duration
 	// Resumable says that the connection survives the end of this process: a planned stop leaves it open for the
 	// process that starts next.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -79,7 +79,7 @@
 	Address string
 }
 
-// Prober sends health checks to servers. Its methods must not block.
+// Prober sends probes to servers. Its methods must not block.
 type Prober interface {
 	// Probe requests a load report. The implementation passes the result to Engine.ProbeCompleted with the same seq,
 	// unless ctx ends first.
--- a/internal/core/lameduck.go
+++ b/internal/core/lameduck.go
@@ -4,7 +4,8 @@
 
 // Times of a lame duck, measured from the call of EnterLameDuck.
 const (
-	// lameDuckMigrationStart is when the migrations start. Until then, new clients may still arrive.
+	// lameDuckMigrationStart is when the migrations start. They do not start immediately, because frontends still
+	// accept clients for a while.
 	lameDuckMigrationStart = 500 * time.Millisecond
 	// lameDuckMigrationEnd is when the last clients are migrated. Clients that no longer read are disconnected
 	// migrationTimeout later.
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -36,7 +36,7 @@
 // ServiceState returns the state of the latest published snapshot. It never waits for the event loop.
 func (e *Engine) ServiceState() ServiceState { return e.snapshot.Load().Service }
 
-// setServiceState changes the state and publishes it at once.
+// setServiceState changes the state and publishes it immediately.
 func (e *Engine) setServiceState(s ServiceState) {
 	e.service = s
 	e.cfg.Log("service state: " + s.String())
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -6,7 +6,8 @@
 	"cottonplank/decide"
 )
 
-// answerReserve is how long before the client's deadline an attempt must end, so that the answer arrives in time.
+// answerReserve is the time that StateFetched leaves between the attempt's time-out and the client's deadline, for
+// the final answer.
 const answerReserve = 20 * time.Millisecond
 
 // LocateHolder requests the address of the server that holds the session of attempt n, whose instance name is given.
--- a/internal/core/upstreams.go
+++ b/internal/core/upstreams.go
@@ -13,7 +13,7 @@
 	started time.Time
 	state   decide.State
 	// drainNotifiedAt is when this process received the list update after which the server was no longer ready. It is
-	// 0 for a ready server, and for one that was not ready in the list that was restored at the start either.
+	// 0 for a ready server, and for one that already was not ready in the list that was restored at the start.
 	drainNotifiedAt time.Duration
 	// connections counts the established connections.
 	connections int
