--- a/internal/frontend/quic/close_frame.go
+++ b/internal/frontend/quic/close_frame.go
@@ -11,8 +11,8 @@
 	connectionRefused = 0x2
 )
 
-// Types of the frames that Initial packets may contain (RFC 9000, section 12.4), and the CONNECTION_CLOSE frame of
-// applications, which some implementations send there too.
+// Types of the frames that Initial packets may contain (RFC 9000, section 12.4). frameApplicationClose is not allowed
+// there, but some implementations send it in Initial packets.
 const (
 	framePadding          = 0x00
 	framePing             = 0x01
@@ -32,18 +32,18 @@
 }
 
 // newClosePacket returns a server's Initial packet with a CONNECTION_CLOSE frame, which rejects or ends a connection.
-// originalID is the destination connection ID of the client's first Initial packet; clientID and serverID are the
-// connection IDs by which the client knows the two sides.
+// originalID is the destination connection ID of the client's first Initial packet. clientID and serverID are the
+// destination and the source connection ID of the new packet.
 func newClosePacket(originalID, clientID, serverID []byte, code uint64, reason string) ([]byte, error) {
 	keys, err := newInitialKeys(originalID, serverInitialLabel)
 	if err != nil {
 		return nil, err
 	}
 	frame := appendVarint([]byte{frameConnectionClose}, code)
-	frame = appendVarint(frame, framePadding) // the type of the frame that has caused the error: unknown
+	frame = appendVarint(frame, framePadding) // the type of the frame that caused the error; 0 means unknown
 	frame = appendVarint(frame, uint64(len(reason)))
 	frame = append(frame, reason...)
-	for len(frame) < sampleOffset { // so that there is a sample for header protection
+	for len(frame) < sampleOffset { // so that the packet is long enough for the sample for header protection
 		frame = append(frame, framePadding)
 	}
 	const numberLength = 1
@@ -55,8 +55,8 @@
 	return keys.protect(header, numberLength, 0, frame), nil
 }
 
-// retryAfterReason returns the reason phrase that tells a rejected client when to retry. It is empty if retryAfter is
-// not above 0.
+// retryAfterReason returns the reason phrase that contains the time after which a rejected client may retry. It is
+// empty if retryAfter is not above 0.
 func retryAfterReason(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return ""
@@ -65,7 +65,7 @@
 }
 
 // findClose returns the first CONNECTION_CLOSE frame in the payload of an Initial packet, or nil if there is none. It
-// returns errMalformedPacket for frames that are cut short or not allowed in Initial packets.
+// returns errMalformedPacket if it finds a truncated frame or a frame type that has no constant in this file.
 func findClose(payload []byte) (*closeFrame, error) {
 	r := packetReader{data: payload}
 	for !r.done() {
@@ -88,12 +88,12 @@
 	return nil, nil
 }
 
-// readClose reads a CONNECTION_CLOSE frame after its type.
+// readClose reads the fields of a CONNECTION_CLOSE frame that follow its type.
 func readClose(r *packetReader, frameType uint64) (*closeFrame, error) {
 	var closed closeFrame
 	closed.code = r.varint()
 	if frameType == frameConnectionClose {
-		r.varint() // the type of the frame that has caused the error
+		r.varint() // the type of the frame that caused the error
 	}
 	closed.reason = string(r.bytes(r.varint()))
 	if r.truncated {
@@ -102,7 +102,7 @@
 	return &closed, nil
 }
 
-// skipACK skips an ACK frame after its type.
+// skipACK skips the fields of an ACK frame that follow its type.
 func skipACK(r *packetReader, frameType uint64) {
 	r.varint() // the largest acknowledged packet number
 	r.varint() // the delay
--- a/internal/frontend/quic/connection_id.go
+++ b/internal/frontend/quic/connection_id.go
@@ -17,18 +17,18 @@
 	minNonceLength = 4
 	// maxIDLength is the maximum length of a connection ID of version 1 (RFC 9000, section 17.2).
 	maxIDLength = 20
-	// maxConfigID is the greatest usable config ID. QUIC-LB reserves 7 for IDs that name no server.
+	// maxConfigID is the greatest config ID. QUIC-LB reserves 7 for connection IDs that encode no server ID.
 	maxConfigID = 6
 )
 
-// errForeignID means that a connection ID does not have the form of those that room servers issue.
-var errForeignID = errors.New("connection id is not in the room servers' form")
+// errOtherFormat means that a connection ID is not in the format of those that room servers issue.
+var errOtherFormat = errors.New("connection ID is not in the room servers' format")
 
 // IDFormat is the format of the connection IDs that room servers issue, according to QUIC-LB
-// (draft-ietf-quic-load-balancers). The first octet has the config ID in its upper three bits and the length of the
-// rest in the others. The server ID and a nonce follow, encrypted if there is a key.
+// (draft-ietf-quic-load-balancers). The first octet has the config ID in its upper three bits, and in the others the
+// length of the remaining octets. These are the server ID and a nonce, encrypted if there is a key.
 type IDFormat struct {
-	// configID distinguishes formats, from 0 to maxConfigID.
+	// configID identifies the format: 0 to maxConfigID.
 	configID byte
 	// nonceLength is the length of the nonce in bytes.
 	nonceLength int
@@ -36,22 +36,22 @@
 	block cipher.Block
 }
 
-// NewIDFormat returns the format with a config ID from 0 to 6, the length of the nonce in bytes and a key. The key has
-// 16 bytes, for AES-128, or is empty for plaintext.
+// NewIDFormat returns a format with a config ID from 0 to 6, a nonce length in bytes and a key. The key has 16 bytes,
+// for AES-128, or is empty for plaintext.
 func NewIDFormat(configID, nonceLength int, key []byte) (*IDFormat, error) {
 	f := &IDFormat{configID: byte(configID), nonceLength: nonceLength}
 	if configID < 0 || configID > maxConfigID {
-		return nil, fmt.Errorf("config id %d is not within 0 to %d", configID, maxConfigID)
+		return nil, fmt.Errorf("invalid config ID %d: expected 0 to %d", configID, maxConfigID)
 	}
 	if nonceLength < minNonceLength || f.Len() > maxIDLength {
 		maxNonceLength := maxIDLength - 1 - serverIDLength
-		return nil, fmt.Errorf("nonce length %d is not within %d to %d", nonceLength, minNonceLength, maxNonceLength)
+		return nil, fmt.Errorf("invalid nonce length %d: expected %d to %d", nonceLength, minNonceLength, maxNonceLength)
 	}
 	if len(key) == 0 {
 		return f, nil
 	}
 	if len(key) != aes.BlockSize {
-		return nil, fmt.Errorf("key has %d bytes, not %d", len(key), aes.BlockSize)
+		return nil, fmt.Errorf("invalid key of %d bytes: expected %d bytes", len(key), aes.BlockSize)
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
@@ -67,11 +67,11 @@
 // firstOctet returns the first octet of all connection IDs in this format.
 func (f *IDFormat) firstOctet() byte { return f.configID<<5 | byte(f.Len()-1) }
 
-// Encode returns the connection ID that a room server issues with the nonce. It returns an error if the nonce has
-// another length than the format's.
+// Encode returns the connection ID that encodes a room server and a nonce. It returns an error if the nonce does not
+// have the format's nonce length.
 func (f *IDFormat) Encode(server decide.ServerID, nonce []byte) ([]byte, error) {
 	if len(nonce) != f.nonceLength {
-		return nil, fmt.Errorf("nonce has %d bytes, not %d", len(nonce), f.nonceLength)
+		return nil, fmt.Errorf("invalid nonce of %d bytes: expected %d bytes", len(nonce), f.nonceLength)
 	}
 	id := make([]byte, 0, f.Len())
 	id = append(id, f.firstOctet())
@@ -83,10 +83,11 @@
 	return id, nil
 }
 
-// Decode returns the server that has issued a connection ID. It returns errForeignID if the ID has another format.
+// Decode returns the room server that a connection ID encodes. It returns errOtherFormat if the length or the first
+// octet is not the format's. Other contents are not checked, so the ID may encode a server that does not exist.
 func (f *IDFormat) Decode(id []byte) (decide.ServerID, error) {
 	if len(id) != f.Len() || id[0] != f.firstOctet() {
-		return 0, errForeignID
+		return 0, errOtherFormat
 	}
 	plaintext := clone(id[1:])
 	if f.block != nil {
--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -10,27 +10,30 @@
 )
 
 const (
-	// commandBacklog is the number of the engine's commands that may wait for a flow.
+	// commandBacklog is the capacity of a flow's queue of commands from the engine.
 	commandBacklog = 16
-	// clientBacklog is the number of client datagrams that may wait for a flow. Further ones are dropped, as on any
-	// path that is congested.
+	// clientBacklog is the capacity of a flow's queue of client datagrams. Further ones are dropped, as on a
+	// congested path.
 	clientBacklog = 64
-	// maxRetainedDatagrams is the number of a client's first datagrams that are retained for further attempts.
+	// maxRetainedDatagrams is the maximum number of a client's first datagrams that are retained to be sent again in
+	// further attempts.
 	maxRetainedDatagrams = 4
-	// maxPendingDatagrams is the number of a server's first datagrams that are held back until the connection is
-	// established.
+	// maxPendingDatagrams is the maximum number of a room server's first datagrams that are held back until the
+	// connection is established. Further ones are dropped.
 	maxPendingDatagrams = 16
 )
 
-// flow is one client connection. It implements core.ClientConn. The goroutine of run owns its fields, unless stated
-// otherwise.
+// flow is one client connection. It implements core.ClientConn. Its fields are owned by the goroutine of run, except
+// where a field's comment names another owner.
 type flow struct {
 	frontend *Frontend
 	call     *core.Call
 
-	// ids holds the connection IDs that lead to the flow, the oldest first. The router's goroutine owns it.
+	// ids holds the connection IDs whose packets are routed to the flow, the oldest first. The router's goroutine
+	// owns it.
 	ids []string
-	// routedFrom is the address of the latest datagram from the client. The router's goroutine owns it.
+	// routedFrom is the client address of the latest datagram that the router has delivered to the flow. The router's
+	// goroutine owns it.
 	routedFrom netip.AddrPort
 	// server is the room server of the established connection; 0 if there is none. The router's goroutine owns it.
 	server decide.ServerID
@@ -39,28 +42,30 @@
 	commands chan func()
 	// clientDatagrams passes client datagrams to run.
 	clientDatagrams chan clientDatagram
-	// serverDatagrams passes datagrams and errors of room servers' sockets to run.
+	// serverDatagrams passes datagrams and errors from the sockets of attempts to run.
 	serverDatagrams chan serverDatagram
 	// done is closed when run ends.
 	done chan struct{}
 
 	// originalID is the destination connection ID of the client's first Initial packet; nil if the flow is restored.
 	originalID []byte
-	// clientID is the connection ID that the client has chosen for itself; nil if the flow is restored.
+	// clientID is the source connection ID of the client's first Initial packet; nil if the flow is restored.
 	clientID []byte
-	// restored says that the connection was established before the flow began.
+	// restored says that the client and the room server had established the connection before this flow began.
 	restored bool
 	// clientAddress is the address of the latest datagram that run has received from the client.
 	clientAddress netip.AddrPort
 	// clientDatagramSize is the size of that datagram in bytes.
 	clientDatagramSize int
-	// usedServerID is the latest connection ID in use by the client that a room server has issued; nil if none.
-	usedServerID []byte
-	// chosenServerID is the connection ID that the room server has chosen for itself in its latest long header.
-	chosenServerID []byte
-	// retained holds the client's datagrams until the connection is established, for further attempts.
+	// lastDestinationID is the latest destination connection ID from the client that is in the room servers'
+	// format; nil if there is none.
+	lastDestinationID []byte
+	// lastServerSourceID is the source connection ID in the room server's latest long header; nil if there is none.
+	lastServerSourceID []byte
+	// retained holds the client's first datagrams until the connection is established. Each attempt sends them to its
+	// room server.
 	retained [][]byte
-	// pending holds the room server's datagrams until the connection is established.
+	// pending holds the room server's first datagrams until the connection is established.
 	pending [][]byte
 	// upstream is the socket of the current attempt; nil if there is none.
 	upstream *upstream
@@ -68,30 +73,30 @@
 	accepted bool
 	// established says that datagrams are forwarded in both directions.
 	established bool
-	// finalAnswer is the packet that has rejected the request; nil if there is none.
+	// finalAnswer is the packet that has rejected or failed the request; nil if there is none.
 	finalAnswer []byte
-	// migrated says that the client was asked to reconnect elsewhere.
+	// migrated says that the client was made to reconnect, so that it gets another room server.
 	migrated bool
 	// ended makes run end.
 	ended bool
 
-	// unansweredSince is when the client sent the oldest datagram after the latest one of the room server; zero if
-	// there is none.
+	// unansweredSince is the arrival time of the first client datagram after the room server's latest datagram; zero
+	// if there is none.
 	unansweredSince time.Time
-	// responseAwaited says that the engine was told to wait for the room server's response.
+	// responseAwaited says that the engine is waiting for a response from the room server.
 	responseAwaited bool
-	// trafficReported is when the engine was last told of traffic.
+	// trafficReported is the time of the latest report of traffic to the engine.
 	trafficReported time.Time
 }
 
-// clientDatagram is a datagram from the client and its parsed packet.
+// clientDatagram is a datagram from the client and its first packet, parsed.
 type clientDatagram struct {
 	datagram
 	packet packet
 }
 
-// newFlow returns a flow for a client address. Its call has to be set before run, and what is known of its connection
-// IDs before the first datagram is delivered.
+// newFlow returns a flow for a client address. The caller sets the field call before it starts run, and originalID,
+// clientID and restored before it delivers the first datagram.
 func newFlow(frontend *Frontend, from netip.AddrPort) *flow {
 	return &flow{
 		frontend:        frontend,
@@ -126,8 +131,8 @@
 	}
 }
 
-// deliver passes a datagram from the client to run. The router calls it and must not wait, so a datagram that finds the
-// backlog full is dropped.
+// deliver passes a datagram from the client to run. It drops the datagram if the queue is full, because it is called
+// by the router, which must not block.
 func (fl *flow) deliver(d datagram, p packet) {
 	fl.routedFrom = d.from
 	select {
@@ -136,7 +141,8 @@
 	}
 }
 
-// post passes a command of the engine to run. The engine must not wait.
+// post passes a command of the engine to run. It drops the command if the queue is full, because it is called by the
+// engine's event loop, which must not block.
 func (fl *flow) post(command func()) {
 	select {
 	case fl.commands <- command:
--- a/internal/frontend/quic/flow_attempt.go
+++ b/internal/frontend/quic/flow_attempt.go
@@ -8,31 +8,32 @@
 	"cottonplank/internal/core"
 )
 
-// upstream is the socket of one attempt. Each attempt has its own, so that late datagrams of a cancelled attempt do not
-// reach the client.
+// upstream is the socket of one attempt. Each attempt has its own socket, so that late datagrams from the room server
+// of an earlier attempt do not reach the client.
 type upstream struct {
 	// attempt is the number of the attempt.
 	attempt int
 	// server is the attempt's room server.
 	server decide.ServerID
-	// conn is connected to the server, so that it reports when the server's port is closed.
+	// conn is connected to the server's address, so that it returns an error if the server's port is closed.
 	conn *net.UDPConn
 }
 
-// serverDatagram is a datagram from a room server, or the error that ends its socket.
+// serverDatagram is a datagram from a room server, or the error that has ended the reading from its socket.
 type serverDatagram struct {
-	// upstream is the socket that has received the datagram. A late one is not that of the current attempt.
+	// upstream is the socket that has received the datagram. It may belong to an attempt that has ended.
 	upstream *upstream
 	// raw is the datagram; nil if there is an error.
 	raw []byte
-	// err is the error that has ended the socket; nil if there is a datagram.
+	// err is the error of the socket; nil if there is a datagram.
 	err error
 }
 
-// startAttempt begins an attempt and sends what the client has sent so far.
+// startAttempt opens a socket to the attempt's room server and sends it the client's retained datagrams.
 func (fl *flow) startAttempt(attempt core.Attempt) {
 	fl.closeUpstream()
-	// The client's close may wait behind this command: then there must be no attempt.
+	// Client datagrams that have arrived before this command may still be queued. They are handled first: if one of
+	// them closes the connection, there must be no attempt.
 	for len(fl.clientDatagrams) > 0 {
 		fl.handleClientDatagram(<-fl.clientDatagrams)
 	}
@@ -48,10 +49,11 @@
 	}
 	up := &upstream{attempt: attempt.Number, server: attempt.Upstream.ID, conn: conn}
 	fl.upstream = up
-	fl.frontend.actors.Go(func() { fl.readServer(up) })
+	fl.frontend.goroutines.Go(func() { fl.readServer(up) })
 	engine.AttemptSent(fl.call, attempt.Number)
 	if fl.restored {
-		// The room server has the connection already. What the client has sent follows when it is established.
+		// The room server already has the connection, so there is no handshake to wait for. establish sends it the
+		// client's retained datagrams.
 		fl.accepted = true
 		engine.AttemptAccepted(fl.call, attempt.Number)
 		return
@@ -61,7 +63,7 @@
 	}
 }
 
-// dialServer returns a socket that is connected to a room server.
+// dialServer returns a UDP socket that is connected to a room server's address.
 func dialServer(address string) (*net.UDPConn, error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -70,8 +72,8 @@
 	return net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrPort))
 }
 
-// readServer passes a room server's datagrams to run, until its socket fails or is closed. It has a goroutine of its
-// own.
+// readServer passes a room server's datagrams to run, until reading from the socket fails or the socket is closed. It
+// runs in its own goroutine.
 func (fl *flow) readServer(up *upstream) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -99,14 +101,16 @@
 	}
 }
 
-// sendToServer sends a datagram to the attempt's room server. If the server's port is closed, readServer gets an error.
+// sendToServer sends a datagram to the room server of the current attempt, if there is one. Errors are ignored: if
+// the server's port is closed, readServer gets an error too.
 func (fl *flow) sendToServer(raw []byte) {
 	if fl.upstream != nil {
 		fl.upstream.conn.Write(raw)
 	}
 }
 
-// establish forwards the room server's pending datagrams and all that follow.
+// establish marks the connection as established and forwards the room server's pending datagrams to the client. From
+// then on datagrams are forwarded in both directions.
 func (fl *flow) establish(n int) {
 	if fl.upstream == nil || fl.upstream.attempt != n {
 		return
@@ -121,15 +125,16 @@
 	}
 	for _, raw := range fl.pending {
 		if p, err := parsePacket(raw, len(fl.clientID)); err == nil {
-			fl.addChosenServerID(p)
+			fl.addServerSourceID(p)
 		}
 		fl.frontend.send(raw, fl.clientAddress)
 	}
 	fl.retained, fl.pending = nil, nil
 }
 
-// cancelAttempt ends an attempt that has no answer. Since UDP has no connections, the client's datagrams were sent when
-// the attempt began; why may not say then that it never executed.
+// cancelAttempt ends attempt n if the room server has not accepted it. The client's datagrams were sent when the
+// attempt began, since UDP has no handshake. The attempt may therefore have been executed, and a cancellation is
+// ignored if why says that the attempt was never executed.
 func (fl *flow) cancelAttempt(n int, why decide.Code) {
 	if fl.upstream != nil && fl.upstream.attempt == n && !fl.accepted && !why.NeverExecuted() {
 		fl.endAttempt(why)
--- a/internal/frontend/quic/flow_close.go
+++ b/internal/frontend/quic/flow_close.go
@@ -3,7 +3,8 @@
 import "cottonplank/decide"
 
 // migrate makes the client of an established connection reconnect, so that it gets another room server. The flow
-// remains for a while: else the client's next packet would restore the connection at the old server.
+// remains for flowLinger. Without the flow, the client's next packet would restore the connection at the previous
+// server.
 func (fl *flow) migrate() {
 	if fl.established && fl.upstream != nil {
 		fl.resetClient()
@@ -12,12 +13,12 @@
 	}
 }
 
-// answer sends the final answer to the client's request. The flow remains for a while, since the client repeats its
-// Initial packet if the answer is lost.
+// answer sends the final answer to the client's request: a CONNECTION_CLOSE frame with the given error code and
+// reason phrase. The flow remains for flowLinger, since the client repeats its Initial packet if the answer is lost.
 func (fl *flow) answer(code uint64, reason string) {
 	fl.closeUpstream()
 	if fl.restored {
-		// Only the room server that is not available could continue the connection.
+		// An established connection can continue only at its own room server, which is not available.
 		fl.resetClient()
 		fl.ended = true
 		return
@@ -32,11 +33,11 @@
 	fl.frontend.send(raw, fl.clientAddress)
 }
 
-// resetClient ends the connection at the client: with a stateless reset if the client uses a connection ID that a room
-// server has issued, else with an Initial packet.
+// resetClient ends the connection on the client's side: with a stateless reset if the client uses a connection ID in
+// the room servers' format, else with a CONNECTION_CLOSE frame in an Initial packet.
 func (fl *flow) resetClient() {
-	if fl.usedServerID != nil {
-		fl.frontend.sendReset(fl.usedServerID, fl.clientDatagramSize, fl.clientAddress)
+	if fl.lastDestinationID != nil {
+		fl.frontend.sendReset(fl.lastDestinationID, fl.clientDatagramSize, fl.clientAddress)
 		return
 	}
 	if fl.originalID == nil {
--- a/internal/frontend/quic/flow_datagrams.go
+++ b/internal/frontend/quic/flow_datagrams.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// responseDelay is the time after which a further client datagram makes a response expected. A single datagram
-	// need not have one: it may be an acknowledgement.
+	// responseDelay is how long the room server may leave the client's datagrams unanswered until a further datagram
+	// makes the engine wait for a response. A single datagram may need no response: it may be an acknowledgement.
 	responseDelay = 300 * time.Millisecond
-	// trafficReportsPerIdle is how often traffic is reported to the engine within Config.Idle.
+	// trafficReportsPerIdle is the maximum number of reports of traffic to the engine within Config.Idle.
 	trafficReportsPerIdle = 8
 )
 
-// handleClientDatagram handles a datagram from the client, whatever its address.
+// handleClientDatagram handles a datagram from the client. The client's address may have changed.
 func (fl *flow) handleClientDatagram(d clientDatagram) {
 	fl.clientAddress, fl.clientDatagramSize = d.from, len(d.raw)
 	if _, err := fl.frontend.cfg.IDs.Decode(d.packet.destinationID); err == nil {
-		fl.usedServerID = d.packet.destinationID
+		fl.lastDestinationID = d.packet.destinationID
 	}
 	switch {
 	case fl.migrated:
@@ -33,7 +33,7 @@
 		fl.reportTraffic()
 		fl.sendToServer(d.raw)
 	case fl.decryptClose(clientInitialLabel, d.raw, d.packet) != nil:
-		fl.sendToServer(d.raw) // so that the attempt's room server gets the close
+		fl.sendToServer(d.raw) // the room server of the current attempt needs the close too
 		fl.ended = true
 	default:
 		if len(fl.retained) < maxRetainedDatagrams {
@@ -43,7 +43,7 @@
 	}
 }
 
-// expectResponse makes the engine wait for a response if the client goes on sending without one.
+// expectResponse makes the engine wait for a response if the client still sends after responseDelay without one.
 func (fl *flow) expectResponse() {
 	now := time.Now()
 	if fl.unansweredSince.IsZero() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// responseReceived notes that the room server has sent something.
+// responseReceived records that the room server has sent a datagram, and ends the engine's wait for a response.
 func (fl *flow) responseReceived() {
 	fl.unansweredSince = time.Time{}
 	if fl.responseAwaited {
@@ -66,7 +66,8 @@
 	fl.reportTraffic()
 }
 
-// reportTraffic tells the engine, from time to time, that the connection is in use.
+// reportTraffic reports to the engine that the connection has traffic, at most trafficReportsPerIdle times within
+// Config.Idle.
 func (fl *flow) reportTraffic() {
 	now := time.Now()
 	if now.Sub(fl.trafficReported) > fl.frontend.cfg.Idle/trafficReportsPerIdle {
@@ -75,7 +76,7 @@
 	}
 }
 
-// handleServerDatagram handles a datagram from the attempt's room server, or the failure of its socket.
+// handleServerDatagram handles a datagram from the room server of the current attempt, or an error of its socket.
 func (fl *flow) handleServerDatagram(d serverDatagram) {
 	if d.err != nil {
 		fl.handleServerError(d.err)
@@ -92,24 +93,26 @@
 	case closed != nil:
 		fl.serverRejected(closed)
 	case !fl.restored && !fl.isResponseToInitial(p):
-		return // not for this client
+		return // a packet with another connection ID, or not a response to an Initial packet
 	default:
 		fl.serverAccepted(d.raw)
 	}
 }
 
-// forwardToClient forwards a datagram of an established connection, and ends the connection if the datagram does.
+// forwardToClient forwards a room server's datagram of an established connection to the client. The connection ends
+// if closed is set, which means that the datagram has a CONNECTION_CLOSE frame, or if the datagram is a stateless
+// reset.
 func (fl *flow) forwardToClient(raw []byte, p packet, closed bool) {
 	fl.responseReceived()
-	fl.addChosenServerID(p)
+	fl.addServerSourceID(p)
 	fl.frontend.send(raw, fl.clientAddress)
 	if closed || fl.isServerReset(raw, p) {
 		fl.endConnection(decide.Reset)
 	}
 }
 
-// serverRejected ends an attempt that the room server has rejected. Another server may accept the client, so the client
-// does not get this answer.
+// serverRejected ends an attempt that the room server has closed with a CONNECTION_CLOSE frame. The frame is not
+// forwarded to the client, since another room server may accept the client.
 func (fl *flow) serverRejected(closed *closeFrame) {
 	if closed.code == connectionRefused {
 		fl.endAttempt(decide.Rejected)
@@ -118,7 +121,8 @@
 	fl.endAttempt(decide.ServerError)
 }
 
-// serverAccepted holds a room server's datagram back until the connection is established.
+// serverAccepted stores a room server's datagram until the connection is established. The first datagram means that
+// the server has accepted the attempt.
 func (fl *flow) serverAccepted(raw []byte) {
 	if len(fl.pending) < maxPendingDatagrams {
 		fl.pending = append(fl.pending, raw)
@@ -129,12 +133,14 @@
 	}
 }
 
-// isResponseToInitial reports whether a room server's packet is for this client.
+// isResponseToInitial reports whether a room server's packet has a long header of version 1 and is addressed to the
+// client's connection ID.
 func (fl *flow) isResponseToInitial(p packet) bool {
 	return p.long && p.version == version1 && bytes.Equal(p.destinationID, fl.clientID)
 }
 
-// handleServerError handles the failure of a room server's socket, such as the ICMP error for a port that is closed.
+// handleServerError handles an error of the socket to a room server, such as ECONNREFUSED after an ICMP message that
+// the port is closed.
 func (fl *flow) handleServerError(err error) {
 	if errors.Is(err, net.ErrClosed) {
 		return
@@ -147,19 +153,19 @@
 	fl.endConnection(decide.Reset)
 }
 
-// addChosenServerID makes the connection ID that the room server has chosen for itself lead to this flow. It has to be
-// called before the client can learn the ID.
-func (fl *flow) addChosenServerID(p packet) {
-	if !p.long || len(p.sourceID) == 0 || bytes.Equal(p.sourceID, fl.chosenServerID) {
+// addServerSourceID adds the source connection ID of a room server's packet to the flow table. It must be called
+// before the packet is sent to the client, since the client then uses the ID as its destination connection ID.
+func (fl *flow) addServerSourceID(p packet) {
+	if !p.long || len(p.sourceID) == 0 || bytes.Equal(p.sourceID, fl.lastServerSourceID) {
 		return
 	}
 	id := clone(p.sourceID)
-	fl.chosenServerID = id
+	fl.lastServerSourceID = id
 	fl.frontend.runInRouter(func() { fl.frontend.flows.addID(fl, id) })
 }
 
-// decryptClose returns the CONNECTION_CLOSE frame in an Initial packet of the side with the given label, or nil. Later
-// packets are encrypted with keys that the balancer does not have.
+// decryptClose returns the CONNECTION_CLOSE frame in an Initial packet, or nil if there is none. label is the HKDF
+// label of the sender's keys. Only Initial packets are decrypted: the balancer has no keys for other packets.
 func (fl *flow) decryptClose(label string, raw []byte, p packet) *closeFrame {
 	if !p.isInitial() || fl.originalID == nil {
 		return nil
@@ -179,8 +185,8 @@
 	return closed
 }
 
-// isServerReset reports whether a room server's datagram is a stateless reset for the connection ID that the client
-// uses.
+// isServerReset reports whether a room server's datagram is a stateless reset for the client's latest destination
+// connection ID.
 func (fl *flow) isServerReset(raw []byte, p packet) bool {
-	return !p.long && fl.usedServerID != nil && isStatelessReset(raw, fl.frontend.cfg.ResetKey, fl.usedServerID)
+	return !p.long && fl.lastDestinationID != nil && isStatelessReset(raw, fl.frontend.cfg.ResetKey, fl.lastDestinationID)
 }
--- a/internal/frontend/quic/flow_table.go
+++ b/internal/frontend/quic/flow_table.go
@@ -6,10 +6,11 @@
 	"cottonplank/decide"
 )
 
-// maxFlowIDs limits the connection IDs of one flow, so that a client that invents IDs cannot fill the table.
+// maxFlowIDs limits the connection IDs of one flow, so that a client that makes up connection IDs cannot fill the
+// table.
 const maxFlowIDs = 16
 
-// flowTable finds flows by their connection IDs. The router's goroutine owns it.
+// flowTable holds the flows, indexed by their connection IDs. The router's goroutine owns it.
 type flowTable struct {
 	// byID holds the flow of each connection ID.
 	byID map[string]*flow
@@ -25,8 +26,8 @@
 	t.addID(fl, id)
 }
 
-// addID adds a connection ID of a flow, unless the ID is empty or in use. The flow loses its oldest ID if it has too
-// many.
+// addID adds a connection ID to a flow, unless the ID is empty or already in the table. If the flow has maxFlowIDs
+// connection IDs, its oldest one is removed.
 func (t *flowTable) addID(fl *flow, id []byte) {
 	if len(id) == 0 || t.byID[string(id)] != nil {
 		return
@@ -39,7 +40,7 @@
 	t.byID[string(id)] = fl
 }
 
-// remove removes a flow.
+// remove removes a flow and its connection IDs.
 func (t *flowTable) remove(fl *flow) {
 	t.count--
 	for _, id := range fl.ids {
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -1,10 +1,10 @@
-// Package quic is the frontend for QUIC clients. It routes UDP datagrams by their connection IDs and does not terminate
-// QUIC. A client's first Initial packet is a request to package core. Later packets carry connection IDs that room
-// servers have issued in QUIC-LB's format, so that each names its room server. A datagram that no room server can
-// answer gets a stateless reset.
+// Package quic is the frontend for QUIC clients. It routes UDP datagrams by their connection IDs and does not
+// terminate QUIC. A client's first Initial packet is passed to package core as a request. Later packets carry
+// connection IDs that room servers have issued in QUIC-LB's format, which encodes the room server. If no room server
+// can answer a datagram, its sender gets a stateless reset.
 //
-// Packets are parsed as far as they are not encrypted (RFC 8999 and RFC 9000). Initial packets are decrypted too, since
-// their keys are derived from a connection ID.
+// Only the unencrypted fields of packets are parsed (RFC 8999 and RFC 9000). Initial packets are also decrypted,
+// which is possible because their keys are derived from a connection ID.
 package quic
 
 import (
@@ -23,12 +23,12 @@
 )
 
 const (
-	// routerBacklog is the number of datagrams that may wait for the router.
+	// routerBacklog is the capacity of the queue of client datagrams to the router.
 	routerBacklog = 256
-	// maxRepliesPerSecond limits stateless resets and other replies to datagrams whose sender may be forged, so that
-	// the balancer cannot be abused to amplify traffic.
+	// maxRepliesPerSecond limits stateless resets and other replies to datagrams whose source address may be spoofed,
+	// so that the balancer cannot be abused to amplify traffic.
 	maxRepliesPerSecond = 100
-	// readBufferBytes is the size of the socket's read buffer.
+	// readBufferBytes is the size of the receive buffer of the socket for client datagrams.
 	readBufferBytes = 1 << 20
 )
 
@@ -38,19 +38,21 @@
 	Conn *net.UDPConn
 	// IDs is the format of the connection IDs that room servers issue.
 	IDs *IDFormat
-	// ResetKey is the key for stateless reset tokens, which the room servers share.
+	// ResetKey is the key for stateless reset tokens. The room servers use the same key.
 	ResetKey []byte
 	// Class is the class of all requests of this frontend.
 	Class int
-	// Timeout is the client timeout of a request.
+	// Timeout is the time after which a request that no room server has accepted is rejected or fails.
 	Timeout time.Duration
 	// Idle is the time without traffic after which an established connection is closed.
 	Idle time.Duration
-	// MaxFlows is the maximum number of flows. Requests beyond it are rejected.
+	// MaxFlows is the maximum number of flows. When it is reached, further requests are rejected, and datagrams of
+	// established connections that have no flow are dropped.
 	MaxFlows int
 }
 
-// Frontend routes the datagrams of clients. Each client connection is a flow with a goroutine of its own.
+// Frontend routes client datagrams to room servers, and their datagrams back to the clients. Each client connection
+// is a flow with its own goroutine.
 type Frontend struct {
 	cfg    Config
 	engine *core.Engine
@@ -58,14 +60,14 @@
 	conn   *net.UDPConn
 	// watchdog monitors the router; it may be nil.
 	watchdog core.Watchdog
-	// replyLimit limits replies to maxRepliesPerSecond.
+	// replyLimit enforces maxRepliesPerSecond.
 	replyLimit *rate.Limiter
-	// actors counts the goroutines of flows, of their sockets, and of readDatagrams.
-	actors sync.WaitGroup
+	// goroutines counts the running goroutines: flow.run, flow.readServer and readDatagrams.
+	goroutines sync.WaitGroup
 
-	// datagrams holds datagrams that wait for the router.
+	// datagrams passes client datagrams to the router.
 	datagrams chan datagram
-	// routerTasks passes functions to the router's goroutine.
+	// routerTasks passes functions to the router, which runs them in its goroutine.
 	routerTasks chan func()
 	// routerDone is closed when the router ends.
 	routerDone chan struct{}
@@ -73,7 +75,7 @@
 	flows flowTable
 }
 
-// datagram is a UDP datagram and its sender.
+// datagram is a UDP datagram and its sender's address.
 type datagram struct {
 	// from is the sender's address.
 	from netip.AddrPort
@@ -81,7 +83,7 @@
 	raw []byte
 }
 
-// New returns a frontend that reports to engine.
+// New returns a frontend that passes the requests of clients to engine. Serve runs it.
 func New(cfg Config, engine *core.Engine, log *logrus.Logger) *Frontend {
 	if err := cfg.Conn.SetReadBuffer(readBufferBytes); err != nil {
 		log.WithError(err).Warn("quic: cannot set the size of the read buffer")
@@ -105,15 +107,15 @@
 // SetWatchdog sets the watchdog of the router. It must be called before Serve.
 func (f *Frontend) SetWatchdog(watchdog core.Watchdog) { f.watchdog = watchdog }
 
-// Serve routes datagrams until ctx ends, then waits for all goroutines of the frontend. While pause holds the socket,
-// no datagrams are read, but what room servers send is still forwarded to clients.
+// Serve routes datagrams until ctx ends, then waits for all goroutines of the frontend. While the socket is paused,
+// no client datagrams are read, but datagrams from room servers are still forwarded to clients.
 func (f *Frontend) Serve(ctx context.Context, pause *hotrestart.Pauser) {
-	defer f.actors.Wait()
+	defer f.goroutines.Wait()
 	defer close(f.routerDone)
-	// The socket is not closed by context.AfterFunc: a deferred stop of that could cancel the close before it runs,
-	// and the reader would never end.
+	// The socket is closed here and not by context.AfterFunc: a deferred call of AfterFunc's stop function could
+	// cancel the close before it runs, and readDatagrams would never return.
 	defer f.conn.Close()
-	f.actors.Go(func() { f.readDatagrams(ctx, pause) })
+	f.goroutines.Go(func() { f.readDatagrams(ctx, pause) })
 	for {
 		select {
 		case <-ctx.Done():
@@ -135,7 +137,7 @@
 			return
 		}
 		if err != nil {
-			// A pause, or an error that concerns one datagram only.
+			// Either the socket is paused, or the error concerns only one datagram.
 			pause.WaitWhilePaused(ctx, err)
 			continue
 		}
@@ -147,8 +149,8 @@
 	}
 }
 
-// runInRouter runs task in the router's goroutine, unless the router has ended. It returns when the router has received
-// the task. The router never waits for a flow, so flows may wait for it.
+// runInRouter passes task to the router's goroutine, unless the router has ended. It blocks until the router receives
+// the task. A flow may call it without a deadlock, because the router never blocks on a flow.
 func (f *Frontend) runInRouter(task func()) {
 	select {
 	case f.routerTasks <- task:
@@ -156,21 +158,22 @@
 	}
 }
 
-// send sends a datagram to a client. Errors are only logged: UDP is unreliable, and clients repeat what is lost.
+// send sends a datagram to a client. Errors are only logged: QUIC endpoints recover from the loss of datagrams.
 func (f *Frontend) send(raw []byte, to netip.AddrPort) {
 	if _, err := f.conn.WriteToUDPAddrPort(raw, to); err != nil && !errors.Is(err, net.ErrClosed) {
 		f.log.WithError(err).Debug("quic: send failed")
 	}
 }
 
-// sendReply sends a reply that counts against the limit, or drops it.
+// sendReply sends a reply to a client. It drops the reply if replyLimit is exceeded.
 func (f *Frontend) sendReply(raw []byte, to netip.AddrPort) {
 	if f.replyLimit.Allow() {
 		f.send(raw, to)
 	}
 }
 
-// sendReset sends a stateless reset for a connection ID, in response to a datagram of triggerSize bytes.
+// sendReset sends a stateless reset for a connection ID, in response to a datagram of triggerSize bytes. It sends
+// nothing if that datagram is too small for a response or replyLimit is exceeded.
 func (f *Frontend) sendReset(id []byte, triggerSize int, to netip.AddrPort) {
 	size, ok := resetSize(triggerSize)
 	if !ok || !f.replyLimit.Allow() {
--- a/internal/frontend/quic/id_encryption.go
+++ b/internal/frontend/quic/id_encryption.go
@@ -5,8 +5,8 @@
 	"crypto/cipher"
 )
 
-// encryptID encrypts the server ID and the nonce of a connection ID in place: with one block of AES if they have that
-// size, else with QUIC-LB's four-pass Feistel network.
+// encryptID encrypts the server ID and the nonce of a connection ID in place: in a single AES block if they have its
+// size together, else with QUIC-LB's four-pass Feistel network.
 func encryptID(block cipher.Block, text []byte) {
 	if len(text) == aes.BlockSize {
 		block.Encrypt(text, text)
@@ -24,21 +24,22 @@
 	runFeistel(block, text, []byte{4, 3, 2, 1})
 }
 
-// runFeistel runs passes of the Feistel network on the two halves of text. Odd passes change the right half by means of
-// the left one, even passes the left half by means of the right one. If the length is odd, the halves share the octet
-// in the middle: four bits belong to each.
+// runFeistel runs the given passes of the Feistel network on the two halves of text. An odd pass encrypts the left
+// half and XORs the result into the right half, an even pass encrypts the right half and XORs the result into the
+// left half. If the length is odd, the upper four bits of the octet in the middle belong to the left half, and the
+// lower four bits to the right half.
 func runFeistel(block cipher.Block, text []byte, passes []byte) {
 	length := len(text)
 	halfLength := (length + 1) / 2
 	odd := length%2 == 1
 	left, right := clone(text[:halfLength]), clone(text[length-halfLength:])
-	clearForeignBits := func() {
+	clearUnusedBits := func() {
 		if odd {
 			left[halfLength-1] &= 0xf0
 			right[0] &= 0x0f
 		}
 	}
-	clearForeignBits()
+	clearUnusedBits()
 	var input, output [aes.BlockSize]byte
 	for _, pass := range passes {
 		source, target := left, right
@@ -52,7 +53,7 @@
 		for i := range target {
 			target[i] ^= output[i]
 		}
-		clearForeignBits()
+		clearUnusedBits()
 	}
 	copy(text, left)
 	copy(text[halfLength:], right[halfLength*2-length:])
--- a/internal/frontend/quic/initial.go
+++ b/internal/frontend/quic/initial.go
@@ -9,38 +9,39 @@
 	"fmt"
 )
 
-// initialSalt is the salt of version 1 (RFC 9001, section 5.2).
+// initialSalt is the salt for the Initial secrets of version 1 (RFC 9001, section 5.2).
 var initialSalt = []byte{
 	0x38, 0x76, 0x2c, 0xf7, 0xf5, 0x59, 0x34, 0xb3, 0x4d, 0x17,
 	0x9a, 0xe6, 0xa4, 0xc8, 0x0c, 0xad, 0xcc, 0xbb, 0x7f, 0x0a,
 }
 
-// The HKDF labels for the Initial packets of each side.
+// The HKDF labels of the secrets for the Initial packets of each side.
 const (
 	clientInitialLabel = "client in"
 	serverInitialLabel = "server in"
 )
 
+// Sizes in bytes for AES-128-GCM and header protection (RFC 9001, sections 5.3 and 5.4).
 const (
 	keyLength = 16
 	ivLength  = 12
-	// sampleOffset is the distance from the packet number to the sample for header protection.
+	// sampleOffset is the distance from the start of the packet number to the sample for header protection.
 	sampleOffset = 4
 )
 
-// initialKeys protect the Initial packets of one side (RFC 9001, section 5). Since they are derived from a connection
-// ID that is sent in the clear, whoever sees a connection's first packet can derive them.
+// initialKeys protect the Initial packets of one side (RFC 9001, section 5). They are derived from a connection ID
+// that is sent unencrypted, so anyone who sees a connection's first packet can derive them.
 type initialKeys struct {
 	// aead encrypts payloads.
 	aead cipher.AEAD
-	// iv is combined with a packet's number into its nonce.
+	// iv is combined with the packet number to form the AEAD nonce.
 	iv []byte
-	// headerCipher encrypts packet numbers.
+	// headerCipher computes the masks for header protection.
 	headerCipher cipher.Block
 }
 
-// newInitialKeys derives the keys of the side with the given label. originalID is the destination connection ID of the
-// client's first Initial packet.
+// newInitialKeys derives the keys of one side. originalID is the destination connection ID of the client's first
+// Initial packet; label is the HKDF label of the side.
 func newInitialKeys(originalID []byte, label string) (*initialKeys, error) {
 	initialSecret, err := hkdf.Extract(sha256.New, originalID, initialSalt)
 	if err != nil {
@@ -91,7 +92,8 @@
 	return out, nil
 }
 
-// protect returns the protected packet. header ends with the packet number, which has numberLength bytes.
+// protect returns a packet with encrypted payload and protected header. header ends with the packet number, which has
+// numberLength bytes.
 func (k *initialKeys) protect(header []byte, numberLength int, number uint64, payload []byte) []byte {
 	raw := k.aead.Seal(clone(header), k.nonce(number), payload, header)
 	numberOffset := len(header) - numberLength
@@ -103,8 +105,8 @@
 	return raw
 }
 
-// unprotect returns the payload of an Initial packet, which p describes. It does not change datagram. It returns an
-// error if the packet is too short or was not protected with these keys.
+// unprotect returns the decrypted payload of the Initial packet at the start of datagram; p is this packet as parsed.
+// It does not change datagram. It returns an error if the packet is too short or was not protected with these keys.
 func (k *initialKeys) unprotect(datagram []byte, p packet) ([]byte, error) {
 	if p.end-p.numberOffset < sampleOffset+aes.BlockSize {
 		return nil, errMalformedPacket
@@ -121,7 +123,7 @@
 	headerLength := p.numberOffset + numberLength
 	payload, err := k.aead.Open(nil, k.nonce(number), raw[headerLength:], raw[:headerLength])
 	if err != nil {
-		return nil, fmt.Errorf("initial packet: %w", err)
+		return nil, fmt.Errorf("decrypt Initial packet: %w", err)
 	}
 	return payload, nil
 }
@@ -135,7 +137,8 @@
 	return nonce
 }
 
-// headerMask returns the mask for a header. sample begins with a sample of the packet's ciphertext.
+// headerMask returns the mask for header protection. The first 16 bytes of sample are the sample of the packet's
+// ciphertext.
 func (k *initialKeys) headerMask(sample []byte) []byte {
 	var mask [aes.BlockSize]byte
 	k.headerCipher.Encrypt(mask[:], sample[:aes.BlockSize])
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -8,7 +8,7 @@
 const (
 	// version1 is the QUIC version of RFC 9000.
 	version1 = 1
-	// minInitialSize is the minimum size of a datagram with a client's first Initial packet.
+	// minInitialSize is the minimum size of a datagram with a client's Initial packet (RFC 9000, section 14.1).
 	minInitialSize = 1200
 	// minOriginalIDLength is the minimum length of the destination connection ID in a client's first Initial packet
 	// (RFC 9000, section 7.2).
@@ -26,26 +26,26 @@
 // packetTypeInitial is the type of Initial packets in long headers of version 1.
 const packetTypeInitial = 0
 
-var errMalformedPacket = errors.New("packet is cut short or not well-formed")
+var errMalformedPacket = errors.New("packet is truncated or malformed")
 
-// packet describes the first packet of a datagram, as far as it is not encrypted: the version-independent fields
-// (RFC 8999), and for version 1 its type.
+// packet holds the unencrypted fields of the first packet of a datagram: the version-independent fields (RFC 8999),
+// for long headers of version 1 also the packet type, and for Initial packets the fields up to the packet number.
 type packet struct {
 	// long says that the packet has a long header.
 	long bool
 	// version is the QUIC version of a long header.
 	version uint32
-	// packetType is the type in a long header of version 1.
+	// packetType is the packet type in a long header of version 1.
 	packetType byte
-	// destinationID is the connection ID of the receiver.
+	// destinationID is the destination connection ID.
 	destinationID []byte
-	// sourceID is the connection ID of the sender, in a long header.
+	// sourceID is the source connection ID of a long header.
 	sourceID []byte
-	// token is the address validation token of an Initial packet.
+	// token is the token of an Initial packet, which serves for address validation.
 	token []byte
-	// numberOffset is where the packet number of an Initial packet begins, which is encrypted.
+	// numberOffset is the offset of an Initial packet's packet number in the datagram.
 	numberOffset int
-	// end is where an Initial packet ends.
+	// end is the offset of an Initial packet's end in the datagram. Further packets may follow.
 	end int
 }
 
@@ -55,7 +55,8 @@
 }
 
 // parsePacket parses the first packet of a datagram. idLength is the length of the connection ID in short headers. It
-// returns errMalformedPacket if the packet is cut short or its fixed bit is not set.
+// returns errMalformedPacket if the packet is truncated. For short headers and version 1 it also does so if the fixed
+// bit is not set, and for version 1 if a connection ID is longer than maxIDLength.
 func parsePacket(raw []byte, idLength int) (packet, error) {
 	if len(raw) == 0 {
 		return packet{}, errMalformedPacket
@@ -100,7 +101,7 @@
 	return packet{destinationID: raw[1 : 1+idLength]}, nil
 }
 
-// appendLongHeader appends the version-independent fields of a long header.
+// appendLongHeader appends the first octet and the version-independent fields of a long header.
 func appendLongHeader(b []byte, firstOctet byte, version uint32, destinationID, sourceID []byte) []byte {
 	b = append(b, firstOctet)
 	b = binary.BigEndian.AppendUint32(b, version)
@@ -110,7 +111,8 @@
 	return append(b, sourceID...)
 }
 
-// newVersionNegotiation returns the packet that answers one of an unsupported version (RFC 9000, section 17.2.1).
+// newVersionNegotiation returns the Version Negotiation packet that answers p, whose version is not supported (RFC
+// 9000, section 17.2.1).
 func newVersionNegotiation(p packet) []byte {
 	b := appendLongHeader(nil, longHeader|fixedBit, 0, p.sourceID, p.destinationID)
 	return binary.BigEndian.AppendUint32(b, version1)
--- a/internal/frontend/quic/packet_reader.go
+++ b/internal/frontend/quic/packet_reader.go
@@ -2,21 +2,21 @@
 
 import "encoding/binary"
 
-// packetReader reads the fields of a packet one after the other. If a field is cut short, it and all further fields are
-// zero.
+// packetReader reads the fields of a packet one after the other. After a truncated field, truncated is set, and the
+// values of this field and all further fields must not be used.
 type packetReader struct {
 	// data is the packet.
 	data []byte
 	// offset is the position of the next field in data.
 	offset int
-	// truncated says that a field was cut short.
+	// truncated says that the packet ended within a field.
 	truncated bool
 }
 
-// done reports whether there is nothing left to read.
+// done reports whether the packet has no further fields, or a field was truncated.
 func (r *packetReader) done() bool { return r.truncated || r.offset >= len(r.data) }
 
-// bytes reads n bytes. They are not copied.
+// bytes reads n bytes. The result shares memory with data; it is nil if fewer than n bytes are left.
 func (r *packetReader) bytes(n uint64) []byte {
 	if r.truncated || n > uint64(len(r.data)-r.offset) {
 		r.truncated = true
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// uint32 reads a big-endian number.
+// uint32 reads a big-endian 32-bit number.
 func (r *packetReader) uint32() uint32 {
 	const size = 4
 	if b := r.bytes(size); b != nil {
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// varint reads a variable-length integer (RFC 9000, section 16). The upper two bits of its first byte say how long it
-// is.
+// varint reads a variable-length integer (RFC 9000, section 16). The upper two bits of its first byte encode its
+// length.
 func (r *packetReader) varint() uint64 {
 	first := r.byte()
 	value := uint64(first & 0x3f)
--- a/internal/frontend/quic/router.go
+++ b/internal/frontend/quic/router.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// flowLinger is how long the flow of an answered request remains. The client may repeat its Initial packet for
-	// so long.
+	// flowLinger is how long a flow remains after the final answer to its request, or after its client was asked to
+	// migrate. Packets that the client repeats in this time get the same answer and start no new flow.
 	flowLinger = 3 * time.Second
-	// overloadRetryAfter is what clients beyond Config.MaxFlows are told to wait.
+	// overloadRetryAfter is the retry time that is sent to clients that are rejected because of Config.MaxFlows.
 	overloadRetryAfter = time.Second
 )
 
-// route delivers a datagram to its flow, or begins one. It runs in the router's goroutine, as all functions of this
-// file do.
+// route delivers a datagram to its flow, or begins a flow for it. It runs in the router's goroutine, as do all
+// functions of this file.
 func (f *Frontend) route(ctx context.Context, d datagram) {
 	p, err := parsePacket(d.raw, f.cfg.IDs.Len())
 	if err != nil {
@@ -43,16 +43,17 @@
 	}
 }
 
-// negotiateVersion answers a packet of a version whose Initial packets cannot be decrypted. Version negotiation
-// packets, which have version 0, are not answered.
+// negotiateVersion answers a packet of a version other than version1 with a Version Negotiation packet. Datagrams
+// below minInitialSize and Version Negotiation packets, which have version 0, are not answered.
 func (f *Frontend) negotiateVersion(d datagram, p packet) {
 	if p.version != 0 && len(d.raw) >= minInitialSize {
 		f.sendReply(newVersionNegotiation(p), d.from)
 	}
 }
 
-// beginFlow handles a client's first Initial packet, which is a request. Packets that cannot be decrypted with the keys
-// of their own connection ID are dropped, as endpoints do (RFC 9001, section 5.2).
+// beginFlow handles a client's first Initial packet, which is a request. Packets that cannot be decrypted with the
+// keys that are derived from their own destination connection ID are dropped, as endpoints do (RFC 9001, section
+// 5.2).
 func (f *Frontend) beginFlow(ctx context.Context, d datagram, p packet) {
 	if len(d.raw) < minInitialSize || len(p.destinationID) < minOriginalIDLength {
 		return
@@ -67,7 +68,7 @@
 		return
 	}
 	if closed, err := findClose(payload); err == nil && closed != nil {
-		return // the client has left, and repeats that
+		return // a repeated close from a client whose flow has ended
 	}
 	if f.flows.count >= f.cfg.MaxFlows {
 		f.rejectWithoutFlow(d, p)
@@ -83,7 +84,7 @@
 	})
 }
 
-// rejectWithoutFlow rejects a request beyond Config.MaxFlows.
+// rejectWithoutFlow rejects a request because Config.MaxFlows is reached.
 func (f *Frontend) rejectWithoutFlow(d datagram, p packet) {
 	reason := retryAfterReason(overloadRetryAfter)
 	raw, err := newClosePacket(p.destinationID, p.sourceID, p.destinationID, connectionRefused, reason)
@@ -92,11 +93,12 @@
 	}
 }
 
-// restoreFlow handles a datagram whose connection ID names a room server but no flow: the balancer was restarted, or
-// the client has changed to another of the IDs that its room server has issued.
+// restoreFlow handles a datagram whose connection ID encodes a room server but has no flow: either the balancer was
+// restarted, or the client uses another of the connection IDs that its room server has issued. If the room server is
+// not available, the client gets a stateless reset at once.
 func (f *Frontend) restoreFlow(ctx context.Context, d datagram, p packet, server decide.ServerID) {
 	if !p.long {
-		// If the address is known, the client has changed its ID only.
+		// If a flow has the same server and client address, only the connection ID has changed.
 		if fl := f.flows.find(server, d.from); fl != nil {
 			f.flows.addID(fl, p.destinationID)
 			fl.deliver(d, p)
@@ -104,7 +106,7 @@
 		}
 	}
 	if f.flows.count >= f.cfg.MaxFlows {
-		return // the client repeats the datagram
+		return // the client's loss recovery sends the data again
 	}
 	fl := f.newFlow(ctx, d, p)
 	fl.restored = true
@@ -113,11 +115,11 @@
 	f.engine.RestoreConnection(fl.call, request, server, 0)
 }
 
-// newFlow adds a flow for the packet's connection ID and starts its goroutine.
+// newFlow adds a flow for the packet's destination connection ID and starts the flow's goroutine.
 func (f *Frontend) newFlow(ctx context.Context, d datagram, p packet) *flow {
 	fl := newFlow(f, d.from)
 	f.flows.add(fl, p.destinationID)
 	fl.call = f.engine.Accept(fl, core.ConnTraits{Linger: flowLinger, Idle: f.cfg.Idle, Resumable: true})
-	f.actors.Go(func() { fl.run(ctx) })
+	f.goroutines.Go(func() { fl.run(ctx) })
 	return fl
 }
