--- a/internal/frontend/quic/attempt_test.go
+++ b/internal/frontend/quic/attempt_test.go
@@ -9,8 +9,8 @@
 	"cottonplank/decide"
 )
 
-// If a server rejects, ignores or cannot get the request, another server is tried. The client does not notice, and ends
-// up at one server.
+// If a room server rejects or ignores the request or has closed its port, another server is tried. The client sees no
+// rejection and is accepted by one server only.
 func TestRetryAtAnotherServer(t *testing.T) {
 	t.Parallel()
 	for name, impair := range map[string]func(*fakeServer){
@@ -37,16 +37,16 @@
 			if accepted, _, _ := healthy.counts(); accepted != 4 {
 				t.Errorf("the healthy server accepted %d of 4 clients", accepted)
 			}
-			eventually(t, "all are counted", func() bool { return b.engine.Snapshot().Served == 4 })
+			eventually(t, "all clients are counted as served", func() bool { return b.engine.Snapshot().Served == 4 })
 			if s := b.engine.Snapshot(); s.Rejected+s.Failed > 0 || s.Attempts < 5 {
-				t.Errorf("the balancer counts %+v", s.Counters)
+				t.Errorf("unexpected counters: %+v", s.Counters)
 			}
 		})
 	}
 }
 
-// If no server accepts a client, it is rejected once, within its timeout. A repeated Initial packet gets the same
-// answer and causes no attempt.
+// If no room server accepts a client, its request is rejected once, within Config.Timeout. A repeated Initial packet
+// gets the same answer and causes no attempt.
 func TestRejectedOnce(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -61,18 +61,18 @@
 	eventually(t, "the rejection is counted", func() bool { return b.engine.Snapshot().Rejected == 1 })
 	attempts := b.engine.Snapshot().Attempts
 	if again, err := c.open(5 * time.Second); err != nil || again == nil || *again != *closed {
-		t.Errorf("the second time: %+v, %v", again, err)
+		t.Errorf("answer to the repeated Initial packet: %+v, %v, want the same as before", again, err)
 	}
-	time.Sleep(1100 * time.Millisecond) // for another snapshot
+	time.Sleep(1100 * time.Millisecond) // until the engine has published another snapshot
 	if s := b.engine.Snapshot(); s.Rejected != 1 || s.Served+s.Failed > 0 || s.Attempts != attempts {
-		t.Errorf("the balancer counts %+v", s.Counters)
+		t.Errorf("unexpected counters: %+v", s.Counters)
 	}
 	if accepted, _, _ := s1.counts(); accepted > 0 {
 		t.Errorf("the server that ignores Initial packets accepted %d clients", accepted)
 	}
 }
 
-// A client beyond Config.MaxFlows is rejected at once.
+// When Config.MaxFlows is reached, a further client is rejected at once.
 func TestMaxFlows(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, nil)
@@ -87,7 +87,7 @@
 	}
 }
 
-// If the room server of an established connection fails, its client gets a stateless reset.
+// If the room server of an established connection closes its port, the client gets a stateless reset.
 func TestServerFailsWhileEstablished(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
--- a/internal/frontend/quic/client_close_test.go
+++ b/internal/frontend/quic/client_close_test.go
@@ -9,22 +9,24 @@
 	"cottonplank/internal/core"
 )
 
-// closeDatagram returns the Initial packet with which a client abandons its connection (RFC 9000, section 10.2.3).
+// closeDatagram returns a datagram with an Initial packet by which the client closes its connection before the
+// handshake is complete (RFC 9000, section 10.2.3).
 func (c *fakeClient) closeDatagram() []byte {
 	c.t.Helper()
 	return c.paddedInitial([]byte{frameConnectionClose, connectionRefused, 0, 0})
 }
 
-// If a client closes while its request waits for a room server, no attempt is made, also when the close is repeated.
+// If a client closes its connection while its request waits for a room server, no attempt is made for it. A
+// repeated close, which arrives after the flow has ended, does not count as a new request.
 func TestClientClosesWhileWaiting(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
 	b := newTestBalancer(t, "127.0.0.1:0", ids, nil)
 	c := newFakeClient(t, b.frontend.Addr())
 	c.conn.Write(c.initial)
-	eventually(t, "the request", func() bool { return b.engine.CurrentSnapshot(time.Second).Waiting == 1 })
+	eventually(t, "the request waits", func() bool { return b.engine.CurrentSnapshot(time.Second).Waiting == 1 })
 	c.conn.Write(c.closeDatagram())
-	eventually(t, "its end", func() bool { return b.engine.CurrentSnapshot(time.Second).ClientsLeft == 1 })
+	eventually(t, "the client has left", func() bool { return b.engine.CurrentSnapshot(time.Second).ClientsLeft == 1 })
 	c.conn.Write(c.closeDatagram())
 	s := newFakeServer(t, "s-1", ids, accepts)
 	b.engine.EndpointsUpdated(core.EndpointUpdate{
@@ -36,11 +38,12 @@
 		t.Fatalf("another client: %+v, %v", closed, err)
 	}
 	if n := b.engine.CurrentSnapshot(time.Second); n.Attempts != 1 || n.Clients != 1 {
-		t.Errorf("%d attempts, %d connections, want only those of the other client", n.Attempts, n.Clients)
+		t.Errorf("%d attempts and %d connections, want 1 and 1, which are those of the other client", n.Attempts, n.Clients)
 	}
 }
 
-// If the client's close has arrived but waits behind the command for an attempt, the attempt is not made.
+// A client's close may still be queued when its flow handles the command to start an attempt. In this case the
+// attempt is not made.
 func TestCloseArrivesBeforeAttempt(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -66,6 +69,6 @@
 	fl.closeUpstream()
 	server.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 2048)); err == nil || !fl.ended {
-		t.Errorf("%d bytes were sent, flow ended: %v", n, fl.ended)
+		t.Errorf("the server received %d bytes, want 0; flow ended: %v, want true", n, fl.ended)
 	}
 }
--- a/internal/frontend/quic/connection_id_test.go
+++ b/internal/frontend/quic/connection_id_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-// Test vectors of the QUIC-LB draft. Each plaintext is a server ID and a nonce.
+// The test vectors are those of the QUIC-LB draft. Each plaintext is a server ID followed by a nonce.
 func TestFeistelVectors(t *testing.T) {
 	block, err := aes.NewCipher(unhex(t, "8f95f09245765f80256934e50c66207f"))
 	if err != nil {
@@ -35,17 +35,17 @@
 			text := unhex(t, v.plaintext)
 			encryptID(block, text)
 			if got := hex.EncodeToString(text); got != v.encrypted {
-				t.Errorf("encrypted as %s, want %s", got, v.encrypted)
+				t.Errorf("encrypted to %s, want %s", got, v.encrypted)
 			}
 			decryptID(block, text)
 			if got := hex.EncodeToString(text); got != v.plaintext {
-				t.Errorf("decrypted as %s, want %s", got, v.plaintext)
+				t.Errorf("decrypted to %s, want %s", got, v.plaintext)
 			}
 		})
 	}
 }
 
-// Each format decodes its own IDs, and none of another config ID or length.
+// Each format decodes its own connection IDs, and rejects those with another config ID or length.
 func TestDecodeReturnsIssuingServer(t *testing.T) {
 	server := core.ServerID("s-5be2a07c")
 	for _, key := range [][]byte{nil, bytes.Repeat([]byte{7}, 16)} {
@@ -59,14 +59,14 @@
 				t.Fatal(err)
 			}
 			if got, err := ids.Decode(id); err != nil || got != server {
-				t.Errorf("nonce of %d bytes: decoded %d, %v, want %d", nonceLength, got, err, server)
+				t.Errorf("nonce of %d bytes: decoded server %d, %v, want %d", nonceLength, got, err, server)
 			}
 			id[0] ^= 0x20 // another config ID
 			if _, err := ids.Decode(id); err == nil {
-				t.Errorf("nonce of %d bytes: an ID of another config ID was decoded", nonceLength)
+				t.Errorf("nonce of %d bytes: a connection ID with another config ID was decoded", nonceLength)
 			}
 			if _, err := ids.Decode(id[1:]); err == nil {
-				t.Errorf("nonce of %d bytes: an ID of another length was decoded", nonceLength)
+				t.Errorf("nonce of %d bytes: a connection ID of another length was decoded", nonceLength)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := NewIDFormat(v.configID, v.nonceLength, v.key); err == nil {
-				t.Errorf("config ID %d, nonce of %d bytes, key of %d bytes are accepted",
+				t.Errorf("config ID %d, nonce of %d bytes and key of %d bytes: no error",
 					v.configID, v.nonceLength, len(v.key))
 			}
 		})
--- a/internal/frontend/quic/fake_client_test.go
+++ b/internal/frontend/quic/fake_client_test.go
@@ -21,27 +21,27 @@
 	return b
 }
 
-// fakeClient is a QUIC client that speaks as much of the protocol as fakeServer does.
+// fakeClient is a QUIC client that implements the same subset of the protocol as fakeServer.
 type fakeClient struct {
 	t        testing.TB
 	frontend netip.AddrPort
 	conn     *net.UDPConn
 	// originalID is the destination connection ID of the first Initial packet.
 	originalID []byte
-	// ownID is the connection ID that the client has chosen for itself.
+	// ownID is the client's source connection ID.
 	ownID []byte
-	// serverID is the connection ID of the server that the client uses.
+	// serverID is the destination connection ID of the client's packets with short headers.
 	serverID []byte
 	// initial is the datagram with the first Initial packet.
 	initial []byte
-	// sent counts the texts that were sent.
+	// sent is the number of texts that were sent, without repetitions.
 	sent int
 }
 
 func newFakeClient(t testing.TB, frontend netip.AddrPort) *fakeClient {
 	t.Helper()
 	c := &fakeClient{t: t, frontend: frontend, originalID: randomBytes(t, 8), ownID: randomBytes(t, 5)}
-	c.originalID[0] = 0xff // which room servers never issue
+	c.originalID[0] = 0xff // room servers never issue IDs with this first octet
 	c.initial = c.paddedInitial([]byte{frameCrypto, 0, 30})
 	c.changeAddress()
 	t.Cleanup(func() { c.conn.Close() })
@@ -61,7 +61,7 @@
 	return append(raw, make([]byte, minInitialSize-len(raw))...)
 }
 
-// changeAddress gives the client another address.
+// changeAddress replaces the client's socket by one with another local address.
 func (c *fakeClient) changeAddress() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -73,8 +73,8 @@
 	c.conn = conn
 }
 
-// exchange sends a datagram, and repeats it at an interval, until there is a response. It returns errNoResponse after
-// the timeout.
+// exchange sends a datagram and repeats it at the given interval until there is a response. It returns errNoResponse
+// after the timeout.
 func (c *fakeClient) exchange(raw []byte, interval, timeout time.Duration) ([]byte, error) {
 	buffer := make([]byte, 2048)
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
@@ -90,7 +90,8 @@
 	return nil, errNoResponse
 }
 
-// open sends the first Initial packet. If the response rejects the connection, open returns its frame.
+// open sends the first Initial packet and repeats it until there is a response. If the response rejects the
+// connection, open returns its CONNECTION_CLOSE frame.
 func (c *fakeClient) open(timeout time.Duration) (*closeFrame, error) {
 	raw, err := c.exchange(c.initial, 150*time.Millisecond, timeout)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return findClose(payload)
 }
 
-// mustOpen opens the connection.
+// mustOpen opens the connection. The test fails if the connection is rejected.
 func (c *fakeClient) mustOpen() {
 	c.t.Helper()
 	if closed, err := c.open(5 * time.Second); err != nil || closed != nil {
@@ -120,8 +121,8 @@
 	}
 }
 
-// call sends a text and returns the text of the response. Texts are numbered, so that a second response to a text that
-// was repeated is not taken for the response to the next one.
+// call sends a text and returns the text of the response. Texts are numbered: a repeated text may get two responses,
+// and the second one must not be mistaken for the response to the next text.
 func (c *fakeClient) call(text string) (string, error) {
 	c.sent++
 	number := strconv.Itoa(c.sent) + " "
@@ -139,7 +140,8 @@
 	}
 }
 
-// shortPacket returns a datagram of the given size with a short header. The encrypted part is zero.
+// shortPacket returns a datagram of the given size with a short header and a connection ID. The remaining bytes are
+// zero.
 func shortPacket(id []byte, size int) []byte {
 	raw := make([]byte, size)
 	raw[0] = fixedBit
--- a/internal/frontend/quic/fake_server_test.go
+++ b/internal/frontend/quic/fake_server_test.go
@@ -23,8 +23,9 @@
 // newIDRequest is the text with which a client requests another connection ID.
 const newIDRequest = "new id"
 
-// fakeServer is a room server that speaks as much of QUIC as a balancer can observe: Initial packets under their real
-// keys, connection IDs in QUIC-LB's format, and short headers with a plain text in place of encrypted frames.
+// fakeServer is a room server that implements the part of QUIC that a balancer can observe: Initial packets that are
+// encrypted with their real keys, connection IDs in QUIC-LB's format, and packets with short headers, which contain a
+// plain text in place of encrypted frames.
 type fakeServer struct {
 	name string
 	conn *net.UDPConn
@@ -33,20 +34,21 @@
 	// mu guards the fields below.
 	mu   sync.Mutex
 	mode serverMode
-	// initials counts the Initial packets by their destination connection ID.
+	// initials holds the number of Initial packets for each destination connection ID.
 	initials map[string]int
 	// byOriginalID holds the connections by the destination connection ID of the client's first Initial packet.
 	byOriginalID map[string]*fakeServerConn
 	// byIssuedID holds the connections by the connection IDs that the server has issued.
 	byIssuedID map[string]*fakeServerConn
-	// accepted counts the connections.
+	// accepted is the number of accepted connections.
 	accepted int
-	// unknown counts packets with a short header whose connection ID the server has not issued.
+	// unknown is the number of packets with a short header whose connection ID the server has not issued.
 	unknown int
 }
 
 // fakeServerConn is a connection at a fakeServer.
 type fakeServerConn struct {
+	// clientID is the source connection ID of the client's first Initial packet.
 	clientID []byte
 }
 
@@ -72,7 +74,7 @@
 	return s
 }
 
-// endpoint returns the server's entry in the endpoint list.
+// endpoint returns the server's entry for an endpoint list, with the given state.
 func (s *fakeServer) endpoint(state decide.State) core.Endpoint {
 	return core.Endpoint{
 		Name:    s.name,
@@ -135,7 +137,8 @@
 	return sealInitial(keys, p.sourceID, s.issueID(t, c), cryptoFrame)
 }
 
-// respondToText answers a numbered text with the number, the server's name and the text.
+// respondToText returns the response to a numbered text: the number, the server's name and the text, or a new
+// connection ID if the text is newIDRequest.
 func (s *fakeServer) respondToText(t testing.TB, raw []byte, p packet) []byte {
 	c := s.byIssuedID[string(p.destinationID)]
 	if c == nil {
--- a/internal/frontend/quic/flow_table_test.go
+++ b/internal/frontend/quic/flow_table_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A client that uses many connection IDs does not fill the table, and its flow is found by the latest ones.
+// A client that uses more than maxFlowIDs connection IDs does not fill the table: its flow keeps the latest ones
+// only. A connection ID of another flow, or an empty one, is not added.
 func TestFlowTableLimitsIDs(t *testing.T) {
 	table := newFlowTable()
 	fl, other := &flow{}, &flow{}
@@ -16,12 +17,12 @@
 		table.addID(fl, []byte(strconv.Itoa(i)))
 	}
 	if table.byID["0"] != nil || table.byID["1"] != fl || table.byID[strconv.Itoa(maxFlowIDs)] != fl {
-		t.Errorf("the IDs of the flow are %q", fl.ids)
+		t.Errorf("the flow has the IDs %q, want only the latest ones", fl.ids)
 	}
 	table.addID(fl, []byte("other"))
 	table.addID(fl, nil)
 	if table.byID["other"] != other || len(table.byID) != maxFlowIDs+1 {
-		t.Errorf("%d IDs, or an ID changed its flow", len(table.byID))
+		t.Errorf("the table has %d IDs, or an ID was reassigned to another flow", len(table.byID))
 	}
 	table.remove(fl)
 	if table.count != 1 || len(table.byID) != 1 {
@@ -29,7 +30,7 @@
 	}
 }
 
-// A flow is found by its server and its client's address, both.
+// A flow is found only if both its server and its client's address match.
 func TestFlowTableFind(t *testing.T) {
 	table := newFlowTable()
 	address := netip.MustParseAddrPort("127.0.0.1:1234")
@@ -39,16 +40,16 @@
 		t.Errorf("found %p, want %p", got, fl)
 	}
 	if table.find(8, address) != nil || table.find(7, netip.MustParseAddrPort("127.0.0.1:1235")) != nil {
-		t.Error("found by the server or the address alone")
+		t.Error("found a flow whose server or address does not match")
 	}
 }
 
-// A reset is smaller than the datagram that it answers, and neither too small nor needlessly large.
+// A stateless reset is smaller than the datagram that it answers, and its size is from minResetSize to maxResetSize.
 func TestResetSize(t *testing.T) {
 	for trigger, want := range map[int]int{0: 0, 21: 0, 22: 21, 30: 29, 43: 42, 44: 42, 1500: 42} {
 		size, ok := resetSize(trigger)
 		if ok != (want > 0) || ok && size != want {
-			t.Errorf("%d bytes are answered with %d, %v, want %d", trigger, size, ok, want)
+			t.Errorf("resetSize(%d) = %d, %v, want %d", trigger, size, ok, want)
 		}
 	}
 }
--- a/internal/frontend/quic/initial_test.go
+++ b/internal/frontend/quic/initial_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Test vectors of RFC 9001, appendix A: the client's original destination connection ID, and the header, the payload
-// and the whole of the server's Initial packet.
+// Test vectors of RFC 9001, appendix A: the destination connection ID of the client's first Initial packet, and of
+// the server's Initial packet the unprotected header, the payload, and the whole protected packet.
 const (
 	rfcOriginalID = "8394c8f03e515708"
 	rfcHeader     = "c1000000010008f067a5502a4262b50040750001"
@@ -42,7 +42,7 @@
 	}
 	want := unhex(t, rfcPacket)
 	if got := keys.protect(unhex(t, rfcHeader), 2, 1, unhex(t, rfcPayload)); !bytes.Equal(got, want) {
-		t.Errorf("protect gives\n%x, want\n%x", got, want)
+		t.Errorf("protect returned\n%x, want\n%x", got, want)
 	}
 	p, err := parsePacket(want, 13)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	payload, err := keys.unprotect(want, p)
 	if err != nil || !bytes.Equal(payload, unhex(t, rfcPayload)) {
-		t.Errorf("unprotect gives %x, %v", payload, err)
+		t.Errorf("unprotect returned %x, %v", payload, err)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 		raw[len(raw)-1] ^= 1
 		if _, err := keys.unprotect(raw, p); err == nil {
-			t.Error("a changed packet was decrypted")
+			t.Error("a packet with a changed byte was decrypted without an error")
 		}
 	}
 }
--- a/internal/frontend/quic/packet_bytes_test.go
+++ b/internal/frontend/quic/packet_bytes_test.go
@@ -9,7 +9,7 @@
 	"cottonplank/decide"
 )
 
-// Room servers, which are other programs, issue connection IDs in this format.
+// Room servers are other programs and issue connection IDs in the same format, so its bytes must not change.
 func TestConnectionIDBytes(t *testing.T) {
 	nonce := []byte{1, 2, 3, 4, 5, 6, 7, 8}
 	for name, v := range map[string]struct {
@@ -26,16 +26,17 @@
 			}
 			id, err := ids.Encode(decide.ServerID(0xa1b2c3d4), nonce)
 			if got := hex.EncodeToString(id); err != nil || got != v.want {
-				t.Errorf("encoded as %s, %v, want %s", got, err, v.want)
+				t.Errorf("encoded to %s, %v, want %s", got, err, v.want)
 			}
 			if server, err := ids.Decode(unhex(t, v.want)); err != nil || server != 0xa1b2c3d4 {
-				t.Errorf("decoded as %x, %v", server, err)
+				t.Errorf("decoded server %x, %v", server, err)
 			}
 		})
 	}
 }
 
-// Clients and room servers, which are other programs, parse these bytes.
+// Clients parse these packets, and room servers compute the same reset tokens. Both are other programs, so the bytes
+// must not change.
 func TestPacketBytes(t *testing.T) {
 	closed, err := newClosePacket(unhex(t, rfcOriginalID), []byte{1, 2, 3}, []byte{4, 5, 6, 7}, 2, "retry-after=1500ms")
 	if err != nil {
@@ -58,7 +59,8 @@
 	}
 }
 
-// The numbers of RFC 9000.
+// The codes, bits and sizes of the protocol have the values of RFC 9000. The largest stateless reset is the
+// balancer's own limit.
 func TestProtocolNumbers(t *testing.T) {
 	for name, v := range map[string]struct{ got, want int }{
 		"INTERNAL_ERROR":                      {internalError, 0x1},
@@ -85,7 +87,7 @@
 	}
 }
 
-// Clients parse the reason phrase.
+// Clients parse the reason phrase, so its form must not change.
 func TestRetryAfterText(t *testing.T) {
 	for after, want := range map[time.Duration]string{
 		0:                                   "",
--- a/internal/frontend/quic/packet_fuzz_test.go
+++ b/internal/frontend/quic/packet_fuzz_test.go
@@ -7,7 +7,7 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// The parsed fields lie within the packet.
+// parsePacket and unprotect do not panic, and the parsed offsets and the connection ID are within the datagram.
 func FuzzPacket(f *testing.F) {
 	initial, err := hex.DecodeString(rfcPacket)
 	if err != nil {
@@ -20,7 +20,7 @@
 			return
 		}
 		if p.end > len(raw) || p.numberOffset > p.end || !p.long && len(p.destinationID) != 13 {
-			t.Errorf("%x is parsed as %+v", raw, p)
+			t.Errorf("parsePacket(%x) = %+v", raw, p)
 		}
 		if p.isInitial() {
 			keys, err := newInitialKeys(p.destinationID, clientInitialLabel)
@@ -32,14 +32,14 @@
 	})
 }
 
-// A frame that is found lies within the payload, and findClose does not panic.
+// findClose does not panic, and the reason phrase that it returns is not longer than the payload.
 func FuzzFindClose(f *testing.F) {
 	closed := []byte{frameConnectionClose, 2, 0, 4, 'f', 'u', 'l', 'l'}
 	ackAndCrypto := []byte{frameACKWithECN, 9, 0, 1, 0, 1, 1, 1, 1, 1, frameCrypto, 0, 2, 7, 7}
 	fuzzcorpus.Add(f, closed, ackAndCrypto)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if closed, err := findClose(raw); closed != nil && (err != nil || len(closed.reason) > len(raw)) {
-			t.Errorf("%x gives %+v, %v", raw, closed, err)
+			t.Errorf("findClose(%x) = %+v, %v", raw, closed, err)
 		}
 	})
 }
--- a/internal/frontend/quic/routing_test.go
+++ b/internal/frontend/quic/routing_test.go
@@ -14,8 +14,9 @@
 
 var testIDKey = bytes.Repeat([]byte{3}, 16)
 
-// During a hot restart the replacement process reads the same socket. It finds an established connection by its ID, at
-// the room server that holds it, while the previous process still forwards what it gets from there.
+// During a hot restart the replacement process reads from the same socket. It routes a packet of an established
+// connection by its connection ID to the room server that holds the connection. At the same time the previous process
+// still forwards datagrams from that room server to the client.
 func TestHotRestart(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -29,8 +30,8 @@
 		cfg.Conn.Close()
 		cfg.Conn = shared
 	}, s1.endpoint(decide.Ready), s2.endpoint(decide.Ready))
-	// A read that was in progress at the pause may still bring the previous process one datagram, but not two: the
-	// deadline wakes its reader, which gets a datagram that arrives before it runs again.
+	// The first of the two calls may still be routed by the previous process: the pause wakes its reader by a read
+	// deadline, and a datagram that arrives before the reader runs is still returned. This cannot happen twice.
 	for range 2 {
 		if response, err := c.call("hello"); err != nil || response != "s-1 hello" {
 			t.Fatalf("after the restart: %q, %v", response, err)
@@ -38,11 +39,11 @@
 	}
 	eventually(t, "the connection is restored", func() bool { return replacement.engine.Snapshot().Restored == 1 })
 	if s := replacement.engine.Snapshot(); s.Served != 1 || s.Failed > 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected counters of the replacement process: %+v", s)
 	}
 }
 
-// duplicate returns a second descriptor of a socket.
+// duplicate returns a second file descriptor of a socket.
 func duplicate(t *testing.T, conn *net.UDPConn) *net.UDPConn {
 	t.Helper()
 	file, err := conn.File()
@@ -57,7 +58,8 @@
 	return shared.(*net.UDPConn)
 }
 
-// Ten clients change their address every second. Each stays with its room server.
+// Ten clients change their address every second, with plaintext and with encrypted connection IDs. The packets of
+// each client are still routed to its room server.
 func TestAddressChangesEverySecond(t *testing.T) {
 	t.Parallel()
 	for name, key := range map[string][]byte{"plaintext": nil, "aes": testIDKey} {
@@ -83,12 +85,12 @@
 				n, unknown, _ := s.counts()
 				accepted += n
 				if unknown > 0 {
-					t.Errorf("%s got %d packets of other servers' clients", s.name, unknown)
+					t.Errorf("%s received %d packets with connection IDs of other servers", s.name, unknown)
 				}
 			}
-			eventually(t, "all are counted", func() bool { return b.engine.Snapshot().Served == clients })
+			eventually(t, "all clients are counted as served", func() bool { return b.engine.Snapshot().Served == clients })
 			if s := b.engine.Snapshot(); accepted != clients || s.Rejected+s.Failed+s.Restored > 0 {
-				t.Errorf("servers accepted %d clients, the balancer counts %+v", accepted, s.Counters)
+				t.Errorf("the servers accepted %d clients in total, counters %+v", accepted, s.Counters)
 			}
 		})
 	}
@@ -122,7 +124,8 @@
 	}
 }
 
-// A client that changes its connection ID while its room server drains, with its address or without, stays there.
+// A client that changes its connection ID while its room server drains is still routed to that server, whether or not
+// its address changes too.
 func TestNewIDDuringDrain(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -144,7 +147,7 @@
 			c.changeAddress()
 		}
 		if response, err = c.call("hello"); err != nil || response != "s-1 hello" {
-			t.Fatalf("after the change of the ID (and the address: %v): %q, %v", changeAddress, response, err)
+			t.Fatalf("after the change of the connection ID (of the address too: %v): %q, %v", changeAddress, response, err)
 		}
 	}
 	if accepted, _, initials := s2.counts(); accepted+initials > 0 {
@@ -152,8 +155,8 @@
 	}
 }
 
-// After a restart, a connection ID that the balancer has never seen leads to the server that issued it, even if the
-// server drains. The decisions choose no server again.
+// After a restart the balancer has no flow for an established connection. It routes the connection ID to the room
+// server that issued it, even if the server drains, and the decision module does not choose a server again.
 func TestUnknownIDAfterRestart(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -169,14 +172,15 @@
 	}
 	eventually(t, "the connection is restored", func() bool { return b.engine.Snapshot().Restored == 1 })
 	if s := b.engine.Snapshot(); s.Served != 1 {
-		t.Errorf("the decisions chose a server again: %+v", s.Counters)
+		t.Errorf("the decision module chose a server again: %+v", s.Counters)
 	}
 	if accepted, _, initials := s2.counts(); accepted+initials > 0 {
 		t.Errorf("the other server accepted %d clients from %d Initial packets", accepted, initials)
 	}
 }
 
-// A datagram that no listed server can answer gets a stateless reset, which is smaller than the datagram.
+// A datagram whose connection ID has another format, or encodes a room server that is not in the endpoint list, gets
+// a stateless reset. The reset is smaller than the datagram.
 func TestStatelessReset(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -195,17 +199,18 @@
 			token := resetToken(testResetKey, id)
 			if !bytes.HasSuffix(response, token[:]) || len(response) >= size || len(response) < minResetSize ||
 				response[0]&(longHeader|fixedBit) != fixedBit {
-				t.Errorf("%s: the response to %d bytes is %x", name, size, response)
+				t.Errorf("%s: response to %d bytes is %x, want a smaller stateless reset", name, size, response)
 			}
 		}
 		tooSmall := shortPacket(id, 1+len(id))
 		if response, err := c.exchange(tooSmall, 200*time.Millisecond, 200*time.Millisecond); err == nil {
-			t.Errorf("%s: a packet that is too small for a smaller reset got %x", name, response)
+			t.Errorf("%s: a packet that is too small for a stateless reset got the response %x", name, response)
 		}
 	}
 }
 
-// Garbage, short Initial packets and Initial packets under other keys are dropped. Unsupported versions are negotiated.
+// Invalid packets, too small Initial datagrams and Initial packets that cannot be decrypted are dropped. A packet of
+// an unsupported version gets a Version Negotiation packet.
 func TestInvalidInitials(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, testIDKey)
@@ -221,7 +226,7 @@
 		"empty":    {},
 	} {
 		if response, err := c.exchange(raw, 100*time.Millisecond, 100*time.Millisecond); err == nil {
-			t.Errorf("%s: response %x", name, response)
+			t.Errorf("%s: response %x, want none", name, response)
 		}
 	}
 	otherVersion := clone(c.initial)
@@ -229,7 +234,7 @@
 	response, err := c.exchange(otherVersion, 300*time.Millisecond, 5*time.Second)
 	p, parseErr := parsePacket(response, 0)
 	if err != nil || parseErr != nil || p.version != 0 || !bytes.Equal(p.destinationID, c.ownID) {
-		t.Errorf("the response to an unsupported version is %x, %v", response, err)
+		t.Errorf("response to an unsupported version: %x, %v, want a Version Negotiation packet", response, err)
 	}
 	if _, _, initials := s.counts(); initials > 0 {
 		t.Errorf("%d of the packets were forwarded to the server", initials)
--- a/internal/frontend/quic/test_balancer_test.go
+++ b/internal/frontend/quic/test_balancer_test.go
@@ -19,12 +19,14 @@
 
 var testResetKey = bytes.Repeat([]byte{9}, 32)
 
-// testBalancer is a frontend with an engine of its own.
+// testBalancer is a frontend with its own engine.
 type testBalancer struct {
+	// pause pauses the reading of client datagrams.
 	pause    *hotrestart.Pauser
 	frontend *Frontend
 	engine   *core.Engine
-	stop     func()
+	// stop stops the frontend and the engine and waits for their goroutines.
+	stop func()
 }
 
 func testSettings() decide.Settings {
@@ -48,8 +50,8 @@
 	}
 }
 
-// newTestBalancer starts a balancer that knows the endpoints and runs until the end of the test, or until its stop is
-// called. change may be nil; else it changes the frontend's configuration.
+// newTestBalancer starts a balancer with the given endpoints. It runs until the end of the test, or until its stop
+// function is called. change may be nil; otherwise it changes the frontend's configuration.
 func newTestBalancer(t testing.TB, listen string, ids *IDFormat, change func(*Config),
 	endpoints ...core.Endpoint) *testBalancer {
 	t.Helper()
@@ -94,7 +96,7 @@
 	return b
 }
 
-// newTestFormat returns a format of connection IDs, encrypted if there is a key.
+// newTestFormat returns a format of connection IDs. They are encrypted if key is not empty.
 func newTestFormat(t testing.TB, key []byte) *IDFormat {
 	t.Helper()
 	f, err := NewIDFormat(1, 8, key)
@@ -104,7 +106,7 @@
 	return f
 }
 
-// eventually waits until a condition that other goroutines cause holds.
+// eventually waits until condition holds, and fails the test after 10 s. what describes the condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -112,5 +114,5 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not within 10 s", what)
+	t.Fatalf("condition not met within 10 s: %s", what)
 }
