--- a/cmd/cottonplank/check.go
+++ b/cmd/cottonplank/check.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/discovery/filesource"
 )
 
-// check validates the balancer's configuration and prints a summary of it. If controlServerFile is set, it validates
-// that configuration of a control-plane server instead.
+// check validates the balancer's configuration and prints a summary of it. If controlServerFile is not empty, it
+// validates that file, the configuration of a control-plane server, instead.
 func check(out io.Writer, frontsFile, controlServerFile string) error {
 	if controlServerFile != "" {
 		return checkControlServer(out, controlServerFile)
@@ -55,7 +55,7 @@
 	return err
 }
 
-// checkSessions reads the session keys; it prints nothing if sessions are not resumed.
+// checkSessions reads the session keys and prints a line about them. It prints nothing if sessions are not resumed.
 func checkSessions(out io.Writer, sessions config.Sessions) error {
 	ring, err := loadSessionKeys(sessions)
 	if err != nil || ring == nil {
@@ -66,7 +66,8 @@
 	return err
 }
 
-// checkEndpointFile reads the file that replaces discovery, if there is one.
+// checkEndpointFile reads the endpoint file, which replaces discovery, and prints its size. An empty path means that
+// there is none.
 func checkEndpointFile(out io.Writer, path string) error {
 	if path == "" {
 		return nil
@@ -79,7 +80,8 @@
 	return err
 }
 
-// checkMembership reads the cluster keys; it prints nothing if the instance is not a member of a cluster.
+// checkMembership reads the cluster keys and prints a line about the membership. It prints nothing if no membership is
+// configured.
 func checkMembership(out io.Writer, m config.Membership) error {
 	if m.Name == "" {
 		return nil
@@ -93,7 +95,8 @@
 	return err
 }
 
-// checkControlPlane reads the keys that control-plane servers and their followers share.
+// checkControlPlane reads the keys that control-plane servers and their followers share, and prints a line about the
+// settings.
 func checkControlPlane(out io.Writer, c config.ControlPlane) error {
 	ring, err := c.LoadRing()
 	if err != nil {
@@ -104,7 +107,8 @@
 	return err
 }
 
-// checkControlServer reads everything that a control-plane server starts with.
+// checkControlServer validates a control-plane server's configuration file with the keys and, on a leader, the
+// document that it names.
 func checkControlServer(out io.Writer, path string) error {
 	server, err := config.LoadControlServer(path)
 	if err != nil {
--- a/cmd/cottonplank/cluster.go
+++ b/cmd/cottonplank/cluster.go
@@ -14,10 +14,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serviceStateInterval is how often the cluster membership is brought in line with the service state.
+// serviceStateInterval is how often followServiceState checks the engine's service state.
 const serviceStateInterval = 100 * time.Millisecond
 
-// newCluster returns nil if the fronts file configures no membership. setFleetSize is called with each new view.
+// newCluster returns nil if the fronts file configures no membership. The cluster calls setFleetSize with the fleet
+// size of each new view.
 func newCluster(m config.Membership, settings decide.Settings, setFleetSize func(decide.FleetSize),
 	log *logrus.Logger) (*gossip.Cluster, error) {
 	if m.Name == "" {
@@ -37,7 +38,8 @@
 	}), nil
 }
 
-// fleetSize returns the fleet size that the view reports, or the configured one while the instance is not a member.
+// fleetSize returns the fleet size that the view reports. A nil view, while the instance is not a member, gives the
+// configured fleet size.
 func fleetSize(view *membership.View, settings decide.Settings) decide.FleetSize {
 	if view == nil {
 		return decide.ConfiguredFleetSize(settings)
@@ -49,7 +51,7 @@
 	}
 }
 
-// startCluster joins the cluster, if one is configured.
+// startCluster starts the goroutines of the cluster membership, if one is configured. They join the cluster.
 func (d *daemon) startCluster(ctx context.Context) {
 	if d.cluster == nil {
 		return
@@ -58,7 +60,8 @@
 	d.running.Go(func() { followServiceState(ctx, d.cluster, d.engine.ServiceState) })
 }
 
-// followServiceState leaves the cluster while this process is a lame duck, and rejoins when it serves again.
+// followServiceState leaves the cluster when this process becomes a lame duck, and rejoins it when the process serves
+// again.
 func followServiceState(ctx context.Context, cluster *gossip.Cluster, state func() core.ServiceState) {
 	ticker := time.NewTicker(serviceStateInterval)
 	defer ticker.Stop()
@@ -80,8 +83,8 @@
 	}
 }
 
-// clusterMetrics returns the lines that INFO reports about the cluster. A nil view, while the instance is not a member,
-// leaves those about members out.
+// clusterMetrics returns the metrics that INFO reports about the cluster. If view is nil, because the instance is not
+// a member, the metrics about members are omitted.
 func clusterMetrics(stats gossip.Stats, view *membership.View) []management.Metric {
 	metrics := []management.Metric{
 		{Name: "gossip_bytes_sent", Value: stats.BytesSent},
--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -12,20 +12,22 @@
 // Exit statuses of the program.
 const (
 	exitOK      = 0
-	exitFailure = 1 // the command was called correctly and failed
+	exitFailure = 1 // valid command line, but the command failed
 	exitUsage   = 2 // unknown command, flag or argument
 )
 
-// commandError is the failure of a command that was called correctly. Any other error of a command is a usage error.
+// commandError is the failure of a command whose command line was valid (exitFailure). Any other error of a command
+// is a usage error (exitUsage).
 type commandError struct{ err error }
 
-// Error returns the text of the failure.
+// Error returns the text of the wrapped error.
 func (e *commandError) Error() string { return e.err.Error() }
 
-// Unwrap returns the failure.
+// Unwrap returns the wrapped error.
 func (e *commandError) Unwrap() error { return e.err }
 
-// run executes the command that args name and returns the exit status.
+// run executes the command that args select and returns the exit status. Without arguments it prints the usage to
+// errs.
 func run(args []string, out, errs io.Writer) int {
 	root := newRootCommand(out)
 	root.SetOut(out)
@@ -49,7 +51,8 @@
 	return exitUsage
 }
 
-// withLongFlags turns -fronts into --fronts: the program took it with one dash before its flags had two.
+// withLongFlags returns a copy of args in which --fronts replaces -fronts. Older versions of the program had this flag
+// with one dash, and existing service units may still use it.
 func withLongFlags(args []string) []string {
 	long := make([]string, len(args))
 	for i, arg := range args {
@@ -65,7 +68,7 @@
 func newRootCommand(out io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:               "cottonplank",
-		Short:             "A balancer for long-lived connections",
+		Short:             "A load balancer for long-lived connections",
 		SilenceErrors:     true,
 		SilenceUsage:      true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
@@ -81,7 +84,7 @@
 	return root
 }
 
-// newCommand returns a command without arguments. An error of do is a commandError.
+// newCommand returns a command without arguments. An error that do returns is a commandError.
 func newCommand(out io.Writer, use, short string, do func(io.Writer) error) *cobra.Command {
 	execute := func(*cobra.Command, []string) error {
 		if err := do(out); err != nil {
@@ -95,7 +98,7 @@
 func newServeCommand(out io.Writer) *cobra.Command {
 	var frontsFile string
 	command := newCommand(out, "serve",
-		"Run the balancer; configuration comes from PROXY_CONFIG, discovery and keys again at SIGHUP",
+		"Run the balancer with the file in PROXY_CONFIG; SIGHUP reloads discovery address, endpoint file and keys",
 		func(io.Writer) error { return serve(frontsFile) })
 	addFrontsFlag(command, &frontsFile)
 	return command
@@ -103,17 +106,17 @@
 
 func newCheckCommand(out io.Writer) *cobra.Command {
 	var frontsFile, controlServerFile string
-	command := newCommand(out, "check", "Read and check the configuration, then exit",
+	command := newCommand(out, "check", "Validate the configuration files and print a summary",
 		func(out io.Writer) error { return check(out, frontsFile, controlServerFile) })
 	command.Flags().StringVar(&controlServerFile, "control", "",
-		"a control machine's `file`, which is checked in place of the balancer's")
+		"validate this configuration `file` of a control-plane server instead of the balancer's")
 	addFrontsFlag(command, &frontsFile)
 	return command
 }
 
 func addFrontsFlag(command *cobra.Command, frontsFile *string) {
 	command.Flags().StringVar(frontsFile, "fronts", "",
-		"`file` that switches QUIC, SNMP, the resumption of sessions and control machines on")
+		"`file` that enables QUIC, SNMP, session resumption, an endpoint file, membership and the control plane")
 }
 
 func noArguments(_ *cobra.Command, args []string) error {
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// configReplica is the balancer's replica of the control plane's document: how to follow the control-plane servers, and
-// the state that was saved before the start.
+// configReplica is the balancer's replica of the control plane's document. It holds the settings for following the
+// control-plane servers and the state that an earlier process saved.
 type configReplica struct {
 	cfg      *config.Config
 	settings config.ControlPlane
@@ -24,8 +24,8 @@
 	log      *logrus.Logger
 }
 
-// newConfigReplica loads the saved state and applies its document to cfg. It returns nil if no control plane is
-// configured.
+// newConfigReplica loads the saved state and applies its document to cfg. It returns nil if no control-plane servers
+// are configured.
 func newConfigReplica(cfg *config.Config, settings config.ControlPlane, log *logrus.Logger) (*configReplica, error) {
 	if len(settings.Servers) == 0 {
 		return nil, nil
@@ -46,7 +46,8 @@
 	return r, nil
 }
 
-// applySaved lets the balancer start with the saved document, if there is one.
+// applySaved applies the saved document, if there is one, to the configuration that the balancer starts with. What the
+// document omits keeps its configured value.
 func (r *configReplica) applySaved() {
 	if r.saved.Version == (replica.Version{}) {
 		return
@@ -65,7 +66,7 @@
 	}).Info("control: starting from the saved document")
 }
 
-// newSource returns the endpoint source that follows the control plane and falls back to discovery.
+// newSource returns the endpoint source that follows the control plane and falls back to the discovery service.
 func (r *configReplica) newSource(engine *core.Engine) *controlplane.Source {
 	newDiscovery := func(updates core.UpdateHandler) controlplane.DiscoverySource {
 		return httpsource.New(r.cfg.Discovery, r.cfg.KnownGeneration, updates, r.log)
@@ -80,8 +81,8 @@
 		r.log)
 }
 
-// followerSeed derives the seed of a follower's choice of server from its name, which spreads followers over the
-// servers.
+// followerSeed derives a seed from the follower's name. A follower chooses its control-plane server with this seed, so
+// that the followers spread over the servers.
 func followerSeed(name string) uint64 {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -12,7 +12,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// loadConfig reads the configuration and the fronts file.
+// loadConfig reads the configuration and the fronts file, and reserves the descriptors of the QUIC flows. An empty
+// frontsFile means that there is none.
 func loadConfig(frontsFile string) (*config.Config, config.Fronts, error) {
 	cfg, err := config.Load()
 	if err != nil {
@@ -25,7 +26,8 @@
 	return cfg, fronts, err
 }
 
-// loadConfig reads all files that the balancer starts with and applies the limit on processor cores.
+// loadConfig reads all files that the balancer needs to start, applies the limit on processor cores and creates the
+// logger.
 func (d *daemon) loadConfig() error {
 	var err error
 	if d.cfg, d.fronts, err = loadConfig(d.frontsFile); err != nil {
@@ -58,10 +60,10 @@
 	return ring, nil
 }
 
-// frontsError says that the fronts file is the source of err.
+// frontsError adds a prefix to err that names the fronts file as its source.
 func frontsError(err error) error { return fmt.Errorf("fronts: %w", err) }
 
-// classNames returns the names of the request classes, by class index.
+// classNames returns the names of the request classes in the order of their class indexes.
 func classNames(cfg *config.Config) []string {
 	var names []string
 	for _, class := range cfg.Settings.Classes {
@@ -70,7 +72,7 @@
 	return names
 }
 
-// protocolNames returns the classes and tenants that a client's request may name.
+// protocolNames returns the names of classes and tenants that a client's request may contain, with the class indexes.
 func protocolNames(cfg *config.Config) platform.AllowedNames {
 	names := platform.AllowedNames{Classes: map[string]int{}, Tenants: map[string]bool{}}
 	for i, class := range cfg.Settings.Classes {
--- a/cmd/cottonplank/controlserver.go
+++ b/cmd/cottonplank/controlserver.go
@@ -20,15 +20,16 @@
 func newControlCommand(out io.Writer) *cobra.Command {
 	var file string
 	command := newCommand(out, "control",
-		"Run a control machine, which brings an operator's file to the balancers that follow it",
+		"Run a control-plane server, which distributes an operator's document to balancers",
 		func(io.Writer) error { return runControlServer(file) })
-	command.Flags().StringVar(&file, "file", "", "its configuration `file` (required)")
+	command.Flags().StringVar(&file, "file", "", "configuration `file` of the control-plane server (required)")
 	command.MarkFlagRequired("file")
 	return command
 }
 
-// runControlServer runs a control-plane server until SIGTERM or SIGINT. It is the leader if its configuration names a
-// document, else a follower of other servers.
+// runControlServer runs a control-plane server until SIGTERM or SIGINT. The server is the leader if its configuration
+// names a document file, otherwise a follower of other control-plane servers. The leader reads the document again at
+// SIGHUP.
 func runControlServer(file string) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// startFollower replicates the document from other servers and saves each version that it receives.
+// startFollower starts the goroutines that replicate the document from other control-plane servers and save the
+// versions that they receive.
 func startFollower(ctx context.Context, running *sync.WaitGroup, settings config.ControlServer,
 	keys *controlplane.Keyring, store *controlplane.Store, broadcaster *controlplane.Broadcaster, log *logrus.Logger) {
 	persister := controlplane.NewPersister(store)
--- a/cmd/cottonplank/daemon.go
+++ b/cmd/cottonplank/daemon.go
@@ -23,22 +23,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// daemon is the balancer process: its configuration and its subsystems. The fields are set while it is built and
-// started, by one goroutine, and are not assigned afterwards.
+// daemon is the balancer process: its configuration and its subsystems. One goroutine sets the fields while it builds
+// and starts the daemon; they are not assigned afterwards.
 type daemon struct {
 	// Configuration.
 	cfg              *config.Config
 	fronts           config.Fronts
 	frontsFile       string         // path of the fronts file; empty if there is none
 	sessionKeys      *token.Ring    // nil if sessions are not resumed
-	initialEndpoints endpoint.List  // contents of the endpoint file at the start, if one replaces discovery
+	initialEndpoints endpoint.List  // contents of the endpoint file at the start; empty without one
 	configReplica    *configReplica // nil if no control plane is configured
 	log              *logrus.Logger
 
 	// Hot restart.
-	restartPath string // of the Unix socket at which a replacement process asks for the sockets
+	restartPath string // path of the Unix socket where a replacement process requests the sockets
 	sockets     *hotrestart.Sockets
-	previous    *hotrestart.PreviousProcess // nil if no process hands its sockets over
+	previous    *hotrestart.PreviousProcess // nil if no running process has passed its sockets to this one
 
 	// Subsystems.
 	monitor            *sdnotify.Monitor
@@ -46,29 +46,29 @@
 	cluster            *gossip.Cluster // nil if the instance is not a member of a cluster
 	clientListener     *net.TCPListener
 	clientPauser       *hotrestart.Pauser
-	managementListener *net.TCPListener // nil if the management address is off
-	quicFrontend       *quic.Frontend   // nil if the QUIC frontend is off
+	managementListener *net.TCPListener // nil if no management address is configured
+	quicFrontend       *quic.Frontend   // nil if QUIC is not configured
 	quicPauser         *hotrestart.Pauser
-	snmpAgent          *snmp.Agent // nil if the SNMP agent is off
+	snmpAgent          *snmp.Agent // nil if SNMP is not configured
 	snmpPauser         *hotrestart.Pauser
 	notifier           *sdnotify.Notifier
 	prober             *platform.Prober
 	discovery          endpointSource
-	endpointFile       *filesource.Source // nil if the endpoint list does not come from a file
+	endpointFile       *filesource.Source // nil unless an endpoint file replaces discovery
 	frontend           *platform.Frontend
 	sessions           *platform.SessionResumer // nil if sessions are not resumed
 	restart            *restartCoordinator
 
 	// setDiscoveryAddress applies the discovery address of a reloaded configuration.
 	setDiscoveryAddress func(address string)
-	// running counts the goroutines that shutdown waits for.
+	// running tracks the goroutines that shutdown waits for.
 	running sync.WaitGroup
 }
 
-// serve runs the balancer until SIGTERM or SIGINT has stopped it.
+// serve runs the balancer until SIGTERM or SIGINT, and then shuts it down gracefully.
 func serve(frontsFile string) error {
-	// The signals are caught before anything else and until the process ends, also during a graceful shutdown: uncaught,
-	// either would end the process with accepted requests unanswered.
+	// The signals are caught from here until the process ends, also during a graceful shutdown. An uncaught signal
+	// would end the process with accepted requests unanswered.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	stop, unregister := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// newDaemon reads the configuration, takes over the sockets of a running process and opens those that are missing.
+// newDaemon reads the configuration, receives the sockets of a running process, if there is one, creates the engine
+// and the cluster, and opens the sockets that are missing.
 func newDaemon(frontsFile string) (*daemon, error) {
 	d := &daemon{frontsFile: frontsFile, monitor: &sdnotify.Monitor{}}
 	if err := d.loadConfig(); err != nil {
@@ -110,7 +111,7 @@
 	return d, nil
 }
 
-// build creates the subsystems that run until ctx ends; nothing but the prober uses ctx before start.
+// build creates the remaining subsystems. Of these only the prober uses ctx before start is called.
 func (d *daemon) build(ctx context.Context) error {
 	var err error
 	d.notifier, err = sdnotify.NewNotifier(d.monitor, func() string { return statusLine(d.engine.Snapshot()) }, d.log)
@@ -132,7 +133,7 @@
 	d.startManagement(ctx)
 	d.startCluster(ctx)
 	d.startReloader(ctx, hangup)
-	go d.notifier.Run(ctx) // shutdown waits for it with a limit of its own: a supervisor's socket may hang
+	go d.notifier.Run(ctx) // not in d.running: the supervisor's socket may block, so shutdown limits this wait separately
 	d.running.Go(func() { notifyReady(ctx, d.engine, d.notifier, d.previous != nil) })
 	d.startDatagramServers(ctx)
 	d.log.WithFields(logrus.Fields{
--- a/cmd/cottonplank/discovery.go
+++ b/cmd/cottonplank/discovery.go
@@ -8,14 +8,15 @@
 	"cottonplank/internal/discovery/httpsource"
 )
 
-// endpointSource supplies the endpoint list and its changes.
+// endpointSource delivers the endpoint list and its changes to the engine.
 type endpointSource interface {
 	core.Discovery
 	SetWatchdog(core.Watchdog)
 	Run(context.Context)
 }
 
-// newDiscovery creates the source of the endpoint list: the control plane, a file, or the discovery service.
+// newDiscovery creates the source of the endpoint list: the control plane if one is configured, else the endpoint
+// file if there is one, else the discovery service.
 func (d *daemon) newDiscovery() {
 	d.setDiscoveryAddress = d.engine.SetDiscoveryAddress
 	switch {
--- a/cmd/cottonplank/engine.go
+++ b/cmd/cottonplank/engine.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Names of the event loops that the watchdog monitors. A service supervisor shows the name of one that is stuck, and
-// operators' alerts match on it.
+// Names of the watchdog's tasks. A service supervisor shows the name of a task that is stuck, and operators' alerts
+// match on it.
 const (
 	engineTask    = "module"
 	discoveryTask = "list"
@@ -21,7 +21,7 @@
 	quicTask      = "quic front"
 )
 
-// newEngine creates the engine with the learned state of the previous process, if there is one.
+// newEngine creates the engine. During a hot restart it starts with the learned state of the previous process.
 func (d *daemon) newEngine() error {
 	engine, err := core.New(core.Config{
 		Settings:       d.cfg.Settings,
@@ -46,8 +46,8 @@
 	return sessions.StateTimeout
 }
 
-// decodeLearned decodes what the previous process has learned about the room servers. A malformed line is skipped; the
-// state of another deployment is ignored as a whole.
+// decodeLearned decodes the previous process's learned state of the room servers. It skips malformed lines. It returns
+// nil if there is no previous process, or if a line belongs to another deployment.
 func decodeLearned(previous *hotrestart.PreviousProcess, deployment string, log *logrus.Logger) []decide.LearnedState {
 	if previous == nil {
 		return nil
--- a/cmd/cottonplank/frontends.go
+++ b/cmd/cottonplank/frontends.go
@@ -15,11 +15,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// detailedSnapshotTimeout is how long the engine may take to report on each room server. Past it the SNMP agent shows
-// older values.
+// detailedSnapshotTimeout bounds the SNMP agent's wait for the engine's detailed snapshot. After the timeout the agent
+// reports the previous detailed snapshot.
 const detailedSnapshotTimeout = 200 * time.Millisecond
 
-// newFrontend creates the frontend of the platform's line protocol, with session resumption if there are keys for it.
+// newFrontend creates the frontend of the platform's line protocol. It enables session resumption if session keys are
+// configured.
 func (d *daemon) newFrontend() {
 	budget := platform.DescriptorBudget{Total: d.cfg.ConnDescriptors, DialReserve: d.cfg.DialReserve}
 	d.frontend = platform.New(d.engine, protocolNames(d.cfg), budget, d.log)
@@ -55,7 +56,7 @@
 	}, engine, log), nil
 }
 
-// startManagement serves the management address, if there is one.
+// startManagement starts the management server if a management address is configured.
 func (d *daemon) startManagement(ctx context.Context) {
 	if d.managementListener == nil {
 		return
@@ -67,7 +68,7 @@
 	d.running.Go(func() { server.Serve(ctx, d.managementListener) })
 }
 
-// startDatagramServers serves QUIC and SNMP, where they are on.
+// startDatagramServers starts the QUIC frontend and the SNMP agent, as far as they are configured.
 func (d *daemon) startDatagramServers(ctx context.Context) {
 	if d.quicFrontend != nil {
 		d.running.Go(func() { d.quicFrontend.Serve(ctx, d.quicPauser) })
--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -9,13 +9,13 @@
 	"cottonplank/internal/operations/management"
 )
 
-// instanceStatus is what the status command reports about one instance. The rates are per second, over the interval
-// between two polls.
+// instanceStatus is what the status command reports about one instance. The rates are averages over the interval
+// between two INFO responses.
 type instanceStatus struct {
 	Address    string         `json:"address"`
-	State      string         `json:"state"` // the answer to PING; empty if there was none
+	State      string         `json:"state"` // response to PING without its status code; empty if there was none
 	Error      string         `json:"error,omitempty"`
-	Generation uint64         `json:"generation"` // of the configuration; 0 if the instance does not report it
+	Generation uint64         `json:"generation"` // configuration generation; 0 if the instance does not report one
 	Open       uint64         `json:"open_requests"`
 	Listed     uint64         `json:"registry_entries"`
 	Ejected    uint64         `json:"out_of_rotation"`
@@ -36,10 +36,10 @@
 	Partitioned bool   `json:"partitioned"`
 }
 
-// instanceMetrics are an instance's metrics by the names of INFO, without the prefix "svc.".
+// instanceMetrics maps the names of an instance's INFO metrics, without the prefix "svc.", to their values.
 type instanceMetrics map[string]uint64
 
-// pollInstances polls all instances at once; one that does not answer delays no other.
+// pollInstances polls all instances concurrently, so that an instance that does not answer delays no other.
 func pollInstances(ctx context.Context, addresses []string, interval time.Duration) []instanceStatus {
 	instances := make([]instanceStatus, len(addresses))
 	var polls sync.WaitGroup
@@ -55,7 +55,7 @@
 	return instances
 }
 
-// poll reads the instance's metrics twice, an interval apart.
+// poll sends PING and reads the instance's metrics twice, with the given interval in between.
 func (s *instanceStatus) poll(ctx context.Context, interval time.Duration) error {
 	pong, err := management.Query(ctx, s.Address, "PING")
 	if err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// set derives the status from the metrics before and after an interval.
+// set derives the status from the metrics at the beginning and at the end of the elapsed time.
 func (s *instanceStatus) set(before, after instanceMetrics, elapsed time.Duration) {
 	s.Generation = after["generation"]
 	s.Open = after["open_requests"]
@@ -93,7 +93,8 @@
 	s.Resumed = after.rate(before, "resumed", elapsed)
 }
 
-// rate returns the growth per second of the metric called name and of those that begin with name and a dot.
+// rate returns the increase per second of the metric with this name plus those whose names begin with name and a dot.
+// It is negative if the instance restarted in between, which resets its counters.
 func (m instanceMetrics) rate(before instanceMetrics, name string, elapsed time.Duration) float64 {
 	sum := 0.0
 	for key, value := range m {
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// defaultKeyLifetime is how long a new key seals unless --for says otherwise.
+	// defaultKeyLifetime is how long a new key seals unless --for is set.
 	defaultKeyLifetime = 30 * 24 * time.Hour
-	// minKeyLifetime is the least that --for may say.
+	// minKeyLifetime is the smallest value that --for accepts.
 	minKeyLifetime = time.Minute
-	// keysFileMode keeps the secrets from everybody but the file's owner.
+	// keysFileMode lets only the file's owner read the secrets. LoadKeys rejects a file that other users can access.
 	keysFileMode fs.FileMode = 0o600
 )
 
@@ -29,17 +29,18 @@
 func newKeysCommand(out io.Writer) *cobra.Command {
 	keys := &cobra.Command{
 		Use:   "keys",
-		Short: "Make and list the keys that seal tokens",
+		Short: "Create and list sealing keys",
 		Args:  noArguments,
-		RunE:  func(*cobra.Command, []string) error { return errors.New("new or list is expected") },
+		RunE:  func(*cobra.Command, []string) error { return errors.New("missing subcommand: expected new or list") },
 	}
 	var file string
 	var delay, lifetime time.Duration
-	create := newCommand(out, "new", "Add a key to a file, which is made where there is none",
+	create := newCommand(out, "new", "Add a sealing key to a keys file; the file is created if it does not exist",
 		func(out io.Writer) error { return createKey(out, file, delay, lifetime) })
-	create.Flags().DurationVar(&delay, "after", 0, "when it begins to seal; leave all balancers the time to read it")
-	create.Flags().DurationVar(&lifetime, "for", defaultKeyLifetime, "how long it seals")
-	list := newCommand(out, "list", "Tell what each key of a file does now",
+	create.Flags().DurationVar(&delay, "after", 0,
+		"delay until the key seals; all balancers must have reloaded the file by then")
+	create.Flags().DurationVar(&lifetime, "for", defaultKeyLifetime, "how long the key seals")
+	list := newCommand(out, "list", "List the keys of a file with their current use",
 		func(out io.Writer) error { return listKeys(out, file) })
 	for _, command := range []*cobra.Command{create, list} {
 		command.Flags().StringVar(&file, "file", "", "keys `file` (required)")
@@ -49,11 +50,12 @@
 	return keys
 }
 
-// createKey adds a key to the file, which it creates if there is none. The key seals tokens from delay on, for
-// lifetime.
+// createKey adds a key to the file, which it creates if it does not exist. The key starts to seal after delay and
+// seals for lifetime.
 func createKey(out io.Writer, file string, delay, lifetime time.Duration) error {
 	if delay < 0 || lifetime < minKeyLifetime {
-		return fmt.Errorf("--after %v is below 0 or --for %v below a minute", delay, lifetime)
+		return fmt.Errorf("invalid --after %v or --for %v: expected --after of at least 0s and --for of at least 1m", delay,
+			lifetime)
 	}
 	keys, err := config.LoadKeys(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -80,7 +82,7 @@
 	return err
 }
 
-// listKeys prints the file's keys and what each is used for now.
+// listKeys prints the IDs, the current use and the validity of the file's keys.
 func listKeys(out io.Writer, file string) error {
 	keys, err := config.LoadKeys(file)
 	if err != nil {
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -11,15 +11,15 @@
 	"cottonplank/internal/operations/snmp"
 )
 
-// Names under which sockets are passed on by a service supervisor and between processes.
+// Names of the sockets that a service supervisor, or a process during a hot restart, passes to this process.
 const (
 	clientSocket = "clients"
 	quicSocket   = "quic"
 	snmpSocket   = "snmp"
 )
 
-// inheritSockets asks a running process for its sockets, adds those that a service supervisor has passed on, and
-// applies the memory limit, of which both processes get a part while they run beside each other.
+// inheritSockets requests the sockets of a running process, adds those that a service supervisor has passed, and
+// applies the memory limit. While two processes run, each gets a fraction of the limit.
 func (d *daemon) inheritSockets() {
 	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
 	d.sockets, d.previous = hotrestart.ReceiveSockets(d.restartPath, d.log)
@@ -27,7 +27,8 @@
 	d.cfg.ProcessLimits(d.previous != nil).ApplyMemory()
 }
 
-// openListeners opens the sockets of all frontends, with those taken over where name and address match.
+// openListeners opens the sockets of the frontends, the management server and the SNMP agent. It uses an inherited
+// socket where the name and the address match. The management socket is always a new one.
 func (d *daemon) openListeners() error {
 	listener, err := d.sockets.ListenTCP(clientSocket, d.cfg.Listen)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return hotrestart.NewPauser(conn.SetReadDeadline)
 }
 
-// datagramPausers returns the pausers of the UDP sockets that are open.
+// datagramPausers returns the pausers of the UDP sockets of QUIC and SNMP, as far as they are open.
 func (d *daemon) datagramPausers() []*hotrestart.Pauser {
 	var pausers []*hotrestart.Pauser
 	if d.quicPauser != nil {
--- a/cmd/cottonplank/main.go
+++ b/cmd/cottonplank/main.go
@@ -1,5 +1,5 @@
-// Command cottonplank is a load balancer for long-lived connections: it places each client connection on a room server
-// and keeps it there for as long as both sides want it.
+// Command cottonplank is a load balancer for long-lived connections. It relays each client connection to a room server
+// and keeps it there until either side closes it or the balancer migrates it.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// printVersion prints the version that the program was built from.
+// printVersion prints the version of the program's main module.
 func printVersion(out io.Writer) error {
 	_, err := fmt.Fprintln(out, "cottonplank", programVersion())
 	return err
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -16,28 +16,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloader applies what SIGHUP may change: the discovery address, the session and cluster keys, and the endpoint file.
-// A reload is atomic: if one of the files is invalid, all of the previous configuration stays in force.
+// reloader applies the settings that SIGHUP reloads: the discovery address, the session and cluster keys, and the
+// endpoint file. A reload is atomic: if any of the files is invalid, the whole previous configuration stays in force.
 type reloader struct {
 	fronts              config.Fronts
 	cluster             *gossip.Cluster // nil if the instance is not a member of a cluster
 	setDiscoveryAddress func(address string)
 	sessions            *platform.SessionResumer // nil if sessions are not resumed
-	endpointFile        *filesource.Source       // nil if the endpoint list comes from elsewhere
-	reportGeneration    func(generation uint64)  // called with 1 at the start and after each reload that succeeded
+	endpointFile        *filesource.Source       // nil unless an endpoint file replaces discovery
+	reportGeneration    func(generation uint64)  // starts at 1, rises by 1 with each successful reload
 	notifier            *sdnotify.Notifier
 	log                 *logrus.Logger
 }
 
-// reloadedFiles are the files of one reload, all of them valid.
+// reloadedFiles is the validated content of the files that one reload has read.
 type reloadedFiles struct {
-	discovery   string
-	sessionKeys *token.Ring // nil if sessions are not resumed
-	clusterKeys *token.Ring // nil if the instance is not a member of a cluster
-	endpoints   endpoint.List
+	discovery   string        // address
+	sessionKeys *token.Ring   // nil if sessions are not resumed
+	clusterKeys *token.Ring   // nil if the instance is not a member of a cluster
+	endpoints   endpoint.List // empty unless an endpoint file replaces discovery
 }
 
-// startReloader reloads the configuration at each signal of hangup.
+// startReloader starts a goroutine that reloads the configuration at each signal on hangup.
 func (d *daemon) startReloader(ctx context.Context, hangup <-chan os.Signal) {
 	r := &reloader{
 		fronts:              d.fronts,
@@ -49,13 +49,13 @@
 		notifier:            d.notifier,
 		log:                 d.log,
 	}
-	if d.frontsFile != "" { // without a fronts file INFO has only the keys that the platform specifies
+	if d.frontsFile != "" { // without a fronts file INFO reports only the metrics that the platform specifies
 		r.reportGeneration = d.engine.SetConfigGeneration
 	}
 	d.running.Go(func() { r.run(ctx, hangup) })
 }
 
-// run reloads at each signal, one after the other, until ctx ends.
+// run reloads the configuration at each signal until ctx ends. Reloads do not overlap.
 func (r *reloader) run(ctx context.Context, hangup <-chan os.Signal) {
 	generation := uint64(1)
 	r.reportGeneration(generation)
@@ -77,7 +77,7 @@
 	}
 }
 
-// reload reads all files before it applies any of them.
+// reload reads and validates all files before it applies any of them. On an error it applies none.
 func (r *reloader) reload(ctx context.Context) error {
 	files, err := r.readFiles()
 	if err != nil {
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -11,11 +11,13 @@
 	"cottonplank/internal/operations/hotrestart"
 )
 
-// exportLearnedTimeout is how long the engine may take to export its learned state for a replacement process.
+// exportLearnedTimeout bounds the wait for the engine to export its learned state for a replacement process. After the
+// timeout the replacement process receives none.
 const exportLearnedTimeout = 400 * time.Millisecond
 
-// restartCoordinator decides, during a hot restart, which of the processes that share the sockets accepts connections
-// and reads datagrams, and which part of the limits this one may use. All state is owned by the goroutine of run.
+// restartCoordinator decides, during a hot restart, whether this process accepts connections from the shared listener
+// and reads datagrams from the shared UDP sockets, and which fraction of the limits it may use. The goroutine of run
+// owns all state.
 type restartCoordinator struct {
 	cfg       *config.Config
 	engine    *core.Engine
@@ -23,20 +25,20 @@
 	cluster   *gossip.Cluster // nil if the instance is not a member of a cluster
 	clients   *hotrestart.Pauser
 	datagrams []*hotrestart.Pauser
-	updates   chan func()   // changes of the state below
+	updates   chan func()   // each changes the state below; run executes them
 	done      chan struct{} // closed when run returns
 
-	previousAlive     bool // the previous process has not exited
-	awaitingReadiness bool // the previous process serves until this one is ready
+	previousAlive     bool // there is a previous process and it has not exited
+	awaitingReadiness bool // this process is not ready yet; the previous process serves
 	replacements      hotrestart.Replacements
 	stopping          bool // graceful shutdown has begun
 	accepting         bool // this process accepts connections
 	reading           bool // this process reads datagrams
-	abandonedCluster  bool // a replacement process has this instance's place in the cluster
+	abandonedCluster  bool // a replacement process has taken over this instance's cluster membership
 }
 
-// newRestartCoordinator returns the coordinator of d. With a previous process, the sockets are paused from here on
-// until this process is ready.
+// newRestartCoordinator returns the coordinator of d. If there is a previous process, it pauses the sockets until this
+// process is ready.
 func newRestartCoordinator(d *daemon) *restartCoordinator {
 	c := &restartCoordinator{
 		cfg:       d.cfg,
@@ -62,7 +64,8 @@
 	return c
 }
 
-// startHotRestart runs the coordinator and offers the sockets to replacement processes once this process serves.
+// startHotRestart starts the coordinator. Once this process serves, it passes its sockets to replacement processes on
+// request.
 func (d *daemon) startHotRestart(ctx context.Context) {
 	d.restart = newRestartCoordinator(d)
 	exportLearned := func() []string { return d.engine.ExportLearned(exportLearnedTimeout) }
@@ -75,7 +78,7 @@
 	})
 }
 
-// run applies updates one after the other until ctx ends.
+// run executes each update and applies the resulting state, until ctx ends.
 func (c *restartCoordinator) run(ctx context.Context) {
 	defer close(c.done)
 	if c.previousAlive {
@@ -92,7 +95,7 @@
 	}
 }
 
-// post hands an update to run; it is dropped once run has returned.
+// post sends an update to run, and drops it if run has returned.
 func (c *restartCoordinator) post(update func()) {
 	select {
 	case c.updates <- update:
@@ -100,14 +103,14 @@
 	}
 }
 
-// replacePrevious waits until this process can serve in place of the previous one and tells it so. It reports false
-// if ctx ended first.
+// replacePrevious waits until this process is ready or the previous one has exited. Then this process starts to accept
+// connections and notifies the previous one. It reports false if ctx ended first.
 func (c *restartCoordinator) replacePrevious(ctx context.Context, previous *hotrestart.PreviousProcess) bool {
 	select {
 	case <-ctx.Done():
 		return false
 	case <-previous.Exited:
-		c.engine.SkipListWait() // nobody else serves: serve at once, with the last known list
+		c.engine.SkipListWait() // no process serves: serve at once, with the list known at the start
 	case <-c.engine.Ready():
 	}
 	c.post(func() { c.awaitingReadiness = false })
@@ -116,7 +119,7 @@
 	return true
 }
 
-// awaitExit ends with the previous process or with run.
+// awaitExit waits for the exit of the previous process and records it. It returns early if run returns.
 func (c *restartCoordinator) awaitExit(previous *hotrestart.PreviousProcess) {
 	select {
 	case <-previous.Exited:
@@ -125,18 +128,18 @@
 	}
 }
 
-// setReplacements records how many processes have taken the sockets.
+// setReplacements records how many replacement processes have received the sockets and how many of them serve.
 func (c *restartCoordinator) setReplacements(n hotrestart.Replacements) {
 	c.post(func() { c.replacements = n })
 }
 
-// beginShutdown begins a graceful shutdown: if a replacement accepts from the same listener, this process stops
-// accepting.
+// beginShutdown records that a graceful shutdown has begun. From then on, this process accepts connections only while
+// no replacement process serves.
 func (c *restartCoordinator) beginShutdown() {
 	c.post(func() { c.stopping = true })
 }
 
-// apply brings limits, sockets and cluster membership in line with the state.
+// apply sets the limits, the pausing of the sockets and the cluster membership according to the state.
 func (c *restartCoordinator) apply() {
 	replaced := c.replacements.Serving > 0
 	limits := c.cfg.ProcessLimits(c.previousAlive || c.replacements.Connected > 0)
@@ -149,14 +152,16 @@
 		c.accepting = accepting
 		setRunning(accepting, c.clients)
 	}
-	// Only one process reads datagrams: the packets of a QUIC connection would otherwise be spread over both.
+	// Only one process reads datagrams. If two processes read from the shared UDP socket, the packets of a QUIC
+	// connection would be distributed between them.
 	if reading := !c.awaitingReadiness && !replaced; reading != c.reading {
 		c.reading = reading
 		setRunning(reading, c.datagrams...)
 	}
 }
 
-// applyMembership leaves the place in the cluster to a replacement that serves, and rejoins when that one has exited.
+// applyMembership abandons the cluster membership to a replacement process that serves, and rejoins the cluster when
+// no replacement process serves any more, unless this process is stopping.
 func (c *restartCoordinator) applyMembership(replaced bool) {
 	if c.cluster == nil || replaced == c.abandonedCluster {
 		return
@@ -169,7 +174,7 @@
 	}
 }
 
-// setRunning resumes or pauses the sockets of pausers.
+// setRunning resumes the sockets of pausers if running is true, otherwise pauses them.
 func setRunning(running bool, pausers ...*hotrestart.Pauser) {
 	for _, pauser := range pausers {
 		if running {
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// exitTimeout is how long the goroutines may take to end once all requests are answered.
+	// exitTimeout bounds the wait for the goroutines to return after the drain.
 	exitTimeout = 150 * time.Millisecond
-	// notifierTimeout is the part of exitTimeout in which the service supervisor may take the last notification.
+	// notifierTimeout bounds the wait until the notifier has sent its last notification to the service supervisor.
 	notifierTimeout = exitTimeout / 3
 )
 
-// shutdown stops the balancer gracefully: it answers what it has accepted and migrates the established connections,
-// then cancels the context of all subsystems and waits for them for a short time.
+// shutdown stops the balancer gracefully: it answers the accepted requests and migrates the established connections
+// within the shutdown budget. Then it cancels the context of all subsystems and waits for their goroutines.
 func (d *daemon) shutdown(cancel context.CancelFunc) {
 	d.log.Info("stopping: answering pending requests and migrating established connections")
 	d.notifier.Stopping(d.cfg.ShutdownBudget + exitTimeout)
@@ -28,8 +28,8 @@
 	d.waitForGoroutines()
 }
 
-// leaveCluster leaves the cluster while the engine drains; the channel is closed when it has left, within
-// gossip.LeaveTimeout.
+// leaveCluster leaves the cluster, if this instance is a member, while the engine drains. The returned channel is
+// closed when the departure is announced, at the latest after gossip.LeaveTimeout.
 func (d *daemon) leaveCluster() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -55,11 +55,11 @@
 	}).Info("stopped")
 }
 
-// waitForGoroutines gives up after exitTimeout: all requests are answered by then, and the process has to exit before
-// the platform kills it.
+// waitForGoroutines waits up to notifierTimeout for the notifier, and then up to exitTimeout for the other goroutines.
+// It gives up after that: all requests have been answered, and the process has to exit before the platform kills it.
 func (d *daemon) waitForGoroutines() {
 	ended := make(chan struct{})
-	go func() { // ends with the process at the latest
+	go func() { // may run until the process exits
 		d.running.Wait()
 		close(ended)
 	}()
--- a/cmd/cottonplank/status.go
+++ b/cmd/cottonplank/status.go
@@ -24,11 +24,11 @@
 	var interval time.Duration
 	command := &cobra.Command{
 		Use:   "status ADDRESS...",
-		Short: "Tell how instances are, by their management addresses",
+		Short: "Print the status of the instances at these management addresses",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, addresses []string) error {
 			if interval <= 0 {
-				return fmt.Errorf("--over: %v is not above 0", interval)
+				return fmt.Errorf("invalid --over %v: expected a duration greater than 0", interval)
 			}
 			instances := pollInstances(command.Context(), addresses, interval)
 			if err := printInstances(out, instances, asJSON); err != nil {
@@ -37,12 +37,12 @@
 			return unreachableError(instances)
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "print one JSON array")
-	command.Flags().DurationVar(&interval, "over", time.Second, "the time over which rates are counted")
+	command.Flags().BoolVar(&asJSON, "json", false, "print a JSON array instead of a table")
+	command.Flags().DurationVar(&interval, "over", time.Second, "interval over which the rates are measured")
 	return command
 }
 
-// unreachableError names the instances that could not be polled; it returns nil if there are none.
+// unreachableError returns an error that names the instances that could not be polled, or nil if there are none.
 func unreachableError(instances []instanceStatus) error {
 	var unreachable []string
 	for _, instance := range instances {
@@ -75,7 +75,8 @@
 	return table.Flush()
 }
 
-// columns returns the last three columns of the table: "-" in each for an instance that is not a member of a cluster.
+// columns returns the last three columns of the table. Each is "-" if c is nil, because the instance is not a member
+// of a cluster.
 func (c *clusterStatus) columns() (counts, size, health string) {
 	switch {
 	case c == nil:
--- a/cmd/cottonplank/supervisor.go
+++ b/cmd/cottonplank/supervisor.go
@@ -9,8 +9,8 @@
 	"cottonplank/internal/operations/sdnotify"
 )
 
-// notifyReady tells the service supervisor when this process serves. A process that replaces another one is the
-// service's main process from then on: the other is about to be stopped.
+// notifyReady notifies the service supervisor as soon as this process serves. If the process replaces another one, it
+// also declares itself the service's main process, because the other process is about to be stopped.
 func notifyReady(ctx context.Context, engine *core.Engine, notifier *sdnotify.Notifier, replacesAnother bool) {
 	select {
 	case <-ctx.Done():
@@ -22,7 +22,7 @@
 	}
 }
 
-// statusLine is the text that a service supervisor shows for this process.
+// statusLine returns the status text that a service supervisor shows for this process.
 func statusLine(s *core.Snapshot) string {
 	return fmt.Sprintf("%s: %d connections stand, %d requests wait, %d room servers listed, %d of them left out",
 		s.Service, s.Established, s.Waiting, s.Listed, s.Ejected)
