--- a/cmd/cottonplank/check_test.go
+++ b/cmd/cottonplank/check_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-const summaryOfReload = "SIGHUP takes over: discovery, from the file before PROXY_DISCOVERY, the keys of tokens and " +
+const reloadSummary = "SIGHUP takes over: discovery, from the file before PROXY_DISCOVERY, the keys of tokens and " +
 	"of the membership and the list of room servers; every other key takes a restart\n"
 
-// Operators' scripts read the summary.
+// Operators' scripts parse the summary, so its text must not change.
 func TestCheckSummary(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
@@ -18,7 +18,7 @@
 	const summary = `n3: 1 classes, 0 known room servers, management "", quic "", snmp ""
 descriptors: 880 for channels and dials, 110 of them for dials alone; ` +
 		"371 requests and connections at once; 128 for probes\n"
-	if status != 0 || output != summary+summaryOfReload {
+	if status != 0 || output != summary+reloadSummary {
 		t.Errorf("status %d, output %q", status, output)
 	}
 
@@ -26,13 +26,14 @@
 	replaceFile(t, endpointFile, twoEndpoints)
 	replaceFile(t, fronts, `{"rooms":{"file":"rooms.json"}}`)
 	status, output = runCommand("check", "--fronts", fronts)
-	want := "rooms: 2 room servers from " + endpointFile + ", in place of discovery\n" + summary + summaryOfReload
+	want := "rooms: 2 room servers from " + endpointFile + ", in place of discovery\n" + summary + reloadSummary
 	if status != 0 || output != want {
 		t.Errorf("with an endpoint file: status %d, output %q", status, output)
 	}
 }
 
-// Each section of the fronts file is checked with the files that it names.
+// Guards against a check that passes although a file named in the fronts file is missing: serve would then fail to
+// start.
 func TestCheckReportsMissingFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
--- a/cmd/cottonplank/cluster_test.go
+++ b/cmd/cottonplank/cluster_test.go
@@ -16,7 +16,7 @@
 	"cottonplank/internal/operations/management"
 )
 
-// clusterFleet is a fleet of processes that are members of one cluster.
+// clusterFleet is a fleet of balancer processes that form one cluster.
 type clusterFleet struct {
 	t               *testing.T
 	dir             string
@@ -34,7 +34,7 @@
 	return f
 }
 
-// start runs the i-th instance; it takes over from a running process of the same number.
+// start starts a process of the i-th instance. It replaces a running process of the same instance in a hot restart.
 func (f *clusterFleet) start(i int) *process {
 	f.t.Helper()
 	dir := filepath.Join(f.dir, fmt.Sprint(i))
@@ -50,21 +50,23 @@
 		"TMPDIR="+dir)
 }
 
-// waitMembersAlive waits until the process sees so many members alive, and returns how long that took.
+// waitMembersAlive waits until the process reports this number of alive members, and returns how long that took.
 func (p *process) waitMembersAlive(alive uint64, within time.Duration) time.Duration {
 	p.t.Helper()
 	began := time.Now()
 	for p.metrics()["members_alive"] != alive {
 		if time.Since(began) > within {
-			p.t.Fatalf("%d members are not alive within %v: %v", alive, within, p.metrics())
+			p.t.Fatalf("the process does not report %d alive members within %v: %v", alive, within, p.metrics())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// Processes find each other. A process that is paused fails nobody and is failed by nobody. A shutdown, a lame duck and
-// one that rejoins are announced at once; a replacement process takes the member over; a killed process is detected.
+// Guards cluster membership between real processes. They discover each other through gossip. A process that is paused
+// for 5 s neither declares another member failed nor is declared failed. A lame duck, a rejoin and a shutdown are
+// announced, so that the others need no failure detection. A hot restart keeps the instance a member. A killed process
+// is detected as failed.
 func TestClusterOfProcesses(t *testing.T) {
 	t.Parallel()
 	const n = 5
@@ -82,9 +84,9 @@
 
 	lameDuck := processes[2]
 	if response := lameDuck.call("LAMEDUCK"); !strings.HasPrefix(response, "200") {
-		t.Fatalf("LAMEDUCK brings %q", response)
+		t.Fatalf("response to LAMEDUCK: %q", response)
 	}
-	t.Logf("a lame duck has left after %v", observer.waitMembersAlive(n-1, 2*time.Second))
+	t.Logf("the lame duck left the cluster after %v", observer.waitMembersAlive(n-1, 2*time.Second))
 	if _, isMember := lameDuck.metrics()["members_alive"]; isMember {
 		t.Error("the lame duck is still a member")
 	}
@@ -97,19 +99,19 @@
 	processes[3].waitExit()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if metrics := observer.metrics(); metrics["members_alive"]+metrics["members_suspect"] != n {
-			t.Fatalf("the hot restart is seen: %v", metrics)
+			t.Fatalf("another member saw the hot restart as a departure or a failure: %v", metrics)
 		}
 	}
 	next.waitMembersAlive(n, testTimeout)
 
 	processes[4].signal(syscall.SIGTERM)
-	t.Logf("a process that shuts down has left after %v", observer.waitMembersAlive(n-1, 2*time.Second))
+	t.Logf("the stopping process left the cluster after %v", observer.waitMembersAlive(n-1, 2*time.Second))
 	processes[4].waitExit()
 	next.signal(syscall.SIGKILL)
-	t.Logf("a killed process is detected after %v", waitFailed(t, observer))
+	t.Logf("the killed process was declared failed after %v", waitFailed(t, observer))
 }
 
-// checkPause pauses a process for 5 s: no process may have a failed member then.
+// checkPause pauses a process for 5 s and checks that no process reports a failed member afterwards.
 func checkPause(t *testing.T, processes []*process, paused *process) {
 	t.Helper()
 	paused.signal(syscall.SIGSTOP)
@@ -118,26 +120,26 @@
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i, p := range processes {
 			if failed := p.metrics()["members_failed"]; failed > 0 {
-				t.Fatalf("process %d has %d failed after a pause of 5 s", i, failed)
+				t.Fatalf("process %d reports %d failed members after another process paused for 5 s", i, failed)
 			}
 		}
 	}
 }
 
-// waitFailed waits until the observer has one failed member, and returns how long that took.
+// waitFailed waits until the observer reports one failed member, and returns how long that took.
 func waitFailed(t *testing.T, observer *process) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for observer.metrics()["members_failed"] != 1 {
 		if time.Since(began) > 2*testTimeout {
-			t.Fatalf("the killed process is not detected: %v", observer.metrics())
+			t.Fatalf("the killed process is not declared failed: %v", observer.metrics())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// Without the section there are no cluster metrics.
+// Without a membership section in the fronts file, INFO reports no cluster metrics.
 func TestMetricsWithoutMembership(t *testing.T) {
 	d := newDeployment(t)
 	p := d.start(d.startDiscovery(false)).waitReady()
@@ -150,7 +152,7 @@
 	p.waitExit()
 }
 
-// The names are part of the management protocol, as is their order.
+// The names and their order are part of the management protocol, which operators' tools read.
 func TestClusterMetricNames(t *testing.T) {
 	stats := gossip.Stats{BytesSent: 1, FramesSent: 99, TooLong: 2, Replayed: 3, Rejected: 4}
 	view := &membership.View{Version: 13, Alive: 5, Suspect: 6, Failed: 7, Isolated: true, Partitioned: true,
--- a/cmd/cottonplank/command_test.go
+++ b/cmd/cottonplank/command_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// The example of the fronts file is valid.
+// The example of a fronts file in deploy/ is valid.
 func TestCheckWithFronts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	replaceFile(t, path, validConfig)
@@ -46,7 +46,8 @@
 	}
 }
 
-// The flag had one dash once, and service units may still use it so.
+// Guards against a program that does not start under an existing service unit: older versions had the flag -fronts
+// with one dash, which the flag parser takes for several short flags.
 func TestLongFlags(t *testing.T) {
 	args := []string{"check", "-fronts", "f", "-fronts=f", "--fronts", "-x"}
 	want := []string{"check", "--fronts", "f", "--fronts=f", "--fronts", "-x"}
@@ -54,7 +55,7 @@
 		t.Errorf("%q, want %q", got, want)
 	}
 	if args[1] != "-fronts" {
-		t.Error("the arguments themselves are changed")
+		t.Error("the caller's arguments were modified")
 	}
 }
 
--- a/cmd/cottonplank/controlplane_test.go
+++ b/cmd/cottonplank/controlplane_test.go
@@ -17,8 +17,8 @@
 // maxPropagationDelay is how long a change of the document may take to reach all balancers.
 const maxPropagationDelay = 6 * time.Second
 
-// startCommand runs the program with arguments; its log may be read once it has ended. The log is printed if the test
-// fails.
+// startCommand starts the program with arguments and returns its log, which may be read after the process has exited.
+// The log is printed if the test fails.
 func startCommand(t *testing.T, environment []string, arguments ...string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	command, logs := exec.Command(os.Args[0]), &bytes.Buffer{}
@@ -37,7 +37,7 @@
 	return command, logs
 }
 
-// endpointsJSON is a document, or an endpoint file, with n room servers.
+// endpointsJSON returns n room servers in the format of the document and of the endpoint file.
 func endpointsJSON(n int) string {
 	var endpoints []string
 	for i := range n {
@@ -99,7 +99,7 @@
 	return p
 }
 
-// expectListed checks that all balancers list so many room servers in time.
+// expectListed checks that all balancers list this number of room servers within maxPropagationDelay.
 func (f *controlPlaneFleet) expectListed(servers int) {
 	f.t.Helper()
 	start := time.Now()
@@ -113,9 +113,9 @@
 	}
 }
 
-// A change of the leader's document is in force at two balancers within 6 s. When the server that they follow is
-// killed, the next change reaches them through the other one. A balancer that restarts while no server runs has the
-// last version.
+// Guards against a control plane with a single point of failure. A change of the leader's document reaches two
+// balancers within 6 s. After the follower server in the balancers' region is killed, they receive the next change
+// from the leader. A balancer that restarts while no control-plane server runs uses the version that it saved.
 func TestControlPlaneFailover(t *testing.T) {
 	t.Parallel()
 	f := newControlPlaneFleet(t)
@@ -139,14 +139,14 @@
 	f.startBalancer(0).waitListed(5)
 }
 
-// No servers are configured.
+// Without configured control-plane servers there is no replica.
 func TestNoReplicaWithoutControlPlane(t *testing.T) {
 	if replica, err := newConfigReplica(nil, config.ControlPlane{}, nil); replica != nil || err != nil {
 		t.Errorf("%+v, %v", replica, err)
 	}
 }
 
-// The examples are valid except for the keys, which no package ships.
+// The examples in deploy/ are valid. Only the keys file is missing there, because each deployment creates its own.
 func TestCheckControlPlane(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	replaceFile(t, path, validConfig)
--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -24,11 +24,11 @@
 const (
 	manyProcesses = 30
 	manyServers   = 20000
-	maxReadyTime  = 10 * time.Second // within which nine in ten processes have to be ready
-	maxStartTime  = 30 * time.Second // past which a process has failed to start
+	maxReadyTime  = 10 * time.Second // at most a tenth of the processes may take longer to be ready
+	maxStartTime  = 30 * time.Second // no process may take longer
 )
 
-// listOfManyServers is a discovery listing of manyServers room servers.
+// listOfManyServers returns a discovery listing of manyServers room servers.
 func listOfManyServers() []byte {
 	var list bytes.Buffer
 	list.WriteString(`{"generation":1,"reset":true,"instances":[`)
@@ -44,14 +44,14 @@
 	return list.Bytes()
 }
 
-// processFleet is a fleet of processes that are started all at once.
+// processFleet is a fleet of processes that are started at the same time.
 type processFleet struct {
-	t       *testing.T
-	program string
-	config  string
-	listen  [manyProcesses]string
-	manage  [manyProcesses]string
-	dir     string
+	t                   *testing.T
+	program             string
+	config              string
+	listen              [manyProcesses]string
+	managementAddresses [manyProcesses]string
+	dir                 string
 }
 
 func newFleet(t *testing.T, program string, known []byte) *processFleet {
@@ -62,9 +62,10 @@
 "membership_mode":"subscribe","rules":{"must_ask_in_s":1},
 "profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":2,"repeat":"idempotent"}]}}`, known, manyProcesses))
 	for i := range manyProcesses {
-		// An IP address of its own: nobody dials from there, so that its port stays free.
+		// Each process has an IP address of its own. No client dials from these addresses, so that no client socket
+		// takes a port before its process listens.
 		host := fmt.Sprintf("127.9.0.%d", i+1)
-		f.listen[i], f.manage[i] = freeAddressOn(t, host), freeAddressOn(t, host)
+		f.listen[i], f.managementAddresses[i] = freeAddressOn(t, host), freeAddressOn(t, host)
 	}
 	return f
 }
@@ -77,7 +78,8 @@
 	readyAfter [manyProcesses]time.Duration
 }
 
-// start starts all processes at once and waits until they are ready, as the load balancer before them sees it.
+// start starts all processes at once. It waits until each answers the health check at its client address, as the load
+// balancer in front of them sends it.
 func (f *processFleet) start(discovery string) *fleetRun {
 	f.t.Helper()
 	run := &fleetRun{processFleet: f}
@@ -100,7 +102,7 @@
 		kib := peakRSS(command.Process.Pid)
 		largest, sum = max(largest, kib), sum+kib
 	}
-	f.t.Logf("the last is ready after %v; peak RSS %d MiB at most, %d MiB in all", last.Round(time.Millisecond),
+	f.t.Logf("last process ready after %v; peak RSS: %d MiB largest, %d MiB sum", last.Round(time.Millisecond),
 		largest>>10, sum>>10)
 	return run
 }
@@ -109,7 +111,7 @@
 	r.t.Helper()
 	command := exec.Command(r.program, "serve")
 	command.Env = append(os.Environ(), "PROXY_CONFIG="+r.config, "PROXY_LISTEN="+r.listen[i],
-		"PROXY_MANAGEMENT="+r.manage[i], "PROXY_DISCOVERY="+discovery, "TMPDIR="+r.dir)
+		"PROXY_MANAGEMENT="+r.managementAddresses[i], "PROXY_DISCOVERY="+discovery, "TMPDIR="+r.dir)
 	r.logFiles[i] = filepath.Join(r.t.TempDir(), "log")
 	logFile, err := os.Create(r.logFiles[i])
 	if err != nil {
@@ -123,7 +125,7 @@
 	r.commands[i] = command
 }
 
-// checkReadyTimes returns when the last process was ready.
+// checkReadyTimes checks the start times against maxReadyTime and maxStartTime, and returns the longest.
 func (r *fleetRun) checkReadyTimes() (last time.Duration) {
 	r.t.Helper()
 	late := 0
@@ -131,11 +133,12 @@
 		last = max(last, after)
 		if after > maxReadyTime {
 			late++
-			r.t.Logf("process %d is ready after %v, log:\n%.2000s", i, after, r.log(i))
+			r.t.Logf("process %d was ready after %v, log:\n%.2000s", i, after, r.log(i))
 		}
 	}
 	if late*10 > manyProcesses || last > maxStartTime {
-		r.t.Errorf("%d of %d are ready after more than %v, the last after %v", late, manyProcesses, maxReadyTime, last)
+		r.t.Errorf("%d of %d processes were ready after more than %v, the last one after %v", late, manyProcesses,
+			maxReadyTime, last)
 	}
 	return last
 }
@@ -148,7 +151,7 @@
 	return string(raw)
 }
 
-// kill ends all processes as a crash does.
+// kill kills all processes, which simulates a crash.
 func (r *fleetRun) kill() {
 	for i, command := range r.commands {
 		if command != nil {
@@ -174,7 +177,7 @@
 
 var peakPattern = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
 
-// peakRSS returns the largest resident size of a process so far.
+// peakRSS returns the largest resident set size of a process so far, 0 if the process has exited.
 func peakRSS(pid int) (kib int) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if match := peakPattern.FindSubmatch(raw); match != nil {
@@ -183,9 +186,9 @@
 	return kib
 }
 
-// waitListed waits until a process has a list of so many room servers; it reports false if that takes too long.
+// waitListed waits until a process lists this number of room servers. It reports false after maxReadyTime.
 func (r *fleetRun) waitListed(i, servers int) bool {
-	p := &process{t: r.t, management: r.manage[i]}
+	p := &process{t: r.t, management: r.managementAddresses[i]}
 	for end := time.Now().Add(maxReadyTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if strings.Contains(p.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", servers)) {
 			return true
@@ -194,9 +197,10 @@
 	return false
 }
 
-// Thirty processes of one machine are killed and started again at once, with a list of 20000 room servers.
+// Guards against a slow start of thirty processes on one machine that crash and restart at the same time, each with a
+// list of 20,000 room servers. A crash leaves Unix sockets behind that no process, or a faulty one, answers.
 func TestCrashRestarts(t *testing.T) {
-	// As it is deployed, without the race detector, whose memory and time would be measured.
+	// The program is built without the race detector, which would add to the start times and the memory.
 	program := filepath.Join(t.TempDir(), "cottonplank")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -209,7 +213,7 @@
 		f.corruptRestartSockets()
 		run := f.start(freeAddress(t))
 		if !run.waitListed(0, manyServers) {
-			t.Error("the list is not in force")
+			t.Error("the process does not use the list")
 		}
 		run.kill()
 		for i := range manyProcesses {
@@ -226,13 +230,14 @@
 		run := f.start(discovery)
 		for i := range manyProcesses {
 			if !run.waitListed(i, manyServers) {
-				t.Errorf("process %d: the list is not in force, log:\n%.2000s", i, run.log(i))
+				t.Errorf("process %d does not use the list, log:\n%.2000s", i, run.log(i))
 			}
 		}
 	})
 }
 
-// serveList is a discovery service whose list never changes: a watch gets heartbeats.
+// serveList is a discovery service whose list never changes. A watch receives the list, unless it starts from this
+// generation, and then only heartbeats.
 func serveList(list []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("from") != "1" {
@@ -249,15 +254,16 @@
 	}
 }
 
-// corruptRestartSockets changes what processes find of those that were killed. A third find the Unix socket as it was
-// left, a third one where nobody answers, and a third one whose process ends within a line of its learned state.
+// corruptRestartSockets prepares the Unix sockets of hot restarts, which the next processes find. A third stay as the
+// killed processes left them. A third have a listener that never answers. A third have a process that exits in the
+// middle of a line of its learned state.
 func (f *processFleet) corruptRestartSockets() {
 	f.t.Helper()
 	for i, listen := range f.listen {
 		path := hotrestart.SocketPath(f.dir, listen)
 		if i%3 == 0 {
 			if _, err := os.Stat(path); err != nil {
-				f.t.Error(err) // the killed process has left none
+				f.t.Error(err) // the killed process left no socket
 			}
 			continue
 		}
@@ -273,7 +279,8 @@
 	}
 }
 
-// checkInvalidList: an invalid list in the configuration is an error that names its key, also after a crash.
+// checkInvalidList checks that the process rejects an invalid endpoint list in the configuration, with an error that
+// names the key, also after a crash.
 func (f *processFleet) checkInvalidList() {
 	f.t.Helper()
 	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c",
@@ -288,7 +295,8 @@
 	}
 }
 
-// serveTruncatedState is a process that hands its socket over and ends within a line of its learned state.
+// serveTruncatedState acts as a process that passes its socket on and exits in the middle of a line of its learned
+// state.
 func serveTruncatedState(listener *net.UnixListener, listen string) {
 	conn, err := listener.AcceptUnix()
 	if err != nil {
--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -18,10 +18,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxListDelay is when a change counts as observed, after discovery had it and could be reached.
+// maxListDelay is how long a balancer may take to apply a change of the endpoint list, counted from when discovery has
+// the change and is reachable.
 const maxListDelay = 6 * time.Second
 
-// newDeploymentWithFaultyDiscovery returns a deployment whose discovery service can go down.
+// newDeploymentWithFaultyDiscovery returns a deployment with a discovery service that can simulate outages.
 func newDeploymentWithFaultyDiscovery(t *testing.T) (*deployment, *emulator.Discovery, *emulator.FaultyListener) {
 	t.Helper()
 	d, discovery := newDeployment(t), emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
@@ -35,7 +36,7 @@
 	return d, discovery, listener
 }
 
-// startLimited starts one process of a fleet of 300, with so many file descriptors.
+// startLimited starts one process of a fleet of 300, with a limit on its file descriptors.
 func (d *deployment) startLimited(discovery *emulator.FaultyListener, name, listen, mode string,
 	descriptors uint64) *process {
 	d.t.Helper()
@@ -65,8 +66,9 @@
 	}
 }
 
-// Twelve processes of a fleet of 300: discovery goes down while they watch it, and resets every call. What has
-// changed in the meantime reaches each of them before it counts as observed.
+// Guards against balancers that notice the end of a discovery outage only when their next call is due, whose delay has
+// grown with each failed call. Twelve processes of a fleet of 300 watch discovery, which then resets all connections
+// for 12 s. A change made in this time must reach each of them within maxListDelay of the end of the outage.
 func TestListAfterDiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	d, discovery, listener := newDeploymentWithFaultyDiscovery(t)
@@ -89,26 +91,26 @@
 		waits.Go(func() { delays[i] = p.waitListed(2) })
 	}
 	waits.Wait()
-	t.Logf("listed after %v", delays)
+	t.Logf("the change was listed after %v", delays)
 	for i, delay := range delays {
 		if delay > maxListDelay {
-			t.Errorf("process %d listed it %v after the outage, it counts as observed after %v", i, delay, maxListDelay)
+			t.Errorf("process %d listed the change %v after the outage, want at most %v", i, delay, maxListDelay)
 		}
 	}
 }
 
-// waitForCalls waits until discovery has had so many calls: each process's first poll may be seconds away.
+// waitForCalls waits until discovery has received n calls. The first poll of a process may be delayed for seconds.
 func waitForCalls(t *testing.T, discovery *emulator.FaultyListener, n uint64) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); discovery.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("discovery had %d calls, want %d", discovery.Calls.Load(), n)
+			t.Fatalf("discovery received %d calls, want %d", discovery.Calls.Load(), n)
 		}
 	}
 }
 
-// connectIdleClients keeps n clients connected until ctx ends. They send nothing, or only PING, and reconnect when they
-// are disconnected.
+// connectIdleClients keeps n clients connected until ctx ends. They send nothing or one PING, and reconnect after a
+// disconnect.
 func (d *deployment) connectIdleClients(ctx context.Context, n int) {
 	var clients sync.WaitGroup
 	d.t.Cleanup(clients.Wait)
@@ -137,8 +139,9 @@
 	io.Copy(io.Discard, conn)
 }
 
-// Idle clients take the descriptors while discovery is down: the call to discovery, the management address and the next
-// client each find one, and the list is back before it counts as observed.
+// Guards against idle clients that leave no file descriptor for anything else while discovery is down. The process
+// must still dial discovery and serve the management address and another client. After the outage, it must list the
+// change within maxListDelay.
 func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"subscribe", "automatic"} {
@@ -166,22 +169,22 @@
 	}
 	dials := listener.Dials.Load()
 	if dials < 5 {
-		t.Errorf("only %d connections came to discovery", dials)
+		t.Errorf("discovery received only %d connections during the outage, want at least 5", dials)
 	}
 	setOutage(t, listener, emulator.NoOutage)
 	delay := p.waitListed(2)
-	t.Logf("%d of %d descriptors were open at most, %d connections came during the outage, listed after %v", maxOpen,
-		descriptors, dials, delay)
+	t.Logf("at most %d of %d descriptors open, %d connections to discovery during the outage, listed after %v",
+		maxOpen, descriptors, dials, delay)
 	if delay > maxListDelay {
-		t.Errorf("listed %v after the outage, it counts as observed after %v", delay, maxListDelay)
+		t.Errorf("the change was listed %v after the outage, want at most %v", delay, maxListDelay)
 	}
 	if maxOpen < descriptors/2 {
-		t.Errorf("only %d of %d descriptors were open", maxOpen, descriptors)
+		t.Errorf("at most %d of %d descriptors were open, want at least half", maxOpen, descriptors)
 	}
 	p.command.Process.Kill()
-	p.command.Wait() // its log is complete then
+	p.command.Wait() // completes the log
 	if strings.Contains(p.logs.String(), "too many open files") {
-		t.Errorf("descriptors ran out:\n%s", p.logs)
+		t.Errorf("the process ran out of descriptors:\n%s", p.logs)
 	}
 }
 
@@ -189,13 +192,13 @@
 func (d *deployment) checkServed(p *process) {
 	d.t.Helper()
 	if response := p.call("PING"); response != "200 serving\r\n" {
-		d.t.Errorf("PING at the management address brings %q", response)
+		d.t.Errorf("response to PING at the management address: %q", response)
 	}
 	start := time.Now()
 	client := d.open()
 	d.exchange(client, "x", "x")
 	client.Close()
 	if waited := time.Since(start); waited > 3*time.Second {
-		d.t.Errorf("the next client waited %v", waited)
+		d.t.Errorf("another client waited %v, want at most 3s", waited)
 	}
 }
--- a/cmd/cottonplank/engine_test.go
+++ b/cmd/cottonplank/engine_test.go
@@ -32,7 +32,7 @@
 		want     []decide.LearnedState
 	}{
 		{"no previous process", nil, nil},
-		{"nothing learned", &hotrestart.PreviousProcess{}, nil},
+		{"no learned state", &hotrestart.PreviousProcess{}, nil},
 		{"two servers", &hotrestart.PreviousProcess{Learned: []string{first, second}}, states},
 		{"a malformed line", &hotrestart.PreviousProcess{Learned: []string{first, malformed, second}}, states},
 		{"another deployment", &hotrestart.PreviousProcess{Learned: []string{first, foreign, second}}, nil},
--- a/cmd/cottonplank/firstpoll_test.go
+++ b/cmd/cottonplank/firstpoll_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// A process starts with a list that is out of date: its room server was told to drain while the process was away. What
-// discovery has counts as observed 6 s after it was made, part of which is over by then, so that the process polls at
-// once, whatever its seed is.
+// Guards against a first poll that comes too late. The known list of the configuration may be out of date: here its
+// room server has started to drain while no process ran. A balancer has to apply a change within 6 s, some of which
+// have passed before the process starts. It therefore polls soon after the start, independent of its seed.
 func TestPollAfterStart(t *testing.T) {
-	const maxDelay = 2500 * time.Millisecond // 1 s, a tick, and a busy machine
+	const maxDelay = 2500 * time.Millisecond // random delay of up to 1 s, a tick, and a margin for a busy machine
 	polls := make(chan time.Time, 100)
 	discovery := startHTTPServer(t, func(w http.ResponseWriter, req *http.Request) {
 		select {
@@ -38,7 +38,7 @@
 		select {
 		case <-polls:
 		case <-time.After(time.Until(ready.Add(maxDelay))):
-			t.Fatalf("a process has not polled %v after all were ready", maxDelay)
+			t.Fatalf("a process has not polled within %v of the time when all were ready", maxDelay)
 		}
 	}
 }
--- a/cmd/cottonplank/hotrestart_test.go
+++ b/cmd/cottonplank/hotrestart_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// One process replaces another, twice in a row, while clients keep coming: each client is served, established
-// connections are migrated, and a connection that was accepted before the shutdown is served though its request comes
-// after it. Guards against listeners that close with connections in their backlog, and against a shutdown that drops
-// what it has accepted.
+// Guards against a hot restart that loses clients: by closing a listener with connections in its backlog, or by a
+// shutdown that drops accepted connections. One process replaces another, twice, while clients connect. Each client is
+// served, established connections are migrated, and a connection that was accepted before the shutdown is served
+// although its request arrives after the signal.
 func TestHotRestartTwice(t *testing.T) {
 	d := newDeployment(t)
 	discovery := d.startDiscovery(false)
@@ -41,8 +41,9 @@
 	running.waitExit()
 }
 
-// A replacement process that dies, before it is ready or after, leaves the previous one serving, and the next
-// replacement still takes over. One that discovery does not answer gets ready all the same.
+// Guards against an outage when a replacement process crashes, before or after it is ready: the previous process has
+// to continue to serve, and the next replacement process has to take over. A replacement process becomes ready even
+// if discovery does not answer.
 func TestReplacementProcessDies(t *testing.T) {
 	d := newDeployment(t)
 	unresponsive, responsive := d.startDiscovery(true), d.startDiscovery(false)
@@ -75,12 +76,13 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); p.call("PING") != "400 starting\r\n"; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it is not seen starting")
+			t.Fatal("the process does not report the state starting")
 		}
 	}
 }
 
-// A process opens the client address itself and serves if the previous one hangs or was killed.
+// Guards against a process that cannot start because the previous one hangs or was killed: it then opens the client
+// address itself and serves.
 func TestPreviousProcessHangsOrWasKilled(t *testing.T) {
 	d := newDeployment(t)
 	discovery := d.startDiscovery(false)
--- a/cmd/cottonplank/instancestatus_test.go
+++ b/cmd/cottonplank/instancestatus_test.go
@@ -12,8 +12,8 @@
 		name string
 		want float64
 	}{
-		{"fulfilled", 12}, // of both classes
-		{"resumed", -0.5}, // the instance has restarted
+		{"fulfilled", 12}, // sum of both classes
+		{"resumed", -0.5}, // a restart has reset the counter
 		{"faulted", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/cottonplank/keys_test.go
+++ b/cmd/cottonplank/keys_test.go
@@ -10,18 +10,20 @@
 	"cottonplank/internal/config"
 )
 
-// expectCommand checks the exit status of a command and a part of its output, which it returns.
-func expectCommand(t *testing.T, status int, part string, args ...string) (output string) {
+// expectCommand checks that a command exits with the given status and that its output contains a substring. It returns
+// the output.
+func expectCommand(t *testing.T, status int, substring string, args ...string) (output string) {
 	t.Helper()
 	got, output := runCommand(args...)
-	if got != status || !strings.Contains(output, part) {
-		t.Errorf("%q: status %d, output %q, want %d and %q", args, got, output, status, part)
+	if got != status || !strings.Contains(output, substring) {
+		t.Errorf("%q: status %d, output %q, want %d and %q", args, got, output, status, substring)
 	}
 	return output
 }
 
-// Keys are created and listed without a secret on the screen, in a file that only its owner may use; one that others
-// may read is rejected with its mode. The example of the fronts file works with them.
+// Guards the secrets of the keys: no command prints them, a new keys file is accessible to its owner only, and a file
+// that other users may access is rejected with an error that names its mode. The example of a fronts file with session
+// resumption in deploy/ is valid with these keys.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "resume-keys.json")
@@ -38,12 +40,12 @@
 	}
 	raw, _ := os.ReadFile(file)
 	if info, _ := os.Stat(file); info.Mode().Perm() != 0o600 || !bytes.Contains(raw, []byte(`"secret"`)) {
-		t.Errorf("mode %v", info.Mode())
+		t.Errorf("keys file: mode %v, want 0600 and a secret in it", info.Mode())
 	}
 	for _, key := range keys {
 		secret := string(raw[bytes.Index(raw, []byte("secret"))+10:][:16])
 		if strings.Contains(listed, secret) || !strings.Contains(listed, key.ID) {
-			t.Errorf("listed as %q", listed)
+			t.Errorf("list prints a secret, or lacks a key ID: %q", listed)
 		}
 	}
 	fronts := filepath.Join(dir, "fronts.json")
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -19,11 +19,12 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// programEnvironment names another program whose costs are to be measured, an older version for example.
+// programEnvironment is an environment variable with the path of another program to measure, for example an older
+// version. If it is empty, the test binary runs the program.
 const programEnvironment = "COTTONPLANK_TEST_PROGRAM"
 
-// endpointEntries returns n room servers of two zones that do not run. No two names have the same ServerID: such a list
-// is rejected.
+// endpointEntries returns n room servers of two zones, to which no process listens. It skips a name whose ServerID, a
+// hash, equals that of another name, because a list with both would be rejected.
 func endpointEntries(n int) []emulator.Entry {
 	var entries []emulator.Entry
 	used := map[decide.ServerID]bool{}
@@ -46,13 +47,14 @@
 	return entries
 }
 
-// balancerProcess is a balancer in a process of its own, for a test or a benchmark.
+// balancerProcess is a balancer that runs in a separate process, for a test or a benchmark.
 type balancerProcess struct {
 	*exec.Cmd
 	management string
 }
 
-// startBalancer starts a balancer with a discovery service and the list that it knows before the start.
+// startBalancer starts a balancer with the address of a discovery service and the known list of its configuration,
+// which may be nil.
 func startBalancer(t testing.TB, discovery string, known json.RawMessage) *balancerProcess {
 	t.Helper()
 	p := &balancerProcess{management: freeAddress(t)}
@@ -101,7 +103,7 @@
 	return string(raw)
 }
 
-// waitListed waits until the balancer has a list of so many room servers; it reports false if that takes too long.
+// waitListed waits until the balancer lists this number of room servers. It reports false if that takes too long.
 func (p *balancerProcess) waitListed(t testing.TB, servers int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -113,7 +115,8 @@
 	return false
 }
 
-// processorTime returns the processor time so far, by proc_pid_stat(5), whose clock ticks 100 times per second.
+// processorTime returns the processor time that the process has used. The kernel reports it in clock ticks of 10 ms;
+// see proc_pid_stat(5).
 func (p *balancerProcess) processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
@@ -126,7 +129,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// peakMemoryMB returns the largest resident size so far, in MB.
+// peakMemoryMB returns the largest resident set size of the process so far, in MiB.
 func (p *balancerProcess) peakMemoryMB(t testing.TB) float64 {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
@@ -138,7 +141,8 @@
 	return float64(kb) / 1024
 }
 
-// A list of 20,000 room servers is received from discovery in one piece, which is not polled again and again for it.
+// Guards against a balancer that polls discovery repeatedly because a list of 20,000 room servers does not arrive
+// within one call.
 func TestLongListFromDiscovery(t *testing.T) {
 	const n = 20_000
 	discovery := emulator.NewDiscovery(invariants.NewRecorder(invariants.Limits{}))
@@ -150,16 +154,16 @@
 	}
 	p := startBalancer(t, address, nil)
 	if !p.waitListed(t, n, 20*time.Second) {
-		t.Fatalf("no list after %d calls", discovery.Calls())
+		t.Fatalf("the list was not received after %d calls", discovery.Calls())
 	}
 	if calls := discovery.Calls(); calls > 4 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("%d calls to discovery, want at most 4", calls)
 	}
 }
 
-// Measures what a listed room server costs a process without clients: processor time at rest and with one change per
-// second, the time from the first call until the whole list is known, and the peak memory by then. With -benchtime=1x
-// each size takes 45 s.
+// Measures what a list of each size costs a process without clients: the processor time while the list does not change
+// and with one change per second, the time from the first call until the list is received, and the peak memory until
+// then. With -benchtime=1x each size takes 45 s.
 func BenchmarkListedServer(b *testing.B) {
 	for _, n := range []int{600, 5000, 8000, 20_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -179,10 +183,10 @@
 	}
 }
 
-// measureFirstList reports the time until a process that knows no list has it, and the peak memory.
+// measureFirstList reports the time that a process without a known list takes to receive it, and the peak memory.
 func measureFirstList(b *testing.B, discovery *emulator.Discovery, address string, servers int) {
 	p, calls := startBalancer(b, address, nil), discovery.Calls()
-	for discovery.Calls() == calls { // its first poll comes after a random delay
+	for discovery.Calls() == calls { // the first poll has a random delay
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
@@ -193,12 +197,12 @@
 	p.Process.Kill()
 }
 
-// measureProcessorTime reports the processor time at rest, and with a change of the list each second.
+// measureProcessorTime reports the processor time while the list does not change, and with one change per second.
 func measureProcessorTime(b *testing.B, discovery *emulator.Discovery, address string, entries []emulator.Entry) {
 	const interval = 20 * time.Second
 	p := startBalancer(b, address, discovery.ListingJSON())
 	if !p.waitListed(b, len(entries), 20*time.Second) {
-		b.Fatal("does not start")
+		b.Fatal("the balancer does not list the known room servers")
 	}
 	time.Sleep(time.Second)
 	before := p.processorTime(b)
--- a/cmd/cottonplank/process_test.go
+++ b/cmd/cottonplank/process_test.go
@@ -19,14 +19,14 @@
 	"cottonplank/internal/operations/management"
 )
 
-// testTimeout bounds each wait, so that no test hangs.
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
-// Environment variables that make the test binary run the program, so that tests can send signals to a process of its
-// own.
+// Environment variables that make the test binary run the program instead of the tests. A test starts it as a separate
+// process, to which it can send signals.
 const (
-	serveEnvironment     = "COTTONPLANK_TEST_SERVE"     // not empty: run "serve"
-	argumentsEnvironment = "COTTONPLANK_TEST_ARGUMENTS" // run the command with these arguments
+	serveEnvironment     = "COTTONPLANK_TEST_SERVE"     // if not empty, run the command serve
+	argumentsEnvironment = "COTTONPLANK_TEST_ARGUMENTS" // if not empty, run the program with these arguments
 )
 
 func TestMain(m *testing.M) {
@@ -44,14 +44,14 @@
 "settings":{"zone":"a","membership_mode":"subscribe",
 "profiles":[{"name":"solo-play","aim_s":0.3,"give_up_s":1.2,"repeat":"idempotent"}]}}`
 
-// freeAddress returns an address of 127.0.0.1 that nobody listens at.
+// freeAddress returns an address of 127.0.0.1 with a port that is not in use.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	return freeAddressOn(t, "127.0.0.1")
 }
 
-// reservedAddress returns a free address whose port no client's socket takes in the meantime: those have another IP
-// address.
+// reservedAddress returns an address with a port that is not in use. Client sockets have another IP address, so that
+// none takes this port before the process listens.
 func reservedAddress(t testing.TB) string {
 	t.Helper()
 	return freeAddressOn(t, "127.78.0.1")
@@ -67,7 +67,7 @@
 	return listener.Addr().String()
 }
 
-// replaceFile writes a file in one step.
+// replaceFile writes a file atomically, so that no process reads an incomplete one.
 func replaceFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// startTCPServer handles each connection to the address that it returns.
+// startTCPServer starts a server that calls handle for each connection, and returns its address.
 func startTCPServer(t *testing.T, handle func(net.Conn)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,7 +116,7 @@
 	return listener.Addr().String()
 }
 
-// startEchoServer starts a room server that accepts connections and echoes each line.
+// startEchoServer starts a room server that accepts each OPEN request and echoes every other line.
 func startEchoServer(t *testing.T) (address string) {
 	return startTCPServer(t, func(conn net.Conn) {
 		for reader := bufio.NewReader(conn); ; {
@@ -132,7 +132,8 @@
 	})
 }
 
-// startHTTPServer returns the address of a server whose connections are closed at the end of the test.
+// startHTTPServer starts an HTTP server and returns its address. The server and its connections are closed at the end
+// of the test.
 func startHTTPServer(t *testing.T, handler http.HandlerFunc) (address string) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(func() {
@@ -142,7 +143,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startEmptyDiscovery starts a discovery service that answers each call with an empty list and reports its query.
+// startEmptyDiscovery starts a discovery service that answers each call with an empty list. It sends the query of each
+// call to calls.
 func startEmptyDiscovery(t *testing.T) (address string, calls chan string) {
 	calls = make(chan string, 100)
 	address = startHTTPServer(t, func(w http.ResponseWriter, req *http.Request) {
@@ -156,21 +158,21 @@
 	return address, calls
 }
 
-// deployment is what the processes of one test share.
+// deployment holds the addresses and settings that the balancer processes of one test share.
 type deployment struct {
 	t      *testing.T
 	dir    string
 	listen string // client address
 	server string // room server's address
 	seed   string
-	lastID int // of a request
+	lastID int // last request ID that was used
 }
 
 func newDeployment(t *testing.T) *deployment {
 	return &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), server: startEchoServer(t), seed: "8c"}
 }
 
-// startDiscovery starts a discovery service that lists the room server, or that never answers.
+// startDiscovery starts a discovery service that lists the room server, or never answers if hangs is true.
 func (d *deployment) startDiscovery(hangs bool) (address string) {
 	list := fmt.Sprintf(`{"generation":3,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a",`+
 		`"lifecycle":"active"}]}`, d.server)
@@ -185,7 +187,7 @@
 	})
 }
 
-// start starts a process that takes over from one that is running.
+// start starts a balancer process. If one of the deployment is running, the new one replaces it in a hot restart.
 func (d *deployment) start(discovery string) *process {
 	d.t.Helper()
 	path := filepath.Join(d.dir, "config.json")
@@ -197,15 +199,15 @@
 	return startProcess(d.t, freeAddress(d.t), serveEnvironment+"=1", "PROXY_CONFIG="+path, "TMPDIR="+d.dir)
 }
 
-// process is a balancer in a process of its own.
+// process is a balancer that runs in a separate process.
 type process struct {
 	t          *testing.T
 	command    *exec.Cmd
 	management string
-	logs       *bytes.Buffer // to be read once the process has ended
+	logs       *bytes.Buffer // may be read after the process has exited
 }
 
-// startProcess runs the program in a process that is killed at the end of the test.
+// startProcess starts the program in a separate process, which is killed at the end of the test.
 func startProcess(t *testing.T, managementAddress string, environment ...string) *process {
 	t.Helper()
 	p := &process{t: t, command: exec.Command(os.Args[0]), management: managementAddress, logs: &bytes.Buffer{}}
@@ -231,7 +233,7 @@
 	}
 }
 
-// waitReady waits until the process says that it serves clients.
+// waitReady waits until the process reports the state serving.
 func (p *process) waitReady() *process {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -239,11 +241,12 @@
 			return p
 		}
 	}
-	p.t.Fatal("does not get ready")
+	p.t.Fatal("the process does not become ready")
 	return nil
 }
 
-// call sends a command to the management address and returns the response; it is empty if there is none.
+// call sends a command to the management address and returns the response. It returns an empty string if the process
+// does not answer.
 func (p *process) call(command string) string {
 	conn, err := net.Dial("tcp", p.management)
 	if err != nil {
@@ -256,7 +259,7 @@
 	return string(response)
 }
 
-// metrics returns the metrics of INFO, none if the process does not answer.
+// metrics returns the metrics of INFO. It returns an empty map if the process does not answer.
 func (p *process) metrics() map[string]uint64 {
 	metrics, err := management.ParseMetrics(p.t.Context(), p.management)
 	if err != nil {
@@ -265,13 +268,13 @@
 	return metrics
 }
 
-// waitListed waits until the process has a list of so many room servers, and returns how long that took.
+// waitListed waits until the process lists this number of room servers, and returns how long that took.
 func (p *process) waitListed(servers int) time.Duration {
 	p.t.Helper()
 	start := time.Now()
 	for !strings.Contains(p.call("INFO"), fmt.Sprintf("svc.registry_entries=%d\r\n", servers)) {
 		if time.Since(start) > 2*testTimeout {
-			p.t.Errorf("%d room servers are never listed", servers)
+			p.t.Errorf("the process does not list %d room servers", servers)
 			return time.Since(start)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -279,7 +282,7 @@
 	return time.Since(start)
 }
 
-// waitExit waits for the end of a graceful shutdown.
+// waitExit waits until the process has exited, and checks that its exit status is 0.
 func (p *process) waitExit() {
 	p.t.Helper()
 	ended := make(chan error, 1)
@@ -287,10 +290,10 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			p.t.Errorf("ended with %v, log:\n%s", err, p.logs)
+			p.t.Errorf("exited with %v, log:\n%s", err, p.logs)
 		}
 	case <-time.After(testTimeout):
-		p.t.Error("does not end")
+		p.t.Error("the process does not exit")
 	}
 }
 
@@ -304,7 +307,7 @@
 	return len(descriptors)
 }
 
-// testClient is a client's connection.
+// testClient is a client connection.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -321,7 +324,7 @@
 	return testClient{conn, bufio.NewReader(conn)}
 }
 
-// open returns an established connection.
+// open returns a client connection that is established with the room server.
 func (d *deployment) open() testClient {
 	d.t.Helper()
 	client := d.dial()
@@ -329,13 +332,13 @@
 	return client
 }
 
-// sendOpen establishes a client's connection.
+// sendOpen sends a request on the client connection and checks that it gets established.
 func (d *deployment) sendOpen(client testClient) {
 	d.t.Helper()
 	d.exchange(client, d.openLine(), "UP receipt")
 }
 
-// openLine returns a request line with a new id, without its line end.
+// openLine returns a request line with a new ID, without a line terminator.
 func (d *deployment) openLine() string {
 	d.lastID++
 	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=solo-play,d=2000", d.lastID)
@@ -348,15 +351,15 @@
 		d.t.Fatal(err)
 	}
 	if line, err := client.reader.ReadString('\n'); err != nil || line != want+"\r\n" {
-		d.t.Fatalf("%q brings %q, %v, want %q", text, line, err, want)
+		d.t.Fatalf("response to %q: %q, %v, want %q", text, line, err, want)
 	}
 }
 
-// expectMigrate waits until the client is told to reconnect elsewhere.
+// expectMigrate checks that the client receives MOVE, which tells it to reconnect, and closes the connection.
 func (d *deployment) expectMigrate(client testClient) {
 	d.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != nil || line != "MOVE\r\n" {
-		d.t.Errorf("the established connection reads %q, %v", line, err)
+		d.t.Errorf("the established connection received %q, %v, want MOVE", line, err)
 	}
 	client.Close()
 }
--- a/cmd/cottonplank/reload_test.go
+++ b/cmd/cottonplank/reload_test.go
@@ -21,24 +21,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// updateRecorder receives the updates of an endpoint list.
+// updateRecorder is a core.UpdateHandler that sends each update to a channel.
 type updateRecorder chan core.EndpointUpdate
 
 func (r updateRecorder) EndpointsUpdated(update core.EndpointUpdate) { r <- update }
 func (updateRecorder) WatchAlive(uint64)                             {}
 
-// reloadTest is a reloader with its files.
+// reloadTest is a reloader with its files and channels that record what it applies.
 type reloadTest struct {
 	*testing.T
 	reloader     *reloader
 	keysFile     string
 	endpointFile string
 	hangup       chan os.Signal
-	addresses    chan string // discovery addresses that were applied
+	addresses    chan string // discovery addresses in the order of application
 	generations  chan uint64
 }
 
-// Endpoint files.
+// Contents of endpoint files.
 const (
 	oneEndpoint  = `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"}]}`
 	twoEndpoints = `{"rooms":[{"name":"s-1","address":"127.0.0.1:9","zone":"a"},
@@ -78,13 +78,14 @@
 	return r
 }
 
-// reload sends two signals and checks that at least as many addresses were applied as wanted, or none for 0.
+// reload sends two signals and checks that at least as many discovery addresses were applied as wanted, or none if
+// want is 0. The second reload may still be in progress when it returns.
 func (r *reloadTest) reload(want int) {
 	r.Helper()
 	r.hangup <- syscall.SIGHUP
-	r.hangup <- syscall.SIGHUP // received once the first reload is done
+	r.hangup <- syscall.SIGHUP // received after the first reload has finished
 	if n := len(r.addresses); n < want || want == 0 && n > 0 {
-		r.Errorf("%d addresses applied, want %d", n, want)
+		r.Errorf("%d discovery addresses applied, want at least %d, or none for 0", n, want)
 	}
 	r.discardAddresses()
 }
@@ -95,7 +96,8 @@
 	}
 }
 
-// A reload applies all files or none: with a keys file that is invalid, or open to others, the old discovery stays.
+// Guards against a reload that applies some of its files when another one is invalid. If the keys file is invalid,
+// missing or accessible to other users, the discovery address is not applied.
 func TestReloadIsAtomic(t *testing.T) {
 	r := newReloadTest(t)
 	first, err := filesource.Read(r.endpointFile)
@@ -110,7 +112,7 @@
 	if err := os.Chmod(r.keysFile, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // for the second of the two reloads before
+	time.Sleep(50 * time.Millisecond) // lets the second of the two earlier reloads finish
 	r.discardAddresses()
 	r.reload(0)
 	os.Remove(r.keysFile)
@@ -123,7 +125,7 @@
 		}
 	}
 
-	// The endpoint file is one of the files: an invalid one keeps all of them.
+	// The endpoint file belongs to the reload: an invalid one makes it fail.
 	os.Remove(r.keysFile)
 	createTestKey(t, r.keysFile)
 	updates := make(updateRecorder, 10)
@@ -131,19 +133,20 @@
 	go r.reloader.endpointFile.Run(t.Context())
 	replaceFile(t, r.endpointFile, `{"rooms":[]}`)
 	if err := r.reloader.reload(t.Context()); err == nil || !strings.Contains(err.Error(), "rooms: 0") {
-		t.Errorf("an empty list: %v", err)
+		t.Errorf("reload with an empty list: %v", err)
 	}
 	replaceFile(t, r.endpointFile, twoEndpoints)
 	if err := r.reloader.reload(t.Context()); err != nil {
 		t.Error(err)
 	}
 	if update := <-updates; len(update.Endpoints) != 2 {
-		t.Errorf("applied: %+v", update)
+		t.Errorf("applied update: %+v, want 2 endpoints", update)
 	}
 }
 
-// SIGHUP turns the running program to the discovery service that the file names now, which overrides PROXY_DISCOVERY; a
-// client's connection stays. An invalid file changes nothing, and SIGHUP during a graceful shutdown is harmless.
+// At SIGHUP the running program switches to the discovery address in the configuration file, which overrides
+// PROXY_DISCOVERY. Client connections stay open. An invalid file changes nothing. A SIGHUP during a graceful shutdown
+// does not end the process early.
 func TestReloadChangesDiscovery(t *testing.T) {
 	first, firstCalls := startEmptyDiscovery(t)
 	second, secondCalls := startEmptyDiscovery(t)
@@ -164,7 +167,7 @@
 		t.Helper()
 		io.WriteString(client, "PING\r\n")
 		if line, err := responses.ReadString('\n'); err != nil || line != "PONG\r\n" {
-			t.Fatalf("PING brings %q, %v", line, err)
+			t.Fatalf("response to PING: %q, %v", line, err)
 		}
 	}
 	waitCall := func(calls chan string) {
@@ -189,11 +192,11 @@
 	p.signal(syscall.SIGHUP)
 	client.Close()
 	if err := p.command.Wait(); err != nil {
-		t.Errorf("ended with %v, log:\n%s", err, p.logs)
+		t.Errorf("exited with %v, log:\n%s", err, p.logs)
 	}
 }
 
-// dialWhenListening connects as soon as somebody listens at address.
+// dialWhenListening retries to connect until a process listens at the address.
 func dialWhenListening(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
--- a/cmd/cottonplank/shutdown_test.go
+++ b/cmd/cottonplank/shutdown_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// startUnresponsiveServer starts a room server that reads a request and answers nothing; requests gets an element for
-// each.
+// startUnresponsiveServer starts a room server that never answers. It sends an element to requests for each connection
+// on which it has read a request.
 func startUnresponsiveServer(t *testing.T) (address string, requests chan struct{}) {
 	requests = make(chan struct{}, 100)
 	address = startTCPServer(t, func(conn net.Conn) {
@@ -24,8 +24,9 @@
 	return address, requests
 }
 
-// A process shuts down while its room server answers no request: each client has its one response and then the end of
-// the connection, and the process exits by itself. A second SIGTERM and a SIGHUP in the meantime change nothing.
+// Guards against a shutdown that hangs, or leaves clients without a response, because the room server answers no
+// request. Each client receives one response and then the end of the connection, and the process exits. A second
+// SIGTERM and a SIGHUP during the shutdown have no effect.
 func TestShutdownWithUnresponsiveServer(t *testing.T) {
 	d := newDeployment(t)
 	var requests chan struct{}
@@ -37,9 +38,9 @@
 		io.WriteString(client, d.openLine()+"\r\n")
 		clients = append(clients, client)
 	}
-	<-requests // the attempts are sent
+	<-requests // a request has reached the room server
 	p.signal(syscall.SIGTERM)
-	for range 3 { // they connect after the signal, as new clients do for a while
+	for range 3 { // clients that connect after the signal, before they notice the shutdown
 		client := d.dial()
 		io.WriteString(client, d.openLine()+"\r\n")
 		clients = append(clients, client)
@@ -49,10 +50,10 @@
 	for i, client := range clients {
 		line, err := client.reader.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "BUSY") {
-			t.Errorf("client %d reads %q, %v", i, line, err)
+			t.Errorf("client %d received %q, %v, want BUSY", i, line, err)
 		}
 		if more, err := client.reader.ReadString('\n'); !errors.Is(err, io.EOF) || more != "" {
-			t.Errorf("client %d then reads %q, %v", i, more, err)
+			t.Errorf("client %d then received %q, %v, want the end of the connection", i, more, err)
 		}
 		client.Close()
 	}
--- a/cmd/cottonplank/slowstart_test.go
+++ b/cmd/cottonplank/slowstart_test.go
@@ -18,33 +18,35 @@
 	"time"
 )
 
-// The room servers of the fleet and their clients.
+// Parameters of the room servers and their clients.
 const (
-	warmServers       = 10
-	slowStartShare    = 0.4 // capacity at the start, as a part of that when warm
-	slowStartDuration = 6 * time.Second
-	overloadFactor    = 4.0
-	overloadWindow    = time.Second
-	serverCapacity    = 60.0 // connections that saturate a warm server
-	meanConnLifetime  = 5 * time.Second
+	warmServers              = 10
+	slowStartInitialCapacity = 0.4 // fraction of the warm capacity
+	slowStartDuration        = 6 * time.Second
+	overloadFactor           = 4.0
+	overloadWindow           = time.Second
+	serverCapacity           = 60.0 // connections at which a warm server is at full load
+	meanConnLifetime         = 5 * time.Second
 )
 
-// warmingServer is a room server that reports its load and records when it is sent requests.
+// warmingServer is a room server that reports its load and records the arrival times of requests during its slow
+// start.
 type warmingServer struct {
 	address string
 	started time.Time
 
-	mu         sync.Mutex // guards the fields below, which every connection's goroutine uses
+	mu         sync.Mutex // guards the fields below, which the connections' goroutines share
 	open       int
-	admissions []time.Time // during the slow start
+	admissions []time.Time // arrival times of the requests during the slow start
 }
 
-// capacityFactor is the server's capacity at a time, as a part of that when warm.
+// capacityFactor returns the server's capacity at a time as a fraction of its warm capacity.
 func (s *warmingServer) capacityFactor(at time.Time) float64 {
-	return min(1, slowStartShare+(1-slowStartShare)*float64(at.Sub(s.started))/float64(slowStartDuration))
+	return min(1, slowStartInitialCapacity+
+		(1-slowStartInitialCapacity)*float64(at.Sub(s.started))/float64(slowStartDuration))
 }
 
-// startWarmingServer starts a server that claims to have run for age.
+// startWarmingServer starts a server whose reported start time is age ago.
 func startWarmingServer(t *testing.T, age time.Duration) *warmingServer {
 	s := &warmingServer{started: time.Now().Add(-age)}
 	s.address = startTCPServer(t, s.serve)
@@ -94,9 +96,10 @@
 	}
 }
 
-// loadDuringSlowStart returns the largest number of requests within a window, as a part of what the server
-// withstands: of N + 2 sqrt(N) + 2, where N is its budget at the start of the window. It also returns the part of the
-// whole slow start's budget that was used, and the number of requests.
+// loadDuringSlowStart returns the largest load of the server in any overload window of its slow start: the number of
+// requests divided by N + 2 sqrt(N) + 2, where N is the server's request budget at the start of the window. A load
+// above 1 overloads the server. It also returns the fraction of the whole slow start's budget that was used, and the
+// number of requests.
 func (s *warmingServer) loadDuringSlowStart() (maxLoad, budgetUsed float64, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,22 +114,22 @@
 		}
 		maxLoad = max(maxLoad, inWindow/(budget+2*math.Sqrt(budget)+2))
 	}
-	budget := perSecond * (1 + slowStartShare) / 2 * slowStartDuration.Seconds()
+	budget := perSecond * (1 + slowStartInitialCapacity) / 2 * slowStartDuration.Seconds()
 	return maxLoad, float64(len(s.admissions)) / budget, len(s.admissions)
 }
 
-// endpointJSON is a server's line in a discovery listing.
+// endpointJSON returns a server's entry in a discovery listing.
 func endpointJSON(id string, s *warmingServer) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","lifecycle":"active","startedAtMs":%d}`, id, s.address,
 		s.started.UnixMilli())
 }
 
-// Guards a room server in its slow start against the sum of many processes that share nothing. It joins under three
-// times the clients that came before, through thirty processes, whose fleet size is configured right or a tenth of
-// it.
+// Guards a room server in its slow start against overload by many balancers that do not exchange their load. Thirty
+// processes run with a configured fleet size that is correct, or a tenth of the real one. When the room server joins,
+// the rate of new clients rises to three times the rate before.
 func TestSlowStartWithThirtyProcesses(t *testing.T) {
 	for _, fleetSize := range []int{30, 3} {
-		t.Run(fmt.Sprint("told ", fleetSize), func(t *testing.T) {
+		t.Run(fmt.Sprint("size ", fleetSize), func(t *testing.T) {
 			t.Parallel()
 			testSlowStartFleet(t, 30, fleetSize)
 		})
@@ -149,26 +152,27 @@
 	clients.running.Wait()
 
 	maxLoad, budgetUsed, requests := joining.loadDuringSlowStart()
-	t.Logf("%d processes, told %d: largest window %.2f of its allowance, budget used %.2f, %d requests; "+
-		"%d served, %d rejected in all", processes, fleetSize, maxLoad, budgetUsed, requests, clients.served.Load(),
+	t.Logf("%d processes, configured fleet size %d: largest load of a window %.2f, budget used %.2f, %d requests; "+
+		"%d clients served, %d rejected", processes, fleetSize, maxLoad, budgetUsed, requests, clients.served.Load(),
 		clients.rejected.Load())
 	if maxLoad > 1 {
-		t.Errorf("the warming server is overloaded: %.2f of its allowance within %v", maxLoad, overloadWindow)
+		t.Errorf("the warming server is overloaded: load %.2f within %v, want at most 1", maxLoad, overloadWindow)
 	}
 	if requests < 5 {
-		t.Errorf("%d requests within its slow start", requests)
+		t.Errorf("%d requests reached the server during its slow start, want at least 5", requests)
 	}
 }
 
-// slowStartFleet is processes whose discovery service lists warm servers, and another one once it has joined.
+// slowStartFleet is a fleet of balancer processes with a discovery service. Discovery lists warm servers, and another
+// server after it has joined.
 type slowStartFleet struct {
 	t         *testing.T
-	fleetSize int // as the processes are told
-	known     string
+	fleetSize int    // in the configuration of the processes
+	known     string // listing of the warm servers
 	discovery string
 	delta     string        // written before joined is closed
-	joined    chan struct{} // closed when the other server is listed
-	addresses []string      // of the processes, for clients
+	joined    chan struct{} // closed when the other server joins
+	addresses []string      // client addresses of the processes
 }
 
 // startServers starts the warm servers and their discovery service.
@@ -196,7 +200,7 @@
 	}
 }
 
-// join starts a server and lists it.
+// join starts a server at the beginning of its slow start and adds it to the list of discovery.
 func (f *slowStartFleet) join() *warmingServer {
 	joining := startWarmingServer(f.t, 0)
 	f.delta = fmt.Sprintf(`{"generation":2,"instances":[%s]}`, endpointJSON("s-cold", joining))
@@ -209,7 +213,8 @@
 	f.t.Helper()
 	var started []*process
 	for i := range n {
-		// An IP address of its own: ports of the usual one are taken by connections of the processes that run already.
+		// Each process has an IP address of its own. On a shared one, connections of the processes that already run
+		// could take the port before this process listens.
 		host := fmt.Sprintf("127.%d.%d.1", f.fleetSize, i+1)
 		dir, address := f.t.TempDir(), freeAddressOn(f.t, host)
 		path := filepath.Join(dir, "config.json")
@@ -234,7 +239,7 @@
 			"profiles":  []any{object{"name": "solo-play", "aim_s": 0.3, "give_up_s": 2, "repeat": "idempotent"}},
 			"limits":    object{"retry_after": true, "max_retry_after_s": 1.5, "may_probe": true, "most_tries": 3},
 			"penalties": object{"probe": 0.0018},
-			"rules": object{"must_ask_in_s": 10, "drain_grace_s": 0.5, "cold_share": slowStartShare,
+			"rules": object{"must_ask_in_s": 10, "drain_grace_s": 0.5, "cold_share": slowStartInitialCapacity,
 				"cold_s": slowStartDuration.Seconds(), "fall_multiple": overloadFactor, "fall_s": overloadWindow.Seconds()},
 		},
 	})
@@ -244,12 +249,12 @@
 	return string(raw)
 }
 
-// randomClients connect to random addresses and stay for random times, until ctx ends.
+// randomClients connects clients to randomly chosen addresses, for random lifetimes, until ctx ends.
 type randomClients struct {
 	ctx       context.Context
 	addresses []string
 	dialer    net.Dialer
-	rng       *rand.Rand // owned by connectFor's caller
+	rng       *rand.Rand // used only by the goroutine that calls connectFor
 	running   sync.WaitGroup
 
 	lastID, served, rejected atomic.Int64
@@ -257,12 +262,12 @@
 
 func newRandomClients(ctx context.Context, addresses []string, fleetSize int) *randomClients {
 	c := &randomClients{ctx: ctx, addresses: addresses, rng: rand.New(rand.NewPCG(3, uint64(fleetSize)))}
-	// Their ports are not of the IP addresses among which other tests look for free ones.
+	// The clients' own IP address keeps them from taking ports that other tests have found free.
 	c.dialer.LocalAddr = &net.TCPAddr{IP: net.IPv4(127, byte(fleetSize), 200, 1)}
 	return c
 }
 
-// connectFor connects so many clients per second for a duration.
+// connectFor starts perSecond clients per second for a duration.
 func (c *randomClients) connectFor(duration time.Duration, perSecond float64) {
 	connected, began := 0, time.Now()
 	for time.Since(began) < duration {
@@ -275,7 +280,7 @@
 	}
 }
 
-// connect sends one request and holds the connection for its lifetime.
+// connect sends one request and, if it is accepted, holds the connection for its lifetime.
 func (c *randomClients) connect(address string, lifetime time.Duration) {
 	conn, err := c.dialer.Dial("tcp", address)
 	if err != nil {
--- a/cmd/cottonplank/status_test.go
+++ b/cmd/cottonplank/status_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// startManagementEmulator starts a management address whose counters rise by ten with each INFO.
+// startManagementEmulator emulates an instance's management address. Each INFO increases the counters of served
+// requests, by 10 for class a and by 20 for class b.
 func startManagementEmulator(t *testing.T, pingResponse string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,8 +41,8 @@
 	return listener.Addr().String()
 }
 
-// Each instance has a row. One that does not answer has one too, and then the exit status is 1. Rates are the growth of
-// the counters.
+// Each instance has a row in the table. An instance that does not answer has a row with the error and makes the exit
+// status 1.
 func TestStatus(t *testing.T) {
 	serving := startManagementEmulator(t, "200 serving")
 	lameDuck := startManagementEmulator(t, "400 lame duck")
@@ -61,11 +62,11 @@
 		t.Errorf("status %d\n%s\n%s", status, &out, &errs)
 	}
 	if status := run([]string{"status"}, &out, &errs); status != 2 {
-		t.Errorf("no address: status %d", status)
+		t.Errorf("without an address: status %d, want 2", status)
 	}
 }
 
-// The keys are an interface for operators' tools.
+// Operators' tools read the JSON output, so its keys must not change.
 func TestStatusJSONKeys(t *testing.T) {
 	instance := instanceStatus{Address: "a", State: "s", Error: "e", Generation: 1, Open: 2, Listed: 3, Ejected: 4,
 		Served: 5, Rejected: 6, Failed: 7, Resumed: 8}
--- a/cmd/cottonplank/supervisor_test.go
+++ b/cmd/cottonplank/supervisor_test.go
@@ -17,12 +17,12 @@
 	"cottonplank/internal/core"
 )
 
-// notifySocket receives what a process sends to its service supervisor.
+// notifySocket receives the notifications that a process sends to its service supervisor.
 type notifySocket struct {
 	t          *testing.T
 	conn       *net.UnixConn
 	path       string
-	heartbeats int
+	heartbeats int // number received
 }
 
 func newNotifySocket(t *testing.T, path string) *notifySocket {
@@ -35,7 +35,8 @@
 	return &notifySocket{t: t, conn: conn, path: path}
 }
 
-// wait skips heartbeats and status lines until the notification that begins with want; any other fails the test.
+// wait reads notifications until one begins with want. It skips heartbeats, which it counts, and status lines. Any
+// other notification fails the test.
 func (s *notifySocket) wait(want string) {
 	s.t.Helper()
 	buffer := make([]byte, 4096)
@@ -56,7 +57,7 @@
 	}
 }
 
-// listenSocket opens a listener and returns it with its file, as a service supervisor passes it on.
+// listenSocket opens a listener and returns it with its file, which is what a service supervisor passes to a process.
 func listenSocket(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,11 +73,12 @@
 	return listener, file
 }
 
-// startSupervised runs the program with the sockets "clients" and "metrics" of a service supervisor.
+// startSupervised starts the program with two sockets of a service supervisor, named "clients" and "metrics".
 func startSupervised(t *testing.T, notify *notifySocket, configFile string,
 	sockets ...*os.File) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
-	// A supervisor sets LISTEN_PID between fork and exec; the shell does so here.
+	// LISTEN_PID has to be the process ID of the program. A supervisor sets it between fork and exec; here the shell
+	// sets it and execs the program.
 	program, logs := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0]), &bytes.Buffer{}
 	program.Env = append(os.Environ(), serveEnvironment+"=1", "PROXY_CONFIG="+configFile,
 		"TMPDIR="+filepath.Dir(configFile), "LISTEN_FDS=2", "LISTEN_FDNAMES=clients:metrics",
@@ -90,9 +92,9 @@
 	return program, logs
 }
 
-// Under a service supervisor the program serves from the supervisor's socket, notifies it when it is ready, sends
-// heartbeats, and announces reloads and its shutdown; and the listener's backlog outlives it. Guards the service unit
-// of deploy/.
+// Guards the service unit in deploy/. Under a service supervisor, the program accepts clients from the socket that it
+// inherits, notifies the supervisor when it is ready, sends heartbeats, and announces reloads and its shutdown. The
+// supervisor's listener accepts connections even after the program has exited.
 func TestServiceSupervisor(t *testing.T) {
 	dir := t.TempDir()
 	notify := newNotifySocket(t, filepath.Join(dir, "notify"))
@@ -113,7 +115,7 @@
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, "PING\r\n")
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "PONG\r\n" {
-		t.Errorf("PING brings %q, %v", line, err)
+		t.Errorf("response to PING: %q, %v", line, err)
 	}
 	conn.Close()
 	for notify.heartbeats < 3 {
@@ -126,19 +128,19 @@
 	program.Process.Signal(syscall.SIGTERM)
 	notify.wait("STOPPING=1\nEXTEND_TIMEOUT_USEC=")
 	if err := program.Wait(); err != nil {
-		t.Errorf("ended with %v, log:\n%s", err, logs)
+		t.Errorf("exited with %v, log:\n%s", err, logs)
 	}
 	if !strings.Contains(logs.String(), "socket=metrics") {
 		t.Errorf("the log does not name the unused socket:\n%s", logs)
 	}
 	after, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
-		t.Fatalf("the backlog is gone with the process: %v", err)
+		t.Fatalf("the listener does not accept connections after the program has exited: %v", err)
 	}
 	after.Close()
 }
 
-// Operators read the line in the supervisor's status.
+// Operators read the line in the supervisor's status output, so its text must not change.
 func TestStatusLine(t *testing.T) {
 	snapshot := &core.Snapshot{Service: core.LameDuck, Established: 1, Waiting: 2, Listed: 3, Ejected: 4}
 	const want = "lame duck: 1 connections stand, 2 requests wait, 3 room servers listed, 4 of them left out"
