--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -13,7 +13,7 @@
 const (
 	exitOK      = 0
 	exitFailure = 1 // valid command line, but the command failed
-	exitUsage   = 2 // unknown command, flag or argument
+	exitUsage   = 2 // invalid command line, such as an unknown command, flag or argument
 )
 
 // commandError is the failure of a command whose command line was valid (exitFailure). Any other error of a command
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// loadSessionKeys returns nil if sessions are not resumed.
+// loadSessionKeys reads the keyring that seals session tokens. It returns nil if sessions are not resumed.
 func loadSessionKeys(sessions config.Sessions) (*token.Ring, error) {
 	ring, err := sessions.LoadRing()
 	if err != nil {
--- a/cmd/cottonplank/controlplane_test.go
+++ b/cmd/cottonplank/controlplane_test.go
@@ -83,7 +83,7 @@
 	return f
 }
 
-// startBalancer starts the i-th balancer, which keeps its saved state if it is started again.
+// startBalancer starts the i-th balancer. If it is started again, it uses the state that it saved before.
 func (f *controlPlaneFleet) startBalancer(i int) *process {
 	f.t.Helper()
 	fronts := f.path(fmt.Sprint("fronts", i, ".json"))
@@ -129,12 +129,12 @@
 	f.writeDocument(5)
 	f.expectListed(5)
 	f.leaderProcess.Process.Signal(syscall.SIGKILL)
-	time.Sleep(1200 * time.Millisecond) // a state is saved a second after the one before
+	time.Sleep(1200 * time.Millisecond) // lets the balancer save the latest version: it saves at most one per second
 	first := f.balancers[0]
 	first.command.Process.Signal(syscall.SIGTERM)
 	first.waitExit()
 	if text := first.logs.String(); !strings.Contains(text, "version=1.3") || !strings.Contains(text, f.leaderAddress) {
-		t.Errorf("log:\n%s", text)
+		t.Errorf("the log lacks version 1.3 or the leader's address:\n%s", text)
 	}
 	f.startBalancer(0).waitListed(5)
 }
--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -218,7 +218,7 @@
 		run.kill()
 		for i := range manyProcesses {
 			if truncated := strings.Contains(run.log(i), "no learned state from the previous process"); truncated != (i%3 == 2) {
-				t.Errorf("process %d logs:\n%.2000s", i, run.log(i))
+				t.Errorf("process %d: missing or unexpected warning about learned state, log:\n%.2000s", i, run.log(i))
 			}
 		}
 		f.checkInvalidList()
--- a/cmd/cottonplank/engine.go
+++ b/cmd/cottonplank/engine.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-// sessionStateTimeout returns 0 if sessions are not resumed.
+// sessionStateTimeout returns the timeout for transferring a session's state, or 0 if sessions are not resumed.
 func sessionStateTimeout(sessions config.Sessions) time.Duration {
 	if sessions.KeysFile == "" {
 		return 0
--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -105,7 +105,7 @@
 	return sum / elapsed.Seconds()
 }
 
-// cluster returns nil if the instance is not a member of a cluster.
+// cluster returns the metrics of the cluster, or nil if the instance is not a member of a cluster.
 func (m instanceMetrics) cluster() *clusterStatus {
 	if _, isMember := m["members_alive"]; !isMember {
 		return nil
--- a/cmd/cottonplank/slowstart_test.go
+++ b/cmd/cottonplank/slowstart_test.go
@@ -170,7 +170,7 @@
 	fleetSize int    // in the configuration of the processes
 	known     string // listing of the warm servers
 	discovery string
-	delta     string        // written before joined is closed
+	delta     string        // lists the other server; written before joined is closed
 	joined    chan struct{} // closed when the other server joins
 	addresses []string      // client addresses of the processes
 }
