--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,35 +1,36 @@
 package decide
 
-// Admission: which requests wait for capacity, and when load is shed. The evidence is the number of waiting requests
-// and how many connections were established recently.
+// Admission: which requests wait for capacity, and which are rejected at once to shed load. This depends on the number
+// of waiting requests and on the number of connections established recently.
 
 import "time"
 
 const (
-	// baseRetryAfter is the least retry-after of a rejected request; up to as much again is added at random.
+	// baseRetryAfter is the least retry-after of a rejected request, before the limit of the settings. A random delay
+	// of up to the same length is added.
 	baseRetryAfter = 200 * time.Millisecond
-	// minQueueLength is the number of requests that may wait for capacity in any case.
+	// minQueueLength is the number of requests that may always wait for capacity.
 	minQueueLength = 4
 )
 
-// wouldExpireWaiting reports whether more requests wait before r than connections are established, at the recent
-// rate, before its deadline. It is rejected at once then: otherwise a burst of clients waits in vain and returns to
-// wait again.
+// wouldExpireWaiting reports whether more requests wait before r than connections will be established before r's
+// deadline at the recent rate. If so, r gets its final answer at once. Otherwise the clients of a burst would wait
+// until their deadlines without success, and then return to wait again.
 func (b *Balancer) wouldExpireWaiting(r *request, waitingBefore int) bool {
 	perSecond := b.throttle.recentEstablished / attemptDecayTime.Seconds()
 	return float64(waitingBefore) > max(minQueueLength, perSecond*(r.deadline-b.now).Seconds())
 }
 
-// retryWaiting tries to place the waiting requests, each once and in order of arrival.
+// retryWaiting tries to place each waiting request once, in the order in which they began to wait.
 func (b *Balancer) retryWaiting() {
 	for left := len(b.requests.waiting) - 1; left >= 0; left-- {
 		r := b.requests.waiting[0]
 		b.requests.waiting = b.requests.waiting[1:]
-		b.place(r, len(b.requests.waiting)-left) // before it are only those that wait again
+		b.place(r, len(b.requests.waiting)-left) // only the requests that this loop put back are before it
 	}
 }
 
-// finish gives a request its final answer: a rejection where trying again is harmless, otherwise a failure.
+// finish gives a request its final answer: a rejection if the client may safely repeat it, otherwise a failure.
 func (b *Balancer) finish(r *request) {
 	if b.safeToRepeat(r) {
 		b.emit(Reject{ID: r.ID, RetryAfter: b.retryAfter()})
@@ -39,7 +40,7 @@
 	b.forget(r)
 }
 
-// safeToRepeat reports whether the client may repeat a request at any balancer and any server.
+// safeToRepeat reports whether the client may safely repeat a request, whichever balancer and server then handle it.
 func (b *Balancer) safeToRepeat(r *request) bool {
 	class := b.classOf(r)
 	neverExecuted := r.executedOn == nil && !r.inFlight
@@ -47,7 +48,8 @@
 	return class.Idempotency == Idempotent || neverExecuted || deduplicated
 }
 
-// retryAfter returns a jittered delay, a longer one while others wait, so that these are placed first.
+// retryAfter returns the jittered retry-after of a rejection. It is longer while many requests wait, so that these are
+// placed before the client returns.
 func (b *Balancer) retryAfter() time.Duration {
 	delay := baseRetryAfter
 	if len(b.requests.waiting) > minQueueLength {
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -1,8 +1,8 @@
 package decide
 
 // Affinity: connections of one group share work on their server, so they are kept together on few servers. The
-// group's preferred servers in a zone come first by rendezvous hashing on the group's name, weighted by the servers'
-// sizes, and are the same at all balancers.
+// preferred servers of a group in a zone are the first ones by rendezvous hashing of the group's name, weighted by the
+// servers' sizes. They are the same at all balancers.
 
 import (
 	"cmp"
@@ -11,14 +11,16 @@
 )
 
 const (
-	// maxPreferredServers is the number of preferred servers of a group in a zone, which is at most half of the
-	// zone's.
+	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone it is half
+	// of the zone's servers, rounded up.
 	maxPreferredServers = 3
-	// groupOpeningConnections is the reserved cost of the first connection of a group at a server, in connections.
-	// The server pays three for a group while it has any of it.
+	// groupOpeningConnections is the extra load that is reserved for the first connection of a group at a server, in
+	// average connections. Serving a group costs a server the load of about three connections as long as it has any
+	// connection of the group.
 	groupOpeningConnections = 5.0
-	// maxGroupOpeningLoad bounds that cost. By the few connections that a balancer has just after its start, one
-	// looks several times too expensive, and its clients would wait while servers have capacity.
+	// maxGroupOpeningLoad limits the load reserved for the first connection of a group. Just after its start, a
+	// balancer has few connections and estimates the load of one several times too high. Without the limit, its
+	// clients would wait although servers have capacity.
 	maxGroupOpeningLoad = 0.2
 )
 
@@ -28,13 +30,13 @@
 	fnvPrime  = 1099511628211
 )
 
-// mixMultiplier is the increment of the SplitMix64 generator, whose output function is finalizeMix.
+// mixMultiplier is the increment of the SplitMix64 generator. finalizeMix is the generator's output function.
 const mixMultiplier = 0x9e3779b97f4a7c15
 
 func (b *Balancer) hasGroup(r *request) bool { return b.settings.GroupAffinity && r.Group != "" }
 
 // preferredServers returns the preferred servers of a request's group in the local and in the remote list. They are
-// ranked once for each version of the list, as a waiting request is tried again at every report.
+// computed once per request and list version, as a waiting request is tried again at every load report.
 func (b *Balancer) preferredServers(r *request) (local, remote []*server) {
 	if r.preferredListVersion != b.discovery.listVersion {
 		r.localPreferred, r.remotePreferred = b.preferredInZone(r, b.localZone), b.preferredInZone(r, b.remoteZone)
@@ -52,9 +54,9 @@
 	return b.preferredForGroup(z, hashString(r.Group), min(maxPreferredServers, (len(z.ready)+1)/2))
 }
 
-// groupOpeningLoad returns the load that a request adds to a server by being the first of its group there, as far as
-// this balancer knows. Where other balancers share the zone, one of them most likely has connections of the group
-// there.
+// groupOpeningLoad returns the load that is reserved for a request if it is the first of its group at a server, as far
+// as this balancer knows. It is 0 otherwise, and if the load of a connection there is only a guess. The load is divided
+// by the number of balancers that share the zone, as another one most likely has connections of the group there.
 func (b *Balancer) groupOpeningLoad(r *request, s *server) float64 {
 	load, guess := b.connectionLoad(s)
 	sameGroup := func(x reservation) bool { return x.request.Group == r.Group }
@@ -64,13 +66,14 @@
 	return min((groupOpeningConnections+b.relativeLoad(r))*load, maxGroupOpeningLoad) / b.zoneBalancers()
 }
 
-// rendezvousDistance orders the servers for a group: the nearest one is the most preferred, at all balancers alike.
+// rendezvousDistance returns the sort key of a server for a group. The server with the least distance is the most
+// preferred one. All balancers compute the same distances.
 func rendezvousDistance(group uint64, s *server) float64 {
 	uniform := (float64(mix(group, uint64(s.ID))>>11) + 0.5) / (1 << 53)
 	return -math.Log(uniform) / cmp.Or(s.Weight, 1)
 }
 
-// hashString is the FNV-1a hash, equal on every machine.
+// hashString returns the FNV-1a hash of a text. It is the same on every machine.
 func hashString(text string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := range len(text) {
@@ -79,7 +82,7 @@
 	return hash
 }
 
-// mix combines two values into a hash, equal on every machine.
+// mix combines two values into a hash. It is the same on every machine.
 func mix(a, b uint64) uint64 { return finalizeMix(a ^ b*mixMultiplier) }
 
 func finalizeMix(x uint64) uint64 {
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,95 +1,97 @@
 // Package decide makes the decisions of a balancer for long-lived connections.
 //
-// This file is the whole interface: the settings that a Balancer starts with, the events that its host reports and
-// the actions that it asks for. The host owns time, sockets and timers; a Balancer does no I/O, reads no clock and
-// starts no goroutine, so that equal events always give equal actions.
+// This file declares the settings, events and actions: the settings that a Balancer is created with, the events that
+// its host reports and the actions that it requests from the host. The host owns the clock, sockets and timers. A
+// Balancer does no I/O, reads no clock and starts no goroutine, so equal settings and events always give equal
+// actions.
 //
-// Each decision has a file of its own: discovery.go, probing.go, placement.go, affinity.go, ejection.go,
-// slowstart.go, admission.go, retry.go, migration.go and reconnect.go. The records that they share are in server.go,
-// request.go, reservation.go, clients.go and estimates.go, the lists of servers in index.go and ranking.go.
+// Each decision has its own file: discovery.go, probing.go, placement.go, affinity.go, ejection.go, slowstart.go,
+// admission.go, retry.go, migration.go, bootstrap.go and reconnect.go. The records that the decisions share are in
+// server.go, request.go, reservation.go, answers.go, clients.go and estimates.go; the lists of servers are in index.go
+// and ranking.go.
 package decide
 
 import "time"
 
-// RequestID names a client's request; the host never uses one twice.
+// RequestID identifies a client's request. The host never reuses one.
 type RequestID string
 
-// ServerID names a server. It implies no order, zone or age.
+// ServerID identifies a server. Its value says nothing about the server's order, zone or age.
 type ServerID uint32
 
-// Idempotency says what a second execution of a request would do.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency uint8
 
-// The kinds of request.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated and rejected freely
-	IdempotentByKey                    // servers of one scope drop repeats for a time
-	NotIdempotent                      // must not be executed twice
+	Idempotent      Idempotency = iota // may be executed more than once, so it may always be retried or rejected
+	IdempotentByKey                    // the servers of its KeyScope drop repeats within its DedupWindow
+	NotIdempotent                      // must not be executed more than once
 )
 
-// KeyScope is the group of servers that drops the repeats of a request that is idempotent by key.
+// KeyScope is the set of servers that drop repeats of the same IdempotentByKey request.
 type KeyScope uint8
 
 // The key scopes.
 const (
-	ScopeAll  KeyScope = iota // every server
+	ScopeAll  KeyScope = iota // all servers
 	ScopeZone                 // the servers of one zone
 	ScopeCell                 // the servers of one cell
 )
 
-// Class describes one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	Name                    string        // for the host's use; no decision depends on it
-	LatencyObjective        time.Duration // a connection should be established within this; above 0
-	MessageLatencyObjective time.Duration // a message should be served within this; 0: unknown
-	ClientTimeout           time.Duration // how long a client waits in all
+	LatencyObjective        time.Duration // time within which a connection should be established; above 0
+	MessageLatencyObjective time.Duration // time within which a message should be served; 0: unknown
+	ClientTimeout           time.Duration // total time that a client waits for its connection
 	Idempotency             Idempotency
 	KeyScope                KeyScope      // for IdempotentByKey
 	DedupWindow             time.Duration // for IdempotentByKey: how long repeats are dropped, from the first send
 }
 
-// SafetyLimits are the limits that the decisions must keep to.
+// SafetyLimits are limits that the decisions must not exceed.
 type SafetyLimits struct {
-	DrainGrace               time.Duration // within this, sends to a server that began to drain must have ended
+	DrainGrace               time.Duration // after this time, nothing may be sent to a draining server
 	MaxPollInterval          time.Duration // longest time between two polls of discovery; 0: no limit
-	SlowStartInitialCapacity float64       // fraction of its capacity that a server has when it starts, from 0 to 1
-	SlowStartDuration        time.Duration // time from its start until it has its whole capacity
-	OverloadFactor           float64       // multiple of its present capacity that overloads a server which warms up
-	OverloadWindow           time.Duration // time that such a load takes to overload it
+	SlowStartInitialCapacity float64       // fraction of its full capacity that a server has at its start, from 0 to 1
+	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
+	OverloadFactor           float64       // multiple of its present capacity that overloads a warming server
+	OverloadWindow           time.Duration // how long that load must last to overload the server
 }
 
-// Costs are costs as a fraction of the value of a request served at the first attempt; 0 means free.
+// Costs are expressed as fractions of the value of a request that is served at the first attempt; 0 means free.
 type Costs struct {
 	Probe     float64 // one probe
 	Migration float64 // one migrated connection
 	CrossZone float64 // one attempt in another zone
 }
 
-// Settings are fixed for the life of a Balancer.
+// Settings configure a Balancer. They don't change during its lifetime.
 type Settings struct {
-	Seed           uint64        // of the random decisions
+	Seed           uint64        // seed of the random decisions
 	Zone           string        // zone of this balancer
-	Zones          []string      // all zones; empty: Zone alone
+	Zones          []string      // all zones; empty: only Zone
 	Balancers      int           // balancers that share the fleet of servers; 0 means 1
-	WatchList      bool          // poll by WatchList; otherwise by FetchList, and changes are pushed in between
+	WatchList      bool          // poll with WatchList; otherwise with FetchList, as changes are pushed between polls
 	Classes        []Class       // at least one
-	MaxAttempts    int           // attempts for a request; 0 means 1
-	ConnectTimeout time.Duration // the host ends a dial without an answer after this; 0: unknown
-	MaxRetryAfter  time.Duration // longest retry-after that clients honour; 0: give none
-	ProbingAllowed bool          // servers answer probes
-	GroupAffinity  bool          // connections of one group share work on their server
+	MaxAttempts    int           // maximum number of attempts for a request; 0 means 1
+	ConnectTimeout time.Duration // time after which the host ends an unanswered dial; 0: unknown
+	MaxRetryAfter  time.Duration // longest retry-after that clients honour; 0: send no retry-after
+	ProbingAllowed bool          // whether servers may be probed
+	GroupAffinity  bool          // whether connections of one group share work on their server
 	Safety         SafetyLimits
 	Costs          Costs
 }
 
-// State is what discovery knows of a server.
+// State is the state of a server as discovery reports it.
 type State uint8
 
 // The states of a server.
 const (
-	Ready    State = iota // takes new connections
-	Draining              // finishes its connections and takes no new ones
-	Removed               // is not in the list any more
+	Ready    State = iota // accepts new connections
+	Draining              // finishes its connections and accepts no new ones
+	Removed               // is no longer in the endpoint list
 )
 
 // Server is one entry of the endpoint list.
@@ -98,70 +100,71 @@
 	Zone    string
 	Cell    int
 	State   State
-	Started time.Duration // host clock at its latest start; 0: long ago
+	Started time.Duration // host clock at its latest start; 0: long ago, so the server is warm
 	Weight  float64       // size relative to other servers; 0 counts as 1
 }
 
-// LoadReport is a server's own account of its load. Absent values are negative.
+// LoadReport is the load that a server reports about itself. Absent values are negative.
 type LoadReport struct {
-	Load        float64 // requested work over capacity
+	Load        float64 // requested work divided by the server's capacity
 	Connections float64 // established connections
 }
 
-// NoLoadReport stands for an answer without a report.
+// NoLoadReport is the report of an answer that contains none.
 var NoLoadReport = LoadReport{Load: -1, Connections: -1}
 
 // Code says how an attempt or a probe ended.
 type Code uint8
 
-// The outcome codes.
+// The outcome codes. Each comment says whether the request may have been executed.
 const (
 	OK            Code = iota // served
-	ServerError               // the server answered with an error; may have executed
+	ServerError               // the server answered with an error; may have been executed
 	Rejected                  // the server rejected it; not executed
-	TimedOut                  // no answer in time; may have executed
+	TimedOut                  // no answer in time; may have been executed
 	ConnectFailed             // no connection in time; not executed
-	Reset                     // the connection broke; may have executed
-	Cancelled                 // withdrawn; may have executed
+	Reset                     // the connection broke; may have been executed
+	Cancelled                 // cancelled by the host; may have been executed
 	NotSent                   // not sent; not executed
 )
 
-// NeverExecuted reports whether the code proves that the attempt did not execute.
+// NeverExecuted reports whether the code proves that the attempt's request was not executed.
 func (c Code) NeverExecuted() bool { return c == Rejected || c == ConnectFailed || c == NotSent }
 
-// Event is something that the host reports. Events of the same moment are handled one after the other, in the order
-// in which they happened.
+// Event is something that the host reports. The host reports events in the order in which they happen, also those
+// that have the same time.
 type Event interface{ event() }
 
 type (
-	// Started must be the first event; the balancer begins its periodic work.
+	// Started must be the first event. It starts the balancer's periodic work.
 	Started struct{}
 
-	// ListReceived brings an update of the endpoint list, or the failure of a call.
+	// ListReceived reports an update of the endpoint list, or that a call to discovery failed.
 	ListReceived struct {
 		Kind    ListKind
 		Servers []Server // not retained; the host may reuse the slice
 	}
 
-	// RequestArrived is a client's request; exactly one final answer is owed for it.
+	// RequestArrived reports a client's request, which must get exactly one final answer.
 	RequestArrived struct {
 		ID        RequestID
 		Class     int           // index in Settings.Classes
-		Key       string        // names the client; empty: unknown
-		Group     string        // connections of one group share work; empty: none
-		Remaining time.Duration // until the client's time-out
-		Load      float64       // expected work, in seconds per second; 0: unknown
-		MidFlow   bool          // packets of an open connection have come to this balancer
-		Returning bool          // the client reconnects after a broken or a migrated connection
+		Key       string        // identifies the client; empty: unknown
+		Group     string        // connections of one group share work on their server; empty: no group
+		Remaining time.Duration // time until the client's time-out
+		Load      float64       // expected load, in seconds of work per second; 0: unknown
+		MidFlow   bool          // packets of an open connection now arrive at this balancer
+		Returning bool          // the client reconnects after its connection broke or was migrated
 	}
 
-	// ConnectionRestored reports a connection that is already established; it counts as attempt 0.
+	// ConnectionRestored reports a connection that was established before this balancer started. It counts as
+	// attempt 0 of its request.
 	ConnectionRestored struct {
 		Request RequestArrived
 		Server  ServerID
 	}
 
-	// Established reports that an attempt's connection is established; its request has no deadline any more.
+	// Established reports that an attempt has established its connection. The request has no deadline from then on.
 	Established struct {
 		ID      RequestID
 		Attempt int
@@ -175,31 +178,32 @@
 		Load float64 // in seconds of work per second
 	}
 
-	// MessageDelayReported reports how long a message takes now at the server of an open connection.
+	// MessageDelayReported reports the present message latency at the server of an open connection.
 	MessageDelayReported struct {
 		ID     RequestID
 		Server ServerID
 		Delay  time.Duration
 	}
 
-	// AttemptEnded reports the end of an attempt, or of its established connection. Each StartAttempt gets one.
+	// AttemptEnded reports the end of an attempt, or of the connection that it established. It follows each
+	// StartAttempt exactly once.
 	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Code    Code
-		Final   bool          // no final answer is owed for the request any more
+		Final   bool          // the request needs no final answer from the balancer any more
 		Elapsed time.Duration // from StartAttempt
 		Report  LoadReport
 	}
 
-	// RequestExpired reports that the host cannot hold a request any longer: its final answer is due now.
+	// RequestExpired reports that the host cannot keep a request any longer. The balancer gives its final answer now.
 	RequestExpired struct{ ID RequestID }
 
-	// ClientDisconnected reports that the client has given up a request; no answer is owed any more.
+	// ClientDisconnected reports that the client has abandoned a request, which needs no final answer any more.
 	ClientDisconnected struct{ ID RequestID }
 
-	// ProbeCompleted is the result of one Probe.
+	// ProbeCompleted reports the result of one Probe.
 	ProbeCompleted struct {
 		Server  ServerID
 		Code    Code
@@ -207,62 +211,63 @@
 		Report  LoadReport
 	}
 
-	// FleetSize is the number of balancers among which budgets are divided from now on, as the cluster's membership
-	// counts them. Until it comes, Settings.Balancers holds.
+	// FleetSize sets the number of balancers among which budgets are divided, as counted by the cluster's membership.
+	// Settings.Balancers is used until the first one.
 	FleetSize struct {
 		Fleet    int  // all balancers, at least 1
-		Zone     int  // those of the own zone, at least 1
-		Admitted bool // all others count this balancer: it may use its part of the slow-start budgets
+		Zone     int  // balancers of the own zone, at least 1
+		Admitted bool // all other balancers count this one, so it may use its share of the slow-start budgets
 	}
 
-	// TimerFired comes once for each SetTimer, with its token.
+	// TimerFired reports that the timer with this token has expired. It follows each SetTimer exactly once.
 	TimerFired struct{ Token uint64 }
 )
 
-// ListKind says what a ListReceived brings.
+// ListKind says what a ListReceived contains.
 type ListKind uint8
 
 // The kinds of list.
 const (
 	ListDelta    ListKind = iota // the entries that have changed
-	ListSnapshot                 // all entries; a server that is missing is removed
+	ListSnapshot                 // all entries; a server without an entry is removed
 	ListRestored                 // all entries of the last list before a restart, possibly out of date
-	ListFailed                   // none: a call failed or the watch broke
+	ListFailed                   // no entries: a call failed or the watch was interrupted
 )
 
-// Action is something that the host is asked to do, at the time of the event and in the order given.
+// Action is something that the balancer requests from the host. The host carries out the actions of an event at the
+// time of the event and in the given order.
 type Action interface{ action() }
 
 type (
-	// StartAttempt starts the next attempt of a request; attempts count from 0.
+	// StartAttempt starts the next attempt of a request. Attempts are numbered from 0.
 	StartAttempt struct {
 		ID      RequestID
 		Server  ServerID
-		Timeout time.Duration // within which the connection must be established
+		Timeout time.Duration // time within which the connection must be established
 	}
 
-	// Reject is a final answer: trying again is harmless.
+	// Reject is a final answer after which the client may safely repeat the request.
 	Reject struct {
 		ID         RequestID
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // 0: the answer has no retry-after
 	}
 
-	// Fail is a final answer: the request may have executed.
+	// Fail is a final answer to a request that may have been executed.
 	Fail struct{ ID RequestID }
 
 	// Migrate closes an open connection gracefully, so that its client reconnects.
 	Migrate struct{ ID RequestID }
 
-	// Probe asks a server for a load report.
+	// Probe requests a load report from a server.
 	Probe struct{ Server ServerID }
 
-	// WatchList asks discovery for the changes from the present list on.
+	// WatchList requests from discovery the changes since the present list.
 	WatchList struct{}
 
-	// FetchList asks discovery for one full snapshot.
+	// FetchList requests one full snapshot of the endpoint list from discovery.
 	FetchList struct{}
 
-	// SetTimer asks for a TimerFired after the delay.
+	// SetTimer requests a TimerFired with this token after the delay.
 	SetTimer struct {
 		Token uint64
 		Delay time.Duration
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -1,7 +1,7 @@
 package decide
 
-// Discovery polling: when the endpoint list is requested, and how its updates are applied. The evidence is the
-// outcome of the calls to discovery.
+// Discovery polling: when the endpoint list is requested, and how its updates are applied. The time of the next poll
+// depends on the outcomes of the calls to discovery and on the fleet size.
 
 import (
 	"cmp"
@@ -10,39 +10,43 @@
 
 // Timing of the polls.
 const (
-	// basePollInterval is the time between two polls of a single balancer, unless the settings ask for a longer one.
+	// basePollInterval is the time between two polls of a single balancer, unless the settings have a longer one.
 	basePollInterval = 10 * time.Second
 	// pollIntervalPerBalancer is added for each balancer, as the discovery service does not grow with the fleet.
 	pollIntervalPerBalancer = 100 * time.Millisecond
-	// maxFirstPollDelay bounds the random delay of the first poll.
+	// maxFirstPollDelay limits the random delay of the first poll.
 	maxFirstPollDelay = time.Second
-	// pollRetryDelay is the first delay after a failed call; it doubles with each failure in a row, and is jittered.
+	// pollRetryDelay is the delay after the first failed call. It doubles with each consecutive failure and is
+	// jittered.
 	pollRetryDelay = time.Second
-	// maxPollRetryDoublings bounds the doublings of pollRetryDelay.
+	// maxPollRetryDoublings limits how often pollRetryDelay is doubled.
 	maxPollRetryDoublings = 5
 )
 
 // discoveryState is the state of the polls.
 type discoveryState struct {
-	listVersion  uint64        // updates of the list received
-	pollAt       time.Duration // when the next poll is due
-	pollFailures int           // calls failed in a row
+	listVersion  uint64        // number of list updates received
+	pollAt       time.Duration // time of the next poll
+	pollFailures int           // number of consecutive failed calls
 }
 
-// scheduleFirstPoll spreads the first polls of balancers that start together. The restored list may be out of date:
-// the changes since then count as notified soon, whether the balancer has polled or not.
+// scheduleFirstPoll schedules the first poll after a random delay, as balancers may start together. The delay is
+// short: a restored list may be out of date, and soon the balancer counts as notified of the changes since then,
+// whether it has polled or not.
 func (b *Balancer) scheduleFirstPoll() {
 	limit := min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval))
 	b.discovery.pollAt = b.now + b.jitter(limit)
 }
 
-// pollInterval spreads the calls of all balancers over the time in which one discovery service can answer them.
+// pollInterval returns the time between two polls. It grows with the fleet, so that one discovery service can answer
+// the calls of all balancers.
 func (b *Balancer) pollInterval() time.Duration {
 	perFleet := time.Duration(b.fleet.Fleet) * pollIntervalPerBalancer
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + perFleet
 }
 
-// poll makes the one call of an interval: a watch, which brings the changes only, where the settings allow it.
+// poll requests the list and schedules the next poll. If the settings allow it, the request is a watch, which returns
+// only the changes.
 func (b *Balancer) poll() {
 	b.discovery.pollAt = b.now + b.pollInterval()
 	if b.settings.WatchList {
@@ -62,15 +66,15 @@
 	b.retryWaiting()
 }
 
-// backOffPoll delays the next poll after a failed call, so that a discovery service that is down or overloaded is not
-// flooded. ReconnectSchedule does so for hosts that can dial without calling.
+// backOffPoll delays the next poll after a failed call, so that the fleet does not overload a discovery service that
+// is restarting or overloaded already. Hosts that can dial without calling use ReconnectSchedule instead.
 func (b *Balancer) backOffPoll() {
 	delay := min(pollRetryDelay<<min(b.discovery.pollFailures, maxPollRetryDoublings), b.pollInterval())
 	b.discovery.pollFailures++
 	b.discovery.pollAt = b.now + delay/2 + b.jitter(delay)
 }
 
-// applyList updates the servers' records and the index by a snapshot or a delta.
+// applyList updates the servers' records and the index from a snapshot or a delta.
 func (b *Balancer) applyList(event ListReceived) {
 	b.discovery.pollFailures = 0
 	b.discovery.listVersion++
@@ -89,7 +93,8 @@
 	b.applyChangedServers(changed)
 }
 
-// applyListed updates the record of one listed server. A restart voids all that was learned of it.
+// applyListed updates the record of one listed server. If the server has restarted, its load reports, failures and
+// quotas are discarded, as they don't apply to the new process.
 func (b *Balancer) applyListed(listed Server) *server {
 	s := b.unindexedRecord(listed.ID)
 	if listed.Started != s.Started {
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -1,8 +1,8 @@
 package decide
 
-// Migration: connections are moved off a server that is overloaded, and so serves all of its connections badly. The
-// evidence is its load report, and for a lower bound, clients' reports of slow messages there. Every balancer moves
-// the same fraction of its own connections, so that all together move the excess.
+// Migration: connections are moved off an overloaded server, as it serves all of its connections badly. A server is
+// overloaded if its load report exceeds a limit, which is lower while clients report slow messages there. Every
+// balancer migrates the same fraction of its own connections, so that all balancers together migrate the excess.
 
 import (
 	"cmp"
@@ -11,15 +11,17 @@
 )
 
 const (
-	// migrationLoad is the reported load above which a server loses connections.
+	// migrationLoad is the reported load above which connections are migrated off a server.
 	migrationLoad = 0.95
-	// migrationTargetLoad is the load that it is brought down to, and the bound where its messages are slow.
+	// migrationTargetLoad is the load to which migrations reduce a server's load. If its messages are slow, it is also
+	// the load above which connections are migrated.
 	migrationTargetLoad = 0.75
-	// migrationSettlePeriod is how long a report may take to show what was migrated.
+	// migrationSettlePeriod is the time after a migration until load reports show its effect.
 	migrationSettlePeriod = 2500 * time.Millisecond
 )
 
-// migrateFromOverloaded migrates the excess connections off overloaded servers. Then a report gets time to show it.
+// migrateFromOverloaded migrates the excess connections off overloaded servers. It migrates from the same server again
+// only by a report that can show the effect of the previous migration.
 func (b *Balancer) migrateFromOverloaded() {
 	b.visits += len(b.connected)
 	for _, s := range b.connected {
@@ -29,13 +31,15 @@
 	}
 }
 
-// overloaded uses the report alone: it shows most of the placements reserved since, and the rest may never matter.
+// overloaded reports whether connections must be migrated off a server. It ignores reservations: the report includes
+// most of them already, and the others may never become load.
 func (b *Balancer) overloaded(s *server) bool {
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
 
-// migrateExcess rounds the number of connections by chance. Drawing each connection by itself would often migrate
-// none of a few until the next round.
+// migrateExcess migrates the fraction of a server's connections by which its load exceeds migrationTargetLoad. The
+// number is rounded up or down at random. If each connection were drawn independently, often none of a small number
+// would be migrated before the next report.
 func (b *Balancer) migrateExcess(s *server) {
 	s.migratedAt = b.now
 	count := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
@@ -45,9 +49,10 @@
 	}
 }
 
-// migrationOrder orders the connections of a server for migration: first those of groups that have fewest connections
-// there, as far as is known, then those of the groups that prefer the server least. The order is equal at all
-// balancers, so the server stops paying for these groups.
+// migrationOrder returns the connections of a server in the order in which they are migrated: first those of the
+// groups with the fewest connections there, and among these first those of the groups that prefer the server least.
+// The second order is the same at all balancers, so they migrate the same groups, and the server no longer has the
+// cost of these groups.
 func (b *Balancer) migrationOrder(s *server) []*request {
 	connections := slices.Clone(s.connections)
 	b.rng.Shuffle(len(connections), func(i, j int) {
@@ -60,8 +65,9 @@
 	return connections
 }
 
-// compareGroupSizes compares two connections of a server by how many of their groups it has. Of a group that many
-// balancers have connections of there, this balancer's part says nothing.
+// compareGroupSizes compares two connections of a server by the number of connections that their groups have there.
+// The numbers are divided by the number of balancers: where many balancers share a group's connections, this
+// balancer's own number says little about the size of the group.
 func (b *Balancer) compareGroupSizes(s *server, x, y *request) int {
 	balancers := int(b.zoneBalancers())
 	return cmp.Compare(s.connectionsByGroup[x.Group]/balancers, s.connectionsByGroup[y.Group]/balancers)
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,9 +1,10 @@
 package decide
 
-// Placement: the server of a request's next attempt. The evidence is the load reports of the servers,
-// the reservations made since, ejections, slow-start quotas and what the request's idempotency allows. The order of
-// choice: the server of a connection in mid-flow, the group's preferred servers, the least loaded server with a
-// recent report, servers that warm up, other zones, and at last any server in the shuffled order.
+// Placement: the choice of the server for a request's next attempt. It depends on the servers' load reports, the
+// reservations made since, ejections, slow-start quotas and the request's idempotency. The candidates are considered
+// in this order: the server of an open connection whose packets now arrive here, the preferred servers of the
+// request's group, the least loaded server of the own zone that shows capacity, warming servers, servers of other
+// zones, and finally any server in the shuffled order.
 
 import (
 	"cmp"
@@ -11,37 +12,40 @@
 	"time"
 )
 
-// Loads are over capacity, as servers report them.
+// Loads are fractions of a server's capacity, as servers report them.
 const (
-	// maxLoadWithCapacity is the load under which a server has capacity. When none has, other zones are considered.
+	// maxLoadWithCapacity is the load below which a server has capacity for new connections. Other zones are
+	// considered when no server of the own zone has capacity.
 	maxLoadWithCapacity = 0.7
 	// saturationLoad is the load above which a server gets no new connections.
 	saturationLoad = 0.8
-	// unreportedLoadMargin is taken off maxLoadWithCapacity, and half of it off saturationLoad, for what other
-	// balancers have placed and no report shows yet.
+	// unreportedLoadMargin is the largest margin for placements by other balancers that no load report shows yet. It
+	// is subtracted from maxLoadWithCapacity, and half of it from saturationLoad.
 	unreportedLoadMargin = 0.1
 )
 
 const (
-	// crossZoneCostFactor converts the cost of crossing zones, a part of a request's value, into a load: a server
-	// in another zone must be lighter by as much as the crossing costs, and a quarter more for the error of the two
-	// reports.
+	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into a
+	// difference of loads. A server in another zone must have a load that is lower by the cost, plus a quarter of it
+	// for the error of the two load reports that are compared.
 	crossZoneCostFactor = 1.25
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
-	// minAttemptSetups is the least time-out of an attempt, as a multiple of the usual set-up time.
+	// minAttemptSetups is the least time-out of an attempt, as a multiple of the average set-up time. It also
+	// multiplies the duration of an attempt that timed out, to get the least set-up time that it suggests.
 	minAttemptSetups = 2
 )
 
-// loadThresholds are the loads that placements are decided by. They depend on the fleet size.
+// loadThresholds are the load limits for placements. They depend on the fleet size.
 type loadThresholds struct {
-	capacity     float64 // below it a server has capacity
-	saturation   float64 // above it a server is saturated
-	crossZoneGap float64 // by which a server of another zone must be lighter than the best of the own zone
+	capacity     float64 // a server with a lower load has capacity
+	saturation   float64 // a server with a higher load is saturated
+	crossZoneGap float64 // a server of another zone must have a load lower by this than the best of the own zone
 }
 
-// updateThresholds computes the thresholds. A report shows what the other balancers of the zone have placed half a
-// second late; the balancer's own placements are reserved at once.
+// updateThresholds computes the thresholds. Load reports show the placements of the other balancers of the zone half
+// a second late, so the margin grows with the fraction of placements that others make. The balancer's own placements
+// are reserved at once.
 func (b *Balancer) updateThresholds() {
 	margin := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
 	b.thresholds = loadThresholds{
@@ -51,14 +55,16 @@
 	}
 }
 
-// spillingOver reports whether the own zone lacked capacity recently, so that other zones have to be known too.
+// spillingOver reports whether the own zone lacks capacity or lacked it recently, so that the loads in other zones
+// must be known too.
 func (b *Balancer) spillingOver() bool {
 	spilled := b.zoneLoad.lastSpillAt > 0 && b.now-b.zoneLoad.lastSpillAt < spillOverPeriod
 	return spilled || b.zoneLoad.mean > b.thresholds.capacity
 }
 
-// place starts the next attempt of a request, lets it wait, or finishes it. The number of requests that wait before
-// it decides whether waiting makes sense.
+// place starts the next attempt of a request, puts the request into the waiting list, or gives it its final answer.
+// waitingBefore is the number of waiting requests before it, by which it decides whether the request can be placed
+// before its deadline.
 func (b *Balancer) place(r *request, waitingBefore int) {
 	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
 		b.finish(r)
@@ -81,7 +87,7 @@
 	b.requests.waiting = append(b.requests.waiting, r)
 }
 
-// startAttempt sends a request to a server.
+// startAttempt starts a request's next attempt at a server and reserves the load there.
 func (b *Balancer) startAttempt(r *request, s *server) {
 	b.reservePlacement(r, s)
 	timeout := b.attemptTimeout(r)
@@ -95,23 +101,24 @@
 	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
-// attemptTimeout leaves time for the attempts that remain, unless set-ups take long everywhere, as with a slow
-// session store: another server would not be quicker then, and the store would do the work twice.
+// attemptTimeout returns the time-out of a request's next attempt. It leaves time for the remaining attempts, unless
+// set-ups take long at all servers, as with a slow session store: another server would be no quicker then, and the
+// store would have to do the work twice.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	left := r.deadline - b.now
 	perAttempt := left / time.Duration(b.settings.MaxAttempts-r.attempts)
 	return min(left, max(perAttempt, minAttemptSetups*b.throttle.setupTime))
 }
 
-// placement is the choice of a server for one request of a balancer.
+// placement holds the state of choosing a server for one request.
 type placement struct {
 	*Balancer
 	request   *request
-	client    clientRecord // zero: the client is not known
-	localBest *server      // least loaded server of the own zone that has a recent report and is not saturated
+	client    clientRecord // zero value: no record of the client
+	localBest *server      // least loaded eligible server of the own zone with a recent report below saturation
 }
 
-// pick returns the server of a request's next attempt, or nil when none may take it now.
+// pick returns the server for a request's next attempt, or nil if no server can take the request now.
 func (b *Balancer) pick(r *request) *server {
 	p := placement{Balancer: b, request: r, client: b.clients.records[r.Key]} // the empty key has no record
 	if s := p.midFlowServer(); s != nil {
@@ -126,8 +133,8 @@
 	return p.pickAny()
 }
 
-// midFlowServer returns the server of a connection whose packets now come to this balancer: no other server can go on
-// with it, even while that one drains.
+// midFlowServer returns the server of an open connection whose packets now arrive at this balancer, or nil. No other
+// server can continue the connection, so this one is chosen even while it drains, until the end of the grace period.
 func (p *placement) midFlowServer() *server {
 	s := p.servers[p.client.server]
 	if !p.request.MidFlow || p.request.attempts > 0 || s == nil || p.client.endedAt <= 0 || p.client.avoid {
@@ -139,22 +146,23 @@
 	return nil
 }
 
-// pickPreferred chooses among the preferred servers of the request's group. It reports true if that decides the
-// choice, which may be nil: the request waits for capacity then.
+// pickPreferred chooses among the preferred servers of the request's group. It reports whether the choice is final. A
+// final choice of nil means that the request waits for capacity.
 func (p *placement) pickPreferred() (s *server, decided bool) {
 	local, remote := p.preferredServers(p.request)
 	if s := firstMatching(local, p.hasCapacity); s != nil {
 		return s, true
 	}
-	if s := firstMatching(remote, p.hasCapacity); s != nil { // most likely it is preferred in its own zone too
+	if s := firstMatching(remote, p.hasCapacity); s != nil { // the balancers of its zone most likely prefer it too
 		p.zoneLoad.lastSpillAt = p.now
 		return s, true
 	}
 	if s := firstMatching(local, p.belowSaturation); s != nil {
 		return s, true
 	}
-	// A server pays for each group that it has any connection of. If a burst of clients scattered its groups over a
-	// fleet short of capacity, the fleet would lose what capacity is left and not recover. The requests wait instead.
+	// Each group costs a server work, however few connections of the group it has. If a burst of clients were spread
+	// over other servers while capacity is short, the groups would use up the remaining capacity and the fleet would
+	// not recover. So the requests wait instead.
 	if slices.ContainsFunc(local, p.saturatedOrWarming) || slices.ContainsFunc(remote, p.saturatedOrWarming) {
 		local, remote = local[:min(onDemandProbes, len(local))], remote[:min(onDemandProbes, len(remote))]
 		return cmp.Or(firstMatching(local, p.eligibleUnreported), firstMatching(remote, p.eligibleUnreported)), true
@@ -163,18 +171,20 @@
 	return s, s != nil
 }
 
-// pickReported chooses by recent reports. It reports true if that decides the choice, which may be nil.
+// pickReported chooses a server by recent load reports. It reports whether the choice is final. A final choice of nil
+// means that the request waits for capacity.
 func (p *placement) pickReported() (s *server, decided bool) {
 	p.localBest = leastLoaded(p.answers.ownZone, p.belowSaturation)
 	if p.localBest != nil && p.localBest.load < p.thresholds.capacity {
 		return p.localBest, true
 	}
-	// When capacity is short, a warming server takes what its quota allows, probed or not: it has just begun.
+	// When capacity is short, a warming server is used within its quota even without a load report, as it has just
+	// started.
 	if s := p.nextInOrder(p.local, p.localZone.warming, p.eligibleWarming); s != nil {
 		return s, true
 	}
-	// Recent reports of little capacity say more of the zone than a server of which nothing is known. Then, or when
-	// no server of the zone is eligible, other zones get what a recent report there shows capacity for.
+	// If recent reports show that the zone is short of capacity, servers without a report most likely are too. Then,
+	// or if no server of the zone is eligible, servers of other zones are used if a recent report shows capacity.
 	zoneIsFull := p.localBest != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 	if !zoneIsFull && slices.ContainsFunc(p.local, p.eligible) {
 		return nil, false
@@ -184,8 +194,8 @@
 	return s, s != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 }
 
-// pickAny takes the next eligible server in the shuffled order. When there is none, an ejected server is better than
-// none, but a saturated one is not.
+// pickAny returns the next eligible server in the shuffled order. If no server is eligible, it returns one that is
+// ejected or avoided by the client, but never a saturated one.
 func (p *placement) pickAny() *server {
 	for _, acceptable := range [2]func(*server) bool{p.eligible, p.lastResort} {
 		local := p.nextInOrder(p.local, p.local, acceptable)
@@ -197,39 +207,39 @@
 	return nil
 }
 
-// eligible reports whether a server may take the request now.
+// eligible reports whether the request may be sent to a server now.
 func (p *placement) eligible(s *server) bool {
 	p.visits++
 	lostByClient := p.client.avoid && s.ID == p.client.server
 	return !lostByClient && p.now >= s.ejectedUntil && !p.saturated(s) && p.mayAttempt(p.request, s)
 }
 
-// belowSaturation reports whether a recent report shows that an eligible server is not saturated with the request.
+// belowSaturation reports whether a server is eligible and its load, by a recent report, is below saturation. If the
+// request is the first of its group there, the load for the group is added.
 func (p *placement) belowSaturation(s *server) bool {
 	return p.eligible(s) && p.hasRecentReport(s) && s.load+p.groupOpeningLoad(p.request, s) < p.thresholds.saturation
 }
 
-// hasCapacity reports whether a recent report shows that an eligible server has capacity for the request.
+// hasCapacity reports whether a server is eligible and its load, as in belowSaturation, leaves capacity.
 func (p *placement) hasCapacity(s *server) bool {
 	return p.belowSaturation(s) && s.load+p.groupOpeningLoad(p.request, s) < p.thresholds.capacity
 }
 
-// lighterAcrossZones reports whether a server of another zone has capacity and is lighter than the own zone's best
-// server by more than crossing costs.
+// lighterAcrossZones reports whether a server of another zone has capacity and its load is lower than that of the own
+// zone's best server by more than crossZoneGap.
 func (p *placement) lighterAcrossZones(s *server) bool {
 	return p.hasCapacity(s) && (p.localBest == nil || s.load < p.localBest.load-p.thresholds.crossZoneGap)
 }
 
-// eligibleUnreported reports whether an eligible server has no recent report.
+// eligibleUnreported reports whether a server is eligible and has no recent report.
 func (p *placement) eligibleUnreported(s *server) bool { return p.eligible(s) && !p.hasRecentReport(s) }
 
-// eligibleWarming reports whether an eligible server warms up.
+// eligibleWarming reports whether a server is warming up and eligible.
 func (p *placement) eligibleWarming(s *server) bool { return p.warming(s) && p.eligible(s) }
 
-// saturatedOrWarming reports whether a server is short of capacity.
 func (p *placement) saturatedOrWarming(s *server) bool { return p.saturated(s) || p.warming(s) }
 
-// lastResort reports whether a server, ejected or not, may take the request.
+// lastResort reports whether the request may be sent to a server even if it is ejected or the client avoids it.
 func (p *placement) lastResort(s *server) bool {
 	return !p.saturated(s) && p.mayAttempt(p.request, s)
 }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -1,8 +1,9 @@
 package decide
 
-// Probing: which servers are probed for a load report, and when. The evidence is the age of the reports, the demand
-// and the cost of a probe, and clients' reports of slow messages. Steady probes keep reports of the zone recent;
-// probes on demand go to the servers that a request depends on, and to servers that are short of capacity.
+// Probing: which servers are probed for a load report, and when. It depends on the age of the load reports, the rate
+// of requests, the cost of a probe, and clients' reports of slow messages. Steady probes visit the servers in turn and
+// keep their reports recent. On-demand probes go to the servers that an arriving request may be placed on, and to
+// servers that are short of capacity.
 
 import (
 	"cmp"
@@ -11,61 +12,67 @@
 	"time"
 )
 
-// Probes on demand.
+// Limits of the on-demand probes that are made for requests.
 const (
-	// maxOnDemandProbeInterval is the age at which the report of a server that a request depends on is renewed.
+	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet.
 	maxOnDemandProbeInterval = 2 * time.Second
-	// minOnDemandProbeInterval is the least such age: reports are hardly newer.
+	// minOnDemandProbeInterval is the same age in a large fleet. The load in a newer report would hardly differ.
 	minOnDemandProbeInterval = 250 * time.Millisecond
-	// onDemandProbeIntervalOfFleet is divided by the number of balancers, each of which makes a report out of date.
+	// onDemandProbeIntervalOfFleet, divided by the number of balancers, is this age in between: the more balancers
+	// place requests on a server, the sooner its report is out of date.
 	onDemandProbeIntervalOfFleet = 8 * time.Second
 	// onDemandProbeTimeout is how long a request waits for the answers to its probes.
 	onDemandProbeTimeout = 60 * time.Millisecond
-	// onDemandProbes is the number of servers of a zone that are probed for a request.
+	// onDemandProbes is the maximum number of servers of each list that are probed for a request because of their
+	// preference, and of those probed because no report shows capacity.
 	onDemandProbes = 2
 )
 
-// Steady probes.
+// Limits of the steady probes.
 const (
-	// probeCostFraction is the part of the value of the placed requests that is spent on probes.
+	// probeCostFraction is the fraction of the value of the placed requests that may be spent on probes.
 	probeCostFraction = 0.01
-	// minProbeRate is the least number of probes per second.
+	// minProbeRate is the least number of steady probes per second.
 	minProbeRate = 0.5
-	// fullRateProbers is the number of balancers without connections that may all probe at minProbeRate.
+	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a larger
+	// fleet its rate is lower, so that all of these balancers together probe no more than fullRateProbers of them.
 	fullRateProbers = 4.0
-	// probesPerAnyServer is the number of steady probes of which one goes to any server of the zone, where a balancer
-	// has connections at few servers.
+	// probesPerAnyServer: if the steady probes are limited to the servers with connections of this balancer, one of
+	// this many goes to the next server of the whole local list instead.
 	probesPerAnyServer = 4
-	// maxProbeDebt is the number of probes that may be made ahead of the steady ones.
+	// maxProbeDebt limits the probes of servers with slow messages that are made ahead of the steady probes' rate, and
+	// the saved credit for probes of servers short of capacity.
 	maxProbeDebt = 4
 )
 
 const (
 	// overloadProbeInterval is the age at which the report of a server short of capacity is renewed.
 	overloadProbeInterval = 500 * time.Millisecond
-	// slowMessagesPeriod is how long a report of slow messages counts; clients repeat it every second.
+	// slowMessagesPeriod is how long a server counts as slow after a report of slow messages. Clients repeat the
+	// report every second.
 	slowMessagesPeriod = 2 * time.Second
-	// slowMessagesReportAge is the age at which the report of a server with slow messages is renewed.
+	// slowMessagesReportAge is the age at which the load report of a server with slow messages is renewed.
 	slowMessagesReportAge = time.Second
 )
 
-// probeScheduler paces the probes.
+// probeScheduler limits the rate of the probes and selects their servers in turn.
 type probeScheduler struct {
-	cursor         int     // where the next probe of the local list goes, modulo its length
-	count          int     // steady probes made
-	credit         float64 // steady probes that may be made now; below 0 after probes ahead of them
+	cursor         int     // position of the latest probe in the list of servers, modulo the list's length
+	count          int     // number of steady probes made
+	credit         float64 // steady probes that may be made now; below 0 if probes were made ahead of their rate
 	overloadCredit float64 // probes of servers short of capacity that may be made now
 }
 
-// onDemandProbeInterval returns how long a report counts for a request that depends on it: the more balancers place
-// requests by it, the shorter.
+// onDemandProbeInterval returns the age above which a load report is renewed for a request. It is shorter in a larger
+// fleet, as more balancers place requests by the same report.
 func (b *Balancer) onDemandProbeInterval() time.Duration {
 	perBalancer := onDemandProbeIntervalOfFleet / time.Duration(b.fleet.Fleet)
 	return max(minOnDemandProbeInterval, min(maxOnDemandProbeInterval, perBalancer))
 }
 
-// probeForRequest probes, ahead of the steady probes, the servers that a request depends on: its group's preferred
-// ones, or a few in the shuffled order when no report shows capacity. The request waits a moment for the answers.
+// probeForRequest probes servers for an arriving request if their reports are too old: its group's preferred servers,
+// or a few in the shuffled order if the request has no group and no report shows capacity. The request waits up to
+// onDemandProbeTimeout for the answers.
 func (b *Balancer) probeForRequest(r *request) {
 	capacityKnown := b.hasGroup(r) || b.anyReportedCapacity(r)
 	local, remote := b.preferredServers(r)
@@ -85,13 +92,15 @@
 	})
 }
 
-// firstReportedCapacity reports whether the first preferred server showed capacity a moment ago, which is enough.
+// firstReportedCapacity reports whether the first preferred server has capacity by a report that need not be renewed.
+// No other server has to be probed then.
 func (b *Balancer) firstReportedCapacity(preferred []*server) bool {
 	return len(preferred) > 0 && preferred[0].load < b.thresholds.capacity &&
 		b.now-preferred[0].reportedAt < b.onDemandProbeInterval()
 }
 
-// probeOnDemand probes the first of the preferred servers and, unless capacity is known, a few servers of the list.
+// probeOnDemand probes the first preferred servers and, unless capacity is known, the next few servers of the list. It
+// skips servers that are ejected or whose latest report or on-demand probe is recent.
 func (b *Balancer) probeOnDemand(r *request, preferred, list []*server, capacityKnown bool) {
 	targets := preferred[:min(onDemandProbes, len(preferred))]
 	for n := 0; !capacityKnown && n < min(onDemandProbes, len(list)); n++ {
@@ -108,7 +117,7 @@
 	}
 }
 
-// probeCompleted learns from the answer to a probe.
+// probeCompleted updates a server's record by the result of a probe, and places waiting requests if it has capacity.
 func (b *Balancer) probeCompleted(event ProbeCompleted) {
 	s := b.servers[event.Server]
 	if s == nil {
@@ -135,7 +144,7 @@
 	}
 }
 
-// poolAnswer makes a server's new report available to the placements.
+// poolAnswer adds a server with a new report to the pool that placements choose from.
 func (b *Balancer) poolAnswer(s *server) {
 	if s.entry.zone != b.localZone {
 		b.answers.otherZones = addAnswer(b.answers.otherZones, s)
@@ -145,7 +154,8 @@
 	b.zoneLoad.add(s.load)
 }
 
-// messageDelayReported learns from a client's message delay, by which a server shows that it is overloaded.
+// messageDelayReported handles the message latency that a client reports. Messages that take over half of the latency
+// objective show that the server is overloaded: it counts as slow, and is probed if its load report is too old.
 func (b *Balancer) messageDelayReported(event MessageDelayReported) {
 	s, r := b.serverRecord(event.Server), b.requests.byID[event.ID]
 	if r == nil {
@@ -159,20 +169,20 @@
 	s.slowUntil = b.now + slowMessagesPeriod
 	outdated := s.State == Ready && b.now-s.reportedAt > slowMessagesReportAge
 	if outdated && b.probes.credit > -maxProbeDebt && b.settings.ProbingAllowed {
-		b.probes.credit-- // the steady probes wait until this one is earned
+		b.probes.credit-- // steady probes pause until the credit for this probe is earned
 		b.emit(Probe{Server: s.ID})
 	}
 }
 
-// probeTargets are the servers among which the probes of a tick are divided.
+// probeTargets are the lists of servers that the probes of a tick are chosen from.
 type probeTargets struct {
-	local     []*server         // steady probes
-	remote    []*server         // every second steady probe, if there are any
-	unprobed  []*server         // may hold servers that were never probed
-	overloads [2]orderedServers // may hold servers short of capacity
+	local     []*server         // servers for steady probes
+	remote    []*server         // servers for every second steady probe; may be empty
+	unprobed  []*server         // servers to search for one that was never probed
+	overloads [2]orderedServers // servers to search for those short of capacity
 }
 
-// probePeriodically makes the probes of a tick, as many as their cost allows.
+// probePeriodically makes the probes of a tick, limited by the rate that probeRate allows.
 func (b *Balancer) probePeriodically() {
 	if !b.settings.ProbingAllowed || len(b.local) == 0 {
 		return
@@ -190,8 +200,9 @@
 	}
 }
 
-// probeRate returns the number of probes per second that the placed requests pay for. The balancers that have no
-// connections to watch over probe as much as a few of them, all together.
+// probeRate returns the number of probes per second that are allowed by the rate of established connections and the
+// cost of a probe. Balancers without connections need few reports, so in a large fleet their least rate is lower: all
+// of them together probe as often as fullRateProbers balancers.
 func (b *Balancer) probeRate() float64 {
 	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
@@ -201,7 +212,7 @@
 	return max(least, requestRate*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
 }
 
-// probeTargets chooses the servers to probe: mostly the local list.
+// probeTargets returns the lists of servers that the probes of a tick are chosen from.
 func (b *Balancer) probeTargets() probeTargets {
 	targets := probeTargets{
 		local:     b.local,
@@ -210,20 +221,21 @@
 		overloads: [2]orderedServers{b.remoteZone.connected, b.localZone.busy},
 	}
 	if !b.spillingOver() {
-		// Of the other zones, servers that have connections of this balancer are still probed. Otherwise nobody would
-		// notice their overload, and the connections would stay there.
+		// In other zones, only servers with connections of this balancer are probed. Without these probes their
+		// overload would not be noticed, and the connections would stay there.
 		targets.remote, targets.unprobed = b.remoteZone.connected, b.remoteZone.connected
 	}
-	// One of many balancers has connections at few servers. What it learns of the others is of no use, as requests
-	// probe the servers that they depend on. Otherwise a fleet probes more than it places, and yet notices late what
-	// overloads its own connections.
+	// In a large fleet, a balancer has connections at few servers. It mainly probes these, as the servers that a
+	// request may be placed on are probed on demand. Otherwise the fleet would make more probes than placements, and
+	// still each balancer would be late to notice the overload of the servers that have its connections.
 	if len(b.connected) > 0 && len(b.connected) < len(b.local) {
 		targets = probeTargets{local: b.connected, overloads: [2]orderedServers{b.connected}}
 	}
 	return targets
 }
 
-// probeNeverProbed probes the first server that was never probed, ahead of the steady probes.
+// probeNeverProbed probes the first server of the list that has no load report and no recent on-demand probe. It uses
+// no credit.
 func (b *Balancer) probeNeverProbed(list []*server) {
 	s := firstMatching(list, func(s *server) bool {
 		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
@@ -234,8 +246,8 @@
 	}
 }
 
-// probeOverloaded probes servers short of capacity more often: until their overload is noticed, all of their
-// connections are served badly.
+// probeOverloaded probes servers short of capacity every overloadProbeInterval, as far as overloadCredit allows. Until
+// an overload is noticed, all connections of the server are served badly.
 func (b *Balancer) probeOverloaded(list orderedServers) {
 	for _, s := range list {
 		if b.probes.overloadCredit < 1 {
@@ -250,7 +262,7 @@
 	}
 }
 
-// probeSteadily makes one steady probe, every second one in another zone.
+// probeSteadily makes one steady probe. Every second one goes to targets.remote, if there is any server in it.
 func (b *Balancer) probeSteadily(targets probeTargets) {
 	b.probes.count++
 	if b.probes.count%2 == 0 && len(targets.remote) > 0 {
--- a/decide/reconnect.go
+++ b/decide/reconnect.go
@@ -1,7 +1,7 @@
 package decide
 
-// Reconnecting to discovery: when a balancer dials discovery again and when it calls. The evidence is when the failed
-// attempt began and how many balancers call the same discovery service.
+// Reconnecting to discovery: when a balancer dials discovery again after a failure, and when it sends its call. This
+// depends on the start of the failed attempt and on the number of balancers that call the same discovery service.
 
 import (
 	"math/rand/v2"
@@ -10,33 +10,35 @@
 
 // Timing of the reconnects.
 const (
-	// maxReconnectDelay bounds the time from the begin of the failed attempt to the next call. A change counts as
-	// notified 6 s after discovery had it and could be reached, which may be just after that attempt began; the rest
-	// of the 6 s is left for the answer.
+	// maxReconnectDelay limits the time from the start of the failed attempt to the next call. A balancer counts as
+	// notified of a change 6 s after discovery had the change and could be reached. Discovery may have become
+	// reachable just after the failed attempt began, so the next call starts early enough to be answered within 6 s.
 	maxReconnectDelay = 4500 * time.Millisecond
-	// dialInterval is the time between the starts of two dials, jittered by half of it.
+	// dialInterval is the time between the starts of two dials. It is jittered by up to half of it in each direction.
 	dialInterval = time.Second
 	// minDialTimeout is the least time-out of a dial.
 	minDialTimeout = dialInterval / 4
-	// callSpreadPerBalancer is what each balancer adds to the time over which the calls of all are spread.
+	// callSpreadPerBalancer is the time per balancer over which the calls of the fleet are spread.
 	callSpreadPerBalancer = pollIntervalPerBalancer
 )
 
-// reconnectSeedStream is the second word of the random generator's seed.
+// reconnectSeedStream is the second word of the seed of the schedule's random generator.
 const reconnectSeedStream = 0xbb67ae8584caa73b
 
-// ReconnectSchedule says when a balancer dials discovery and when it calls, once a call has failed. A dial without a
-// call finds out that discovery is there and costs it no work; then comes one call, spread over the fleet. The delays
-// do not grow, as changes that are missed meanwhile would count as notified. Hosts that cannot dial without calling
-// use the backoff of the polls instead.
+// ReconnectSchedule computes when a balancer dials discovery and when it sends a call after an earlier call failed. A
+// dial without a call checks whether discovery can be reached, without causing work there. After a successful dial,
+// the balancer sends one call; the calls of the fleet are spread over time. The delays don't grow with each failure, as
+// the balancer would then miss changes of which it counts as notified. Hosts that can't dial without calling use the
+// backoff of the polls instead.
 type ReconnectSchedule struct {
 	rng          *rand.Rand
 	dialInterval time.Duration
 	callSpread   time.Duration // 0: dials and calls are not spread
 }
 
-// NewReconnectSchedule returns the schedule for a fleet of so many balancers. A fixedInterval above 0 is the interval
-// of the dials where changes count as soon as discovery is back: neither dials nor calls are spread then.
+// NewReconnectSchedule returns the schedule for a fleet with this number of balancers. If fixedInterval is above 0, it
+// is the interval of the dials, and neither dials nor calls are spread. It is for hosts that must receive changes as
+// soon as discovery can be reached again.
 func NewReconnectSchedule(seed uint64, balancers int, fixedInterval time.Duration) ReconnectSchedule {
 	schedule := ReconnectSchedule{
 		rng:          rand.New(rand.NewPCG(seed, reconnectSeedStream)),
@@ -49,14 +51,14 @@
 	return schedule
 }
 
-// SetFleetSize spreads the calls over another number of balancers.
+// SetFleetSize changes the number of balancers by which the calls are spread.
 func (r *ReconnectSchedule) SetFleetSize(balancers int) {
 	if r.callSpread > 0 {
 		r.callSpread = time.Duration(balancers) * callSpreadPerBalancer
 	}
 }
 
-// DialAt returns when to dial, if the attempt that has failed by now began at the given time.
+// DialAt returns when to dial after an attempt that began at the time began and has failed at the time now.
 func (r *ReconnectSchedule) DialAt(began, now time.Duration) time.Duration {
 	if r.callSpread == 0 {
 		return max(now, began+r.dialInterval)
@@ -64,17 +66,17 @@
 	return max(now, began+r.dialInterval/2+r.jitter(r.dialInterval))
 }
 
-// CallAt returns when to call, if a dial has reached discovery now and the attempt that failed last began at the
-// given time.
+// CallAt returns when to send the call after a dial that has reached discovery at the time now. The latest failed
+// attempt began at the time began.
 func (r *ReconnectSchedule) CallAt(began, now time.Duration) time.Duration {
 	return now + r.jitter(min(r.callSpread, began+maxReconnectDelay-now))
 }
 
-// DialTimeout returns the time-out of a dial. It is short: a dial whose first packet was lost sends it again so late
-// that it would reach discovery late.
+// DialTimeout returns the time-out of a dial. It is short because TCP retransmits the first packet of a connection late
+// if it is lost. A new dial reaches discovery sooner.
 func (r *ReconnectSchedule) DialTimeout() time.Duration { return max(r.dialInterval, minDialTimeout) }
 
-// jitter returns a random time below limit.
+// jitter returns a random duration below limit, or 0 if limit is not above 0.
 func (r *ReconnectSchedule) jitter(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/decide/request.go
+++ b/decide/request.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// request is one client request, from its arrival until its connection has ended.
+// request is the record of a client request, from its arrival until its connection has ended.
 type request struct {
 	RequestArrived
-	timerToken       uint64        // token of its deadline's timer
-	deadline         time.Duration // when the client gives up
-	notBefore        time.Duration // it waits for the answers to its probes until then
-	attempts         int           // attempts made
-	attemptedServers []ServerID    // their servers
-	server           *server       // the server of the latest attempt
-	inFlight         bool          // the latest attempt has not ended
-	established      bool          // the latest attempt's connection is established
-	migrated         bool          // it was migrated off an overloaded server
-	demandCountedFor *server       // the warming server in whose demand it was last counted
-	executedOn       *server       // the server of the first attempt that may have executed
-	firstSentAt      time.Duration // start of that attempt; until there is one, start of the latest attempt
+	timerToken       uint64        // token of the timer for its deadline
+	deadline         time.Duration // when the client's time-out ends
+	notBefore        time.Duration // no attempt starts before this time: the request waits for answers to its probes
+	attempts         int           // number of attempts started
+	attemptedServers []ServerID    // servers of these attempts
+	server           *server       // server of the latest attempt
+	inFlight         bool          // the latest attempt, or the connection that it established, has not ended
+	established      bool          // the latest attempt has established its connection
+	migrated         bool          // the connection was migrated off an overloaded server
+	demandCountedFor *server       // warming server in whose demand the request was last counted
+	executedOn       *server       // server of the first attempt that may have been executed; nil: none
+	firstSentAt      time.Duration // start of that attempt; if there is none, start of the latest attempt
 
 	localPreferred       []*server // its group's preferred servers in the local list
 	remotePreferred      []*server // its group's preferred servers in the remote list
-	preferredListVersion uint64    // list version by which the two were ranked
+	preferredListVersion uint64    // list version for which the preferred servers were computed
 }
 
 // requestTable holds all requests that have not ended.
 type requestTable struct {
 	byID      map[RequestID]*request
-	byToken   map[uint64]*request // those whose connection is not established, by the token of their deadline
+	byToken   map[uint64]*request // requests without an established connection, by the token of their timer
 	lastToken uint64              // latest timer token
-	waiting   []*request          // those that no server can take now, in order of arrival
+	waiting   []*request          // requests that wait for an attempt, in the order in which they began to wait
 }
 
 func newRequestTable() requestTable {
@@ -39,7 +39,7 @@
 	}
 }
 
-// add stores a new request and gives it a timer token.
+// add stores a new request and assigns a timer token to it.
 func (t *requestTable) add(arrived RequestArrived, deadline time.Duration) *request {
 	t.lastToken++
 	r := &request{RequestArrived: arrived, timerToken: t.lastToken, deadline: deadline}
@@ -47,7 +47,7 @@
 	return r
 }
 
-// requestArrived stores a request, probes the servers that it depends on and tries to place it.
+// requestArrived stores a request, probes servers for it if their load is unknown, and tries to place it.
 func (b *Balancer) requestArrived(event RequestArrived) {
 	r := b.requests.add(event, b.now+event.Remaining)
 	b.demand.recent++
@@ -69,7 +69,7 @@
 	b.addConnection(r)
 }
 
-// forget releases the state of a request; nil is ignored.
+// forget deletes the record of a request from all tables and from its server. A nil request is ignored.
 func (b *Balancer) forget(r *request) {
 	if r == nil {
 		return
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,8 +1,8 @@
 package decide
 
-// Retries: whether a request may be sent again, by its idempotency and by what its earlier attempts may have
-// executed, and how many attempts the balancer makes in all. The evidence is the outcome of the attempts and the time
-// that they take.
+// Retries: whether a request may be sent again, and how many attempts the balancer may have in progress. The first
+// depends on the request's idempotency and on whether an earlier attempt may have been executed, the second on the
+// outcomes and durations of all attempts.
 
 import (
 	"slices"
@@ -10,38 +10,40 @@
 )
 
 const (
-	// freeFailures is the number of failed attempts beyond the established ones that limits no attempt.
+	// freeFailures is the number by which recent failed attempts may exceed the established ones before new attempts
+	// are held back.
 	freeFailures = 4.0
-	// maxDialWindow bounds the number of attempts that may be dialing at once.
+	// maxDialWindow is the largest number of attempts that may be dialing at the same time.
 	maxDialWindow = 64.0
-	// setupTimeSamples is the number of set-ups over which their time is averaged.
+	// setupTimeSamples is the number of set-ups over which the set-up time is averaged.
 	setupTimeSamples = 8
 )
 
-// retryThrottle protects what all servers share, such as a session store, against retry storms, in two ways. Adaptive
-// throttling keeps the failed attempts within the established ones and a few. A window on the attempts that are
-// dialing is halved by time-outs, which mean work done in vain, and opened by set-ups.
+// retryThrottle protects resources that all servers share, such as a session store, against retry storms. It limits
+// new attempts in two ways. Adaptive throttling holds back attempts while recent failures exceed recent successes by
+// more than freeFailures. A window limits the number of attempts that are dialing: each established connection widens
+// it, and time-outs, after which the work of the attempt is wasted, halve it.
 type retryThrottle struct {
-	recentFailures    float64       // attempts that may have executed and did not establish a connection, decaying
-	recentEstablished float64       // attempts that established one, decaying
-	setupTime         time.Duration // average time of a set-up
-	dialing           int           // attempts that are in flight without an established connection
+	recentFailures    float64       // attempts that established no connection but may have been executed; decaying
+	recentEstablished float64       // attempts that established a connection; decaying
+	setupTime         time.Duration // average time to establish a connection
+	dialing           int           // attempts in flight without an established connection
 	window            float64       // limit of dialing
 	windowHalvedAt    time.Duration // when the window was last halved
 }
 
-// limits reports whether no attempt may start now.
+// limits reports whether new attempts are held back now.
 func (t *retryThrottle) limits() bool {
 	return t.recentFailures > freeFailures+t.recentEstablished || t.dialing >= int(t.window)
 }
 
-// decay lets the counts decay by one tick, with the time constant attemptDecayTime.
+// decay reduces the counts by one tick's decay, with the time constant attemptDecayTime.
 func (t *retryThrottle) decay() {
 	factor := 1 - tickInterval.Seconds()/attemptDecayTime.Seconds()
 	t.recentFailures, t.recentEstablished = t.recentFailures*factor, t.recentEstablished*factor
 }
 
-// recordEstablished learns from an attempt that established its connection.
+// recordEstablished counts an attempt that has established its connection.
 func (t *retryThrottle) recordEstablished(elapsed time.Duration) {
 	t.setupTime += (elapsed - t.setupTime) / setupTimeSamples
 	t.dialing--
@@ -49,7 +51,7 @@
 	t.recentEstablished++
 }
 
-// recordFailed learns from an attempt that ended without a connection.
+// recordFailed counts an attempt that ended without an established connection.
 func (t *retryThrottle) recordFailed(code Code) {
 	t.dialing--
 	if !code.NeverExecuted() {
@@ -57,7 +59,8 @@
 	}
 }
 
-// recordTimeout learns from an attempt that timed out. The window is halved once a tick, as time-outs come together.
+// recordTimeout raises the set-up time and halves the window after an attempt that timed out. Several attempts often
+// time out together, so the window is halved at most once per tick.
 func (t *retryThrottle) recordTimeout(now, elapsed time.Duration) {
 	t.setupTime += (max(minAttemptSetups*elapsed, t.setupTime) - t.setupTime) / setupTimeSamples
 	if now-t.windowHalvedAt > tickInterval {
@@ -99,7 +102,8 @@
 	b.retryOrFinish(r, event)
 }
 
-// retryOrFinish places a request again whose attempt has failed, if that is safe.
+// retryOrFinish handles the end of an attempt whose request still needs a final answer: it places the request again if
+// another attempt is safe, and otherwise gives the final answer.
 func (b *Balancer) retryOrFinish(r *request, event AttemptEnded) {
 	if !event.Code.NeverExecuted() && r.executedOn == nil {
 		r.executedOn = r.server
@@ -107,7 +111,7 @@
 	if event.Code == TimedOut {
 		b.throttle.recordTimeout(b.now, event.Elapsed)
 	}
-	// After a time-out only idempotent requests are retried, as the first attempt may still be executing.
+	// After a time-out, only Idempotent requests are retried, as the attempt may still be executing.
 	if r.established || event.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
 		b.finish(r)
 		return
@@ -115,8 +119,9 @@
 	b.place(r, len(b.requests.waiting))
 }
 
-// mayAttempt reports whether a request may be sent to a server now: one that it has not tried, within the server's
-// slow-start quota, and after an attempt that may have executed, one that drops the repetition.
+// mayAttempt reports whether a request may be sent to a server now. The server must not have been attempted before,
+// and its slow-start quota must allow the request. After an attempt that may have been executed, the request must also
+// be Idempotent, or the server must drop it as a repeat.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
 	if slices.Contains(r.attemptedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
@@ -127,13 +132,13 @@
 		return true
 	case class.Idempotency == NotIdempotent:
 		return false
-	case b.now+b.settings.ConnectTimeout >= r.firstSentAt+class.DedupWindow: // it is sent once the connection is up
+	case b.now+b.settings.ConnectTimeout >= r.firstSentAt+class.DedupWindow: // sent only once the connection is up
 		return false
 	}
 	return class.KeyScope.contains(&r.executedOn.Server, &s.Server)
 }
 
-// contains reports whether the second server is in the first one's group, whose servers drop each other's repeats.
+// contains reports whether two servers are in the same set of this scope, whose servers drop each other's repeats.
 func (scope KeyScope) contains(first, second *Server) bool {
 	switch scope {
 	case ScopeAll:
--- a/decide/server.go
+++ b/decide/server.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Bounds of what a load report may say.
+// Bounds of the values of load reports.
 const (
-	// maxReportedLoad is the largest load that is believed. A larger one would make the balancer migrate all
-	// connections off the server, or make reservations that never fit.
+	// maxReportedLoad is the largest load that is accepted. With a larger one, the balancer would migrate all
+	// connections off the server, or each reserved connection would look too heavy for any server.
 	maxReportedLoad = 100
-	// minReportedConnections is how many connections a report must show before the load of one connection is computed
-	// from it.
+	// minReportedConnections is the least number of connections in a report from which the load of one connection is
+	// computed.
 	minReportedConnections = 4
-	// maxReportedConnections is how many it may show: no process has more file descriptors.
+	// maxReportedConnections is the largest number of connections in such a report. No process has more file
+	// descriptors.
 	maxReportedConnections = 1 << 20
 )
 
 // recordRetention is how long the records of removed servers and of clients are kept.
 const recordRetention = 60 * time.Second
 
-// server is what this balancer knows of one server.
+// server is the record of one server.
 type server struct {
 	Server
-	shuffledOrder       uint64          // orders the servers, differently at each balancer
-	entry               indexEntry      // position in the server index
-	notReadySince       time.Duration   // when discovery reported it draining or removed
-	load                float64         // reportedLoad plus the reservations made since
+	shuffledOrder       uint64          // sort key of the shuffled order, which differs between balancers
+	entry               indexEntry      // the server's data in the server index
+	notReadySince       time.Duration   // when discovery reported it as draining or removed
+	load                float64         // reportedLoad plus the reservations that the report does not include
 	reportedLoad        float64         // load in the latest report
-	reportedAt          time.Duration   // when the latest report came; 0: never
-	loadPerConnection   float64         // load of one connection by the latest report that showed it; 0: unknown
+	reportedAt          time.Duration   // time of the latest report; 0: never
+	loadPerConnection   float64         // load of one connection, by the latest report that shows it; 0: unknown
 	placementsOnReport  int             // placements made since the latest report
-	probedOnDemandAt    time.Duration   // when it was last probed ahead of the steady probes
+	probedOnDemandAt    time.Duration   // time of the latest probe other than a steady one
 	consecutiveFailures int             // failures since the last success
 	ejectedUntil        time.Duration   // end of its ejection
-	slowUntil           time.Duration   // how long a report of slow messages counts
-	slowStartQuota      float64         // placements that this balancer may still make while the server warms up
-	slowStartQuotaUntil time.Duration   // when the next quota is drawn
-	groupDemand         decayingCounter // requests that preferred it while it warmed up
-	reservations        []reservation   // placements that a report may not show yet, oldest first
+	slowUntil           time.Duration   // until when it counts as slow because a client reported slow messages
+	slowStartQuota      float64         // remaining placements in this window while the server warms up
+	slowStartQuotaUntil time.Duration   // end of this window, when the next quota is drawn
+	groupDemand         decayingCounter // requests with a group that arrived for it while it warmed up
+	reservations        []reservation   // placements that a report may not include yet, oldest first
 	migratedAt          time.Duration   // when connections were last migrated off it
 	connections         []*request      // established connections of this balancer
-	connectionsByGroup  map[string]int  // how many of them each group has
+	connectionsByGroup  map[string]int  // number of these connections by group
 }
 
-// recordReport stores the load of a report and, where the report shows enough connections, the load of one of them.
+// recordReport stores the load of a report and, if the report shows enough connections, the load of one connection.
 func (s *server) recordReport(report LoadReport) {
 	s.reportedLoad = report.Load
 	if report.Connections >= minReportedConnections && report.Connections <= maxReportedConnections {
@@ -53,7 +54,7 @@
 	}
 }
 
-// removeConnection takes a connection that has ended out of the server's list.
+// removeConnection removes an ended connection from the server's record.
 func (s *server) removeConnection(r *request) {
 	s.connections = removeValue(s.connections, r)
 	if s.connectionsByGroup[r.Group]--; s.connectionsByGroup[r.Group] == 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// addConnection stores an established connection at its server.
+// addConnection adds an established connection to its server's record.
 func (b *Balancer) addConnection(r *request) {
 	s := r.server
 	s.connections = append(s.connections, r)
@@ -72,7 +73,7 @@
 	b.reindex(s)
 }
 
-// serverRecord returns the record of a server. A new one is put into the index.
+// serverRecord returns the record of a server. If there is none, it creates one and adds it to the index.
 func (b *Balancer) serverRecord(id ServerID) *server {
 	s := b.unindexedRecord(id)
 	if s.entry.zone == nil {
@@ -81,7 +82,8 @@
 	return s
 }
 
-// unindexedRecord returns the record of a server and leaves it to the caller to put a new one into the index.
+// unindexedRecord returns the record of a server. If there is none, it creates one, which the caller must add to the
+// index.
 func (b *Balancer) unindexedRecord(id ServerID) *server {
 	s := b.servers[id]
 	if s == nil {
@@ -101,18 +103,19 @@
 	s.State = state
 }
 
-// hasRecentReport reports whether the server's latest load report still counts.
+// hasRecentReport reports whether the server's latest load report is younger than maxReportAge.
 func (b *Balancer) hasRecentReport(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt < maxReportAge
 }
 
-// saturated reports whether a server has no capacity left. A server above its capacity serves all of its connections
-// badly, so new connections wait rather than go there.
+// saturated reports whether a server must get no new connections: its messages are slow, or a recent report shows that
+// its load is above the threshold. A server above its capacity serves all of its connections badly, so requests wait
+// rather than go there.
 func (b *Balancer) saturated(s *server) bool {
 	return b.now < s.slowUntil || b.hasRecentReport(s) && s.load > b.thresholds.saturation
 }
 
-// removeValue deletes every element of list that equals value, in place.
+// removeValue deletes every element that equals value from list, in place.
 func removeValue[T comparable](list []T, value T) []T {
 	return slices.DeleteFunc(list, func(element T) bool { return element == value })
 }
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// leastLoaded returns the matching server with the least load over capacity, or nil. It tests only servers that are
-// lighter than the best one so far.
+// leastLoaded returns the matching server with the least load, or nil. It calls matches only for servers whose load is
+// less than the best one's so far.
 func leastLoaded(list []*server, matches func(*server) bool) (best *server) {
 	lowest := math.Inf(1)
 	for _, s := range list {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,8 +1,8 @@
 package decide
 
-// Slow start: how many requests this balancer may send to a server that warms up after its start. The evidence is the
-// server's age, the estimates of what a server accepts, of the requests that arrive for it and of how many balancers
-// share the zone.
+// Slow start: how many requests this balancer may send to a server that warms up after its start. The quota depends
+// on the server's age and on three estimates: how many connections a warm server accepts, how many of this balancer's
+// requests arrive for the server, and how many balancers share the zone.
 
 import (
 	"math"
@@ -10,20 +10,22 @@
 )
 
 const (
-	// slowStartSafetyFactor is the part of a warming server's budget that is used if every balancer has requests for
-	// it.
+	// slowStartSafetyFactor is the fraction of a warming server's budget that the quotas add up to if every balancer
+	// has requests for the server.
 	slowStartSafetyFactor = 0.5
-	// minSlowStartUse bounds the larger quota of a balancer that seldom has a request: its quota is unused at times.
+	// minSlowStartUse is the least fraction by which a quota is divided. A balancer that seldom has a request for the
+	// server leaves its quota unused in many windows, so its quota is divided by the fraction of windows in which it
+	// has one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse times the balancer's equal share.
 	minSlowStartUse = 0.4
-	// minSlowStartConnections is what all balancers together may send a warming server before anything is known of
-	// it.
+	// minSlowStartConnections is the least number of connections that a warming server is assumed to accept within a
+	// window, from all balancers together. It lets the balancers use the server before they have any estimate.
 	minSlowStartConnections = 0.2
-	// priorDemand is the number of requests that the mean demand of the zone's servers counts as in the estimate for
-	// one warming server. With a smaller one the warming servers of a fleet of many balancers stay idle, as each
-	// balancer sees few requests and remembers that one of them came.
+	// priorDemand is the weight, in requests, of the zone's mean demand in the demand estimate of one warming server.
+	// In a fleet of many balancers, each sees few requests. With a smaller weight, one request that has just arrived
+	// raises the estimate so much that the quotas shrink and the warming servers stay idle.
 	priorDemand = 5
-	// resetDemandWeight is how often a broken connection is counted in the demand: when it breaks and when its client
-	// returns.
+	// resetDemandWeight is the number of times that a broken connection is counted in the demand: once when it breaks
+	// and once when its client reconnects.
 	resetDemandWeight = 2
 )
 
@@ -31,8 +33,9 @@
 	return s.Started > 0 && b.now-s.Started < b.settings.Safety.SlowStartDuration
 }
 
-// withinSlowStartQuota reports whether the quota of a warming server allows a request; for a warm server, always. The
-// server's budget is divided among the admitted balancers of its own zone.
+// withinSlowStartQuota reports whether this balancer's quota of a warming server allows a request. A warm server has
+// no quota and allows every request. The budget of a warming server is divided among the admitted balancers of its
+// zone, so balancers of other zones have no quota.
 func (b *Balancer) withinSlowStartQuota(r *request, s *server) bool {
 	if !b.warming(s) {
 		return true
@@ -47,8 +50,9 @@
 	return s.slowStartQuota >= min(b.relativeLoad(r), 1)
 }
 
-// drawSlowStartQuota draws the quota for the next window in which the server could become overloaded. What is left of
-// the last one expires: quotas saved up by many balancers would come together.
+// drawSlowStartQuota sets the quota for the next overload window. The quota is rounded at random to a whole number,
+// as its mean is often below 1. The rest of the previous quota expires: if balancers accumulated their quotas, many of
+// them could spend them at the same time and overload the server.
 func (b *Balancer) drawSlowStartQuota(r *request, s *server) {
 	window := max(b.settings.Safety.OverloadWindow, tickInterval)
 	mean := b.slowStartQuota(r, s, window)
@@ -64,21 +68,21 @@
 	demand, balancers := b.expectedDemandFor(r, s, window), b.estimatedZoneBalancers()
 	minAccepted := minSlowStartConnections / max(float64(b.fleet.Fleet), balancers)
 	accepted := max(capacityFraction*b.serverCapacity()*window.Seconds(), minAccepted)
-	use := demand / (1 + demand) // fraction of such windows in which this balancer has a request for the server
+	use := demand / (1 + demand) // estimated fraction of windows in which this balancer has a request for the server
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
-		// By demand: the balancer's part of what the server tolerates if all balancers have the same demand.
-		// Otherwise quotas would be drawn where there are no requests, while other balancers have requests and drew
-		// no quota.
+		// The balancer's share of the connections that the server tolerates within the window, if all balancers have
+		// the same demand. It is used where it is larger, up to 1: the quota above is often far below 1, so most
+		// balancers draw 0, and many of those that draw 1 have no request for the server.
 		tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
 		quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 	}
 	return quota
 }
 
-// serverCapacity returns this balancer's part of what a warm server accepts, in connections per second. It is bounded
-// by the established connections: the recent rate is too high in a fleet whose clients all came within seconds, as
-// after an outage.
+// serverCapacity returns this balancer's share of the connections per second that a warm server accepts. It is at
+// most the rate that keeps up the established connections at full load. The recent rate is too high where all clients
+// have connected within seconds, as after an outage.
 func (b *Balancer) serverCapacity() float64 {
 	connections, warm := 0, len(b.local)-len(b.localZone.warming)
 	for _, s := range b.localZone.connected {
@@ -93,9 +97,9 @@
 	return min(b.capacity.perSecond, float64(connections)/(b.lifetime.meanSeconds()*float64(warm)*fullLoadFactor))
 }
 
-// expectedDemand estimates how many of this balancer's requests arrive for one warming server within a window.
-// Requests spread over the zone; when it is short of capacity, those without a group all arrive for the warming
-// servers.
+// expectedDemand estimates the mean number of this balancer's requests for one warming server within a window.
+// Requests are assumed to be spread over the servers of the zone. When the zone is short of capacity, requests without
+// a group are assumed to be spread over its warming servers only.
 func (b *Balancer) expectedDemand(r *request, window time.Duration) float64 {
 	servers := len(b.local)
 	if !b.hasGroup(r) && b.spillingOver() {
@@ -104,7 +108,8 @@
 	return b.demand.recent / demandDecayTime.Seconds() * window.Seconds() / float64(max(servers, 1))
 }
 
-// recordGroupDemand counts a request in the demand for a warming server that its group prefers, once.
+// recordGroupDemand counts a request with a group in the demand for a warming server, unless it was last counted for
+// the same server.
 func (b *Balancer) recordGroupDemand(r *request, s *server) {
 	if b.hasGroup(r) && r.demandCountedFor != s {
 		r.demandCountedFor = s
@@ -112,10 +117,11 @@
 	}
 }
 
-// expectedDemandFor estimates how many of this balancer's requests arrive for the warming server s within a window,
-// at least the mean of the zone's servers. That mean is the prior, which the requests that arrived for s correct.
-// When connections break, their groups all arrive for the same next servers, of which the mean says nothing: the
-// larger the part of broken connections in the demand, the more weight has what arrived for s alone.
+// expectedDemandFor estimates how many of this balancer's requests arrive for the warming server s within a window.
+// The estimate is at least the mean of the zone's servers. That mean is the prior, with the weight priorDemand, and is
+// corrected by the number of requests that recently arrived for s. When a server's connections break, their groups
+// reconnect to the same next preferred servers, so the mean says little about these servers. The larger the fraction
+// of broken connections in the demand, the more weight the number of requests for s has.
 func (b *Balancer) expectedDemandFor(r *request, s *server, window time.Duration) float64 {
 	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
@@ -128,9 +134,10 @@
 	return max(mean, resetFraction*observed/windows+(1-resetFraction)*usual)
 }
 
-// estimatedZoneBalancers estimates how many balancers share the zone: the configured number, within what the zone's
-// servers report over what this balancer has there, give or take the standard deviation of that. This covers a fleet
-// that has grown or shrunk since its size was configured. A number that the membership counts is not lowered.
+// estimatedZoneBalancers estimates how many balancers share the zone. It divides the connections that the zone's
+// servers report by this balancer's own connections there, plus or minus their standard deviation, and limits the
+// configured number to the resulting range. This covers a fleet that has grown or shrunk since its size was
+// configured. A number counted by the membership is raised in this way, but not lowered.
 func (b *Balancer) estimatedZoneBalancers() float64 {
 	reported, own := b.localZone.reportedConnections(), 0.0
 	for _, s := range b.localZone.connected {
