--- a/decide/answers.go
+++ b/decide/answers.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// Use of the load reports.
+// Limits for the use of load reports.
 const (
-	// maxReportAge is the age at which a report no longer counts.
+	// maxReportAge is the age from which on a load report is ignored.
 	maxReportAge = 10 * time.Second
-	// maxAnswers is the number of reports in a pool.
+	// maxAnswers is the maximum number of servers in a pool.
 	maxAnswers = 8
-	// maxPlacementsPerReport is the number of placements on one report, so that few balancers follow the same one.
+	// maxPlacementsPerReport is the maximum number of placements by the same load report. It limits how many
+	// connections a server gets if many balancers see the same low load.
 	maxPlacementsPerReport = 2
 )
 
-// answerPools hold the servers whose latest load report is recent, oldest report first.
+// answerPools hold the servers that placements choose from by load: those that answered a probe most recently, the
+// oldest load report first.
 type answerPools struct {
-	ownZone    []*server // of the local list
-	otherZones []*server // of the remote list
+	ownZone    []*server // servers of the local list
+	otherZones []*server // servers of the remote list
 }
 
-// addAnswer puts a server last in a pool; the oldest report beyond maxAnswers is dropped.
+// addAnswer puts a server at the end of a pool. If the pool exceeds maxAnswers, it drops the oldest.
 func addAnswer(pool []*server, s *server) []*server {
 	pool = append(removeValue(pool, s), s)
 	return pool[max(0, len(pool)-maxAnswers):]
 }
 
-// remove drops a server's report from both pools.
+// remove removes a server from both pools.
 func (a *answerPools) remove(s *server) {
 	a.ownZone, a.otherZones = removeValue(a.ownZone, s), removeValue(a.otherZones, s)
 }
 
-// removeNotReady drops the answers of servers that are draining or removed.
+// removeNotReady removes servers that are draining or removed from both pools.
 func (a *answerPools) removeNotReady() {
 	notReady := func(s *server) bool { return s.State != Ready }
 	a.ownZone = slices.DeleteFunc(a.ownZone, notReady)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -8,21 +8,21 @@
 // tickInterval is the period of the background work: estimates, polls, migrations and probes.
 const tickInterval = 250 * time.Millisecond
 
-// Timer tokens. Tokens above retryWaitingToken belong to the deadlines of requests.
+// Timer tokens. The tokens above retryWaitingToken are for the deadlines of requests.
 const (
-	tickToken         = 0 // the periodic tick
-	retryWaitingToken = 1 // the waiting requests are to be tried again
+	tickToken         = 0 // for the periodic tick
+	retryWaitingToken = 1 // for trying to place the waiting requests again
 )
 
 // seedStream is the second word of the random generator's seed.
 const seedStream = 0x9e3779b97f4a7c15
 
-// Balancer decides for one balancer process. It is not safe for concurrent use.
+// Balancer makes the decisions of one balancer process. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration // host clock at the current event
-	actions  []Action      // answer to the current event
+	now      time.Duration // host clock at the latest event
+	actions  []Action      // actions for the current event
 
 	serverIndex
 	fleet         fleetState
@@ -40,10 +40,10 @@
 	capacity      capacityEstimate
 	lifetime      lifetimeEstimate
 	classLoads    classLoads
-	cursor        int // where the next walk in the shuffled order starts, modulo the list's length
+	cursor        int // position at which the next search in the shuffled order starts, modulo the list's length
 }
 
-// New returns a balancer that knows no server yet. It fails on the first setting that is out of range.
+// New returns a balancer without any servers. It returns an error for the first invalid setting.
 func New(settings Settings) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -65,7 +65,8 @@
 	return b, nil
 }
 
-// Handle processes one event and appends the actions that it calls for to actions. The time must not run backwards.
+// Handle processes one event and returns actions with the event's actions appended. The time now must not be before
+// that of the previous event.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	b.reindexDue()
@@ -121,7 +122,7 @@
 		b.retryWaiting()
 	default:
 		if r := b.requests.byToken[token]; r != nil {
-			b.finish(r) // its deadline has passed
+			b.finish(r) // the request's deadline has passed
 		}
 	}
 }
@@ -141,7 +142,7 @@
 
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// jitter returns a random part of d.
+// jitter returns a random duration between 0 and d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
--- a/decide/bootstrap.go
+++ b/decide/bootstrap.go
@@ -1,27 +1,27 @@
 package decide
 
-// Bootstrap: what is done when no server answers any more, as with a list that is out of date. The evidence is the
-// outcome of the attempts and probes at all servers.
+// Bootstrap: when no server answers any more, for example because the endpoint list is out of date, the balancer
+// fetches a new list. This depends on the outcomes of the attempts and probes at all servers.
 
 import (
 	"fmt"
 	"time"
 )
 
-// bootstrapTimeout is how long no server answers until the cached list is given up.
+// bootstrapTimeout is how long no server may answer before a new list is fetched.
 const bootstrapTimeout = 5 * time.Second
 
 // liveness records whether any server answers.
 type liveness struct {
-	lastAnswerAt time.Duration // latest answer of any server, or the first failure after it
-	failing      bool          // no server has answered since that first failure
+	lastAnswerAt time.Duration // time of the latest answer of any server; while failing, of the first failure since
+	failing      bool          // attempts or probes have failed since, and no server has answered
 }
 
-// recordAnswer notes that some server answers.
+// recordAnswer records that a server has answered.
 func (l *liveness) recordAnswer(now time.Duration) { l.lastAnswerAt, l.failing = now, false }
 
-// recordServerFailure starts the bootstrap timeout, or bootstraps once it is over. A server that answers with an
-// error is alive.
+// recordServerFailure starts the bootstrap timeout at the first failure, and calls bootstrap at a failure after the
+// timeout. ServerError counts as an answer, as the server is alive.
 func (b *Balancer) recordServerFailure(code Code) {
 	if code == ServerError || !b.liveness.failing {
 		b.liveness = liveness{lastAnswerAt: b.now, failing: code != ServerError}
@@ -30,8 +30,8 @@
 	}
 }
 
-// bootstrap clears what is known of the servers when none of them answers, and fetches a new list. Until it comes,
-// the ready servers of the last list are tried again, without their ejections and reports.
+// bootstrap fetches a new list when no server answers. Until the list arrives, the ready servers of the last list are
+// tried again; their ejections and load reports are discarded.
 func (b *Balancer) bootstrap() {
 	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.liveness.lastAnswerAt)})
 	b.liveness.recordAnswer(b.now)
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// maxClientRecords bounds the number of clients that are remembered.
+// maxClientRecords is the maximum number of client records.
 const maxClientRecords = 1024
 
-// clientRecord is where a client's latest connection was.
+// clientRecord says at which server a client's latest connection was, and how it ended.
 type clientRecord struct {
 	server  ServerID
 	endedAt time.Duration
-	avoid   bool // the connection broke there, or was migrated off for the server's overload
+	avoid   bool // the connection broke or was migrated off this server, so the client must avoid it
 }
 
-// clientMemory remembers clients whose connection broke or was withdrawn, by key, for recordRetention.
+// clientMemory holds the records of clients whose connections broke or were cancelled, by client key. They are kept
+// for recordRetention.
 type clientMemory struct {
 	records map[string]clientRecord
-	order   []string // keys in order of their first record
+	order   []string // keys in the order in which they were added
 }
 
 func (m *clientMemory) add(key string, record clientRecord) {
@@ -33,15 +34,16 @@
 	m.order = m.order[1:]
 }
 
-// expire drops the records that are too old.
+// expire drops records older than recordRetention, in the order in which their keys were added.
 func (m *clientMemory) expire(now time.Duration) {
 	for len(m.order) > 0 && now-m.records[m.order[0]].endedAt > recordRetention {
 		m.dropOldest()
 	}
 }
 
-// connectionEnded learns from the end of an established connection. The client is kept off a server that it lost or
-// was migrated off; one whose connection was withdrawn, as its packets come to another balancer now, is found again.
+// connectionEnded updates the estimates at the end of an established connection and records the client. A client whose
+// connection broke or was migrated avoids that server when it reconnects. A client whose connection was cancelled, as
+// its packets now arrive at another balancer, gets the same server if its packets arrive here again.
 func (b *Balancer) connectionEnded(r *request, code Code) {
 	avoid := code == Reset || r.migrated
 	if avoid {
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -1,30 +1,31 @@
 package decide
 
-// Outlier ejection: a server that fails, times out or breaks connections gets nothing new for a while. The evidence
-// is the outcome of attempts and probes.
+// Outlier ejection: a server that fails, times out or breaks connections gets no new connections for a while. This
+// depends on the outcomes of attempts and probes.
 
 import "time"
 
 const (
-	// baseEjectionTime is the first ejection time; it doubles with each further failure in a row.
+	// baseEjectionTime is the ejection time after the first failure. It doubles with each further consecutive failure.
 	baseEjectionTime = 4 * time.Second
-	// maxEjectionTime bounds the ejection time.
+	// maxEjectionTime is the longest ejection time.
 	maxEjectionTime = 30 * time.Second
-	// maxEjectionDoublings bounds the doublings of baseEjectionTime.
+	// maxEjectionDoublings limits how often baseEjectionTime is doubled.
 	maxEjectionDoublings = 4
-	// rejectionEjectionTime is how long a server that rejected an attempt gets nothing new.
+	// rejectionEjectionTime is the ejection time of a server that rejected an attempt.
 	rejectionEjectionTime = time.Second
-	// maxEjectedFraction is the part of the ready servers that may be ejected at once.
+	// maxEjectedFraction is the largest fraction of the ready servers that may be ejected at the same time because of
+	// failures.
 	maxEjectedFraction = 0.5
 )
 
-// Ejected reports whether a server gets nothing new for now, though it is ready. It changes nothing.
+// Ejected reports whether a server is ejected at the time of the latest event. It does not change the balancer.
 func (b *Balancer) Ejected(id ServerID) bool {
 	s := b.servers[id]
 	return s != nil && b.now < s.ejectedUntil
 }
 
-// recordOutcome learns from the outcome of an attempt or a probe.
+// recordOutcome updates a server's record by the outcome of an attempt or a probe, and ejects the server if it failed.
 func (b *Balancer) recordOutcome(s *server, code Code) {
 	switch code {
 	case OK:
@@ -45,12 +46,12 @@
 	b.liveness.recordAnswer(b.now)
 }
 
-// ejectionTime returns how long a server is ejected after so many failures in a row, at least one.
+// ejectionTime returns how long a server is ejected after this number of consecutive failures, which is at least 1.
 func ejectionTime(failures int) time.Duration {
 	return min(baseEjectionTime<<min(failures-1, maxEjectionDoublings), maxEjectionTime)
 }
 
-// eject ejects a server unless it is ejected already or too many others are.
+// eject ejects a server unless it is ejected already or too many others are ejected.
 func (b *Balancer) eject(s *server, duration time.Duration) {
 	limit := maxEjectedFraction * float64(len(b.ready))
 	if b.now < s.ejectedUntil || float64(b.ejectedExcept(s)+1) > limit {
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -7,11 +7,11 @@
 
 // Time constants of the estimates.
 const (
-	attemptDecayTime    = 10 * time.Second // of the counts of failed and established attempts
-	demandDecayTime     = 2 * time.Second  // of the count of arriving requests
-	lifetimeDecayTime   = 10 * time.Minute // of the connection time that the mean lifetime rests on
-	establishRateWindow = 20 * time.Second // of the rate of established connections
-	capacityWindow      = 60 * time.Second // of the estimated capacity of a server
+	attemptDecayTime    = 10 * time.Second // for the counts of failed and established attempts
+	demandDecayTime     = 2 * time.Second  // for the counts of arriving requests
+	lifetimeDecayTime   = 10 * time.Minute // for the sums from which the mean lifetime is computed
+	establishRateWindow = 20 * time.Second // for the rate of established connections
+	capacityWindow      = 60 * time.Second // for the capacity of a warm server
 )
 
 const (
@@ -19,22 +19,24 @@
 	defaultLifetime = 30 * time.Second
 	// classLoadWeight is the weight of one observation in the average load of a class.
 	classLoadWeight = 0.02
-	// initialMeanLoad is the assumed mean load of the zone before any report.
+	// initialMeanLoad is the assumed mean load of the zone before the first load report.
 	initialMeanLoad = 0.5
-	// meanLoadSamples is the number of reports over which the mean load is averaged.
+	// meanLoadSamples is the number of load reports over which the mean load is averaged.
 	meanLoadSamples = maxAnswers
-	// maxMeanLoadSample bounds the weight of one overloaded server in the mean load.
+	// maxMeanLoadSample is the largest load that one report adds to the mean, so that a single overloaded server does
+	// not dominate it.
 	maxMeanLoadSample = 1.5
-	// minMeanLoadReports is the number of reports after which the mean load says more than its initial value.
+	// minMeanLoadReports is the number of load reports after which the influence of initialMeanLoad is negligible.
 	minMeanLoadReports = 2 * meanLoadSamples
-	// minCapacityLoad bounds the load by which an observed rate is scaled up to a full server's.
+	// minCapacityLoad is the least load by which the rate observed at a server is divided to estimate the rate at full
+	// load. It limits the error of scaling up the rate of lightly loaded servers.
 	minCapacityLoad = 0.5
 )
 
-// decayingCounter counts events; the count decays exponentially with the time constant demandDecayTime.
+// decayingCounter counts events. The count decays exponentially with the time constant demandDecayTime.
 type decayingCounter struct {
-	count     float64
-	updatedAt time.Duration // of the latest event
+	count     float64       // at updatedAt
+	updatedAt time.Duration // time of the latest event
 }
 
 func (c *decayingCounter) value(now time.Duration) float64 {
@@ -48,7 +50,7 @@
 // zoneLoad estimates the mean load of the servers of the local list.
 type zoneLoad struct {
 	mean        float64
-	reports     int           // reports that it rests on
+	reports     int           // number of load reports in the mean
 	lastSpillAt time.Duration // when the zone last lacked capacity; 0: never
 }
 
@@ -60,11 +62,11 @@
 // establishRate estimates how many connections this balancer establishes per second.
 type establishRate struct {
 	perSecond float64
-	span      float64 // seconds over which it is averaged
+	span      float64 // seconds over which the rate is averaged
 	sinceTick float64 // connections established since the last tick
 }
 
-// update averages over the time since the start at first, and over establishRateWindow later.
+// update adds one tick to the average, which covers the time since the start, but at most establishRateWindow.
 func (e *establishRate) update() {
 	step := tickInterval.Seconds()
 	e.span = min(e.span+step, establishRateWindow.Seconds())
@@ -72,10 +74,10 @@
 	e.sinceTick = 0
 }
 
-// demandEstimate counts the recent requests; the counts decay over demandDecayTime.
+// demandEstimate counts recent requests. The counts decay with the time constant demandDecayTime.
 type demandEstimate struct {
-	recent float64 // requests that arrived, and connections that broke, whose clients reconnect
-	resets float64 // of these, the connections that broke
+	recent float64 // arrived requests, plus broken or migrated connections, whose clients will reconnect
+	resets float64 // the broken or migrated connections among them
 }
 
 func (d *demandEstimate) decay() {
@@ -83,26 +85,26 @@
 	d.resets *= 1 - tickInterval.Seconds()/demandDecayTime.Seconds()
 }
 
-// recordReset counts a connection that broke, or was migrated, before its client wanted to leave.
+// recordReset counts a connection that broke or was migrated, and whose client will reconnect.
 func (d *demandEstimate) recordReset() {
 	d.recent++
 	d.resets++
 }
 
-// lifetimeEstimate estimates how long connections last; its sums decay over lifetimeDecayTime.
+// lifetimeEstimate estimates how long connections last. Its sums decay with the time constant lifetimeDecayTime.
 type lifetimeEstimate struct {
-	connectionSeconds float64 // seconds that all connections together have lasted
-	ended             float64 // connections that ended without a failure
+	connectionSeconds float64 // total time that connections have lasted, in seconds
+	ended             float64 // connections that ended without breaking or being migrated
 }
 
-// update adds one tick. It counts all requests, as nearly all of them have an established connection.
+// update adds one tick for each request. Nearly all requests have an established connection.
 func (l *lifetimeEstimate) update(requests int) {
 	decay := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
 	l.connectionSeconds = l.connectionSeconds*decay + float64(requests)*tickInterval.Seconds()
 	l.ended *= decay
 }
 
-// meanSeconds returns the mean lifetime of a connection in seconds, defaultLifetime until one has ended.
+// meanSeconds returns the mean lifetime of connections in seconds; until one has ended, defaultLifetime.
 func (l *lifetimeEstimate) meanSeconds() float64 {
 	if l.ended == 0 {
 		return defaultLifetime.Seconds()
@@ -110,16 +112,16 @@
 	return (defaultLifetime.Seconds() + l.connectionSeconds) / (1 + l.ended)
 }
 
-// capacityEstimate estimates how many connections per second a warm server accepts, as this balancer's part of it.
+// capacityEstimate estimates this balancer's share of the connections per second that a warm server accepts.
 type capacityEstimate struct {
 	perSecond float64
-	span      float64 // seconds over which it is averaged
+	span      float64 // seconds over which the estimate is averaged
 }
 
 // classLoads are the average loads of connections, in seconds of work per second; 0 means unknown.
 type classLoads struct {
-	classes []float64 // by the index of the class in the settings
-	all     float64   // of all connections
+	classes []float64 // average for each class, by its index in Settings.Classes
+	all     float64   // average for all connections
 }
 
 func (c *classLoads) add(class int, load float64) {
@@ -127,7 +129,7 @@
 	c.all = averageLoad(c.all, load)
 }
 
-// averageLoad returns a moving average after one more observation.
+// averageLoad adds an observation to an exponential moving average, which starts with the first observation.
 func averageLoad(average, load float64) float64 {
 	if average == 0 {
 		average = load
@@ -135,7 +137,7 @@
 	return average + (load-average)*classLoadWeight
 }
 
-// loadChanged learns from the load that a client reports of its connection.
+// loadChanged updates the load of a connection and the average load of its class.
 func (b *Balancer) loadChanged(event LoadChanged) {
 	r := b.requests.byID[event.ID]
 	if r == nil || event.Load <= 0 {
@@ -145,7 +147,7 @@
 	b.classLoads.add(r.Class, event.Load)
 }
 
-// updateEstimates advances the estimates by one tick.
+// updateEstimates updates the estimates at each tick.
 func (b *Balancer) updateEstimates() {
 	b.establishRate.update()
 	b.throttle.decay()
@@ -154,11 +156,12 @@
 	b.updateCapacity()
 }
 
-// updateCapacity estimates the capacity of a warm server from the balancer's own rate, as if all balancers had the
-// same: the rate over the servers of the fleet, scaled up to full load. The fleet counts the servers that were listed
-// recently and are warm, removed ones too, since their clients come to the others. While most of the fleet is lost,
-// the estimate stays as it was. It changes slowly, as a burst of reconnecting clients does not show what a server can
-// accept.
+// updateCapacity estimates this balancer's share of the connections per second that a warm server accepts. It divides
+// the balancer's own rate of established connections, scaled up to all zones, by the number of servers and by their
+// mean load. All balancers are assumed to have the same rate. Servers that were removed recently are included, as the
+// clients of a removed server reconnect to the others; warming servers are not. While less than half of the servers are
+// ready, the estimate does not change. It changes slowly, as the rate of a burst of reconnecting clients does not show
+// how many connections a server can accept.
 func (b *Balancer) updateCapacity() {
 	warming := b.warmingCount()
 	warm, fleet := len(b.ready)-warming, len(b.servers)-warming
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,8 +1,8 @@
 package decide
 
-// The index of servers: lists that are kept in the shuffled order as servers come, go and change, so that no tick,
-// change or request walks the whole list, except for the request of a group that is not cached. Each list holds what
-// a walk over all servers would find. Nothing is decided here.
+// The index of servers: lists of servers in the shuffled order, which are updated whenever a server is added, removed
+// or changed. So no tick, change or request has to scan all servers, except for a request of a group that is not
+// cached. Each list contains exactly the servers that a scan of all servers would find. No decisions are made here.
 
 import (
 	"cmp"
@@ -14,14 +14,14 @@
 )
 
 const (
-	// rebuildMinChanges and rebuildListFraction: the lists are rebuilt when more servers than the first, plus the
-	// list's length divided by the second, have changed at once.
+	// rebuildMinChanges and rebuildListFraction decide when the lists are rebuilt instead of updated: when more than
+	// rebuildMinChanges servers, plus one for each rebuildListFraction ready servers, have changed at the same time.
 	rebuildMinChanges   = 32
 	rebuildListFraction = 64
-	// loadUnitsPerOne is the number of units that a load of 1 is summed in. Sums of whole units do not depend on the
-	// order in which reports came.
+	// loadUnitsPerOne is the number of integer units that represent a load of 1 in a sum. Unlike a sum of floats, an
+	// integer sum does not depend on the order in which load reports arrive.
 	loadUnitsPerOne = 1 << 40
-	// connectionUnitsPerOne is the number of units that a connection is summed in.
+	// connectionUnitsPerOne is the number of integer units that represent one connection in a sum.
 	connectionUnitsPerOne = 1 << 28
 	// btreeDegree is the degree of the trees of scheduled servers.
 	btreeDegree = 16
@@ -32,73 +32,73 @@
 
 const (
 	inReady     listSet = 1 << iota
-	inConnected         // has connections of this balancer
-	inUnprobed          // was never probed
-	inBusy              // its load leaves no capacity
-	inWarming           // warms up
-	inEjected           // is ejected
+	inConnected         // ready servers with connections of this balancer
+	inUnprobed          // ready servers without a load report
+	inBusy              // ready servers whose load leaves no capacity
+	inWarming           // ready servers that warm up
+	inEjected           // ready servers that are ejected
 )
 
-// indexEntry is what the index keeps of a server.
+// indexEntry is the data that the index keeps for a server.
 type indexEntry struct {
 	lists           listSet
 	zone            *zoneIndex    // nil: not in the index yet
-	weight          float64       // by which it is ranked for groups
-	loadUnits       uint64        // its part of serverIndex.loadUnitsSum
-	connectionUnits uint64        // its part of zoneIndex.connectionUnits
-	reindexAt       time.Duration // when it stops warming up or its ejection ends; 0: neither
+	weight          float64       // weight by which it is ranked for groups
+	loadUnits       uint64        // its contribution to serverIndex.loadUnitsSum
+	connectionUnits uint64        // its contribution to zoneIndex.connectionUnits
+	reindexAt       time.Duration // when its warm-up or its ejection ends, whichever is first; 0: neither
 	dropAt          time.Duration // when its record may be dropped; 0: never
-	listVersion     uint64        // the last list that named it
+	listVersion     uint64        // version of the last list that contained it
 	dropped         bool          // its record was dropped
 }
 
 // serverIndex holds the records of all servers and the lists of the ready ones.
 type serverIndex struct {
 	servers        map[ServerID]*server
-	ready          orderedServers // the ready servers of the last list
-	connected      orderedServers // the ready servers that have connections of this balancer
-	zones          [2]zoneIndex   // the ready servers of the own zone, and of all others
-	localZone      *zoneIndex     // the own zone; the others when the own one has no ready server
-	remoteZone     *zoneIndex     // the rest
-	local          []*server      // the ready servers of localZone
-	remote         []*server      // the ready servers of remoteZone
-	ejectedCount   int            // ready servers that are ejected
-	loadUnitsSum   uint64         // sum of the loads of one connection at warm servers
+	ready          orderedServers // all ready servers
+	connected      orderedServers // ready servers with connections of this balancer
+	zones          [2]zoneIndex   // ready servers of the own zone, and of all other zones
+	localZone      *zoneIndex     // the own zone; if it has no ready server, the other zones
+	remoteZone     *zoneIndex     // the other of the two
+	local          []*server      // ready servers of localZone
+	remote         []*server      // ready servers of remoteZone
+	ejectedCount   int            // number of ready servers that are ejected
+	loadUnitsSum   uint64         // sum of the load of one connection at each warm server, in load units
 	loadUnitsCount int            // number of servers in that sum
 	reindexQueue   *btree.BTreeG[scheduled]
 	dropQueue      *btree.BTreeG[scheduled]
-	visits         int // servers looked at one by one, for the tests of what a long list costs
+	visits         int // number of servers examined one by one; tests of the cost of a long list read it
 }
 
-// zoneIndex holds the ready servers of the own zone, or of all others.
+// zoneIndex holds the ready servers of the own zone, or of all other zones.
 type zoneIndex struct {
 	ready             orderedServers
-	connected         orderedServers // those that have connections of this balancer
-	unprobed          orderedServers // those that were never probed
-	busy              orderedServers // those whose load leaves no capacity
-	warming           orderedServers // those that warm up
-	rankingKeys       []rankingKey   // of ready, in the same order, for one quick pass over them
-	changes           uint64         // changes of ready
+	connected         orderedServers // servers with connections of this balancer
+	unprobed          orderedServers // servers without a load report
+	busy              orderedServers // servers whose load leaves no capacity
+	warming           orderedServers // servers that warm up
+	rankingKeys       []rankingKey   // keys of ready, in the same order, in one array for a quick scan
+	changes           uint64         // number of changes of ready
 	changeLog         [changeLogLength]membershipChange
 	recentGroups      map[uint64]*groupRanking // rankings by the hash of the group
 	olderGroups       map[uint64]*groupRanking // rankings that are dropped unless they are used again
-	connectionUnits   uint64                   // connections of the servers whose reports show them
-	connectionReports int                      // number of these servers
+	connectionUnits   uint64                   // sum of the reported connections, in connection units
+	connectionReports int                      // number of servers in that sum
 }
 
-// reportedConnections returns the number of connections at the servers whose reports show them.
+// reportedConnections returns the total number of connections at the servers whose reports show it.
 func (z *zoneIndex) reportedConnections() float64 {
 	return float64(z.connectionUnits) / connectionUnitsPerOne
 }
 
-// updateConnections replaces a server's part of the reported connections; 0 means unknown.
+// updateConnections replaces a server's contribution to the reported connections; 0 means unknown.
 func (z *zoneIndex) updateConnections(entry *indexEntry, units uint64) {
 	z.connectionUnits += units - entry.connectionUnits
 	z.connectionReports += min(int(units), 1) - min(int(entry.connectionUnits), 1)
 	entry.connectionUnits = units
 }
 
-// scheduled is a server with the time at which it is due.
+// scheduled is an entry of a queue: a server and the time at which the queue returns it.
 type scheduled struct {
 	at     time.Duration
 	server *server
@@ -115,16 +115,16 @@
 	}
 }
 
-// compareShuffledOrder compares servers by the order in which this balancer tries them. It is shuffled by the
-// balancer's seed, so that balancers begin at different servers.
+// compareShuffledOrder compares two servers by the shuffled order, in which this balancer tries servers. The order
+// depends on the balancer's seed, so balancers start with different servers.
 func compareShuffledOrder(x, y *server) int {
 	return cmp.Or(cmp.Compare(x.shuffledOrder, y.shuffledOrder), cmp.Compare(x.ID, y.ID))
 }
 
-// orderedServers is a list in the shuffled order.
+// orderedServers is a list of servers in the shuffled order.
 type orderedServers []*server
 
-// find returns the position of a server, or the one where it belongs.
+// find returns the position of a server in the list, or the position at which it would be inserted.
 func (o orderedServers) find(s *server) (position int, found bool) {
 	if n := len(o); n == 0 || compareShuffledOrder(o[n-1], s) < 0 {
 		return n, false
@@ -132,7 +132,7 @@
 	return slices.BinarySearchFunc(o, s, compareShuffledOrder)
 }
 
-// setMember adds a server or removes it, and returns its position.
+// setMember adds a server to the list or removes it, and returns its position.
 func (o *orderedServers) setMember(s *server, member bool) int {
 	i, found := o.find(s)
 	switch {
@@ -144,7 +144,7 @@
 	return i
 }
 
-// zoneOf returns the zone that a server belongs to.
+// zoneOf returns the zone index that a server belongs to.
 func (b *Balancer) zoneOf(s *server) *zoneIndex {
 	if s.Zone == b.settings.Zone {
 		return &b.zones[0]
@@ -176,11 +176,11 @@
 	return lists
 }
 
-// reindex updates the index. It is called after each change of a server that its lists depend on.
+// reindex updates the index for a server. It must be called after each change of a value that the index depends on.
 func (b *Balancer) reindex(s *server) {
 	entry := &s.entry
 	if entry.dropped {
-		return // an attempt at it ended after its record was dropped
+		return // an attempt at the server ended after its record was dropped
 	}
 	if z := b.zoneOf(s); entry.zone != z || entry.weight != s.Weight {
 		if entry.zone != nil {
@@ -194,7 +194,7 @@
 	b.updateQueues(s)
 }
 
-// updateSums updates a server's part of the sums of loads and connections.
+// updateSums updates a server's contributions to the sums of loads and connections.
 func (b *Balancer) updateSums(s *server) {
 	entry := &s.entry
 	loadUnits, connectionUnits := uint64(0), uint64(0)
@@ -211,7 +211,8 @@
 	entry.zone.updateConnections(entry, connectionUnits)
 }
 
-// updateQueues schedules when a server changes its lists by the passing of time, and when its record may be dropped.
+// updateQueues schedules when a server leaves a list because its warm-up or ejection ends, and when its record may be
+// dropped.
 func (b *Balancer) updateQueues(s *server) {
 	entry := &s.entry
 	reindexAt, dropAt := time.Duration(0), time.Duration(0)
@@ -228,7 +229,8 @@
 	reschedule(b.dropQueue, s, &entry.dropAt, dropAt)
 }
 
-// reschedule moves a server to another time, or out of the queue where that is 0.
+// reschedule moves a server in a queue to another time, and stores this time in *at. A time of 0 means that the server
+// is not in the queue.
 func reschedule(queue *btree.BTreeG[scheduled], s *server, at *time.Duration, to time.Duration) {
 	if *at == to {
 		return
@@ -241,7 +243,7 @@
 	}
 }
 
-// setLists moves a server to these lists.
+// setLists adds a server to the given lists and removes it from all others.
 func (b *Balancer) setLists(s *server, lists listSet) {
 	changed, zone := s.entry.lists^lists, s.entry.zone
 	if changed == 0 {
@@ -272,7 +274,7 @@
 	}
 }
 
-// reindexAll does what reindex does, for many servers of which few may have changed.
+// reindexAll updates the index for several servers. If many of them have changed, it rebuilds all lists.
 func (b *Balancer) reindexAll(servers []*server) {
 	changed := 0
 	for _, s := range servers {
@@ -289,7 +291,8 @@
 	}
 }
 
-// applyChangedServers reindexes the servers of a list update, and drops the records that nothing needs any more.
+// applyChangedServers reindexes the servers that a list update has changed, and drops records of removed servers that
+// are no longer needed.
 func (b *Balancer) applyChangedServers(changed []*server) {
 	b.reindexAll(changed)
 	for next, ok := b.dropQueue.Min(); ok && next.at < b.now; next, ok = b.dropQueue.Min() {
@@ -299,14 +302,14 @@
 	}
 	b.localZone, b.remoteZone = &b.zones[0], &b.zones[1]
 	if len(b.localZone.ready) == 0 {
-		// A zone without a ready server uses the others as its own. Otherwise each of its groups would be scattered
-		// over them, without a probe.
+		// If the own zone has no ready server, the other zones are used in its place. Otherwise connections of each
+		// group would be spread over many of their servers, without probing them first.
 		b.localZone, b.remoteZone = b.remoteZone, b.localZone
 	}
 	b.local, b.remote = b.localZone.ready, b.remoteZone.ready
 }
 
-// rebuild makes all lists anew.
+// rebuild builds all lists from the records of the servers.
 func (b *Balancer) rebuild() {
 	all, zoneSizes := make(orderedServers, 0, len(b.servers)), map[*zoneIndex]int{}
 	for _, s := range b.servers {
@@ -333,7 +336,7 @@
 	b.visits += len(all)
 }
 
-// reindexDue reindexes the servers whose warm-up or ejection has ended. It runs before each event.
+// reindexDue reindexes the servers whose warm-up or ejection has ended. It is called before each event.
 func (b *Balancer) reindexDue() {
 	for next, ok := b.reindexQueue.Min(); ok && next.at <= b.now; next, ok = b.reindexQueue.Min() {
 		b.reindex(next.server)
@@ -354,14 +357,14 @@
 	return len(b.zones[0].warming) + len(b.zones[1].warming)
 }
 
-// meanLoadPerConnection returns the mean load of one connection at the warm servers, as their reports show it; 0 when
-// none does.
+// meanLoadPerConnection returns the mean load of one connection at the warm servers whose reports show it, or 0 if no
+// report does.
 func (b *Balancer) meanLoadPerConnection() float64 {
 	return float64(b.loadUnitsSum) / loadUnitsPerOne / float64(max(b.loadUnitsCount, 1))
 }
 
-// nextInOrder returns the first matching server of a list, from where the last walk ended, or nil. It looks only at
-// the candidates, which are some of the list in the same order.
+// nextInOrder returns the next matching server of a list, or nil. The search starts where the previous one ended and
+// wraps around. It examines only the candidates, which must be servers of the list in the same order.
 func (b *Balancer) nextInOrder(list []*server, candidates orderedServers, matches func(*server) bool) *server {
 	if len(candidates) == 0 {
 		return nil
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// maxImportedLoadPerConnection bounds the load of one connection that is imported: a full server has several.
+// maxImportedLoadPerConnection is the load that an imported load per connection must be below. A server at this load
+// is full and has more than one connection.
 const maxImportedLoadPerConnection = 1
 
-// LearnedState is what a balancer knows of a server beyond the list, for the replacement process on the same machine.
+// LearnedState is a balancer's learned state of one server: what it has measured, beyond the data of the endpoint list.
+// It is passed to the replacement process on the same machine.
 type LearnedState struct {
 	Server              ServerID      `json:"server"`
-	Load                float64       `json:"load"`   // latest reported load over capacity
-	Age                 time.Duration `json:"age"`    // age of that report; below 0: there is none
-	LoadPerConnection   float64       `json:"each"`   // load of one connection there; 0: unknown
+	Load                float64       `json:"load"`   // latest reported load, as a fraction of capacity
+	Age                 time.Duration `json:"age"`    // age of that report; below 0: no report
+	LoadPerConnection   float64       `json:"each"`   // load of one connection; 0: unknown
 	ConsecutiveFailures int           `json:"streak"` // failures since the last success
-	EjectedFor          time.Duration `json:"out"`    // rest of the ejection time; 0: not ejected
+	EjectedFor          time.Duration `json:"out"`    // remaining ejection time; 0: not ejected
 }
 
-// ExportLearned returns what was learned of the listed servers. It changes nothing.
+// ExportLearned returns the learned state of all ready servers. It does not change the balancer.
 func (b *Balancer) ExportLearned() (states []LearnedState) {
 	for _, s := range b.ready {
 		state := LearnedState{
@@ -34,8 +36,9 @@
 	return states
 }
 
-// ImportLearned applies what the previous process has learned; it is called at the start. A server that fails looks
-// idle, and without this all clients that come over would try it again. Invalid values are ignored.
+// ImportLearned applies the learned state of the previous process. The host calls it after the start. Without it, all
+// clients that reconnect to this process would be sent to a failing server again, as that server looks idle. Invalid
+// values and unknown servers are ignored.
 func (b *Balancer) ImportLearned(states []LearnedState) {
 	for _, state := range states {
 		if s := b.servers[state.Server]; s != nil {
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -1,7 +1,7 @@
 package decide
 
-// The cache of the servers that each group prefers. It is updated by the changes of the list, so that a request of a
-// cached group looks at few servers.
+// The cache of the preferred servers of each group. Cached rankings are updated by the changes of the endpoint list,
+// so a request of a cached group examines few servers.
 
 import (
 	"cmp"
@@ -10,40 +10,40 @@
 )
 
 const (
-	// rankingLength is the number of servers kept for a group, so that a few may be removed before all are ranked
-	// again.
+	// rankingLength is the number of servers in a group's ranking. It exceeds maxPreferredServers, so that a few
+	// servers may be removed before all servers must be ranked again.
 	rankingLength = 6
-	// maxCachedRankings is the number of recently used rankings, and the number of older ones.
+	// maxCachedRankings is the maximum number of recent rankings in the cache, and also of older ones.
 	maxCachedRankings = 4096
-	// changeLogLength is the number of changes of a zone by which a ranking can be updated.
+	// changeLogLength is the number of latest changes of a zone that are kept for updating rankings.
 	changeLogLength = 256
-	// hashBits is the number of bits of a hash that a distance is made of.
+	// hashBits is the number of bits of a hash that a distance is computed from.
 	hashBits = 53
-	// rankingTolerance covers the rounding of the distances in the quick comparison.
+	// rankingTolerance is the relative tolerance for rounding errors in the quick comparison of distances.
 	rankingTolerance = 1e-9
 )
 
-// rankingKey is what ranks a server for a group.
+// rankingKey holds the values by which a server is ranked for a group.
 type rankingKey struct {
-	idHash uint64 // the server's part of the hash
+	idHash uint64 // the server's part of the input of the hash
 	weight float64
 }
 
-// membershipChange is a server that became ready, or stopped being so.
+// membershipChange says that a server was added to a zone's ready servers or removed from them.
 type membershipChange struct {
 	server *server
 	added  bool
 }
 
-// groupRanking is the first servers of a zone for a group, nearest first.
+// groupRanking holds the servers of a zone that a group prefers most, in order of increasing distance.
 type groupRanking struct {
-	changes   uint64 // changes of the zone that it includes
+	changes   uint64 // number of the zone's changes that the ranking includes
 	count     int
 	servers   [rankingLength]*server
 	distances [rankingLength]float64
 }
 
-// setReady adds a ready server or removes it, and logs the change for the rankings.
+// setReady adds a server to the ready servers or removes it, and logs the change for updating the rankings.
 func (z *zoneIndex) setReady(s *server, ready bool) {
 	i := z.ready.setMember(s, ready)
 	if ready {
@@ -55,8 +55,8 @@
 	z.changes++
 }
 
-// preferredForGroup returns the first count servers of a zone for a group, nearest first. The count is at most
-// maxPreferredServers and the zone's number of servers.
+// preferredForGroup returns the count servers of a zone that a group prefers most, in order of increasing distance. The
+// count must not exceed maxPreferredServers or the number of servers in the zone.
 func (b *Balancer) preferredForGroup(z *zoneIndex, group uint64, count int) []*server {
 	ranking := b.cachedRanking(z, group)
 	if z.changes-ranking.changes > changeLogLength {
@@ -88,8 +88,9 @@
 	return ranking
 }
 
-// rank looks at all servers of the zone and returns their number. The logarithm is taken only of the few that may
-// come first: as -ln(u) is at least 1-u, the others are excluded by 1-u, with a tolerance for the rounding.
+// rank computes a group's ranking from all servers of the zone and returns their number. The distance of a server is
+// -ln(u)/weight, where u is a uniform hash. As -ln(u) is at least 1-u, a server whose (1-u)/weight exceeds the largest
+// distance in the full ranking is skipped without computing the logarithm. A tolerance allows for rounding errors.
 func (z *zoneIndex) rank(group uint64, ranking *groupRanking) (visited int) {
 	*ranking = groupRanking{changes: z.changes}
 	limit := math.Inf(1)
@@ -105,8 +106,8 @@
 	return len(z.rankingKeys)
 }
 
-// insert puts a server in its place if it comes before the last one, or if there are fewer than rankingLength. It
-// returns the server's position, rankingLength if it is not kept.
+// insert adds a server to the ranking. If the ranking is full, the server replaces the last one, provided that it
+// comes before that one. It returns the server's position, or rankingLength if the server was not added.
 func (g *groupRanking) insert(group uint64, s *server) int {
 	distance := rendezvousDistance(group, s)
 	before := func(i int) bool {
@@ -125,8 +126,8 @@
 	return i
 }
 
-// apply updates the ranking by one change. A server that comes after the last one kept is not added: others that are
-// not kept may come before it.
+// apply updates the ranking by one change. If the ranking is not full, a server that comes after its last one is not
+// added, as servers that are not in the ranking may come before it.
 func (g *groupRanking) apply(group uint64, change membershipChange) {
 	count := g.count
 	if i := slices.Index(g.servers[:count], change.server); !change.added && i >= 0 {
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// maxReportLag is how long a load report may not show a placement yet.
+// maxReportLag is the longest time from a placement until load reports include it.
 const maxReportLag = 600 * time.Millisecond
 
-// Bounds of a request's load relative to the average connection's.
+// Limits of a request's load relative to that of an average connection.
 const (
 	minRelativeLoad = 0.1
 	maxRelativeLoad = 10
 )
 
-// reservation is the load that a placement adds to its server until a load report shows it.
+// reservation is the load that a placement adds to its server until a load report includes it.
 type reservation struct {
 	request *request
 	load    float64
@@ -29,8 +29,9 @@
 	b.reindex(s)
 }
 
-// releaseReservation takes back the load of a request that has ended. Otherwise a server would look saturated by
-// clients that have left, and would get no request whose probe could show otherwise.
+// releaseReservation subtracts the reserved load of a request that has ended. Otherwise clients that have left would
+// make the server look saturated. It would then get no requests, and without requests no on-demand probes that could
+// correct its load.
 func (s *server) releaseReservation(r *request) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool {
 		if x.request == r {
@@ -40,9 +41,9 @@
 	})
 }
 
-// pendingReservations returns the load of the placements that a report coming now may not show yet, and drops the
-// older ones. Each expires by itself; otherwise a server that gets a client now and then would look saturated for
-// good.
+// pendingReservations returns the reserved load of the placements that a report received now may not include yet, and
+// deletes older reservations. Each reservation has its own age. If a new placement prolonged the older reservations, a
+// server that regularly gets a new client would look saturated all the time.
 func (s *server) pendingReservations(now time.Duration) (sum float64) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool { return now-x.at > maxReportLag })
 	for _, x := range s.reservations {
@@ -51,11 +52,12 @@
 	return sum
 }
 
-// reservePlacement reserves the load of a placement and takes it from the server's slow-start quota.
+// reservePlacement reserves the load of a placement and subtracts the placement from the slow-start quota of a warming
+// server.
 func (b *Balancer) reservePlacement(r *request, s *server) {
 	s.placementsOnReport++
-	// While requests wait, other balancers have waiting requests too, and all of them rush to the capacity that a
-	// report shows. One placement on it is enough then.
+	// While requests wait here, requests most likely wait at other balancers too, and all of them are placed on any
+	// server whose report shows capacity. So each balancer makes only one placement by such a report.
 	if s.placementsOnReport >= maxPlacementsPerReport || len(b.requests.waiting) > 0 {
 		b.answers.remove(s)
 	}
@@ -65,9 +67,9 @@
 	}
 }
 
-// connectionLoad estimates the load that an average connection adds to a server: as its report shows, otherwise the
-// mean load of the zone over the connections that one server has if all balancers are alike. The estimate is a guess
-// where it rests on too few connections or reports.
+// connectionLoad estimates the load that an average connection adds to a server. If no report of the server shows it,
+// it is the mean load of the zone divided by the mean number of connections per server, assuming that all balancers
+// have as many requests as this one. This estimate is a guess if it is based on too few connections or load reports.
 func (b *Balancer) connectionLoad(s *server) (load float64, guess bool) {
 	if s.loadPerConnection > 0 {
 		return s.loadPerConnection, false
@@ -83,8 +85,8 @@
 	return b.relativeLoad(r) * load
 }
 
-// relativeLoad returns a request's load as a multiple of the average connection's, by the request's own hint or by
-// the average of its class.
+// relativeLoad returns a request's load as a multiple of an average connection's. It uses the load that the request
+// states, or else the average of its class; it is 1 if neither is known.
 func (b *Balancer) relativeLoad(r *request) float64 {
 	load, average := cmp.Or(r.Load, b.classLoads.classes[r.Class]), b.classLoads.all
 	if load <= 0 || average <= 0 {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// MaxBalancers is the largest number of balancers that is accepted. A larger one is a typing error, and would make
-// the poll interval days.
+// MaxBalancers is the largest number of balancers that is accepted. A larger number is most likely a typing error, and
+// with it the poll interval could be days.
 const MaxBalancers = 10_000
 
 var errNoClasses = errors.New("settings: Classes is empty")
@@ -15,10 +15,10 @@
 // SettingError reports a field of the settings whose value is invalid.
 type SettingError struct {
 	Field   string // Go name of the field, such as Safety.DrainGrace
-	Problem string // what is wrong, to be read after the field
+	Problem string // what is wrong, worded to follow the field
 }
 
-// Error returns the field and the problem.
+// Error returns the message "settings: FIELD PROBLEM".
 func (e *SettingError) Error() string { return "settings: " + e.Field + " " + e.Problem }
 
 func invalidSetting(field, format string, values ...any) error {
@@ -34,10 +34,10 @@
 		return invalidSetting("Zone", "%q is not in Zones", s.Zone)
 	}
 	if s.Balancers < 0 || s.Balancers > MaxBalancers {
-		return invalidSetting("Balancers", "is %d, not from 0 to %d", s.Balancers, MaxBalancers)
+		return invalidSetting("Balancers", "is %d, must be from 0 to %d", s.Balancers, MaxBalancers)
 	}
 	if s.MaxAttempts < 0 {
-		return invalidSetting("MaxAttempts", "is %d, below 0", s.MaxAttempts)
+		return invalidSetting("MaxAttempts", "is %d, must not be below 0", s.MaxAttempts)
 	}
 	for i := range s.Classes {
 		if err := s.Classes[i].validate(fmt.Sprintf("Classes[%d]: ", i)); err != nil {
@@ -72,24 +72,25 @@
 	return nil
 }
 
-// isFraction reports whether a value is from 0 to 1, which NaN is not.
+// isFraction reports whether a value is from 0 to 1. It is false for NaN.
 func isFraction(value float64) bool { return value >= 0 && value <= 1 }
 
-// validate returns an error for the first invalid field of a class, whose name follows the prefix.
+// validate returns an error for the first invalid field of a class. The error names the field with the prefix.
 func (c *Class) validate(prefix string) error {
 	switch {
 	case c.LatencyObjective <= 0:
 		return invalidSetting(prefix+"LatencyObjective", "is %v, must be above 0", c.LatencyObjective)
 	case c.MessageLatencyObjective < 0:
-		return invalidSetting(prefix+"MessageLatencyObjective", "is %v, below 0", c.MessageLatencyObjective)
+		return invalidSetting(prefix+"MessageLatencyObjective", "is %v, must not be below 0", c.MessageLatencyObjective)
 	case c.ClientTimeout < 0:
-		return invalidSetting(prefix+"ClientTimeout", "is %v, below 0", c.ClientTimeout)
+		return invalidSetting(prefix+"ClientTimeout", "is %v, must not be below 0", c.ClientTimeout)
 	case c.Idempotency > NotIdempotent:
-		return invalidSetting(prefix+"Idempotency", "is %d, not a known kind", c.Idempotency)
+		return invalidSetting(prefix+"Idempotency", "is %d, must be Idempotent, IdempotentByKey or NotIdempotent",
+			c.Idempotency)
 	case c.KeyScope > ScopeCell:
-		return invalidSetting(prefix+"KeyScope", "is %d, not a known one", c.KeyScope)
+		return invalidSetting(prefix+"KeyScope", "is %d, must be ScopeAll, ScopeZone or ScopeCell", c.KeyScope)
 	case c.DedupWindow < 0:
-		return invalidSetting(prefix+"DedupWindow", "is %v, below 0", c.DedupWindow)
+		return invalidSetting(prefix+"DedupWindow", "is %v, must not be below 0", c.DedupWindow)
 	}
 	return nil
 }
