--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -10,7 +10,7 @@
 	h := newHarness(t, settings())
 	h.replaceList(servers(4, 0))
 	s := h.wantAttempt(h.request("r", unsafeClass))
-	h.now += 2 * time.Second // still in flight at the deadline
+	h.now += 2 * time.Second // the deadline, with the attempt still in flight
 	if r, f := countAnswers(h.send(TimerFired{Token: h.b.requests.byID["r"].timerToken})); r != 0 || f != 1 {
 		t.Fatal("a request in flight that is not idempotent must fail, not be rejected")
 	}
@@ -35,10 +35,10 @@
 			}
 			h.now += timers[0].Delay
 			if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 1 {
-				t.Fatalf("%d servers: no answer at the deadline", len(list))
+				t.Fatalf("%d servers: no final answer at the deadline", len(list))
 			}
 			if r, f := countAnswers(h.send(TimerFired{Token: timers[0].Token})); r+f != 0 {
-				t.Fatal("answered twice")
+				t.Fatal("the request got a second final answer")
 			}
 		})
 	}
@@ -51,11 +51,12 @@
 	h.send(Established{ID: "r", Server: h.wantAttempt(actions)})
 	h.now += 2 * time.Second
 	if got := h.send(TimerFired{Token: actionsOf[SetTimer](actions)[0].Token}); len(got) != 0 {
-		t.Fatalf("an established connection was answered: %v", got)
+		t.Fatalf("the deadline of an established connection caused actions: %v", got)
 	}
 }
 
-// A retry-after, within what clients honour, keeps rejected clients from returning at once or together.
+// A rejection carries a retry-after of at most MaxRetryAfter. Without it, rejected clients would return at once and all
+// at the same time.
 func TestRejectCarriesRetryAfter(t *testing.T) {
 	for _, most := range []time.Duration{0, 100 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(fmt.Sprintf("at most %v", most), func(t *testing.T) {
@@ -66,23 +67,23 @@
 			h.wantAttempt(h.request("r", idempotentClass))
 			rejected := actionsOf[Reject](h.endAttempt("r", 0, 1, Rejected, false))
 			if len(rejected) != 1 || rejected[0].RetryAfter > most || (rejected[0].RetryAfter == 0) != (most == 0) {
-				t.Errorf("at most %v: %+v", most, rejected)
+				t.Errorf("MaxRetryAfter %v: rejections %+v", most, rejected)
 			}
 		})
 	}
 }
 
-// A request is rejected by the number of requests before it. Otherwise those that wait longest would be rejected
-// first, as their time is short.
+// When too many requests wait, the latest are rejected, as the number of requests before a request decides. If the
+// total number decided, those that have waited longest would be rejected first, as their deadlines are nearest.
 func TestLatestRequestsAreRejectedFirst(t *testing.T) {
 	const waiting = 15
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
 	h.reportLoad(1, 0.95)
-	h.b.throttle.recentEstablished = 100 // ten a second
+	h.b.throttle.recentEstablished = 100 // ten connections per second
 	for i := range waiting {
 		if n := len(actionsOf[Reject](h.request(name("r", i), idempotentClass))); n != 0 {
-			t.Fatalf("request %d of %d was rejected, though 20 are established before its deadline", i, waiting)
+			t.Fatalf("request %d of %d was rejected, though 20 can be established before its deadline", i, waiting)
 		}
 	}
 	h.now += 1250 * time.Millisecond
@@ -91,6 +92,7 @@
 		rejected[r.ID] = true
 	}
 	if len(rejected) == 0 || rejected["r0"] || !rejected[RequestID(name("r", waiting-1))] {
-		t.Errorf("half a second before their end, when five more will be established, rejected are %v", rejected)
+		t.Errorf("half a second before the deadlines, with time to establish five more: rejected %v, want the latest",
+			rejected)
 	}
 }
--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A zone without a ready server keeps its groups together in another zone, and probes there before it places.
+// If a zone has no ready server, the connections of a group are kept together in another zone, whose servers are probed
+// before the placement.
 func TestAffinityWithoutLocalServer(t *testing.T) {
 	set := settings()
 	set.GroupAffinity, set.ProbingAllowed = true, true
@@ -28,11 +29,13 @@
 		h.send(Established{ID: RequestID(name("r", i)), Server: id})
 	}
 	if len(used) > maxPreferredServers {
-		t.Errorf("one group was placed on %d servers, all with capacity", len(used))
+		t.Errorf("a group was placed on %d servers though all have capacity, want at most %d", len(used),
+			maxPreferredServers)
 	}
 }
 
-// When the zone's only server fails, its clients go where reports of other zones show capacity, a group's together.
+// When the only server of the zone fails, its clients are placed on servers of other zones whose reports show capacity.
+// The connections of a group stay together.
 func TestAffinityWhenZoneFails(t *testing.T) {
 	set := affinitySettings()
 	h := newHarness(t, set)
@@ -57,18 +60,19 @@
 		h.send(Established{ID: RequestID(id), Server: s})
 	}
 	if used[1] || len(used) > maxPreferredServers {
-		t.Errorf("a group was placed on %v", used)
+		t.Errorf("a group was placed on %v, want at most %d servers without the failing server 1", used,
+			maxPreferredServers)
 	}
 }
 
-// affinitySettings are the settings with groups and probes.
+// affinitySettings returns the settings with group affinity and probes.
 func affinitySettings() Settings {
 	set := settings()
 	set.GroupAffinity, set.ProbingAllowed = true, true
 	return set
 }
 
-// requestInGroup sends a request of a group.
+// requestInGroup sends a request whose connection belongs to a group.
 func (h *harness) requestInGroup(id, group string) []Action {
 	return h.send(RequestArrived{ID: RequestID(id), Group: group, Remaining: 2 * time.Second})
 }
@@ -89,7 +93,7 @@
 		preferred[h.wantAttempt(h.send(TimerFired{Token: retryWaitingToken}))] = true
 	}
 	if len(preferred) != 1 {
-		t.Fatalf("six balancers put one group on %v", preferred)
+		t.Fatalf("six balancers placed one group on %v, want one server", preferred)
 	}
 }
 
@@ -106,8 +110,9 @@
 	}
 }
 
-// The own zone comes first: while a group's second server there has capacity, its first one in another zone is not
-// used. That one comes before a nearly saturated one of the own zone.
+// While a preferred server of the own zone has capacity, no preferred server of another zone is used, even if the own
+// zone's server is only the second. If no preferred server of the own zone has capacity, one of another zone is used
+// rather than one of the own zone that is nearly saturated.
 func TestGroupStaysInZoneWithCapacity(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	h.replaceList(servers(6, 6))
@@ -122,12 +127,13 @@
 	}
 	h.reportLoad(preferred[1].ID, 0.79)
 	if s := h.wantAttempt(h.requestInGroup("r2", "taxi-7")); s != remote[0].ID {
-		t.Errorf("placed on %d, want the first one elsewhere %d", s, remote[0].ID)
+		t.Errorf("placed on %d, want the first preferred server of the other zone %d", s, remote[0].ID)
 	}
 }
 
-// The first connection of a group reserves as much as several. Otherwise a burst would open its groups at every
-// preferred server with capacity for one connection, until a third of the fleet's work is for groups.
+// The first connection of a group at a server reserves as much load as several connections, as the server also has the
+// cost of the group. Otherwise a burst of clients would place their groups on every preferred server that has capacity
+// for one connection, until a third of the fleet's work is the cost of groups.
 func TestFirstConnectionOfGroupReservesMore(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
@@ -139,23 +145,24 @@
 			Server: preferred[1].ID})
 	}
 	for i, load := range []float64{0.55, 0.6, 0.9} {
-		// each loads it with 0.04 or so
+		// the load of one connection is about 0.04
 		h.send(ProbeCompleted{Server: preferred[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}})
 	}
 	if s := h.wantAttempt(h.requestInGroup("r", "taxi-7")); s != preferred[1].ID {
-		t.Errorf("placed on %d at 0.55, which has no connection of the group; %d at 0.6 does", s, preferred[1].ID)
+		t.Errorf("placed on %d, want %d with load 0.6, the only server that has connections of the group", s,
+			preferred[1].ID)
 	}
 	h.send(ProbeCompleted{Server: preferred[0].ID, Code: OK, Report: LoadReport{Load: 0.3, Connections: 10}})
 	if s := h.wantAttempt(h.requestInGroup("r2", "taxi-7")); s != preferred[0].ID {
-		t.Fatalf("placed on %d, though the first server has capacity for it and its group", s)
+		t.Fatalf("placed on %d, though the first preferred server has capacity for the request and its group", s)
 	}
 	if got, want := preferred[0].load, 0.3+(groupOpeningConnections+1)*0.03; math.Abs(got-want) > 1e-9 {
-		t.Errorf("reserved: load %v, want %v", got, want)
+		t.Errorf("load %v with the reservation, want %v", got, want)
 	}
 }
 
-// The requests that come while the first connection of a group is being established reserve their own load only. The
-// load of a connection that rests on few reports is a guess, which reserves nothing for the group.
+// Requests that arrive while the first connection of a group is being established reserve only their own load. A load
+// per connection that is estimated from few load reports is a guess, and nothing is reserved for the group then.
 func TestGroupOpeningLoadIsReservedOnce(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
@@ -169,15 +176,15 @@
 		}
 	}
 	if got, want := preferred.load, 0.1+(groupOpeningConnections+16)*0.005; math.Abs(got-want) > 1e-9 {
-		t.Errorf("load %v with 16 reserved, want %v", got, want)
+		t.Errorf("load %v with 16 reservations, want %v", got, want)
 	}
 	preferred.loadPerConnection = 0
 	if _, guess := h.b.connectionLoad(preferred); !guess {
-		t.Error("one report counts as a mean")
+		t.Error("the load of a connection estimated from one load report is not marked as a guess")
 	}
 }
 
-// A group must not be scattered over many servers, each of which pays for the group.
+// A group must not be spread over many servers, as each of them would have the cost of the group.
 func TestGroupStaysOnPreferredServers(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	h.replaceList(servers(12, 0))
@@ -189,7 +196,7 @@
 		h.reportLoad(s.ID, 0.75)
 	}
 	if s := h.wantAttempt(h.requestInGroup("r", "taxi-7")); s != preferred[0].ID {
-		t.Fatalf("placed on %d, the group prefers %d", s, preferred[0].ID)
+		t.Fatalf("placed on %d, want the group's first preferred server %d", s, preferred[0].ID)
 	}
 	for _, s := range preferred {
 		h.reportLoad(s.ID, 0.95)
@@ -217,24 +224,25 @@
 		}
 	}
 	if big < 80 || big > 170 {
-		t.Fatalf("the server of weight 4 among 10 is first for %d of 400 groups", big)
+		t.Fatalf("a server of weight 4 among 10 servers is the first for %d of 400 groups, want 80 to 170", big)
 	}
 	h.replaceList(list[:9])
 	for g, id := range firsts() {
 		if id != before[g] && before[g] != 10 {
-			t.Fatalf("group %s left server %d though only 10 went", g, before[g])
+			t.Fatalf("group %s no longer prefers server %d, though only server 10 was removed", g, before[g])
 		}
 	}
 }
 
-// In a small zone, every group would otherwise prefer every server, and each server would pay for all groups.
+// A group prefers at most half of a small zone's servers, rounded up. Otherwise it would prefer all of them, and each
+// server would have the cost of all groups.
 func TestPreferredServersAreHalfOfSmallZone(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 2, 4: 2, 6: 3, 30: 3} {
 		h := newHarness(t, affinitySettings())
 		h.replaceList(servers(n, 0))
 		r := &request{RequestArrived: RequestArrived{Group: "g"}}
 		if got := len(h.b.preferredInZone(r, h.b.localZone)); got != want {
-			t.Errorf("a group has %d servers of %d, want %d", got, n, want)
+			t.Errorf("a group has %d preferred servers among %d, want %d", got, n, want)
 		}
 	}
 }
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -17,13 +17,13 @@
 	} {
 		t.Run(fmt.Sprintf("%T", ev), func(t *testing.T) {
 			if actions := h.send(ev); len(actions) != 0 {
-				t.Errorf("%T: actions %v", ev, actions)
+				t.Errorf("%T: got actions %v, want none", ev, actions)
 			}
 		})
 	}
 }
 
-// Instances in one process share nothing: each acts as one alone does.
+// Balancers in one process share no state: each gives the same actions as a single balancer.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	play := func(n int) [][]Action {
 		instances := make([]*harness, n)
@@ -41,16 +41,16 @@
 	}
 	alone := play(1)[0]
 	if len(alone) < 200 {
-		t.Fatalf("only %d actions", len(alone))
+		t.Fatalf("only %d actions to compare, want at least 200", len(alone))
 	}
 	for i, log := range play(3) {
 		if !reflect.DeepEqual(log, alone) {
-			t.Fatalf("instance %d of three acts otherwise than one alone", i)
+			t.Fatalf("the actions of balancer %d of three differ from those of a single balancer", i)
 		}
 	}
 }
 
-// scriptStep sends one of several kinds of event, the same to each instance.
+// scriptStep sends the event of one step. Its kind depends on the step only.
 func scriptStep(h *harness, step int) []Action {
 	id := name("s", step)
 	switch step % 5 {
--- a/decide/clients_test.go
+++ b/decide/clients_test.go
@@ -13,10 +13,10 @@
 		h.endAttempt(name("o", i), 0, 1, Reset, true)
 	}
 	if len(h.b.clients.records) > maxClientRecords || len(h.b.clients.order) > maxClientRecords {
-		t.Fatalf("%d keys kept", len(h.b.clients.records))
+		t.Fatalf("%d client records kept, want at most %d", len(h.b.clients.records), maxClientRecords)
 	}
 	h.tick(recordRetention + time.Second)
 	if len(h.b.clients.records) != 0 {
-		t.Fatalf("%d keys kept after %v", len(h.b.clients.records), recordRetention)
+		t.Fatalf("%d client records kept after %v, want none", len(h.b.clients.records), recordRetention)
 	}
 }
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -21,7 +21,7 @@
 	if len(actionsOf[FetchList](actions)) != 1 || len(actionsOf[Log](actions)) != 1 {
 		t.Fatalf("no bootstrap: %v", actions)
 	}
-	h.wantAttempt(h.request("r", idempotentClass)) // the last list's ready servers serve meanwhile
+	h.wantAttempt(h.request("r", idempotentClass)) // until the new list arrives, the last one's ready servers are used
 }
 
 func TestAnyAnswerPreventsBootstrap(t *testing.T) {
@@ -31,7 +31,7 @@
 		h.now += bootstrapTimeout / 2
 		actions := h.send(ProbeCompleted{Server: 1, Code: TimedOut, Report: NoLoadReport})
 		if len(actionsOf[FetchList](actions)) > 0 {
-			t.Fatalf("bootstrap in round %d though server 2 answers", i)
+			t.Fatalf("bootstrap in round %d, though server 2 answers probes", i)
 		}
 		h.reportLoad(2, 0.5)
 	}
@@ -49,20 +49,20 @@
 			if n := len(actionsOf[WatchList](h.tick(tickInterval))); n > 0 {
 				if calls == 0 {
 					firsts[h.now-start] = true
-					// changes since the list was saved count as notified soon
+					// the balancer soon counts as notified of the changes since the list was saved
 					if h.now-start > maxFirstPollDelay+tickInterval {
-						t.Fatalf("first poll only after %v", h.now-start)
+						t.Fatalf("first poll after %v, want at most %v", h.now-start, maxFirstPollDelay+tickInterval)
 					}
 				}
 				calls += n
 			}
 		}
 		if calls != 5 {
-			t.Fatalf("%d polls in five periods", calls)
+			t.Fatalf("%d polls in five poll intervals, want 5", calls)
 		}
 	}
 	if len(firsts) < 3 {
-		t.Fatal("balancers poll at the same time")
+		t.Fatal("balancers with different seeds make their first polls at the same time")
 	}
 }
 
@@ -72,7 +72,7 @@
 	h := newHarness(t, set)
 	actions := h.tick(3 * h.b.pollInterval())
 	if len(actionsOf[FetchList](actions)) == 0 || len(actionsOf[WatchList](actions)) != 0 {
-		t.Fatal("want fetches of the list only")
+		t.Fatal("want FetchList and no WatchList")
 	}
 }
 
@@ -80,7 +80,7 @@
 	small, big := settings(), settings()
 	big.Balancers = 200
 	if a, b := newHarness(t, small).b.pollInterval(), newHarness(t, big).b.pollInterval(); b < a+15*time.Second {
-		t.Fatalf("period %v with 4 balancers, %v with 200", a, b)
+		t.Fatalf("poll interval %v with 4 balancers, %v with 200, want at least 15 s more", a, b)
 	}
 }
 
@@ -104,37 +104,37 @@
 		again[v.b.discovery.pollAt] = true
 	}
 	if len(again) < 4 {
-		t.Fatal("balancers whose calls failed together poll again together")
+		t.Fatal("balancers whose calls failed at the same time poll again at the same time")
 	}
 	if waits[0] > 3*time.Second || waits[4] < 2*waits[0] {
-		t.Fatalf("waits %v do not back off", waits)
+		t.Fatalf("the delays %v after consecutive failures do not back off", waits)
 	}
 }
 
-func TestRestartVoidsLearnedState(t *testing.T) {
+func TestServerRestartDiscardsLearnedState(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(2, 0))
 	h.reportLoad(1, 0.1)
 	h.now += time.Second
 	h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", Started: h.now}}})
 	if s := h.b.servers[1]; s.reportedAt != 0 || !h.b.warming(s) {
-		t.Fatal("a restarted server's old report counts")
+		t.Fatal("the load report from before the server's restart is still used, or the server is not warming up")
 	}
 }
 
-// When discovery reports an empty list, nothing is sent, each request gets its one answer in time, and established
-// connections are neither migrated nor forgotten. The next list is used at once.
+// When discovery reports an empty list, no attempt starts, each request gets exactly one final answer by its deadline,
+// and established connections are neither migrated nor dropped. The next list is used at once.
 func TestEmptyList(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(3, 0))
 	server := h.establish("s", idempotentClass)
 	h.replaceList(nil)
 	for i := range 10 {
-		h.wantNoAttempt(h.request(name("x", i), idempotentClass), "no server is left")
+		h.wantNoAttempt(h.request(name("x", i), idempotentClass), "the list is empty")
 	}
 	actions := h.tick(time.Second)
 	if len(actionsOf[Migrate](actions)) > 0 {
-		t.Errorf("migrated: %v", actions)
+		t.Errorf("got %v, want no migration", actions)
 	}
 	for _, r := range h.b.requests.byID {
 		if !r.established {
@@ -142,19 +142,20 @@
 		}
 	}
 	if rejected, failed := countAnswers(actions); rejected+failed > 10 || failed > 0 || len(h.b.requests.byID) != 1 {
-		t.Errorf("%d rejected, %d failed, %d left of 10", rejected, failed, len(h.b.requests.byID))
+		t.Errorf("%d of 10 requests rejected, %d failed; %d records left, want 1 for the open connection", rejected,
+			failed, len(h.b.requests.byID))
 	}
 	h.request("y", idempotentClass)
 	if s := h.wantAttempt(h.replaceList(servers(3, 0))); s > 3 {
-		t.Errorf("placed at %d", s)
+		t.Errorf("placed on %d, which is not in the new list", s)
 	}
 	if h.endAttempt("s", 0, server, OK, true); len(h.b.requests.byID) != 1 {
-		t.Errorf("%d requests left, only y wanted", len(h.b.requests.byID))
+		t.Errorf("%d requests left, want only y", len(h.b.requests.byID))
 	}
 }
 
-// A list ten times as long costs no more probes.
-func TestListTenTimesAsLong(t *testing.T) {
+// With a list ten times as long, the balancer makes hardly more probes.
+func TestProbesDoNotGrowWithTheList(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
 	probes := func(n int) int {
@@ -165,6 +166,6 @@
 		return len(actionsOf[Probe](h.tick(20 * time.Second)))
 	}
 	if few, many := probes(9), probes(90); many > few+2*maxAnswers {
-		t.Errorf("%d probes in 20 s at 90 servers, %d at 9", many, few)
+		t.Errorf("%d probes in 20 s with 90 servers, %d with 9", many, few)
 	}
 }
--- a/decide/ejection_test.go
+++ b/decide/ejection_test.go
@@ -11,16 +11,16 @@
 	h.reportLoad(1, 0.01)
 	s := h.wantAttempt(h.request("r", idempotentClass))
 	h.endAttempt("r", 0, s, ServerError, false)
-	h.reportLoad(1, 0.01) // it looks light, as servers that fail fast do
+	h.reportLoad(1, 0.01) // a server that fails quickly reports a low load
 	for i := range 4 {
 		if h.establish(name("q", i), idempotentClass) == 1 {
-			t.Fatal("a server that fails fast was used at once")
+			t.Fatal("the server was used again right after its failure")
 		}
 	}
 	h.now += baseEjectionTime + time.Second
 	h.reportLoad(1, 0.01)
 	if h.establish("later", idempotentClass) != 1 {
-		t.Fatal("the server did not come back")
+		t.Fatal("the server was not used after its ejection had ended")
 	}
 }
 
@@ -37,17 +37,17 @@
 		}
 	}
 	if out != 2 {
-		t.Fatalf("%d of 4 ejected, want half", out)
+		t.Fatalf("%d of 4 servers are ejected, want 2", out)
 	}
 }
 
-// Ejected follows the ejection, and calling it changes nothing.
+// Ejected is true for a server from its failure until the end of its ejection.
 func TestEjectedFollowsEjection(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(4, 0))
 	s := h.wantAttempt(h.request("r", idempotentClass))
 	if h.b.Ejected(s) || h.b.Ejected(99) {
-		t.Error("ejected without a cause")
+		t.Error("a server without a failure, or an unknown one, is ejected")
 	}
 	h.endAttempt("r", 0, s, ServerError, false)
 	if !h.b.Ejected(s) {
@@ -55,6 +55,6 @@
 	}
 	h.tick(baseEjectionTime + tickInterval)
 	if h.b.Ejected(s) {
-		t.Error("still ejected after its time")
+		t.Error("the server is still ejected after its ejection time")
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"cottonplank/decide"
 )
 
-// A host hands in events with its own clock and carries out the actions.
+// A host passes events to a Balancer, with the time of its own clock, and carries out the actions.
 func Example() {
 	b, err := decide.New(decide.Settings{
 		Seed: 1, Zone: "north", Zones: []string{"north", "south"}, Balancers: 2, MaxAttempts: 3,
@@ -30,10 +30,10 @@
 		case decide.StartAttempt:
 			fmt.Println("dial server", a.Server, "for", a.ID)
 		case decide.SetTimer:
-			fmt.Println("wake me in", a.Delay)
+			fmt.Println("set a timer for", a.Delay)
 		}
 	}
 	// Output:
-	// wake me in 2s
+	// set a timer for 2s
 	// dial server 17 for r1
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// harness feeds a Balancer events and holds the actions of the latest one.
+// harness sends events to a Balancer and keeps the actions of the latest event.
 type harness struct {
 	t       *testing.T
 	b       *Balancer
 	now     time.Duration
-	actions []Action // of the latest event
+	actions []Action // actions of the latest event
 }
 
-// settings are those of a small deployment; a test changes what it is about.
+// settings returns the settings of a small deployment. Tests change the settings that they are about.
 func settings() Settings {
 	return Settings{
 		Seed: 7, Zone: "a", Zones: []string{"a", "b"}, Balancers: 4, WatchList: true,
@@ -29,7 +29,7 @@
 			{Name: "cell", LatencyObjective: 300 * time.Millisecond, Idempotency: IdempotentByKey,
 				KeyScope: ScopeCell, DedupWindow: 5 * time.Second},
 		},
-		MaxAttempts: 3, // probes are not allowed, so that requests are placed at once
+		MaxAttempts: 3, // ProbingAllowed is false, so requests are placed without waiting for answers to probes
 		Safety: SafetyLimits{DrainGrace: 500 * time.Millisecond, MaxPollInterval: 10 * time.Second,
 			SlowStartInitialCapacity: 0.3, SlowStartDuration: 10 * time.Second,
 			OverloadFactor: 3, OverloadWindow: 2 * time.Second},
@@ -61,7 +61,7 @@
 	return h.actions
 }
 
-// tick advances the clock and fires the periodic timer.
+// tick advances the clock by d and fires the periodic timer once per tickInterval.
 func (h *harness) tick(d time.Duration) (actions []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += tickInterval
@@ -70,7 +70,7 @@
 	return actions
 }
 
-// servers returns ready servers: ids from 1 in zone a, ids from 101 in zone b.
+// servers returns a ready servers in zone a, with IDs from 1, and b ready servers in zone b, with IDs from 101.
 func servers(a, b int) (list []Server) {
 	for i := range a {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: "a", Cell: i/2 + 1})
@@ -81,12 +81,12 @@
 	return list
 }
 
-// replaceList sends a full snapshot.
+// replaceList sends a snapshot of the endpoint list.
 func (h *harness) replaceList(list []Server) []Action {
 	return h.send(ListReceived{Kind: ListSnapshot, Servers: list})
 }
 
-// reportLoad answers a probe with a load.
+// reportLoad sends the answer to a probe, with a load report that shows no number of connections.
 func (h *harness) reportLoad(id ServerID, load float64) []Action {
 	return h.send(ProbeCompleted{Server: id, Code: OK, Report: LoadReport{Load: load, Connections: -1}})
 }
@@ -96,7 +96,7 @@
 	return h.send(RequestArrived{ID: RequestID(id), Class: class, Key: "key-" + id, Remaining: 2 * time.Second})
 }
 
-// endAttempt ends an attempt.
+// endAttempt reports the end of an attempt.
 func (h *harness) endAttempt(id string, attempt int, s ServerID, code Code, final bool) []Action {
 	return h.send(AttemptEnded{ID: RequestID(id), Attempt: attempt, Server: s, Code: code, Final: final,
 		Report: NoLoadReport})
@@ -106,7 +106,7 @@
 func (h *harness) establish(id string, class int) ServerID {
 	h.t.Helper()
 	actions := h.request(id, class)
-	if len(actionsOf[StartAttempt](actions)) == 0 { // it waits for answers to probes that do not come
+	if len(actionsOf[StartAttempt](actions)) == 0 { // the request waits for answers to probes, which are not sent here
 		h.now += onDemandProbeTimeout
 		actions = h.send(TimerFired{Token: retryWaitingToken})
 	}
@@ -115,7 +115,7 @@
 	return s
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type T.
 func actionsOf[T Action](actions []Action) (found []T) {
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
@@ -125,7 +125,7 @@
 	return found
 }
 
-// wantAttempt expects exactly one StartAttempt and returns its server.
+// wantAttempt fails the test unless there is exactly one StartAttempt, and returns its server.
 func (h *harness) wantAttempt(actions []Action) ServerID {
 	h.t.Helper()
 	p := actionsOf[StartAttempt](actions)
@@ -135,20 +135,20 @@
 	return p[0].Server
 }
 
-// wantNoAttempt expects no StartAttempt.
+// wantNoAttempt fails the test if there is a StartAttempt. why says why there must be none.
 func (h *harness) wantNoAttempt(actions []Action, why string) {
 	h.t.Helper()
 	if p := actionsOf[StartAttempt](actions); len(p) > 0 {
-		h.t.Fatalf("%s: unwanted %v", why, p)
+		h.t.Fatalf("%s: got %v, want no attempt", why, p)
 	}
 }
 
-// countAnswers counts the final answers.
+// countAnswers returns the numbers of final answers of both kinds.
 func countAnswers(actions []Action) (rejected, failed int) {
 	return len(actionsOf[Reject](actions)), len(actionsOf[Fail](actions))
 }
 
-// zoneOf returns the zone of a server made by servers.
+// zoneOf returns the zone of a server that the function servers made.
 func zoneOf(id ServerID) string {
 	if id > 100 {
 		return "b"
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The index gives the choices that walks over all servers give: every action is the same.
+// With the index, the Balancer gives the same actions as the reference, which scans all servers for each choice.
 func TestIndexedChoicesEqualReference(t *testing.T) {
 	steps := 6000
 	if testing.Short() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// The comparison finds a fault in any list of the index.
+// The comparison with the reference detects a fault in any part of the index.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	faults := map[string]func(b *Balancer) bool{
 		"connected": func(b *Balancer) bool { b.connected = b.connected[:len(b.connected)/2]; return true },
@@ -82,13 +82,13 @@
 	for what, inject := range faults {
 		t.Run(what, func(t *testing.T) {
 			if !faultIsFound(t, inject) {
-				t.Error("the injected fault is not found")
+				t.Error("the comparison does not find the injected fault")
 			}
 		})
 	}
 }
 
-// faultIsFound reports whether the comparison finds a fault, with one of several seeds.
+// faultIsFound reports whether the comparison finds an injected fault with any of several seeds.
 func faultIsFound(t *testing.T, inject func(*Balancer) bool) bool {
 	for seed := range uint64(24) {
 		set := comparisonSettings(seed)
@@ -102,8 +102,8 @@
 	return false
 }
 
-// The cached ranking of a group is what ranking all servers gives, whatever the weights, as servers come and go: few
-// between two requests, or more than the change log has.
+// The cached ranking of a group equals a ranking of all servers, for all kinds of weights. Between two requests, the
+// state or weight of a few servers changes, or of more servers than the change log holds.
 func TestRankingEqualsReference(t *testing.T) {
 	weights := map[string]func(rng *rand.Rand) float64{
 		"equal": func(*rand.Rand) float64 { return 0 },
@@ -135,8 +135,8 @@
 						want := [2][]*referenceServer{refNear, refFar}[i]
 						sameID := func(x *server, y *referenceServer) bool { return x.ID == y.ID }
 						if !slices.EqualFunc(got, want, sameID) {
-							t.Fatalf("weights %s, %d servers, round %d: group %s has other servers", kind, n,
-								round, group.Group)
+							t.Fatalf("weights %s, %d servers, round %d: group %s: preferred servers differ from the "+
+								"reference", kind, n, round, group.Group)
 						}
 					}
 				}
@@ -155,13 +155,13 @@
 	}
 }
 
-// listSizes are the lengths of the lists of the cost tests.
+// listSizes are the lengths of the endpoint lists in the cost tests.
 var listSizes = []int{600, 5000, 20_000}
 
 // costCase is a kind of event whose cost must not depend on the length of the list.
 type costCase struct {
 	name      string
-	maxVisits int // servers looked at, each time
+	maxVisits int // largest mean number of servers examined per event
 	send      func(b *Balancer, now time.Duration, i int) []Action
 }
 
@@ -196,8 +196,8 @@
 	}},
 }
 
-// No tick, change or request looks at more servers when the list is longer; only a group that is not cached costs one
-// quick pass.
+// No tick, change or request examines more servers when the list is longer, except that a request of a group that is
+// not cached scans the list once.
 func TestCostDoesNotGrowWithTheList(t *testing.T) {
 	const times = 200
 	for _, c := range costCases {
@@ -213,7 +213,8 @@
 					c.send(b, now, i)
 				}
 				if visits := b.visits - before; visits > c.maxVisits*times {
-					t.Errorf("%d servers: %d visits in %d times, want %d each at most", n, visits, times, c.maxVisits)
+					t.Errorf("%d servers: %d visits for %d events, want at most %d per event", n, visits, times,
+						c.maxVisits)
 				}
 			}
 		})
@@ -223,12 +224,13 @@
 		before := b.visits
 		b.Handle(101*time.Second, RequestArrived{ID: "r", Group: "new", Remaining: time.Second}, nil)
 		if visits := b.visits - before; visits > n+12 {
-			t.Errorf("%d servers: a new group looks at %d", n, visits)
+			t.Errorf("%d servers: a request of a new group caused %d visits, want at most %d", n, visits, n+12)
 		}
 	}
 }
 
-// A tick at rest allocates only its actions, and a request as much as with a short list.
+// An idle tick allocates memory only for its actions, and a request with a long list allocates as much as with a short
+// one.
 func TestAllocationsDoNotGrowWithTheList(t *testing.T) {
 	var short float64
 	for _, n := range []int{600, 20_000} {
@@ -237,8 +239,8 @@
 		if allocs := testing.AllocsPerRun(100, func() {
 			now += tickInterval
 			b.Handle(now, TimerFired{Token: tickToken}, out[:0])
-		}); allocs > 3 { // its actions
-			t.Errorf("%d servers: %v allocations a tick", n, allocs)
+		}); allocs > 3 { // the tick's actions
+			t.Errorf("%d servers: %v allocations per tick, want at most 3", n, allocs)
 		}
 		allocs := testing.AllocsPerRun(100, func() {
 			b.Handle(now, RequestArrived{ID: "r", Group: "g", Remaining: time.Second}, out[:0])
@@ -247,25 +249,26 @@
 		if short = max(short, 1); n == 600 {
 			short = allocs
 		} else if allocs > short+1 {
-			t.Errorf("%d servers: %v allocations a request, %v with 600", n, allocs, short)
+			t.Errorf("%d servers: %v allocations per request, %v with 600 servers", n, allocs, short)
 		}
 	}
 }
 
-// All walks over whole lists are known, each with its reason: another one would make some cost grow with the list.
+// Functions may scan whole lists of servers only if they are listed here with the reason. Any other scan would make the
+// cost of an event grow with the length of the list.
 func TestWalksOverWholeListsAreKnown(t *testing.T) {
 	known := map[string]string{
-		"applyList":     "a full snapshot has just come",
-		"rebuild":       "many servers have changed at once",
-		"reindexAll":    "walks the servers that it is given",
+		"applyList":     "a snapshot has been received",
+		"rebuild":       "many servers have changed at the same time",
+		"reindexAll":    "scans only the servers passed to it",
 		"bootstrap":     "no server has answered for seconds",
-		"rank":          "a group that is not cached: one quick pass",
-		"pickPreferred": "the preferred servers of one group",
-		"pickReported":  "until the first eligible server; all only where none is eligible",
-		"pickAny":       "until the first eligible server; all only where none is eligible",
+		"rank":          "one quick scan for a group that is not cached",
+		"pickPreferred": "scans only the preferred servers of one group",
+		"pickReported":  "stops at the first eligible server; scans all only if none is eligible",
+		"pickAny":       "stops at the first eligible server; scans all only if none is eligible",
 		"ExportLearned": "once, for the replacement process",
-		"setReady":      "memory is moved, no server is looked at",
-		"apply":         "the few servers that are cached for one group",
+		"setReady":      "moves memory without examining servers",
+		"apply":         "scans only the few servers in the ranking of one group",
 	}
 	walk := regexp.MustCompile(`(range|slices\.\w+\(|firstMatching\(|minimum\(|leastLoaded\(|nextInOrder\(\S+)` +
 		` ?(\w+\.)*(ready|local|remote|servers|rankingKeys|all)\b`)
@@ -290,20 +293,20 @@
 			if walk.MatchString(line) {
 				found[in] = true
 				if known[in] == "" {
-					t.Errorf("%s:%d: %s walks a whole list: %s", file, i+1, in, strings.TrimSpace(line))
+					t.Errorf("%s:%d: %s scans a whole list: %s", file, i+1, in, strings.TrimSpace(line))
 				}
 			}
 		}
 	}
 	for function := range known {
 		if !found[function] {
-			t.Errorf("%s is known to walk a whole list, and does not", function)
+			t.Errorf("%s is listed as scanning a whole list, but no longer does", function)
 		}
 	}
 }
 
-// Records of removed servers, and of those that no list has named, are dropped a while later, at the next list
-// update; those of servers that are back, or have connections, are kept.
+// The records of removed servers, and of servers that were in no list, are dropped at the first list update after
+// recordRetention. Records of servers that are listed again or have connections are kept.
 func TestRecordsOfRemovedServersAreDropped(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(40, 0))
@@ -319,7 +322,7 @@
 	h.tick(time.Second)
 	h.send(ListReceived{})
 	if len(h.b.servers) != 22 || h.b.servers[1] == nil || h.b.servers[2] == nil {
-		t.Fatalf("%d records kept, want those of 20 listed, one that is back and one that has a connection",
+		t.Fatalf("%d records kept, want those of 20 listed servers, one listed again and one with a connection",
 			len(h.b.servers))
 	}
 	h.endAttempt("connected", 0, 1, OK, true)
@@ -330,7 +333,7 @@
 }
 
 // An attempt that ends after its server's record was dropped must not affect the new record of a server with the same
-// id.
+// ID.
 func TestAttemptEndAfterRecordWasDropped(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
@@ -347,6 +350,6 @@
 	h.now += recordRetention + time.Second
 	h.send(ListReceived{})
 	if b := h.b; b.servers[s] == nil || len(b.local) != 1 || b.servers[s].State != Ready {
-		t.Fatal("the server that is back was dropped")
+		t.Fatal("the record of the server that was listed again was dropped or changed")
 	}
 }
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What one balancer has learned of a server holds at its replacement: an ejected server stays ejected, though it
-// looks idle, and a recent report counts. Unknown servers and invalid values are ignored.
+// The replacement process uses the learned state of the previous process: an ejected server stays ejected, though its
+// load is low, and recent load reports are used. Unknown servers and invalid values are ignored.
 func TestImportLearned(t *testing.T) {
 	old, next := newHarness(t, settings()), newHarness(t, settings())
 	for _, h := range []*harness{old, next} {
@@ -22,11 +22,11 @@
 	next.send(TimerFired{Token: retryWaitingToken})
 	next.b.ImportLearned(learned)
 	if !next.b.Ejected(bad) || next.b.Ejected(77) {
-		t.Error("the ejected server is not ejected, or an unknown one is")
+		t.Error("the ejection of a server was not imported, or an unknown server is ejected")
 	}
 	for id, s := range next.b.servers {
 		if s.load != 0.2 || s.reportedAt == 0 {
-			t.Errorf("server %d: load %.2f, reported at %v", id, s.load, s.reportedAt)
+			t.Errorf("server %d: load %.2f, reported at %v, want the imported load 0.2", id, s.load, s.reportedAt)
 		}
 	}
 	for i := range 12 {
