--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -29,8 +29,7 @@
 		h.send(Established{ID: RequestID(name("r", i)), Server: id})
 	}
 	if len(used) > maxPreferredServers {
-		t.Errorf("a group was placed on %d servers though all have capacity, want at most %d", len(used),
-			maxPreferredServers)
+		t.Errorf("a group was placed on %d servers though all have capacity, want at most 3", len(used))
 	}
 }
 
@@ -60,8 +59,7 @@
 		h.send(Established{ID: RequestID(id), Server: s})
 	}
 	if used[1] || len(used) > maxPreferredServers {
-		t.Errorf("a group was placed on %v, want at most %d servers without the failing server 1", used,
-			maxPreferredServers)
+		t.Errorf("a group was placed on %v, want at most 3 servers without the failing server 1", used)
 	}
 }
 
--- a/decide/clients_test.go
+++ b/decide/clients_test.go
@@ -13,7 +13,7 @@
 		h.endAttempt(name("o", i), 0, 1, Reset, true)
 	}
 	if len(h.b.clients.records) > maxClientRecords || len(h.b.clients.order) > maxClientRecords {
-		t.Fatalf("%d client records kept, want at most %d", len(h.b.clients.records), maxClientRecords)
+		t.Fatalf("%d client records kept, want at most maxClientRecords", len(h.b.clients.records))
 	}
 	h.tick(recordRetention + time.Second)
 	if len(h.b.clients.records) != 0 {
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -51,7 +51,7 @@
 					firsts[h.now-start] = true
 					// the balancer soon counts as notified of the changes since the list was saved
 					if h.now-start > maxFirstPollDelay+tickInterval {
-						t.Fatalf("first poll after %v, want at most %v", h.now-start, maxFirstPollDelay+tickInterval)
+						t.Fatalf("first poll after %v, want at most maxFirstPollDelay and a tick", h.now-start)
 					}
 				}
 				calls += n
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -135,8 +135,8 @@
 						want := [2][]*referenceServer{refNear, refFar}[i]
 						sameID := func(x *server, y *referenceServer) bool { return x.ID == y.ID }
 						if !slices.EqualFunc(got, want, sameID) {
-							t.Fatalf("weights %s, %d servers, round %d: group %s: preferred servers differ from the "+
-								"reference", kind, n, round, group.Group)
+							t.Fatalf("weights %s, %d servers, round %d: group %s prefers other servers", kind, n,
+								round, group.Group)
 						}
 					}
 				}
@@ -224,7 +224,7 @@
 		before := b.visits
 		b.Handle(101*time.Second, RequestArrived{ID: "r", Group: "new", Remaining: time.Second}, nil)
 		if visits := b.visits - before; visits > n+12 {
-			t.Errorf("%d servers: a request of a new group caused %d visits, want at most %d", n, visits, n+12)
+			t.Errorf("%d servers: a request of a new group caused %d visits, want at most 12 more", n, visits)
 		}
 	}
 }
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Placements that a report may not show yet are reserved, but cause no migration.
+// Reservations for placements that a load report may not include yet raise the load of a server, but cause no
+// migration.
 func TestReservationsCauseNoMigration(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
@@ -16,14 +17,15 @@
 	}
 	h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.7, Connections: 10}})
 	if s := h.b.servers[1]; s.load < migrationLoad {
-		t.Fatalf("load %.2f, want it reserved above the limit", s.load)
+		t.Fatalf("load %.2f with the reservations, want at least migrationLoad", s.load)
 	}
 	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n > 0 {
-		t.Errorf("%d migrated off a server that reports 0.7", n)
+		t.Errorf("%d connections migrated off a server that reports a load of 0.7", n)
 	}
 }
 
-// An overloaded server serves all of its connections badly; every balancer migrates the same fraction of its own.
+// A balancer migrates the excess fraction of its connections off an overloaded server, and migrates again only by a
+// report that can show the effect. Until the load is reduced, the server serves all of its connections badly.
 func TestMigrationMovesExcess(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(4, 0))
@@ -32,15 +34,15 @@
 	}
 	h.reportLoad(1, migrationLoad)
 	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
-		t.Fatalf("%d migrated at the limit", n)
+		t.Fatalf("%d connections migrated at migrationLoad, want none", n)
 	}
 	h.reportLoad(1, 1.4)
 	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 60 || n > 140 {
-		t.Fatalf("%d of 200 migrated at load 1.4, want about half", n)
+		t.Fatalf("%d of 200 connections migrated at load 1.4, want about half", n)
 	}
-	h.reportLoad(1, 1.4) // a report that cannot show the migrations yet
+	h.reportLoad(1, 1.4) // this report cannot show the effect of the migration yet
 	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != 0 {
-		t.Fatalf("%d migrated again before the report settled", n)
+		t.Fatalf("%d connections migrated again within migrationSettlePeriod", n)
 	}
 }
 
@@ -59,16 +61,16 @@
 	}
 	h.reportLoad(2, 0.9)
 	if n := len(actionsOf[Migrate](h.tick(tickInterval))); n < 8 || n > 45 {
-		t.Fatalf("%d of 100 migrated at load 0.9 with slow messages", n)
+		t.Fatalf("%d of 100 connections migrated at load 0.9 with slow messages, want 8 to 45", n)
 	}
-	h.reportLoad(1, 0.6) // more than the next report of server 2
+	h.reportLoad(1, 0.6) // higher than the next report of server 2
 	h.reportLoad(2, 0.1)
 	if s := h.establish("r", idempotentClass); s == 2 {
-		t.Fatal("placed where messages are slow")
+		t.Fatal("placed on server 2, whose messages are slow")
 	}
 }
 
-// Migrating the groups with few connections frees the server soonest of their cost.
+// Groups with few connections at an overloaded server are migrated first, as fewest migrations remove their cost there.
 func TestMigrationMovesSmallGroupsFirst(t *testing.T) {
 	set := affinitySettings()
 	set.Balancers = 1
@@ -85,14 +87,14 @@
 	migrations := actionsOf[Migrate](h.tick(tickInterval))
 	if len(migrations) < 2 || !strings.HasPrefix(string(migrations[0].ID), "small") ||
 		!strings.HasPrefix(string(migrations[1].ID), "small") {
-		t.Errorf("migrated %v, the two of the small group first wanted", migrations)
+		t.Errorf("migrated %v, want the two connections of the small group first", migrations)
 	}
 }
 
-// The excess of an overloaded server is migrated in each round, give or take one. Random draws would often migrate
-// none of a few, and all of them would be served badly until the next round.
-func TestMigrationRoundsByChance(t *testing.T) {
-	const connections, want = 8, 2 // migrationTargetLoad leaves 0.75 of them
+// The number of migrated connections is the excess, rounded up or down. If each connection were drawn independently,
+// often none of a small number would be migrated, and all of them would be served badly until the next report.
+func TestMigrationCountIsTheRoundedExcess(t *testing.T) {
+	const connections, want = 8, 2 // at load 1, migrationTargetLoad leaves 0.75 of the connections
 	for seed := range uint64(30) {
 		set := settings()
 		set.Seed = seed
@@ -103,13 +105,14 @@
 		}
 		h.reportLoad(1, 1)
 		if n := len(actionsOf[Migrate](h.tick(tickInterval))); n != want {
-			t.Errorf("seed %d: %d of %d clients migrated off a server at 1.0, want %d", seed, n, connections, want)
+			t.Errorf("seed %d: %d of %d connections migrated off a server at load 1.0, want %d", seed, n, connections,
+				want)
 		}
 	}
 }
 
-// All balancers migrate the same groups off an overloaded server, those that prefer it least. Otherwise every group
-// would lose a few connections, and the server would still pay for each group.
+// All balancers migrate the same groups off an overloaded server: those that prefer it least. Otherwise every group
+// would lose a few connections there, and the server would still have the cost of all groups.
 func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
 	const groupsHeld, each = 6, 2
 	migrated := map[string]int{}
@@ -134,13 +137,13 @@
 		most, all = max(most, n), all+n
 	}
 	if len(migrated) > 2 || most < 20*each {
-		t.Errorf("20 balancers migrated %d clients of %d of %d groups, one of them %d times", all, len(migrated),
+		t.Errorf("20 balancers migrated %d connections of %d of %d groups, at most %d of one group", all, len(migrated),
 			groupsHeld, most)
 	}
 }
 
-// A client that was migrated off an overloaded server does not return to it at once, though it is its group's first
-// and looks lighter while the client is away.
+// A client that was migrated off an overloaded server is not placed on it again when it reconnects, though the server
+// is the first preferred one of its group and reports a low load again.
 func TestMigratedClientsAvoidTheirServer(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(4, 0))
@@ -161,14 +164,14 @@
 	h.reportLoad(preferred, 1.2)
 	migrations := actionsOf[Migrate](h.tick(tickInterval))
 	if len(migrations) == 0 {
-		t.Fatal("nobody was migrated")
+		t.Fatal("no connection was migrated")
 	}
 	for _, m := range migrations {
 		key := h.b.requests.byID[m.ID].Key
 		h.endAttempt(string(m.ID), 0, preferred, Cancelled, true)
 		h.reportLoad(preferred, 0.3)
 		if s := ask("again-"+string(m.ID), key); s == preferred {
-			t.Errorf("%s came back to server %d", key, s)
+			t.Errorf("the migrated client %s was placed on server %d again", key, s)
 		}
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -11,7 +11,7 @@
 	h.replaceList(servers(4, 8))
 	for i := range 8 {
 		if s := h.establish(name("r", i), idempotentClass); zoneOf(s) != "a" {
-			t.Fatalf("request %d placed on zone b's server %d", i, s)
+			t.Fatalf("request %d was placed on server %d of zone b", i, s)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 		h.reportLoad(id, load)
 	}
 	if s := h.wantAttempt(h.request("r", idempotentClass)); s != 3 {
-		t.Fatalf("placed on %d, the least loaded is 3", s)
+		t.Fatalf("placed on %d, want the least loaded server 3", s)
 	}
 }
 
@@ -34,11 +34,12 @@
 	h.now += maxReportAge + time.Second
 	h.reportLoad(2, 0.5)
 	if s := h.wantAttempt(h.request("r", idempotentClass)); s != 2 {
-		t.Fatal("a report beyond its age was used")
+		t.Fatal("a load report older than maxReportAge was used")
 	}
 }
 
-// A report of low load serves only a few placements; otherwise many balancers would follow the same one.
+// A report of low load is used for only a few placements. Otherwise many balancers that have the same report would
+// place all of their requests on that server.
 func TestReportServesFewPlacements(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(6, 0))
@@ -53,11 +54,12 @@
 		}
 	}
 	if count == 0 || count > maxPlacementsPerReport {
-		t.Fatalf("server 1 got %d of 8 on one answer, want 1 to %d", count, maxPlacementsPerReport)
+		t.Fatalf("server 1 got %d of 8 requests by one report, want 1 to %d", count, maxPlacementsPerReport)
 	}
 }
 
-// While requests wait, all balancers rush to any capacity that a report shows.
+// While requests wait, a report that shows capacity is used for one placement only, as the waiting requests of all
+// balancers are placed by it.
 func TestReportServesOnePlacementWhileRequestsWait(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(2, 0))
@@ -67,7 +69,7 @@
 		h.wantNoAttempt(h.request(name("r", i), idempotentClass), "no server has capacity")
 	}
 	if p := actionsOf[StartAttempt](h.reportLoad(2, 0.1)); len(p) != 1 {
-		t.Fatalf("%d of the waiting requests were placed on the capacity shown, want 1", len(p))
+		t.Fatalf("%d of the waiting requests were placed by one report, want 1", len(p))
 	}
 }
 
@@ -81,7 +83,7 @@
 		firsts[h.wantAttempt(h.request("r", idempotentClass))] = true
 	}
 	if len(firsts) < 3 {
-		t.Fatalf("eight balancers began with only %v", firsts)
+		t.Fatalf("eight balancers placed their first requests on %v, want at least 3 servers", firsts)
 	}
 }
 
@@ -94,17 +96,17 @@
 			h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: 1, Zone: "a", State: state}}})
 			for i := range 4 {
 				if s := h.establish(name("r", i), idempotentClass); s == 1 {
-					t.Fatalf("state %d: server 1 still used", state)
+					t.Fatalf("state %d: server 1 is still used", state)
 				}
 			}
 		})
 	}
 	h := newHarness(t, settings())
 	h.replaceList(servers(2, 0))
-	h.replaceList(servers(1, 0)) // a server that is missing is removed
+	h.replaceList(servers(1, 0)) // server 2 is missing, so it is removed
 	for i := range 4 {
 		if s := h.establish(name("r", i), idempotentClass); s == 2 {
-			t.Fatal("a server absent from the complete list is still used")
+			t.Fatal("a server that is missing in the snapshot is still used")
 		}
 	}
 }
@@ -118,18 +120,18 @@
 			h := newHarness(t, settings())
 			h.replaceList(servers(4, 0))
 			s := h.establish("r", idempotentClass)
-			h.endAttempt("r", 0, s, Cancelled, true) // its packets come to another balancer
+			h.endAttempt("r", 0, s, Cancelled, true) // the packets of its connection now arrive at another balancer
 			h.send(ListReceived{Kind: ListDelta, Servers: []Server{{ID: s, Zone: "a", State: Draining}}})
 			h.now += c.after
 			got := h.wantAttempt(h.send(RequestArrived{ID: "r2", Key: "key-r", Remaining: time.Second, MidFlow: true}))
 			if (got == s) != c.want {
-				t.Fatalf("%v after the drain: placed on %d, its server is %d", c.after, got, s)
+				t.Fatalf("%v after the start of the drain: placed on %d, the client's server is %d", c.after, got, s)
 			}
 		})
 	}
 }
 
-func TestReturningClientAvoidsServerItLost(t *testing.T) {
+func TestReturningClientAvoidsServerThatBrokeItsConnection(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(2, 0))
 	s := h.establish("r", idempotentClass)
@@ -138,11 +140,11 @@
 	h.reportLoad(s, 0.05)
 	back := RequestArrived{ID: "again", Key: "key-r", Remaining: time.Second, Returning: true}
 	if got := h.wantAttempt(h.send(back)); got == s {
-		t.Fatal("the client came back to the server it lost")
+		t.Fatal("the client was placed on the server that broke its connection")
 	}
 	other := RequestArrived{ID: "other", Key: "key-other", Remaining: time.Second}
 	if got := h.wantAttempt(h.send(other)); got != s {
-		t.Fatal("only that client is kept off")
+		t.Fatal("another client avoids the server too")
 	}
 }
 
@@ -154,7 +156,7 @@
 	h.reportLoad(101, 0.95)
 	h.wantNoAttempt(h.request("r", idempotentClass), "no server has capacity: the request waits")
 	if got := h.wantAttempt(h.reportLoad(102, 0.3)); got != 102 {
-		t.Fatalf("placed on %d", got)
+		t.Fatalf("placed on %d, want server 102 of the other zone, which has capacity", got)
 	}
 }
 
@@ -181,7 +183,7 @@
 			h.reportLoad(1, 0.75)
 			h.reportLoad(101, c.remote)
 			if s := h.wantAttempt(h.request("r", idempotentClass)); s != c.want {
-				t.Fatalf("cost %.2f, own zone at 0.75, the other at %.2f: placed on %d", c.cost, c.remote, s)
+				t.Fatalf("cost %.2f, loads 0.75 in the own zone, %.2f in the other: placed on %d", c.cost, c.remote, s)
 			}
 		})
 	}
@@ -194,12 +196,12 @@
 		h.send(ProbeCompleted{Server: id, Code: ConnectFailed, Report: NoLoadReport})
 	}
 	if s := h.wantAttempt(h.request("r", idempotentClass)); zoneOf(s) != "b" {
-		t.Fatalf("placed on %d", s)
+		t.Fatalf("placed on %d, want a server of zone b", s)
 	}
 }
 
-// Between two reports each balancer knows its own placements only: the more of them share a zone, the sooner the next
-// server is taken.
+// Between two load reports, a balancer knows only its own placements. So the more balancers share a zone, the lower is
+// the load from which on the next preferred server is chosen.
 func TestThresholdsAllowForOtherBalancers(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
@@ -216,8 +218,8 @@
 				h.reportLoad(s.ID, []float64{c.load, 0.2, 0.2}[i])
 			}
 			if got := h.wantAttempt(h.requestInGroup("r", "g")); (got == preferred[0].ID) != c.first {
-				t.Errorf("%d balancers, the first at %.2f: placed on %d, the group's are %d, %d", c.balancers, c.load,
-					got, preferred[0].ID, preferred[1].ID)
+				t.Errorf("%d balancers, load %.2f at the first server: placed on %d, preferred are %d and %d",
+					c.balancers, c.load, got, preferred[0].ID, preferred[1].ID)
 			}
 		})
 	}
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -17,7 +17,7 @@
 			for _, p := range actionsOf[Probe](h.tick(tickInterval)) {
 				n++
 				if zoneOf(p.Server) != "a" {
-					t.Fatalf("probed %d of another zone", p.Server)
+					t.Fatalf("server %d of another zone was probed", p.Server)
 				}
 			}
 			h.establish(name("r", i), idempotentClass)
@@ -26,18 +26,18 @@
 	}
 	cheap, expensive := rate(0.002), rate(0.02)
 	if expensive < 8 || cheap < 3*expensive {
-		t.Fatalf("%d probes at a low cost, %d at ten times that", cheap, expensive)
+		t.Fatalf("%d probes at a low cost, %d at ten times the cost; want at least 24 and 8", cheap, expensive)
 	}
 	set := settings()
 	set.ProbingAllowed = false
 	h := newHarness(t, set)
 	h.replaceList(servers(5, 5))
 	if len(actionsOf[Probe](h.tick(20*time.Second))) > 0 {
-		t.Fatal("probed where probes are not allowed")
+		t.Fatal("a server was probed though ProbingAllowed is false")
 	}
 }
 
-// A server short of capacity is probed ahead of the steady probes, others are not, as often as the cost allows.
+// A server short of capacity is probed more often than others, as far as the cost of a probe allows.
 func TestServersShortOfCapacityAreProbed(t *testing.T) {
 	count := func(cost float64) (saturated, available int) {
 		set := settings()
@@ -65,18 +65,19 @@
 		t.Errorf("%d probes of the server short of capacity, %d of one with capacity", saturated, available)
 	}
 	if saturated, _ := count(0.05); saturated > 20 {
-		t.Errorf("%d probes of the server short of capacity at a high cost", saturated)
+		t.Errorf("%d probes of the server short of capacity at a high cost, want at most 20", saturated)
 	}
 }
 
-// When no report shows capacity, servers are probed while the request waits.
+// When no load report shows capacity, a few servers are probed and the request waits for the answers, but no longer
+// than onDemandProbeTimeout.
 func TestRequestProbesWithoutReports(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
 	h := newHarness(t, set)
 	h.replaceList(servers(8, 8))
 	actions := h.request("r", idempotentClass)
-	h.wantNoAttempt(actions, "nothing is known yet")
+	h.wantNoAttempt(actions, "there are no load reports yet")
 	probes := actionsOf[Probe](actions)
 	if len(probes) != onDemandProbes {
 		t.Fatalf("want %d probes, got %v", onDemandProbes, actions)
@@ -85,16 +86,16 @@
 	h.reportLoad(probes[1].Server, 0.2)
 	h.now += onDemandProbeTimeout
 	if s := h.wantAttempt(h.send(TimerFired{Token: retryWaitingToken})); s != probes[1].Server {
-		t.Fatalf("placed on %d, the least loaded of the probed servers is %d", s, probes[1].Server)
+		t.Fatalf("placed on %d, want the least loaded of the probed servers %d", s, probes[1].Server)
 	}
 	h.now += maxReportAge
-	h.request("silent", idempotentClass) // no answer comes: it is placed nevertheless
+	h.request("silent", idempotentClass) // its probes are not answered; it is placed nevertheless
 	h.now += onDemandProbeTimeout
 	h.wantAttempt(h.send(TimerFired{Token: retryWaitingToken}))
 }
 
-// A server of another zone that has connections of this balancer is probed now and then, also while the own zone has
-// capacity, and loses some of them when it is overloaded.
+// A server of another zone with connections of this balancer is probed even while the own zone has capacity. So its
+// overload is noticed, and connections are migrated off it.
 func TestOverloadInOtherZonesIsNoticed(t *testing.T) {
 	set := settings()
 	set.ProbingAllowed = true
@@ -111,7 +112,7 @@
 			if p.Server > 100 {
 				load = 1.4
 				if p.Server != 102 {
-					t.Fatalf("server %d of another zone has nothing and is probed", p.Server)
+					t.Fatalf("server %d of another zone was probed without having connections", p.Server)
 				}
 			}
 			migrated += len(actionsOf[Migrate](h.reportLoad(p.Server, load)))
@@ -123,8 +124,8 @@
 	}
 }
 
-// One invalid report must not migrate all connections off its server, nor make each placement look too expensive or
-// free.
+// An invalid load report must be ignored. Otherwise it could cause the migration of all connections off its server, or
+// make the load of one connection there look far too high or zero.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	for _, load := range []float64{-3, 101, 1e300, math.Inf(1), math.NaN()} {
 		t.Run(fmt.Sprintf("load %v", load), func(t *testing.T) {
@@ -134,7 +135,7 @@
 			s := h.b.servers[1]
 			h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: load, Connections: 4}})
 			if s.load != 0.5 || s.reportedLoad != 0.5 || s.loadPerConnection != 0 {
-				t.Errorf("a load of %v is accepted: %+v", load, s)
+				t.Errorf("a reported load of %v is accepted: %+v", load, s)
 			}
 		})
 	}
@@ -144,7 +145,7 @@
 			h.replaceList(servers(2, 0))
 			h.send(ProbeCompleted{Server: 1, Code: OK, Report: LoadReport{Load: 0.5, Connections: connections}})
 			if s := h.b.servers[1]; s.loadPerConnection != 0 || s.load != 0.5 {
-				t.Errorf("%v connections are accepted: %+v", connections, s)
+				t.Errorf("a report of %v connections is accepted: %+v", connections, s)
 			}
 		})
 	}
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// responseTimeout is the host's time-out of a call.
+// responseTimeout is the time-out of the simulated host for a call.
 const responseTimeout = 4 * time.Second
 
-// outageKind is how discovery fails.
+// outageKind says how discovery fails.
 type outageKind uint8
 
 const (
@@ -20,7 +20,7 @@
 	responseHangs                         // dials succeed, calls fail after responseTimeout
 )
 
-// scheduledStep is one balancer's next step.
+// scheduledStep is the next dial or call of one balancer.
 type scheduledStep struct {
 	at   time.Duration
 	step func(now time.Duration)
@@ -39,18 +39,19 @@
 	return x
 }
 
-// outageSimulation plays a fleet whose watches all break at time 0, in virtual time. Discovery is back after downFor;
-// then it handles capacity calls per second in turn, and rejects a call that would wait for over a second.
+// outageSimulation simulates, in virtual time, a fleet whose watches are all interrupted at time 0. Discovery fails for
+// the time downFor. Then it handles calls one after the other, capacity per second, and rejects a call that would wait
+// longer than a second.
 type outageSimulation struct {
 	downFor        time.Duration
 	kind           outageKind
 	capacity       int // calls per second
 	steps          stepHeap
-	dialsPerSecond map[int]int // by second, counted from discovery's return
-	callsPerSecond map[int]int
-	rejected       int             // calls
-	busyUntil      time.Duration   // when discovery has answered the calls so far
-	updatedAt      []time.Duration // when balancers got the list, counted from discovery's return
+	dialsPerSecond map[int]int     // number of dials by second, counted from the end of the outage
+	callsPerSecond map[int]int     // number of calls by second, counted from the end of the outage
+	rejected       int             // number of calls rejected after the outage
+	busyUntil      time.Duration   // when discovery will have answered the calls accepted so far
+	updatedAt      []time.Duration // when balancers received the list, counted from the end of the outage
 }
 
 func (o *outageSimulation) secondOf(now time.Duration) int {
@@ -105,7 +106,7 @@
 	return o
 }
 
-// maxPerSecond returns the count of the busiest second, from one second to before another.
+// maxPerSecond returns the largest count of the seconds from from to before to.
 func maxPerSecond(counts map[int]int, from, to int) (n int) {
 	for second, count := range counts {
 		if second >= from && second < to {
@@ -115,10 +116,11 @@
 	return n
 }
 
-// The reconnects of a whole fleet do not overload a discovery service that handles calls in turn, and all balancers
-// have its list before a change counts as notified: 300 balancers with 100 calls per second, 2300 with 600.
+// After an outage, the reconnects of a whole fleet do not overload a discovery service that handles one call after the
+// other, and all balancers receive the list within 6 s, before they count as notified of a change. Discovery handles
+// 100 calls per second for 300 balancers, and 600 for 2300.
 func TestFleetReconnectsToDiscovery(t *testing.T) {
-	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // dials and calls: limits per second
+	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // dials, calls: limits per second
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
 	} {
 		for _, how := range []outageKind{connectionsRefused, unreachable, respondsUnavailable, responseHangs} {
@@ -129,17 +131,18 @@
 					last, begin := o.updatedAt[len(o.updatedAt)-1], -int(down/time.Second)
 					dials, calls := maxPerSecond(o.dialsPerSecond, begin, 0), maxPerSecond(o.callsPerSecond, begin, 0)
 					first, after := o.callsPerSecond[0], maxPerSecond(o.callsPerSecond, 0, 10)
-					t.Logf("down %v: %d dials and %d calls a second at most; in the first second after it "+
-						"%d dials and %d calls, %d calls in the busiest; %d rejected, last updated after %v",
+					t.Logf("outage of %v: at most %d dials and %d calls per second; after it %d dials and %d calls in "+
+						"the first second, at most %d calls per second, %d calls rejected, last update after %v",
 						down, dials, calls, o.dialsPerSecond[0], first, after, o.rejected, last)
 					if last >= 6*time.Second {
-						t.Errorf("down for %v: the last one is updated after %v", down, last)
+						t.Errorf("outage of %v: the last balancer was updated %v later, want below 6s", down, last)
 					}
 					if dials > fleet.dials || calls > fleet.calls || after > fleet.calls {
-						t.Errorf("down for %v: %d dials and %d calls a second, %d after", down, dials, calls, after)
+						t.Errorf("outage of %v: %d dials and %d calls per second during it, %d calls after it", down,
+							dials, calls, after)
 					}
 					if (how == connectionsRefused || how == unreachable) && calls > 0 {
-						t.Errorf("down for %v: %d calls a second while discovery cannot be reached", down, calls)
+						t.Errorf("outage of %v: %d calls per second while discovery cannot be reached", down, calls)
 					}
 				}
 			})
@@ -151,12 +154,12 @@
 func TestReconnectWithoutSpread(t *testing.T) {
 	r := NewReconnectSchedule(1, 2300, 100*time.Millisecond)
 	if at := r.DialAt(time.Second, time.Second); at != 1100*time.Millisecond {
-		t.Errorf("dials at %v", at)
+		t.Errorf("dial at %v, want 1.1s", at)
 	}
 	if at := r.DialAt(time.Second, 3*time.Second); at != 3*time.Second {
-		t.Errorf("after a call that hung it dials at %v", at)
+		t.Errorf("dial at %v after a call that hung, want 3s", at)
 	}
 	if at := r.CallAt(time.Second, 2*time.Second); at != 2*time.Second {
-		t.Errorf("calls at %v", at)
+		t.Errorf("call at %v, want 2s", at)
 	}
 }
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestStateIsReleased(t *testing.T) {
+func TestRecordsAreReleased(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(6, 2))
 	for i := range 50 {
@@ -24,18 +24,18 @@
 	h.request("waiting", idempotentClass)
 	h.send(ClientDisconnected{ID: "waiting"})
 	if len(h.b.requests.byID)+len(h.b.requests.byToken)+len(h.b.requests.waiting) != 0 {
-		t.Fatalf("%d requests, %d timers, %d waiting kept", len(h.b.requests.byID), len(h.b.requests.byToken),
-			len(h.b.requests.waiting))
+		t.Fatalf("records kept of ended requests: %d requests, %d timers, %d waiting", len(h.b.requests.byID),
+			len(h.b.requests.byToken), len(h.b.requests.waiting))
 	}
 	for _, s := range h.b.ready {
 		if len(s.connections) != 0 {
-			t.Fatalf("server %d keeps %d connections", s.ID, len(s.connections))
+			t.Fatalf("the record of server %d keeps %d ended connections", s.ID, len(s.connections))
 		}
 	}
 	h.replaceList(servers(1, 0))
 	h.now += recordRetention + time.Second
 	h.replaceList(servers(1, 0))
 	if len(h.b.servers) != 1 {
-		t.Fatalf("%d servers kept, one is listed", len(h.b.servers))
+		t.Fatalf("%d records of servers kept, want only the listed one", len(h.b.servers))
 	}
 }
--- a/decide/reservation_test.go
+++ b/decide/reservation_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A new report does not show what was placed a moment before.
+// A reservation remains after a load report that may not include the placement yet, and ends with a later report.
 func TestReservationOutlivesNextReport(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -22,7 +22,7 @@
 			h.reportLoad(1, 0.30)
 			h.reportLoad(2, 0.301)
 			if s := h.establish("r1", idempotentClass); s != c.want {
-				t.Fatalf("%v after the placement: placed on %d", c.after, s)
+				t.Fatalf("the second request, %v after the first one, was placed on %d", c.after, s)
 			}
 		})
 	}
@@ -35,11 +35,11 @@
 	h.reportLoad(2, 0.301)
 	a := h.establish("r0", idempotentClass)
 	if b := h.establish("r1", idempotentClass); a != 1 || b != 2 {
-		t.Fatalf("placed on %d then %d: the first placement was not reserved", a, b)
+		t.Fatalf("placed on %d, then on %d, want 1 and 2: the load of the first placement was not reserved", a, b)
 	}
 }
 
-// A placement reserves the load of one connection as the server's report shows it.
+// A placement reserves the load of one connection that follows from the server's load report.
 func TestReservationFollowsReportedConnectionLoad(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
@@ -48,12 +48,12 @@
 		h.establish(name("r", i), idempotentClass)
 	}
 	if got := h.b.servers[1].load; got < 0.55 || got > 0.65 {
-		t.Errorf("load %.2f is reserved after four placements, want 0.4 and four times 0.05", got)
+		t.Errorf("load %.2f after four placements, want 0.4 plus four times 0.05", got)
 	}
 }
 
-// Each reservation expires by itself. Otherwise a server that gets a client now and then would look saturated for
-// good, while requests wait.
+// Each reservation expires by its own age. If a new placement prolonged the older reservations, a server that regularly
+// gets a new client would look saturated all the time, while requests wait.
 func TestReservationsExpireOneByOne(t *testing.T) {
 	set := settings()
 	set.Balancers = 1
@@ -70,15 +70,16 @@
 	h.now += maxReportLag / 2
 	h.reportLoad(1, 0.4)
 	if s := h.b.servers[1]; s.load-0.4 > old/2 || s.load <= 0.4 {
-		t.Errorf("load %.2f after a report of 0.40, with %.2f reserved long before it", s.load, old)
+		t.Errorf("load %.2f after a report of 0.40, want older reservations of %.2f expired, the new one not", s.load,
+			old)
 	}
 	if maxReportLag > time.Second {
-		t.Errorf("a placement counts %v on top of reports that are no older than half a second", maxReportLag)
+		t.Errorf("maxReportLag is %v, though load reports are at most half a second old", maxReportLag)
 	}
 }
 
-// Reservations end with their connections. Otherwise a server would look saturated by clients that have long left,
-// and would not be probed.
+// Reservations end with their connections. Otherwise clients that have left would make a server look saturated, and it
+// would not be probed.
 func TestReservationsEndWithTheirConnections(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
@@ -90,6 +91,7 @@
 		h.endAttempt(id, 0, 1, OK, true)
 	}
 	if s := h.b.servers[1]; math.Abs(s.load-0.2) > 1e-9 || len(s.reservations) > 0 {
-		t.Errorf("load %v, %d reservations of connections that have ended", s.load, len(s.reservations))
+		t.Errorf("load %v and %d reservations after all connections have ended, want 0.2 and none", s.load,
+			len(s.reservations))
 	}
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -17,20 +17,20 @@
 			for attempt := range 2 {
 				s = h.wantAttempt(h.endAttempt("r", attempt, s, code, false))
 				if slices.Contains(seen, s) {
-					t.Fatalf("code %d: server %d attempted twice", code, s)
+					t.Fatalf("code %d: server %d was attempted twice", code, s)
 				}
 				seen = append(seen, s)
 			}
 			actions := h.endAttempt("r", 2, s, code, false)
 			if rejected, failed := countAnswers(actions); rejected != 1 || failed != 0 ||
 				len(actionsOf[StartAttempt](actions)) > 0 {
-				t.Fatalf("code %d: attempts ran out, got %v", code, actions)
+				t.Fatalf("code %d: got %v after the last attempt, want one rejection", code, actions)
 			}
 		})
 	}
 }
 
-// Every outcome of a first attempt, for each kind of request: it is retried, rejected or failed.
+// After each outcome of its first attempt, a request is retried, rejected or failed, depending on its idempotency.
 func TestOutcomesByIdempotency(t *testing.T) {
 	const retried, rejected, failed = "retried", "rejected", "failed"
 	for _, c := range []struct {
@@ -73,16 +73,16 @@
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 4)) // no second server in zone a
 	actions := h.endAttempt("r", 0, h.wantAttempt(h.request("r", zoneKeyedClass)), ServerError, false)
-	h.wantNoAttempt(actions, "a keyed request left its zone")
+	h.wantNoAttempt(actions, "no other server of the key scope is left")
 	if r, f := countAnswers(actions); r != 0 || f != 1 {
-		t.Fatalf("want a failure, got %v", actions)
+		t.Fatalf("got %v, want a failure", actions)
 	}
 
 	h = newHarness(t, settings())
-	h.replaceList(servers(6, 0)) // cells of two: 1 2, 3 4, 5 6
+	h.replaceList(servers(6, 0)) // three cells: servers 1 and 2, 3 and 4, 5 and 6
 	s := h.wantAttempt(h.request("c", cellKeyedClass))
 	if n := h.wantAttempt(h.endAttempt("c", 0, s, Reset, false)); (n+1)/2 != (s+1)/2 {
-		t.Fatalf("a request keyed by cell went from %d to %d", s, n)
+		t.Fatalf("a request with ScopeCell was sent to server %d, then retried on %d of another cell", s, n)
 	}
 
 	set := settings()
@@ -91,7 +91,7 @@
 	h.replaceList(servers(6, 0))
 	s = h.wantAttempt(h.request("w", fleetKeyedClass))
 	h.now += 1500 * time.Millisecond
-	h.wantNoAttempt(h.endAttempt("w", 0, s, ServerError, false), "sent again outside the window")
+	h.wantNoAttempt(h.endAttempt("w", 0, s, ServerError, false), "the retry would be after DedupWindow")
 }
 
 func TestAttemptTimeoutsLeaveTimeForRetries(t *testing.T) {
@@ -102,7 +102,7 @@
 	for attempt := range 3 {
 		p := actionsOf[StartAttempt](actions)[0]
 		if p.Timeout <= 0 || p.Timeout > left/time.Duration(3-attempt) {
-			t.Fatalf("try %d: waits %v of %v", attempt, p.Timeout, left)
+			t.Fatalf("attempt %d: time-out %v leaves too little of %v for the retries", attempt, p.Timeout, left)
 		}
 		h.now += p.Timeout
 		left -= p.Timeout
@@ -110,7 +110,8 @@
 	}
 }
 
-// When a slow store delays the set-ups at all servers, attempts wait longer: another server would not be quicker.
+// When set-ups are slow at all servers, as with a slow session store, attempts get longer time-outs, as another server
+// would be no quicker.
 func TestAttemptTimeoutFollowsSetupTime(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(8, 0))
@@ -121,11 +122,11 @@
 	}
 	if p := actionsOf[StartAttempt](h.request("r", idempotentClass)); len(p) != 1 ||
 		p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
-		t.Fatalf("set-ups take 0.5 s, yet %v", p)
+		t.Fatalf("got %v, want a time-out of 900ms to 2s when set-ups take 500ms", p)
 	}
 }
 
-// Attempts that fail wherever they go must not become a retry storm on what all servers share.
+// When attempts fail at all servers, their retries must not overload the resources that all servers share.
 func TestThrottleLimitsAttemptsWhileMostFail(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(40, 0))
@@ -142,13 +143,13 @@
 		}
 	}
 	if sent > 10 {
-		t.Fatalf("%d dials sent while none stood", sent)
+		t.Fatalf("%d attempts started though all failed, want at most 10", sent)
 	}
 	h.tick(attemptDecayTime)
-	h.wantAttempt(h.request("later", idempotentClass)) // it is tried again when the failures have faded
+	h.wantAttempt(h.request("later", idempotentClass)) // attempts start again when the failure count has decayed
 }
 
-// Time-outs halve the window of the attempts that are dialing, for what all servers share.
+// Each time-out halves the limit of the attempts that are dialing, to protect the resources that all servers share.
 func TestTimeoutsHalveDialWindow(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(60, 0))
@@ -164,19 +165,20 @@
 		h.send(ClientDisconnected{ID: RequestID(id)})
 	}
 	if h.b.throttle.window > open/16 || h.b.throttle.dialing != 0 {
-		t.Fatalf("window %.1f of %.1f, %d attempts dialing", h.b.throttle.window, open, h.b.throttle.dialing)
+		t.Fatalf("window %.1f after six time-outs, %.1f before; %d attempts dialing, want 0", h.b.throttle.window, open,
+			h.b.throttle.dialing)
 	}
 	out := 0
 	for i := range 20 {
 		out += len(actionsOf[StartAttempt](h.request(name("q", i), idempotentClass)))
 	}
 	if out == 0 || out > int(open/16)+1 {
-		t.Fatalf("%d attempts dialing at once", out)
+		t.Fatalf("%d attempts dialing at the same time, want at least 1 and no more than the window", out)
 	}
 }
 
-// Attempts that never executed cost nothing that all servers share, and must not make a balancer hold back a burst of
-// clients before an idle server. Attempts that may have executed do.
+// Attempts that were never executed cause no work at the resources that all servers share. They must not throttle the
+// attempts of a burst of clients while a server is idle. Attempts that may have been executed throttle them.
 func TestOnlyPossibleExecutionsThrottle(t *testing.T) {
 	for _, c := range []struct {
 		code      Code
@@ -194,8 +196,8 @@
 			}
 			h.replaceList([]Server{{ID: 50, Zone: "a"}})
 			if out := len(actionsOf[StartAttempt](h.request("late", idempotentClass))); (out == 0) != c.throttled {
-				t.Errorf("after eight that ended with %v, %d were placed on a server that has just been added",
-					c.code, out)
+				t.Errorf("after eight attempts that ended with code %v, %d attempts started on a new server", c.code,
+					out)
 			}
 		})
 	}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newReportingHarness lists servers that report so many connections each at half load, and gives the balancer some
-// connections of its own.
+// newReportingHarness returns a harness with ten servers, each of which reports half load and perServer connections.
+// The balancer has own established connections.
 func newReportingHarness(t *testing.T, configured, perServer, own int) *harness {
 	t.Helper()
 	set := settings()
@@ -24,16 +24,16 @@
 	return h
 }
 
-// The balancers of a fleet whose configured size is wrong must not overload a warming server: reports show that
-// others have most of the connections.
+// The balancers of a fleet must not overload a warming server even if the configured fleet size is wrong. They correct
+// it by the load reports, which show how many connections other balancers have.
 func TestEstimatedZoneBalancers(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		configured int     // balancers in the settings
 		perServer  int     // connections that each server reports
 		own        int     // connections of this balancer
-		least      float64 // bounds of the estimate
-		most       float64
+		least      float64 // smallest accepted estimate
+		most       float64 // largest accepted estimate
 	}{
 		{name: "as configured", configured: 10, perServer: 40, own: 40, least: 10, most: 10},
 		{name: "ten times as many", configured: 10, perServer: 400, own: 40, least: 80, most: 100},
@@ -46,48 +46,51 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newReportingHarness(t, c.configured, c.perServer, c.own)
 			if got := h.b.estimatedZoneBalancers(); got < c.least || got > c.most {
-				t.Errorf("%.1f, want %.0f to %.0f", got, c.least, c.most)
+				t.Errorf("estimate %.1f, want %.0f to %.0f", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-// Where connections last longer than the default, a server with many of them accepts few per second.
+// The mean lifetime is estimated from connections that ended without breaking. The capacity of a server depends on it:
+// where connections last longer than defaultLifetime, a server accepts fewer per second.
 func TestMeanLifetime(t *testing.T) {
 	h := newReportingHarness(t, 1, 10, 100)
 	if got := h.b.lifetime.meanSeconds(); got != defaultLifetime.Seconds() {
-		t.Errorf("%.0f s before any connection has ended", got)
+		t.Errorf("%.0f s before any connection has ended, want defaultLifetime", got)
 	}
 	h.tick(30 * time.Second)
-	for i := range 10 { // one in ten within 30 s makes 300 s
+	for i := range 10 { // one connection in ten ends within 30 s, so the mean lifetime is 300 s
 		h.endAttempt(name("o", i), 0, ServerID(i%10+1), OK, true)
 	}
 	if got := h.b.lifetime.meanSeconds(); math.Abs(got-300) > 40 {
-		t.Errorf("%.0f s, where one in ten ended in 30 s", got)
+		t.Errorf("%.0f s when one connection in ten ended within 30 s, want about 300 s", got)
 	}
 	before := h.b.lifetime.meanSeconds()
 	for i := range 10 { // broken connections
 		h.endAttempt(name("o", 10+i), 0, ServerID(i%10+1), Reset, true)
 	}
 	if got := h.b.lifetime.meanSeconds(); got != before {
-		t.Errorf("%.0f s, %.0f before some broke", got, before)
+		t.Errorf("%.0f s after some connections broke, %.0f s before; want no change", got, before)
 	}
 }
 
-// After an outage, a rate at which all clients came within seconds does not show what a server accepts.
+// After an outage, all clients connect within seconds. This rate does not show how many connections a server accepts,
+// so the estimated capacity is limited by the number of established connections.
 func TestServerCapacityAfterBurst(t *testing.T) {
 	h := newReportingHarness(t, 1, 10, 100)
 	h.b.capacity.perSecond = 50
 	if got := h.b.serverCapacity(); math.Abs(got-100.0/(30*10*0.5)) > 0.1 {
-		t.Errorf("%.2f connections a second, 100 are established for 30 s at 10 servers half full", got)
+		t.Errorf("%.2f connections per second, want 0.67: 100 connections last 30 s at 10 servers with half load", got)
 	}
 	h.b.capacity.perSecond = 0.1
 	if got := h.b.serverCapacity(); got != 0.1 {
-		t.Errorf("%.2f a second where the recent rate is lower", got)
+		t.Errorf("%.2f connections per second, want the recent rate 0.1, which is lower", got)
 	}
 }
 
-// warmingHarness lists n warm servers and server 50, which has just started, and lets the balancer learn its rate.
+// warmingHarness returns a harness whose balancer has established ten connections per second at n warm servers. Then
+// server 50 has been added, which has just started.
 func warmingHarness(t *testing.T, set Settings, n int) *harness {
 	h := newHarness(t, set)
 	h.replaceList(servers(n, 0))
@@ -106,12 +109,13 @@
 	return h
 }
 
-// A burst must not overload a warming server: retries count, and quotas not drawn yet cannot be spent.
+// A burst of clients must not overload a warming server: each placement, retries included, uses up quota, and quotas of
+// later windows can't be used in advance.
 func TestWarmingServerGetsOnlyThisBalancersQuota(t *testing.T) {
 	h := warmingHarness(t, settings(), 9)
 	got := 0
 	for i := range 300 {
-		h.reportLoad(50, 0) // idle, so its report is the lightest
+		h.reportLoad(50, 0) // server 50 is idle, so it reports the lowest load
 		if h.establish(name("c", i), idempotentClass) == 50 {
 			got++
 		}
@@ -119,7 +123,7 @@
 	safety := settings().Safety
 	accepted := safety.SlowStartInitialCapacity * h.b.capacity.perSecond * safety.OverloadWindow.Seconds()
 	if most := 1 + slowStartSafetyFactor*safety.OverloadFactor*accepted; float64(got) > most {
-		t.Fatalf("%d of a burst of 300 were placed on the warming server, this balancer's quota is %.1f", got, most)
+		t.Fatalf("%d requests of a burst of 300 were placed on the warming server, want at most %.1f", got, most)
 	}
 	for i := range 40 {
 		h.now += 200 * time.Millisecond
@@ -129,16 +133,17 @@
 		}
 	}
 	if got < 2 || got > 30 {
-		t.Fatalf("%d of 40 in 8 s were placed on the warming server", got)
+		t.Fatalf("%d requests were placed on the warming server after 40 more in 8 s, want 2 to 30", got)
 	}
 	h.now += settings().Safety.SlowStartDuration
 	h.reportLoad(50, 0)
 	if h.establish("warm-now", idempotentClass) != 50 {
-		t.Fatal("the server is warm by now, yet gets nothing")
+		t.Fatal("the server is warm now, but the request was not placed on it")
 	}
 }
 
-// Quotas that many balancers have saved up would come together at one warming server.
+// Unused quotas expire. If many balancers accumulated theirs, they could use them at one warming server at the same
+// time and overload it.
 func TestSlowStartQuotaIsNotAccumulated(t *testing.T) {
 	const balancers = 30
 	sent := 0
@@ -154,22 +159,22 @@
 		}
 	}
 	if most := 3 * 0.65 * 2.0; float64(sent) > 1.5*most { // overload factor x capacity x overload window
-		t.Fatalf("%d connections at once, the server can take %.1f in the overload window", sent, most)
+		t.Fatalf("%d connections at the same time, the server tolerates %.1f within the overload window", sent, most)
 	}
 }
 
-// New servers must not stay idle while the others fill: no report of theirs is waited for.
+// A warming server must not stay idle while the other servers are nearly full, so it is used before its first report.
 func TestWarmingServerIsUsedWithoutReportWhenOthersFill(t *testing.T) {
 	h := warmingHarness(t, settings(), 4)
 	for id := ServerID(1); id <= 4; id++ {
 		h.reportLoad(id, 0.78)
 	}
 	if s := h.establish("r", idempotentClass); s != 50 {
-		t.Fatalf("placed on %d, the warming server is idle", s)
+		t.Fatalf("placed on %d, want the idle warming server 50", s)
 	}
 }
 
-// Only the balancers of its own zone share a warming server's budget.
+// Only the balancers of its own zone share a warming server's budget, so those of other zones send it no requests.
 func TestWarmingServersOfOtherZonesGetNothing(t *testing.T) {
 	h := warmingHarness(t, settings(), 4)
 	list := servers(4, 0)
@@ -196,6 +201,7 @@
 		sent += len(actionsOf[StartAttempt](h.request(name("r", i), idempotentClass)))
 	}
 	if sent > len(list) {
-		t.Fatalf("%d requests at once to %d warming servers", sent, len(list))
+		t.Fatalf("%d requests were sent to %d warming servers at the same time, want at most one to each", sent,
+			len(list))
 	}
 }
