--- a/decide/api.go
+++ b/decide/api.go
@@ -52,8 +52,8 @@
 
 // SafetyLimits are limits that the decisions must not exceed.
 type SafetyLimits struct {
-	DrainGrace               time.Duration // after this time, nothing may be sent to a draining server
-	MaxPollInterval          time.Duration // longest time between two polls of discovery; 0: no limit
+	DrainGrace               time.Duration // nothing may be sent to a server that has been draining for longer
+	MaxPollInterval          time.Duration // intended limit of the time between two polls; see pollInterval; 0: none
 	SlowStartInitialCapacity float64       // fraction of its full capacity that a server has at its start, from 0 to 1
 	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
 	OverloadFactor           float64       // multiple of its present capacity that overloads a warming server
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -39,7 +39,8 @@
 }
 
 // pollInterval returns the time between two polls. It grows with the fleet, so that one discovery service can answer
-// the calls of all balancers.
+// the calls of all balancers. Safety.MaxPollInterval is not a limit of it, despite its name: the interval is at least
+// that long, and the time for the fleet is added.
 func (b *Balancer) pollInterval() time.Duration {
 	perFleet := time.Duration(b.fleet.Fleet) * pollIntervalPerBalancer
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + perFleet
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -114,22 +114,22 @@
 // All balancers migrate the same groups off an overloaded server: those that prefer it least. Otherwise every group
 // would lose a few connections there, and the server would still have the cost of all groups.
 func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
-	const groupsHeld, each = 6, 2
+	const groupCount, each = 6, 2
 	migrated := map[string]int{}
 	for seed := range uint64(20) {
 		set := affinitySettings()
 		set.Seed = seed
 		h := newHarness(t, set)
 		h.replaceList(servers(4, 0))
-		in := map[RequestID]string{}
-		for i := range groupsHeld * each {
-			id, group := RequestID(name("r", i)), name("g", i%groupsHeld)
-			in[id] = group
+		groupOf := map[RequestID]string{}
+		for i := range groupCount * each {
+			id, group := RequestID(name("r", i)), name("g", i%groupCount)
+			groupOf[id] = group
 			h.send(ConnectionRestored{Request: RequestArrived{ID: id, Group: group}, Server: 1})
 		}
 		h.reportLoad(1, 1.05)
 		for _, m := range actionsOf[Migrate](h.tick(tickInterval)) {
-			migrated[in[m.ID]]++
+			migrated[groupOf[m.ID]]++
 		}
 	}
 	most, all := 0, 0
@@ -138,7 +138,7 @@
 	}
 	if len(migrated) > 2 || most < 20*each {
 		t.Errorf("20 balancers migrated %d connections of %d of %d groups, at most %d of one group", all, len(migrated),
-			groupsHeld, most)
+			groupCount, most)
 	}
 }
 
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -210,8 +210,8 @@
 // eligible reports whether the request may be sent to a server now.
 func (p *placement) eligible(s *server) bool {
 	p.visits++
-	lostByClient := p.client.avoid && s.ID == p.client.server
-	return !lostByClient && p.now >= s.ejectedUntil && !p.saturated(s) && p.mayAttempt(p.request, s)
+	avoidedByClient := p.client.avoid && s.ID == p.client.server
+	return !avoidedByClient && p.now >= s.ejectedUntil && !p.saturated(s) && p.mayAttempt(p.request, s)
 }
 
 // belowSaturation reports whether a server is eligible and its load, by a recent report, is below saturation. If the
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -14,7 +14,8 @@
 
 // Limits of the on-demand probes that are made for requests.
 const (
-	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet.
+	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. It is
+	// also the least time between two probes of a server without a report.
 	maxOnDemandProbeInterval = 2 * time.Second
 	// minOnDemandProbeInterval is the same age in a large fleet. The load in a newer report would hardly differ.
 	minOnDemandProbeInterval = 250 * time.Millisecond
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -72,8 +72,8 @@
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
 		// The balancer's share of the connections that the server tolerates within the window, if all balancers have
-		// the same demand. It is used where it is larger, up to 1: the quota above is often far below 1, so most
-		// balancers draw 0, and many of those that draw 1 have no request for the server.
+		// the same demand. It is used where it is larger, but only up to 1. With the quota above alone, some balancers
+		// would draw a quota and then have no request for the server, while others have requests and drew no quota.
 		tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
 		quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 	}
