--- a/decide/placement.go
+++ b/decide/placement.go
@@ -237,6 +237,7 @@
 // eligibleWarming reports whether a server is warming up and eligible.
 func (p *placement) eligibleWarming(s *server) bool { return p.warming(s) && p.eligible(s) }
 
+// saturatedOrWarming reports whether a server is short of capacity. A warming server has only a part of its capacity.
 func (p *placement) saturatedOrWarming(s *server) bool { return p.saturated(s) || p.warming(s) }
 
 // lastResort reports whether the request may be sent to a server even if it is ejected or the client avoids it.
