--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -2,14 +2,14 @@
 
 import "cottonplank/decide"
 
-// idempotencies are the values of repeat.
+// idempotencies maps the values of the key repeat.
 var idempotencies = map[string]decide.Idempotency{
 	"idempotent":   decide.Idempotent,
 	"deduplicated": decide.IdempotentByKey,
 	"at_most_once": decide.NotIdempotent,
 }
 
-// keyScopes are the values of key_scope.
+// keyScopes maps the values of the key key_scope. The key may be missing.
 var keyScopes = map[string]decide.KeyScope{
 	"":     decide.ScopeAll,
 	"all":  decide.ScopeAll,
@@ -17,7 +17,7 @@
 	"cell": decide.ScopeCell,
 }
 
-// classFile is a class of requests, which the platform calls a profile.
+// classFile is one request class: an element of settings.profiles.
 type classFile struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim_s"`
@@ -27,7 +27,7 @@
 	DedupWindow      float64 `json:"window_s"`
 }
 
-// decode validates and converts the class; keys in errors are relative to it.
+// decode validates and converts the class. Keys in errors are relative to the class, for example aim_s.
 func (f classFile) decode() (decide.Class, error) {
 	idempotency, known := idempotencies[f.Idempotency]
 	if !known {
@@ -41,7 +41,7 @@
 		return decide.Class{}, missing("name")
 	}
 	if !(f.LatencyObjective > 0) {
-		return decide.Class{}, invalid("aim_s", f.LatencyObjective, "is not above 0")
+		return decide.Class{}, invalid("aim_s", f.LatencyObjective, "is out of range: expected a value above 0")
 	}
 	if err := checkAll([]boundedValue{
 		{"aim_s", f.LatencyObjective, maxSeconds},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config is the one place where the configuration is read, validated and given defaults: the PROXY_* variables,
-// the JSON file that PROXY_CONFIG names, the fronts file and the configuration of a control-plane server. An invalid
-// setting is reported as a FieldError with its key and its value.
+// Package config reads and validates the configuration and sets its defaults; no other package does. The sources are
+// the PROXY_* variables, the JSON file that PROXY_CONFIG names, the fronts file and the configuration file of a
+// control-plane server. An invalid setting is reported as a FieldError with its key and, unless it is a secret, its
+// value.
 package config
 
 import (
@@ -15,7 +16,7 @@
 	"cottonplank/internal/discovery/httpsource"
 )
 
-// Environment variables. All but the first override the file.
+// Environment variables. All but PROXY_CONFIG override the setting of the same meaning in the configuration file.
 const (
 	variableConfig     = "PROXY_CONFIG" // path of the configuration file
 	variableName       = "PROXY_NAME"
@@ -26,41 +27,41 @@
 
 // Values of membership_mode.
 const (
-	modeAutomatic = "automatic" // discovery pushes its lists
+	modeAutomatic = "automatic" // see Config.ListPushed
 	modeSubscribe = "subscribe"
 )
 
-// The platform kills a process a fixed time after the longest timeout of its clients.
+// After SIGTERM the platform kills a process with SIGKILL, a fixed time after the longest client timeout.
 const (
-	maxShutdownTimeout = 3 * time.Second        // client timeouts count up to this
+	maxShutdownTimeout = 3 * time.Second        // the platform counts longer client timeouts as this
 	killDelay          = 700 * time.Millisecond // from the longest client timeout to SIGKILL
-	exitMargin         = 300 * time.Millisecond // part of killDelay that is kept for the exit itself
+	exitMargin         = 300 * time.Millisecond // reserved within killDelay for the exit of the process
 )
 
 // Config is the balancer's configuration.
 type Config struct {
 	Name       string
-	Listen     string // client address
+	Listen     string // address at which clients are accepted
 	Management string // management address; empty: off
 	Discovery  string // address of the discovery service
 	Settings   decide.Settings
-	ListPushed bool     // whether discovery pushes its lists: a change counts as observed once discovery has it
+	ListPushed bool     // whether a change of the endpoint list is binding as soon as discovery has it
 	Tenants    []string // tenants that requests may name; empty: any
 
 	KnownEndpoints  []core.Endpoint // the last endpoint list known before the start
 	KnownGeneration int64           // generation of that list
 
-	// The limits of the process, and the parts in which the subsystems use them.
+	// The limits of the process, and their division among the subsystems.
 	Cores              float64
 	MemoryMB           int
 	DescriptorLimit    int // open file descriptors of the process
-	ConnDescriptors    int // for client connections and their dials
-	DialReserve        int // part of ConnDescriptors that only dials may use
-	MaxProbeConns      int // connections that are kept for probes
+	ConnDescriptors    int // descriptors for client connections and for dials to room servers
+	DialReserve        int // number of the ConnDescriptors that only dials may use
+	MaxProbeConns      int // connections that are kept open for probes
 	MaxManagementConns int // connections to the management address
 	MaxClients         int // pending requests and established connections together
 
-	ShutdownBudget time.Duration // from SIGTERM until the last connection is migrated
+	ShutdownBudget time.Duration // time from SIGTERM within which the last connection has to be migrated
 }
 
 // configFile is the JSON file that PROXY_CONFIG names; unknown keys are ignored.
@@ -81,11 +82,12 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads the configuration that the environment names.
+// Load reads the configuration file that PROXY_CONFIG names; the other PROXY_* variables override it.
 func Load() (*Config, error) { return load(os.Getenv) }
 
-// Reload reads the configuration again. The file's discovery address overrides PROXY_DISCOVERY, which only tells where
-// discovery was at the start. The caller applies Discovery alone, but an error in any setting fails the reload.
+// Reload reads the configuration again, but ignores PROXY_DISCOVERY: that variable is the discovery address at the
+// start, and the file may name a newer one. The caller applies only Config.Discovery, but an error in any setting fails
+// the reload.
 func Reload() (*Config, error) {
 	return load(func(key string) string {
 		if key == variableDiscovery {
@@ -107,7 +109,7 @@
 	return Parse(raw, getenv)
 }
 
-// Parse parses the configuration file; variables for which getenv returns a value override it.
+// Parse parses and validates the configuration file. A variable for which getenv returns a value overrides its setting.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -127,7 +129,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, invalid("seed", file.Seed, "is no hexadecimal number of 64 bits")
+		return nil, invalid("seed", file.Seed, "is invalid: expected a 64-bit hexadecimal number")
 	}
 	if err := c.applyLimits(); err != nil {
 		return nil, err
@@ -172,7 +174,7 @@
 	return checkAddress("management", c.Management)
 }
 
-// setKnownEndpoints decodes the list that the process starts with, if the file has one.
+// setKnownEndpoints decodes the endpoint list that the process starts with, if the file has one.
 func (c *Config) setKnownEndpoints(raw json.RawMessage) error {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// shutdownBudget returns how long a graceful shutdown may take before the platform kills the process.
+// shutdownBudget returns how long a graceful shutdown may take, so that the process exits before the platform kills it.
 func shutdownBudget(classes []decide.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,16 +40,16 @@
 		class.Idempotency != decide.Idempotent {
 		t.Errorf("%+v", class)
 	}
-	if c.ShutdownBudget != 1600*time.Millisecond { // 1.2 s and 0.7 s until SIGKILL, less the margin
+	if c.ShutdownBudget != 1600*time.Millisecond { // client timeout 1.2 s, killDelay, less exitMargin
 		t.Errorf("shutdown budget %v", c.ShutdownBudget)
 	}
 	c, err = Parse([]byte(validConfig), func(key string) string { return map[string]string{"PROXY_NAME": "n9"}[key] })
 	if err != nil || c.Name != "n9" || c.Management != "" {
-		t.Errorf("PROXY_NAME is ignored, or management is on: %v", err)
+		t.Errorf("PROXY_NAME is ignored, or there is a management address: %v", err)
 	}
 }
 
-// Errors name the key and the value.
+// An error names the key and the value that it rejects.
 func TestParseReportsInvalidKeys(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`"n3"`, `""`, "name"},
@@ -64,9 +64,9 @@
 		{`"aim_s":0.3`, `"aim_s":0`, "settings.profiles[0].aim_s: 0"},
 		{`"idempotent"`, `"maybe"`, `settings.profiles[0].repeat: unknown value "maybe"`},
 		{`"fall_s":1`, `"fall_s":"x"`, "settings.rules.fall_s"},
-		{`"fall_s":1`, `"fall_s":-1`, "settings.rules.fall_s: -1 is not from 0"},
+		{`"fall_s":1`, `"fall_s":-1`, "settings.rules.fall_s: -1 is out of range: expected 0 to"},
 		{`"fall_s":1`, `"fall_s":1e300`, "settings.rules.fall_s: 1e+300"},
-		{`"fall_s":1`, `"cold_share":1.5`, "settings.rules.cold_share: 1.5 is not from 0 to 1"},
+		{`"fall_s":1`, `"cold_share":1.5`, "settings.rules.cold_share: 1.5 is out of range: expected 0 to 1"},
 		{`"balancers":3`, `"balancers":-3`, "settings.balancers: -3"},
 		{`"balancers":3`, `"balancers":1000000000`, "settings.balancers: 1e+09"},
 		{`"balancers":3`, `"balancers":2.5`, "settings.balancers"},
@@ -76,13 +76,13 @@
 		t.Run(test.want, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(validConfig, test.old, test.new, 1)), emptyEnvironment)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s for %s: %v, want it to name %s", test.new, test.old, err, test.want)
+				t.Errorf("%s in place of %s: error %v, want one that contains %s", test.new, test.old, err, test.want)
 			}
 		})
 	}
 }
 
-// The fleet size may be missing or 0: each balancer then acts as if it were alone.
+// The fleet size may be missing or 0. The decision module then treats the balancer as the only one.
 func TestParseWithoutFleetSize(t *testing.T) {
 	for _, setting := range []string{`"balancers":0,`, ``} {
 		c, err := Parse([]byte(strings.Replace(validConfig, `"balancers":3,`, setting, 1)), emptyEnvironment)
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -13,25 +13,25 @@
 	"cottonplank/internal/session/token"
 )
 
-// ControlPlane configures how to follow the control-plane servers. No servers: off.
+// ControlPlane configures a follower of control-plane servers. Without Servers it is off.
 type ControlPlane struct {
-	Servers   []replica.Server
-	Region    string // the own region, whose servers are preferred
-	Site      string // the same at all that share the keys
+	Servers   []replica.Server // control-plane servers to follow
+	Region    string           // own region; its control-plane servers are preferred
+	Site      string           // name of the site; all processes that share the keys have the same
 	KeysFile  string
-	StateFile string // keeps the last version over a restart
+	StateFile string // stores the last version, which is read after a restart
 }
 
-// ControlServer is the configuration of a control-plane server: the leader, which reads a document, or a follower of
-// other servers.
+// ControlServer is the configuration of a control-plane server. The server is either the leader, which publishes
+// DocumentFile, or a follower of the control-plane servers in Servers.
 type ControlServer struct {
 	Listen       string
-	DocumentFile string // empty at a follower
-	Term         uint64 // the leader's term; 0 at a follower
+	DocumentFile string // empty for a follower
+	Term         uint64 // the leader's term; 0 for a follower
 	ControlPlane
 }
 
-// maxControlServers bounds the control-plane servers of a configuration.
+// maxControlServers is the maximum number of control-plane servers in a configuration.
 const maxControlServers = 64
 
 // controlPlaneFile is the section control of a fronts file.
@@ -49,7 +49,8 @@
 }
 
 // controlServerFile is the configuration file of a control-plane server; unknown keys are rejected. It repeats the
-// keys of controlPlaneFile: the JSON decoder's errors would name an embedded struct as part of the key.
+// fields of controlPlaneFile instead of embedding it, because the JSON decoder's errors would include the name of the
+// embedded struct in the key.
 type controlServerFile struct {
 	Servers  []controlServerAddress `json:"machines"`
 	Region   string                 `json:"region"`
@@ -65,7 +66,7 @@
 	return controlPlaneFile{Servers: f.Servers, Region: f.Region, Site: f.Site, Keys: f.Keys, State: f.State}
 }
 
-// decode validates the section; paths in it are relative to base.
+// decode validates and converts the section; paths in it are relative to base.
 func (f controlPlaneFile) decode(base string) (ControlPlane, error) {
 	for _, required := range []struct{ key, value string }{{"region", f.Region}, {"keys", f.Keys}, {"state", f.State}} {
 		if required.value == "" {
@@ -90,7 +91,7 @@
 
 func (f controlPlaneFile) decodeServers() ([]replica.Server, error) {
 	if len(f.Servers) > maxControlServers {
-		return nil, invalid("machines", len(f.Servers), fmt.Sprintf("of them, %d at most", maxControlServers))
+		return nil, invalid("machines", len(f.Servers), fmt.Sprintf("entries found, expected at most %d", maxControlServers))
 	}
 	var servers []replica.Server
 	seen := map[string]bool{}
@@ -100,7 +101,7 @@
 			return nil, err
 		}
 		if seen[server.Address] {
-			return nil, invalid(addressKey, server.Address, "is there twice")
+			return nil, invalid(addressKey, server.Address, "is a duplicate: expected each address once")
 		}
 		if server.Region == "" {
 			return nil, missing(fmt.Sprintf("machines[%d].region", i))
@@ -111,7 +112,8 @@
 	return servers, nil
 }
 
-// LoadControlServer reads a control-plane server's configuration; the paths in it are relative to its folder.
+// LoadControlServer reads the configuration file of a control-plane server. Paths in the file are relative to the
+// file's folder.
 func LoadControlServer(path string) (ControlServer, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -132,7 +134,7 @@
 		return ControlServer{}, decodeError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return ControlServer{}, errors.New("more follows the configuration")
+		return ControlServer{}, errors.New("unexpected data after the configuration")
 	}
 	if err := checkAddress("listen", file.Listen); err != nil {
 		return ControlServer{}, err
@@ -150,23 +152,25 @@
 	return server, server.checkRole()
 }
 
-// checkRole accepts either a leader, which has a document and a term, or a follower, which has other servers to follow.
+// checkRole checks that the server is either a leader, with a document and a term, or a follower, with other
+// control-plane servers to follow and neither of the two.
 func (s ControlServer) checkRole() error {
 	isLeader := s.DocumentFile != ""
 	if isLeader == (len(s.Servers) > 0) {
-		reason := "one of both is expected: what it writes, or whom it follows"
+		reason := "expected exactly one of the two: file for a leader, machines for a follower"
 		return &FieldError{Key: "file, machines", Reason: reason}
 	}
 	if isLeader != (s.Term > 0) {
-		return invalid("term", s.Term, "is invalid: above 0 is expected beside file, and nothing beside machines")
+		return invalid("term", s.Term, "is invalid: expected above 0 with file (leader), none with machines (follower)")
 	}
 	for i, other := range s.Servers {
 		if other.Address == s.Listen {
-			return invalid(fmt.Sprintf("machines[%d].address", i), other.Address, "is its own")
+			return invalid(fmt.Sprintf("machines[%d].address", i), other.Address, "is this server's own address")
 		}
 	}
 	return nil
 }
 
-// LoadRing reads the keys that control-plane servers and their followers share.
+// LoadRing reads the keys that the control-plane servers and their followers share. It returns an error if none of the
+// keys can seal now.
 func (c ControlPlane) LoadRing() (*token.Ring, error) { return loadRing(c.KeysFile, peerKeyGrace) }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,26 +7,26 @@
 	"reflect"
 )
 
-// ErrNoConfigFile says that the environment does not name a configuration file.
+// ErrNoConfigFile reports that the environment does not name a configuration file.
 var ErrNoConfigFile = errors.New("PROXY_CONFIG is not set")
 
 // FieldError reports a setting that is missing or invalid.
 type FieldError struct {
 	Key    string // path of the setting as the file spells it, e.g. settings.profiles[0].aim_s
 	Value  any    // the rejected value; nil if it is missing, or a secret that must not be printed
-	Reason string // what is wrong with the value
-	Err    error  // the cause, in place of Value and Reason, if another package has rejected the setting
+	Reason string // what is wrong with the value, and usually what is accepted
+	Err    error  // the cause if another package rejected the setting; Value and Reason are then unused
 }
 
 // Reasons that several settings share.
 const (
-	reasonMissing      = "is missing"
-	reasonNoAddress    = "is no address and port"
-	reasonUnknownValue = "unknown value" // the only reason that is printed before the value
-	reasonBelowZero    = "is below 0"
+	reasonMissing        = "required setting is missing or empty"
+	reasonInvalidAddress = "is not a valid address: expected IP:PORT"
+	reasonUnknownValue   = "unknown value" // the only reason that is printed before the value
+	reasonBelowZero      = "is out of range: expected 0 or more"
 )
 
-// Error names the key, the value, unless it is missing or a secret, and the reason.
+// Error returns the key, the value and the reason. A value that is missing or a secret is left out.
 func (e *FieldError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%s: %v", e.Key, e.Err)
@@ -44,10 +44,11 @@
 	return fmt.Sprintf("%s: %s %s", e.Key, value, e.Reason)
 }
 
-// Unwrap returns the cause, if another package has rejected the setting.
+// Unwrap returns the cause if another package rejected the setting, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// InSection prefixes the key of a FieldError with the section that holds it; other errors get the same prefix as text.
+// InSection prefixes the key of a FieldError with the name of the section that contains the key. The text of any other
+// error gets the same prefix.
 func InSection(section string, err error) error {
 	field, isField := err.(*FieldError)
 	if !isField {
@@ -64,17 +65,18 @@
 
 func missing(key string) error { return &FieldError{Key: key, Reason: reasonMissing} }
 
-// decodeError turns an error of the JSON decoder into a FieldError if it is about one key.
+// decodeError converts an error of the JSON decoder. The result is a FieldError if a setting has the wrong type.
 func decodeError(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
-		reason := fmt.Sprintf("%s was expected, found %s", describeType(mismatch.Type), mismatch.Value)
+		reason := fmt.Sprintf("expected %s, found %s", describeType(mismatch.Type), mismatch.Value)
 		return &FieldError{Key: mismatch.Field, Reason: reason}
 	}
 	return fmt.Errorf("configuration: %w", err)
 }
 
-// describeType names a type in an error. The Go name of an object's type would tell an operator nothing.
+// describeType returns the name of a type for an error text. A struct is called an object, because operators know the
+// types of JSON but not the Go types of this package.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -82,6 +84,6 @@
 	case reflect.Slice:
 		return "a list"
 	default:
-		return "a " + t.String()
+		return "a value of type " + t.String()
 	}
 }
--- a/internal/config/fronts.go
+++ b/internal/config/fronts.go
@@ -9,18 +9,18 @@
 	"cottonplank/decide"
 )
 
-// Fronts is the content of a fronts file: what a deployment switches on in addition to the platform's line protocol.
-// A section that is missing is off.
+// Fronts is the content of a fronts file: the optional features that a deployment switches on in addition to the
+// platform's line protocol. A feature whose section is missing is off.
 type Fronts struct {
 	QUIC         QUIC
 	SNMP         SNMP
 	Sessions     Sessions
-	EndpointFile string // lists the room servers in place of discovery; empty: off
+	EndpointFile string // file that lists the room servers, used instead of discovery; empty: off
 	ControlPlane ControlPlane
 	Membership   Membership
 }
 
-// SNMP configures the SNMP agent. An empty Listen is off.
+// SNMP configures the SNMP agent. An empty Listen switches it off.
 type SNMP struct {
 	Listen    string
 	Community string
@@ -44,7 +44,7 @@
 	Path string `json:"file"`
 }
 
-// LoadFronts reads a fronts file; without a path everything is off.
+// LoadFronts reads a fronts file. If path is empty, all of its features are off.
 func LoadFronts(path string, classes []decide.Class) (Fronts, error) {
 	if path == "" {
 		return Fronts{}, nil
@@ -60,7 +60,8 @@
 	return fronts, nil
 }
 
-// ParseFronts parses a fronts file; the paths in it are relative to base.
+// ParseFronts parses and validates a fronts file. Paths in it are relative to the folder base; a request class has to
+// be one of classes.
 func ParseFronts(raw []byte, classes []decide.Class, base string) (Fronts, error) {
 	var file frontsFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -106,7 +107,8 @@
 	return SNMP(f), nil
 }
 
-// decodeControlPlane validates the section, which excludes an endpoint file.
+// decodeControlPlane validates and converts the section control. It rejects an endpoint file beside the section,
+// because the control plane provides the endpoint list.
 func (f frontsFile) decodeControlPlane(base string) (ControlPlane, error) {
 	controlPlane, err := f.ControlPlane.decode(base)
 	if err != nil {
@@ -116,7 +118,7 @@
 		return ControlPlane{}, missing("control.machines")
 	}
 	if f.EndpointFile.Path != "" {
-		reason := "both would list the room servers, one of them is expected"
+		reason := "both provide the list of room servers: expected only one of the two sections"
 		return ControlPlane{}, &FieldError{Key: "control, rooms", Reason: reason}
 	}
 	return controlPlane, nil
--- a/internal/config/fronts_test.go
+++ b/internal/config/fronts_test.go
@@ -31,11 +31,11 @@
 	}
 	f, err = ParseFronts([]byte(`{}`), classes, "/etc")
 	if err != nil || f.QUIC.Listen != "" || f.SNMP.Listen != "" || f.Sessions.KeysFile != "" {
-		t.Errorf("nothing switched on gives %+v, %v", f, err)
+		t.Errorf("an empty file: %+v, %v; want everything off", f, err)
 	}
 }
 
-// Errors name the key and the value.
+// An error names the key and the value that it rejects.
 func TestParseFrontsReportsInvalidKeys(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	for _, test := range []struct{ old, new, want string }{
@@ -59,7 +59,7 @@
 		t.Run(test.want, func(t *testing.T) {
 			_, err := ParseFronts([]byte(strings.Replace(validFronts, test.old, test.new, 1)), classes, "/etc")
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s for %s: %v, want it to name %s", test.new, test.old, err, test.want)
+				t.Errorf("%s in place of %s: error %v, want one that contains %s", test.new, test.old, err, test.want)
 			}
 		})
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,24 +7,25 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// An accepted configuration has everything that the program needs.
+// Parse accepts no configuration without a request class, a listen address or room for clients, and does not panic.
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(validConfig))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Parse(raw, emptyEnvironment)
 		if err == nil && (len(c.Settings.Classes) == 0 || c.MaxClients <= 0 || c.Listen == "") {
-			t.Errorf("%q is accepted as %+v", raw, c)
+			t.Errorf("the incomplete configuration %q is accepted as %+v", raw, c)
 		}
 	})
 }
 
+// ParseFronts accepts no QUIC frontend with a reset key that is too short, or without an idle timeout.
 func FuzzParseFronts(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(validFronts))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		fronts, err := ParseFronts(raw, []decide.Class{{Name: "solo-play"}}, "/etc")
 		quic := fronts.QUIC
 		if err == nil && quic.Listen != "" && (len(quic.ResetKey) < minResetKeyLength || quic.IdleTimeout <= 0) {
-			t.Errorf("%q is accepted as %+v", raw, fronts)
+			t.Errorf("the invalid fronts file %q is accepted as %+v", raw, fronts)
 		}
 	})
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,24 +10,25 @@
 	"cottonplank/internal/session/token"
 )
 
-// peerKeyGrace is how long keys between peers, and between control-plane servers and followers, are accepted after
-// their end; the ring adds a margin for clocks that differ.
+// peerKeyGrace is how long a key that cluster members, or control-plane servers and their followers, share is accepted
+// after its not_after. The ring adds a margin for differing clocks.
 const peerKeyGrace = time.Minute
 
-// othersAccess are the permissions that give others than its owner access to a file.
-const othersAccess fs.FileMode = 0o077
+// groupAndOtherAccess are the permission bits of a file for everybody but its owner.
+const groupAndOtherAccess fs.FileMode = 0o077
 
-// errNoSealingKey says that none of a file's keys is valid now.
-var errNoSealingKey = errors.New("no key seals now, see not_before and not_after")
+// errNoSealingKey reports that no key of a keys file can seal at the current time.
+var errNoSealingKey = errors.New("no key can seal now: check not_before and not_after")
 
-// LoadKeys reads a keys file. It rejects one that others than its owner may read or write: a key can make valid tokens.
+// LoadKeys reads a keys file. It rejects a file that anybody but its owner may access, because whoever has a key can
+// create valid tokens.
 func LoadKeys(path string) ([]token.Key, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, keysError(err)
 	}
-	if mode := info.Mode().Perm(); mode&othersAccess != 0 {
-		return nil, keysError(fmt.Errorf("%s: others than its owner have access (mode %04o), 0600 is expected", path,
+	if mode := info.Mode().Perm(); mode&groupAndOtherAccess != 0 {
+		return nil, keysError(fmt.Errorf("%s: accessible to group or others (mode %04o): expected mode 0600", path,
 			mode))
 	}
 	raw, err := os.ReadFile(path)
@@ -41,7 +42,8 @@
 	return keys, nil
 }
 
-// loadRing reads a keys file, one of whose keys has to be valid now. Keys are accepted for grace after their end.
+// loadRing reads a keys file. One of its keys has to be able to seal now. Each key is accepted for grace after its
+// not_after.
 func loadRing(path string, grace time.Duration) (*token.Ring, error) {
 	keys, err := LoadKeys(path)
 	if err != nil {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,7 +7,7 @@
 	"runtime/debug"
 )
 
-// Limits of the process where the configuration sets none.
+// Limits of the process that apply if the configuration sets none, and the smallest descriptor limit that it may set.
 const (
 	defaultCores           = 1
 	defaultMemoryMB        = 192
@@ -15,7 +15,8 @@
 	minDescriptorLimit     = 128
 )
 
-// goMemoryFraction is the part of the memory limit that the Go runtime gets; the rest is memory that it does not count.
+// goMemoryFraction is the fraction of the memory limit that the Go runtime may use. The rest is for memory that the
+// runtime does not count.
 const goMemoryFraction = 0.7
 
 // The division of the file descriptors.
@@ -23,24 +24,29 @@
 	// spareDescriptors are for discovery, listeners, the log and the runtime.
 	spareDescriptors = 16
 
-	// Connections that are kept for probes: one descriptor in probeDivisor, within these bounds.
+	// The number of connections that are kept open for probes is the descriptor limit divided by probeDivisor, but at
+	// least minProbeConns and at most maxProbeConns.
 	probeDivisor  = 8
 	minProbeConns = 24
 	maxProbeConns = 128
 
-	// managementDescriptors are reserved for the management address, if there is one.
+	// managementDescriptors are reserved for the management address if the configuration sets one.
 	managementDescriptors = 24
-	// managementOverhead counts its listener, and the connection that is accepted before an older one is closed.
+	// managementOverhead is the number of managementDescriptors that serve no connection: one for the listener, and one
+	// for a new connection, which is accepted before the oldest one is closed.
 	managementOverhead = 2
 
-	// dialDivisor: of the remaining descriptors one in so many is reserved for dials; no client is accepted with it.
+	// The remaining descriptors divided by dialDivisor are reserved for dials to room servers; no client is accepted
+	// with them.
 	dialDivisor = 8
-	// rejectDivisor: one in so many, and minRejectDescriptors at least, is for clients that are answered at once and not
-	// placed. Without it clients past the limit would lie unanswered in the listener's backlog.
+	// The remaining descriptors divided by rejectDivisor, but at least minRejectDescriptors, are for clients beyond the
+	// limit, which are rejected at once. Without these descriptors such clients would wait unanswered in the listener's
+	// backlog.
 	rejectDivisor        = 32
 	minRejectDescriptors = 4
 
-	// minConnDescriptors are left to a process for client connections and dials while another one runs beside it.
+	// minConnDescriptors is the minimum for client connections and dials of a process while another one runs beside it,
+	// during a hot restart.
 	minConnDescriptors = 24
 )
 
@@ -50,7 +56,7 @@
 		return invalid("limits.cores", c.Cores, reasonBelowZero)
 	}
 	if c.MemoryMB < 0 || c.DescriptorLimit < 0 {
-		reason := fmt.Sprintf("memory_mb %d or sockets %d is below 0", c.MemoryMB, c.DescriptorLimit)
+		reason := fmt.Sprintf("memory_mb %d, sockets %d: expected 0 or more for each", c.MemoryMB, c.DescriptorLimit)
 		return &FieldError{Key: "limits", Reason: reason}
 	}
 	if c.Cores == 0 {
@@ -63,14 +69,14 @@
 		c.DescriptorLimit = defaultDescriptorLimit
 	}
 	if c.DescriptorLimit < minDescriptorLimit {
-		reason := fmt.Sprintf("is too few, %d at least", minDescriptorLimit)
+		reason := fmt.Sprintf("is out of range: expected at least %d", minDescriptorLimit)
 		return invalid("limits.sockets", c.DescriptorLimit, reason)
 	}
 	c.splitDescriptors(0)
 	return nil
 }
 
-// splitDescriptors divides the descriptors among the subsystems; each QUIC flow takes one.
+// splitDescriptors divides the descriptors among the subsystems. Each QUIC flow uses one descriptor.
 func (c *Config) splitDescriptors(quicFlows int) {
 	c.MaxProbeConns = min(max(minProbeConns, c.DescriptorLimit/probeDivisor), maxProbeConns)
 	c.ConnDescriptors = c.DescriptorLimit - spareDescriptors - c.MaxProbeConns - quicFlows
@@ -82,35 +88,38 @@
 	c.MaxClients = maxClients(c.ConnDescriptors)
 }
 
-// maxClients returns how many clients may wait or be established, each with a dial, so that descriptors are left to
-// reject those beyond that number.
+// maxClients returns the maximum number of pending requests and established connections together. Each of them uses two
+// descriptors, one for the client and one for the dial, and some descriptors are left to reject further clients.
 func maxClients(descriptors int) int {
 	forRejects := max(minRejectDescriptors, descriptors/rejectDivisor)
 	return (descriptors - descriptors/dialDivisor - forRejects) / 2
 }
 
-// ReserveFlows takes the descriptors of the QUIC frontend's flows out of those for client connections.
+// ReserveFlows reserves descriptors for the flows of the QUIC frontend, which reduces those for client connections. The
+// flows may use half of the descriptors that remain after the spare ones and those for probes.
 func (c *Config) ReserveFlows(f Fronts) error {
 	if f.QUIC.Listen == "" {
 		return nil
 	}
 	available := (c.DescriptorLimit - spareDescriptors - c.MaxProbeConns) / 2
 	if f.QUIC.MaxFlows > available {
-		reason := fmt.Sprintf("is more than half of what limits.sockets %d leaves, %d", c.DescriptorLimit, available)
+		reason := fmt.Sprintf("is out of range: with limits.sockets %d, expected at most %d", c.DescriptorLimit, available)
 		return invalid("quic.max_flows", f.QUIC.MaxFlows, reason)
 	}
 	c.splitDescriptors(f.QUIC.MaxFlows)
 	return nil
 }
 
-// ProcessLimits are the limits of one process, which may have to share them with another during a hot restart.
+// ProcessLimits are the limits of one process. During a hot restart the previous process and its replacement share the
+// limits of the configuration.
 type ProcessLimits struct {
-	ReservedDescriptors int // part of Config.ConnDescriptors that is left to the other process
+	ReservedDescriptors int // number of Config.ConnDescriptors that are left to the other process
 	MaxClients          int
-	MemoryBytes         int64 // for the Go runtime
+	MemoryBytes         int64 // memory limit of the Go runtime
 }
 
-// ProcessLimits returns the limits of a process that runs alone, or beside another one with the same configuration.
+// ProcessLimits returns the limits of a process that runs alone or, if shared is set, beside another process with the
+// same configuration.
 func (c *Config) ProcessLimits(shared bool) ProcessLimits {
 	limits := ProcessLimits{
 		MaxClients:  c.MaxClients,
@@ -119,7 +128,8 @@
 	if !shared {
 		return limits
 	}
-	// Each process has spare descriptors of its own, so that less than half of the others is left to either.
+	// A process may hold half of DescriptorLimit. It needs all of its other descriptors (spare, probes, management, QUIC
+	// flows), so its client connections and dials get less than half of ConnDescriptors.
 	own := max(c.ConnDescriptors-c.DescriptorLimit/2, minConnDescriptors)
 	limits.ReservedDescriptors = c.ConnDescriptors - own
 	limits.MaxClients = maxClients(own)
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/session/token"
 )
 
-// Membership configures the instance as a member of the balancers' cluster. An empty Name is off.
+// Membership configures the instance as a member of the balancers' cluster. An empty Name switches membership off.
 type Membership struct {
 	Name     string         // unique in the cluster
 	Listen   netip.AddrPort // gossip address, at which the other members reach this one
@@ -18,9 +18,10 @@
 	Seeds    []netip.AddrPort // members through which the instance joins
 	KeysFile string
 
-	// DialAddresses is the address to dial for a peer, where it is not the peer's own.
+	// DialAddresses maps the gossip address of a peer to the address to dial for it, if the two differ.
 	DialAddresses map[netip.AddrPort]netip.AddrPort
-	// MaxPartitionDuration is how long the members that a partition has cut off still count; no partition lasts longer.
+	// MaxPartitionDuration is how long members that a partition has cut off still count in the fleet size. It has to be
+	// longer than any partition.
 	MaxPartitionDuration time.Duration
 }
 
@@ -38,18 +39,18 @@
 
 // Defaults and bounds of the section; times in seconds.
 const (
-	maxMemberName            = 64 // bytes of a name, zone or region: gossip bounds a member's description
+	maxMemberName            = 64 // bytes of a name, zone or region; gossip limits the size of a member's metadata
 	maxSeeds                 = 64
 	defaultPartitionHoldDown = 3600.0
-	minPartitionHoldDown     = 240.0 // twice the detection time of 2,300 members, with a margin
+	minPartitionHoldDown     = 240.0 // twice the detection time of a cluster of 2,300 members, with a margin
 	maxPartitionHoldDown     = 7 * 24 * 3600.0
 )
 
-// decode validates the section; paths in it are relative to base.
+// decode validates and converts the section; paths in it are relative to base.
 func (f membershipFile) decode(base string) (Membership, error) {
 	for _, name := range []struct{ key, value string }{{"name", f.Name}, {"zone", f.Zone}, {"region", f.Region}} {
 		if !isMemberName(name.value) {
-			reason := fmt.Sprintf("is not 1 to %d printable bytes long", maxMemberName)
+			reason := fmt.Sprintf("is invalid: expected 1 to %d bytes of printable characters, without spaces", maxMemberName)
 			return Membership{}, invalid(name.key, name.value, reason)
 		}
 	}
@@ -58,7 +59,7 @@
 	}
 	listen, err := netip.ParseAddrPort(f.Listen)
 	if err != nil || listen.Addr().IsUnspecified() || listen.Port() == 0 {
-		reason := "is not the address and port at which the other members reach it"
+		reason := "is invalid: expected the IP:PORT at which other members reach this one"
 		return Membership{}, invalid("listen", f.Listen, reason)
 	}
 	seeds, err := parseSeeds(f.Seeds)
@@ -99,13 +100,13 @@
 
 func parseSeeds(texts []string) ([]netip.AddrPort, error) {
 	if len(texts) > maxSeeds {
-		return nil, invalid("seeds", len(texts), fmt.Sprintf("of them, %d at most", maxSeeds))
+		return nil, invalid("seeds", len(texts), fmt.Sprintf("entries found, expected at most %d", maxSeeds))
 	}
 	var seeds []netip.AddrPort
 	for i, text := range texts {
 		seed, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, invalid(fmt.Sprintf("seeds[%d]", i), text, reasonNoAddress)
+			return nil, invalid(fmt.Sprintf("seeds[%d]", i), text, reasonInvalidAddress)
 		}
 		seeds = append(seeds, seed)
 	}
@@ -117,11 +118,11 @@
 	for peerText, dialText := range texts {
 		peer, err := netip.ParseAddrPort(peerText)
 		if err != nil {
-			return nil, invalid("via", peerText, reasonNoAddress)
+			return nil, invalid("via", peerText, reasonInvalidAddress)
 		}
 		dial, err := netip.ParseAddrPort(dialText)
 		if err != nil {
-			return nil, invalid(fmt.Sprintf("via[%q]", peerText), dialText, reasonNoAddress)
+			return nil, invalid(fmt.Sprintf("via[%q]", peerText), dialText, reasonInvalidAddress)
 		}
 		via[peer] = dial
 	}
@@ -134,11 +135,11 @@
 		hold = defaultPartitionHoldDown
 	}
 	if !(hold >= minPartitionHoldDown && hold <= maxPartitionHoldDown) {
-		reason := fmt.Sprintf("is not within %v to %v", minPartitionHoldDown, maxPartitionHoldDown)
+		reason := fmt.Sprintf("is out of range: expected %v to %v", minPartitionHoldDown, maxPartitionHoldDown)
 		return 0, invalid("partition_hold_s", hold, reason)
 	}
 	return seconds(hold), nil
 }
 
-// LoadRing reads the keys that the members of the cluster share.
+// LoadRing reads the keys that the members of the cluster share. It returns an error if none of the keys can seal now.
 func (m Membership) LoadRing() (*token.Ring, error) { return loadRing(m.KeysFile, peerKeyGrace) }
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Errors name the key and the value.
+// An error names the key and the value that it rejects.
 func TestMembershipSectionReportsInvalidKeys(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`"b-17"`, `""`, `membership.name: ""`},
@@ -32,7 +32,7 @@
 		{`10.0.0.17:7946`, `0.0.0.0:7946`, `membership.listen: "0.0.0.0:7946"`},
 		{`10.0.0.17:7946`, `10.0.0.17`, `membership.listen: "10.0.0.17"`},
 		{`["10.0.0.1:7946"]`, `["seed"]`, `membership.seeds[0]: "seed"`},
-		{`"membership-keys.json"`, `""`, `membership.keys: is missing`},
+		{`"membership-keys.json"`, `""`, `membership.keys: required setting is missing`},
 		{`{"10.0.0.1:7946":"127.0.0.1:9001"}`, `{"a":"127.0.0.1:9001"}`, `membership.via: "a"`},
 		{`"127.0.0.1:9001"`, `"b"`, `membership.via["10.0.0.1:7946"]: "b"`},
 		{`"zone":"a"`, `"zone":"a","partition_hold_s":5`, `membership.partition_hold_s: 5`},
@@ -41,7 +41,7 @@
 			text := strings.Replace(validMembership, test.old, test.new, 1)
 			_, err := ParseFronts([]byte(`{"membership":`+text+`}`), nil, "")
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s: error %v, want one with %s", test.new, err, test.want)
+				t.Errorf("%s: error %v, want one that contains %s", test.new, err, test.want)
 			}
 		})
 	}
--- a/internal/config/quic.go
+++ b/internal/config/quic.go
@@ -10,14 +10,14 @@
 	"cottonplank/decide"
 )
 
-// QUIC configures the QUIC frontend. An empty Listen is off.
+// QUIC configures the QUIC frontend. An empty Listen switches it off.
 type QUIC struct {
 	Listen      string
-	ConfigID    int    // configuration id in the connection ids
-	NonceLength int    // bytes of the nonce in the connection ids
-	IDKey       []byte // encrypts the connection ids; empty: they are in plaintext
-	ResetKey    []byte // derives the stateless reset tokens
-	ClassIndex  int    // class of all requests
+	ConfigID    int    // configuration ID in the connection IDs
+	NonceLength int    // bytes of the nonce in the connection IDs
+	IDKey       []byte // AES-128 key that encrypts the connection IDs; empty: plaintext IDs
+	ResetKey    []byte // key from which the stateless reset tokens are derived
+	ClassIndex  int    // index of the request class of all QUIC requests
 	IdleTimeout time.Duration
 	MaxFlows    int
 }
@@ -48,23 +48,23 @@
 	defaultMaxFlows    = 256
 )
 
-// decode validates the section; its class has to be one of classes.
+// decode validates and converts the section; its class has to be one of classes.
 func (f quicFile) decode(classes []decide.Class) (QUIC, error) {
 	if err := checkAddress("listen", f.Listen); err != nil {
 		return QUIC{}, err
 	}
 	classIndex := slices.IndexFunc(classes, func(c decide.Class) bool { return c.Name == f.Class })
 	if classIndex < 0 {
-		return QUIC{}, invalid("class", f.Class, "is no class of the settings")
+		return QUIC{}, invalid("class", f.Class, "is unknown: expected the name of one of settings.profiles")
 	}
 	idKey, err := hex.DecodeString(f.IDKey)
 	if err != nil || len(idKey) != 0 && len(idKey) != idKeyLength {
-		reason := fmt.Sprintf("is not %d bytes in hexadecimal, or empty", idKeyLength)
+		reason := fmt.Sprintf("invalid key: expected %d bytes in hexadecimal, or an empty string", idKeyLength)
 		return QUIC{}, &FieldError{Key: "id_key", Reason: reason}
 	}
 	resetKey, err := hex.DecodeString(f.ResetKey)
 	if err != nil || len(resetKey) < minResetKeyLength {
-		reason := fmt.Sprintf("is not %d bytes or more in hexadecimal", minResetKeyLength)
+		reason := fmt.Sprintf("invalid key: expected at least %d bytes in hexadecimal", minResetKeyLength)
 		return QUIC{}, &FieldError{Key: "reset_key", Reason: reason}
 	}
 	f.setDefaults()
@@ -91,14 +91,14 @@
 
 func (f *quicFile) checkNumbers() error {
 	if f.NonceLength < minNonceLength || f.NonceLength > maxNonceLength {
-		reason := fmt.Sprintf("is not within %d to %d", minNonceLength, maxNonceLength)
+		reason := fmt.Sprintf("is out of range: expected %d to %d", minNonceLength, maxNonceLength)
 		return invalid("nonce_length", f.NonceLength, reason)
 	}
 	if f.ConfigID < 0 || f.ConfigID > maxConfigID {
-		return invalid("config_id", f.ConfigID, fmt.Sprintf("is not within 0 to %d", maxConfigID))
+		return invalid("config_id", f.ConfigID, fmt.Sprintf("is out of range: expected 0 to %d", maxConfigID))
 	}
 	if f.IdleTimeout < minIdleTimeout || f.IdleTimeout > maxIdleTimeout {
-		reason := fmt.Sprintf("is not within %d to %d", minIdleTimeout, maxIdleTimeout)
+		reason := fmt.Sprintf("is out of range: expected %d to %d", minIdleTimeout, maxIdleTimeout)
 		return invalid("idle_s", f.IdleTimeout, reason)
 	}
 	if f.MaxFlows < 0 {
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -9,15 +9,15 @@
 	"cottonplank/internal/session/token"
 )
 
-// Sessions configures the resumption of sessions at another room server, by session tokens. An empty KeysFile is off.
+// Sessions configures how sessions resume at another room server, by session tokens. An empty KeysFile switches it off.
 type Sessions struct {
 	KeysFile         string
 	Site             string
 	TokenLifetime    time.Duration
-	StateTimeout     time.Duration // for a session's state to arrive, from the first request for it
-	MaxStateBytes    int           // size of one session's state
-	MaxBytesInFlight int64         // size of all states that are being migrated
-	MaxMigrations    int           // states that are being migrated
+	StateTimeout     time.Duration // from the first request for a session's state until the state has arrived
+	MaxStateBytes    int           // maximum size of one session's state
+	MaxBytesInFlight int64         // maximum total size of the states in migration
+	MaxMigrations    int           // maximum number of states in migration
 }
 
 // sessionsFile is the section resume of a fronts file.
@@ -43,7 +43,7 @@
 	defaultMaxMigrations    = 64
 )
 
-// decode validates the section; paths in it are relative to base.
+// decode validates and converts the section; paths in it are relative to base.
 func (f sessionsFile) decode(base string) (Sessions, error) {
 	if err := checkSite(f.Site); err != nil {
 		return Sessions{}, err
@@ -74,27 +74,29 @@
 func (f *sessionsFile) check() error {
 	maxLifetime := token.MaxLifetime.Seconds()
 	if !(f.TokenLifetime >= minTokenLifetime && f.TokenLifetime <= maxLifetime) {
-		return invalid("token_life_s", f.TokenLifetime, fmt.Sprintf("is not within %v to %v", minTokenLifetime, maxLifetime))
+		return invalid("token_life_s", f.TokenLifetime,
+			fmt.Sprintf("is out of range: expected %v to %v", minTokenLifetime, maxLifetime))
 	}
 	if !(f.StateTimeout >= minStateTimeout && f.StateTimeout <= maxStateTimeout) {
-		reason := fmt.Sprintf("is not within %v to %v", minStateTimeout, maxStateTimeout)
+		reason := fmt.Sprintf("is out of range: expected %v to %v", minStateTimeout, maxStateTimeout)
 		return invalid("state_wait_s", f.StateTimeout, reason)
 	}
 	if f.MaxStateBytes < 1 || f.MaxStateBytes > protocol.MaxState {
-		return invalid("max_state_bytes", f.MaxStateBytes, fmt.Sprintf("is not within 1 to %d", protocol.MaxState))
+		return invalid("max_state_bytes", f.MaxStateBytes,
+			fmt.Sprintf("is out of range: expected 1 to %d", protocol.MaxState))
 	}
 	if f.MaxBytesInFlight < int64(f.MaxStateBytes) {
-		reason := fmt.Sprintf("is less than max_state_bytes %d", f.MaxStateBytes)
+		reason := fmt.Sprintf("is out of range: expected at least the %d of max_state_bytes", f.MaxStateBytes)
 		return invalid("max_bytes_in_flight", f.MaxBytesInFlight, reason)
 	}
 	if f.MaxMigrations < 1 {
-		return invalid("max_moves", f.MaxMigrations, "is below 1")
+		return invalid("max_moves", f.MaxMigrations, "is out of range: expected at least 1")
 	}
 	return nil
 }
 
-// LoadRing reads the session keys; it returns nil if sessions are not resumed. A key is accepted as long as the tokens
-// that it has sealed live.
+// LoadRing reads the session keys, or returns nil if resuming sessions is switched off. A key is accepted for
+// TokenLifetime after its not_after, until the last token that it has sealed expires.
 func (s Sessions) LoadRing() (*token.Ring, error) {
 	if s.KeysFile == "" {
 		return nil, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	"cottonplank/decide"
 )
 
-// Larger values are typing errors or in a wrong unit.
+// Upper bounds of the settings. A larger value is a typing error, or a value in the wrong unit.
 const (
 	maxSeconds        = 86_400.0
 	maxAttempts       = 100
@@ -16,7 +16,7 @@
 	maxFraction       = 1
 )
 
-// settingsFile is the section of the configuration file that the platform calls settings.
+// settingsFile is the section settings of the configuration file.
 type settingsFile struct {
 	Zone      string           `json:"zone"`
 	Areas     []string         `json:"areas"` // all zones
@@ -37,7 +37,7 @@
 type attemptLimits struct {
 	ConnectTimeout float64 `json:"connect_timeout_s"`
 	MaxRetryAfter  float64 `json:"max_retry_after_s"`
-	RetryAfter     bool    `json:"retry_after"` // whether a rejection may carry a Retry-After time
+	RetryAfter     bool    `json:"retry_after"` // whether a rejection may tell the client when to retry
 	MayProbe       bool    `json:"may_probe"`
 	MaxAttempts    int     `json:"most_tries"`
 }
@@ -59,7 +59,7 @@
 
 type platformSpecific struct {
 	GroupAffinity           bool      `json:"groups"`
-	MessageLatencyObjective []float64 `json:"message_aim_s"` // by class index
+	MessageLatencyObjective []float64 `json:"message_aim_s"` // by class index; it may be shorter than profiles
 }
 
 // decode validates the section and converts it into the settings of the decision module.
@@ -91,13 +91,13 @@
 		return missing("zone")
 	}
 	if len(s.Areas) > 0 && !slices.Contains(s.Areas, s.Zone) {
-		return invalid("zone", s.Zone, fmt.Sprintf("is not in areas %q", s.Areas))
+		return invalid("zone", s.Zone, fmt.Sprintf("is not one of the zones in areas %q", s.Areas))
 	}
 	if s.Mode != modeSubscribe && s.Mode != modeAutomatic {
-		return invalid("membership_mode", s.Mode, "is neither subscribe nor automatic")
+		return invalid("membership_mode", s.Mode, "is unknown: expected subscribe or automatic")
 	}
 	if len(s.Profiles) == 0 {
-		return &FieldError{Key: "profiles", Reason: "is empty"}
+		return &FieldError{Key: "profiles", Reason: "no classes found, expected at least one"}
 	}
 	return checkAll([]boundedValue{
 		{"balancers", float64(s.Balancers), decide.MaxBalancers},
@@ -122,7 +122,7 @@
 		Zone:           s.Zone,
 		Zones:          s.Areas,
 		Balancers:      s.Balancers,
-		WatchList:      true, // over sockets, changes of the list come on a watch whatever the mode is
+		WatchList:      true, // discovery over HTTP is watched in both modes
 		MaxAttempts:    s.Limits.MaxAttempts,
 		ConnectTimeout: seconds(s.Limits.ConnectTimeout),
 		ProbingAllowed: s.Limits.MayProbe,
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -10,10 +10,11 @@
 	"cottonplank/internal/session/token"
 )
 
-// seconds converts a setting in seconds.
+// seconds converts a number of seconds, rounded to the nanosecond.
 func seconds(v float64) time.Duration { return time.Duration(math.Round(v * float64(time.Second))) }
 
-// resolvePath returns path as seen from the folder base, in which the file that names it lies.
+// resolvePath resolves a relative path against base, the folder of the configuration file that contains the path. An
+// empty path stays empty.
 func resolvePath(base, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -24,7 +25,7 @@
 // checkAddress accepts an IP address with a port.
 func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return invalid(key, value, reasonNoAddress)
+		return invalid(key, value, reasonInvalidAddress)
 	}
 	return nil
 }
@@ -32,23 +33,23 @@
 // checkSite accepts a site name that fits into a session token.
 func checkSite(site string) error {
 	if site == "" || len(site) > token.MaxName {
-		return invalid("site", site, fmt.Sprintf("is not 1 to %d bytes long", token.MaxName))
+		return invalid("site", site, fmt.Sprintf("has an invalid length: expected 1 to %d bytes", token.MaxName))
 	}
 	return nil
 }
 
-// boundedValue is a numeric setting with its largest sensible value: a larger one is a typing error or in a wrong unit.
+// boundedValue is a numeric setting with its upper bound. A larger value is a typing error, or in the wrong unit.
 type boundedValue struct {
 	key        string
 	value, max float64
 }
 
-// check accepts values from 0 to max.
+// check returns a FieldError unless the value is within 0 to max.
 func (b boundedValue) check() error {
 	if b.value >= 0 && b.value <= b.max {
 		return nil
 	}
-	return invalid(b.key, b.value, fmt.Sprintf("is not from 0 to %v", b.max))
+	return invalid(b.key, b.value, fmt.Sprintf("is out of range: expected 0 to %v", b.max))
 }
 
 // checkAll returns the error of the first value that is out of bounds.
