--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -15,9 +15,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// PreviousProcess is the running process whose sockets this process has received.
+// PreviousProcess is the running process from which this process has received its sockets.
 type PreviousProcess struct {
-	// Learned are lines of state that the previous process has learned. This package does not interpret them.
+	// Learned holds the learned state of the previous process, as lines. This package does not interpret them.
 	Learned []string
 	// Exited is closed when the previous process has exited.
 	Exited chan struct{}
@@ -25,13 +25,13 @@
 	conn *net.UnixConn
 }
 
-// ReceiveSockets requests the sockets of the process that listens at path. Without such a process, or if it does not
-// answer within a second, the process returned is nil and the sockets have to be opened anew.
+// ReceiveSockets requests the sockets of the process that listens at path. If there is no such process, or if it does
+// not answer within a second, the returned PreviousProcess is nil and the caller has to open the sockets itself.
 func ReceiveSockets(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
 	sockets := &Sockets{inherited: map[string]*os.File{}}
 	conn, err := dialPrevious(path)
 	if err != nil {
-		// A path that a killed process left behind refuses connections; this process will replace it.
+		// The Unix socket of a killed process is still at path and refuses connections; Server.Serve replaces it.
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, unix.ECONNREFUSED) {
 			log.WithError(err).Warn("hot restart: cannot connect to the previous process")
 		}
@@ -47,7 +47,7 @@
 	if previous.Learned, err = requestLearned(conn); err != nil {
 		log.WithError(err).Warn("hot restart: no learned state from the previous process, starting without it")
 	}
-	go previous.watch() // ends with the connection
+	go previous.watch() // ends when the connection ends
 	return sockets, previous
 }
 
@@ -63,8 +63,8 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// receive requests the sockets and stores them: the answer is a line of names, with the descriptors as ancillary data
-// of its first byte.
+// receive requests the sockets and stores them. The answer is one line with the names of the sockets. Its first byte
+// carries the descriptors as ancillary data.
 func (s *Sockets) receive(conn *net.UnixConn) error {
 	if err := checkPeerUser(conn); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// readSockets reads the names of the sockets and as many descriptors.
+// readSockets reads the names of the sockets and one descriptor for each of them.
 func readSockets(conn *net.UnixConn) ([]string, []*os.File, error) {
 	line, ancillary := make([]byte, messageBufferSize), make([]byte, unix.CmsgSpace(4*maxSockets))
 	lineLength, ancillaryLength, _, _, err := conn.ReadMsgUnix(line, ancillary)
@@ -107,7 +107,7 @@
 	return names, files, nil
 }
 
-// requestLearned requests the state that the previous process has learned.
+// requestLearned requests the learned state of the previous process.
 func requestLearned(conn *net.UnixConn) ([]string, error) {
 	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	defer conn.SetDeadline(time.Time{})
@@ -126,14 +126,14 @@
 		}
 		state, ok := strings.CutPrefix(line, learnedPrefix)
 		if !ok {
-			return nil, fmt.Errorf("%w: %.40q is no learned state", ErrMalformedLine, line)
+			return nil, fmt.Errorf("%w: expected learned state, found %.40q", ErrMalformedLine, line)
 		}
 		learned = append(learned, state)
 	}
 	return nil, ErrTooManyLines
 }
 
-// watch waits for the end of the connection, which is the exit of the other process.
+// watch waits until the connection ends, which means that the previous process has exited, and then closes Exited.
 func (p *PreviousProcess) watch() {
 	defer close(p.Exited)
 	defer p.conn.Close()
@@ -144,8 +144,8 @@
 	}
 }
 
-// NotifyServing tells the previous process that this process accepts connections.
+// NotifyServing notifies the previous process that this process accepts connections.
 func (p *PreviousProcess) NotifyServing() {
 	p.conn.SetWriteDeadline(time.Now().Add(exchangeTimeout))
-	_, _ = p.conn.Write([]byte(servingNotice + lineEnd)) // a process that has exited need not know
+	_, _ = p.conn.Write([]byte(servingNotice + lineEnd)) // an error means that the previous process has exited
 }
--- a/internal/operations/hotrestart/hotrestart.go
+++ b/internal/operations/hotrestart/hotrestart.go
@@ -1,6 +1,7 @@
-// Package hotrestart passes the listening sockets of a running process to a new version that is started beside it, so
-// that the accept queue outlives the old process. It knows nothing of the protocols on these sockets. The two
-// processes talk over a Unix socket, in lines, with the descriptors as ancillary data.
+// Package hotrestart passes the listening sockets of a running process, the previous process, to a replacement process
+// that is started beside it, often of another version. The accept queues thus outlive the previous process. The package
+// does not depend on the protocols of these sockets. The two processes exchange lines of text over a Unix socket, with
+// the descriptors as ancillary data.
 package hotrestart
 
 import (
@@ -10,17 +11,17 @@
 	"strings"
 )
 
-// maxUnixPath is the longest path of a Unix socket in bytes.
+// maxUnixPath is the maximum length of the path of a Unix socket, in bytes.
 const maxUnixPath = 107
 
-// SocketPath returns the path of the Unix socket at which the process that listens at an address passes its sockets
-// on.
+// SocketPath returns the path of the Unix socket of a process, at which it passes its sockets to a replacement process.
+// listen is the address at which the process accepts clients.
 func SocketPath(dir, listen string) string {
 	return filepath.Join(dir, "cottonplank-"+strings.NewReplacer("/", "_").Replace(listen)+".sock")
 }
 
-// withShortPath calls use with a path that fits into a Unix address. It replaces the directory of a longer one by
-// that directory's descriptor.
+// withShortPath calls use with a path that fits into the address of a Unix socket. If path is too long, it replaces the
+// directory by the path of the directory's descriptor below /proc/self/fd.
 func withShortPath(path string, use func(path string) error) error {
 	if len(path) <= maxUnixPath {
 		return use(path)
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -23,7 +23,8 @@
 	return log
 }
 
-// startServer serves a TCP and a UDP socket at path until stop.
+// startServer starts a server at path that passes a TCP and a UDP socket on. It runs until stop is called or the test
+// ends.
 func startServer(t *testing.T, path, address string) (
 	listener *net.TCPListener, changes chan Replacements, stop func(),
 ) {
@@ -47,7 +48,7 @@
 	return listener, changes, stop
 }
 
-// receiveSockets requests the sockets until a server answers.
+// receiveSockets requests the sockets repeatedly until a server passes them on.
 func receiveSockets(t *testing.T, path string) (*Sockets, *PreviousProcess) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -59,30 +60,30 @@
 	return nil, nil
 }
 
-// expectChange waits for the next change of the replacement processes.
+// expectChange waits for the next report of the numbers of replacement processes and compares it with want.
 func expectChange(t *testing.T, changes chan Replacements, want Replacements) {
 	t.Helper()
 	select {
 	case got := <-changes:
 		if got != want {
-			t.Fatalf("replacements %+v, want %+v", got, want)
+			t.Fatalf("replacement processes %+v, want %+v", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("no change to %+v", want)
+		t.Fatalf("no report of replacement processes, want %+v", want)
 	}
 }
 
-// A client that waits in the accept queue is accepted by the replacement process after the previous one has closed
-// its listener. With a queue of its own, the close would reset the client's connection.
+// A client that waits in the accept queue is accepted by the replacement process after the previous process has closed
+// its listener. If each process had its own accept queue, that close would reset the client's connection.
 func TestAcceptQueueOutlivesPreviousProcess(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "127.0.0.1:9000")
 	l, changes, stop := startServer(t, path, "127.0.0.1:0")
 	address := l.Addr().String()
 	if info, err := os.Stat(path); err == nil && info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v", info.Mode())
+		t.Errorf("the Unix socket has mode %v, want 0600", info.Mode())
 	}
-	client, err := net.Dial("tcp", address) // waits in the queue
+	client, err := net.Dial("tcp", address) // waits in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +92,7 @@
 	sockets, previous := receiveSockets(t, path)
 	expectChange(t, changes, Replacements{Connected: 1})
 	if got := strings.Join(previous.Learned, " "); got != "one two" {
-		t.Errorf("learned %q", got)
+		t.Errorf("learned state %q", got)
 	}
 	inherited, err := sockets.ListenTCP("clients", address)
 	if err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// The exit of a replacement process is reported, and the next one finds the server again, though the first had
-// replaced its Unix socket.
+// When a replacement process exits, the server reports it and creates its Unix socket again, so that the next
+// replacement process can connect. The removal of the file stands for the replacement's own Unix socket at the path.
 func TestServesAgainAfterReplacementExits(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
@@ -129,7 +130,8 @@
 	}
 }
 
-// At its exit a process removes its own Unix socket, and no other process's.
+// At its exit a process removes its own Unix socket, but not that of another process at the same path: otherwise no
+// replacement process could connect to the other process.
 func TestOwnSocketFileIsRemoved(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
@@ -151,12 +153,12 @@
 	}
 	second()
 	if _, err := os.Lstat(path); err == nil {
-		t.Error("the own Unix socket is left")
+		t.Error("the Unix socket of the process itself was not removed")
 	}
 }
 
-// The Unix socket that a killed process left behind is no previous process and is replaced; a process that hangs is
-// not waited for long.
+// A process that hangs, so that it does not answer, delays the start only briefly. The Unix socket of a killed process,
+// which refuses connections, does not count as a previous process and is replaced.
 func TestStaleAndUnresponsiveSockets(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
@@ -167,17 +169,17 @@
 	l.SetUnlinkOnClose(false)
 	start := time.Now()
 	if _, p := ReceiveSockets(path, discardLog()); p != nil || time.Since(start) > 5*exchangeTimeout {
-		t.Errorf("a hung process: %v after %v", p, time.Since(start))
+		t.Errorf("a process that hangs: previous process %v after %v", p, time.Since(start))
 	}
 	l.Close()
 	if _, p := ReceiveSockets(path, discardLog()); p != nil {
-		t.Error("a stale path counts as a process")
+		t.Error("the Unix socket of a killed process counts as a previous process")
 	}
 	startServer(t, path, "127.0.0.1:0")
 	receiveSockets(t, path)
 }
 
-// A directory whose path is too long for a Unix address does not prevent a hot restart.
+// A hot restart works even if the path of the directory is too long for the address of a Unix socket.
 func TestLongPath(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 200))
@@ -189,14 +191,15 @@
 	receiveSockets(t, path)
 }
 
-// A socket of another kind or of another address is not used.
+// An inherited socket is used only if its type and its address match: another type is an error, and for another address
+// a new socket is opened.
 func TestInheritedSocketsMatchAddress(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
 	l, _, _ := startServer(t, path, "127.0.0.1:0")
 	sockets, _ := receiveSockets(t, path)
 	if _, err := sockets.ListenUDP("clients", "127.0.0.1:0"); err == nil {
-		t.Error("a listener was used as a UDP socket")
+		t.Error("the inherited TCP listener was used as a UDP socket")
 	}
 	sockets, _ = receiveSockets(t, path)
 	other, err := sockets.ListenTCP("clients", "127.0.0.1:0")
@@ -212,6 +215,8 @@
 	same.Close()
 }
 
+// A paused goroutine accepts no connection, and does so after Resume. The Resume before the second Pause leaves a value
+// in the channel of resumed calls, which must not end the second pause.
 func TestPauser(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -251,11 +256,11 @@
 	select {
 	case <-accepted:
 	case <-time.After(10 * time.Second):
-		t.Error("not resumed")
+		t.Error("not accepted after Resume")
 	}
 }
 
-// A line that names sockets is complete and has each name once.
+// parseSocketNames accepts only a single complete line with at most maxSockets names, and returns all of them.
 func FuzzParseSocketNames(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("SOCKETS clients quic snmp\r\n"), []byte("SOCKETS clients\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/operations/hotrestart/pauser.go
+++ b/internal/operations/hotrestart/pauser.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is a deadline in the past. It makes calls fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Pauser pauses and resumes the one goroutine that accepts from a socket or reads it. The socket stays open; another
-// process that holds the same socket is not affected.
+// Pauser pauses and resumes the goroutine that accepts connections from a socket or reads from it; there must be only
+// one. The socket stays open, and another process that holds the same socket is not affected.
 type Pauser struct {
 	setDeadline func(time.Time) error
 	resumed     chan struct{}
 }
 
-// NewPauser returns a Pauser for a socket whose accept or read deadline setDeadline sets.
+// NewPauser returns a Pauser for a socket. setDeadline sets the deadline of the calls to pause: accepts or reads.
 func NewPauser(setDeadline func(time.Time) error) *Pauser {
 	return &Pauser{setDeadline: setDeadline, resumed: make(chan struct{}, 1)}
 }
 
-// Pause makes the goroutine's calls fail from the next one on; on a closed socket they fail already. A call under way
-// may still succeed once.
+// Pause makes the goroutine's calls fail, including a call that is blocked. One call that is just about to return may
+// still succeed. If the socket is closed, Pause has no effect: calls fail anyway.
 func (p *Pauser) Pause() { _ = p.setDeadline(pastDeadline) }
 
-// Resume ends the pause.
+// Resume ends the pause: calls succeed again, and WaitWhilePaused returns.
 func (p *Pauser) Resume() {
 	_ = p.setDeadline(time.Time{})
 	select {
@@ -35,8 +35,8 @@
 	}
 }
 
-// WaitWhilePaused reports whether a call failed with err because of a pause, after waiting for the end of the pause. It
-// reports false if ctx ends first.
+// WaitWhilePaused reports whether a call failed with err because of a pause. If so, it first waits for the end of the
+// pause. It returns false if ctx ends before the pause does.
 func (p *Pauser) WaitWhilePaused(ctx context.Context, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
--- a/internal/operations/hotrestart/protocol.go
+++ b/internal/operations/hotrestart/protocol.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// exchangeTimeout bounds each exchange with the other process.
+	// exchangeTimeout is the timeout of each exchange with the other process.
 	exchangeTimeout = time.Second
-	// maxSockets bounds the sockets of one message.
+	// maxSockets is the maximum number of sockets in one message.
 	maxSockets = 8
-	// maxLearnedLines bounds the lines of learned state.
+	// maxLearnedLines is the maximum number of lines of learned state.
 	maxLearnedLines = 4096
 	// messageBufferSize is the size in bytes of the buffer for the line that names the sockets.
 	messageBufferSize = 4096
 )
 
-// The lines between the two processes. Versions that run beside each other exchange them, so they never change.
+// The lines that the two processes exchange. They must never change, because the two processes may be of different
+// versions.
 const (
 	// socketsRequest is sent by the replacement process to request the sockets.
 	socketsRequest = "TAKE 1"
-	// socketsPrefix begins the answer: the names of the sockets, with their descriptors as ancillary data.
+	// socketsPrefix begins the answer to socketsRequest. The names of the sockets follow; their descriptors are ancillary
+	// data.
 	socketsPrefix = "SOCKETS"
 	// learnedRequest is sent by the replacement process to request the learned state.
 	learnedRequest = "LEARNED"
-	// learnedPrefix begins each line of the answer.
+	// learnedPrefix begins each line of learned state in the answer to learnedRequest.
 	learnedPrefix = "L "
-	// endOfLearned is the last line of the answer.
+	// endOfLearned is the last line of the answer to learnedRequest.
 	endOfLearned = "END"
-	// servingNotice is sent by the replacement process when it accepts connections.
+	// servingNotice is sent by the replacement process once it accepts connections. It has no answer.
 	servingNotice = "SERVING"
 
 	lineEnd = "\r\n"
@@ -43,27 +45,28 @@
 
 // Errors of an exchange with the other process.
 var (
-	// ErrMalformedLine reports a line that is not part of the protocol.
+	// ErrMalformedLine reports a line that the protocol does not allow at this point.
 	ErrMalformedLine = errors.New("malformed line")
 	// ErrDescriptorCount reports that the names and the descriptors of an answer differ in number.
 	ErrDescriptorCount = errors.New("names and descriptors differ in number")
-	// ErrTooManyLines reports that the learned state does not end.
+	// ErrTooManyLines reports that the learned state has more than maxLearnedLines lines.
 	ErrTooManyLines = errors.New("too many lines of learned state")
-	// ErrOtherUser reports that the other process belongs to another user.
+	// ErrOtherUser reports that the other process has another user ID than this one.
 	ErrOtherUser = errors.New("the other process belongs to another user")
 )
 
-// parseSocketNames returns the names in a line that names sockets, each once. The error is ErrMalformedLine.
+// parseSocketNames returns the names of the sockets in a line that begins with socketsPrefix. The names have to be
+// unique. All errors wrap ErrMalformedLine.
 func parseSocketNames(text string) ([]string, error) {
 	text, ok := strings.CutSuffix(text, "\r\n")
 	words := strings.Split(text, " ")
 	if !ok || words[0] != socketsPrefix || len(words) < 2 || len(words) > 1+maxSockets {
-		return nil, fmt.Errorf("%w: %q does not name sockets", ErrMalformedLine, text)
+		return nil, fmt.Errorf("%w: expected SOCKETS and the names of the sockets, found %q", ErrMalformedLine, text)
 	}
 	seen := map[string]bool{}
 	for _, name := range words[1:] {
 		if name == "" || seen[name] || strings.ContainsAny(name, "\r\n") {
-			return nil, fmt.Errorf("%w: %q has an empty name, or one twice", ErrMalformedLine, text)
+			return nil, fmt.Errorf("%w: invalid or duplicate socket name in %q", ErrMalformedLine, text)
 		}
 		seen[name] = true
 	}
@@ -88,8 +91,9 @@
 	return files, nil
 }
 
-// checkPeerUser returns ErrOtherUser unless the other process runs under this user. It guards against another user's
-// process at a path in a directory that everybody may write to.
+// checkPeerUser returns an error that wraps ErrOtherUser unless the other process has this process's effective user ID.
+// The Unix socket may be in a directory that everybody may write to, where another user's process could listen at the
+// same path.
 func checkPeerUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/operations/hotrestart/server.go
+++ b/internal/operations/hotrestart/server.go
@@ -16,39 +16,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketMode is the mode of the Unix socket: only this user may connect.
+// socketMode is the file mode of the Unix socket: only processes of the same user may connect.
 const socketMode = 0o600
 
 // Replacements counts the replacement processes.
 type Replacements struct {
 	// Connected counts the processes that have received the sockets.
 	Connected int
-	// Serving counts those of them that accept connections.
+	// Serving counts those of the connected processes that accept connections.
 	Serving int
 }
 
-// Server passes the sockets to replacement processes.
+// Server passes the sockets of this process to replacement processes.
 type Server struct {
 	path    string
 	sockets *Sockets
 	log     *logrus.Logger
 	changed func(Replacements)
 	learned func() []string
-	// socketFile is the Unix socket that this process has put at path.
+	// socketFile describes the Unix socket that this process has created at path; nil before that.
 	socketFile os.FileInfo
-	// connections are the goroutines that accept and serve connections; Serve waits for them.
+	// connections counts the goroutines that accept and serve connections; Serve waits for them.
 	connections sync.WaitGroup
 }
 
-// NewServer returns a server at path. It calls changed from Serve's goroutine with each change of the replacements,
-// and learned for the lines of state that a replacement process receives; the lines must not be empty.
+// NewServer returns a server whose Unix socket is at path. The server calls changed from Serve's goroutine whenever the
+// number of replacement processes in a state may have changed. It calls learned for the lines of learned state that a
+// replacement process requests. learned may be called from several goroutines, and its lines must not be empty.
 func NewServer(
 	path string, sockets *Sockets, learned func() []string, changed func(Replacements), log *logrus.Logger,
 ) *Server {
 	return &Server{path: path, sockets: sockets, learned: learned, changed: changed, log: log}
 }
 
-// replacementState is the state of a replacement process.
+// replacementState is the state of a replacement process as its connection shows it.
 type replacementState int
 
 const (
@@ -63,8 +64,9 @@
 	state replacementState
 }
 
-// Serve passes the sockets on until ctx ends. A replacement process puts a Unix socket of its own at the same path;
-// when it exits, Serve replaces that again.
+// Serve passes the sockets to replacement processes until ctx ends. A replacement process creates its own Unix socket
+// at the same path, in place of that of this process. When a replacement process exits, Serve creates the Unix socket
+// again, so that the next one can connect.
 func (s *Server) Serve(ctx context.Context) {
 	defer s.connections.Wait()
 	s.sockets.closeInherited()
@@ -101,7 +103,7 @@
 	}
 }
 
-// removeSocketFile removes the Unix socket at path unless it is that of another process.
+// removeSocketFile removes the Unix socket at path if this process has created it.
 func (s *Server) removeSocketFile() {
 	current, err := os.Lstat(s.path)
 	if err == nil && s.socketFile != nil && os.SameFile(current, s.socketFile) {
@@ -109,7 +111,7 @@
 	}
 }
 
-// report logs the replacement processes and calls changed.
+// report logs the numbers of replacement processes and calls changed with them.
 func (s *Server) report(replacements map[*net.UnixConn]replacementState) {
 	count := Replacements{Connected: len(replacements)}
 	for _, state := range replacements {
@@ -141,8 +143,8 @@
 	return listener
 }
 
-// openSocket opens the Unix socket at a temporary path and renames it, which replaces what a killed process left
-// behind.
+// openSocket opens the Unix socket at a temporary path and renames it to the server's path. The rename replaces a Unix
+// socket that exists already, such as that of a killed process.
 func (s *Server) openSocket() (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", s.path, os.Getpid())
 	os.Remove(temporary)
@@ -154,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may belong to a replacement process
+	listener.SetUnlinkOnClose(false) // when it is closed, path may already be the socket of a replacement process
 	if err := s.installSocket(temporary); err != nil {
 		listener.Close()
 		return nil, err
@@ -174,7 +176,8 @@
 	return os.Rename(temporary, s.path)
 }
 
-// serveReplacement passes the sockets to a replacement process and answers it until the connection or ctx ends.
+// serveReplacement passes the sockets to a replacement process and then answers its requests until the connection or
+// ctx ends.
 func (s *Server) serveReplacement(ctx context.Context, conn *net.UnixConn, events chan<- replacementEvent) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -223,7 +226,7 @@
 	return text.PrintfLine(endOfLearned)
 }
 
-// passSockets sends the names of the sockets with their descriptors to a process of this user.
+// passSockets sends the names and descriptors of the open sockets, unless the other process belongs to another user.
 func (s *Server) passSockets(conn *net.UnixConn) error {
 	if err := checkPeerUser(conn); err != nil {
 		return err
@@ -231,9 +234,9 @@
 	return sendSockets(conn, s.sockets.open, nil, nil)
 }
 
-// sendSockets adds the remaining sockets to the names and descriptors, and sends them. It recurses within Control, so
-// that no descriptor is closed meanwhile. Duplicates by File would be set to blocking mode, which the two processes
-// share.
+// sendSockets appends the remaining sockets to names and descriptors, and then sends both. It calls itself within
+// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from File are not used, because they
+// would set the sockets to blocking mode, which is shared with the other process.
 func sendSockets(conn *net.UnixConn, remaining []socket, names []string, descriptors []int) error {
 	if len(remaining) == 0 {
 		line := socketsPrefix + " " + strings.Join(names, " ") + lineEnd
--- a/internal/operations/hotrestart/sockets.go
+++ b/internal/operations/hotrestart/sockets.go
@@ -12,22 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sockets are the sockets that the process has opened or inherited, by name. It is not safe for concurrent use.
+// Sockets holds the sockets that the process has opened or inherited, by name. It is not safe for concurrent use.
 type Sockets struct {
-	// inherited are the inherited sockets that are not in use yet.
+	// inherited holds the inherited sockets that are not in use yet.
 	inherited map[string]*os.File
-	// open are the sockets in use, in the order in which they were opened.
+	// open holds the sockets in use, in the order in which they were opened.
 	open []socket
 }
 
-// socket is an open socket and its name.
+// socket is a socket in use, which is passed to replacement processes under its name.
 type socket struct {
 	name string
 	conn syscall.RawConn
 }
 
-// reusePort lets a replacement process bind the address where this process does not pass its sockets on any more. It
-// is a fallback: the connections in the accept queue of this process are reset when it closes its socket.
+// reusePort opens sockets with SO_REUSEPORT, so that a replacement process can bind the same address even if this
+// process does not pass its sockets on. That is only a fallback: each process then has its own accept queue, and the
+// connections in this process's queue are reset when it closes its socket.
 var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var optionErr error
 	if err := c.Control(func(fd uintptr) {
@@ -38,8 +39,8 @@
 	return optionErr
 }}
 
-// AddInherited adds sockets that a supervisor has opened. A socket of the previous process takes precedence over one
-// of the same name, because clients wait in its queue.
+// AddInherited adds sockets that a supervisor has opened. A socket of the same name from the previous process takes
+// precedence, because clients may wait in its accept queue; the one of the supervisor is closed.
 func (s *Sockets) AddInherited(files map[string]*os.File) {
 	if s.inherited == nil {
 		s.inherited = map[string]*os.File{}
@@ -53,10 +54,10 @@
 	}
 }
 
-// Unused returns the names of the inherited sockets that are not in use, in order.
+// Unused returns the sorted names of the inherited sockets that are not in use.
 func (s *Sockets) Unused() []string { return slices.Sorted(maps.Keys(s.inherited)) }
 
-// ListenTCP returns the inherited listener of that name, or opens one if none is inherited for this address.
+// ListenTCP returns the inherited listener with the given name and address. If there is none, it opens a new one.
 func (s *Sockets) ListenTCP(name, address string) (*net.TCPListener, error) {
 	l, err := useInherited(s, name, address, net.FileListener, net.Listener.Addr)
 	if l == nil && err == nil {
@@ -73,7 +74,7 @@
 	return tcp, s.addOpen(name, tcp)
 }
 
-// ListenUDP returns the inherited socket of that name, or opens one if none is inherited for this address.
+// ListenUDP returns the inherited UDP socket with the given name and address. If there is none, it opens a new one.
 func (s *Sockets) ListenUDP(name, address string) (*net.UDPConn, error) {
 	c, err := useInherited(s, name, address, net.FilePacketConn, net.PacketConn.LocalAddr)
 	if c == nil && err == nil {
@@ -90,8 +91,8 @@
 	return udp, s.addOpen(name, udp)
 }
 
-// useInherited returns the inherited socket of that name, or the zero value if there is none. It closes one of
-// another address, because the configuration has changed.
+// useInherited returns the inherited socket with the given name, or the zero value if there is none. If the socket has
+// another address, because the configuration has changed, it closes the socket and returns the zero value.
 func useInherited[S interface{ Close() error }](
 	s *Sockets, name, address string, open func(*os.File) (S, error), localAddress func(S) net.Addr,
 ) (none S, err error) {
@@ -100,7 +101,7 @@
 		return none, nil
 	}
 	delete(s.inherited, name)
-	defer f.Close() // the socket has a descriptor of its own
+	defer f.Close() // open duplicates the descriptor
 	socket, err := open(f)
 	if err != nil {
 		return none, err
@@ -112,7 +113,7 @@
 	return socket, nil
 }
 
-// addOpen stores a socket that is passed on to a replacement process.
+// addOpen marks a socket as in use, so that it is passed to replacement processes.
 func (s *Sockets) addOpen(name string, conn syscall.Conn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/operations/hotrestart/wire_test.go
+++ b/internal/operations/hotrestart/wire_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// dial connects to a Unix socket, as soon as somebody listens there.
+// dial connects to the Unix socket at path as soon as a process listens there.
 func dial(t *testing.T, path string) *net.UnixConn {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -23,11 +23,11 @@
 			return conn
 		}
 	}
-	t.Fatal("nobody listens")
+	t.Fatal("no process listens at the Unix socket")
 	return nil
 }
 
-// expect reads exactly the given bytes.
+// expect reads as many bytes as want has and compares them with want.
 func expect(t *testing.T, from io.Reader, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestServerWireBytes pins what an earlier or later version that is started beside this one exchanges with it.
+// TestServerWireBytes checks the exact path and bytes that the server uses. They must not change, because the
+// replacement process may be of an earlier or a later version.
 func TestServerWireBytes(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -70,7 +71,8 @@
 	expectChange(t, changes, Replacements{Connected: 1, Serving: 1})
 }
 
-// TestClientWireBytes pins what this process sends to an earlier or later version that runs already.
+// TestClientWireBytes checks the exact bytes that the replacement process uses. They must not change, because the
+// previous process may be of an earlier or a later version.
 func TestClientWireBytes(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
@@ -86,7 +88,7 @@
 			close(accepted)
 			return
 		}
-		playPreviousProcess(t, conn)
+		emulatePreviousProcess(t, conn)
 		accepted <- conn
 	}()
 	sockets, previous := ReceiveSockets(path, discardLog())
@@ -96,17 +98,18 @@
 	}
 	defer conn.Close()
 	if got := sockets.Unused(); !slices.Equal(got, []string{"clients"}) {
-		t.Errorf("sockets %q", got)
+		t.Errorf("received sockets %q", got)
 	}
 	if !slices.Equal(previous.Learned, []string{"one", "two"}) {
-		t.Errorf("learned %q", previous.Learned)
+		t.Errorf("learned state %q", previous.Learned)
 	}
 	previous.NotifyServing()
 	expect(t, conn, "SERVING\r\n")
 }
 
-// playPreviousProcess checks the requests of a replacement process, and answers with one socket and two lines.
-func playPreviousProcess(t *testing.T, conn *net.UnixConn) {
+// emulatePreviousProcess checks the requests of a replacement process. It answers with one socket and with two lines of
+// learned state.
+func emulatePreviousProcess(t *testing.T, conn *net.UnixConn) {
 	reader := bufio.NewReader(conn)
 	if line, err := reader.ReadString('\n'); err != nil || line != "TAKE 1\r\n" {
 		t.Errorf("read %q, %v", line, err)
