--- a/internal/operations/management/client.go
+++ b/internal/operations/management/client.go
@@ -15,11 +15,11 @@
 // metricPrefix begins each metric's name in the response to INFO.
 const metricPrefix = "svc."
 
-// errEmptyResponse says that the instance closed the connection without a response.
+// errEmptyResponse reports that the instance closed the connection without a response.
 var errEmptyResponse = errors.New("closed without an answer")
 
-// Query sends one command to an instance's management address and returns the lines of the response. It gives up when
-// ctx ends, or after 2 s.
+// Query sends one command to the management address of an instance and returns the lines of the response. It returns an
+// error if ctx ends, or 2 s pass, before the response is complete.
 func Query(ctx context.Context, address, command string) (lines []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -47,7 +47,8 @@
 	return lines, nil
 }
 
-// ParseMetrics queries INFO and returns the metrics by name, without the prefix "svc.".
+// ParseMetrics sends INFO to the management address of an instance and returns the metrics of the response. Their names
+// are without the prefix "svc.".
 func ParseMetrics(ctx context.Context, address string) (map[string]uint64, error) {
 	lines, err := Query(ctx, address, string(commandInfo))
 	if err != nil {
@@ -55,14 +56,14 @@
 	}
 	first, last := lines[0], lines[len(lines)-1]
 	if !strings.HasPrefix(first, statusOK) || last != infoEnd {
-		return nil, fmt.Errorf("INFO brings %q to %q, want 200 to EOF", first, last)
+		return nil, fmt.Errorf("malformed response to INFO: first line %q, last line %q, expected 200 and EOF", first, last)
 	}
 	metrics := map[string]uint64{}
 	for _, line := range lines[1 : len(lines)-1] {
 		name, value, found := strings.Cut(strings.TrimPrefix(line, metricPrefix), "=")
 		n, err := strconv.ParseUint(value, 10, 64)
 		if !found || err != nil {
-			return nil, fmt.Errorf("INFO brings the line %q", line)
+			return nil, fmt.Errorf("malformed response to INFO: line %q, expected svc.NAME=NUMBER", line)
 		}
 		metrics[name] = n
 	}
--- a/internal/operations/management/command.go
+++ b/internal/operations/management/command.go
@@ -8,8 +8,8 @@
 const (
 	commandPing     command = "PING"     // reports whether the instance serves clients
 	commandInfo     command = "INFO"     // reports the metrics
-	commandLameDuck command = "LAMEDUCK" // sends all clients away while the process stays
-	commandRejoin   command = "REJOIN"   // ends the lame-duck state
+	commandLameDuck command = "LAMEDUCK" // migrates all clients to other balancers; the process keeps running
+	commandRejoin   command = "REJOIN"   // leaves the lame-duck state
 )
 
 // Status codes that begin a response.
@@ -18,12 +18,12 @@
 	statusError = "400 "
 )
 
-// infoEnd is the last line of the response to INFO, the only one with several lines.
+// infoEnd is the last line of the response to INFO, which is the only response of more than one line.
 const infoEnd = "EOF"
 
 var errUnknownCommand = errors.New("expected PING, INFO, LAMEDUCK or REJOIN")
 
-// parseCommand parses a request line without its line end. Commands have no arguments and are case-sensitive.
+// parseCommand parses a request line without its terminator. Commands have no arguments and are case-sensitive.
 func parseCommand(text string) (command, error) {
 	switch c := command(text); c {
 	case commandPing, commandInfo, commandLameDuck, commandRejoin:
--- a/internal/operations/management/management.go
+++ b/internal/operations/management/management.go
@@ -1,6 +1,6 @@
-// Package management serves the management address, for operators and their tools. A connection carries one command and
-// its response, of one line except for INFO. The server holds file descriptors of its own, so that neither clients nor
-// management connections can take those of the other.
+// Package management serves the management address, which operators and their tools use. A connection carries one
+// command and its response. All responses but that to INFO are one line. The number of management connections is
+// limited and separate from that of client connections, so neither can use up the file descriptors of the other.
 package management
 
 import (
@@ -21,32 +21,33 @@
 )
 
 const (
-	requestTimeout   = 2 * time.Second        // for a connection to send its request line
-	engineTimeout    = 400 * time.Millisecond // for the engine to answer; a response is due within 1 s
-	writeTimeout     = 500 * time.Millisecond // for a connection to take its response
-	closeTimeout     = 500 * time.Millisecond // for a connection to be closed by its peer after the response
-	acceptRetryDelay = 5 * time.Millisecond   // after an accept that failed
+	requestTimeout   = 2 * time.Second        // for the peer to send its request line
+	engineTimeout    = 400 * time.Millisecond // for the engine to answer; the whole response must take less than 1 s
+	writeTimeout     = 500 * time.Millisecond // for the response to be written, beyond engineTimeout
+	closeTimeout     = 500 * time.Millisecond // for the peer to close the connection after the response
+	acceptRetryDelay = 5 * time.Millisecond   // delay after a failed accept
 )
 
-// Server answers commands.
+// Server executes the commands that arrive at the management address and sends the responses.
 type Server struct {
 	engine       *core.Engine
 	classes      []string // names of the request classes, by class index
 	maxConns     int
 	extraMetrics func() []Metric // nil if there are none
 	log          *logrus.Logger
-	running      sync.WaitGroup // the goroutines that Serve waits for
+	running      sync.WaitGroup // goroutines that Serve waits for before it returns
 }
 
-// New returns a server for an engine whose classes have the given names. It holds at most maxConns connections.
+// New returns a server for an engine. classes are the names of the request classes, by class index. The server keeps at
+// most maxConns connections open.
 func New(engine *core.Engine, classes []string, maxConns int, log *logrus.Logger) *Server {
 	return &Server{engine: engine, classes: classes, maxConns: maxConns, log: log}
 }
 
-// AddMetrics adds metrics to INFO; it has to be called before Serve.
+// AddMetrics adds the metrics that a function returns to the response to INFO. It must be called before Serve.
 func (s *Server) AddMetrics(metrics func() []Metric) { s.extraMetrics = metrics }
 
-// Listen opens the management address.
+// Listen opens the listener of the management address.
 func Listen(address string) (*net.TCPListener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -55,8 +56,9 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// Serve accepts connections until ctx ends, then closes them and waits for their goroutines. If there are too many, it
-// closes the oldest one: a response takes no time, so that one has sent nothing, or half a request.
+// Serve accepts connections until ctx ends. Then it closes them and waits for their goroutines. If there are too many
+// connections, it closes the oldest one. Complete requests are answered at once, so the peer of the oldest connection
+// has most likely sent no complete request.
 func (s *Server) Serve(ctx context.Context, listener *net.TCPListener) {
 	defer s.running.Wait()
 	defer listener.Close()
@@ -93,7 +95,7 @@
 	}
 }
 
-// accept hands the connections of listener to Serve until ctx ends.
+// accept accepts connections and passes them to Serve until ctx ends.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener, accepted chan<- *net.TCPConn) {
 	for {
 		conn, err := listener.AcceptTCP()
@@ -121,18 +123,18 @@
 	text := textproto.NewConn(conn)
 	request, err := textline.Read(text.R)
 	if err != nil && !errors.Is(err, textline.ErrMissingCR) {
-		request = "" // too long, truncated or missing: no command
+		request = "" // too long, incomplete or missing; respond rejects it as an unknown command
 	}
 	conn.SetWriteDeadline(time.Now().Add(engineTimeout + writeTimeout))
 	if err := text.PrintfLine("%s", s.respond(request)); err != nil || conn.CloseWrite() != nil {
 		return
 	}
-	// Closing with unread bytes resets the connection, which could destroy the response.
+	// Closing a connection with unread bytes resets it, and the peer could lose the response.
 	conn.SetReadDeadline(time.Now().Add(closeTimeout))
 	io.Copy(io.Discard, conn)
 }
 
-// respond executes a request and returns its response. PING never waits for the engine.
+// respond executes a request and returns the response. PING does not wait for the engine.
 func (s *Server) respond(request string) string {
 	command, err := parseCommand(request)
 	if err != nil {
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -19,10 +19,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// testTimeout bounds each wait, so that no test hangs.
+// testTimeout is the timeout of each connection, so that no test hangs.
 const testTimeout = 20 * time.Second
 
-// startServer returns the address of a server that holds at most maxConns connections.
+// startServer starts an engine and a server that keeps at most maxConns connections open, and returns the address of
+// the server.
 func startServer(t *testing.T, maxConns int) string {
 	t.Helper()
 	log := logrus.New()
@@ -71,7 +72,7 @@
 	return conn
 }
 
-// request sends a request and returns the whole response.
+// request sends a request over a new connection and returns the whole response.
 func request(t *testing.T, address, text string) string {
 	t.Helper()
 	conn := dial(t, address)
@@ -83,7 +84,8 @@
 	return string(response)
 }
 
-// The commands follow each other: each finds the state that the one before has left.
+// The commands are sent one after the other to the same instance, so each depends on the service state that the
+// previous command left.
 func TestCommands(t *testing.T) {
 	t.Parallel()
 	address := startServer(t, 20)
@@ -104,18 +106,18 @@
 	} {
 		got := request(t, address, test.request)
 		if !strings.HasPrefix(got, test.status+" ") || strings.Count(got, "\r\n") != 1 || !strings.HasSuffix(got, "\r\n") {
-			t.Errorf("%.20q brings %q, want one line with %s", test.request, got, test.status)
+			t.Errorf("%.20q: response %q, want one line with status %s", test.request, got, test.status)
 		}
 	}
 	const want = "200 figures\r\nsvc.fulfilled.solo-play=0\r\nsvc.throttled.solo-play=0\r\nsvc.faulted.solo-play=0\r\n" +
 		"svc.relayed.solo-play=0\r\nsvc.fulfilled.team-play=0\r\nsvc.throttled.team-play=0\r\nsvc.faulted.team-play=0\r\n" +
 		"svc.relayed.team-play=0\r\nsvc.open_requests=0\r\nsvc.registry_entries=2\r\nsvc.out_of_rotation=1\r\nEOF\r\n"
 	if got := request(t, address, "INFO\r\n"); got != want {
-		t.Errorf("INFO brings %q, want %q", got, want)
+		t.Errorf("INFO: response %q, want %q", got, want)
 	}
 }
 
-// The counters of session tokens are reported where sessions are resumed, and only there.
+// INFO has the counters of session tokens if sessions are resumed, and does not have them otherwise.
 func TestSessionMetrics(t *testing.T) {
 	snapshot := &core.Snapshot{SessionsEnabled: true, Generation: 4}
 	snapshot.TokensIssued, snapshot.Resumed = 3, 2
@@ -124,16 +126,16 @@
 	for _, want := range []string{"svc.tokens_given=3\r\n", "svc.resumed=2\r\n", "svc.started_over.gone=4\r\n",
 		"svc.token_refused.forged=5\r\n", "svc.started_over.late=0\r\n", "svc.generation=4\r\n"} {
 		if got := server.formatMetrics(snapshot); !strings.Contains(got, want) {
-			t.Errorf("%q lacks %q", got, want)
+			t.Errorf("response %q does not contain %q", got, want)
 		}
 	}
 	snapshot.SessionsEnabled = false
 	if strings.Contains(server.formatMetrics(snapshot), "token") {
-		t.Error("reported where it is off")
+		t.Error("token metrics are reported though sessions are not resumed")
 	}
 }
 
-// The keys of INFO and their order are part of the management protocol.
+// The names of the metrics in INFO and their order are part of the management protocol, so they must not change.
 func TestMetricOrder(t *testing.T) {
 	snapshot := &core.Snapshot{SessionsEnabled: true, Generation: 6, Waiting: 11, Established: 1, Listed: 13, Ejected: 14,
 		Classes: []core.ClassCounters{{Served: 1, Rejected: 2, Failed: 3, Attempts: 4}}}
@@ -145,14 +147,15 @@
 		"svc.generation=6\r\nsvc.tokens_given=7\r\nsvc.tokens_unsealed=8\r\nsvc.resumed=9\r\nsvc."
 	const last = "=0\r\nsvc.extra=10\r\nsvc.open_requests=12\r\nsvc.registry_entries=13\r\nsvc.out_of_rotation=14\r\nEOF"
 	if !strings.HasPrefix(got, first) {
-		t.Errorf("%q does not begin with %q", got, first)
+		t.Errorf("response %q does not begin with %q", got, first)
 	}
 	if !strings.HasSuffix(got, last) {
-		t.Errorf("%q does not end with %q", got, last)
+		t.Errorf("response %q does not end with %q", got, last)
 	}
 }
 
-// Connections that send nothing, or half a request, delay nobody, however many there are, and are closed.
+// Connections that send nothing, or an incomplete request, do not delay other connections, however many there are. The
+// server closes them.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	address := startServer(t, 3)
@@ -164,18 +167,18 @@
 		}
 		silent = append(silent, conn)
 		if got := request(t, address, "PING\r\n"); !strings.HasPrefix(got, "200") {
-			t.Fatalf("PING brings %q", got)
+			t.Fatalf("PING: response %q, want status 200", got)
 		}
 	}
 	for _, conn := range silent {
 		var timeout net.Error
 		if err := readUntilError(conn); errors.As(err, &timeout) && timeout.Timeout() {
-			t.Error("a silent connection is not closed")
+			t.Error("a connection without a complete request was not closed")
 		}
 	}
 }
 
-// readUntilError discards lines until the connection ends, or its deadline passes.
+// readUntilError discards lines until the connection ends or its deadline passes, and returns the error.
 func readUntilError(conn net.Conn) error {
 	for reader := bufio.NewReader(conn); ; {
 		if _, err := reader.ReadString('\n'); err != nil {
@@ -184,7 +187,7 @@
 	}
 }
 
-// Only the four commands are accepted, to the letter.
+// parseCommand accepts exactly the four commands, without other spellings or arguments.
 func FuzzParseCommand(f *testing.F) {
 	commands := map[string]bool{"PING": true, "INFO": true, "LAMEDUCK": true, "REJOIN": true}
 	fuzzcorpus.Add(f, []byte("PING"), []byte("INFO"), []byte("LAMEDUCK"), []byte("REJOIN"))
--- a/internal/operations/management/metrics.go
+++ b/internal/operations/management/metrics.go
@@ -8,13 +8,14 @@
 	"cottonplank/internal/session/migration"
 )
 
-// Metric is one line of INFO in addition to the engine's own.
+// Metric is a line of the response to INFO in addition to the metrics of the engine.
 type Metric struct {
 	Name  string // without the prefix "svc."
 	Value uint64
 }
 
-// formatMetrics returns the response to INFO. The names are part of the management protocol.
+// formatMetrics returns the response to INFO. The names of the metrics and their order are part of the management
+// protocol.
 func (s *Server) formatMetrics(snapshot *core.Snapshot) string {
 	var response strings.Builder
 	response.WriteString(statusOK + "figures\r\n")
--- a/internal/operations/sdnotify/monitor.go
+++ b/internal/operations/sdnotify/monitor.go
@@ -1,6 +1,6 @@
-// Package sdnotify is the daemon's side of a service supervisor such as systemd: it reports the state of the process
-// (the sd_notify protocol, sd_notify(3)), receives the sockets that the supervisor has opened (sd_listen_fds(3)), and
-// sends the watchdog's heartbeats while no task of the process is stuck. Without a supervisor it does nothing.
+// Package sdnotify connects the daemon to a service supervisor such as systemd. It reports the state of the process
+// (the protocol of sd_notify(3)), receives the sockets that the supervisor has opened (sd_listen_fds(3)), and sends
+// watchdog heartbeats while no task of the process is stuck. Without a supervisor it does nothing.
 package sdnotify
 
 import (
@@ -13,11 +13,11 @@
 // notBusy is the value of Task.busySince while the task is idle.
 const notBusy = 0
 
-// Task is an event loop that a Monitor watches: it is busy while it handles an event and idle while it waits for one.
-// All methods of a nil Task do nothing. It is safe for concurrent use.
+// Task is an event loop that a Monitor watches. It is busy while it handles an event, and idle while it waits for the
+// next one. The methods of a nil Task do nothing. A Task is safe for concurrent use.
 type Task struct {
 	name string
-	// busySince is when the task began to handle an event, in Unix nanoseconds, or notBusy.
+	// busySince is the time at which the task began to handle an event, in Unix nanoseconds, or notBusy.
 	busySince atomic.Int64
 }
 
@@ -35,13 +35,13 @@
 	}
 }
 
-// Monitor finds the tasks of a process that are stuck. It is safe for concurrent use.
+// Monitor detects which tasks of a process are stuck. It is safe for concurrent use.
 type Monitor struct {
 	mu    sync.Mutex
 	tasks []*Task
 }
 
-// AddTask returns a new task. Several tasks may have one name. A nil Monitor returns a nil Task.
+// AddTask returns a new task. Several tasks may have the same name. A nil Monitor returns a nil Task.
 func (m *Monitor) AddTask(name string) *Task {
 	if m == nil {
 		return nil
@@ -53,8 +53,8 @@
 	return task
 }
 
-// StuckTasks returns the names of the tasks that have been busy for longer than limit at the time now, sorted and
-// without duplicates.
+// StuckTasks returns the names of the tasks that, at the time now, have been busy for longer than limit. The names are
+// sorted and without duplicates.
 func (m *Monitor) StuckTasks(now time.Time, limit time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/operations/sdnotify/monitor_bench_test.go
+++ b/internal/operations/sdnotify/monitor_bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkTask measures what a Task adds to an iteration of an event loop.
+// BenchmarkTask measures the time that a Task adds to each iteration of an event loop.
 func BenchmarkTask(b *testing.B) {
 	task := (&Monitor{}).AddTask("engine")
 	for b.Loop() {
--- a/internal/operations/sdnotify/notifier.go
+++ b/internal/operations/sdnotify/notifier.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// statusInterval is the time between two status messages.
+	// statusInterval is the interval between status messages.
 	statusInterval = 5 * time.Second
-	// maxPending bounds the messages that wait to be sent.
+	// maxPending is the maximum number of messages in the queue of Notifier.
 	maxPending = 16
-	// heartbeatsPerTimeout is how many heartbeats are sent within the watchdog's time-out.
+	// heartbeatsPerTimeout is the number of heartbeats within the watchdog timeout.
 	heartbeatsPerTimeout = 4
-	// stuckDivisor sets how long a task may be busy before it counts as stuck: the watchdog's time-out divided by it.
+	// stuckDivisor determines when a busy task counts as stuck: after the watchdog timeout divided by stuckDivisor.
 	stuckDivisor = 2
 )
 
-// Notifier reports the state of the process to a supervisor. Only Run writes to the supervisor's socket, so that a
-// supervisor that does not read blocks nothing else. Messages that don't fit into the queue meanwhile are lost.
+// Notifier reports the state of the process to a supervisor. Its methods only queue messages; Run alone writes them to
+// the supervisor's socket. So a supervisor that does not read blocks Run but no other goroutine. While the queue is
+// full, further messages are dropped.
 type Notifier struct {
 	log     *logrus.Logger
 	monitor *Monitor
-	// send writes a message to the supervisor. It reports false without a supervisor.
+	// send writes a message to the supervisor. It returns false if there is no supervisor.
 	send func(message string) (bool, error)
-	// status returns the text that the supervisor shows.
+	// status returns the text that the supervisor shows as the status of the service.
 	status func() string
-	// watchdogTimeout is the time without a heartbeat after which the supervisor restarts the process; 0 disables
-	// heartbeats.
+	// watchdogTimeout is the time without a heartbeat after which the supervisor restarts the process. If it is 0, no
+	// heartbeats are sent.
 	watchdogTimeout time.Duration
-	// pending are the messages to be sent.
+	// pending is the queue of messages that Run sends.
 	pending chan string
 	// done is closed when Run returns.
 	done chan struct{}
 }
 
 // NewNotifier returns a notifier for the supervisor that the environment names (NOTIFY_SOCKET, WATCHDOG_USEC and
-// WATCHDOG_PID). Without a supervisor its methods do nothing. status returns the text that the supervisor shows. The
-// error reports a malformed environment.
+// WATCHDOG_PID). If there is no supervisor, its messages are discarded. status returns the text that the supervisor
+// shows as the status of the service. The error reports a malformed environment.
 func NewNotifier(monitor *Monitor, status func() string, log *logrus.Logger) (*Notifier, error) {
 	timeout, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
@@ -58,7 +59,8 @@
 	}, nil
 }
 
-// Run sends the messages until ctx ends, and then those that are still pending.
+// Run sends the queued messages, the heartbeats and the status until ctx ends. Then it sends the messages that are
+// still in the queue, and returns.
 func (n *Notifier) Run(ctx context.Context) {
 	defer close(n.done)
 	var heartbeats <-chan time.Time
@@ -97,7 +99,7 @@
 }
 
 // sendHeartbeat sends a heartbeat (WATCHDOG=1) unless a task is stuck. It returns the names of the stuck tasks, and
-// logs them if they differ from those of the call before.
+// logs them if they differ from stuckBefore, the result of the previous call.
 func (n *Notifier) sendHeartbeat(stuckBefore string) string {
 	stuck := strings.Join(n.monitor.StuckTasks(time.Now(), n.watchdogTimeout/stuckDivisor), ", ")
 	if stuck != "" {
@@ -114,7 +116,7 @@
 	return ""
 }
 
-// statusLine returns the status in one line.
+// statusLine returns the status without line breaks, which would end the message field.
 func (n *Notifier) statusLine() string { return strings.ReplaceAll(n.status(), "\n", " ") }
 
 func (n *Notifier) write(message string) {
@@ -123,7 +125,8 @@
 	}
 }
 
-// enqueue queues a message. It drops the message if the queue is full, which means that the supervisor does not read.
+// enqueue adds a message to the queue. If the queue is full, because the supervisor does not read its socket, it drops
+// the message.
 func (n *Notifier) enqueue(message string) {
 	select {
 	case n.pending <- message:
@@ -131,23 +134,25 @@
 	}
 }
 
-// Ready reports that the process serves, or serves again after a reload.
+// Ready reports that the process serves clients, after its start or after a reload.
 func (n *Notifier) Ready() { n.enqueue(daemon.SdNotifyReady + "\nSTATUS=" + n.statusLine()) }
 
-// Reloading reports the beginning of a reload, which Ready ends. now is the time of CLOCK_MONOTONIC.
+// Reloading reports the start of a reload; Ready reports its end. now is the time of CLOCK_MONOTONIC, by which the
+// supervisor orders reloads.
 func (n *Notifier) Reloading(now time.Duration) {
 	n.enqueue(fmt.Sprintf("%s\nMONOTONIC_USEC=%d", daemon.SdNotifyReloading, now.Microseconds()))
 }
 
-// Stopping reports the beginning of a planned stop, which takes no longer than the given time.
+// Stopping reports the start of a planned stop, which takes at most the given time.
 func (n *Notifier) Stopping(within time.Duration) {
 	n.enqueue(fmt.Sprintf("%s\nEXTEND_TIMEOUT_USEC=%d", daemon.SdNotifyStopping, within.Microseconds()))
 }
 
-// SetMainPID reports that the process with this ID is now the main process of the service, as after a hot restart.
+// SetMainPID reports that the process with the given ID is now the main process of the service. This is so after a hot
+// restart.
 func (n *Notifier) SetMainPID(pid int) { n.enqueue(fmt.Sprintf("MAINPID=%d", pid)) }
 
-// Wait waits until Run has returned, but no longer than timeout: the supervisor's socket may block.
+// Wait waits until Run has returned, but at most for timeout, because a write to the supervisor's socket may block.
 func (n *Notifier) Wait(timeout time.Duration) {
 	select {
 	case <-n.done:
--- a/internal/operations/sdnotify/notifier_test.go
+++ b/internal/operations/sdnotify/notifier_test.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newSupervisor emulates a service supervisor: it returns the socket of sd_notify(3).
+// newSupervisor emulates a service supervisor. It returns the socket that receives the messages of sd_notify(3).
 func newSupervisor(t *testing.T) *net.UnixConn {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "notify")
@@ -26,7 +26,7 @@
 	return conn
 }
 
-// readMessage reads one message. It returns an empty string if none arrives within the time.
+// readMessage reads one message. It returns an empty string if no message arrives within the given time.
 func readMessage(t *testing.T, conn *net.UnixConn, within time.Duration) string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(within))
@@ -38,7 +38,7 @@
 	return string(buf[:n])
 }
 
-// newLog returns a log and what is written to it.
+// newLog returns a logger and the buffer that it writes to.
 func newLog() (*logrus.Logger, *strings.Builder) {
 	log := logrus.New()
 	out := &strings.Builder{}
@@ -46,7 +46,8 @@
 	return log, out
 }
 
-// startNotifier runs a notifier until the returned function stops it.
+// startNotifier runs a notifier until the returned function or the end of the test stops it. It also returns the log
+// output.
 func startNotifier(t *testing.T, monitor *Monitor) (*Notifier, context.CancelFunc, *strings.Builder) {
 	t.Helper()
 	log, out := newLog()
@@ -60,7 +61,8 @@
 	return n, func() { cancel(); n.Wait(5 * time.Second) }, out
 }
 
-// The messages are those of sd_notify(3), in order; those pending at the end are still sent.
+// The messages have the form that sd_notify(3) specifies and are sent in order. Messages still in the queue when Run is
+// stopped are sent too.
 func TestMessages(t *testing.T) {
 	conn := newSupervisor(t)
 	n, stop, _ := startNotifier(t, &Monitor{})
@@ -82,12 +84,12 @@
 		}
 	}
 	if a, b := MonotonicNow(), MonotonicNow(); a <= 0 || b < a {
-		t.Errorf("the clock goes from %v to %v", a, b)
+		t.Errorf("the monotonic clock returned %v, then %v", a, b)
 	}
 }
 
-// Heartbeats are sent while no task is stuck. A stuck task is named and ends them; they are sent again once it is
-// idle. So a process that hangs is restarted, and one that works is not.
+// Heartbeats are sent while no task is stuck. While a task is stuck, the status names it and no heartbeat is sent, so
+// that the supervisor restarts a process that hangs. Once the task is idle, heartbeats are sent again.
 func TestWatchdog(t *testing.T) {
 	conn := newSupervisor(t)
 	t.Setenv("WATCHDOG_USEC", "200000")
@@ -99,7 +101,7 @@
 	}
 	list.Busy()
 	list.Idle()
-	engine.Busy() // and never idle
+	engine.Busy() // stays busy until it counts as stuck
 	for end := time.Now().Add(5 * time.Second); ; {
 		got := readMessage(t, conn, 5*time.Second)
 		if got == "STATUS=stuck: engine" {
@@ -122,14 +124,15 @@
 	}
 }
 
-// A task is stuck if one iteration of its event loop has lasted longer than the limit.
+// A task is stuck if one iteration of its event loop has lasted longer than the limit. Tasks of the same name are
+// reported once, and the methods of a nil Monitor and a nil Task do nothing.
 func TestStuckTasks(t *testing.T) {
 	monitor := &Monitor{}
 	a, b, c := monitor.AddTask("a"), monitor.AddTask("b"), monitor.AddTask("b")
 	a.Busy()
 	b.Busy()
 	c.Busy()
-	b.Busy() // the next iteration follows at once
+	b.Busy() // the next iteration, without Idle in between
 	now := time.Now()
 	if got := monitor.StuckTasks(now.Add(time.Minute), time.Second); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%q", got)
@@ -148,7 +151,8 @@
 	none.AddTask("x").Idle()
 }
 
-// A supervisor that does not read, so that the buffer of its socket fills up and writes block, blocks no caller.
+// A supervisor that does not read its socket does not block the callers of a Notifier, though the buffer of the socket
+// fills up and the writes of Run block.
 func TestUnresponsiveSupervisor(t *testing.T) {
 	newSupervisor(t) // its socket is never read
 	log, _ := newLog()
@@ -169,13 +173,13 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Error("a caller is blocked by the supervisor")
+		t.Error("a caller of Ready is blocked by the supervisor")
 	}
 	cancel()
 	n.Wait(50 * time.Millisecond)
 }
 
-// Without a supervisor nothing is sent and nothing fails; a malformed environment is an error.
+// Without a supervisor, no message is sent and no error is logged. A malformed environment is an error.
 func TestNoSupervisor(t *testing.T) {
 	t.Setenv("NOTIFY_SOCKET", "")
 	n, stop, out := startNotifier(t, &Monitor{})
--- a/internal/operations/sdnotify/stuck_tasks_test.go
+++ b/internal/operations/sdnotify/stuck_tasks_test.go
@@ -23,7 +23,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// blockingBackend is a prober and a receiver of lists whose methods block until it is released.
+// blockingBackend is a prober and a receiver of endpoint lists whose methods block until released is closed.
 type blockingBackend struct {
 	stub.Prober
 	stub.Discovery
@@ -34,10 +34,10 @@
 func (b blockingBackend) EndpointsUpdated(core.EndpointUpdate) { <-b.released }
 func (b blockingBackend) WatchAlive(uint64)                    { <-b.released }
 
-// limit is how long a task may be busy.
+// limit is how long a task may be busy before it counts as stuck.
 const limit = 100 * time.Millisecond
 
-// waitForStuck waits until exactly these tasks are stuck.
+// waitForStuck waits until exactly the given tasks are stuck.
 func waitForStuck(t *testing.T, monitor *sdnotify.Monitor, want ...string) {
 	t.Helper()
 	var got []string
@@ -46,12 +46,12 @@
 			return
 		}
 	}
-	t.Fatalf("stuck: %q, want %q", got, want)
+	t.Fatalf("stuck tasks %q, want %q", got, want)
 }
 
-// An engine that is blocked by a call is found to be stuck, and so is the frontend whose connections it does not
-// receive any more; both recover once the call returns. The real event loops are used, which shows that they report
-// their iterations.
+// An engine that is blocked by a call counts as stuck. The frontend, whose connections the engine no longer receives,
+// then blocks and counts as stuck too. Both recover once the call returns. The test uses the real event loops, to check
+// that they mark the beginning and the end of their iterations.
 func TestEngineAndFrontendStuck(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -102,7 +102,7 @@
 	}
 }
 
-// A list source whose updates are not received is found to be stuck.
+// An HTTP list source counts as stuck while the receiver of its updates blocks, and recovers afterwards.
 func TestListSourceStuck(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"generation":3,"reset":true,"instances":[]}`+"\n")
