--- a/internal/operations/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -1,6 +1,7 @@
-// Package snmp is a read-only SNMPv2c agent for the objects of mibs/COTTONPLANK-MIB.txt and some of the system group.
-// It answers from the snapshots that package core publishes, so that requests do not disturb the balancer's event loop.
-// Only requests that may read the table of room servers need a detailed snapshot, which is made on demand.
+// Package snmp implements a read-only SNMPv2c agent for the objects of mibs/COTTONPLANK-MIB.txt and for some objects
+// of the system group. It answers from the snapshots that package core publishes, so requests put no load on the
+// balancer's event loop. Only a request that may read the table of room servers needs a detailed snapshot, which is
+// made on demand.
 package snmp
 
 import (
@@ -15,10 +16,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxRequestBytes is the maximum size of a request. Longer ones are cut off, and so cannot be decoded.
+// maxRequestBytes is the maximum size of a request. Longer requests are truncated, so they cannot be decoded and get no
+// response.
 const maxRequestBytes = 4096
 
-// Agent answers the requests of one community at one socket.
+// Agent answers SNMP requests of one community at one UDP socket.
 type Agent struct {
 	conn *net.UDPConn
 	// community is the only community whose requests are answered.
@@ -54,8 +56,7 @@
 // Addr returns the local address of the agent's socket.
 func (a *Agent) Addr() *net.UDPAddr { return a.conn.LocalAddr().(*net.UDPAddr) }
 
-// Serve answers requests until ctx ends, and closes the socket then. While pause holds the socket, no requests are
-// read.
+// Serve answers requests until ctx ends, and then closes the socket. It reads no requests while pause pauses it.
 func (a *Agent) Serve(ctx context.Context, pause *hotrestart.Pauser) {
 	defer a.conn.Close()
 	stop := context.AfterFunc(ctx, func() { a.conn.Close() })
@@ -67,7 +68,7 @@
 			return
 		}
 		if err != nil {
-			// A pause, or an error that concerns one datagram only.
+			// Either a pause, or an error that concerns only one datagram and is ignored.
 			pause.WaitWhilePaused(ctx, err)
 			continue
 		}
--- a/internal/operations/snmp/agent_test.go
+++ b/internal/operations/snmp/agent_test.go
@@ -11,7 +11,8 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// A walk, with GetNextRequest and with GetBulkRequest, returns each instance once, in order.
+// A walk returns each instance once, in the order of object identifiers, both with GetNextRequest and with
+// GetBulkRequest.
 func TestWalk(t *testing.T) {
 	client := startAgent(t, testCommunity)
 	wantCount := len(systemScalars) + len(mibScalars) + testServers*len(serverColumns) +
@@ -44,7 +45,7 @@
 			}
 			inOrder := func(a, b gosnmp.SnmpPDU) int { return slices.Compare(parseOID(a.Name), parseOID(b.Name)) }
 			if !slices.IsSortedFunc(all, inOrder) {
-				t.Error("not in order")
+				t.Error("the instances are not in the order of object identifiers")
 			}
 			values := map[string]any{}
 			for _, v := range all {
@@ -62,11 +63,13 @@
 	}
 }
 
-// reasonOID returns the object identifier of a reason's cell in the column with the given suffix.
+// reasonOID returns the object identifier of a reason's instance in the column with the given suffix.
 func reasonOID(suffix string, reason migration.Reason) string {
 	return fmt.Sprintf("%s%s.%d", reasonEntryOID, suffix, uint8(reason)+1)
 }
 
+// Requests for instances that do not exist, past the end of the MIB view, or that would set a value, get the exceptions
+// and errors of SNMPv2c.
 func TestExceptions(t *testing.T) {
 	client := startAgent(t, testCommunity)
 	names := []string{objectsOID + ".1.0", objectsOID + ".1.1", objectsOID + ".99.0", serverEntryOID + ".2.1"}
@@ -94,12 +97,13 @@
 	}
 }
 
-// Requests of another community and malformed ones get no response, and do not stop the agent.
+// Requests of another community and malformed requests get no response. The agent still answers valid requests
+// afterwards.
 func TestInvalidRequestsGetNoResponse(t *testing.T) {
 	client := startAgent(t, "wrong")
 	client.Timeout, client.Retries = 200*time.Millisecond, 0
 	if r, err := client.Get([]string{objectsOID + ".1.0"}); err == nil {
-		t.Errorf("another community got %+v", r)
+		t.Errorf("a request of another community got the response %+v", r)
 	}
 	client.Conn.SetDeadline(time.Time{})
 	for _, raw := range []string{"\x30", "\x30\x82\xff\xff\x02\x01\x01", "garbage", "\x30\x03\x02\x01\x01"} {
@@ -109,6 +113,6 @@
 	}
 	client.Community, client.Timeout, client.Retries = testCommunity, 2*time.Second, 2
 	if _, err := client.Get([]string{objectsOID + ".1.0"}); err != nil {
-		t.Errorf("after malformed requests: %v", err)
+		t.Errorf("a valid request after malformed ones: %v", err)
 	}
 }
--- a/internal/operations/snmp/helpers_test.go
+++ b/internal/operations/snmp/helpers_test.go
@@ -26,7 +26,7 @@
 
 var testClasses = []string{"solo-play", "team-play"}
 
-// testSnapshot returns a snapshot with room servers.
+// testSnapshot returns a snapshot with counters and with testServers room servers.
 func testSnapshot() *core.Snapshot {
 	s := &core.Snapshot{
 		ClassCounters: core.ClassCounters{Served: 5, Rejected: 4, Failed: 3, Attempts: 9},
@@ -67,7 +67,8 @@
 	return log
 }
 
-// startAgent starts an agent with testSnapshot and returns a client of a community. Both run until the end of the test.
+// startAgent starts an agent that answers from testSnapshot, and returns a client that uses the given community. Both
+// are closed at the end of the test.
 func startAgent(t *testing.T, community string) *gosnmp.GoSNMP {
 	t.Helper()
 	s := testSnapshot()
@@ -97,7 +98,7 @@
 	return client
 }
 
-// serverOID returns the object identifier of a room server's cell in the column with the given suffix.
+// serverOID returns the object identifier of a room server's instance in the column with the given suffix.
 func serverOID(suffix, server string) string {
 	return fmt.Sprintf("%s%s.%d", serverEntryOID, suffix, core.ServerID(server))
 }
--- a/internal/operations/snmp/objects.go
+++ b/internal/operations/snmp/objects.go
@@ -24,11 +24,11 @@
 	systemOID = ".1.3.6.1.2.1.1"
 )
 
-// object is a scalar, or a column of a table.
+// object describes a scalar, or a column of a table.
 type object struct {
-	// name is the object's name in the MIB; empty in the system group.
+	// name is the object's name in the MIB; it is empty for objects of the system group.
 	name string
-	// oid is the object identifier, without the instance.
+	// oid is the object identifier without the instance part.
 	oid string
 	// syntax is the type of the object's values.
 	syntax gosnmp.Asn1BER
@@ -37,7 +37,7 @@
 // scalar is an object with one instance.
 type scalar struct {
 	object
-	// value returns the value for a balancer with the given name.
+	// value returns the value in a snapshot of the balancer with the given name.
 	value func(balancer string, s *core.Snapshot) any
 }
 
@@ -57,13 +57,13 @@
 
 // reasonRow is a row of the table of reasons for starting over.
 type reasonRow struct {
-	// word is the reason's word in the wire protocol.
+	// word is the reason as the wire protocol spells it.
 	word string
 	// count is the number of clients that had to start over for this reason.
 	count uint64
 }
 
-// Numbers of the MIB's enumerations.
+// Numbers of the states in the enumerations of the MIB.
 var (
 	serviceStateNumbers = map[core.ServiceState]int{
 		core.Starting: 1,
@@ -78,7 +78,8 @@
 	}
 )
 
-// systemScalars are the objects of the system group.
+// systemScalars are the objects of the system group that the agent provides: sysDescr, sysObjectID, sysUpTime and
+// sysName.
 var systemScalars = []scalar{
 	{object{"", systemOID + ".1", gosnmp.OctetString}, func(string, *core.Snapshot) any {
 		return "cottonplank, balancer of long-lived connections"
@@ -116,8 +117,8 @@
 	counter("cpGeneration", ".19", func(s *core.Snapshot) uint64 { return s.Generation }),
 }
 
-// serverColumns are the columns of the table of room servers, sorted by object identifier. The index of a row is the
-// server's ID.
+// serverColumns are the columns of the table of room servers, sorted by object identifier. A row's index is the ID of
+// its room server.
 var serverColumns = []column[core.UpstreamStats]{
 	serverColumn("cpSubchannelInstance", ".2", gosnmp.OctetString, func(r *core.UpstreamStats) any { return r.Name }),
 	serverColumn("cpSubchannelAddress", ".3", gosnmp.OctetString, func(r *core.UpstreamStats) any { return r.Address }),
@@ -134,7 +135,7 @@
 	}),
 }
 
-// classColumns are the columns of the table of request classes. The index of a row counts the classes from 1.
+// classColumns are the columns of the table of request classes. A row's index is the class index plus 1.
 var classColumns = []column[classRow]{
 	{object{"cpClassName", classEntryOID + ".2", gosnmp.OctetString}, func(r *classRow) any { return r.name }},
 	classCounter("cpClassServed", ".3", func(r *classRow) uint64 { return r.Served }),
@@ -143,14 +144,14 @@
 	classCounter("cpClassAttempts", ".6", func(r *classRow) uint64 { return r.Attempts }),
 }
 
-// reasonColumns are the columns of the table of reasons for starting over. The index of a row counts the reasons from
-// 1.
+// reasonColumns are the columns of the table of reasons for starting over. A row's index is the number of its reason
+// plus 1.
 var reasonColumns = []column[reasonRow]{
 	{object{"cpStartOverReason", reasonEntryOID + ".2", gosnmp.OctetString}, func(r *reasonRow) any { return r.word }},
 	{object{"cpStartOverCount", reasonEntryOID + ".3", gosnmp.Counter64}, func(r *reasonRow) any { return r.count }},
 }
 
-// counter returns a scalar of type Counter64. suffix is the last part of its object identifier.
+// counter returns a scalar of type Counter64. suffix is its object identifier relative to objectsOID.
 func counter(name, suffix string, value func(*core.Snapshot) uint64) scalar {
 	return scalar{
 		object{name, objectsOID + suffix, gosnmp.Counter64},
@@ -158,7 +159,7 @@
 	}
 }
 
-// gauge returns a scalar of type Gauge32.
+// gauge returns a scalar of type Gauge32. suffix is its object identifier relative to objectsOID.
 func gauge(name, suffix string, value func(*core.Snapshot) int) scalar {
 	return scalar{
 		object{name, objectsOID + suffix, gosnmp.Gauge32},
@@ -166,13 +167,15 @@
 	}
 }
 
-// serverColumn returns a column of the table of room servers.
+// serverColumn returns a column of the table of room servers. suffix is its object identifier relative to
+// serverEntryOID.
 func serverColumn(name, suffix string, syntax gosnmp.Asn1BER,
 	value func(*core.UpstreamStats) any) column[core.UpstreamStats] {
 	return column[core.UpstreamStats]{object{name, serverEntryOID + suffix, syntax}, value}
 }
 
-// classCounter returns a column of type Counter64.
+// classCounter returns a column of type Counter64 of the table of request classes. suffix is its object identifier
+// relative to classEntryOID.
 func classCounter(name, suffix string, value func(*classRow) uint64) column[classRow] {
 	return column[classRow]{
 		object{name, classEntryOID + suffix, gosnmp.Counter64},
@@ -180,10 +183,10 @@
 	}
 }
 
-// gaugeValue returns the value of a Gauge32, which cannot be negative.
+// gaugeValue converts a number to the value of a Gauge32. A negative number becomes 0.
 func gaugeValue(n int) uint32 { return uint32(max(n, 0)) }
 
-// loadValue returns a load in thousandths, or -1 if it is unknown.
+// loadValue returns a load in thousandths, or -1 if the load is unknown, which a negative load means.
 func loadValue(load float64) int {
 	const (
 		unknown       = -1
--- a/internal/operations/snmp/objects_test.go
+++ b/internal/operations/snmp/objects_test.go
@@ -12,8 +12,8 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// mibObjects returns the syntax of each readable object of the MIB. Keys are names and object identifiers, separated by
-// a space.
+// mibObjects returns the syntax of each readable object of the MIB file. A key is the object's name and its object
+// identifier, separated by a space.
 func mibObjects(t *testing.T) map[string]gosnmp.Asn1BER {
 	t.Helper()
 	raw, err := os.ReadFile("../../../mibs/COTTONPLANK-MIB.txt")
@@ -42,6 +42,7 @@
 	return objects
 }
 
+// The agent provides exactly the readable objects of the MIB file, with the same names, identifiers and syntaxes.
 func TestObjectsMatchMIB(t *testing.T) {
 	want := mibObjects(t)
 	got := map[string]gosnmp.Asn1BER{}
@@ -68,7 +69,7 @@
 	}
 }
 
-// Monitoring systems request these object identifiers.
+// Monitoring systems request these object identifiers, so they must not change.
 func TestObjectIdentifiers(t *testing.T) {
 	for _, v := range []struct{ got, want string }{
 		{mibRootOID, ".1.3.6.1.4.1.32473.1"},
@@ -101,7 +102,7 @@
 	}
 }
 
-// The MIB names these numbers.
+// The numbers of the service states are those of the enumeration in the MIB.
 func TestServiceStateNumbers(t *testing.T) {
 	for state, want := range map[core.ServiceState]int{
 		core.Starting: 1,
@@ -118,7 +119,8 @@
 	}
 }
 
-// The MIB names these numbers. The load is -1 for a server without a load report.
+// The numbers of the server states are those of the enumeration in the MIB. The load of a server without a load report
+// is -1.
 func TestServerStateNumbers(t *testing.T) {
 	for state, want := range map[decide.State]int{decide.Ready: 1, decide.Draining: 2, decide.Removed: 3} {
 		s := testSnapshot()
--- a/internal/operations/snmp/oid.go
+++ b/internal/operations/snmp/oid.go
@@ -9,13 +9,13 @@
 // oid is an object identifier.
 type oid []uint32
 
-// hasPrefix reports whether the identifier begins with prefix, or is equal to it.
+// hasPrefix reports whether the identifier begins with prefix or equals it.
 func (id oid) hasPrefix(prefix oid) bool {
 	return len(id) >= len(prefix) && slices.Equal(id[:len(prefix)], prefix)
 }
 
-// parseOID parses an object identifier in dotted form, such as .1.3.6. The codec has validated those of requests; parts
-// after an invalid one are ignored.
+// parseOID parses an object identifier in dotted form, such as .1.3.6. It ignores the first invalid part and all that
+// follow. Identifiers in requests are valid, because the codec has decoded them.
 func parseOID(text string) oid {
 	var id oid
 	for part := range strings.SplitSeq(strings.TrimPrefix(text, "."), ".") {
--- a/internal/operations/snmp/response.go
+++ b/internal/operations/snmp/response.go
@@ -3,14 +3,14 @@
 import "github.com/gosnmp/gosnmp"
 
 const (
-	// maxResponseBytes is the maximum size of a response. It fits into one packet on most paths.
+	// maxResponseBytes is the maximum size of a response. On most paths such a datagram is not fragmented.
 	maxResponseBytes = 1400
 	// maxBulkBindings is the maximum number of variable bindings in the response to a GetBulkRequest.
 	maxBulkBindings = 64
 )
 
-// respond returns the response to a request. It returns nil, which means no response, if the request is malformed or of
-// another community.
+// respond returns the response to a request. It returns nil if there must be no response: the request is malformed, has
+// another version, community or an unsupported type, or the response cannot be encoded.
 func (a *Agent) respond(raw []byte) []byte {
 	request := a.decode(raw)
 	if request == nil || request.Version != gosnmp.Version2c || request.Community != a.community {
@@ -47,7 +47,8 @@
 	return encoded
 }
 
-// respondToBulk responds to a GetBulkRequest with as many repetitions as fit (RFC 3416, section 4.2.3).
+// respondToBulk returns the response to a GetBulkRequest, with as many repetitions as fit into it (RFC 3416, section
+// 4.2.3).
 func (a *Agent) respondToBulk(view *mibView, request, response *gosnmp.SnmpPacket) []byte {
 	nonRepeaters := min(int(request.NonRepeaters), len(request.Variables))
 	for _, v := range request.Variables[:nonRepeaters] {
@@ -78,7 +79,8 @@
 	return encoded
 }
 
-// decode returns the decoded request, or nil if it cannot be decoded. Some malformed requests make the codec panic.
+// decode returns the decoded request, or nil if it cannot be decoded. It recovers from panics, because some malformed
+// requests make the codec panic.
 func (a *Agent) decode(raw []byte) (request *gosnmp.SnmpPacket) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/operations/snmp/response_fuzz_test.go
+++ b/internal/operations/snmp/response_fuzz_test.go
@@ -8,7 +8,8 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// Whatever the request, respond does not panic, and the response is not too large.
+// respond does not panic and its response is never larger than maxResponseBytes, whatever bytes the request consists
+// of.
 func FuzzRespond(f *testing.F) {
 	agent := New(nil, testCommunity, "n3", testClasses, testSnapshot, testSnapshot, discardLogger())
 	var valid [][]byte
@@ -29,7 +30,7 @@
 	fuzzcorpus.Add(f, valid...)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if response := agent.respond(raw); len(response) > maxResponseBytes {
-			t.Errorf("%x gets a response of %d bytes", raw, len(response))
+			t.Errorf("request %x: the response has %d bytes", raw, len(response))
 		}
 	})
 }
--- a/internal/operations/snmp/view.go
+++ b/internal/operations/snmp/view.go
@@ -11,29 +11,29 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// mibView is all that one request can read. The instances of the table of room servers, which may be large, are created
-// only when they are read; it keeps all others.
+// mibView provides the instances of all objects to one request. It creates the instances of the table of room servers,
+// which may be large, only when they are read, and holds all other instances from the beginning.
 type mibView struct {
-	// instances holds all instances but those of the table of room servers, sorted by object identifier.
+	// instances holds all instances except those of the table of room servers, sorted by object identifier.
 	instances []instance
 	// detailed returns a snapshot with the room servers.
 	detailed func() *core.Snapshot
 	// servers holds the rows of the table of room servers, sorted by ID; nil unless serversLoaded is set.
 	servers []core.UpstreamStats
-	// serversLoaded says that the detailed snapshot was made.
+	// serversLoaded is set once the detailed snapshot has been made.
 	serversLoaded bool
 }
 
 // instance is an instance of an object.
 type instance struct {
-	// oid identifies the instance; its text is pdu.Name.
+	// oid identifies the instance; pdu.Name is its dotted form.
 	oid oid
-	// pdu is the variable binding in responses.
+	// pdu is the variable binding of the instance in a response.
 	pdu gosnmp.SnmpPDU
 }
 
-// newView returns the view for a balancer's snapshot. It calls detailed at most once, if the table of room servers is
-// read.
+// newView returns a view of a snapshot. balancer and classes are the names of the balancer and of its request classes.
+// The view calls detailed when the table of room servers is read for the first time, so at most once.
 func newView(balancer string, classes []string, s *core.Snapshot, detailed func() *core.Snapshot) *mibView {
 	v := &mibView{detailed: detailed}
 	for _, scalars := range [][]scalar{systemScalars, mibScalars} {
@@ -51,20 +51,21 @@
 	return v
 }
 
-// add adds an instance. The instances have to be sorted afterwards.
+// add appends an instance. The caller has to sort the instances afterwards.
 func (v *mibView) add(name string, syntax gosnmp.Asn1BER, value any) {
 	pdu := gosnmp.SnmpPDU{Name: name, Type: syntax, Value: value}
 	v.instances = append(v.instances, instance{parseOID(name), pdu})
 }
 
-// addRow adds the instances of a row of a table.
+// addRow appends the instances of a row of a table.
 func addRow[R any](v *mibView, columns []column[R], index int, row *R) {
 	for _, c := range columns {
 		v.add(c.oid+"."+strconv.Itoa(index), c.syntax, c.value(row))
 	}
 }
 
-// get returns the value of an instance, or the exception that says why there is none.
+// get returns the variable binding of an instance. If there is none, the binding contains the exception
+// noSuchInstance or noSuchObject.
 func (v *mibView) get(name string) gosnmp.SnmpPDU {
 	id := parseOID(name)
 	if i, ok := v.find(id); ok {
@@ -84,14 +85,15 @@
 	return gosnmp.SnmpPDU{Name: name, Type: gosnmp.NoSuchObject}
 }
 
-// next returns the first instance after an object identifier.
+// next returns the first instance after an object identifier, in lexicographic order. After the last instance, the
+// binding contains the exception endOfMibView.
 func (v *mibView) next(name string) gosnmp.SnmpPDU {
 	id := parseOID(name)
 	i, found := v.find(id)
 	if found {
 		i++
 	}
-	// The table of room servers need not be read if another instance comes before it.
+	// The table of room servers is read only if no other instance precedes its first column.
 	if i >= len(v.instances) || slices.Compare(v.instances[i].oid, serverColumnOIDs[0]) > 0 {
 		if cell, ok := v.serverCellAfter(id); ok {
 			return cell
@@ -103,12 +105,13 @@
 	return v.instances[i].pdu
 }
 
-// find returns the position of the first instance that is not before an object identifier, and whether it is that one.
+// find returns the position of the first instance that does not precede an object identifier. It also reports whether
+// that instance has this identifier.
 func (v *mibView) find(id oid) (int, bool) {
 	return slices.BinarySearchFunc(v.instances, id, func(i instance, id oid) int { return slices.Compare(i.oid, id) })
 }
 
-// loadServers returns the rows of the table of room servers. They stay the same for the whole request.
+// loadServers returns the rows of the table of room servers. All calls for one request return the same rows.
 func (v *mibView) loadServers() []core.UpstreamStats {
 	if !v.serversLoaded {
 		v.servers, v.serversLoaded = v.detailed().Upstreams, true
@@ -116,26 +119,27 @@
 	return v.servers
 }
 
-// findServer returns the position of the first room server whose ID is not below index, and whether it is that one.
+// findServer returns the position of the first room server whose ID is not below index. It also reports whether that
+// server has this ID.
 func (v *mibView) findServer(index uint32) (int, bool) {
 	compareID := func(s core.UpstreamStats, index uint32) int { return cmp.Compare(uint32(s.ID), index) }
 	return slices.BinarySearchFunc(v.loadServers(), index, compareID)
 }
 
-// serverCell returns a cell of the table of room servers, which has to be loaded.
+// serverCell returns the instance in a column and a row of the table of room servers, which has to be loaded.
 func (v *mibView) serverCell(c *column[core.UpstreamStats], row int) gosnmp.SnmpPDU {
 	server := &v.servers[row]
 	name := c.oid + "." + strconv.FormatUint(uint64(server.ID), 10)
 	return gosnmp.SnmpPDU{Name: name, Type: c.syntax, Value: c.value(server)}
 }
 
-// serverCellAfter returns the first cell of the table of room servers after an object identifier.
+// serverCellAfter returns the first instance of the table of room servers after an object identifier, if there is one.
 func (v *mibView) serverCellAfter(id oid) (cell gosnmp.SnmpPDU, ok bool) {
 	for i, column := range serverColumnOIDs {
 		row := 0
 		if slices.Compare(id, column) > 0 {
 			if !id.hasPrefix(column) {
-				continue // the column is before id
+				continue // the whole column precedes id
 			}
 			var found bool
 			row, found = v.findServer(id[len(column)])
--- a/internal/operations/snmp/view_test.go
+++ b/internal/operations/snmp/view_test.go
@@ -11,8 +11,8 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// A detailed snapshot is made only for requests that may read the table of room servers, and once. The memory for a
-// request does not grow with the table.
+// A detailed snapshot is made only for a request that may read the table of room servers, and only once per request.
+// The number of allocations for a request does not grow with the table.
 func TestDetailedSnapshotOnDemand(t *testing.T) {
 	for _, servers := range []int{600, 5000, 20_000} {
 		t.Run(strconv.Itoa(servers), func(t *testing.T) {
@@ -51,7 +51,8 @@
 	return s
 }
 
-// checkTable checks the order of the table of room servers, whose IDs are multiples of 7 up to lastID.
+// checkTable checks the order of the instances in the table of room servers, whose IDs are multiples of 7 up to lastID,
+// and the neighbouring instances of other objects.
 func checkTable(t *testing.T, view *mibView, lastID int) {
 	t.Helper()
 	for oid, want := range map[string]string{
@@ -67,7 +68,7 @@
 		serverEntryOID + ".9":                          classEntryOID + ".2.1",
 	} {
 		if got := view.next(oid).Name; got != want {
-			t.Errorf("after %s comes %s, want %s", oid, got, want)
+			t.Errorf("the instance after %s is %s, want %s", oid, got, want)
 		}
 	}
 	if v := view.get(serverEntryOID + ".2.7"); v.Value != "s" {
