--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	modeSubscribe = "subscribe"
 )
 
-// After SIGTERM the platform kills a process with SIGKILL, a fixed time after the longest client timeout.
+// After SIGTERM the platform waits for the longest client timeout plus killDelay, and then sends SIGKILL.
 const (
 	maxShutdownTimeout = 3 * time.Second        // the platform counts longer client timeouts as this
 	killDelay          = 700 * time.Millisecond // from the longest client timeout to SIGKILL
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,17 +28,17 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || len(c.KnownEndpoints) != 1 || c.KnownGeneration != 41 || c.MemoryMB != 192 {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration %+v", c)
 	}
 	settings := c.Settings
 	if settings.Seed != 0x8c1f30d27a5be964 || !settings.WatchList || !settings.GroupAffinity ||
 		settings.ConnectTimeout != 60*time.Millisecond || settings.MaxRetryAfter != 1500*time.Millisecond {
-		t.Errorf("%+v", settings)
+		t.Errorf("settings %+v", settings)
 	}
 	class := settings.Classes[0]
 	if class.LatencyObjective != 300*time.Millisecond || class.MessageLatencyObjective != 60*time.Millisecond ||
 		class.Idempotency != decide.Idempotent {
-		t.Errorf("%+v", class)
+		t.Errorf("request class %+v", class)
 	}
 	if c.ShutdownBudget != 1600*time.Millisecond { // client timeout 1.2 s, killDelay, less exitMargin
 		t.Errorf("shutdown budget %v", c.ShutdownBudget)
@@ -90,7 +90,7 @@
 			t.Fatal(err)
 		}
 		if _, err := decide.New(c.Settings); err != nil || c.Settings.Balancers != 0 {
-			t.Errorf("%q: %d balancers, %v", setting, c.Settings.Balancers, err)
+			t.Errorf("setting %q: %d balancers, error %v", setting, c.Settings.Balancers, err)
 		}
 	}
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -152,8 +152,8 @@
 	return server, server.checkRole()
 }
 
-// checkRole checks that the server is either a leader, with a document and a term, or a follower, with other
-// control-plane servers to follow and neither of the two.
+// checkRole checks that the server is either a leader, with a document and a term, or a follower, with control-plane
+// servers to follow and without a term. A follower must not follow itself.
 func (s ControlServer) checkRole() error {
 	isLeader := s.DocumentFile != ""
 	if isLeader == (len(s.Servers) > 0) {
--- a/internal/config/controlplane_test.go
+++ b/internal/config/controlplane_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// A configuration is that of a leader or of a follower, not both and not neither. An error names the key and the value.
+// The configuration of a control-plane server that is both leader and follower, or neither, is rejected. An error names
+// the key and the value.
 func TestParseControlServer(t *testing.T) {
 	follow := `"machines":[{"address":"127.0.0.1:2","region":"a"}]`
 	listen := `{"listen":"127.0.0.1:1",` + validControlKeys
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("error of type %T, want a FieldError", err)
 	}
 	if field.Key != "settings.profiles[0].repeat" || field.Value != "maybe" || field.Reason != reasonUnknownValue {
-		t.Errorf("%+v", field)
+		t.Errorf("field error %+v", field)
 	}
 }
 
--- a/internal/config/fronts_test.go
+++ b/internal/config/fronts_test.go
@@ -13,6 +13,8 @@
 "snmp":{"listen":"127.0.0.1:1161","community":"x"},
 "resume":{"keys":"k.json","site":"armor","max_moves":7},"rooms":{"file":"r.json"}}`
 
+// A fronts file configures the features whose sections it has, with defaults and with paths relative to its folder. An
+// empty file switches nothing on.
 func TestParseFronts(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	f, err := ParseFronts([]byte(validFronts), classes, "/etc")
@@ -20,11 +22,11 @@
 		t.Fatal(err)
 	}
 	if f.QUIC.IdleTimeout != 30*time.Second || f.QUIC.MaxFlows != defaultMaxFlows || f.SNMP.Community != "x" {
-		t.Errorf("%+v, %+v", f.QUIC, f.SNMP)
+		t.Errorf("QUIC %+v, SNMP %+v", f.QUIC, f.SNMP)
 	}
 	if f.Sessions.KeysFile != "/etc/k.json" || f.Sessions.StateTimeout != 400*time.Millisecond ||
 		f.Sessions.MaxStateBytes != defaultMaxStateBytes || f.Sessions.MaxMigrations != 7 {
-		t.Errorf("%+v", f.Sessions)
+		t.Errorf("sessions %+v", f.Sessions)
 	}
 	if f.EndpointFile != "/etc/r.json" {
 		t.Errorf("endpoint file %s", f.EndpointFile)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/session/token"
 )
 
-// peerKeyGrace is how long a key that cluster members, or control-plane servers and their followers, share is accepted
-// after its not_after. The ring adds a margin for differing clocks.
+// peerKeyGrace is how long a key is accepted after its not_after, for keys that cluster members share and for those
+// that control-plane servers and their followers share. The ring adds a margin for differing clocks.
 const peerKeyGrace = time.Minute
 
 // groupAndOtherAccess are the permission bits of a file for everybody but its owner.
@@ -28,7 +28,7 @@
 		return nil, keysError(err)
 	}
 	if mode := info.Mode().Perm(); mode&groupAndOtherAccess != 0 {
-		return nil, keysError(fmt.Errorf("%s: accessible to group or others (mode %04o): expected mode 0600", path,
+		return nil, keysError(fmt.Errorf("%s: accessible to group or others (mode %04o): expected 0600", path,
 			mode))
 	}
 	raw, err := os.ReadFile(path)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -137,8 +137,8 @@
 	return limits
 }
 
-// ApplyCores limits the processor cores of the Go runtime.
+// ApplyCores sets GOMAXPROCS of the Go runtime to Cores, rounded up.
 func (c *Config) ApplyCores() { runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores)))) }
 
-// ApplyMemory limits the memory of the Go runtime.
+// ApplyMemory sets the memory limit of the Go runtime to MemoryBytes.
 func (l ProcessLimits) ApplyMemory() { debug.SetMemoryLimit(l.MemoryBytes) }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -40,7 +40,7 @@
 			if c.ConnDescriptors > c.DescriptorLimit-spareDescriptors-c.MaxProbeConns ||
 				c.ConnDescriptors-c.DialReserve-2*c.MaxClients < minRejectDescriptors ||
 				c.MaxClients < third || 2*c.MaxClients > c.ConnDescriptors {
-				t.Errorf("%+v", c)
+				t.Errorf("descriptors of %+v", c)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 				shared.MemoryBytes*2 > alone.MemoryBytes ||
 				2*shared.MaxClients > c.ConnDescriptors-shared.ReservedDescriptors ||
 				shared.MaxClients < minConnDescriptors/4 {
-				t.Errorf("alone %+v, shared %+v of %+v", alone, shared, c)
+				t.Errorf("limits alone %+v, limits beside another process %+v, configuration %+v", alone, shared, c)
 			}
 		})
 	}
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -17,7 +17,7 @@
 	m := f.Membership
 	if m.Name != "b-17" || m.Listen.String() != "10.0.0.17:7946" || m.KeysFile != "/etc/balancer/membership-keys.json" ||
 		m.MaxPartitionDuration != time.Hour || len(m.Seeds) != 1 || m.DialAddresses[m.Seeds[0]].String() != "127.0.0.1:9001" {
-		t.Errorf("%+v", m)
+		t.Errorf("membership %+v", m)
 	}
 }
 
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -22,7 +22,7 @@
 	return filepath.Join(base, path)
 }
 
-// checkAddress accepts an IP address with a port.
+// checkAddress returns a FieldError unless value is an IP address with a port.
 func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return invalid(key, value, reasonInvalidAddress)
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkSite accepts a site name that fits into a session token.
+// checkSite returns a FieldError if the name of the site is empty or too long for a session token.
 func checkSite(site string) error {
 	if site == "" || len(site) > token.MaxName {
 		return invalid("site", site, fmt.Sprintf("has an invalid length: expected 1 to %d bytes", token.MaxName))
--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -133,7 +133,7 @@
 	return nil, ErrTooManyLines
 }
 
-// watch waits until the connection ends, which means that the previous process has exited, and then closes Exited.
+// watch closes Exited when the connection ends, which means that the previous process has exited.
 func (p *PreviousProcess) watch() {
 	defer close(p.Exited)
 	defer p.conn.Close()
@@ -147,5 +147,5 @@
 // NotifyServing notifies the previous process that this process accepts connections.
 func (p *PreviousProcess) NotifyServing() {
 	p.conn.SetWriteDeadline(time.Now().Add(exchangeTimeout))
-	_, _ = p.conn.Write([]byte(servingNotice + lineEnd)) // an error means that the previous process has exited
+	_, _ = p.conn.Write([]byte(servingNotice + lineEnd)) // on an error the previous process has most likely exited
 }
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -215,8 +215,8 @@
 	same.Close()
 }
 
-// A paused goroutine accepts no connection, and does so after Resume. The Resume before the second Pause leaves a value
-// in the channel of resumed calls, which must not end the second pause.
+// A paused goroutine accepts no connection until Resume. The Resume before the second Pause may leave a value in the
+// channel Pauser.resumed, which must not end the second pause.
 func TestPauser(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/operations/sdnotify/notifier_test.go
+++ b/internal/operations/sdnotify/notifier_test.go
@@ -97,7 +97,7 @@
 	list, engine := monitor.AddTask("list"), monitor.AddTask("engine")
 	_, stop, out := startNotifier(t, monitor)
 	if got := readMessage(t, conn, 5*time.Second); got != "WATCHDOG=1" {
-		t.Fatalf("sent %q", got)
+		t.Fatalf("sent %q, want a heartbeat or the stuck task", got)
 	}
 	list.Busy()
 	list.Idle()
@@ -108,7 +108,7 @@
 			break
 		}
 		if got != "WATCHDOG=1" || time.Now().After(end) {
-			t.Fatalf("sent %q", got)
+			t.Fatalf("sent %q, want a heartbeat or the stuck task", got)
 		}
 	}
 	if got := readMessage(t, conn, 300*time.Millisecond); got != "" {
@@ -116,7 +116,7 @@
 	}
 	engine.Idle()
 	if got := readMessage(t, conn, 5*time.Second); got != "WATCHDOG=1" {
-		t.Errorf("sent %q", got)
+		t.Errorf("sent %q, want a heartbeat", got)
 	}
 	stop()
 	if log := out.String(); strings.Count(log, "heartbeat withheld") != 1 || !strings.Contains(log, "stuck=engine") {
@@ -135,16 +135,16 @@
 	b.Busy() // the next iteration, without Idle in between
 	now := time.Now()
 	if got := monitor.StuckTasks(now.Add(time.Minute), time.Second); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("%q", got)
+		t.Errorf("stuck tasks %q", got)
 	}
 	if got := monitor.StuckTasks(now, time.Second); len(got) != 0 {
-		t.Errorf("%q", got)
+		t.Errorf("stuck tasks %q", got)
 	}
 	c.Idle()
 	b.Idle()
 	a.Idle()
 	if got := monitor.StuckTasks(now.Add(time.Minute), time.Second); len(got) != 0 {
-		t.Errorf("%q", got)
+		t.Errorf("stuck tasks %q", got)
 	}
 	var none *Monitor
 	none.AddTask("x").Busy()
--- a/internal/operations/snmp/view.go
+++ b/internal/operations/snmp/view.go
@@ -93,7 +93,7 @@
 	if found {
 		i++
 	}
-	// The table of room servers is read only if no other instance precedes its first column.
+	// The table of room servers is read only if the next other instance does not precede its first column.
 	if i >= len(v.instances) || slices.Compare(v.instances[i].oid, serverColumnOIDs[0]) > 0 {
 		if cell, ok := v.serverCellAfter(id); ok {
 			return cell
