--- a/internal/config/fronts_test.go
+++ b/internal/config/fronts_test.go
@@ -13,6 +13,8 @@
 "snmp":{"listen":"127.0.0.1:1161","community":"x"},
 "resume":{"keys":"k.json","site":"armor","max_moves":7},"rooms":{"file":"r.json"}}`
 
+// A fronts file configures the features whose sections it has, with defaults and with paths relative to its folder. An
+// empty file switches nothing on.
 func TestParseFronts(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	f, err := ParseFronts([]byte(validFronts), classes, "/etc")
@@ -20,22 +22,22 @@
 		t.Fatal(err)
 	}
 	if f.QUIC.IdleTimeout != 30*time.Second || f.QUIC.MaxFlows != defaultMaxFlows || f.SNMP.Community != "x" {
-		t.Errorf("%+v, %+v", f.QUIC, f.SNMP)
+		t.Errorf("QUIC %+v, SNMP %+v", f.QUIC, f.SNMP)
 	}
 	if f.Sessions.KeysFile != "/etc/k.json" || f.Sessions.StateTimeout != 400*time.Millisecond ||
 		f.Sessions.MaxStateBytes != defaultMaxStateBytes || f.Sessions.MaxMigrations != 7 {
-		t.Errorf("%+v", f.Sessions)
+		t.Errorf("sessions %+v", f.Sessions)
 	}
 	if f.EndpointFile != "/etc/r.json" {
 		t.Errorf("endpoint file %s", f.EndpointFile)
 	}
 	f, err = ParseFronts([]byte(`{}`), classes, "/etc")
 	if err != nil || f.QUIC.Listen != "" || f.SNMP.Listen != "" || f.Sessions.KeysFile != "" {
-		t.Errorf("nothing switched on gives %+v, %v", f, err)
+		t.Errorf("an empty file: %+v, %v; want everything off", f, err)
 	}
 }
 
-// Errors name the key and the value.
+// An error names the key and the value that it rejects.
 func TestParseFrontsReportsInvalidKeys(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	for _, test := range []struct{ old, new, want string }{
@@ -59,7 +61,7 @@
 		t.Run(test.want, func(t *testing.T) {
 			_, err := ParseFronts([]byte(strings.Replace(validFronts, test.old, test.new, 1)), classes, "/etc")
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%s for %s: %v, want it to name %s", test.new, test.old, err, test.want)
+				t.Errorf("%s in place of %s: error %v, want one that contains %s", test.new, test.old, err, test.want)
 			}
 		})
 	}
