--- a/internal/cluster/membership/budget_property_test.go
+++ b/internal/cluster/membership/budget_property_test.go
@@ -10,13 +10,14 @@
 
 const (
 	modelSegments   = 3
-	addedInstances  = 6 // that may join after the start
+	addedInstances  = 6 // instances that may join after the start
 	configuredExtra = 6 // configured instances that do not exist at the start
 )
 
-// Whatever joins, is killed, is partitioned and returns, the quotas of all live instances never add up to more than
-// the whole budget. The model rests on the two assumptions of docs/membership.md: a partition lasts less than
-// MaxPartitionDuration, and while one lasts each segment keeps a converged instance.
+// Guards against overuse of a shared budget: while instances join, are killed, restart and are partitioned at random,
+// the quotas of all live instances must never add up to more than the whole budget. The model keeps the two
+// assumptions of docs/membership.md: a partition lasts less than MaxPartitionDuration, and during a partition each
+// segment keeps at least one converged instance.
 func TestQuotasNeverExceedBudget(t *testing.T) {
 	flag.Set("rapid.seed", "20261202")
 	flag.Set("rapid.nofailfile", "true")
@@ -26,7 +27,7 @@
 		m := newClusterModel(t, size, size+configuredExtra, rapid.Uint64().Draw(t, "seed"))
 		m.run(2*modelDetectionTime + drawSeconds(t, 60, "settle"))
 		for range rapid.IntRange(3, 14).Draw(t, "events") {
-			m.playRandomEvent(size + addedInstances)
+			m.applyRandomEvent(size + addedInstances)
 			m.run(drawSeconds(t, 100, "seconds"))
 		}
 		m.run(modelPartitionDuration + 3*modelDetectionTime)
@@ -37,9 +38,9 @@
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, label)) * time.Second
 }
 
-// playRandomEvent draws an instance and what happens to it. Where that breaks an assumption of the model, nothing
-// happens.
-func (m *clusterModel) playRandomEvent(maxInstances int) {
+// applyRandomEvent draws an instance and an event and applies the event to the instance. It skips an event that would
+// break an assumption of the model.
+func (m *clusterModel) applyRandomEvent(maxInstances int) {
 	instance := m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(m.t, "which")]
 	mayStop := instance.live && m.countConverged(instance.segment, instance) > 0
 	mayJoin := m.countConverged(instance.segment, nil) > 0
--- a/internal/cluster/membership/cluster_model_test.go
+++ b/internal/cluster/membership/cluster_model_test.go
@@ -13,8 +13,8 @@
 const (
 	modelStep              = time.Second
 	modelDetectionTime     = 15 * time.Second
-	minModelReportDelay    = 5 * time.Second  // of the failure detector's report of a failure
-	maxModelReportDelay    = 11 * time.Second // of the failure detector's report of a failure
+	minModelReportDelay    = 5 * time.Second  // from a failure to the failure detector's report
+	maxModelReportDelay    = 11 * time.Second // from a failure to the failure detector's report
 	maxModelMessageDelay   = 2 * time.Second
 	modelPartitionDuration = 4 * time.Minute
 )
@@ -26,15 +26,15 @@
 	now       time.Duration
 	fleetSize int
 	instances []*modelInstance
-	// partitionedAt is when the network was last whole; 0 while it is whole.
+	// partitionedAt is when the current partition began; 0 while there is none.
 	partitionedAt time.Duration
-	// healedAt is when the network last became whole.
+	// healedAt is when the latest partition ended.
 	healedAt time.Duration
-	// observations are what one instance's failure detector knows of another instance.
+	// observations holds, for each pair of instances, the state that one's failure detector keeps about the other.
 	observations map[observationKey]*observation
 }
 
-// modelInstance is one name in the cluster; a restart gives it a new process.
+// modelInstance is one name in the cluster. It keeps its name across restarts; each restart is a new process.
 type modelInstance struct {
 	name        string
 	segment     int
@@ -48,12 +48,12 @@
 // observationKey is a pair of indices of instances.
 type observationKey struct{ observer, subject int }
 
-// observation is the failure detector's state for one observer and one subject.
+// observation is the state that the observer's failure detector keeps about one subject.
 type observation struct {
 	incarnation uint64
 	alive       bool
-	reportAt    time.Duration // when the pending change is reported; 0: none is pending
-	divisor     int           // the last one that the subject announced
+	reportAt    time.Duration // when the pending change is reported; 0 if none is pending
+	divisor     int           // the divisor that the subject announced last
 }
 
 func newClusterModel(t *rapid.T, instances, fleetSize int, seed uint64) *clusterModel {
@@ -76,7 +76,7 @@
 	m.start(instance)
 }
 
-// start gives an instance a new process.
+// start starts a new process of an instance, with a new state machine.
 func (m *clusterModel) start(instance *modelInstance) {
 	instance.live = true
 	instance.startedAt = m.now
@@ -105,8 +105,9 @@
 	return from.live && to.live && from.segment == to.segment
 }
 
-// observe lets one instance's failure detector follow another instance: it reports a change after a short delay where
-// it reaches the instance, and a failure after a longer one where it does not.
+// observe simulates one step of the observer's failure detector for one subject. While the observer reaches the
+// subject, the detector reports a change of the subject after a short delay. Otherwise it reports a failure after a
+// longer delay.
 func (m *clusterModel) observe(key observationKey) {
 	observer, subject := m.instances[key.observer], m.instances[key.subject]
 	o := m.observations[key]
@@ -140,7 +141,7 @@
 	return time.Duration(m.rng.Int64N(int64(limit)))
 }
 
-// announcedDivisor is the divisor that an instance announces to the others; 0: none.
+// announcedDivisor returns the divisor that an instance announces to the others, or 0 if its view has not converged.
 func announcedDivisor(instance *modelInstance) int {
 	divisors := instance.machine.View().Divisors
 	if divisors.Converged {
@@ -175,7 +176,7 @@
 	}
 }
 
-// run makes steps for a span and checks the invariants after each.
+// run advances the model by the given time and checks the invariants after each step.
 func (m *clusterModel) run(span time.Duration) {
 	for end := m.now + span; m.now < end; {
 		m.step()
@@ -183,7 +184,7 @@
 	}
 }
 
-// heal makes the network whole.
+// heal ends the partition: all instances reach each other again.
 func (m *clusterModel) heal() {
 	m.partitionedAt = 0
 	m.healedAt = m.now
@@ -192,10 +193,11 @@
 	}
 }
 
-// partition moves the selected instances to a segment, unless that leaves a segment without a converged instance.
+// partition moves the selected instances to a segment, unless that leaves live instances in a segment without a
+// converged one.
 func (m *clusterModel) partition(selected func(*modelInstance) bool, segment int) {
 	if m.partitionedAt == 0 && m.now-m.healedAt <= 2*maxModelMessageDelay {
-		return // the segments have not found each other again: for them it would be one partition that lasts on
+		return // the segments have not rediscovered each other yet, so a new partition would prolong the previous one
 	}
 	before := make([]int, len(m.instances))
 	for i, instance := range m.instances {
@@ -224,7 +226,7 @@
 	return true
 }
 
-// countConverged counts the live instances of a segment whose view has converged, except for one.
+// countConverged counts the live instances of a segment whose view has converged, not counting except.
 func (m *clusterModel) countConverged(segment int, except *modelInstance) int {
 	count := 0
 	for _, instance := range m.instances {
@@ -236,8 +238,8 @@
 	return count
 }
 
-// checkInvariants fails the test if the admitted instances may together use more than the whole budget, or if the
-// version of a view has decreased.
+// checkInvariants fails the test if the quotas of the admitted instances add up to more than the whole budget, or if
+// the version of a view has decreased.
 func (m *clusterModel) checkInvariants() {
 	sum := 0.0
 	var quotas strings.Builder
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -6,64 +6,67 @@
 	"time"
 )
 
-// Config configures a StateMachine. Zero values of the durations and of PartitionFraction stand for the defaults
-// below.
+// Config configures a StateMachine. A zero value of PartitionFraction or of one of the durations, except WallClock,
+// selects the default below.
 type Config struct {
 	// Self describes the instance itself.
 	Self Member
 	// FleetSize is the configured number of instances. It is used until the view has converged.
 	FleetSize int
-	// ZoneSize is the configured number of instances in the own zone; 0 stands for FleetSize.
+	// ZoneSize is the configured number of instances in this instance's zone; 0 means FleetSize.
 	ZoneSize int
-	// Standalone reports that no peers are configured, so that the instance does not wait for any.
+	// Standalone reports that no peers are configured. The instance then does not wait for contact to a peer.
 	Standalone bool
-	// WallClock is the time since the epoch at time 0 of the state machine.
+	// WallClock is the time since the Unix epoch at time 0 of the state machine.
 	WallClock time.Duration
 
-	// SuspicionTimeout is how long a reported failure stays a suspicion, unless own probes confirm it sooner.
+	// SuspicionTimeout is how long a reported failure stays a suspicion, unless failed probes of this instance confirm
+	// it sooner.
 	SuspicionTimeout time.Duration
-	// PauseThreshold is the gap between two ticks above which the own process counts as paused in between.
+	// PauseThreshold is the longest normal gap between two ticks. A longer gap means that this process was paused.
 	PauseThreshold time.Duration
-	// IsolationTimeout is how long no peer may answer before the instance counts as isolated.
+	// IsolationTimeout is the time without an answer from any peer after which the instance counts as isolated.
 	IsolationTimeout time.Duration
 	// DetectionTime is the time within which the failure detector reports every failure, and within which every
-	// member learns of a new one.
+	// member discovers a new member.
 	DetectionTime time.Duration
-	// MaxPartitionDuration is the longest network partition that is expected. For this long after its loss a member
-	// stays counted, and members lost in a partition are not taken for failed.
+	// MaxPartitionDuration is the longest expected network partition. The divisors count an unreachable member for this
+	// long, and while a partition lasts, at most for this long, no member is declared failed.
 	MaxPartitionDuration time.Duration
-	// PartitionFraction is the fraction of the cluster whose loss within DetectionTime counts as a partition.
+	// PartitionFraction is the fraction of the cluster above which a loss within DetectionTime counts as a partition.
 	PartitionFraction float64
 }
 
 // Defaults of Config.
 const (
-	// DefaultSuspicionTimeout leaves a member time to refute a false report: that takes two or three gossip rounds of
-	// 0.2 s in each direction.
+	// DefaultSuspicionTimeout gives a member time to refute a false report. A refutation takes two or three gossip
+	// rounds of 0.2 s in each direction.
 	DefaultSuspicionTimeout = 3 * time.Second
 	// DefaultPauseThreshold is four ticks.
 	DefaultPauseThreshold = time.Second
-	// DefaultIsolationTimeout is so long that with a probe each second and a loss of 40 % of the datagrams in each
-	// direction only 0.5 % of the spans of this length pass without an answer.
+	// DefaultIsolationTimeout tolerates heavy packet loss: with one probe per second and 40 % of the datagrams lost in
+	// each direction, only 0.5 % of the intervals of this length pass without an answer.
 	DefaultIsolationTimeout = 12 * time.Second
-	// DefaultDetectionTime holds for 20 members: 31 s of suspicion without confirmation, and a round of probes.
+	// DefaultDetectionTime is enough for 20 members: up to 31 s of suspicion in the failure detector, if no other member
+	// confirms the failure, and a round of probes.
 	DefaultDetectionTime = 45 * time.Second
 	// DefaultMaxPartitionDuration is the default of the setting partition_hold_s.
 	DefaultMaxPartitionDuration = time.Hour
-	// DefaultPartitionFraction is above a ninth, one zone's part of a region: the loss of one zone is expected.
+	// DefaultPartitionFraction is above 1/9, the fraction of a region's instances that one zone holds. The loss of one
+	// zone is an expected failure and does not count as a partition.
 	DefaultPartitionFraction = 0.2
 )
 
 const (
-	// maxPartitionFraction bounds PartitionFraction.
+	// maxPartitionFraction is the upper bound of PartitionFraction.
 	maxPartitionFraction = 0.5
-	// maxClockSkew is by how much the clock of another member may be ahead.
+	// maxClockSkew is how far the clock of another member may be ahead of this instance's clock.
 	maxClockSkew = time.Minute
 )
 
 // ConfigError reports a value of Config that is missing or out of range.
 type ConfigError struct {
-	// Key is the name of the value as operators write it.
+	// Key is the name of the setting in the operator's file.
 	Key string
 	// Problem says what is wrong with the value.
 	Problem string
@@ -89,11 +92,12 @@
 		return &ConfigError{Key: "name", Problem: "is missing"}
 	}
 	if c.PartitionFraction <= 0 || c.PartitionFraction > maxPartitionFraction {
-		problem := fmt.Sprintf("%v is not above 0 and up to %v", c.PartitionFraction, maxPartitionFraction)
+		problem := fmt.Sprintf("invalid value %v: must be above 0 and at most %v", c.PartitionFraction, maxPartitionFraction)
 		return &ConfigError{Key: "partition_part", Problem: problem}
 	}
 	if c.MaxPartitionDuration < 2*c.DetectionTime {
-		problem := fmt.Sprintf("%v is less than %v", c.MaxPartitionDuration.Seconds(), (2 * c.DetectionTime).Seconds())
+		problem := fmt.Sprintf("invalid value %v: must be at least %v, twice the detection time",
+			c.MaxPartitionDuration.Seconds(), (2 * c.DetectionTime).Seconds())
 		return &ConfigError{Key: "partition_hold_s", Problem: problem}
 	}
 	return nil
--- a/internal/cluster/membership/event.go
+++ b/internal/cluster/membership/event.go
@@ -4,14 +4,14 @@
 type Event interface{ event() }
 
 type (
-	// MemberAlive reports that a member was found or that its description changed.
+	// MemberAlive reports that a member was discovered or that its description changed.
 	MemberAlive struct{ Member Member }
 
-	// FailureReported reports that the failure detector takes a member for failed.
+	// FailureReported reports that the failure detector considers a member failed.
 	FailureReported struct {
 		// Name is the member's name.
 		Name string
-		// Incarnation is the incarnation that the report is about.
+		// Incarnation is the member's incarnation at the time of the report.
 		Incarnation uint64
 	}
 
@@ -19,7 +19,7 @@
 	MemberLeft struct {
 		// Name is the member's name.
 		Name string
-		// Incarnation is the incarnation that stops.
+		// Incarnation is the incarnation of the process that stops.
 		Incarnation uint64
 	}
 
@@ -29,7 +29,7 @@
 	// ProbeFailed reports that a member did not answer a probe of this instance in time.
 	ProbeFailed struct{ Name string }
 
-	// Tick is due every TickInterval.
+	// Tick makes the state machine evaluate its timeouts. The caller sends one every TickInterval.
 	Tick struct{}
 )
 
--- a/internal/cluster/membership/harness_test.go
+++ b/internal/cluster/membership/harness_test.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// wallClock is the time since the epoch at which the tests' instances start.
+	// wallClock is the start time of the tested instances, as the time since the Unix epoch.
 	wallClock = 1_800_000_000 * time.Second
-	// peerIncarnation is the incarnation of the peers' first processes.
+	// peerIncarnation is the incarnation of each peer's first process.
 	peerIncarnation = 1000
 )
 
@@ -18,8 +18,8 @@
 	return Config{Self: self, WallClock: wallClock, FleetSize: 20}
 }
 
-// harness feeds one state machine: a tick each TickInterval, and once a second a probe answered by each responsive
-// peer.
+// harness feeds one state machine with a tick every TickInterval, and once a second with a probe answered by each
+// responsive peer.
 type harness struct {
 	t            *testing.T
 	machine      *StateMachine
@@ -28,7 +28,7 @@
 	unresponsive map[string]bool // peers that do not answer probes
 }
 
-// newHarness returns the harness of an instance that knows no peer.
+// newHarness returns a harness for an instance that knows no peer.
 func newHarness(t *testing.T, cfg Config) *harness {
 	t.Helper()
 	machine, err := New(cfg)
@@ -38,7 +38,8 @@
 	return &harness{t: t, machine: machine, unresponsive: map[string]bool{}}
 }
 
-// newConvergedHarness returns the harness of an instance with so many peers, "m00" and up, whose view has converged.
+// newConvergedHarness returns a harness for an instance whose view has converged. It has the given number of peers,
+// named "m00", "m01" and so on.
 func newConvergedHarness(t *testing.T, peers int) *harness {
 	t.Helper()
 	h := newHarness(t, testConfig())
@@ -84,7 +85,7 @@
 	}
 }
 
-// answerProbes lets those of the given peers that are responsive answer a probe.
+// answerProbes reports an answered probe for each of the given peers that is responsive.
 func (h *harness) answerProbes(peers []string) {
 	for _, name := range peers {
 		if !h.unresponsive[name] {
@@ -93,7 +94,7 @@
 	}
 }
 
-// pause stops the process: time passes without a tick.
+// pause simulates a pause of the process: time passes without a tick.
 func (h *harness) pause(span time.Duration) { h.now += span }
 
 func (h *harness) divisors() BudgetDivisors { return h.machine.View().Divisors }
@@ -112,6 +113,6 @@
 func (h *harness) expectState(name string, want State) {
 	h.t.Helper()
 	if got := h.stateOf(name); got != want {
-		h.t.Errorf("after %v: %s is %v, want %v", h.now, name, got, want)
+		h.t.Errorf("at %v: state of %s is %v, want %v", h.now, name, got, want)
 	}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,16 +1,17 @@
 // Package membership decides what one instance concludes from the reports of its failure detector: who is a member of
-// the cluster, whether the instance itself is cut off, and by how many instances a shared budget is divided. It is a
+// the cluster, whether the instance itself is isolated, and by how many instances a shared budget is divided. It is a
 // pure state machine: no I/O, no clock, no goroutine. Package gossip connects it to the network.
 //
-// A failure detector alone can't tell the failure of a member from a pause of the observing process, a network
-// partition or a false report. The state machine therefore treats each reported failure as a suspicion until enough
-// other members have answered this instance's own probes since. The suspicion lasts longer where the instance was
-// paused, is isolated, or lost a large part of the cluster at once.
+// A failure detector alone can't distinguish the failure of a member from a pause of the observing process, a network
+// partition or a false report. The state machine therefore treats each reported failure as a suspicion. It declares
+// the member failed only after enough other members have answered this instance's probes since the suspicion started.
+// The suspicion lasts longer if the process was paused, if the instance is isolated, or if a large fraction of the
+// cluster became unreachable at once.
 package membership
 
 import "time"
 
-// TickInterval is how often the state machine expects a Tick.
+// TickInterval is the interval at which the state machine expects a Tick.
 const TickInterval = 250 * time.Millisecond
 
 // State is the state of a member.
@@ -19,14 +20,14 @@
 // The states of a member.
 const (
 	Alive   State = iota // the member takes part in the cluster
-	Suspect              // the failure detector reports a failure that is not confirmed
-	Failed               // the failure is confirmed
+	Suspect              // the failure detector reported a failure that is not confirmed yet
+	Failed               // the reported failure is confirmed
 	Left                 // the member announced a planned stop
 )
 
 var stateNames = [...]string{"alive", "suspect", "failed", "left"}
 
-// String returns the state's name as logs show it.
+// String returns the state's name as it appears in logs.
 func (s State) String() string { return stateNames[s] }
 
 // Member is one instance of the cluster.
@@ -41,10 +42,11 @@
 	Region string
 	// Version is the version of the member's program.
 	Version string
-	// Incarnation is the start of the member's process in milliseconds since the epoch, by the member's own clock.
+	// Incarnation is the start time of the member's process in milliseconds since the Unix epoch, by the member's own
+	// clock. A member raises it to refute a false leave message.
 	Incarnation uint64
-	// State is the member's state as this instance concludes it.
+	// State is the member's state as this instance sees it.
 	State State
-	// Divisor is the last divisor of its zone's budget that the member announced; 0 while its view has not converged.
+	// Divisor is the divisor of its zone's budget that the member announced last; 0 while its view has not converged.
 	Divisor int
 }
--- a/internal/cluster/membership/partition.go
+++ b/internal/cluster/membership/partition.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// minPartitionLoss is the smallest number of lost members that counts as a partition: in a small cluster the loss of
-// one member is none.
+// minPartitionLoss is the smallest number of lost members that counts as a partition. In a small cluster a single
+// member can be more than PartitionFraction of the cluster, but its loss is not a partition.
 const minPartitionLoss = 2
 
-// partitionDetector tells the loss of a large part of the cluster, as in a network partition, from failures of single
-// members.
+// partitionDetector distinguishes the loss of a large fraction of the cluster, as in a network partition, from
+// failures of single members.
 type partitionDetector struct {
 	cfg *Config
-	// active reports that the cluster is partitioned; the other fields are meaningful only then.
+	// active reports that the cluster is partitioned. The fields below are meaningful only while it is set.
 	active bool
 	// sizeBefore is the number of members before the loss, including the instance itself.
 	sizeBefore int
-	// startedAt is the beginning of the loss: members that were lost earlier do not belong to the partition.
+	// startedAt is the beginning of the partition. Members that were lost earlier do not belong to it.
 	startedAt time.Duration
-	// deadline ends the partition: after it, the lost members may be taken for failed.
+	// deadline is the time at which the partition counts as over, even if it has not healed. The lost members may then
+	// be declared failed.
 	deadline time.Duration
 }
 
-// update follows the members of the cluster. It is called with each tick.
+// update detects the start and the end of a partition from the states of the peers. It is called on each tick. A
+// partition has healed when at most half of PartitionFraction is still unreachable.
 func (d *partitionDetector) update(now time.Duration, peers map[string]*peer) {
 	if d.active {
 		missing := countUnreachableSince(peers, d.startedAt)
--- a/internal/cluster/membership/quota.go
+++ b/internal/cluster/membership/quota.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// quota decides by how many instances a shared budget is divided, and whether this instance may use its part. The
-// parts of all admitted instances never add up to more than the whole budget, as long as no partition lasts longer
+// quota decides by how many instances a shared budget is divided, and whether this instance may use its share. The
+// shares of all admitted instances never add up to more than the whole budget, as long as no partition lasts longer
 // than Config.MaxPartitionDuration:
 //
-//   - The divisor counts every name that was alive within MaxPartitionDuration and has not left. It grows at once,
-//     and a member that failed, flaps or is on the other side of a partition stays counted.
-//   - A new process is admitted once it has been known for Config.DetectionTime and its view has converged: it sees
-//     at least as many members alive as any converged member counts. By then every live instance counts it.
+//   - The divisor counts every name that was alive within MaxPartitionDuration and has not left. It increases as soon
+//     as a new name appears. A member that failed, flaps or is on the other side of a partition stays counted.
+//   - A new process is admitted once it has been in contact with the cluster for Config.DetectionTime and its view has
+//     converged: it sees at least as many members alive as any converged member counts. By then every live instance
+//     counts the new process.
 //
-// So each admitted instance is counted by all others, and each uses one part of a division by at least the number of
+// So every admitted instance is counted by all others, and each of them divides the budget by at least the number of
 // admitted instances.
 type quota struct {
 	cfg *Config
-	// configuredSize is the number of instances in the settings.
+	// configuredSize is the number of instances according to the settings.
 	configuredSize int
-	// divisor is the number of parts that the budget is divided into.
+	// divisor is the number by which the budget is divided.
 	divisor int
-	// admitted reports that this instance may use its part.
+	// admitted reports that this instance may use its share.
 	admitted bool
-	// converged reports that the view was complete once: all other instances count this one.
+	// converged reports that the view has been complete at least once, so that all other instances count this one. It
+	// is never reset.
 	converged bool
 }
 
@@ -29,13 +31,13 @@
 	return &quota{cfg: cfg, configuredSize: configuredSize, divisor: configuredSize}
 }
 
-// update recomputes the quota from the peers that share the budget. It is called with each tick.
+// update recomputes the quota from the peers that share the budget. It is called on each tick.
 func (q *quota) update(now time.Duration, peers quotaPeers) {
 	counted := 1 + peers.countUnexpired(now, q.cfg)
 	announced := peers.maxAnnouncedDivisor()
 	expectedSize := q.configuredSize
 	if now >= q.cfg.MaxPartitionDuration {
-		expectedSize = 0 // configured instances that nobody has seen for so long do not exist
+		expectedSize = 0 // configured instances that have not appeared by now are assumed not to exist
 	}
 	if !q.converged && q.isKnownToPeers(now, peers) {
 		q.converged = peers.countAlive() >= max(announced, expectedSize)
@@ -45,12 +47,13 @@
 		q.admitted = true
 		return
 	}
-	// Where no view has converged the whole cluster has just started: then the configured size holds.
+	// If no live peer announces a divisor, the whole cluster has just started. The instance may then use its share,
+	// because every instance divides by at least the configured size.
 	q.divisor = max(counted, announced, q.configuredSize)
 	q.admitted = peers.contacted && announced == 0
 }
 
-// isKnownToPeers reports whether every reachable member has learned of this instance.
+// isKnownToPeers reports whether every reachable member has discovered this instance.
 func (q *quota) isKnownToPeers(now time.Duration, peers quotaPeers) bool {
 	return peers.standalone || peers.contacted && now-peers.contactedAt >= q.cfg.DetectionTime
 }
@@ -58,11 +61,11 @@
 // quotaPeers are the peers that share one budget with the instance.
 type quotaPeers struct {
 	peers []*peer
-	// contacted reports whether the instance has ever found another member of the cluster.
+	// contacted reports whether the instance has ever discovered another member of the cluster.
 	contacted bool
-	// contactedAt is when it found the first one.
+	// contactedAt is when the instance discovered the first other member.
 	contactedAt time.Duration
-	// standalone reports that the instance has no peers configured and has found none.
+	// standalone reports that the instance has no peers configured and has discovered none.
 	standalone bool
 }
 
@@ -77,7 +80,7 @@
 	return count
 }
 
-// countUnexpired counts the peers that may still use a part of the budget.
+// countUnexpired counts the peers that may still use a share of the budget.
 func (q quotaPeers) countUnexpired(now time.Duration, cfg *Config) int {
 	count := 0
 	for _, p := range q.peers {
@@ -88,7 +91,8 @@
 	return count
 }
 
-// maxAnnouncedDivisor returns the largest divisor that a live peer announces; 0 if no peer's view has converged.
+// maxAnnouncedDivisor returns the largest divisor that a live peer announces, or 0 if no live peer's view has
+// converged.
 func (q quotaPeers) maxAnnouncedDivisor() int {
 	largest := 0
 	for _, p := range q.peers {
--- a/internal/cluster/membership/quota_test.go
+++ b/internal/cluster/membership/quota_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A process that starts on one side of a partition is not admitted before the partition heals: the other side does
-// not count it.
+// A process that starts on one side of a partition must not be admitted before the partition heals, because the
+// instances on the other side do not count it yet. Otherwise the shares of both sides would exceed the budget.
 func TestNewProcessIsNotAdmittedDuringPartition(t *testing.T) {
 	h := newHarness(t, testConfig())
-	for i := range 10 { // these count 21: ten more beyond the partition, and this one
+	for i := range 10 { // these announce a divisor of 21: they also count ten members beyond the partition and "self"
 		member := newMember(fmt.Sprintf("m%02d", i), peerIncarnation)
 		member.Divisor = 21
 		h.addPeer(member)
@@ -28,6 +28,8 @@
 	}
 }
 
+// A member that repeatedly fails and recovers must stay counted. Otherwise the shares of the other instances would
+// change each time.
 func TestFlappingMemberDoesNotChangeDivisor(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	for range 30 {
@@ -36,32 +38,34 @@
 		h.recover("m05")
 		h.run(8 * time.Second)
 		if got := h.divisors().Zone; got != 20 {
-			t.Fatalf("divisor %d while a member flaps, want 20", got)
+			t.Fatalf("divisor is %d while a member flaps, want 20", got)
 		}
 	}
 }
 
-// A new instance beside a converged cluster uses no part of a budget before the others count it.
+// A new instance that joins a converged cluster must not use a share of a budget before the other members count it.
+// Otherwise the shares would temporarily exceed the budget.
 func TestNewInstanceIsAdmittedOnceCounted(t *testing.T) {
 	h := newHarness(t, testConfig())
 	h.run(5 * time.Second)
 	if h.divisors().Admitted {
-		t.Error("admitted without contact to any member")
+		t.Error("the instance is admitted without contact to any member")
 	}
 	for i := range 19 {
 		h.addPeer(newMember(fmt.Sprintf("m%02d", i), peerIncarnation))
 	}
 	h.run(DefaultDetectionTime - time.Second)
 	if h.divisors().Admitted {
-		t.Error("admitted before the others count it")
+		t.Error("the instance is admitted before the other members count it")
 	}
 	h.run(3 * time.Second)
 	if !h.divisors().Admitted {
-		t.Error("not admitted after the detection time")
+		t.Error("the instance is not admitted after the detection time")
 	}
 }
 
-// A zone's budget is shared by the instances of that zone: those of other zones neither count nor delay a start.
+// Only the instances of a zone share the zone's budget. Instances of other zones must not increase the zone's
+// divisor, nor delay the admission of a new instance.
 func TestZonesHaveSeparateDivisors(t *testing.T) {
 	cfg := testConfig()
 	cfg.FleetSize = 30
@@ -74,11 +78,11 @@
 	}
 	h.run(2 * DefaultDetectionTime)
 	if got := h.divisors(); got.Cluster != 30 || got.Zone != 10 || !got.Converged || !got.Admitted {
-		t.Errorf("%+v, want 30 in the cluster, 10 in the zone, converged and admitted", got)
+		t.Errorf("divisors are %+v, want 30 for the cluster and 10 for the zone, converged and admitted", got)
 	}
 }
 
-// An instance without configured peers does not wait for any.
+// An instance without configured peers must be admitted at once. It would wait forever for contact to a peer.
 func TestStandaloneInstanceIsAdmittedAtOnce(t *testing.T) {
 	cfg := testConfig()
 	cfg.FleetSize = 1
@@ -86,6 +90,6 @@
 	h := newHarness(t, cfg)
 	h.run(TickInterval)
 	if got := h.divisors(); got.Cluster != 1 || got.Zone != 1 || !got.Converged || !got.Admitted {
-		t.Errorf("%+v, want divisors of 1, converged and admitted", got)
+		t.Errorf("divisors are %+v, want 1 for the cluster and the zone, converged and admitted", got)
 	}
 }
--- a/internal/cluster/membership/state_machine.go
+++ b/internal/cluster/membership/state_machine.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// StateMachine is the membership as one instance sees it. It is not safe for concurrent use.
+// StateMachine tracks the cluster membership as one instance sees it. It is not safe for concurrent use.
 type StateMachine struct {
 	cfg   Config
-	now   time.Duration // time of the event being handled
+	now   time.Duration // time of the event being handled, since the start of the instance
 	peers map[string]*peer
 
 	// lastTick is the time of the latest Tick.
 	lastTick time.Duration
-	// lastResponse is when a peer last answered, or later where the wait for an answer started over.
+	// lastResponse is when a peer last answered a probe. The first contact to a peer and the end of a pause also set it,
+	// so that the wait for an answer starts over.
 	lastResponse time.Duration
-	// respondersSincePause are the peers that have answered since the own process was paused; nil once enough have.
+	// respondersSincePause holds the peers that have answered since this process was paused. It is nil if the process
+	// was not paused or enough peers have answered since.
 	respondersSincePause map[string]struct{}
 
-	// contacted reports whether another member was ever found.
+	// contacted reports whether another member was ever discovered.
 	contacted bool
-	// contactedAt is when the first other member was found.
+	// contactedAt is when the first other member was discovered.
 	contactedAt time.Duration
 
 	isolated     bool
@@ -30,10 +32,10 @@
 
 	view        *View
 	viewVersion uint64
-	viewStale   bool // view does not show the current state
+	viewStale   bool // the state has changed since view was built
 }
 
-// New returns the state machine of an instance that knows no other member. The error is a *ConfigError.
+// New returns the state machine of an instance that knows no other member yet. The error is a *ConfigError.
 func New(cfg Config) (*StateMachine, error) {
 	cfg.setDefaults()
 	if err := cfg.validate(); err != nil {
@@ -72,8 +74,9 @@
 	return changed
 }
 
-// handleAlive stores a member's description unless a newer incarnation is known. An incarnation from the future is
-// ignored: it would shut out every later process of that name.
+// handleAlive stores a member's description unless a newer incarnation is known. It ignores an incarnation that is
+// more than maxClockSkew in the future: later processes of that name would have lower incarnations and would be
+// ignored.
 func (m *StateMachine) handleAlive(member Member) {
 	ahead := time.Duration(member.Incarnation)*time.Millisecond - (m.cfg.WallClock + m.now)
 	if member.Name == m.cfg.Self.Name || ahead > maxClockSkew {
@@ -108,7 +111,8 @@
 	p.suspicion = newSuspicion(m.now)
 }
 
-// handleLeft applies a planned stop at once: only the member itself can announce it.
+// handleLeft applies a planned stop. Unlike a failure, it needs no confirmation, because the member itself announces
+// it.
 func (m *StateMachine) handleLeft(name string, incarnation uint64) {
 	p := m.peers[name]
 	if p == nil || incarnation < p.Incarnation {
@@ -118,7 +122,8 @@
 	p.leftAt = m.now
 }
 
-// handleProbeSuccess records that both directions to a peer work. The suspicion of a peer that answers starts over.
+// handleProbeSuccess records that datagrams to and from a peer arrive. The suspicion of a suspect that answers starts
+// over.
 func (m *StateMachine) handleProbeSuccess(name string) {
 	p := m.peers[name]
 	if p == nil || p.State == Left || p.State == Failed {
@@ -140,7 +145,7 @@
 	}
 }
 
-// handleProbeFailure counts a probe of a suspect that was not answered.
+// handleProbeFailure counts an unanswered probe of a suspect. Unanswered probes of other peers are ignored.
 func (m *StateMachine) handleProbeFailure(name string) {
 	if p := m.peers[name]; p != nil && p.State == Suspect {
 		p.suspicion.failedProbes++
@@ -163,7 +168,7 @@
 	m.removeExpired()
 }
 
-// startOverAfterPause discards the evidence that was collected across a pause of the own process.
+// startOverAfterPause discards the evidence on suspects that was collected before and during a pause of this process.
 func (m *StateMachine) startOverAfterPause() {
 	m.lastResponse = m.now
 	m.respondersSincePause = map[string]struct{}{}
@@ -174,9 +179,9 @@
 	}
 }
 
-// confirmFailures turns suspicions into failures. It confirms none after a pause of the own process until enough
-// peers have answered, and none while a partition explains the loss as well. An isolated instance gets no answers and
-// so confirms none either.
+// confirmFailures declares suspects failed if the evidence is enough. It confirms no failure after a pause of this
+// process until enough peers have answered, and none during a partition, which could be the cause of the loss as
+// well. An isolated instance gets no answers, so it confirms no failure either.
 func (m *StateMachine) confirmFailures() {
 	alive := m.countPeers(Alive)
 	if m.respondersSincePause != nil || m.partition.active || alive == 0 {
@@ -189,7 +194,7 @@
 	}
 }
 
-// removeExpired forgets the peers that no divisor counts any more.
+// removeExpired removes the peers that no divisor counts any more.
 func (m *StateMachine) removeExpired() {
 	for name, p := range m.peers {
 		if p.expired(m.now, &m.cfg) {
@@ -199,7 +204,7 @@
 	}
 }
 
-// countPeers counts the other members in any of these states.
+// countPeers counts the other members that are in one of the given states.
 func (m *StateMachine) countPeers(states ...State) int {
 	count := 0
 	for _, p := range m.peers {
@@ -210,7 +215,7 @@
 	return count
 }
 
-// updatePartitionAndQuotas brings the partition detector and both quotas up to date.
+// updatePartitionAndQuotas updates the partition detector and both quotas.
 func (m *StateMachine) updatePartitionAndQuotas() {
 	partitionedBefore, divisorsBefore := m.partition.active, m.divisors()
 	m.partition.update(m.now, m.peers)
--- a/internal/cluster/membership/state_machine_test.go
+++ b/internal/cluster/membership/state_machine_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A failed member that answers no probe must be declared failed after the suspicion timeout, and the divisors must
+// count it until MaxPartitionDuration has passed.
 func TestFailureIsConfirmed(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.fail("m03")
@@ -13,16 +15,17 @@
 	h.run(DefaultSuspicionTimeout + 2*time.Second)
 	h.expectState("m03", Failed)
 	if v := h.machine.View(); v.Divisors.Zone != 20 || v.Alive != 19 || v.Failed != 1 {
-		t.Errorf("divisor %d, alive %d, failed %d right after a failure, want 20, 19, 1",
+		t.Errorf("after a confirmed failure: divisor %d, %d alive, %d failed; want 20, 19, 1",
 			v.Divisors.Zone, v.Alive, v.Failed)
 	}
 	h.run(DefaultMaxPartitionDuration)
 	if got := h.divisors(); got.Zone != 19 || got.Cluster != 19 {
-		t.Errorf("divisors %d and %d long after a failure, want 19", got.Zone, got.Cluster)
+		t.Errorf("after MaxPartitionDuration: zone divisor %d, cluster divisor %d; want 19, 19", got.Zone, got.Cluster)
 	}
 }
 
-// The subject of a false report, as a faulty member can make one, refutes it before it is confirmed.
+// A faulty member can spread a false failure report. The report must not be confirmed if its subject refutes it
+// within the suspicion timeout, even if this happens repeatedly.
 func TestRefutedReportConfirmsNoFailure(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	for range 20 {
@@ -34,7 +37,8 @@
 	}
 }
 
-// Failed probes confirm a failure before the suspicion timeout; those before a pause of the own process do not count.
+// Two failed probes must confirm a failure before the suspicion timeout. A failed probe from before a pause of this
+// process must not count: after the pause, m04 has only one.
 func TestFailedProbesConfirmSooner(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.fail("m03", "m04")
@@ -51,7 +55,8 @@
 	h.expectState("m04", Suspect)
 }
 
-// A suspect that answers this instance's own probes is not confirmed, whatever the failure detector reports.
+// A suspect that answers this instance's probes must not be declared failed, even if the failure detector's report is
+// not refuted.
 func TestRespondingSuspectIsNotConfirmed(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.handle(FailureReported{"m03", peerIncarnation})
@@ -59,8 +64,8 @@
 	h.expectState("m03", Suspect)
 }
 
-// After a pause of the own process the failure detector reports failures, because all its timers are due at once.
-// They are confirmed only after a round of probes was answered.
+// After a pause of this process all timers of the failure detector expire at once, so that it may report members that
+// are alive. No failure may be confirmed before a round of probes has been answered.
 func TestProcessPauseConfirmsNoFailure(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.pause(9 * time.Second)
@@ -78,8 +83,9 @@
 	h.expectState("m01", Failed)
 }
 
-// The suspicion of a failure that was reported before the pause starts over, even where the answers that were queued
-// during the pause are read at once.
+// A suspicion that began before a pause of this process must start over after the pause. Otherwise the answers that
+// were queued during the pause would be read at once and confirm the failure, because the suspicion timeout has
+// passed.
 func TestProcessPauseRestartsOlderSuspicions(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.fail("m01")
@@ -91,6 +97,9 @@
 	h.expectState("m01", Suspect)
 }
 
+// An instance whose network fails gets no answers, and its failure detector reports every other member. It must
+// recognize its isolation, declare no member failed and keep its divisor. After the network recovers, it must be
+// admitted as before.
 func TestIsolatedInstanceConfirmsNoFailureAndKeepsDivisor(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	for _, name := range h.peers {
@@ -98,7 +107,7 @@
 	}
 	h.run(DefaultIsolationTimeout + time.Second)
 	if !h.machine.View().Isolated {
-		t.Error("not isolated though no peer answers")
+		t.Error("the instance is not isolated although no peer answers")
 	}
 	for _, name := range h.peers {
 		h.fail(name)
@@ -106,17 +115,20 @@
 	}
 	h.run(3 * time.Minute)
 	if v := h.machine.View(); v.Failed != 0 || v.Divisors.Zone != 20 {
-		t.Errorf("isolated: %d failed, divisor %d; want 0, 20", v.Failed, v.Divisors.Zone)
+		t.Errorf("during the isolation: %d failed, divisor %d; want 0, 20", v.Failed, v.Divisors.Zone)
 	}
 	for _, name := range h.peers {
 		h.recover(name)
 	}
 	h.run(2*DefaultDetectionTime + 2*time.Second)
 	if v := h.machine.View(); v.Isolated || v.Partitioned || !v.Divisors.Admitted || v.Divisors.Zone != 20 {
-		t.Errorf("after its return: isolated %v, partitioned %v, divisors %+v", v.Isolated, v.Partitioned, v.Divisors)
+		t.Errorf("after the isolation: isolated %v, partitioned %v, divisors %+v; want false, false, 20 and admitted",
+			v.Isolated, v.Partitioned, v.Divisors)
 	}
 }
 
+// During a partition the lost members must stay counted and must not be declared failed, because they may be alive on
+// the other side. After MaxPartitionDuration the divisor must count only the remaining members.
 func TestPartitionKeepsDivisorUntilMaxDuration(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	for i := range 9 {
@@ -126,35 +138,39 @@
 	h.run(10 * time.Minute)
 	v := h.machine.View()
 	if !v.Partitioned || v.Failed != 0 || v.Divisors.Zone != 20 || !v.Divisors.Admitted {
-		t.Errorf("partitioned %v, failed %d, divisors %+v; want true, 0, 20 and admitted",
+		t.Errorf("during the partition: partitioned %v, %d failed, divisors %+v; want true, 0, 20 and admitted",
 			v.Partitioned, v.Failed, v.Divisors)
 	}
 	h.run(DefaultMaxPartitionDuration)
 	v = h.machine.View()
 	if v.Partitioned || v.Failed+len(v.Members) != 11 || v.Divisors.Zone != 11 {
-		t.Errorf("afterwards: partitioned %v, failed %d, %d members, divisor %d; want false, 0, 11, 11",
+		t.Errorf("after MaxPartitionDuration: partitioned %v, %d failed, %d members, divisor %d; want false, 0, 11, 11",
 			v.Partitioned, v.Failed, len(v.Members), v.Divisors.Zone)
 	}
 }
 
+// A planned stop must take effect without a suspicion, and a later failure report must not change it. The divisor
+// must count the member for another DetectionTime, until all members have been informed.
 func TestPlannedStopIsAppliedAtOnce(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.handle(MemberLeft{"m07", peerIncarnation})
 	h.expectState("m07", Left)
 	h.run(DefaultDetectionTime - time.Second)
 	if got := h.divisors().Zone; got != 20 {
-		t.Errorf("divisor %d before all members know of a planned stop, want 20", got)
+		t.Errorf("divisor is %d within the detection time after a planned stop, want 20", got)
 	}
 	h.handle(FailureReported{"m07", peerIncarnation})
 	h.expectState("m07", Left)
 	h.run(2 * time.Second)
 	if got := h.divisors().Zone; got != 19 {
-		t.Errorf("divisor %d after a planned stop, want 19", got)
+		t.Errorf("divisor is %d after a planned stop and the detection time, want 19", got)
 	}
 	h.handle(MemberAlive{newMember("m07", peerIncarnation+1)}) // a new process
 	h.expectState("m07", Alive)
 }
 
+// Delayed messages about an earlier process of a member must not affect its current process. A description from the
+// future must not be stored, because later processes of the member would then be ignored.
 func TestStaleAndFutureIncarnationsAreIgnored(t *testing.T) {
 	h := newConvergedHarness(t, 3)
 	current := uint64((wallClock + h.now) / time.Millisecond)
@@ -189,7 +205,7 @@
 		t.Run(c.key, func(t *testing.T) {
 			_, err := New(c.cfg)
 			if configError := (*ConfigError)(nil); !errors.As(err, &configError) || configError.Key != c.key {
-				t.Errorf("%+v: error %v, want one on %s", c.cfg, err, c.key)
+				t.Errorf("New(%+v) returned error %v, want a ConfigError with key %s", c.cfg, err, c.key)
 			}
 		})
 	}
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -3,30 +3,33 @@
 import "time"
 
 const (
-	// failedProbesToConfirm own probes that failed confirm a failure before Config.SuspicionTimeout.
+	// failedProbesToConfirm is the number of this instance's probes of the suspect that must fail to confirm the failure
+	// before Config.SuspicionTimeout.
 	failedProbesToConfirm = 2
-	// minSuspicionTimeout is the earliest confirmation by own probes: a refutation takes two or three gossip rounds
-	// of 0.2 s in each direction.
+	// minSuspicionTimeout is the minimum age of a suspicion that failed probes can confirm. It gives the suspect time to
+	// refute a false report: a refutation takes two or three gossip rounds of 0.2 s in each direction.
 	minSuspicionTimeout = 1500 * time.Millisecond
-	// respondersToConfirm distinct peers have to answer this instance before a failure is confirmed.
+	// respondersToConfirm is the number of distinct peers that must answer this instance during a suspicion before the
+	// failure is confirmed. Their answers show that this instance's own network works.
 	respondersToConfirm = 3
-	// respondersAfterPause distinct peers have to answer after a pause of the own process: a round of probes.
+	// respondersAfterPause is the number of distinct peers that must answer after a pause of this process before any
+	// failure is confirmed. That many answers stand for a full round of probes.
 	respondersAfterPause = 10
 )
 
-// suspicion is the evidence on a reported failure since the suspicion started, or last started over.
+// suspicion is the evidence on a reported failure, collected since the suspicion started or last started over.
 type suspicion struct {
 	startedAt    time.Duration
-	responders   map[string]struct{} // other peers that have answered this instance
-	failedProbes int                 // own probes of the suspect that were not answered
+	responders   map[string]struct{} // other peers that have answered probes of this instance
+	failedProbes int                 // this instance's probes of the suspect that were not answered
 }
 
 func newSuspicion(now time.Duration) suspicion {
 	return suspicion{startedAt: now, responders: map[string]struct{}{}}
 }
 
-// isConfirmed reports whether the evidence is enough to take the suspect for failed in a cluster with so many other
-// members alive.
+// isConfirmed reports whether the evidence is enough to declare the suspect failed. alive is the number of other
+// members in state Alive.
 func (s *suspicion) isConfirmed(now time.Duration, cfg *Config, alive int) bool {
 	age := now - s.startedAt
 	timedOut := age >= cfg.SuspicionTimeout
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// View is the state machine's state at one moment. It is immutable.
+// View is an immutable snapshot of the state machine's state.
 type View struct {
-	// Version grows with each change of any other field.
+	// Version increases when any other field changes.
 	Version uint64
-	// Members are all members by name, including the instance itself.
+	// Members lists all members, sorted by name, including the instance itself.
 	Members []Member
 	// Alive counts the members in state Alive, including the instance itself.
 	Alive int
@@ -19,26 +19,29 @@
 	Failed int
 	// Isolated reports that no other member has answered a probe for Config.IsolationTimeout.
 	Isolated bool
-	// Partitioned reports that a large part of the cluster was lost at once. These members are not taken for failed.
+	// Partitioned reports that a large fraction of the cluster became unreachable at once, as in a network partition.
+	// While it is set, no member is declared failed.
 	Partitioned bool
-	// Divisors say how shared budgets are divided.
+	// Divisors are the numbers by which shared budgets are divided.
 	Divisors BudgetDivisors
 }
 
-// BudgetDivisors say how budgets that several instances share are divided.
+// BudgetDivisors are the numbers by which budgets that several instances share are divided.
 type BudgetDivisors struct {
 	// Cluster is the divisor of budgets that the whole cluster shares, such as polls of service discovery.
 	Cluster int
-	// Zone is the divisor of budgets that the instances of one zone share, such as the slow-start budget of a server.
+	// Zone is the divisor of budgets that the instances of one zone share, such as the slow-start budget of a room
+	// server.
 	Zone int
-	// Admitted reports that the instance may use its part of the zone's budget. A new process may not until all other
-	// instances count it in their divisors.
+	// Admitted reports that the instance may use its share of the zone's budget. A new process may not use it until all
+	// other instances count the process in their divisors.
 	Admitted bool
-	// Converged reports that all other instances count this one; it then announces Zone as Member.Divisor.
+	// Converged reports that all other instances count this one. The instance then announces Zone as Member.Divisor.
 	Converged bool
 }
 
-// View returns the latest view. It is built on demand, because a large cluster produces many events at once.
+// View returns the current view. It builds the view on demand rather than with each event, because a large cluster
+// produces many events at once.
 func (m *StateMachine) View() *View {
 	if m.viewStale || m.view == nil {
 		m.viewStale = false
