--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -1,6 +1,7 @@
-// Package gossip connects package membership to the network. hashicorp/memberlist finds members and detects failures
-// (SWIM with Lifeguard); this package feeds its reports to the pure state machine, which decides what to conclude
-// from them. One goroutine owns the state machine; the library's callbacks only push events into its queue.
+// Package gossip connects package membership to the network. The library hashicorp/memberlist discovers members and
+// detects failures (SWIM with Lifeguard). This package feeds the library's reports to the state machine of package
+// membership, which decides what to conclude from them. One goroutine owns the state machine; the library's callbacks
+// only push events into a queue that this goroutine reads.
 package gossip
 
 import (
@@ -17,60 +18,62 @@
 )
 
 const (
-	// LeaveTimeout bounds the time that Leave takes.
+	// LeaveTimeout is the longest time that Leave takes.
 	LeaveTimeout = 400 * time.Millisecond
-	// leavePollInterval is how often Leave checks whether the membership has ended.
+	// leavePollInterval is the interval at which Leave checks whether the membership has ended.
 	leavePollInterval = 10 * time.Millisecond
-	// startRetryInterval is the time between two attempts to bind the gossip address, which the previous process of
-	// this instance may still hold.
+	// startRetryInterval is the time between two attempts to start a session. An attempt fails, for example, while the
+	// previous process of this instance still has the gossip address bound.
 	startRetryInterval = time.Second
 )
 
 // Config configures a Cluster.
 type Config struct {
-	// Settings is the membership section of the operator's file.
+	// Settings is the section "membership" of the operator's file.
 	Settings config.Membership
 	// Ring holds the keys that encrypt the gossip.
 	Ring *token.Ring
-	// ConfiguredSize is the number of instances in the settings.
+	// ConfiguredSize is the number of instances according to the settings.
 	ConfiguredSize decide.FleetSize
 	// Version is the version of the program.
 	Version string
-	// Log receives what changes in the cluster.
+	// Log receives the changes of the view and the errors.
 	Log *logrus.Logger
-	// OnView is called from the cluster's goroutine with each new view, and with nil when the membership ends. It
-	// may be nil.
+	// OnView is called from Run's goroutine with each new view, and with nil when the membership ends. OnView may be
+	// nil.
 	OnView func(*membership.View)
 }
 
-// Cluster is this instance's membership in the cluster. Its methods may be called concurrently; Run does the work.
+// Cluster is this instance's membership in the cluster. Run joins and leaves the cluster. The other methods read
+// Run's results or request a change; they may be called concurrently.
 type Cluster struct {
 	cfg      Config
 	counters counters
 	ring     atomic.Pointer[token.Ring]
 	view     atomic.Pointer[membership.View]
-	// wantMember says whether the instance should be a member.
+	// wantMember reports whether the instance should be a member.
 	wantMember atomic.Bool
-	// isMember says whether it is one.
+	// isMember reports whether the instance is a member.
 	isMember atomic.Bool
-	// leaveSilently makes the membership end without an announcement: a replacement process continues it.
+	// leaveSilently makes the membership end without an announcement, because a replacement process continues it or
+	// another process has this instance's name.
 	leaveSilently atomic.Bool
-	// wake makes Run compare wantMember with isMember.
+	// wake makes Run start or end the session after wantMember has changed.
 	wake chan struct{}
 
-	// The fields below are owned by Run's goroutine.
+	// Only Run's goroutine uses the fields below.
 
 	// session is nil while the instance is not a member.
 	session *session
 	// nextAttempt is the earliest time of the next attempt to start a session.
 	nextAttempt time.Time
-	// lastError is the text of the latest failure to start a session.
+	// lastError is the text of the latest error on starting a session; empty after a success.
 	lastError string
-	// nameConflict says that another live process has this instance's name; it ends the membership for good.
+	// nameConflict reports that another live process has this instance's name. This process then does not join again.
 	nameConflict bool
 }
 
-// New returns a Cluster that joins when Run is called.
+// New returns a Cluster that joins the cluster when Run is called.
 func New(cfg Config) *Cluster {
 	c := &Cluster{cfg: cfg, wake: make(chan struct{}, 1)}
 	c.ring.Store(cfg.Ring)
@@ -81,16 +84,18 @@
 // View returns the latest view, or nil while the instance is not a member.
 func (c *Cluster) View() *membership.View { return c.view.Load() }
 
-// Stats returns the counts of frames since the start.
+// Stats returns the counts of gossip frames since the start of the process.
 func (c *Cluster) Stats() Stats { return c.counters.stats() }
 
 // SetKeys replaces the keys that encrypt the gossip.
 func (c *Cluster) SetKeys(ring *token.Ring) { c.ring.Store(ring) }
 
-// SetMember makes the instance join the cluster, or announce a planned stop and leave it. It does not wait for that.
+// SetMember makes the instance join the cluster, or announce a planned stop and leave the cluster. It returns before
+// Run has done so.
 func (c *Cluster) SetMember(join bool) { c.setMember(join, false) }
 
-// AbandonMembership ends the membership without an announcement: a replacement process of this instance continues it.
+// AbandonMembership ends the membership without an announcement, because a replacement process of this instance
+// continues it. It returns before Run has done so.
 func (c *Cluster) AbandonMembership() { c.setMember(false, true) }
 
 func (c *Cluster) setMember(join, silently bool) {
@@ -102,7 +107,7 @@
 	}
 }
 
-// Leave announces a planned stop to the other members and waits until the announcement is sent, at most LeaveTimeout.
+// Leave announces a planned stop to the other members and waits until the membership has ended, at most LeaveTimeout.
 // After AbandonMembership it does nothing.
 func (c *Cluster) Leave() {
 	if c.leaveSilently.Load() {
@@ -115,7 +120,7 @@
 	}
 }
 
-// Run keeps up the membership until ctx ends.
+// Run joins the cluster and maintains the membership until ctx ends.
 func (c *Cluster) Run(ctx context.Context) {
 	ticker := time.NewTicker(membership.TickInterval)
 	defer ticker.Stop()
@@ -141,7 +146,8 @@
 	}
 }
 
-// reconcile starts or ends the session if the instance should be a member and is not, or the other way round.
+// reconcile starts a session if the instance should be a member and is not, and ends the session if it should not be
+// a member.
 func (c *Cluster) reconcile() {
 	wanted := c.wantMember.Load() && !c.nameConflict
 	switch {
@@ -156,7 +162,7 @@
 	session, err := newSession(c)
 	if err != nil {
 		c.nextAttempt = time.Now().Add(startRetryInterval)
-		if err.Error() != c.lastError { // log it once, not with each attempt
+		if err.Error() != c.lastError { // log an error once, not on each attempt
 			c.lastError = err.Error()
 			c.cfg.Log.WithError(err).Warn("membership: not joined yet, trying again")
 		}
@@ -183,15 +189,15 @@
 	c.isMember.Store(false)
 }
 
-// publishChanges publishes and logs the view if it has changed. It ends the session of an instance whose name is
-// taken.
+// publishChanges publishes and logs the view if it has changed. It ends the session if another live process has this
+// instance's name.
 func (c *Cluster) publishChanges() {
 	if c.session == nil {
 		return
 	}
 	if c.session.nameConflict.Load() {
 		c.cfg.Log.WithField("name", c.cfg.Settings.Name).Error(
-			"membership: rejected: another live process has this name, choose another; continuing without a view")
+			"membership: rejected: another live process has this name, configure a unique name; continuing without a view")
 		c.nameConflict = true
 		c.leaveSilently.Store(true)
 		c.endSession()
@@ -213,7 +219,7 @@
 	}
 }
 
-// aliveCount returns the number of live members in the latest view, at least 1.
+// aliveCount returns the number of live members in the latest view, including this instance, or 1 without a view.
 func (c *Cluster) aliveCount() int {
 	if view := c.view.Load(); view != nil {
 		return view.Alive
--- a/internal/cluster/gossip/conflict.go
+++ b/internal/cluster/gossip/conflict.go
@@ -7,11 +7,12 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// conflictProbes is how often the other process with this instance's name is probed.
+// conflictProbes is the maximum number of probes that are sent to another process with this instance's name.
 const conflictProbes = 3
 
-// resolveNameConflict handles another process with this instance's name at another address. The process that started
-// first keeps the name; the other one ends its membership if the first one answers.
+// resolveNameConflict handles the case that another process uses this instance's name at another address. The process
+// with the lower incarnation, which started first, keeps the name. The other process ends its membership if the first
+// one answers a probe.
 func (s *session) resolveNameConflict(other *memberlist.Node) {
 	metadata, err := decodeMetadata(other.Meta)
 	if err != nil || metadata.Incarnation > s.metadata.Load().Incarnation {
@@ -28,7 +29,7 @@
 	}()
 }
 
-// nodeAddress returns a node's host and port. An IPv4 address is never in its IPv6-mapped form.
+// nodeAddress returns a node's host and port. It converts an IPv4-mapped IPv6 address to IPv4.
 func nodeAddress(node *memberlist.Node) string {
 	return netip.AddrPortFrom(unmappedAddress(node.Addr), node.Port).String()
 }
--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements the library's callbacks. The library calls most of them under a lock of its own, so they do not
-// block: they push events into the session's queue.
+// delegate implements the library's callbacks. The library holds a lock during most of them, so they must not block.
+// They only push events into the session's queue.
 type delegate struct {
 	session *session
 	leaves  *leaveBroadcaster
@@ -19,8 +19,8 @@
 	return &delegate{session: s, leaves: newLeaveBroadcaster(s.cluster.aliveCount)}
 }
 
-// NodeMeta implements memberlist.Delegate. It returns the encoded metadata of this instance, or nil if that is longer
-// than limit bytes.
+// NodeMeta implements memberlist.Delegate. It returns the encoded metadata of this instance, or nil if the encoding
+// is longer than limit bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
 	raw, err := d.session.metadata.Load().encode()
 	if err != nil || len(raw) > limit {
@@ -29,7 +29,7 @@
 	return raw
 }
 
-// NotifyMsg implements memberlist.Delegate. The only messages are those of members that leave.
+// NotifyMsg implements memberlist.Delegate. The only message of this package is the leave message.
 func (d *delegate) NotifyMsg(raw []byte) {
 	message, err := decodeLeave(raw)
 	if err != nil {
@@ -54,18 +54,18 @@
 	d.leaves.announce(message, d.session.list)
 }
 
-// GetBroadcasts implements memberlist.Delegate.
+// GetBroadcasts implements memberlist.Delegate. It returns the leave messages to gossip next.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.leaves.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate. There is no state beside the library's own.
+// LocalState implements memberlist.Delegate. This package adds no state to the library's push/pull exchange.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate. There is no state beside the library's own.
+// MergeRemoteState implements memberlist.Delegate. This package adds no state to the library's push/pull exchange.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// AckPayload implements memberlist.PingDelegate. Nothing is added to an answer.
+// AckPayload implements memberlist.PingDelegate. This package adds no payload to an ack.
 func (d *delegate) AckPayload() []byte { return nil }
 
 // NotifyPingComplete implements memberlist.PingDelegate: a member has answered.
@@ -73,7 +73,7 @@
 	d.session.events.push(membership.ProbeSucceeded{Name: node.Name})
 }
 
-// NotifyJoin implements memberlist.EventDelegate: a member was found, for the first time or again.
+// NotifyJoin implements memberlist.EventDelegate: a member was discovered, or is alive again after a failure.
 func (d *delegate) NotifyJoin(node *memberlist.Node) { d.pushAlive(node) }
 
 // NotifyUpdate implements memberlist.EventDelegate: a member has new metadata.
@@ -88,7 +88,8 @@
 	d.session.events.push(membership.MemberAlive{Member: metadata.member(node.Name, nodeAddress(node))})
 }
 
-// NotifyLeave implements memberlist.EventDelegate: the failure detector takes a member for failed.
+// NotifyLeave implements memberlist.EventDelegate: the failure detector considers a member failed. The library also
+// calls it for a planned stop.
 func (d *delegate) NotifyLeave(node *memberlist.Node) {
 	metadata, err := decodeMetadata(node.Meta)
 	if err != nil {
@@ -97,7 +98,7 @@
 	d.session.events.push(membership.FailureReported{Name: node.Name, Incarnation: metadata.Incarnation})
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: one name is used at two addresses.
+// NotifyConflict implements memberlist.ConflictDelegate: two addresses use the same name.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	if existing.Name == d.session.cluster.cfg.Settings.Name {
 		d.session.resolveNameConflict(other)
--- a/internal/cluster/gossip/event_queue.go
+++ b/internal/cluster/gossip/event_queue.go
@@ -8,7 +8,7 @@
 
 // eventQueue is an unbounded queue of events. push never blocks. It is safe for concurrent use.
 type eventQueue struct {
-	// ready receives a value when there may be events.
+	// ready receives a value after an event was pushed. The queue may be empty by the time the value is read.
 	ready chan struct{}
 
 	mu     sync.Mutex
--- a/internal/cluster/gossip/keys.go
+++ b/internal/cluster/gossip/keys.go
@@ -11,10 +11,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-var errNoPrimaryKey = errors.New("membership: no key seals now")
+var errNoPrimaryKey = errors.New("membership: no key is currently valid for sealing")
 
-// newKeyring returns the library's keyring with the keys of the ring that are valid now. It returns errNoPrimaryKey
-// if none of them seals.
+// newKeyring returns a keyring for the library with all keys of the ring that are not retired. It returns
+// errNoPrimaryKey if none of them may encrypt at this time.
 func newKeyring(ring *token.Ring, now time.Time) (*memberlist.Keyring, error) {
 	primary, secrets := validSecrets(ring, now)
 	if primary == nil {
@@ -23,8 +23,9 @@
 	return memberlist.NewKeyring(secrets, primary)
 }
 
-// updateKeyring brings the library's keyring up to date, because a key may begin to seal, or retire, at any time. If
-// no key seals, it leaves the primary key as it is and returns errNoPrimaryKey.
+// updateKeyring updates the library's keyring from the ring, because the ring may be replaced, and each of its keys
+// starts to encrypt and retires at a time of its own. If no key may encrypt at this time, it keeps the primary key,
+// removes no key and returns errNoPrimaryKey.
 func updateKeyring(keyring *memberlist.Keyring, ring *token.Ring, now time.Time) error {
 	primary, secrets := validSecrets(ring, now)
 	for _, secret := range secrets {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// validSecrets returns the secrets that decrypt now, and among them the one that encrypts, or nil if none does.
+// validSecrets returns the secrets of all keys that are not retired. primary is the one that encrypts, or nil if none
+// may encrypt at this time.
 func validSecrets(ring *token.Ring, now time.Time) (primary []byte, secrets [][]byte) {
 	for _, key := range ring.Keys() {
 		switch ring.KeyUse(key.ID, now) {
--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// leaveFanout is how many members are told of a planned stop directly; the others learn of it by gossip.
+	// leaveFanout is the number of members to which a leave message is sent directly. The others receive it by gossip.
 	leaveFanout = 32
-	// maxForwardedLeaves bounds the memory of the messages that were forwarded.
+	// maxForwardedLeaves is the maximum number of forwarded messages that are remembered. It bounds the memory.
 	maxForwardedLeaves = 4096
-	// maxClockSkew is by how much the clock of another member may be ahead.
+	// maxClockSkew is how far the clock of another member may be ahead of this instance's clock.
 	maxClockSkew = time.Minute
 )
 
 var errLeaveWithoutName = errors.New("leave message without a name")
 
-// leaveMessage announces a planned stop. It is needed because the library's callbacks do not tell a planned stop from
-// a failure.
+// leaveMessage announces a planned stop. It is needed because the library's callbacks do not distinguish a planned
+// stop from a failure.
 type leaveMessage struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -51,7 +51,7 @@
 	forwarded map[leaveMessage]struct{}
 }
 
-// newLeaveBroadcaster returns a broadcaster to a cluster whose size clusterSize returns.
+// newLeaveBroadcaster returns a broadcaster. clusterSize returns the current number of members.
 func newLeaveBroadcaster(clusterSize func() int) *leaveBroadcaster {
 	return &leaveBroadcaster{
 		queue: &memberlist.TransmitLimitedQueue{
@@ -62,7 +62,8 @@
 	}
 }
 
-// forward gossips a message unless it did so before, and reports whether it did. raw is the encoded message.
+// forward gossips a message unless it has forwarded the same message before. It reports whether it gossips the
+// message. raw is the encoded message.
 func (b *leaveBroadcaster) forward(message leaveMessage, raw []byte) bool {
 	if !b.markForwarded(message) {
 		return false
@@ -71,7 +72,8 @@
 	return true
 }
 
-// markForwarded reports whether a message was not forwarded before.
+// markForwarded records a message as forwarded and reports whether it is new. When maxForwardedLeaves messages are
+// recorded, it discards all of them first.
 func (b *leaveBroadcaster) markForwarded(message leaveMessage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +87,11 @@
 	return true
 }
 
-// announce sends a message of this instance to some members directly, and gossips it.
+// announce sends a message of this instance to leaveFanout random members directly, and gossips it.
+//
+// Known data race: list.Members returns pointers to the library's own nodes, and SendBestEffort reads their fields
+// without the library's lock. At the same time the library may write these fields, for example in the goroutine that
+// session.announce starts.
 func (b *leaveBroadcaster) announce(message leaveMessage, list *memberlist.Memberlist) {
 	raw, err := message.encode()
 	if err != nil {
@@ -99,9 +105,9 @@
 	b.queue.QueueBroadcast(broadcast(raw))
 }
 
-// refuteLeave refutes a false leave message about this instance by raising its incarnation. It ignores one of an
-// earlier incarnation, and one that is too far in the future for the others to accept. It may be called from any
-// goroutine.
+// refuteLeave refutes a false leave message about this instance by raising the instance's incarnation. It ignores a
+// message about an earlier incarnation. It also ignores an incarnation so far in the future that the other members
+// would not accept a higher one. It may be called from any goroutine.
 func (s *session) refuteLeave(incarnation uint64) {
 	metadata := *s.metadata.Load()
 	latest := time.Duration(time.Now().Add(maxClockSkew).UnixNano())
@@ -112,14 +118,14 @@
 	s.announce(metadata)
 }
 
-// broadcast is a gossiped message that no other message replaces.
+// broadcast is an encoded message in the gossip queue. No later message replaces it.
 type broadcast []byte
 
-// Invalidates implements memberlist.Broadcast.
+// Invalidates implements memberlist.Broadcast. A message never replaces another one in the queue.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Message implements memberlist.Broadcast.
+// Message implements memberlist.Broadcast. It returns the encoded message.
 func (b broadcast) Message() []byte { return b }
 
-// Finished implements memberlist.Broadcast.
+// Finished implements memberlist.Broadcast. Nothing has to be done when the library stops sending a message.
 func (b broadcast) Finished() {}
--- a/internal/cluster/gossip/library_log.go
+++ b/internal/cluster/gossip/library_log.go
@@ -7,10 +7,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// rejectionLogInterval is the time between two log lines on rejected frames.
+// rejectionLogInterval is the minimum time between two log lines about rejected frames.
 const rejectionLogInterval = time.Minute
 
-// rejectionPhrases are parts of the library's log lines on frames that it drops (memberlist 0.7.0, net.go).
+// rejectionPhrases are substrings of the library's log lines about frames that it drops (memberlist 0.7.0, net.go).
+// Most lack the first letter of a word, which is upper case in some lines and lower case in others.
 var rejectionPhrases = [][]byte{
 	[]byte("ecrypt"),
 	[]byte("ailed to decode"),
@@ -26,15 +27,16 @@
 	[]byte("truncated messages"),
 }
 
-// libraryLog receives the library's log. It counts the lines on rejected frames and logs only one of them in a while,
-// because any sender could fill the log otherwise. It logs all other lines for debugging.
+// libraryLog receives the library's log lines. It counts the lines about rejected frames and logs at most one of them
+// per rejectionLogInterval, because any sender could fill the log otherwise. It logs all other lines at debug level.
 type libraryLog struct {
 	log             *logrus.Logger
 	counters        *counters
 	lastRejectionAt time.Time
 }
 
-// Write implements io.Writer. line is one line of the log; the library's logger calls it under a lock.
+// Write implements io.Writer. line is one log line. The library's logger holds a lock during the call, so calls are
+// never concurrent.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
 	for _, phrase := range rejectionPhrases {
@@ -43,7 +45,7 @@
 			return len(line), nil
 		}
 	}
-	l.log.WithField("library", text).Debug("membership: gossip")
+	l.log.WithField("library", text).Debug("membership: log line of the gossip library")
 	return len(line), nil
 }
 
--- a/internal/cluster/gossip/metadata.go
+++ b/internal/cluster/gossip/metadata.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxDivisor bounds the divisor that a member may announce.
+// maxDivisor is the largest divisor that is accepted from a member.
 const maxDivisor = 1 << 20
 
 var (
@@ -17,15 +17,16 @@
 	errDivisorOutsideRange = errors.New("divisor is out of range")
 )
 
-// nodeMetadata is what each member announces of itself. The library sends it along with the member's name and
-// address. Later versions may add fields; decoding ignores them.
+// nodeMetadata is the description that each member announces of itself. The library sends it with the member's name
+// and address. Later versions may add fields; decoding ignores unknown fields.
 type nodeMetadata struct {
 	Zone    string `cbor:"1,keyasint"`
 	Region  string `cbor:"2,keyasint"`
 	Version string `cbor:"3,keyasint"`
-	// Incarnation is the start of the member's process in milliseconds since the epoch.
+	// Incarnation is the start time of the member's process in milliseconds since the Unix epoch. A member raises it to
+	// refute a false leave message.
 	Incarnation uint64 `cbor:"4,keyasint"`
-	// Divisor is the divisor of the zone's budget; 0 while the member's view has not converged.
+	// Divisor is the divisor of the budget of the member's zone; 0 while the member's view has not converged.
 	Divisor int `cbor:"5,keyasint,omitempty"`
 }
 
@@ -45,7 +46,7 @@
 	return metadata, nil
 }
 
-// member returns the member that the metadata describes.
+// member returns the Member that the metadata describes, with the given name and address.
 func (m nodeMetadata) member(name, address string) membership.Member {
 	return membership.Member{
 		Name:        name,
--- a/internal/cluster/gossip/probe.go
+++ b/internal/cluster/gossip/probe.go
@@ -12,17 +12,18 @@
 const (
 	// probeInterval is the time between two rounds of probes.
 	probeInterval = time.Second
-	// maxSuspectProbes bounds the suspects that are probed in a round.
+	// maxSuspectProbes is the maximum number of suspects that are probed in a round.
 	maxSuspectProbes = 4
-	// maxAliveProbes bounds the live members that are probed in a round while there are suspects.
+	// maxAliveProbes is the maximum number of live members that are probed in a round while there are suspects.
 	maxAliveProbes = 4
-	// sampledInstances is how many instances of the whole cluster, on average, probe a failed member or join one that
-	// answers again, in a round.
+	// sampledInstances is the average number of instances in the whole cluster that probe a failed member in a round. It
+	// is also the average number of instances that join a suspect or failed member that answers again.
 	sampledInstances = 20
 )
 
-// probe starts a round of probes, which check that both directions to a member work. It probes one live member, or
-// several while there are suspects, some suspects, and now and then a failed member.
+// probe starts a round of probes, unless the previous round is still under way. A probe checks that datagrams to and
+// from a member arrive. Each round probes one live member (several while there are suspects), some suspects and, on a
+// random sample of the instances, one failed member.
 func (s *session) probe() {
 	if !s.probing.CompareAndSwap(false, true) {
 		return
@@ -42,7 +43,7 @@
 	view, self := s.machine.View(), s.cluster.cfg.Settings.Name
 	aliveProbes := 1
 	if view.Suspect > 0 {
-		aliveProbes = maxAliveProbes // a failure is confirmed only after others have answered
+		aliveProbes = maxAliveProbes // a failure is confirmed only after other members have answered
 	}
 	targets := sampleMembers(view.Members, self, membership.Alive, aliveProbes)
 	targets = append(targets, sampleMembers(view.Members, self, membership.Suspect, maxSuspectProbes)...)
@@ -52,8 +53,8 @@
 	return targets
 }
 
-// probeMember probes a member. It joins one that answers though it was reported as failed, so that the member learns
-// of the report and refutes it.
+// probeMember probes a member. If a suspect or failed member answers, a random sample of the instances joins it. The
+// join exchanges states, so the member receives the failure report and refutes it.
 func (s *session) probeMember(member membership.Member) {
 	answered := s.ping(member.Name, member.Address)
 	switch {
@@ -64,7 +65,7 @@
 	}
 }
 
-// ping reports whether a member answers. It may be called from any goroutine.
+// ping sends one probe and reports whether the member answers it. It may be called from any goroutine.
 func (s *session) ping(name, address string) bool {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -77,12 +78,14 @@
 	return true
 }
 
-// isSampled draws whether this instance does something that a few instances of the whole cluster are enough for.
+// isSampled draws at random whether this instance performs an action that only about sampledInstances instances of
+// the whole cluster need to perform.
 func (s *session) isSampled() bool {
 	return rand.IntN(max(1, s.cluster.aliveCount())) < sampledInstances
 }
 
-// sampleMembers draws at most limit of the other members in a state, each with the same chance (reservoir sampling).
+// sampleMembers draws at most limit of the other members in the given state, each with the same probability
+// (reservoir sampling).
 func sampleMembers(members []membership.Member, self string, state membership.State, limit int) []membership.Member {
 	var sample []membership.Member
 	seen := 0
--- a/internal/cluster/gossip/rejoin.go
+++ b/internal/cluster/gossip/rejoin.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// initialBackoff is the shortest interval between attempts to join missing members.
+	// initialBackoff is the first interval between two attempts to join missing members.
 	initialBackoff = time.Second
-	// minBackoffLimit is the longest interval in a small cluster.
+	// minBackoffLimit is the limit of the interval in a small cluster.
 	minBackoffLimit = 5 * time.Second
-	// backoffPerMember makes the limit of the interval grow with the number of live members, so that a cluster of any
-	// size makes about four attempts a second.
+	// backoffPerMember, multiplied by the number of live members, is the limit of the interval in a larger cluster. All
+	// members together then make about four attempts per second, whatever the size of the cluster.
 	backoffPerMember = 250 * time.Millisecond
-	// maxJoinAddresses bounds the addresses of one attempt.
+	// maxJoinAddresses is the maximum number of addresses in one attempt.
 	maxJoinAddresses = 4
 )
 
@@ -25,8 +25,8 @@
 	next     time.Time
 }
 
-// due reports whether an attempt is due now, and if so schedules the next one. limit bounds the interval, unless it
-// is below minBackoffLimit.
+// due reports whether the time of the next attempt has come, and if so schedules the attempt after it. The interval
+// grows up to limit or minBackoffLimit, whichever is longer.
 func (b *backoff) due(now time.Time, limit time.Duration) bool {
 	if now.Before(b.next) {
 		return false
@@ -38,7 +38,7 @@
 
 func (b *backoff) reset() { *b = backoff{} }
 
-// rejoinMissing tries to join seeds and lost members while any is missing.
+// rejoinMissing tries to join seeds and unreachable members, with a backoff, while any of them is missing.
 func (s *session) rejoinMissing(now time.Time) {
 	missing := s.missingAddresses()
 	if len(missing) == 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// join exchanges states with the members at these addresses, unless another attempt is under way. It may be called
-// from any goroutine. Errors are ignored: the next attempt follows.
+// join exchanges states with the members at the given addresses, unless another attempt is under way. It may be
+// called from any goroutine. It ignores errors, because rejoinMissing tries again.
 func (s *session) join(addresses []string) {
 	if s.joining.CompareAndSwap(false, true) {
 		defer s.joining.Store(false)
@@ -59,7 +59,8 @@
 	}
 }
 
-// missingAddresses draws some of the addresses at which a member is expected and no live member is known.
+// missingAddresses draws at most maxJoinAddresses of the addresses of seeds and unreachable members at which no live
+// member is known.
 func (s *session) missingAddresses() []string {
 	view := s.machine.View()
 	alive := map[string]bool{}
--- a/internal/cluster/gossip/replay_filter.go
+++ b/internal/cluster/gossip/replay_filter.go
@@ -1,7 +1,7 @@
 package gossip
 
 const (
-	// An encrypted datagram begins with a version byte, followed by a nonce that no other datagram has.
+	// An encrypted datagram begins with a version byte, followed by a nonce that is unique to the datagram.
 	nonceStart  = 1
 	nonceEnd    = 13
 	nonceLength = nonceEnd - nonceStart
@@ -11,14 +11,15 @@
 
 type nonce [nonceLength]byte
 
-// replayFilter remembers the nonces of the latest datagrams: at least nonceGenerationSize of them, and at most twice
-// as many. The zero value is ready to use; it is not safe for concurrent use.
+// replayFilter remembers the nonces of the latest datagrams in two generations. When the recent generation is full,
+// it replaces the older one. So the filter remembers at least the last nonceGenerationSize nonces and at most twice
+// as many. The zero value is ready to use. It is not safe for concurrent use.
 type replayFilter struct {
 	recent map[nonce]struct{}
 	older  map[nonce]struct{}
 }
 
-// add stores a nonce and reports whether it was new.
+// add stores a nonce and reports whether the filter did not contain it before.
 func (f *replayFilter) add(n nonce) bool {
 	_, isRecent := f.recent[n]
 	_, isOlder := f.older[n]
--- a/internal/cluster/gossip/session.go
+++ b/internal/cluster/gossip/session.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// updateTimeout bounds the wait until new metadata of this instance was sent once.
+	// updateTimeout is the longest wait for the first transmission of new metadata of this instance.
 	updateTimeout = 200 * time.Millisecond
-	// detectionOverhead is what a detection takes beside the longest suspicion of the library: probes, gossip, and
-	// the suspicion of the state machine.
+	// detectionOverhead is the time that the detection of a failure takes in addition to the library's longest
+	// suspicion: for probes, gossip and the suspicion of the state machine.
 	detectionOverhead = 14 * time.Second
-	// addressReclaimTime is how long a failed member's name stays bound to its address. It is short, because a
-	// process may come back at another address.
+	// addressReclaimTime is how long the library binds a failed member's name to its address. It is short, because a
+	// process may restart at another address.
 	addressReclaimTime = time.Second
 )
 
-// session is one stay in the cluster, from the join to the leave. Its methods belong to Run's goroutine unless they
-// say otherwise. The goroutines that it starts call the library and end by themselves, within the library's
-// time-outs; they are not waited for, because a planned stop can't wait for a peer that does not answer.
+// session is one period of membership in the cluster, from the join to the leave. Only Run's goroutine may call its
+// methods unless their comments say otherwise. The session starts goroutines that call the library. Each of them ends
+// within the library's timeouts. The session does not wait for them, because a planned stop must not be delayed by a
+// peer that does not answer.
 type session struct {
 	cluster   *Cluster
 	list      *memberlist.Memberlist
@@ -35,19 +36,19 @@
 	machine   *membership.StateMachine
 	events    *eventQueue
 	startedAt time.Time
-	// metadata is what this instance announces of itself.
+	// metadata is the description that this instance announces of itself.
 	metadata atomic.Pointer[nodeMetadata]
-	// nameConflict says that an older process with this instance's name answers at another address.
+	// nameConflict reports that an older process with this instance's name answers at another address.
 	nameConflict atomic.Bool
-	// probing says that a round of probes is under way.
+	// probing reports that a round of probes is under way.
 	probing atomic.Bool
-	// joining says that an attempt to join is under way.
+	// joining reports that an attempt to join is under way.
 	joining atomic.Bool
-	// nextProbe is when the next round of probes is due.
+	// nextProbe is the earliest time of the next round of probes.
 	nextProbe time.Time
 	// rejoin schedules the attempts to join missing members.
 	rejoin backoff
-	// keysWarned says that the latest failure to update the keys was logged.
+	// keysWarned reports that the latest update of the keys failed. The failure was logged.
 	keysWarned bool
 }
 
@@ -88,7 +89,8 @@
 	return s, nil
 }
 
-// libraryConfig returns the library's LAN defaults with this session's transport, keys and callbacks.
+// libraryConfig returns the library's default configuration for a LAN with this session's transport, keys and
+// callbacks.
 func (s *session) libraryConfig(logger *log.Logger) *memberlist.Config {
 	settings := s.cluster.cfg.Settings
 	cfg := memberlist.DefaultLANConfig()
@@ -139,15 +141,16 @@
 	return true
 }
 
-// detectionTime returns the time within which the library reports a failure in a cluster of so many members: its
-// longest suspicion, which lasts where no other member confirms it, and what comes before and after it.
+// detectionTime returns the time within which a failure is detected in a cluster with the given number of members.
+// That is the library's longest suspicion, which applies if no other member confirms the failure, and
+// detectionOverhead.
 func detectionTime(cfg *memberlist.Config, members int) time.Duration {
 	scale := max(1, math.Log10(max(1, float64(members))))
 	longestSuspicion := float64(cfg.SuspicionMult*cfg.SuspicionMaxTimeoutMult) * scale * float64(cfg.ProbeInterval)
 	return time.Duration(longestSuspicion) + detectionOverhead
 }
 
-// elapsed returns the state machine's time.
+// elapsed returns the time since the start of the session, which is the state machine's time.
 func (s *session) elapsed() time.Duration { return time.Since(s.startedAt) }
 
 // handleEvents feeds the queued events to the state machine.
@@ -155,12 +158,13 @@
 	for _, event := range s.events.drain() {
 		s.machine.Handle(s.elapsed(), event)
 		if _, failed := event.(membership.FailureReported); failed {
-			s.nextProbe = time.Time{} // probe the suspect with the next tick
+			s.nextProbe = time.Time{} // probe the suspect on the next tick
 		}
 	}
 }
 
-// tick does what is due: the state machine's tick, a round of probes, an attempt to join missing members, new keys.
+// tick forwards the tick to the state machine. Once per probeInterval, or earlier after a failure report, it also
+// starts a round of probes, tries to join missing members and updates the keys.
 func (s *session) tick(now time.Time) {
 	s.handleEvents()
 	s.machine.Handle(s.elapsed(), membership.Tick{})
@@ -173,7 +177,7 @@
 	s.updateKeys(now)
 }
 
-// updateKeys brings the library's keys up to date. It logs a failure once.
+// updateKeys updates the library's keys. If updates fail repeatedly, it logs only the first failure.
 func (s *session) updateKeys(now time.Time) {
 	err := updateKeyring(s.keyring, s.cluster.ring.Load(), now)
 	if err != nil && !s.keysWarned {
@@ -182,7 +186,8 @@
 	s.keysWarned = err != nil
 }
 
-// announceDivisor announces the divisor of the zone's budget to the other members if it has changed.
+// announceDivisor announces the divisor of the zone's budget to the other members if it has changed. It announces 0
+// while the view has not converged.
 func (s *session) announceDivisor(divisors membership.BudgetDivisors) {
 	metadata := *s.metadata.Load()
 	metadata.Divisor = 0
@@ -195,12 +200,15 @@
 }
 
 // announce replaces the metadata of this instance and gossips it. It may be called from any goroutine.
+//
+// Known data race: UpdateNode writes to this instance's memberlist.Node, which is shared with the library.
+// leaveBroadcaster.announce may read that node at the same time without the library's lock.
 func (s *session) announce(metadata nodeMetadata) {
 	s.metadata.Store(&metadata)
-	go s.list.UpdateNode(updateTimeout) // a time-out ends only the wait for the first transmission
+	go s.list.UpdateNode(updateTimeout) // the timeout ends only the wait for the first transmission, not the gossip
 }
 
-// leave announces a planned stop to the other members, and closes.
+// leave announces a planned stop to the other members and closes the session.
 func (s *session) leave() {
 	s.delegate.announceLeave()
 	s.list.Leave(LeaveTimeout)
--- a/internal/cluster/gossip/stats.go
+++ b/internal/cluster/gossip/stats.go
@@ -2,17 +2,18 @@
 
 import "sync/atomic"
 
-// Stats counts gossip frames since the start of the process. A frame is a datagram or a stream.
+// Stats counts gossip frames since the start of the process. A frame is a UDP datagram or a TCP stream.
 type Stats struct {
-	// BytesSent counts the bytes of datagrams and streams.
+	// BytesSent counts the bytes sent in datagrams and streams.
 	BytesSent uint64
-	// FramesSent counts the datagrams sent and the streams opened.
+	// FramesSent counts the datagrams that were sent and the streams that were opened.
 	FramesSent uint64
-	// TooLong counts the datagrams that were dropped because of their length.
+	// TooLong counts the received datagrams that were dropped because of their length.
 	TooLong uint64
-	// Replayed counts the datagrams that were dropped because they had been received before.
+	// Replayed counts the received datagrams that were dropped because they had been received before.
 	Replayed uint64
-	// Rejected counts the frames that are malformed or encrypted with an unknown key, or that the library rejects.
+	// Rejected counts the received frames that were malformed, encrypted with an unknown key or otherwise rejected by
+	// the library.
 	Rejected uint64
 }
 
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxDatagram is the longest datagram in bytes that is accepted. The library sends 1,400 and what encryption
-	// adds.
+	// maxDatagram is the longest accepted datagram in bytes. The library sends up to 1,400 bytes and the overhead of the
+	// encryption.
 	maxDatagram = 2048
-	// discardTimeout is how long a datagram may take to arrive from the library's listener after the shutdown began.
+	// discardTimeout is the time without a datagram from the library's listener after which discardPackets stops.
 	discardTimeout = time.Second
 )
 
-// transport wraps the library's transport. It reaches peers by other addresses where the settings say so, drops
-// datagrams that are too long or were received before, and counts frames.
+// transport wraps the library's transport. It sends to other addresses of peers where the settings map them (via),
+// drops received datagrams that are too long or replayed, and counts frames.
 type transport struct {
 	*memberlist.NetTransport
 	via      map[netip.AddrPort]netip.AddrPort
 	counters *counters
-	// packets are the datagrams that were not dropped.
+	// packets carries the received datagrams that were not dropped to the library.
 	packets chan *memberlist.Packet
-	// stop ends the goroutine that filters datagrams; Shutdown closes it.
+	// stop ends the goroutine of filterPackets; Shutdown closes it.
 	stop     chan struct{}
 	stopOnce sync.Once
-	// replays belongs to the goroutine that filters datagrams.
+	// replays is used only by the goroutine of filterPackets.
 	replays replayFilter
 }
 
-// newTransport wraps inner. via maps the addresses of peers to those by which they are reached. Shutdown ends the
-// transport's goroutine.
+// newTransport wraps inner. via maps the advertised addresses of peers to the addresses to which frames for them are
+// sent. newTransport starts a goroutine that Shutdown ends.
 func newTransport(
 	inner *memberlist.NetTransport, via map[netip.AddrPort]netip.AddrPort, counters *counters,
 ) *transport {
@@ -48,7 +48,7 @@
 	return t
 }
 
-// route returns the address by which a peer is reached.
+// route returns the address to which frames for a peer are sent. That is the address in via, or else the peer's own.
 func (t *transport) route(peer string) string {
 	address, err := netip.ParseAddrPort(peer)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return t.NetTransport.Shutdown()
 }
 
-// filterPackets passes received datagrams on until the shutdown.
+// filterPackets forwards the received datagrams that are not dropped to packets, until Shutdown.
 func (t *transport) filterPackets() {
 	for {
 		select {
@@ -117,7 +117,8 @@
 	}
 }
 
-// discardPackets receives what the library's listener still sends, because the listener could not end otherwise.
+// discardPackets receives and discards the datagrams that the library's listener still delivers after the shutdown
+// began. The listener's channel has no buffer, so the listener would block and never end otherwise.
 func (t *transport) discardPackets() {
 	for {
 		select {
@@ -128,7 +129,7 @@
 	}
 }
 
-// accepts reports whether a datagram is neither too long nor a replay, and counts it otherwise.
+// accepts reports whether a datagram is neither too long nor a replay. It counts a datagram that it does not accept.
 func (t *transport) accepts(datagram []byte) bool {
 	if len(datagram) > maxDatagram {
 		t.counters.tooLong.Add(1)
@@ -141,7 +142,7 @@
 	return true
 }
 
-// countingConn counts the bytes that are sent.
+// countingConn is a connection that counts the bytes sent.
 type countingConn struct {
 	net.Conn
 	counters *counters
--- a/internal/cluster/gossip/view_log.go
+++ b/internal/cluster/gossip/view_log.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// logViewChange logs each member whose state has changed, and what has changed for the cluster as a whole. before is
-// nil for the first view.
+// logViewChange logs each member whose state has changed. If the isolation, the partition or the divisors have
+// changed, it logs all of them in one line. before is nil for the first view.
 func logViewChange(log *logrus.Logger, before, now *membership.View) {
 	logMemberChanges(log, before, now)
 	if before == nil || before.Isolated != now.Isolated || before.Partitioned != now.Partitioned ||
