--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -23,7 +23,7 @@
 	*memberlist.NetTransport
 	via      map[netip.AddrPort]netip.AddrPort
 	counters *counters
-	// packets carries the received datagrams that were not dropped to the library.
+	// packets delivers the accepted datagrams to the library.
 	packets chan *memberlist.Packet
 	// stop ends the goroutine of filterPackets; Shutdown closes it.
 	stop     chan struct{}
@@ -98,7 +98,7 @@
 	return t.NetTransport.Shutdown()
 }
 
-// filterPackets forwards the received datagrams that are not dropped to packets, until Shutdown.
+// filterPackets forwards the accepted datagrams from the wrapped transport to packets, until Shutdown.
 func (t *transport) filterPackets() {
 	for {
 		select {
