--- a/internal/controlplane/broadcaster.go
+++ b/internal/controlplane/broadcaster.go
@@ -33,8 +33,8 @@
 	return b.replica.State()
 }
 
-// setLeaderAge sets the function that returns the time since the last contact to the leader. It is not called for
-// the leader's own broadcaster, where that time is always 0.
+// setLeaderAge sets the function that returns the time since the last contact to the leader. The leader's own
+// broadcaster keeps the initial function, which always returns 0.
 func (b *Broadcaster) setLeaderAge(leaderAge func(now time.Time) time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/controlplane/connection.go
+++ b/internal/controlplane/connection.go
@@ -36,7 +36,7 @@
 
 // Errors that end a connection.
 var (
-	errAuthentication = errors.New("invalid frame tag: different key or site, or frame out of sequence")
+	errAuthentication = errors.New("invalid frame tag: different key or site, or frame modified or out of sequence")
 	errFrameTooLong   = errors.New("frame too long")
 	errProtocol       = errors.New("unsupported protocol version or unexpected message")
 )
@@ -51,8 +51,8 @@
 	conn            net.Conn
 	reader          *bufio.Reader
 	writer          *bufio.Writer
-	sendMAC         hash.Hash // nil until the handshake derives it
-	receiveMAC      hash.Hash // nil until the handshake derives it
+	sendMAC         hash.Hash // computes the tags of sent frames; nil before the handshake
+	receiveMAC      hash.Hash // computes the tags to expect of received frames; nil before the handshake
 	sendSequence    uint64
 	receiveSequence uint64
 }
--- a/internal/controlplane/connection_test.go
+++ b/internal/controlplane/connection_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A follower rejects frames that were truncated, modified, reordered or are too long, although they contain a newer
-// version. It then connects to the next server.
+// A follower rejects frames that are truncated, modified, out of sequence or too long, and then connects to the next
+// server. It must not apply the newer version that the invalid frames contain.
 func TestInvalidFramesAreRejected(t *testing.T) {
 	t.Parallel()
 	keys, valid := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
--- a/internal/controlplane/detachable_handler.go
+++ b/internal/controlplane/detachable_handler.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// detach makes the handler drop all later updates.
+// detach makes the handler drop all later updates and reports of live watches. It waits for a call in progress.
 func (h *detachableHandler) detach() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/controlplane/encoding_test.go
+++ b/internal/controlplane/encoding_test.go
@@ -29,7 +29,7 @@
 
 // Servers and followers of different releases exchange messages, so the encoding of each message must not change.
 func TestMessageEncodingIsFixed(t *testing.T) {
-	has := replica.Version{Term: 1, Number: 7}
+	old := replica.Version{Term: 1, Number: 7}
 	next := replica.Version{Term: 1, Number: 8}
 	for _, test := range []struct {
 		name  string
@@ -39,9 +39,9 @@
 		{"client hello", clientHello{1, "k1", testClientNonce},
 			"a3010102626b310350636c69656e74206e6f6e636520313662"},
 		{"server hello", serverHello{testServerNonce}, "a10150736572766572206e6f6e636520313662"},
-		{"subscribe", message{Subscribe: &has}, "a101820107"},
-		{"heartbeat", message{Heartbeat: &heartbeat{has, 1500}}, "a102a201820107021905dc"},
-		{"changes", message{Changes: []replica.Change{{From: has, To: next,
+		{"subscribe", message{Subscribe: &old}, "a101820107"},
+		{"heartbeat", message{Heartbeat: &heartbeat{old, 1500}}, "a102a201820107021905dc"},
+		{"changes", message{Changes: []replica.Change{{From: old, To: next,
 			Upserted: []endpoint.Entry{testEntry}, Removed: []string{"s-2"}}}}, "a10381a401820107028201080481" +
 			encodedEntry +
 			"058163732d32"},
@@ -65,16 +65,16 @@
 // The layout of a frame, its tag, and the derivation of the tags' keys must not change, because servers and followers
 // of different releases exchange frames.
 func TestFrameEncodingIsFixed(t *testing.T) {
-	has := replica.Version{Term: 1, Number: 7}
+	own := replica.Version{Term: 1, Number: 7}
 	for _, test := range []struct {
 		name     string
 		follower bool
 		frames   []any
 		want     string
 	}{
-		{"follower", true, []any{message{Subscribe: &has}},
+		{"follower", true, []any{message{Subscribe: &own}},
 			"00000005a1018201078211d0761b4c8434c453e1dd337cc4fd25f894fd9f4205a36641544fb7ac274e"},
-		{"server", false, []any{message{Heartbeat: &heartbeat{has, 1500}}, message{Heartbeat: &heartbeat{has, 2500}}},
+		{"server", false, []any{message{Heartbeat: &heartbeat{own, 1500}}, message{Heartbeat: &heartbeat{own, 2500}}},
 			"0000000ba102a201820107021905dcf072ebb19cdd120504428929d008e1c855e5b87239f4e9564407a439322b199300" +
 				"00000ba102a201820107021909c443651a4a6415e2eae66e37892f63dc3bf2c20cc4d627164df1cbaff23672c861"},
 	} {
@@ -106,7 +106,8 @@
 	}
 }
 
-// The tag of a follower's first frame must not change either. Its key depends only on the shared secret and the site.
+// The tag of a clientHello, a follower's first frame, must not change, because servers and followers of different
+// releases exchange it. Its key depends only on the shared secret and the site.
 func TestHelloKeyIsFixed(t *testing.T) {
 	mac, err := newMAC(testSecret, nil, "hello", "site-1")
 	if err != nil {
--- a/internal/controlplane/follower.go
+++ b/internal/controlplane/follower.go
@@ -33,7 +33,7 @@
 	selector      *replica.ServerSelector
 	lastFailure   string // address of the last server that was left or not reached, and the error
 	loggedServer  string // address of the server in the last "replicating" log line
-	currentServer string // address of the server whose heartbeat last led the selector to stay
+	currentServer string // address of the last server that the selector decided to stay connected to
 }
 
 // NewFollower returns a follower that calls onState for each new state. onState may block, which delays replication.
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -12,8 +12,8 @@
 )
 
 // A follower receives a snapshot of many chunks, and then changes, from a server that is itself a follower of the
-// leader. When that server stops, the follower connects to another one and receives only changes from it. When no
-// server is left, it logs once that the leader is stale.
+// leader. When that server stops, the follower connects to another one and receives the next version from it. When
+// no server is left, it logs once that the leader is stale.
 func TestReplicateThroughFollower(t *testing.T) {
 	t.Parallel()
 	keys := newTestKeyring(t)
@@ -76,6 +76,7 @@
 		t.Errorf("the newer state arrived after %v", took)
 	}
 	stopNewer() // only the older one is left
+	// The follower connects to the older server.
 	time.Sleep(3 * time.Second)
 	for len(follower.states) > 0 {
 		if state := <-follower.states; state.Version.Compare(oldState.Version) <= 0 {
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -59,9 +59,12 @@
 
 	// The fields below are owned by Run's goroutine.
 
-	file        *filesource.FileTracker
-	guard       *endpoint.ChangeGuard // decides which lists need a confirmation; nil until it is needed
-	lastFailure string                // the reason for which the last read was rejected; empty if it was not
+	file *filesource.FileTracker
+
+	// guard decides which lists need a confirmation. It is nil before its first use and after a failed publish.
+	guard *endpoint.ChangeGuard
+
+	lastFailure string // the reason for which the last read was rejected; empty if it was not
 }
 
 // NewLeader returns a leader that reads the document from the file at path and publishes it in the given term.
--- a/internal/controlplane/leader_test.go
+++ b/internal/controlplane/leader_test.go
@@ -60,7 +60,7 @@
 	if n := strings.Count(output.String(), "document rejected"); n != 5 || broadcaster.State().Version != version(1) {
 		t.Errorf("%d rejections logged, want 5; at version %s, log:\n%s", n, broadcaster.State().Version, output)
 	}
-	reloads <- nil
+	reloads <- nil // as SIGHUP does
 	waitUntil(t, "the pending list after its confirmation", atVersion(broadcaster, version(2)))
 	if got := store.Load(); !reflect.DeepEqual(got, broadcaster.State()) {
 		t.Errorf("the saved state, of version %s, is not the published one", got.Version)
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -35,7 +35,8 @@
 	// Changes are sent by a server that has retained the changes since the follower's version.
 	Changes []replica.Change `cbor:"3,keyasint,omitempty"`
 
-	// Chunk is sent by a server that has not retained them. It is one of the chunks of a full snapshot.
+	// Chunk is sent by a server that has not retained the changes since the follower's version. It is one of the
+	// chunks of a full snapshot.
 	Chunk *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/controlplane/persister.go
+++ b/internal/controlplane/persister.go
@@ -14,7 +14,7 @@
 // Persister saves the latest state to a Store in the background, so that a slow disk does not delay replication.
 type Persister struct {
 	store  *Store
-	latest chan replica.State // holds the latest state until it is saved
+	latest chan replica.State // holds the latest state until Run takes it to save it
 }
 
 // NewPersister returns a persister that writes to a store.
@@ -61,6 +61,6 @@
 
 func (p *Persister) save(state replica.State) {
 	if err := p.store.Save(state); err != nil {
-		p.store.log.WithError(err).Error("control: the state could not be saved, a restart will request a snapshot")
+		p.store.log.WithError(err).Error("control: the state could not be saved, a restart would load an older one or none")
 	}
 }
--- a/internal/controlplane/replica/change.go
+++ b/internal/controlplane/replica/change.go
@@ -6,7 +6,7 @@
 	"cottonplank/internal/discovery/endpoint"
 )
 
-// Upper bounds of the size of the CBOR encoding beyond the strings that it contains, in bytes.
+// Upper bounds of the number of bytes that the CBOR encoding needs in addition to the contents of its strings.
 const (
 	entryOverheadBytes       = 64 // of an endpoint entry
 	changeOverheadBytes      = 64 // of a Change without its entries and names
@@ -36,8 +36,9 @@
 	return change, change.Discovery != nil || len(change.Upserted)+len(change.Removed) > 0
 }
 
-// apply returns the document that results from applying the change. It does not validate the result, and does not
-// modify the entries of the given document.
+// apply returns the document that results from applying the change. An entry that the change both upserts and
+// removes is in the result. apply does not validate the result, and does not modify the entries of the given
+// document.
 func (c Change) apply(document Document) Document {
 	if c.Discovery != nil {
 		document.Discovery = *c.Discovery
--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -1,9 +1,9 @@
 // Package replica implements the replication of the operators' document from the leader of the control plane to
 // its followers: other control-plane servers, and balancers.
 //
-// It holds the document's versions, computes and applies the changes between them, splits full snapshots into
-// chunks, and selects the control-plane server that a follower connects to. The package is pure: it does no I/O
-// and reads no clock. Package controlplane sends its types over the network.
+// It defines the document and its versions, computes and applies the changes between them, splits full snapshots
+// into chunks, and selects the control-plane server that a follower connects to. The package is pure: it does no
+// I/O and reads no clock. Package controlplane sends its types over the network.
 package replica
 
 import (
@@ -25,8 +25,9 @@
 	maxFieldBytes = 128
 )
 
-// Version identifies a published document. The leader of a term numbers the documents that it publishes, starting
-// at 1, so that no two documents share a version. The zero Version means that there is no document.
+// Version identifies a published document. The operators set the term in the leader's configuration, and raise it
+// if the leader's state was lost. The leader numbers the documents that it publishes in a term, starting at 1, so
+// that no two documents share a version. The zero Version means that there is no document.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
 	Term   uint64
@@ -45,7 +46,8 @@
 // been validated.
 type Document struct {
 	// Discovery is the address of the discovery service. If it is empty, each balancer uses the address in its
-	// own configuration.
+	// own configuration. A running balancer that has used the address of an earlier document keeps that address
+	// until its configuration is reloaded or it restarts.
 	Discovery string `json:"discovery,omitempty"`
 
 	// Endpoints is the list of room servers, ordered by name. If it is empty, the discovery service provides the
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -62,9 +62,9 @@
 // State returns the current state.
 func (r *Replica) State() State { return r.state }
 
-// Propose validates a document as the next version of a term. It returns the change that leads to that
-// version and the resulting state, without applying them. If both the document and the term are the current
-// ones, the change is nil.
+// Propose validates a document and assigns it the next number of a term, or number 1 if the term is new. It returns
+// the change that leads to that version and the resulting state, without applying them. If both the document and
+// the term are the current ones, the change is nil.
 //
 // Only the leader calls Propose. It must save the new state before it applies the change. Otherwise a leader
 // that restarts could reuse a version, which a follower may have received, for another document.
@@ -176,7 +176,7 @@
 	}
 	for _, change := range changes {
 		size := change.maxEncodedBytes()
-		if size > maxBatchBytes { // too large for one message: followers need a snapshot to get past it
+		if size > maxBatchBytes { // too large for one message: followers at older versions need a snapshot
 			r.dropRetained()
 			continue
 		}
@@ -202,7 +202,7 @@
 // the entries that the changes touch, because the list may be long and the other entries were valid before.
 func (r *Replica) validateChanges(document Document, changes []Change) error {
 	previous := r.state.Document
-	// One entry is enough to check the fields of the document itself.
+	// The first entry represents the list, because validate requires an entry or a discovery address.
 	firstEntry := document.Endpoints[:min(len(document.Endpoints), 1)]
 	if _, err := (Document{Discovery: document.Discovery, Endpoints: firstEntry}).validate(); err != nil {
 		return err
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -154,7 +154,7 @@
 // version, each replica has the document that was committed under its version, and all replicas reach the leader's
 // version once they can replicate from the leader without interruption.
 func TestReplicasConverge(t *testing.T) {
-	flag.Set("rapid.seed", "20261202")
+	flag.Set("rapid.seed", "20261202") // the same sequences in each run
 	flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster()
@@ -229,8 +229,8 @@
 	}
 }
 
-// A follower ignores a state older than its own, whether it receives a snapshot or changes. That can happen when it
-// connects to another server, which lags behind.
+// A follower ignores a state older than its own, whether it receives a snapshot or changes. A server that lags behind
+// the follower does not send it anything.
 func TestOlderStateIsIgnored(t *testing.T) {
 	leader, older, follower := New(State{}, true), New(State{}, true), New(State{}, false)
 	commit(t, leader, testDocument(10, 1), 1)
--- a/internal/controlplane/replica/server_selector.go
+++ b/internal/controlplane/replica/server_selector.go
@@ -6,10 +6,11 @@
 )
 
 // Timing of replication. A follower notices after IdleTimeout that its control-plane server no longer responds.
-// LeaderTimeout leaves it time for three more attempts that fail after ReplyTimeout, and for the backoffs.
+// LeaderTimeout is long enough for IdleTimeout, then for three attempts at other servers that each fail after
+// ReplyTimeout, and for the backoffs.
 const (
 	// LeaderTimeout is the time without contact to the leader after which a follower reports the leader as stale.
-	// The contact is direct or through other control-plane servers.
+	// The contact is direct, or through control-plane servers that are followers themselves.
 	LeaderTimeout = 6 * time.Second
 
 	// HeartbeatInterval is the time between the heartbeats that a control-plane server sends to a follower.
@@ -33,7 +34,7 @@
 	maxServerStaleness = 3 * time.Second
 
 	// isolatedServerTimeout is how long a follower stays connected to a server without contact to the leader if it
-	// has tried all other servers.
+	// has tried all servers and this is at least its second attempt at this one.
 	isolatedServerTimeout = 2 * time.Second
 
 	// maxInitialBackoff limits the backoff before an attempt while not all servers have been tried.
@@ -74,8 +75,9 @@
 	reportedStale bool
 }
 
-// NewServerSelector returns a selector for a follower in the given region. It orders the servers of the region,
-// and those of other regions, at random. Different seeds spread the followers over the servers.
+// NewServerSelector returns a selector for a follower in the given region. It puts the servers of the region
+// first and those of other regions after them, both in random order. Different seeds spread the followers over the
+// servers.
 func NewServerSelector(servers []Server, region string, seed uint64, now time.Time) *ServerSelector {
 	selector := &ServerSelector{random: rand.New(rand.NewPCG(seed, 0)), startedAt: now}
 	var local, remote []Server
@@ -126,8 +128,8 @@
 	if inContact {
 		return lagDuration < maxServerStaleness
 	}
-	// If all servers have been tried, the leader itself may be down. No other server is a better choice then, since
-	// this one detects the leader's return as early as any other.
+	// After a full round of attempts without success, the leader itself may be down. No other server is a better
+	// choice then, since this one detects the leader's return as early as any other.
 	return s.attempts > len(s.servers) && lagDuration < isolatedServerTimeout
 }
 
--- a/internal/controlplane/replica/server_selector_test.go
+++ b/internal/controlplane/replica/server_selector_test.go
@@ -32,9 +32,10 @@
 	}
 }
 
-// With three of six control-plane servers down, each follower connects to another one within LeaderTimeout, after
-// trying those of its own region. If that one fails too, the follower connects to a further one, also within
-// LeaderTimeout. No follower may report the leader as stale because of failed servers.
+// Three of six control-plane servers are down, among them both of the followers' own region. Each follower connects
+// to another one within LeaderTimeout, after trying those of its own region. When that one fails and the server of
+// the other region is up again, the follower connects to a further one, also within LeaderTimeout. No follower may
+// report the leader as stale because of failed servers.
 func TestThreeOfSixServersFail(t *testing.T) {
 	firstServers := map[string]int{}
 	for seed := range uint64(300) {
@@ -80,7 +81,8 @@
 }
 
 // Heartbeats of a server without contact to the leader do not keep the leader from becoming stale. Each transition
-// between stale and not stale is reported once.
+// between stale and not stale is reported once. The last contact is at 5 s, in step 10, so the leader becomes stale
+// LeaderTimeout later, in step 22.
 func TestLeaderStaleTransitions(t *testing.T) {
 	selector := NewServerSelector(sixServers(), "r1", 1, testStart)
 	if age := selector.LeaderAge(testStart); age != MaxLeaderAge {
@@ -147,6 +149,7 @@
 			now = now.Add(HeartbeatInterval)
 		}
 	}
+	// Each simulated connection lasts isolatedServerTimeout, which is 2 s.
 	if limit := 10 * 60 / 2; attempts > limit {
 		t.Errorf("%d attempts in 10 minutes without a leader, want at most %d", attempts, limit)
 	}
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -44,8 +44,8 @@
 
 // ApplyChunk adds a chunk to the snapshot that is being received. After the last chunk it installs the snapshot.
 // It reports whether the state has changed; this result has no meaning if there is an error. It ignores snapshots
-// that are not newer than the current state. It returns an error that wraps ErrGap if a chunk is missing, or
-// ErrInvalidDocument if the snapshot is invalid.
+// that are not newer than the current state. It returns an error that wraps ErrGap if a chunk is missing or
+// is not of the snapshot that is being received, or ErrInvalidDocument if the snapshot is invalid.
 func (r *Replica) ApplyChunk(chunk SnapshotChunk) (changed bool, err error) {
 	if chunk.Version.Compare(r.state.Version) <= 0 {
 		return false, nil
@@ -58,9 +58,10 @@
 		return false, fmt.Errorf("%w: received chunk %d of version %s", ErrGap, chunk.Index, chunk.Version)
 	}
 	r.chunkedEntries += len(chunk.Entries)
+	// The limit of the index also bounds the number of chunks that contain no entries.
 	if r.chunkedEntries > endpoint.MaxEntries || chunk.Index > endpoint.MaxEntries {
 		r.DiscardChunks()
-		return false, fmt.Errorf("%w: more than %d room servers", ErrInvalidDocument, endpoint.MaxEntries)
+		return false, fmt.Errorf("%w: rooms: more than %d entries or chunks", ErrInvalidDocument, endpoint.MaxEntries)
 	}
 	r.chunks = append(r.chunks, chunk)
 	if !chunk.Last {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	maxFollowers = 4096 // connections that one control-plane server accepts at a time
+	// maxFollowers limits the open connections of one control-plane server. It closes further ones at once.
+	maxFollowers = 4096
 
 	// acceptBackoff is the wait after a failed call of Accept. Without it the loop would spin while the process has
 	// no free file descriptors.
@@ -23,7 +24,8 @@
 	logInterval = 10 * time.Second
 )
 
-// Server accepts connections of followers on a control-plane server and sends them a broadcaster's document.
+// Server accepts the connections of followers and sends them a broadcaster's document. Each control-plane server
+// process runs one.
 type Server struct {
 	broadcaster *Broadcaster
 	keys        *Keyring
@@ -111,7 +113,7 @@
 		cancel()
 	})
 	defer monitor.Wait()
-	defer peer.conn.Close() // ends the monitor
+	defer peer.conn.Close() // makes waitForDisconnect return
 
 	ticker := time.NewTicker(replica.HeartbeatInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -27,7 +27,7 @@
 	valid := startFollower(t, replica.State{}, keys, "x", server)
 	waitUntil(t, "the valid follower's state", atVersion(valid.broadcaster, version(1)))
 	waitUntil(t, "the log of a rejection", output.contains("control: follower rejected"))
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond) // time for a follower that is wrongly accepted to receive the document
 	if got := otherKey.broadcaster.State().Version; got != (replica.Version{}) {
 		t.Errorf("a follower with another key receives version %s", got)
 	}
@@ -50,8 +50,8 @@
 	waitUntil(t, "the state under the new key", atVersion(otherKey.broadcaster, version(1)))
 }
 
-// A server disconnects a peer that sends nothing. It can be stopped after followers have disconnected at any point,
-// which would hang if a goroutine of a connection did not end.
+// A server disconnects a peer that sends nothing. It can be stopped after followers have disconnected right after
+// their subscriptions. The stop would hang if a goroutine of a connection did not end.
 func TestDisconnectedFollowers(t *testing.T) {
 	t.Parallel()
 	keys, broadcaster := newTestKeyring(t), NewBroadcaster(replica.State{}, true)
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -46,7 +46,7 @@
 	discovery        DiscoverySource
 	discoveryHandler *detachableHandler
 
-	// setDiscoveryAddress sets the discovery service's address in the core. The core then calls SetAddress.
+	// setDiscoveryAddress sets the discovery service's address in the core. The core then calls Source.SetAddress.
 	setDiscoveryAddress func(address string)
 
 	requests chan request
@@ -68,7 +68,7 @@
 // request is a call of the core that is queued for Run.
 type request struct {
 	ctx      context.Context
-	watchID  uint64               // 0: only the current list is requested
+	watchID  uint64               // 0 for a Fetch or a Dial
 	onDialed func(reachable bool) // callback of a Dial; nil for other requests
 }
 
@@ -196,7 +196,8 @@
 	}
 }
 
-// handleRequest answers a request from the document, or forwards it to the discovery service's source.
+// handleRequest answers a request with the document's list. While the document contains none, it forwards the request
+// to s.discovery.
 func (s *Source) handleRequest(r request) {
 	if r.onDialed != nil {
 		s.handleDial(r)
@@ -223,8 +224,8 @@
 	s.discovery.Dial(r.ctx, r.onDialed)
 }
 
-// forward forwards a request to the discovery service's source. A watch also ends when the document's list replaces
-// the discovery service's.
+// forward forwards a Watch or Fetch to s.discovery. A watch also ends when the document's list replaces the discovery
+// service's.
 func (s *Source) forward(r request) {
 	if r.watchID == 0 {
 		s.discovery.Fetch(r.ctx)
--- a/internal/controlplane/source_test.go
+++ b/internal/controlplane/source_test.go
@@ -166,7 +166,7 @@
 	lists := fixture.recorder.lists
 	document := documentOf(2, 1)
 	publishDocument(t, broadcaster, document)
-	expectNext(t, fixture.calls, "watch ended") // the update that it sends then is not forwarded
+	expectNext(t, fixture.calls, "watch ended") // the fake then sends an update, which must not be forwarded
 	expectNext(t, lists, "s-00000 s-00001 ")
 	expectNext(t, fixture.recorder.alive, 1)
 	fixture.dial(t, source)
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -30,8 +30,8 @@
 	lockTimeout = time.Second
 )
 
-// The bbolt bucket and key of the state file's only value. The value is the SHA-256 checksum of the rest, followed by
-// a savedState in CBOR.
+// The bbolt bucket and key of the state file's only value. The value is a savedState in CBOR, preceded by the SHA-256
+// checksum of that CBOR.
 var (
 	bucketName = []byte("control")
 	stateKey   = []byte("state")
@@ -47,8 +47,8 @@
 	State       replica.State `cbor:"3,keyasint"`
 }
 
-// Store keeps the latest state in a file, so that a follower that restarts requests only the changes since that
-// state. The file is open and locked only while it is read or written.
+// Store keeps the latest state in a file. After a restart, a follower requests only the changes since that state, and
+// the leader continues with the next version. The file is open and locked only while it is read or written.
 type Store struct {
 	path string
 	site string
@@ -85,7 +85,7 @@
 		entry.WithField("rename", err.Error()).Error("control: the saved state is unusable and cannot be moved aside")
 		return
 	}
-	entry.Warn("control: the saved state is unusable and was moved aside, requesting a snapshot")
+	entry.Warn("control: the saved state is unusable and was moved aside")
 }
 
 // recoverFaults calls access and returns its panics and memory faults as errors. They occur because bbolt maps the
@@ -158,8 +158,8 @@
 	return sum[:]
 }
 
-// Save writes a state unless the file contains the same version or a newer one. It renames an unusable file and
-// creates a new one.
+// Save writes a state unless the file contains the same version or a newer one. It overwrites a value that decode
+// rejects. If the write fails for another reason than the lock, Save renames the file and creates a new one.
 func (s *Store) Save(state replica.State) error {
 	body, err := cbor.Marshal(savedState{FileVersion: stateFileVersion, Site: s.site, State: state})
 	if err != nil {
--- a/internal/controlplane/store_test.go
+++ b/internal/controlplane/store_test.go
@@ -120,7 +120,7 @@
 }
 
 // A file that is corrupt, of another site or of a newer file version is renamed, and the next save creates a new
-// file. The same holds for a file that becomes unusable while the store is in use. A damaged file could otherwise
+// file. A save also succeeds if the file becomes unusable while the store is in use. A damaged file could otherwise
 // crash the process at each start, since bbolt does not check all offsets in the file.
 func TestUnusableFileIsMovedAside(t *testing.T) {
 	t.Parallel()
