--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -11,7 +11,8 @@
 	// firstLineTimeout is how long after its accept a client connection that has sent nothing is closed. Each health
 	// check restarts the timeout.
 	firstLineTimeout = 2 * time.Second
-	// startedLineTimeout replaces firstLineTimeout once a part of the first line has arrived.
+	// startedLineTimeout replaces firstLineTimeout once a part of the first line has arrived: firstLineTimeout is too
+	// short for clients that write their request slowly.
 	startedLineTimeout = 2800 * time.Millisecond
 	// minHealthCheckInterval is the minimum time between two health checks that restart firstLineTimeout.
 	minHealthCheckInterval = time.Second
@@ -32,9 +33,9 @@
 
 const (
 	phaseAccepted    phase = iota // the client connection is open and has requested nothing
-	phasePending                  // the request was received and has no final answer
-	phaseEstablished              // a server's answer was passed to the client and the connection is open
-	phaseFinished                 // the final answer was given, or the established connection has ended
+	phasePending                  // the request was received, and the client has got no answer
+	phaseEstablished              // a server has accepted the request and the connection is open
+	phaseFinished                 // the final answer was given, the connection has ended, or the client has left
 )
 
 // Call is one client connection and its request, from Engine.Accept to Engine.ClientClosed. The event loop
@@ -173,8 +174,9 @@
 	})
 }
 
-// RequestReceived reports the request of a client connection. The client gets exactly one final answer, unless its
-// connection closes first.
+// RequestReceived reports the request of a client connection. Unless its connection closes first, the client gets
+// exactly one answer: either the answer of a server that has accepted the request, or a final answer of the engine,
+// which is a rejection, a failure or a start over.
 func (e *Engine) RequestReceived(c *Call, r Request) {
 	e.post(func() {
 		if !c.admit(r) {
@@ -187,7 +189,7 @@
 }
 
 // ClientClosed reports that a client connection is closed, including its transport to a server. A client that left
-// before its final answer gets none.
+// while its request was pending gets no answer.
 func (e *Engine) ClientClosed(c *Call) {
 	e.post(func() {
 		e.timers.stop(c.closeTimer)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -10,7 +10,7 @@
 type Config struct {
 	// Settings configure the decision module.
 	Settings decide.Settings
-	// Known is the endpoint list from before the start of this process, which may be out of date.
+	// Known is the endpoint list that the process is started with. It may be out of date.
 	Known []Endpoint
 	// MaxClients limits the sum of pending requests and established connections, because each of them holds a
 	// transport to the client and one to the server. A request beyond the limit is rejected immediately.
@@ -18,9 +18,10 @@
 	// AwaitFirstList is set in a process that replaces a running one. The engine then stays in state Starting until
 	// discovery has delivered a list, for 3 s at most.
 	AwaitFirstList bool
-	// ListPushed is set if a change of the endpoint list takes effect as soon as discovery has it, without an
-	// allowance for the time until this balancer has read it. The engine then stays in state Starting until discovery
-	// has delivered the first list, for 3 s at most, and reopens a broken watch after a short fixed delay.
+	// ListPushed is set if discovery pushes its lists: a change counts as observed as soon as discovery has it,
+	// without an allowance for the time until this balancer has received it. For example, the drain grace of a server
+	// starts then. The engine therefore stays in state Starting until discovery has delivered the first list, for 3 s
+	// at most, and reopens a broken watch after a short fixed delay.
 	ListPushed bool
 	// Learned is the learned state that the previous process has exported.
 	Learned []decide.LearnedState
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -25,12 +25,14 @@
 	// cancelled; the implementation closes the earlier attempt's transport before it sends anything for the new one.
 	StartAttempt(Attempt)
 	// CancelAttempt requests the cancellation of attempt n, which the server has not answered as far as the engine
-	// knows. Only the implementation knows what it has written to the server. It therefore determines how the attempt
-	// ended and reports that once with Engine.AttemptEnded: with a code for which decide.Code.NeverExecuted is true
-	// if the request was not sent, otherwise with the code why.
+	// knows. Only the implementation knows what it has written to the server, so it determines the outcome:
 	//
-	// The attempt continues, and nothing is reported, in two cases: the server has already answered, or the request
-	// was sent before the command was executed and why is a code for requests that were never executed.
+	//   - The server has already answered: the attempt continues, and nothing is reported.
+	//   - The request was not sent: the attempt ends with a code for which decide.Code.NeverExecuted is true.
+	//   - The request was sent: the attempt ends with the code why. If NeverExecuted is true for why, that code would
+	//     be wrong, so the attempt continues and nothing is reported.
+	//
+	// The implementation reports the end of the attempt once, with Engine.AttemptEnded.
 	CancelAttempt(n int, why decide.Code)
 	// Establish passes the server's answer to attempt n to the client. From then on the implementation relays data in
 	// both directions.
@@ -40,7 +42,8 @@
 	Reject(retryAfter time.Duration)
 	// Fail answers that the request failed and closes the connection.
 	Fail()
-	// Migrate asks the client of an established connection to open a new connection, and closes both sides.
+	// Migrate asks the client of an established connection to open a new connection, and closes the transports to the
+	// client and to the server.
 	Migrate()
 	// Abort closes immediately whatever is still open. An implementation may keep a client connection open whose
 	// request has arrived but is not reported to the engine yet.
@@ -95,7 +98,8 @@
 	Name    string
 	Address string
 	// Started is the wall-clock time at which the server's process started; the zero time means long ago. The engine
-	// derives Server.Started, a host-clock time, from it and ignores the value that Server.Started has here.
+	// derives Server.Started, a host-clock time (see Engine.now), from it and ignores the value that Server.Started
+	// has here.
 	Started time.Time
 }
 
@@ -128,7 +132,7 @@
 }
 
 // ServerID derives a server's numeric ID from its instance name. The ID must be equal at all balancers and after a
-// restart, because the preferred servers of a group and connection IDs depend on it.
+// restart, because the preferred servers of a group depend on it, and QUIC connection IDs contain it.
 func ServerID(instance string) decide.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -19,7 +19,8 @@
 type Discovery interface {
 	// SetAddress makes later calls use discovery at another address. The first watch there starts with a snapshot.
 	SetAddress(address string)
-	// Watch opens a watch for changes of the list. Its heartbeats and its failure carry the given ID.
+	// Watch opens a watch for changes of the list. Its heartbeats and its failure carry the given ID. It replaces an
+	// earlier watch once discovery has answered it; until then, the earlier watch stays open.
 	Watch(ctx context.Context, watch uint64)
 	// Fetch requests one snapshot of the list.
 	Fetch(ctx context.Context)
@@ -57,8 +58,8 @@
 	timer   *timer
 }
 
-// openWatch opens a watch. A watch that is already open stays open until the new one answers, so that no change is
-// missed.
+// openWatch opens a watch. The Discovery keeps an earlier watch open until the new one is answered, so that no change
+// is missed.
 func (e *Engine) openWatch() {
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.discoveryCalls.lastWatchID++
@@ -97,7 +98,8 @@
 }
 
 // requestSnapshot fetches a snapshot, unless a reconnect is in progress: the call at its end delivers all changes.
-// While discovery is down, this saves an additional call of each balancer at each time-out.
+// Otherwise, while discovery is down, each balancer would call it for the decision module's polls in addition to the
+// reconnects.
 func (e *Engine) requestSnapshot() {
 	if e.reconnect.step == reconnectIdle {
 		e.fetchSnapshot()
@@ -138,7 +140,7 @@
 	e.post(func() {
 		e.discovery.SetAddress(address)
 		e.stopReconnect() // a reconnect in progress was for the previous address
-		e.reconnect.lastStaleWatchID = e.discoveryCalls.lastWatchID
+		e.reconnect.lastPreviousWatchID = e.discoveryCalls.lastWatchID
 		e.openWatch()
 	})
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -4,8 +4,8 @@
 
 // Times of a planned stop, measured from the call of Drain.
 const (
-	// drainAcceptWindow is the minimum time until all remaining clients are migrated: new clients still arrive for up
-	// to 400 ms.
+	// drainAcceptWindow is the earliest time at which all remaining clients are migrated: new clients still arrive for
+	// up to 400 ms after the start of the stop.
 	drainAcceptWindow = 450 * time.Millisecond
 	// drainAnswerReserve is how long before the end of the budget all pending requests are answered.
 	drainAnswerReserve = 300 * time.Millisecond
@@ -60,7 +60,7 @@
 		e.drain = &drain{final: true, done: done, clientsQueued: clientsQueued}
 		e.setServiceState(Stopping)
 		// The last migrations start migrationTimeout before the end of the budget, so that clients that no longer
-		// read are disconnected within the budget.
+		// read are disconnected within the budget. This does not hold for a ConnTraits.Linger above migrationTimeout.
 		last := max(budget-migrationTimeout, drainAcceptWindow)
 		e.migrateBetween(min(budget/2, last), last)
 		e.scheduleDrainStep(drainMinDuration, func() {
@@ -126,8 +126,9 @@
 // rejectsNewRequests reports whether a drain has reached the step from which on new requests are rejected.
 func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// finishDrainIfIdle ends a planned stop before its budget is over if no client waits to be accepted, no accepted
-// connection may still send its request, no request is pending, and all remaining connections are resumable.
+// finishDrainIfIdle ends a planned stop after drainMinDuration, before its budget is over, if no client waits to be
+// accepted, no request is pending, and all open client connections are resumable and have sent their request. It
+// closes connections that have sent nothing, so that they do not delay the end.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -9,7 +9,8 @@
 )
 
 // A planned stop migrates no established connection in the first half of its budget. After that it migrates them one
-// after the other.
+// after the other. If all were migrated immediately in a rolling restart, their clients might find no balancer, because
+// the one that was stopped before may not be serving again yet.
 func TestDrainMigratesLate(t *testing.T) {
 	t.Parallel()
 	const clients, budget = 8, 3 * time.Second
@@ -46,7 +47,8 @@
 	<-drained
 }
 
-// A planned stop neither migrates resumable connections nor waits for their end.
+// A planned stop neither migrates resumable connections nor waits for their end, because the next process continues
+// them.
 func TestDrainKeepsResumableConnections(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -45,7 +45,8 @@
 
 	// ctx is the context of Run; probes and discovery calls derive theirs from it.
 	ctx context.Context
-	// now is the host-clock time of the current iteration.
+	// now is the host-clock time of the current iteration: clockStart plus the time since the engine was created. The
+	// host clock is the only clock that the decision module uses.
 	now            time.Duration
 	timers         *timerQueue
 	events         eventQueue
@@ -155,7 +156,7 @@
 	e.timers.runExpired(e.now)
 }
 
-// tick sets now to the host-clock time, the only clock that the decision module uses.
+// tick sets now to the current host-clock time.
 func (e *Engine) tick() { e.now = clockStart + time.Since(e.epoch) }
 
 // post puts a function into the inbox and blocks while the inbox is full. The event loop itself must not call it:
@@ -215,7 +216,8 @@
 	e.events = eventQueue{}
 }
 
-// execute executes one action of the decision module. It ignores actions for requests that have ended.
+// execute executes one action of the decision module. It ignores actions for requests that are no longer in
+// callTable.byID, such as those that have a final answer.
 func (e *Engine) execute(action decide.Action) {
 	switch action := action.(type) {
 	case decide.StartAttempt:
@@ -245,8 +247,8 @@
 	}
 }
 
-// SetFleetSize sets the number of balancers among which the budgets of the fleet are divided, and over which the
-// reconnects to discovery are spread.
+// SetFleetSize sets the number of balancers among which the decision module divides the budgets of the fleet, such as
+// the slow-start budgets. It also sets the number by which the reconnects to discovery are spread over time.
 func (e *Engine) SetFleetSize(size decide.FleetSize) {
 	e.post(func() {
 		e.reconnect.schedule.SetFleetSize(size.Fleet)
--- a/internal/core/established_test.go
+++ b/internal/core/established_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The client of a server that does not respond is migrated; the client of a server that responds is not.
+// The client of a server that does not respond is migrated; the client of a server that responds is not. Without the
+// migration, the client would wait until TCP reports an error, which may take long.
 func TestUnresponsiveServerMigratesClient(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -50,7 +50,8 @@
 }
 
 // DecodeLearned decodes a line of ExportLearned. It returns ErrOtherDeployment if the line was exported by a process of
-// another deployment, which may have run on the same machine, and another error if the line cannot be decoded.
+// another deployment, because processes of several deployments may run on one machine. It returns another error if the
+// line cannot be decoded.
 func DecodeLearned(line, deployment string) (decide.LearnedState, error) {
 	var decoded learnedLine
 	if err := json.Unmarshal([]byte(line), &decoded); err != nil {
--- a/internal/core/learned_fuzz_test.go
+++ b/internal/core/learned_fuzz_test.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// Whatever learned state another process sends, the decision module accepts no negative values from it and ejects no
+// Whatever learned state another process sends, the decision module imports no negative values from it and ejects no
 // server for longer than a minute.
 func FuzzLearned(f *testing.F) {
 	line, err := json.Marshal(learnedLine{decide.LearnedState{
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -38,9 +38,9 @@
 	failedStart time.Duration
 	// dialStart is when the current dial was started.
 	dialStart time.Duration
-	// lastStaleWatchID is the ID of the last watch that was opened before the latest change of discovery's address; 0
-	// if the address has never changed.
-	lastStaleWatchID uint64
+	// lastPreviousWatchID is the ID of the last watch that was opened at a previous address of discovery; 0 if there
+	// is none.
+	lastPreviousWatchID uint64
 	// generation is incremented whenever a step is cancelled, so that the late result of a dial is recognized.
 	generation uint64
 	// timer starts the next step.
@@ -89,7 +89,7 @@
 // that has stayed open has missed no change. A heartbeat of a watch at a previous address does not show that
 // discovery is reachable at the current one.
 func (e *Engine) stopReconnectOnHeartbeat(watch uint64) {
-	if watch > e.reconnect.lastStaleWatchID {
+	if watch > e.reconnect.lastPreviousWatchID {
 		e.stopReconnect()
 	}
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -9,21 +9,21 @@
 // restoreRetryInterval is the interval between attempts to restore a connection.
 const restoreRetryInterval = 250 * time.Millisecond
 
-// restoreState is the state of a call that reopens a connection which was established before this process started. It
-// is the zero value for all other calls.
+// restoreState is the state of a call that was opened by RestoreConnection. It is the zero value for all other calls.
 type restoreState struct {
 	active bool
 	server decide.ServerID
-	// deadline is when no further attempt is started and the request fails.
+	// deadline is the latest time at which an attempt is started. An attempt may run until the deadline, but at least
+	// for restoreRetryInterval. The request fails if no attempt has succeeded then.
 	deadline time.Duration
 	// firstAttempt is the number of the attempt that restored the connection. The decision module counts that attempt
 	// as attempt 0.
 	firstAttempt int
 }
 
-// RestoreConnection reopens a connection that was established before this process started. It tries only the given
-// server, and retries until the time of patience is over, also while the server is not listed. Then the request
-// fails.
+// RestoreConnection connects a client to its server again if this process does not know the connection that they had,
+// usually because that connection was established before the process started. It tries only the given server, and
+// retries until the time of patience is over, also while the server is not listed. Then the request fails.
 func (e *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	e.post(func() {
 		if c.phase != phaseAccepted || !c.bindRequest(r) {
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -11,7 +11,7 @@
 const answerReserve = 20 * time.Millisecond
 
 // LocateHolder requests the address of the server that holds the session of attempt n, whose instance name is given.
-// Resumer.HolderLocated delivers the result. The first call for a request starts Config.StateTimeout, within which
+// Resumer.HolderLocated delivers the result. The first call for an attempt starts Config.StateTimeout, within which
 // StateFetched must be called. Servers that are draining or were removed recently are located too, because fetching a
 // session's state is not a new request.
 func (e *Engine) LocateHolder(c *Call, n int, instance string) {
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -7,9 +7,9 @@
 const minShedAge = 10 * time.Millisecond
 
 // ShedIdle reports that a frontend is short of file descriptors. The engine aborts the client connection that has
-// been inactive for the longest time, out of those that have not sent a request and those that are still open after
-// their final answer. This keeps clients that open many connections and send nothing from using the descriptors that
-// regular clients, upstream connections and probes need.
+// been inactive for the longest time, out of those that have not sent a request and those that are still open although
+// their call has finished. This keeps clients that open many connections and send nothing from using the descriptors
+// that regular clients, upstream connections and probes need.
 func (e *Engine) ShedIdle() {
 	e.post(func() {
 		var victim *Call
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -31,7 +31,7 @@
 	ListUpdated time.Time
 	// Clients counts open client connections.
 	Clients int
-	// Waiting counts requests without a final answer.
+	// Waiting counts pending requests, which have got no answer yet.
 	Waiting int
 	// Established counts established connections.
 	Established int
@@ -102,7 +102,8 @@
 }
 
 // noteEjection adds a server to the table of ejected ones if the decision module has ejected it. The module ejects a
-// server only while it handles an event about that server, so it is sufficient to check after such events.
+// server only while it imports learned state or handles the end of an attempt or a probe at that server, so it is
+// sufficient to check after these.
 func (e *Engine) noteEjection(id decide.ServerID) {
 	if e.balancer.Ejected(id) {
 		e.upstreams.ejected[id] = struct{}{}
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -73,7 +73,7 @@
 				}
 			})
 			if got := snapshots / times; got > maxBytes {
-				t.Errorf("a snapshot allocates %d bytes", got)
+				t.Errorf("a snapshot allocates %d bytes, want at most maxBytes", got)
 			}
 			if s := engine.Snapshot(); s.Listed != n || s.Ejected != 0 || s.Upstreams != nil {
 				t.Errorf("got %d listed, %d ejected, %d entries, want all listed, none ejected and no entries",
@@ -87,7 +87,7 @@
 				}
 			})
 			if got := changes / times; got > maxBytes {
-				t.Errorf("a change of one endpoint allocates %d bytes", got)
+				t.Errorf("a change of one endpoint allocates %d bytes, want at most maxBytes", got)
 			}
 			first := allocatedBytes(engine.publishDetailed)
 			further := allocatedBytes(func() {
@@ -96,7 +96,8 @@
 				}
 			})
 			if first < uint64(n)*64 || further > maxBytes {
-				t.Errorf("a detailed snapshot allocates %d bytes, %d further requests allocate %d", first, times, further)
+				t.Errorf("a detailed snapshot allocates %d bytes, want 64*n or more; %d further requests %d, want at most maxBytes",
+					first, times, further)
 			}
 			engine.now += detailedRetention + time.Second
 			if engine.publish(); engine.detailedSnapshot.Load() != nil {
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -16,9 +16,9 @@
 type Counters struct {
 	// Malformed counts first lines that name no class. They are answered as failed.
 	Malformed uint64
-	// Restored counts connections that were established before the start and were reopened.
+	// Restored counts connections that were established by RestoreConnection.
 	Restored uint64
-	// ClientsLeft counts clients that disconnected before their final answer.
+	// ClientsLeft counts clients that disconnected while their request was pending.
 	ClientsLeft uint64
 	// Migrations counts clients of established connections that were asked to open a new connection.
 	Migrations uint64
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// runExpired runs the callbacks of all timers that have expired by now. Timers that these callbacks set are not run
-// before the next call, so that a callback that always sets another expired timer cannot block the event loop.
+// runExpired runs the callbacks of the timers that have expired by now, in order. It returns at the first expired timer
+// that one of these callbacks has set, so that a callback that always sets another expired timer cannot block the event
+// loop. That timer and the expired timers after it run in the next call.
 func (q *timerQueue) runExpired(now time.Duration) {
 	last := q.seq
 	for {
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// Timers run in the order of their times, and timers with the same time in the order in which they were set. A stopped
+// timer does not run. An expired timer that a callback sets runs in the next call of runExpired, so that such callbacks
+// cannot block the event loop.
 func TestTimersExpireInOrder(t *testing.T) {
 	queue := newTimerQueue()
 	var got []string
