--- a/internal/discovery/endpoint/diff.go
+++ b/internal/discovery/endpoint/diff.go
@@ -19,7 +19,7 @@
 	return len(c.Added)+len(c.Changed)+len(c.Drained)+len(c.Returned)+len(c.Removed) == 0
 }
 
-// String formats the change for the log, for example "added a b; removed c".
+// String formats the change for the log, for example "added a b; removed c", or "nothing" if the change is empty.
 func (c Change) String() string {
 	groups := []struct {
 		label string
--- a/internal/discovery/endpoint/guard.go
+++ b/internal/discovery/endpoint/guard.go
@@ -11,8 +11,9 @@
 	// Apply means that the proposed list has become the current one.
 	Apply
 
-	// NeedsConfirmation means that the proposed list removes or drains over half of the active endpoints. It is
-	// pending until the operator confirms it by requesting a reload of the same list.
+	// NeedsConfirmation means that the proposed list removes or drains over half of the active endpoints, which are
+	// those of the current list that are not draining. It is pending until the operator confirms it by requesting a
+	// reload of the same list.
 	NeedsConfirmation
 )
 
--- a/internal/discovery/endpoint/list_test.go
+++ b/internal/discovery/endpoint/list_test.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// The example of an endpoint file in the folder deploy is valid.
 func TestRepositoryExample(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/rooms.json")
 	if err != nil {
--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -34,7 +34,7 @@
 	// watchHeartbeatInterval is the time between two reports that the watch is alive.
 	watchHeartbeatInterval = 2 * time.Second
 
-	// requestQueueSize is the number of the core's requests that wait for Run.
+	// requestQueueSize is the maximum number of the core's requests that wait for Run.
 	requestQueueSize = 8
 )
 
--- a/internal/discovery/httpsource/bounded_reader.go
+++ b/internal/discovery/httpsource/bounded_reader.go
@@ -28,8 +28,8 @@
 	atLineStart bool
 }
 
-// Read implements io.Reader. It does not return the white space before a value, because the decoder would buffer all
-// of it.
+// Read implements io.Reader. It drops blocks that contain only white space before a value, because the decoder would
+// buffer all of them.
 func (r *boundedReader) Read(p []byte) (int, error) {
 	for {
 		limit := min(maxEntryBytes-r.partBytes, maxListBytes-r.valueBytes)
@@ -46,7 +46,7 @@
 }
 
 // scan counts bytes that were read from the source. Up to the beginning of a value, it reports each empty line in
-// them and restarts the counts there.
+// them and resets the counts there. The counts then do not include the bytes of raw after that line either.
 func (r *boundedReader) scan(raw []byte) {
 	r.valueBytes += int64(len(raw))
 	r.partBytes += int64(len(raw))
--- a/internal/discovery/httpsource/call.go
+++ b/internal/discovery/httpsource/call.go
@@ -22,7 +22,7 @@
 	ctx      context.Context
 	watch    bool
 	watchID  uint64               // the core's ID of the watch; 0 if watch is not set
-	onDialed func(reachable bool) // set if the service is only to be dialled; gets the result
+	onDialed func(reachable bool) // set if the service is only to be dialed; receives the result
 
 	// The fields below are set when the call starts.
 
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -169,7 +169,7 @@
 	}
 	state, ok := lifecycleStates[w.Lifecycle]
 	if !ok {
-		return core.Endpoint{}, fmt.Errorf("lifecycle: unknown value %q", w.Lifecycle)
+		return core.Endpoint{}, fmt.Errorf("lifecycle: unknown value %q, expected active, leaving or left", w.Lifecycle)
 	}
 	if _, err := netip.ParseAddrPort(w.HostPort); err != nil && state != decide.Removed {
 		return core.Endpoint{}, fmt.Errorf("hostPort: %q is not an IP address and port", w.HostPort)
--- a/internal/discovery/httpsource/decode_test.go
+++ b/internal/discovery/httpsource/decode_test.go
@@ -50,6 +50,7 @@
 	return float64(after.Mallocs-before.Mallocs) / float64(n), float64(after.TotalAlloc-before.TotalAlloc) / float64(n)
 }
 
+// The fields of a snapshot and of its entry are decoded into a Listing.
 func TestDecode(t *testing.T) {
 	listing, err := DecodeListing([]byte(testList))
 	if err != nil || len(listing.Endpoints) != 1 {
@@ -65,6 +66,7 @@
 	}
 }
 
+// One invalid value makes a list invalid. If its entry were skipped instead, the endpoint would look removed.
 func TestDecodeErrors(t *testing.T) {
 	for _, test := range []struct{ name, old, new string }{
 		{"lifecycle", `"active"`, `"asleep"`},
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// observedWithin is how long after the discovery service has a change and can be reached a balancer may take to
-	// observe the change.
+	// observedWithin is the maximum time in which a balancer has to observe a change. It starts when the discovery
+	// service has the change and can be reached.
 	observedWithin = 6 * time.Second
 
 	// drainGrace is how long after the start of its drain an endpoint may still get new requests.
@@ -29,8 +29,8 @@
 	// balancers is the number of engines that a test runs.
 	balancers = 12
 
-	// fleetSize is the configured number of balancers in tests that do not vary it. Reconnects to discovery are
-	// spread over time by that number.
+	// fleetSize is the configured number of balancers in tests that do not vary it. The higher it is, the longer is
+	// the time over which the reconnects to discovery are spread.
 	fleetSize = 300
 )
 
@@ -101,6 +101,8 @@
 	}
 }
 
+// newFaultyListener returns a listener for the service that can simulate outages. If callTime is above 0, the service
+// handles one call after the other and takes callTime for each.
 func newFaultyListener(t *testing.T, service *emulator.Discovery, callTime time.Duration) *emulator.FaultyListener {
 	t.Helper()
 	handler := service.Handler("any")
--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -39,7 +39,8 @@
 	generation     int64
 	generationCall int
 
-	// hasSnapshot says that generation comes from the service at the current address.
+	// hasSnapshot says that generation comes from the service at the current address: from a snapshot, or from the
+	// list with which the source was created. If it is not set, a watch has to start with a snapshot.
 	hasSnapshot bool
 
 	lastCallNumber int
@@ -205,10 +206,9 @@
 // overtaken reports whether another call has already delivered a newer list than the given listing. Such a listing
 // must not be applied: it would, for example, make a draining endpoint ready again.
 //
-// A lower generation is not sufficient evidence, because a discovery service that has restarted counts generations
-// from the beginning. The service must have restarted if the watch that delivered the current generation now delivers
-// a lower one, or if a watch gets a snapshot whose generation is lower than the one from which the watch was
-// requested.
+// A lower generation alone does not show that, because a discovery service that has restarted counts generations from
+// the beginning. The service must have restarted if the watch that delivered the current generation now delivers a
+// lower one, or if a watch gets a snapshot whose generation is lower than the one from which the watch was requested.
 func (s *Source) overtaken(c call, listing Listing) bool {
 	if !s.hasSnapshot || listing.Generation >= s.generation {
 		return false
--- a/internal/discovery/httpsource/source_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -114,6 +114,8 @@
 	recorder.expect(t, decide.ListSnapshot, 20_000)
 }
 
+// A watch starts from the last generation that was read. A fetched list that is older than the watch's list changes
+// nothing. An invalid listing ends the watch, so that the next watch delivers the changes after the last valid one.
 func TestFetchAndWatch(t *testing.T) {
 	texts := make(chan string)
 	watchedFrom := make(chan string, 10)
