--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -17,7 +17,8 @@
 
 // drain is the state of a drain, which moves all clients to other balancers. It is either a planned stop, which is
 // final, or a lame duck, which LeaveLameDuck can revoke. Clients that arrive early in the drain are served, all
-// pending requests are answered, and all established connections are migrated.
+// pending requests are answered, and all established connections are migrated, except for resumable ones in a planned
+// stop.
 //
 // The migrations are spread over time, and in a planned stop they start late. In a rolling restart, the balancer that
 // was stopped before this one may not be serving again yet: migrating all clients immediately would leave clients
@@ -25,8 +26,8 @@
 type drain struct {
 	// final is set in a planned stop.
 	final bool
-	// migrateAll says that all established connections were migrated and that further ones are migrated as soon as
-	// they are established.
+	// migrateAll says that migrateForDrain was called for all established connections, and that it is called for
+	// further ones as soon as they are established.
 	migrateAll bool
 	// rejectNew says that new requests are rejected immediately.
 	rejectNew bool
--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// SetAddress sets the discovery service's address for all later requests. The current list and the watch at the
-// previous address stay in use until the first of these requests is answered.
+// SetAddress sets the discovery service's address for all later requests. The current list stays in use until the
+// first of these requests is answered, and the watch at the previous address until the first later watch is answered.
 func (s *Source) SetAddress(address string) {
 	select {
 	case s.addressChanges <- address:
