--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -4,8 +4,8 @@
 
 // Times of a planned stop, measured from the call of Drain.
 const (
-	// drainAcceptWindow is the minimum time until all remaining clients are migrated: new clients still arrive for up
-	// to 400 ms.
+	// drainAcceptWindow is the earliest time at which all remaining clients are migrated: new clients still arrive for
+	// up to 400 ms after the start of the stop.
 	drainAcceptWindow = 450 * time.Millisecond
 	// drainAnswerReserve is how long before the end of the budget all pending requests are answered.
 	drainAnswerReserve = 300 * time.Millisecond
@@ -17,7 +17,8 @@
 
 // drain is the state of a drain, which moves all clients to other balancers. It is either a planned stop, which is
 // final, or a lame duck, which LeaveLameDuck can revoke. Clients that arrive early in the drain are served, all
-// pending requests are answered, and all established connections are migrated.
+// pending requests are answered, and all established connections are migrated, except for resumable ones in a planned
+// stop.
 //
 // The migrations are spread over time, and in a planned stop they start late. In a rolling restart, the balancer that
 // was stopped before this one may not be serving again yet: migrating all clients immediately would leave clients
@@ -25,8 +26,8 @@
 type drain struct {
 	// final is set in a planned stop.
 	final bool
-	// migrateAll says that all established connections were migrated and that further ones are migrated as soon as
-	// they are established.
+	// migrateAll says that migrateForDrain was called for all established connections, and that it is called for
+	// further ones as soon as they are established.
 	migrateAll bool
 	// rejectNew says that new requests are rejected immediately.
 	rejectNew bool
@@ -60,7 +61,7 @@
 		e.drain = &drain{final: true, done: done, clientsQueued: clientsQueued}
 		e.setServiceState(Stopping)
 		// The last migrations start migrationTimeout before the end of the budget, so that clients that no longer
-		// read are disconnected within the budget.
+		// read are disconnected within the budget. This does not hold for a ConnTraits.Linger above migrationTimeout.
 		last := max(budget-migrationTimeout, drainAcceptWindow)
 		e.migrateBetween(min(budget/2, last), last)
 		e.scheduleDrainStep(drainMinDuration, func() {
@@ -126,8 +127,9 @@
 // rejectsNewRequests reports whether a drain has reached the step from which on new requests are rejected.
 func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// finishDrainIfIdle ends a planned stop before its budget is over if no client waits to be accepted, no accepted
-// connection may still send its request, no request is pending, and all remaining connections are resumable.
+// finishDrainIfIdle ends a planned stop after drainMinDuration, before its budget is over, if no client waits to be
+// accepted, no request is pending, and all open client connections are resumable and have sent their request. It
+// closes connections that have sent nothing, so that they do not delay the end.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
