--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,13 +27,13 @@
 
 // Values of membership_mode.
 const (
-	modeAutomatic = "automatic" // see Config.ListPushed
-	modeSubscribe = "subscribe"
+	modeAutomatic = "automatic" // discovery pushes its endpoint lists; see Config.ListPushed
+	modeSubscribe = "subscribe" // the balancer asks discovery for its endpoint lists
 )
 
 // After SIGTERM the platform waits for the longest client timeout plus killDelay, and then sends SIGKILL.
 const (
-	maxShutdownTimeout = 3 * time.Second        // the platform counts longer client timeouts as this
+	maxShutdownTimeout = 3 * time.Second        // a longer client timeout counts as this
 	killDelay          = 700 * time.Millisecond // from the longest client timeout to SIGKILL
 	exitMargin         = 300 * time.Millisecond // reserved within killDelay for the exit of the process
 )
@@ -45,7 +45,10 @@
 	Management string // management address; empty: off
 	Discovery  string // address of the discovery service
 	Settings   decide.Settings
-	ListPushed bool     // whether a change of the endpoint list is binding as soon as discovery has it
+	// ListPushed is set in membership mode automatic, in which discovery pushes its endpoint lists. A change of the list
+	// then counts as observed by the balancer, and is binding, as soon as discovery has it: even if the balancer has
+	// not received it yet.
+	ListPushed bool
 	Tenants    []string // tenants that requests may name; empty: any
 
 	KnownEndpoints  []core.Endpoint // the last endpoint list known before the start
@@ -86,8 +89,8 @@
 func Load() (*Config, error) { return load(os.Getenv) }
 
 // Reload reads the configuration again, but ignores PROXY_DISCOVERY: that variable is the discovery address at the
-// start, and the file may name a newer one. The caller applies only Config.Discovery, but an error in any setting fails
-// the reload.
+// start and would override a newer one in the file. The caller applies only Config.Discovery, but an error in any
+// setting fails the reload.
 func Reload() (*Config, error) {
 	return load(func(key string) string {
 		if key == variableDiscovery {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 		class.Idempotency != decide.Idempotent {
 		t.Errorf("request class %+v", class)
 	}
-	if c.ShutdownBudget != 1600*time.Millisecond { // client timeout 1.2 s, killDelay, less exitMargin
+	if c.ShutdownBudget != 1600*time.Millisecond { // client timeout 1.2 s plus killDelay minus exitMargin
 		t.Errorf("shutdown budget %v", c.ShutdownBudget)
 	}
 	c, err = Parse([]byte(validConfig), func(key string) string { return map[string]string{"PROXY_NAME": "n9"}[key] })
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -19,7 +19,7 @@
 	Region    string           // own region; its control-plane servers are preferred
 	Site      string           // name of the site; all processes that share the keys have the same
 	KeysFile  string
-	StateFile string // stores the last version, which is read after a restart
+	StateFile string // stores the latest version of the document, to which a restarted process adds only the changes
 }
 
 // ControlServer is the configuration of a control-plane server. The server is either the leader, which publishes
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -13,7 +13,7 @@
 // FieldError reports a setting that is missing or invalid.
 type FieldError struct {
 	Key    string // path of the setting as the file spells it, e.g. settings.profiles[0].aim_s
-	Value  any    // the rejected value; nil if it is missing, or a secret that must not be printed
+	Value  any    // the rejected value; nil if it is missing, a secret that must not be printed, or part of Reason
 	Reason string // what is wrong with the value, and usually what is accepted
 	Err    error  // the cause if another package rejected the setting; Value and Reason are then unused
 }
@@ -26,7 +26,7 @@
 	reasonBelowZero      = "is out of range: expected 0 or more"
 )
 
-// Error returns the key, the value and the reason. A value that is missing or a secret is left out.
+// Error returns the key, the value unless it is nil, and the reason; or the key and the cause.
 func (e *FieldError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%s: %v", e.Key, e.Err)
--- a/internal/config/fronts.go
+++ b/internal/config/fronts.go
@@ -9,8 +9,8 @@
 	"cottonplank/decide"
 )
 
-// Fronts is the content of a fronts file: the optional features that a deployment switches on in addition to the
-// platform's line protocol. A feature whose section is missing is off.
+// Fronts is the content of a fronts file: the optional features that a deployment may switch on. A feature whose
+// section is missing is off. The frontend for the platform's line protocol is always on and has no section.
 type Fronts struct {
 	QUIC         QUIC
 	SNMP         SNMP
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -11,7 +11,8 @@
 )
 
 // peerKeyGrace is how long a key is accepted after its not_after, for keys that cluster members share and for those
-// that control-plane servers and their followers share. The ring adds a margin for differing clocks.
+// that control-plane servers and their followers share. token.Ring adds twice token.Leeway,
+// because the clocks of two processes may differ.
 const peerKeyGrace = time.Minute
 
 // groupAndOtherAccess are the permission bits of a file for everybody but its owner.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -36,17 +36,17 @@
 	// for a new connection, which is accepted before the oldest one is closed.
 	managementOverhead = 2
 
-	// The remaining descriptors divided by dialDivisor are reserved for dials to room servers; no client is accepted
-	// with them.
+	// The remaining descriptors are Config.ConnDescriptors. Their number divided by dialDivisor is reserved for dials to
+	// room servers; no client is accepted with these.
 	dialDivisor = 8
-	// The remaining descriptors divided by rejectDivisor, but at least minRejectDescriptors, are for clients beyond the
-	// limit, which are rejected at once. Without these descriptors such clients would wait unanswered in the listener's
-	// backlog.
+	// The number of remaining descriptors divided by rejectDivisor, but at least minRejectDescriptors, is for clients
+	// beyond MaxClients, which are rejected at once. Without these descriptors such clients would wait unanswered in the
+	// listener's backlog.
 	rejectDivisor        = 32
 	minRejectDescriptors = 4
 
 	// minConnDescriptors is the minimum for client connections and dials of a process while another one runs beside it,
-	// during a hot restart.
+	// during a hot restart. Where this minimum applies, the two processes together may exceed DescriptorLimit.
 	minConnDescriptors = 24
 )
 
@@ -96,7 +96,7 @@
 }
 
 // ReserveFlows reserves descriptors for the flows of the QUIC frontend, which reduces those for client connections. The
-// flows may use half of the descriptors that remain after the spare ones and those for probes.
+// flows may use at most half of the descriptors that remain after the spare ones and those for probes.
 func (c *Config) ReserveFlows(f Fronts) error {
 	if f.QUIC.Listen == "" {
 		return nil
@@ -128,8 +128,8 @@
 	if !shared {
 		return limits
 	}
-	// A process may hold half of DescriptorLimit. It needs all of its other descriptors (spare, probes, management, QUIC
-	// flows), so its client connections and dials get less than half of ConnDescriptors.
+	// Each of the two processes may hold half of DescriptorLimit. The descriptors outside ConnDescriptors (spare, probes,
+	// management, QUIC flows) are not halved, so client connections and dials get less than half of ConnDescriptors.
 	own := max(c.ConnDescriptors-c.DescriptorLimit/2, minConnDescriptors)
 	limits.ReservedDescriptors = c.ConnDescriptors - own
 	limits.MaxClients = maxClients(own)
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// With the descriptor limits of deployments, down to the smallest, enough descriptors remain for clients, and the
-// division does not exceed the limit.
+// With the descriptor limits that deployments use, the smallest of which is 256, enough descriptors remain for clients,
+// and the division does not exceed the limit.
 func TestDescriptorBudget(t *testing.T) {
 	for _, descriptors := range []string{"256", "384", "1100"} {
 		t.Run(descriptors, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			third := c.DescriptorLimit / 3 // minimum for clients; each of them also needs a descriptor for its dial
+			third := c.DescriptorLimit / 3 // minimum of MaxClients; each of them also needs a descriptor for its dial
 			if c.ConnDescriptors > c.DescriptorLimit-spareDescriptors-c.MaxProbeConns ||
 				c.ConnDescriptors-c.DialReserve-2*c.MaxClients < minRejectDescriptors ||
 				c.MaxClients < third || 2*c.MaxClients > c.ConnDescriptors {
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -42,8 +42,10 @@
 	maxMemberName            = 64 // bytes of a name, zone or region; gossip limits the size of a member's metadata
 	maxSeeds                 = 64
 	defaultPartitionHoldDown = 3600.0
-	minPartitionHoldDown     = 240.0 // twice the detection time of a cluster of 2,300 members, with a margin
-	maxPartitionHoldDown     = 7 * 24 * 3600.0
+	// minPartitionHoldDown is twice the detection time of a cluster of 2,300 members, with a margin. Package
+	// cluster/membership rejects a value below twice the detection time.
+	minPartitionHoldDown = 240.0
+	maxPartitionHoldDown = 7 * 24 * 3600.0
 )
 
 // decode validates and converts the section; paths in it are relative to base.
--- a/internal/config/quic.go
+++ b/internal/config/quic.go
@@ -13,7 +13,7 @@
 // QUIC configures the QUIC frontend. An empty Listen switches it off.
 type QUIC struct {
 	Listen      string
-	ConfigID    int    // configuration ID in the connection IDs
+	ConfigID    int    // config ID of the connection IDs (QUIC-LB)
 	NonceLength int    // bytes of the nonce in the connection IDs
 	IDKey       []byte // AES-128 key that encrypts the connection IDs; empty: plaintext IDs
 	ResetKey    []byte // key from which the stateless reset tokens are derived
@@ -38,8 +38,8 @@
 const (
 	defaultNonceLength = 8
 	minNonceLength     = 4
-	maxNonceLength     = 15
-	maxConfigID        = 6
+	maxNonceLength     = 15 // of the 20 bytes of a connection ID, 5 are for the first octet and the server ID
+	maxConfigID        = 6  // QUIC-LB reserves 7 for connection IDs that name no server
 	idKeyLength        = 16
 	minResetKeyLength  = 16
 	defaultIdleTimeout = 30.0
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	"cottonplank/decide"
 )
 
-// Upper bounds of the settings. A larger value is a typing error, or a value in the wrong unit.
+// Upper bounds of the settings. A larger value is mistyped or in the wrong unit.
 const (
 	maxSeconds        = 86_400.0
 	maxAttempts       = 100
@@ -19,7 +19,7 @@
 // settingsFile is the section settings of the configuration file.
 type settingsFile struct {
 	Zone      string           `json:"zone"`
-	Areas     []string         `json:"areas"` // all zones
+	Areas     []string         `json:"areas"` // names of all zones; empty: zone alone
 	Balancers int              `json:"balancers"`
 	Mode      string           `json:"membership_mode"`
 	Profiles  []classFile      `json:"profiles"`
@@ -59,7 +59,7 @@
 
 type platformSpecific struct {
 	GroupAffinity           bool      `json:"groups"`
-	MessageLatencyObjective []float64 `json:"message_aim_s"` // by class index; it may be shorter than profiles
+	MessageLatencyObjective []float64 `json:"message_aim_s"` // element i is for profiles[i]; may be shorter than profiles
 }
 
 // decode validates the section and converts it into the settings of the decision module.
@@ -85,7 +85,8 @@
 	return settings, nil
 }
 
-// check validates everything but the classes.
+// check validates the section, except for the classes and their message_aim_s, which decode validates, and the tenants,
+// which are not validated.
 func (s *settingsFile) check() error {
 	if s.Zone == "" {
 		return missing("zone")
@@ -116,13 +117,14 @@
 	})
 }
 
-// convert converts everything but the classes.
+// convert converts the section, except for the classes, which decode converts, and membership_mode and the tenants,
+// which are no settings of the decision module.
 func (s *settingsFile) convert() decide.Settings {
 	settings := decide.Settings{
 		Zone:           s.Zone,
 		Zones:          s.Areas,
 		Balancers:      s.Balancers,
-		WatchList:      true, // discovery over HTTP is watched in both modes
+		WatchList:      true, // in both membership modes: over HTTP, discovery sends changes only in a watch
 		MaxAttempts:    s.Limits.MaxAttempts,
 		ConnectTimeout: seconds(s.Limits.ConnectTimeout),
 		ProbingAllowed: s.Limits.MayProbe,
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// boundedValue is a numeric setting with its upper bound. A larger value is a typing error, or in the wrong unit.
+// boundedValue is a numeric setting with its upper bound. A larger value is mistyped or in the wrong unit.
 type boundedValue struct {
 	key        string
 	value, max float64
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -116,7 +116,7 @@
 }
 
 // When a replacement process exits, the server reports it and creates its Unix socket again, so that the next
-// replacement process can connect. The removal of the file stands for the replacement's own Unix socket at the path.
+// replacement process can connect. The test removes the Unix socket, where a replacement process would put its own.
 func TestServesAgainAfterReplacementExits(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
--- a/internal/operations/hotrestart/server.go
+++ b/internal/operations/hotrestart/server.go
@@ -21,7 +21,7 @@
 
 // Replacements counts the replacement processes.
 type Replacements struct {
-	// Connected counts the processes that have received the sockets.
+	// Connected counts the processes that have received the sockets and have not exited.
 	Connected int
 	// Serving counts those of the connected processes that accept connections.
 	Serving int
@@ -36,7 +36,7 @@
 	learned func() []string
 	// socketFile describes the Unix socket that this process has created at path; nil before that.
 	socketFile os.FileInfo
-	// connections counts the goroutines that accept and serve connections; Serve waits for them.
+	// connections waits for the goroutines that accept and serve connections. Serve returns only after them.
 	connections sync.WaitGroup
 }
 
@@ -49,7 +49,8 @@
 	return &Server{path: path, sockets: sockets, learned: learned, changed: changed, log: log}
 }
 
-// replacementState is the state of a replacement process as its connection shows it.
+// replacementState is the state of a replacement process. It follows from the requests on its connection and from the
+// connection's end.
 type replacementState int
 
 const (
@@ -124,7 +125,8 @@
 	s.changed(count)
 }
 
-// listen opens the Unix socket and accepts connections from it. It returns nil if that fails.
+// listen opens the Unix socket and starts a goroutine that accepts connections from it. It returns nil if the socket
+// cannot be opened.
 func (s *Server) listen(ctx context.Context, events chan<- replacementEvent) *net.UnixListener {
 	listener, err := s.openSocket()
 	if err != nil {
@@ -235,8 +237,9 @@
 }
 
 // sendSockets appends the remaining sockets to names and descriptors, and then sends both. It calls itself within
-// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from File are not used, because they
-// would set the sockets to blocking mode, which is shared with the other process.
+// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from the method File of a socket are
+// not used, because their method Fd sets them to blocking mode. A duplicate shares this mode with the original, also in
+// the other process.
 func sendSockets(conn *net.UnixConn, remaining []socket, names []string, descriptors []int) error {
 	if len(remaining) == 0 {
 		line := socketsPrefix + " " + strings.Join(names, " ") + lineEnd
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -57,7 +57,7 @@
 		running.Wait()
 	})
 	engine.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
-	engine.CurrentSnapshot(10 * time.Second)
+	engine.CurrentSnapshot(10 * time.Second) // waits until the engine has left state Starting
 	return listener.Addr().String()
 }
 
--- a/internal/operations/sdnotify/clock.go
+++ b/internal/operations/sdnotify/clock.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// MonotonicNow returns the time of CLOCK_MONOTONIC, which a supervisor needs with each reload (see Notifier.Reloading).
+// MonotonicNow returns the time of CLOCK_MONOTONIC, which the message of Notifier.Reloading has to contain.
 func MonotonicNow() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/internal/operations/sdnotify/monitor.go
+++ b/internal/operations/sdnotify/monitor.go
@@ -1,6 +1,6 @@
 // Package sdnotify connects the daemon to a service supervisor such as systemd. It reports the state of the process
 // (the protocol of sd_notify(3)), receives the sockets that the supervisor has opened (sd_listen_fds(3)), and sends
-// watchdog heartbeats while no task of the process is stuck. Without a supervisor it does nothing.
+// watchdog heartbeats while no task of the process is stuck. Without a supervisor it sends and receives nothing.
 package sdnotify
 
 import (
--- a/internal/operations/sdnotify/notifier.go
+++ b/internal/operations/sdnotify/notifier.go
@@ -17,7 +17,8 @@
 	maxPending = 16
 	// heartbeatsPerTimeout is the number of heartbeats within the watchdog timeout.
 	heartbeatsPerTimeout = 4
-	// stuckDivisor determines when a busy task counts as stuck: after the watchdog timeout divided by stuckDivisor.
+	// stuckDivisor determines when a busy task counts as stuck: when one iteration has lasted longer than the watchdog
+	// timeout divided by stuckDivisor.
 	stuckDivisor = 2
 )
 
@@ -148,8 +149,8 @@
 	n.enqueue(fmt.Sprintf("%s\nEXTEND_TIMEOUT_USEC=%d", daemon.SdNotifyStopping, within.Microseconds()))
 }
 
-// SetMainPID reports that the process with the given ID is now the main process of the service. This is so after a hot
-// restart.
+// SetMainPID reports that the process with the given ID is now the main process of the service. After a hot restart,
+// that is the replacement process.
 func (n *Notifier) SetMainPID(pid int) { n.enqueue(fmt.Sprintf("MAINPID=%d", pid)) }
 
 // Wait waits until Run has returned, but at most for timeout, because a write to the supervisor's socket may block.
--- a/internal/operations/sdnotify/stuck_tasks_test.go
+++ b/internal/operations/sdnotify/stuck_tasks_test.go
@@ -23,7 +23,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// blockingBackend is a prober and a receiver of endpoint lists whose methods block until released is closed.
+// blockingBackend is a prober and a receiver of endpoint lists. The methods below block until released is closed.
 type blockingBackend struct {
 	stub.Prober
 	stub.Discovery
@@ -49,9 +49,9 @@
 	t.Fatalf("stuck tasks %q, want %q", got, want)
 }
 
-// An engine that is blocked by a call counts as stuck. The frontend, whose connections the engine no longer receives,
-// then blocks and counts as stuck too. Both recover once the call returns. The test uses the real event loops, to check
-// that they mark the beginning and the end of their iterations.
+// An engine that is blocked by a call counts as stuck. The frontend passes its connections to the engine. Once the
+// engine's inbox is full, the frontend blocks and counts as stuck too. Both recover when the call returns. The test
+// uses the real event loops, to check that they mark the beginning and the end of their iterations.
 func TestEngineAndFrontendStuck(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -87,7 +87,7 @@
 	engine.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListSnapshot})
 	waitForStuck(t, monitor, "engine")
 	var conns []net.Conn
-	for len(monitor.StuckTasks(time.Now(), limit)) < 2 && len(conns) < 4000 { // until the engine's mailbox is full
+	for len(monitor.StuckTasks(time.Now(), limit)) < 2 && len(conns) < 4000 { // until the engine's inbox is full
 		conn, err := net.DialTimeout("tcp", l.Addr().String(), time.Second)
 		if err != nil {
 			break
--- a/internal/operations/snmp/objects.go
+++ b/internal/operations/snmp/objects.go
@@ -14,11 +14,11 @@
 const (
 	mibRootOID = ".1.3.6.1.4.1.32473.1"
 	objectsOID = mibRootOID + ".1"
-	// serverEntryOID is the row of the table of room servers, cpSubchannelTable.
+	// serverEntryOID is the entry object of cpSubchannelTable, the table of room servers; the columns are below it.
 	serverEntryOID = objectsOID + ".20.1"
-	// classEntryOID is the row of the table of request classes, cpClassTable.
+	// classEntryOID is the entry object of cpClassTable, the table of request classes.
 	classEntryOID = objectsOID + ".21.1"
-	// reasonEntryOID is the row of the table of reasons for starting over, cpStartOverTable.
+	// reasonEntryOID is the entry object of cpStartOverTable, the table of reasons for starting over.
 	reasonEntryOID = objectsOID + ".22.1"
 	// systemOID is the system group of SNMPv2-MIB (RFC 3418).
 	systemOID = ".1.3.6.1.2.1.1"
@@ -57,7 +57,7 @@
 
 // reasonRow is a row of the table of reasons for starting over.
 type reasonRow struct {
-	// word is the reason as the wire protocol spells it.
+	// word is the reason as it is sent to clients.
 	word string
 	// count is the number of clients that had to start over for this reason.
 	count uint64
@@ -186,7 +186,8 @@
 // gaugeValue converts a number to the value of a Gauge32. A negative number becomes 0.
 func gaugeValue(n int) uint32 { return uint32(max(n, 0)) }
 
-// loadValue returns a load in thousandths, or -1 if the load is unknown, which a negative load means.
+// loadValue returns a load, which is relative to the server's capacity, in thousandths. A negative load means that the
+// server has sent no load report; the result is then -1.
 func loadValue(load float64) int {
 	const (
 		unknown       = -1
--- a/internal/operations/snmp/view.go
+++ b/internal/operations/snmp/view.go
@@ -93,7 +93,8 @@
 	if found {
 		i++
 	}
-	// The table of room servers is read only if the next other instance does not precede its first column.
+	// The next instance can be in the table of room servers only if instance i, the next one outside the table, comes
+	// after the table's first column. The table is read only then.
 	if i >= len(v.instances) || slices.Compare(v.instances[i].oid, serverColumnOIDs[0]) > 0 {
 		if cell, ok := v.serverCellAfter(id); ok {
 			return cell
@@ -126,7 +127,8 @@
 	return slices.BinarySearchFunc(v.loadServers(), index, compareID)
 }
 
-// serverCell returns the instance in a column and a row of the table of room servers, which has to be loaded.
+// serverCell returns the instance in a column and a row of the table of room servers. The caller has to load the table
+// first.
 func (v *mibView) serverCell(c *column[core.UpstreamStats], row int) gosnmp.SnmpPDU {
 	server := &v.servers[row]
 	name := c.oid + "." + strconv.FormatUint(uint64(server.ID), 10)
