--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,8 +7,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// Parse accepts no configuration without a request class, without a listen address or with a MaxClients of 0, and does
-// not panic.
+// Parse does not panic, and accepts no configuration without a request class, without a listen address or with limits
+// that leave no client (MaxClients).
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f, []byte(validConfig))
 	f.Fuzz(func(t *testing.T, raw []byte) {
