--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -92,7 +92,7 @@
 		rejected[r.ID] = true
 	}
 	if len(rejected) == 0 || rejected["r0"] || !rejected[RequestID(name("r", waiting-1))] {
-		t.Errorf("half a second before the deadlines, with time to establish five more: rejected %v, want the latest",
+		t.Errorf("half a second before the deadlines, at ten connections per second: rejected %v, want the latest, not r0",
 			rejected)
 	}
 }
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -56,7 +56,8 @@
 
 // groupOpeningLoad returns the load that is reserved for a request if it is the first of its group at a server, as far
 // as this balancer knows. It is 0 otherwise, and if the load of a connection there is only a guess. The load is divided
-// by the number of balancers that share the zone, as another one most likely has connections of the group there.
+// by the number of balancers that share the zone: the more they are, the more likely it is that another one has
+// connections of the group there.
 func (b *Balancer) groupOpeningLoad(r *request, s *server) float64 {
 	load, guess := b.connectionLoad(s)
 	sameGroup := func(x reservation) bool { return x.request.Group == r.Group }
--- a/decide/answers.go
+++ b/decide/answers.go
@@ -11,8 +11,8 @@
 	maxReportAge = 10 * time.Second
 	// maxAnswers is the maximum number of servers in a pool.
 	maxAnswers = 8
-	// maxPlacementsPerReport is the maximum number of placements by the same load report. It limits how many
-	// connections a server gets if many balancers see the same low load.
+	// maxPlacementsPerReport is the number of placements after which a server leaves its pool until its next load
+	// report. It limits how many connections a server gets if many balancers see the same low load.
 	maxPlacementsPerReport = 2
 )
 
@@ -23,7 +23,8 @@
 	otherZones []*server // servers of the remote list
 }
 
-// addAnswer puts a server at the end of a pool. If the pool exceeds maxAnswers, it drops the oldest.
+// addAnswer puts a server at the end of a pool. If the pool exceeds maxAnswers, the server with the oldest
+// load report leaves it.
 func addAnswer(pool []*server, s *server) []*server {
 	pool = append(removeValue(pool, s), s)
 	return pool[max(0, len(pool)-maxAnswers):]
--- a/decide/api.go
+++ b/decide/api.go
@@ -42,9 +42,9 @@
 // Class describes one class of requests.
 type Class struct {
 	Name                    string        // for the host's use; no decision depends on it
-	LatencyObjective        time.Duration // time within which a connection should be established; above 0
+	LatencyObjective        time.Duration // time to establish a connection in; above 0; no decision depends on it
 	MessageLatencyObjective time.Duration // time within which a message should be served; 0: unknown
-	ClientTimeout           time.Duration // total time that a client waits for its connection
+	ClientTimeout           time.Duration // total time that a client waits; decisions use RequestArrived.Remaining
 	Idempotency             Idempotency
 	KeyScope                KeyScope      // for IdempotentByKey
 	DedupWindow             time.Duration // for IdempotentByKey: how long repeats are dropped, from the first send
@@ -53,10 +53,10 @@
 // SafetyLimits are limits that the decisions must not exceed.
 type SafetyLimits struct {
 	DrainGrace               time.Duration // nothing may be sent to a server that has been draining for longer
-	MaxPollInterval          time.Duration // intended limit of the time between two polls; see pollInterval; 0: none
+	MaxPollInterval          time.Duration // longest intended time between two polls, which pollInterval exceeds; 0: none
 	SlowStartInitialCapacity float64       // fraction of its full capacity that a server has at its start, from 0 to 1
 	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
-	OverloadFactor           float64       // multiple of its present capacity that overloads a warming server
+	OverloadFactor           float64       // a load above this multiple of present capacity overloads a warming server
 	OverloadWindow           time.Duration // how long that load must last to overload the server
 }
 
@@ -73,7 +73,7 @@
 	Zone           string        // zone of this balancer
 	Zones          []string      // all zones; empty: only Zone
 	Balancers      int           // balancers that share the fleet of servers; 0 means 1
-	WatchList      bool          // poll with WatchList; otherwise with FetchList, as changes are pushed between polls
+	WatchList      bool          // true: poll by WatchList; false: changes are pushed unrequested, so poll by FetchList
 	Classes        []Class       // at least one
 	MaxAttempts    int           // maximum number of attempts for a request; 0 means 1
 	ConnectTimeout time.Duration // time after which the host ends an unanswered dial; 0: unknown
@@ -153,8 +153,8 @@
 		Group     string        // connections of one group share work on their server; empty: no group
 		Remaining time.Duration // time until the client's time-out
 		Load      float64       // expected load, in seconds of work per second; 0: unknown
-		MidFlow   bool          // packets of an open connection now arrive at this balancer
-		Returning bool          // the client reconnects after its connection broke or was migrated
+		MidFlow   bool          // the client's connection is open already; its packets now arrive at this balancer
+		Returning bool          // the client reconnects after its connection broke or was migrated; no decision depends on it
 	}
 
 	// ConnectionRestored reports a connection that was established before this balancer started. It counts as
@@ -194,10 +194,11 @@
 		Code    Code
 		Final   bool          // the request needs no final answer from the balancer any more
 		Elapsed time.Duration // from StartAttempt
-		Report  LoadReport
+		Report  LoadReport    // no decision depends on it
 	}
 
-	// RequestExpired reports that the host cannot keep a request any longer. The balancer gives its final answer now.
+	// RequestExpired reports that the host needs the final answer to a request now, before its deadline, for example
+	// because the process stops. An established connection is not affected.
 	RequestExpired struct{ ID RequestID }
 
 	// ClientDisconnected reports that the client has abandoned a request, which needs no final answer any more.
@@ -207,12 +208,12 @@
 	ProbeCompleted struct {
 		Server  ServerID
 		Code    Code
-		Elapsed time.Duration // from Probe
+		Elapsed time.Duration // from Probe; no decision depends on it
 		Report  LoadReport
 	}
 
-	// FleetSize sets the number of balancers among which budgets are divided, as counted by the cluster's membership.
-	// Settings.Balancers is used until the first one.
+	// FleetSize sets the number of balancers, as counted by the cluster's membership. Slow-start budgets, probe rates,
+	// the poll interval and load thresholds depend on it. Settings.Balancers is used until the first FleetSize.
 	FleetSize struct {
 		Fleet    int  // all balancers, at least 1
 		Zone     int  // balancers of the own zone, at least 1
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -40,7 +40,7 @@
 	capacity      capacityEstimate
 	lifetime      lifetimeEstimate
 	classLoads    classLoads
-	cursor        int // position at which the next search in the shuffled order starts, modulo the list's length
+	cursor        int // position at which the next search of a list starts, modulo that list's length
 }
 
 // New returns a balancer without any servers. It returns an error for the first invalid setting.
@@ -65,8 +65,8 @@
 	return b, nil
 }
 
-// Handle processes one event and returns actions with the event's actions appended. The time now must not be before
-// that of the previous event.
+// Handle processes one event, appends the actions that it causes to the slice actions and returns that slice. The time
+// now must not be before that of the previous event.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	b.reindexDue()
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -41,9 +41,10 @@
 	}
 }
 
-// connectionEnded updates the estimates at the end of an established connection and records the client. A client whose
-// connection broke or was migrated avoids that server when it reconnects. A client whose connection was cancelled, as
-// its packets now arrive at another balancer, gets the same server if its packets arrive here again.
+// connectionEnded updates the estimates at the end of an established connection. If it ended with Reset or Cancelled,
+// the client is recorded. A client whose connection broke or was migrated avoids that server when it reconnects. Any
+// other recorded client gets the same server if its next request is MidFlow: its packets arrived at another balancer
+// for a while and now arrive here again.
 func (b *Balancer) connectionEnded(r *request, code Code) {
 	avoid := code == Reset || r.migrated
 	if avoid {
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -10,7 +10,8 @@
 
 // Timing of the polls.
 const (
-	// basePollInterval is the time between two polls of a single balancer, unless the settings have a longer one.
+	// basePollInterval is the least time between two polls, before pollIntervalPerBalancer is added. The settings may
+	// have a longer one.
 	basePollInterval = 10 * time.Second
 	// pollIntervalPerBalancer is added for each balancer, as the discovery service does not grow with the fleet.
 	pollIntervalPerBalancer = 100 * time.Millisecond
@@ -31,8 +32,8 @@
 }
 
 // scheduleFirstPoll schedules the first poll after a random delay, as balancers may start together. The delay is
-// short: a restored list may be out of date, and soon the balancer counts as notified of the changes since then,
-// whether it has polled or not.
+// short: a restored list may be out of date, and by the rule described at maxReconnectDelay the balancer soon counts
+// as notified of the changes since then, whether it has polled or not.
 func (b *Balancer) scheduleFirstPoll() {
 	limit := min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval))
 	b.discovery.pollAt = b.now + b.jitter(limit)
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -1,7 +1,7 @@
 package decide
 
-// Outlier ejection: a server that fails, times out or breaks connections gets no new connections for a while. This
-// depends on the outcomes of attempts and probes.
+// Outlier ejection: a server that fails, times out, rejects attempts or breaks connections gets no new connections
+// for a while. This depends on the outcomes of attempts and probes.
 
 import "time"
 
@@ -25,7 +25,8 @@
 	return s != nil && b.now < s.ejectedUntil
 }
 
-// recordOutcome updates a server's record by the outcome of an attempt or a probe, and ejects the server if it failed.
+// recordOutcome updates a server's record by the outcome of an attempt or a probe, and ejects the server if it failed
+// or rejected it.
 func (b *Balancer) recordOutcome(s *server, code Code) {
 	switch code {
 	case OK:
@@ -51,7 +52,7 @@
 	return min(baseEjectionTime<<min(failures-1, maxEjectionDoublings), maxEjectionTime)
 }
 
-// eject ejects a server unless it is ejected already or too many others are ejected.
+// eject ejects a server unless it is ejected already or the ejected servers would exceed maxEjectedFraction.
 func (b *Balancer) eject(s *server, duration time.Duration) {
 	limit := maxEjectedFraction * float64(len(b.ready))
 	if b.now < s.ejectedUntil || float64(b.ejectedExcept(s)+1) > limit {
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -28,15 +28,15 @@
 	maxMeanLoadSample = 1.5
 	// minMeanLoadReports is the number of load reports after which the mean load depends little on initialMeanLoad.
 	minMeanLoadReports = 2 * meanLoadSamples
-	// minCapacityLoad is the least load by which the rate observed at a server is divided to estimate the rate at full
-	// load. It limits the error of scaling up the rate of lightly loaded servers.
+	// minCapacityLoad is the least mean load by which a rate of connections is divided to estimate the rate at full
+	// load. If the mean load is lower, the rate is divided by minCapacityLoad.
 	minCapacityLoad = 0.5
 )
 
 // decayingCounter counts events. The count decays exponentially with the time constant demandDecayTime.
 type decayingCounter struct {
 	count     float64       // at updatedAt
-	updatedAt time.Duration // time of the latest event
+	updatedAt time.Duration // time at which an event was last counted
 }
 
 func (c *decayingCounter) value(now time.Duration) float64 {
@@ -112,7 +112,8 @@
 	return (defaultLifetime.Seconds() + l.connectionSeconds) / (1 + l.ended)
 }
 
-// capacityEstimate estimates this balancer's share of the connections per second that a warm server accepts.
+// capacityEstimate estimates this balancer's share of the connections per second that a warm server accepts at
+// full load.
 type capacityEstimate struct {
 	perSecond float64
 	span      float64 // seconds over which the estimate is averaged
@@ -169,7 +170,7 @@
 		return
 	}
 	zones := float64(max(len(b.settings.Zones), 1))
-	now := b.establishRate.perSecond * zones / (float64(fleet) * max(b.zoneLoad.mean, minCapacityLoad))
+	current := b.establishRate.perSecond * zones / (float64(fleet) * max(b.zoneLoad.mean, minCapacityLoad))
 	b.capacity.span = min(b.capacity.span+tickInterval.Seconds(), capacityWindow.Seconds())
-	b.capacity.perSecond += (now - b.capacity.perSecond) * tickInterval.Seconds() / b.capacity.span
+	b.capacity.perSecond += (current - b.capacity.perSecond) * tickInterval.Seconds() / b.capacity.span
 }
--- a/decide/index.go
+++ b/decide/index.go
@@ -81,7 +81,7 @@
 	changes           uint64         // number of changes of ready
 	changeLog         [changeLogLength]membershipChange
 	recentGroups      map[uint64]*groupRanking // rankings by the hash of the group
-	olderGroups       map[uint64]*groupRanking // rankings that are dropped unless they are used again
+	olderGroups       map[uint64]*groupRanking // rankings to drop when recentGroups is full, unless used before
 	connectionUnits   uint64                   // sum of the reported connections, in connection units
 	connectionReports int                      // number of servers in that sum
 }
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxImportedLoadPerConnection is the load that an imported load per connection must be below. A server at this load
-// is full and has more than one connection.
+// maxImportedLoadPerConnection is the limit that an imported load per connection must be below. One connection of this
+// load would use the whole capacity of a server, and a server has more than one connection.
 const maxImportedLoadPerConnection = 1
 
 // LearnedState is a balancer's learned state of one server: what it has measured, beyond the data of the endpoint list.
@@ -36,9 +36,9 @@
 	return states
 }
 
-// ImportLearned applies the learned state of the previous process. The host calls it after the start. Without it, all
-// clients that reconnect to this process would be sent to a failing server again, as that server looks idle. Invalid
-// values and unknown servers are ignored.
+// ImportLearned applies the learned state of the previous process. The host calls it after ListRestored, as servers
+// that are not in the list yet are ignored, and so are invalid values. Without it, all clients that reconnect to this
+// process would be sent to a failing server again, as that server looks idle.
 func (b *Balancer) ImportLearned(states []LearnedState) {
 	for _, state := range states {
 		if s := b.servers[state.Server]; s != nil {
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -32,7 +32,7 @@
 }
 
 // overloaded reports whether connections must be migrated off a server. It ignores reservations: the report includes
-// most of them already, and the others may never become load.
+// most of them already, and the other connections may never be established.
 func (b *Balancer) overloaded(s *server) bool {
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
@@ -66,8 +66,8 @@
 }
 
 // compareGroupSizes compares two connections of a server by the number of connections that their groups have there.
-// The numbers are divided by the number of balancers: where many balancers share a group's connections, this
-// balancer's own number says little about the size of the group.
+// The numbers are divided by the number of balancers of the zone and rounded down, so small numbers compare as equal:
+// where many balancers share a group's connections, this balancer's own number says little about the size of the group.
 func (b *Balancer) compareGroupSizes(s *server, x, y *request) int {
 	balancers := int(b.zoneBalancers())
 	return cmp.Compare(s.connectionsByGroup[x.Group]/balancers, s.connectionsByGroup[y.Group]/balancers)
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -143,7 +143,7 @@
 }
 
 // A client that was migrated off an overloaded server is not placed on it again when it reconnects, though the server
-// is the first preferred one of its group and reports a low load again.
+// reports a low load again.
 func TestMigratedClientsAvoidTheirServer(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(4, 0))
@@ -155,22 +155,22 @@
 			Remaining: 2 * time.Second}))
 	}
 	for i := range 8 {
-		preferred := ask(name("r", i), name("key", i))
-		h.send(Established{ID: RequestID(name("r", i)), Server: preferred})
-		h.reportLoad(preferred, 0.3)
+		placedOn := ask(name("r", i), name("key", i))
+		h.send(Established{ID: RequestID(name("r", i)), Server: placedOn})
+		h.reportLoad(placedOn, 0.3)
 	}
-	preferred := h.b.requests.byID["r0"].server.ID
+	overloaded := h.b.requests.byID["r0"].server.ID
 	h.now += migrationSettlePeriod
-	h.reportLoad(preferred, 1.2)
+	h.reportLoad(overloaded, 1.2)
 	migrations := actionsOf[Migrate](h.tick(tickInterval))
 	if len(migrations) == 0 {
 		t.Fatal("no connection was migrated")
 	}
 	for _, m := range migrations {
 		key := h.b.requests.byID[m.ID].Key
-		h.endAttempt(string(m.ID), 0, preferred, Cancelled, true)
-		h.reportLoad(preferred, 0.3)
-		if s := ask("again-"+string(m.ID), key); s == preferred {
+		h.endAttempt(string(m.ID), 0, overloaded, Cancelled, true)
+		h.reportLoad(overloaded, 0.3)
+		if s := ask("again-"+string(m.ID), key); s == overloaded {
 			t.Errorf("the migrated client %s was placed on server %d again", key, s)
 		}
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -43,9 +43,9 @@
 	crossZoneGap float64 // a server of another zone must have a load lower by this than the best of the own zone
 }
 
-// updateThresholds computes the thresholds. Load reports show the placements of the other balancers of the zone half
-// a second late, so the margin grows with the fraction of placements that others make. The balancer's own placements
-// are reserved at once.
+// updateThresholds computes the thresholds. Load reports show the placements of the other balancers of the zone up to
+// half a second late, so the margin grows with the fraction of placements that others make. The balancer's own
+// placements are reserved at once.
 func (b *Balancer) updateThresholds() {
 	margin := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
 	b.thresholds = loadThresholds{
@@ -153,7 +153,7 @@
 	if s := firstMatching(local, p.hasCapacity); s != nil {
 		return s, true
 	}
-	if s := firstMatching(remote, p.hasCapacity); s != nil { // the balancers of its zone most likely prefer it too
+	if s := firstMatching(remote, p.hasCapacity); s != nil { // balancers of its zone most likely place the group there too
 		p.zoneLoad.lastSpillAt = p.now
 		return s, true
 	}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -17,15 +17,16 @@
 	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. It is
 	// also the least time between two probes of a server without a report.
 	maxOnDemandProbeInterval = 2 * time.Second
-	// minOnDemandProbeInterval is the same age in a large fleet. The load in a newer report would hardly differ.
+	// minOnDemandProbeInterval is the same age in a large fleet. A probe before this age would return a report that is
+	// hardly newer.
 	minOnDemandProbeInterval = 250 * time.Millisecond
-	// onDemandProbeIntervalOfFleet, divided by the number of balancers, is this age in between: the more balancers
-	// place requests on a server, the sooner its report is out of date.
+	// onDemandProbeIntervalOfFleet, divided by the number of balancers, is this age in a fleet of medium size: the
+	// more balancers place requests on a server, the sooner its report is out of date.
 	onDemandProbeIntervalOfFleet = 8 * time.Second
 	// onDemandProbeTimeout is how long a request waits for the answers to its probes.
 	onDemandProbeTimeout = 60 * time.Millisecond
-	// onDemandProbes is the maximum number of servers of each list that are probed for a request because of their
-	// preference, and of those probed because no report shows capacity.
+	// onDemandProbes is the maximum number of servers of each list that are probed for a request: preferred servers if
+	// the request has a group, or the next servers of the list if it has none and no report shows capacity.
 	onDemandProbes = 2
 )
 
@@ -38,8 +39,8 @@
 	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a larger
 	// fleet its rate is lower, so that all of these balancers together probe no more than fullRateProbers of them.
 	fullRateProbers = 4.0
-	// probesPerAnyServer: if the steady probes are limited to the servers with connections of this balancer, one of
-	// this many goes to the next server of the whole local list instead.
+	// probesPerAnyServer is used while the steady probes are limited to the servers with connections of this balancer:
+	// one in probesPerAnyServer goes to the next server of the whole local list instead.
 	probesPerAnyServer = 4
 	// maxProbeDebt limits the probes of servers with slow messages that are made ahead of the steady probes' rate, and
 	// the saved credit for probes of servers short of capacity.
@@ -49,8 +50,8 @@
 const (
 	// overloadProbeInterval is the age at which the report of a server short of capacity is renewed.
 	overloadProbeInterval = 500 * time.Millisecond
-	// slowMessagesPeriod is how long a server counts as slow after a report of slow messages. Clients repeat the
-	// report every second.
+	// slowMessagesPeriod is how long a server counts as slow after a client's report of slow messages. The report is
+	// repeated every second while the messages are slow.
 	slowMessagesPeriod = 2 * time.Second
 	// slowMessagesReportAge is the age at which the load report of a server with slow messages is renewed.
 	slowMessagesReportAge = time.Second
@@ -155,8 +156,9 @@
 	b.zoneLoad.add(s.load)
 }
 
-// messageDelayReported handles the message latency that a client reports. Messages that take over half of the latency
-// objective show that the server is overloaded: it counts as slow, and is probed if its load report is too old.
+// messageDelayReported handles the message latency that a client reports. Messages that take over half of the message
+// latency objective show that the server is overloaded: it counts as slow, and is probed if its load report is too old.
+// A report of quicker messages ends this at once.
 func (b *Balancer) messageDelayReported(event MessageDelayReported) {
 	s, r := b.serverRecord(event.Server), b.requests.byID[event.ID]
 	if r == nil {
@@ -183,7 +185,9 @@
 	overloads [2]orderedServers // servers to search for those short of capacity
 }
 
-// probePeriodically makes the probes of a tick, limited by the rate that probeRate allows.
+// probePeriodically makes the probes of a tick. Steady probes and probes of servers short of capacity are each
+// limited to the rate of probeRate, and steady probes also to one per second for each local server. At most one probe
+// goes to a server without a load report, whatever the rate.
 func (b *Balancer) probePeriodically() {
 	if !b.settings.ProbingAllowed || len(b.local) == 0 {
 		return
@@ -201,9 +205,10 @@
 	}
 }
 
-// probeRate returns the number of probes per second that are allowed by the rate of established connections and the
-// cost of a probe. Balancers without connections need few reports, so in a large fleet their least rate is lower: all
-// of them together probe as often as fullRateProbers balancers.
+// probeRate returns the number of probes per second that are allowed by the rate of requests and the cost of a probe.
+// The rate of requests is that of established connections, or the open requests per defaultLifetime if that is
+// higher. Balancers without connections need few reports, so in a large fleet their least rate is lower: all of them
+// together probe as often as fullRateProbers balancers.
 func (b *Balancer) probeRate() float64 {
 	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -13,7 +13,7 @@
 	// rankingLength is the number of servers in a group's ranking. It exceeds maxPreferredServers, so that a few
 	// servers may be removed before all servers must be ranked again.
 	rankingLength = 6
-	// maxCachedRankings is the maximum number of recent rankings in the cache, and also of older ones.
+	// maxCachedRankings is the maximum number of rankings in each of the two maps recentGroups and olderGroups.
 	maxCachedRankings = 4096
 	// changeLogLength is the number of latest changes of a zone that are kept for updating rankings.
 	changeLogLength = 256
--- a/decide/reconnect.go
+++ b/decide/reconnect.go
@@ -10,9 +10,10 @@
 
 // Timing of the reconnects.
 const (
-	// maxReconnectDelay limits the time from the start of the failed attempt to the next call. A balancer counts as
-	// notified of a change 6 s after discovery had the change and could be reached. Discovery may have become
-	// reachable just after the failed attempt began, so the next call starts early enough to be answered within 6 s.
+	// maxReconnectDelay limits the time from the start of the failed attempt to the next call. By the operators' rules,
+	// a balancer counts as notified of a change 6 s after discovery had the change and could be reached, whether it has
+	// received the change or not. Discovery may have become reachable just after the failed attempt began, so the next
+	// call starts early enough to be answered within 6 s.
 	maxReconnectDelay = 4500 * time.Millisecond
 	// dialInterval is the time between the starts of two dials. It is jittered by up to half of it in each direction.
 	dialInterval = time.Second
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -106,7 +106,7 @@
 	return o
 }
 
-// maxPerSecond returns the largest count of the seconds from from to before to.
+// maxPerSecond returns the largest count of any second that is at least from and less than to.
 func maxPerSecond(counts map[int]int, from, to int) (n int) {
 	for second, count := range counts {
 		if second >= from && second < to {
@@ -124,7 +124,7 @@
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
 	} {
 		for _, how := range []outageKind{connectionsRefused, unreachable, respondsUnavailable, responseHangs} {
-			t.Run(fmt.Sprintf("%d, %d", fleet.balancers, how), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d balancers, outage kind %d", fleet.balancers, how), func(t *testing.T) {
 				for _, down := range []time.Duration{2 * time.Second, 8 * time.Second, 12 * time.Second,
 					30 * time.Second} {
 					o := simulateOutage(fleet.balancers, fleet.capacity, how, down)
--- a/decide/request.go
+++ b/decide/request.go
@@ -14,7 +14,7 @@
 	inFlight         bool          // the latest attempt, or the connection that it established, has not ended
 	established      bool          // the latest attempt has established its connection
 	migrated         bool          // the connection was migrated off an overloaded server
-	demandCountedFor *server       // warming server in whose demand the request was last counted
+	demandCountedFor *server       // warming server in whose groupDemand the request was last counted
 	executedOn       *server       // server of the first attempt that may have been executed; nil: none
 	firstSentAt      time.Duration // start of that attempt; if there is none, start of the latest attempt
 
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// maxReportLag is the longest time from a placement until load reports include it.
+// maxReportLag is the longest time from a placement until a load report that is received includes it. Reports are up to
+// half a second old when they are received.
 const maxReportLag = 600 * time.Millisecond
 
 // Limits of a request's load relative to that of an average connection.
@@ -41,9 +42,9 @@
 	})
 }
 
-// pendingReservations returns the reserved load of the placements that a report received now may not include yet, and
-// deletes older reservations. Each reservation has its own age. If a new placement prolonged the older reservations, a
-// server that regularly gets a new client would look saturated all the time.
+// pendingReservations deletes the reservations that are older than maxReportLag and returns the sum of the others,
+// which a report received now may not include yet. Each reservation expires by its own age. If a new placement
+// prolonged the older reservations, a server that regularly gets a new client would look saturated all the time.
 func (s *server) pendingReservations(now time.Duration) (sum float64) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool { return now-x.at > maxReportLag })
 	for _, x := range s.reservations {
@@ -56,8 +57,8 @@
 // server.
 func (b *Balancer) reservePlacement(r *request, s *server) {
 	s.placementsOnReport++
-	// While requests wait here, requests most likely wait at other balancers too, and all of them are placed on any
-	// server whose report shows capacity. So each balancer makes only one placement by such a report.
+	// While requests wait here, requests most likely wait at other balancers too. As soon as a report shows capacity,
+	// all balancers place requests on that server, so here the server leaves its pool after one placement.
 	if s.placementsOnReport >= maxPlacementsPerReport || len(b.requests.waiting) > 0 {
 		b.answers.remove(s)
 	}
--- a/decide/reservation_test.go
+++ b/decide/reservation_test.go
@@ -74,7 +74,7 @@
 			old)
 	}
 	if maxReportLag > time.Second {
-		t.Errorf("maxReportLag is %v, though load reports are at most half a second old", maxReportLag)
+		t.Errorf("maxReportLag is %v, want at most 1s, as load reports are at most half a second old", maxReportLag)
 	}
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// recordTimeout raises the set-up time and halves the window after an attempt that timed out. Several attempts often
-// time out together, so the window is halved at most once per tick.
+// recordTimeout raises the average set-up time and halves the window after an attempt that timed out. Several
+// attempts often time out together, so the window is halved at most once per tick.
 func (t *retryThrottle) recordTimeout(now, elapsed time.Duration) {
 	t.setupTime += (max(minAttemptSetups*elapsed, t.setupTime) - t.setupTime) / setupTimeSamples
 	if now-t.windowHalvedAt > tickInterval {
@@ -119,9 +119,9 @@
 	b.place(r, len(b.requests.waiting))
 }
 
-// mayAttempt reports whether a request may be sent to a server now. The server must not have been attempted before,
-// and its slow-start quota must allow the request. After an attempt that may have been executed, the request must also
-// be Idempotent, or the server must drop it as a repeat.
+// mayAttempt reports whether a request may be sent to a server now. No earlier attempt of the request may have been at
+// that server, and the server's slow-start quota must allow the request. After an attempt that may have been executed,
+// the request must also be Idempotent, or the server must drop it as a repeat.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
 	if slices.Contains(r.attemptedServers, s.ID) || !b.withinSlowStartQuota(r, s) {
 		return false
@@ -132,7 +132,8 @@
 		return true
 	case class.Idempotency == NotIdempotent:
 		return false
-	case b.now+b.settings.ConnectTimeout >= r.firstSentAt+class.DedupWindow: // sent only once the connection is up
+	// The request is sent when the connection is established, which may take up to ConnectTimeout.
+	case b.now+b.settings.ConnectTimeout >= r.firstSentAt+class.DedupWindow:
 		return false
 	}
 	return class.KeyScope.contains(&r.executedOn.Server, &s.Server)
--- a/decide/server.go
+++ b/decide/server.go
@@ -8,8 +8,8 @@
 
 // Bounds of the values of load reports.
 const (
-	// maxReportedLoad is the largest load that is accepted. With a larger one, the balancer would migrate all
-	// connections off the server, or each reserved connection would look too heavy for any server.
+	// maxReportedLoad is the largest load that is accepted. With a larger one, the balancer would migrate nearly all
+	// connections off the server, or estimate the load of one connection so high that no server has capacity for it.
 	maxReportedLoad = 100
 	// minReportedConnections is the least number of connections in a report from which the load of one connection is
 	// computed.
@@ -28,18 +28,18 @@
 	shuffledOrder       uint64          // sort key of the shuffled order, which differs between balancers
 	entry               indexEntry      // the server's data in the server index
 	notReadySince       time.Duration   // when discovery reported it as draining or removed
-	load                float64         // reportedLoad plus the reservations that the report does not include
+	load                float64         // reportedLoad plus the reservations that the report may not include
 	reportedLoad        float64         // load in the latest report
-	reportedAt          time.Duration   // time of the latest report; 0: never
+	reportedAt          time.Duration   // time of the latest report; 0: none that is still used
 	loadPerConnection   float64         // load of one connection, by the latest report that shows it; 0: unknown
 	placementsOnReport  int             // placements made since the latest report
-	probedOnDemandAt    time.Duration   // time of the latest probe other than a steady one
+	probedOnDemandAt    time.Duration   // latest probe for a request, or because it had no report or no capacity
 	consecutiveFailures int             // failures since the last success
 	ejectedUntil        time.Duration   // end of its ejection
 	slowUntil           time.Duration   // until when it counts as slow because a client reported slow messages
-	slowStartQuota      float64         // remaining placements in this window while the server warms up
-	slowStartQuotaUntil time.Duration   // end of this window, when the next quota is drawn
-	groupDemand         decayingCounter // requests with a group that arrived for it while it warmed up
+	slowStartQuota      float64         // placements that this balancer may still make in the current overload window
+	slowStartQuotaUntil time.Duration   // end of that window, from which on the next quota may be drawn
+	groupDemand         decayingCounter // requests with a group that had it as a candidate while it warmed up
 	reservations        []reservation   // placements that a report may not include yet, oldest first
 	migratedAt          time.Duration   // when connections were last migrated off it
 	connections         []*request      // established connections of this balancer
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -10,7 +10,7 @@
 // with it the poll interval could be days.
 const MaxBalancers = 10_000
 
-var errNoClasses = errors.New("settings: Classes is empty")
+var errNoClasses = errors.New("settings: Classes is empty, must have at least one class")
 
 // SettingError reports a field of the settings whose value is invalid.
 type SettingError struct {
@@ -66,7 +66,8 @@
 		{"Costs.CrossZone", !(costs.CrossZone >= 0)},
 	} {
 		if check.invalid {
-			return invalidSetting(check.field, "is out of range")
+			return invalidSetting(check.field,
+				"is out of range, must not be below 0 (Safety.SlowStartInitialCapacity: from 0 to 1)")
 		}
 	}
 	return nil
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,8 +1,10 @@
 package decide
 
-// Slow start: how many requests this balancer may send to a server that warms up after its start. The quota depends
-// on the server's age and on three estimates: how many connections a warm server accepts, how many of this balancer's
-// requests arrive for the server, and how many balancers share the zone.
+// Slow start: how many requests this balancer may send to a server that warms up after its start. The server's budget
+// is OverloadFactor times the number of connections that it accepts within an overload window at its present
+// capacity. This balancer's quota of it depends on the server's age and on three estimates: how many connections a
+// warm server accepts, how many of this balancer's requests have the server as a candidate, and how many balancers
+// share the zone.
 
 import (
 	"math"
@@ -71,9 +73,11 @@
 	use := demand / (1 + demand) // estimated fraction of windows in which this balancer has a request for the server
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
-		// The balancer's share of the connections that the server tolerates within the window, if all balancers have
-		// the same demand. It is used where it is larger, but only up to 1. With the quota above alone, some balancers
-		// would draw a quota and then have no request for the server, while others have requests and drew no quota.
+		// tolerated is the budget, computed from the load and lifetime of connections. If all balancers have the same
+		// demand, use*balancers of them have a request for the server within the window, and slowStartSafetyFactor of
+		// the budget is divided among these. The result raises the quota, but to no more than 1. With the quota above
+		// alone, some balancers would draw a quota and then have no request for the server, while others have
+		// requests and drew none.
 		tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
 		quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 	}
@@ -117,11 +121,12 @@
 	}
 }
 
-// expectedDemandFor estimates how many of this balancer's requests arrive for the warming server s within a window.
-// The estimate is at least the mean of the zone's servers. That mean is the prior, with the weight priorDemand, and is
-// corrected by the number of requests that recently arrived for s. When a server's connections break, their groups
-// reconnect to the same next preferred servers, so the mean says little about these servers. The larger the fraction
-// of broken connections in the demand, the more weight the number of requests for s has.
+// expectedDemandFor estimates how many of this balancer's requests have the warming server s as a candidate within a
+// window. The estimate is at least the mean of the zone's servers. That mean is the prior, with the weight
+// priorDemand, and is corrected by the number of requests that recently had s as a candidate. When a server's
+// connections break, their groups reconnect to the same next preferred servers, so the mean says little about these
+// servers. The larger the fraction of broken connections in the demand, the more weight the number of requests for s
+// has.
 func (b *Balancer) expectedDemandFor(r *request, s *server, window time.Duration) float64 {
 	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
