--- a/cmd/cottonplank/check.go
+++ b/cmd/cottonplank/check.go
@@ -55,7 +55,8 @@
 	return err
 }
 
-// checkSessions reads the session keys and prints a line about them. It prints nothing if sessions are not resumed.
+// checkSessions reads the session keys and prints a line about them. It prints nothing if session resumption is not
+// configured.
 func checkSessions(out io.Writer, sessions config.Sessions) error {
 	ring, err := loadSessionKeys(sessions)
 	if err != nil || ring == nil {
--- a/cmd/cottonplank/cluster.go
+++ b/cmd/cottonplank/cluster.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// startCluster starts the goroutines of the cluster membership, if one is configured. They join the cluster.
+// startCluster starts the goroutines of the cluster membership, if one is configured. The first, cluster.Run, joins the
+// cluster.
 func (d *daemon) startCluster(ctx context.Context) {
 	if d.cluster == nil {
 		return
@@ -61,7 +62,7 @@
 }
 
 // followServiceState leaves the cluster when this process becomes a lame duck, and rejoins it when the process serves
-// again.
+// again. In a graceful shutdown, leaveCluster leaves it.
 func followServiceState(ctx context.Context, cluster *gossip.Cluster, state func() core.ServiceState) {
 	ticker := time.NewTicker(serviceStateInterval)
 	defer ticker.Stop()
--- a/cmd/cottonplank/cluster_test.go
+++ b/cmd/cottonplank/cluster_test.go
@@ -50,7 +50,8 @@
 		"TMPDIR="+dir)
 }
 
-// waitMembersAlive waits until the process reports this number of alive members, and returns how long that took.
+// waitMembersAlive waits until the process reports this number of alive members, and returns how long that took. If it
+// takes longer than within, the test fails.
 func (p *process) waitMembersAlive(alive uint64, within time.Duration) time.Duration {
 	p.t.Helper()
 	began := time.Now()
--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -84,7 +84,7 @@
 	return root
 }
 
-// newCommand returns a command without arguments. An error that do returns is a commandError.
+// newCommand returns a command without arguments. It wraps an error of do in a commandError.
 func newCommand(out io.Writer, use, short string, do func(io.Writer) error) *cobra.Command {
 	execute := func(*cobra.Command, []string) error {
 		if err := do(out); err != nil {
@@ -98,7 +98,7 @@
 func newServeCommand(out io.Writer) *cobra.Command {
 	var frontsFile string
 	command := newCommand(out, "serve",
-		"Run the balancer with the file in PROXY_CONFIG; SIGHUP reloads discovery address, endpoint file and keys",
+		"Run the balancer with the file that PROXY_CONFIG names; SIGHUP reloads discovery address, endpoint file and keys",
 		func(io.Writer) error { return serve(frontsFile) })
 	addFrontsFlag(command, &frontsFile)
 	return command
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -66,7 +66,8 @@
 	}).Info("control: starting from the saved document")
 }
 
-// newSource returns the endpoint source that follows the control plane and falls back to the discovery service.
+// newSource returns the endpoint source that follows the control plane. Until the document contains an endpoint list,
+// the source delivers the list of the discovery service.
 func (r *configReplica) newSource(engine *core.Engine) *controlplane.Source {
 	newDiscovery := func(updates core.UpdateHandler) controlplane.DiscoverySource {
 		return httpsource.New(r.cfg.Discovery, r.cfg.KnownGeneration, updates, r.log)
@@ -81,8 +82,9 @@
 		r.log)
 }
 
-// followerSeed derives a seed from the follower's name. A follower chooses its control-plane server with this seed, so
-// that the followers spread over the servers.
+// followerSeed derives a seed from the name of a follower: a balancer's name, or the address at which a control-plane
+// server listens. A follower chooses the server that it follows with this seed, so that the followers spread over the
+// control-plane servers.
 func followerSeed(name string) uint64 {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// loadConfig reads the configuration and the fronts file, and reserves the descriptors of the QUIC flows. An empty
-// frontsFile means that there is none.
+// loadConfig reads the configuration and the fronts file, and subtracts the file descriptors of the QUIC flows from
+// those of the client connections. An empty frontsFile means that there is none.
 func loadConfig(frontsFile string) (*config.Config, config.Fronts, error) {
 	cfg, err := config.Load()
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// loadSessionKeys reads the keyring that seals session tokens. It returns nil if sessions are not resumed.
+// loadSessionKeys reads the keyring that seals session tokens. It returns nil if session resumption is not configured.
 func loadSessionKeys(sessions config.Sessions) (*token.Ring, error) {
 	ring, err := sessions.LoadRing()
 	if err != nil {
--- a/cmd/cottonplank/controlserver.go
+++ b/cmd/cottonplank/controlserver.go
@@ -20,7 +20,7 @@
 func newControlCommand(out io.Writer) *cobra.Command {
 	var file string
 	command := newCommand(out, "control",
-		"Run a control-plane server, which distributes an operator's document to balancers",
+		"Run a control-plane server, which distributes an endpoint list and a discovery address to balancers",
 		func(io.Writer) error { return runControlServer(file) })
 	command.Flags().StringVar(&file, "file", "", "configuration `file` of the control-plane server (required)")
 	command.MarkFlagRequired("file")
@@ -51,7 +51,7 @@
 	}
 	store := controlplane.NewStore(settings.StateFile, settings.Site, log)
 	saved := store.Load()
-	broadcaster := controlplane.NewBroadcaster(saved, true)
+	broadcaster := controlplane.NewBroadcaster(saved, true) // retains changes, which it sends to followers
 	var running sync.WaitGroup
 	if settings.DocumentFile != "" {
 		leader := controlplane.NewLeader(settings.DocumentFile, settings.Term, broadcaster, store, log)
--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -198,7 +198,8 @@
 }
 
 // Guards against a slow start of thirty processes on one machine that crash and restart at the same time, each with a
-// list of 20,000 room servers. A crash leaves Unix sockets behind that no process, or a faulty one, answers.
+// list of 20,000 room servers. A restarted process finds the Unix socket for hot restarts of the crashed one, where no
+// process listens, or one that never answers or exits in the middle of its answer.
 func TestCrashRestarts(t *testing.T) {
 	// The program is built without the race detector, which would add to the start times and the memory.
 	program := filepath.Join(t.TempDir(), "cottonplank")
@@ -236,8 +237,8 @@
 	})
 }
 
-// serveList is a discovery service whose list never changes. A watch receives the list, unless it starts from this
-// generation, and then only heartbeats.
+// serveList is a discovery service whose list never changes and has generation 1. Each call receives the list, unless
+// it asks for the changes since generation 1. A watch then receives a heartbeat per second.
 func serveList(list []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("from") != "1" {
@@ -263,7 +264,7 @@
 		path := hotrestart.SocketPath(f.dir, listen)
 		if i%3 == 0 {
 			if _, err := os.Stat(path); err != nil {
-				f.t.Error(err) // the killed process left no socket
+				f.t.Error(err) // the killed process left no Unix socket behind
 			}
 			continue
 		}
@@ -280,7 +281,7 @@
 }
 
 // checkInvalidList checks that the process rejects an invalid endpoint list in the configuration, with an error that
-// names the key, also after a crash.
+// names the key. The process runs with the directory of the crashed processes.
 func (f *processFleet) checkInvalidList() {
 	f.t.Helper()
 	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c",
--- a/cmd/cottonplank/daemon.go
+++ b/cmd/cottonplank/daemon.go
@@ -30,7 +30,7 @@
 	cfg              *config.Config
 	fronts           config.Fronts
 	frontsFile       string         // path of the fronts file; empty if there is none
-	sessionKeys      *token.Ring    // nil if sessions are not resumed
+	sessionKeys      *token.Ring    // nil if session resumption is not configured
 	initialEndpoints endpoint.List  // contents of the endpoint file at the start; empty without one
 	configReplica    *configReplica // nil if no control plane is configured
 	log              *logrus.Logger
@@ -43,7 +43,7 @@
 	// Subsystems.
 	monitor            *sdnotify.Monitor
 	engine             *core.Engine
-	cluster            *gossip.Cluster // nil if the instance is not a member of a cluster
+	cluster            *gossip.Cluster // nil if no cluster membership is configured
 	clientListener     *net.TCPListener
 	clientPauser       *hotrestart.Pauser
 	managementListener *net.TCPListener // nil if no management address is configured
@@ -56,7 +56,7 @@
 	discovery          endpointSource
 	endpointFile       *filesource.Source // nil unless an endpoint file replaces discovery
 	frontend           *platform.Frontend
-	sessions           *platform.SessionResumer // nil if sessions are not resumed
+	sessions           *platform.SessionResumer // nil if session resumption is not configured
 	restart            *restartCoordinator
 
 	// setDiscoveryAddress applies the discovery address of a reloaded configuration.
@@ -67,8 +67,8 @@
 
 // serve runs the balancer until SIGTERM or SIGINT, and then shuts it down gracefully.
 func serve(frontsFile string) error {
-	// The signals are caught from here until the process ends, also during a graceful shutdown. An uncaught signal
-	// would end the process with accepted requests unanswered.
+	// SIGHUP, SIGTERM and SIGINT are caught from here until the process ends, also during a graceful shutdown. By
+	// default each of them would end the process with accepted requests unanswered.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	stop, unregister := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -111,7 +111,7 @@
 	return d, nil
 }
 
-// build creates the remaining subsystems. Of these only the prober uses ctx before start is called.
+// build creates the remaining subsystems. The prober keeps ctx for the goroutines that it starts later.
 func (d *daemon) build(ctx context.Context) error {
 	var err error
 	d.notifier, err = sdnotify.NewNotifier(d.monitor, func() string { return statusLine(d.engine.Snapshot()) }, d.log)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// start runs all subsystems until ctx ends.
+// start starts the goroutines of all subsystems, which run until ctx ends, and returns.
 func (d *daemon) start(ctx context.Context, hangup <-chan os.Signal) {
 	d.running.Go(func() { d.discovery.Run(ctx) })
 	d.running.Go(func() { d.engine.Run(ctx, d.prober, d.discovery); d.prober.Wait() })
--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -36,7 +36,8 @@
 	return d, discovery, listener
 }
 
-// startLimited starts one process of a fleet of 300, with a limit on its file descriptors.
+// startLimited starts one process of a fleet of 300. The limit on its file descriptors is in its configuration, and is
+// also set in the kernel right after the process starts.
 func (d *deployment) startLimited(discovery *emulator.FaultyListener, name, listen, mode string,
 	descriptors uint64) *process {
 	d.t.Helper()
@@ -99,7 +100,8 @@
 	}
 }
 
-// waitForCalls waits until discovery has received n calls. The first poll of a process may be delayed for seconds.
+// waitForCalls waits until discovery has received n calls. A process delays its first poll by up to 1 s, and repeats a
+// failed one after a delay that grows with each failure.
 func waitForCalls(t *testing.T, discovery *emulator.FaultyListener, n uint64) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); discovery.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
--- a/cmd/cottonplank/engine.go
+++ b/cmd/cottonplank/engine.go
@@ -38,7 +38,8 @@
 	return err
 }
 
-// sessionStateTimeout returns the timeout for transferring a session's state, or 0 if sessions are not resumed.
+// sessionStateTimeout returns the timeout for transferring a session's state, or 0 if session resumption is not
+// configured.
 func sessionStateTimeout(sessions config.Sessions) time.Duration {
 	if sessions.KeysFile == "" {
 		return 0
@@ -47,7 +48,7 @@
 }
 
 // decodeLearned decodes the previous process's learned state of the room servers. It skips malformed lines. It returns
-// nil if there is no previous process, or if a line belongs to another deployment.
+// nil if there is no previous process, or if a line belongs to another deployment, which has other zones or classes.
 func decodeLearned(previous *hotrestart.PreviousProcess, deployment string, log *logrus.Logger) []decide.LearnedState {
 	if previous == nil {
 		return nil
--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -94,7 +94,7 @@
 }
 
 // rate returns the increase per second of the metric with this name plus those whose names begin with name and a dot.
-// It is negative if the instance restarted in between, which resets its counters.
+// It can be negative: a restart of the instance in between resets the counters.
 func (m instanceMetrics) rate(before instanceMetrics, name string, elapsed time.Duration) float64 {
 	sum := 0.0
 	for key, value := range m {
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// defaultKeyLifetime is how long a new key seals unless --for is set.
+	// defaultKeyLifetime is how long a new key seals if --for is not set.
 	defaultKeyLifetime = 30 * 24 * time.Hour
 	// minKeyLifetime is the smallest value that --for accepts.
 	minKeyLifetime = time.Minute
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -103,7 +103,8 @@
 	return string(raw)
 }
 
-// waitListed waits until the balancer lists this number of room servers. It reports false if that takes too long.
+// waitListed waits until the balancer lists this number of room servers. It reports false if that takes longer than
+// within.
 func (p *balancerProcess) waitListed(t testing.TB, servers int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -18,8 +18,9 @@
 	snmpSocket   = "snmp"
 )
 
-// inheritSockets requests the sockets of a running process, adds those that a service supervisor has passed, and
-// applies the memory limit. While two processes run, each gets a fraction of the limit.
+// inheritSockets requests the sockets of a running process and adds those that a service supervisor has passed. Of two
+// sockets with one name, it keeps that of the running process. It also applies the memory limit: while two processes
+// run, each gets half of it.
 func (d *daemon) inheritSockets() {
 	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
 	d.sockets, d.previous = hotrestart.ReceiveSockets(d.restartPath, d.log)
@@ -28,7 +29,8 @@
 }
 
 // openListeners opens the sockets of the frontends, the management server and the SNMP agent. It uses an inherited
-// socket where the name and the address match. The management socket is always a new one.
+// socket where the name and the address match. The management socket is never inherited, so a replacement process
+// fails to start if it has the management address of the previous process.
 func (d *daemon) openListeners() error {
 	listener, err := d.sockets.ListenTCP(clientSocket, d.cfg.Listen)
 	if err != nil {
--- a/cmd/cottonplank/main.go
+++ b/cmd/cottonplank/main.go
@@ -1,5 +1,5 @@
 // Command cottonplank is a load balancer for long-lived connections. It relays each client connection to a room server
-// and keeps it there until either side closes it or the balancer migrates it.
+// until either side closes it or the balancer migrates it: a migration asks the client to reconnect.
 package main
 
 import (
--- a/cmd/cottonplank/process_test.go
+++ b/cmd/cottonplank/process_test.go
@@ -19,7 +19,7 @@
 	"cottonplank/internal/operations/management"
 )
 
-// testTimeout bounds each wait of a test.
+// testTimeout bounds the waits of the tests, except those with a limit of their own.
 const testTimeout = 20 * time.Second
 
 // Environment variables that make the test binary run the program instead of the tests. A test starts it as a separate
@@ -143,8 +143,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startEmptyDiscovery starts a discovery service that answers each call with an empty list. It sends the query of each
-// call to calls.
+// startEmptyDiscovery starts a discovery service that answers each call with an empty list and keeps a watch open. It
+// sends the query string of each call to calls.
 func startEmptyDiscovery(t *testing.T) (address string, calls chan string) {
 	calls = make(chan string, 100)
 	address = startHTTPServer(t, func(w http.ResponseWriter, req *http.Request) {
@@ -172,7 +172,8 @@
 	return &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), server: startEchoServer(t), seed: "8c"}
 }
 
-// startDiscovery starts a discovery service that lists the room server, or never answers if hangs is true.
+// startDiscovery starts a discovery service that lists the room server and keeps a watch open. If hangs is true, it
+// never answers.
 func (d *deployment) startDiscovery(hangs bool) (address string) {
 	list := fmt.Sprintf(`{"generation":3,"reset":true,"instances":[{"instanceId":"s-1","hostPort":%q,"zone":"a",`+
 		`"lifecycle":"active"}]}`, d.server)
@@ -268,7 +269,8 @@
 	return metrics
 }
 
-// waitListed waits until the process lists this number of room servers, and returns how long that took.
+// waitListed waits until the process lists this number of room servers, and returns how long that took. It fails the
+// test after 2*testTimeout, with Errorf instead of Fatalf, because one test calls it from goroutines of its own.
 func (p *process) waitListed(servers int) time.Duration {
 	p.t.Helper()
 	start := time.Now()
@@ -355,7 +357,7 @@
 	}
 }
 
-// expectMigrate checks that the client receives MOVE, which tells it to reconnect, and closes the connection.
+// expectMigrate checks that the client receives MOVE, the request to reconnect, and closes the connection.
 func (d *deployment) expectMigrate(client testClient) {
 	d.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != nil || line != "MOVE\r\n" {
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -17,14 +17,15 @@
 )
 
 // reloader applies the settings that SIGHUP reloads: the discovery address, the session and cluster keys, and the
-// endpoint file. A reload is atomic: if any of the files is invalid, the whole previous configuration stays in force.
+// endpoint file. A reload is atomic: if any of the files cannot be read or is invalid, the whole previous configuration
+// stays in force.
 type reloader struct {
 	fronts              config.Fronts
-	cluster             *gossip.Cluster // nil if the instance is not a member of a cluster
+	cluster             *gossip.Cluster // nil if no cluster membership is configured
 	setDiscoveryAddress func(address string)
-	sessions            *platform.SessionResumer // nil if sessions are not resumed
+	sessions            *platform.SessionResumer // nil if session resumption is not configured
 	endpointFile        *filesource.Source       // nil unless an endpoint file replaces discovery
-	reportGeneration    func(generation uint64)  // starts at 1, rises by 1 with each successful reload
+	reportGeneration    func(generation uint64)  // generation: 1 at the start, 1 higher after each successful reload
 	notifier            *sdnotify.Notifier
 	log                 *logrus.Logger
 }
@@ -32,8 +33,8 @@
 // reloadedFiles is the validated content of the files that one reload has read.
 type reloadedFiles struct {
 	discovery   string        // address
-	sessionKeys *token.Ring   // nil if sessions are not resumed
-	clusterKeys *token.Ring   // nil if the instance is not a member of a cluster
+	sessionKeys *token.Ring   // nil if session resumption is not configured
+	clusterKeys *token.Ring   // nil if no cluster membership is configured
 	endpoints   endpoint.List // empty unless an endpoint file replaces discovery
 }
 
@@ -112,6 +113,7 @@
 	return files, nil
 }
 
+// apply applies the files' contents. It ignores the discovery address if an endpoint file replaces discovery.
 func (r *reloader) apply(ctx context.Context, files reloadedFiles) {
 	if files.clusterKeys != nil {
 		r.cluster.SetKeys(files.clusterKeys)
--- a/cmd/cottonplank/reload_test.go
+++ b/cmd/cottonplank/reload_test.go
@@ -78,8 +78,8 @@
 	return r
 }
 
-// reload sends two signals and checks that at least as many discovery addresses were applied as wanted, or none if
-// want is 0. The second reload may still be in progress when it returns.
+// reload sends two signals and checks that at least want discovery addresses were applied, or none if want is 0. The
+// second reload may still be in progress when it returns.
 func (r *reloadTest) reload(want int) {
 	r.Helper()
 	r.hangup <- syscall.SIGHUP
@@ -144,9 +144,9 @@
 	}
 }
 
-// At SIGHUP the running program switches to the discovery address in the configuration file, which overrides
-// PROXY_DISCOVERY. Client connections stay open. An invalid file changes nothing. A SIGHUP during a graceful shutdown
-// does not end the process early.
+// At SIGHUP the running program switches to the discovery address in the configuration file. PROXY_DISCOVERY, which
+// overrides the file at the start, is ignored then. Client connections stay open. An invalid file changes nothing. A
+// SIGHUP during a graceful shutdown does not end the process early.
 func TestReloadChangesDiscovery(t *testing.T) {
 	first, firstCalls := startEmptyDiscovery(t)
 	second, secondCalls := startEmptyDiscovery(t)
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -12,7 +12,7 @@
 )
 
 // exportLearnedTimeout bounds the wait for the engine to export its learned state for a replacement process. After the
-// timeout the replacement process receives none.
+// timeout the replacement process receives none. The replacement process itself waits up to 1 s for the response.
 const exportLearnedTimeout = 400 * time.Millisecond
 
 // restartCoordinator decides, during a hot restart, whether this process accepts connections from the shared listener
@@ -22,10 +22,10 @@
 	cfg       *config.Config
 	engine    *core.Engine
 	frontend  *platform.Frontend
-	cluster   *gossip.Cluster // nil if the instance is not a member of a cluster
+	cluster   *gossip.Cluster // nil if no cluster membership is configured
 	clients   *hotrestart.Pauser
 	datagrams []*hotrestart.Pauser
-	updates   chan func()   // each changes the state below; run executes them
+	updates   chan func()   // functions that change the state below; run calls them
 	done      chan struct{} // closed when run returns
 
 	previousAlive     bool // there is a previous process and it has not exited
@@ -82,7 +82,7 @@
 func (c *restartCoordinator) run(ctx context.Context) {
 	defer close(c.done)
 	if c.previousAlive {
-		c.apply()
+		c.apply() // shares the limits with the previous process from the start
 	}
 	for {
 		select {
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -8,14 +8,26 @@
 )
 
 const (
-	// exitTimeout bounds the wait for the goroutines to return after the drain.
+	// exitTimeout bounds the wait for the goroutines to return. It starts after the drain and after the wait for the
+	// notifier.
 	exitTimeout = 150 * time.Millisecond
-	// notifierTimeout bounds the wait until the notifier has sent its last notification to the service supervisor.
+	// notifierTimeout bounds the wait until the notifier has sent its last notification to the service supervisor. It
+	// is not a part of exitTimeout, but adds to it.
 	notifierTimeout = exitTimeout / 3
 )
 
-// shutdown stops the balancer gracefully: it answers the accepted requests and migrates the established connections
-// within the shutdown budget. Then it cancels the context of all subsystems and waits for their goroutines.
+// shutdown stops the balancer gracefully, in this order:
+//  1. It waits until the engine has drained. The engine answers the accepted requests and migrates the established
+//     connections, except those that clients can resume at the next process. The engine limits this to ShutdownBudget;
+//     shutdown has no timeout of its own for it.
+//  2. It waits until the instance has left the cluster. This runs from the start of the drain, for at most
+//     gossip.LeaveTimeout, which is shorter than ShutdownBudget.
+//  3. It cancels the context of all subsystems.
+//  4. It waits for the notifier, for at most notifierTimeout.
+//  5. It waits for the other goroutines, for at most exitTimeout after step 4.
+//
+// Known fault: the service supervisor is notified that the shutdown takes up to ShutdownBudget + exitTimeout. This
+// omits step 4, so that the waits can take up to notifierTimeout (50 ms) longer.
 func (d *daemon) shutdown(cancel context.CancelFunc) {
 	d.log.Info("stopping: answering pending requests and migrating established connections")
 	d.notifier.Stopping(d.cfg.ShutdownBudget + exitTimeout)
@@ -28,8 +40,9 @@
 	d.waitForGoroutines()
 }
 
-// leaveCluster leaves the cluster, if this instance is a member, while the engine drains. The returned channel is
-// closed when the departure is announced, at the latest after gossip.LeaveTimeout.
+// leaveCluster starts to leave the cluster and returns. The returned channel is closed when the departure is announced,
+// at the latest after gossip.LeaveTimeout. It is closed at once if the instance is not a member, or if a replacement
+// process has taken over its membership.
 func (d *daemon) leaveCluster() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -56,7 +69,8 @@
 }
 
 // waitForGoroutines waits up to notifierTimeout for the notifier, and then up to exitTimeout for the other goroutines.
-// It gives up after that: all requests have been answered, and the process has to exit before the platform kills it.
+// It gives up after that, because all requests have been answered, and the platform kills the process 300 ms after the
+// end of the shutdown budget (exitMargin in internal/config).
 func (d *daemon) waitForGoroutines() {
 	ended := make(chan struct{})
 	go func() { // may run until the process exits
--- a/cmd/cottonplank/shutdown_test.go
+++ b/cmd/cottonplank/shutdown_test.go
@@ -25,8 +25,8 @@
 }
 
 // Guards against a shutdown that hangs, or leaves clients without a response, because the room server answers no
-// request. Each client receives one response and then the end of the connection, and the process exits. A second
-// SIGTERM and a SIGHUP during the shutdown have no effect.
+// request. Each client receives BUSY and then the end of the connection, and the process exits with status 0. A second
+// SIGTERM and a SIGHUP during the shutdown do not end the process early.
 func TestShutdownWithUnresponsiveServer(t *testing.T) {
 	d := newDeployment(t)
 	var requests chan struct{}
--- a/cmd/cottonplank/slowstart_test.go
+++ b/cmd/cottonplank/slowstart_test.go
@@ -23,9 +23,9 @@
 	warmServers              = 10
 	slowStartInitialCapacity = 0.4 // fraction of the warm capacity
 	slowStartDuration        = 6 * time.Second
-	overloadFactor           = 4.0
-	overloadWindow           = time.Second
-	serverCapacity           = 60.0 // connections at which a warm server is at full load
+	overloadFactor           = 4.0         // multiple of its present capacity that overloads a warming server
+	overloadWindow           = time.Second // how long such a load has to last to overload it
+	serverCapacity           = 60.0        // connections at which a warm server is at full load
 	meanConnLifetime         = 5 * time.Second
 )
 
--- a/cmd/cottonplank/supervisor.go
+++ b/cmd/cottonplank/supervisor.go
@@ -9,8 +9,9 @@
 	"cottonplank/internal/operations/sdnotify"
 )
 
-// notifyReady notifies the service supervisor as soon as this process serves. If the process replaces another one, it
-// also declares itself the service's main process, because the other process is about to be stopped.
+// notifyReady notifies the service supervisor as soon as this process serves for the first time. If the process
+// replaces another one, it first declares itself the service's main process, because the other process is about to be
+// stopped.
 func notifyReady(ctx context.Context, engine *core.Engine, notifier *sdnotify.Notifier, replacesAnother bool) {
 	select {
 	case <-ctx.Done():
--- a/cmd/cottonplank/supervisor_test.go
+++ b/cmd/cottonplank/supervisor_test.go
@@ -35,8 +35,8 @@
 	return &notifySocket{t: t, conn: conn, path: path}
 }
 
-// wait reads notifications until one begins with want. It skips heartbeats, which it counts, and status lines. Any
-// other notification fails the test.
+// wait reads notifications until one begins with want. It skips status lines and heartbeats, and counts the heartbeats
+// that it skips. Any other notification fails the test.
 func (s *notifySocket) wait(want string) {
 	s.t.Helper()
 	buffer := make([]byte, 4096)
@@ -73,7 +73,8 @@
 	return listener, file
 }
 
-// startSupervised starts the program with two sockets of a service supervisor, named "clients" and "metrics".
+// startSupervised starts the program with two sockets of a service supervisor, named "clients" and "metrics". The
+// program uses only the first.
 func startSupervised(t *testing.T, notify *notifySocket, configFile string,
 	sockets ...*os.File) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
@@ -92,9 +93,9 @@
 	return program, logs
 }
 
-// Guards the service unit in deploy/. Under a service supervisor, the program accepts clients from the socket that it
-// inherits, notifies the supervisor when it is ready, sends heartbeats, and announces reloads and its shutdown. The
-// supervisor's listener accepts connections even after the program has exited.
+// Guards the behaviour on which the service unit in deploy/ relies. Under a service supervisor, the program accepts
+// clients from the socket that it inherits, notifies the supervisor when it is ready, sends heartbeats, and announces
+// reloads and its shutdown. The supervisor's listener accepts connections even after the program has exited.
 func TestServiceSupervisor(t *testing.T) {
 	dir := t.TempDir()
 	notify := newNotifySocket(t, filepath.Join(dir, "notify"))
