--- a/internal/frontend/quic/close_frame.go
+++ b/internal/frontend/quic/close_frame.go
@@ -40,10 +40,10 @@
 		return nil, err
 	}
 	frame := appendVarint([]byte{frameConnectionClose}, code)
-	frame = appendVarint(frame, framePadding) // the type of the frame that caused the error; 0 means unknown
+	frame = appendVarint(frame, framePadding) // the type of the frame that caused the error; the value 0 means unknown
 	frame = appendVarint(frame, uint64(len(reason)))
 	frame = append(frame, reason...)
-	for len(frame) < sampleOffset { // so that the packet is long enough for the sample for header protection
+	for len(frame) < sampleOffset { // with the AEAD tag this is long enough for the sample for header protection
 		frame = append(frame, framePadding)
 	}
 	const numberLength = 1
@@ -65,7 +65,8 @@
 }
 
 // findClose returns the first CONNECTION_CLOSE frame in the payload of an Initial packet, or nil if there is none. It
-// returns errMalformedPacket if it finds a truncated frame or a frame type that has no constant in this file.
+// returns errMalformedPacket if it finds a truncated frame or a frame type that has no constant in this file. Frames
+// after the first CONNECTION_CLOSE frame are not read.
 func findClose(payload []byte) (*closeFrame, error) {
 	r := packetReader{data: payload}
 	for !r.done() {
--- a/internal/frontend/quic/connection_id.go
+++ b/internal/frontend/quic/connection_id.go
@@ -25,8 +25,8 @@
 var errOtherFormat = errors.New("connection ID is not in the room servers' format")
 
 // IDFormat is the format of the connection IDs that room servers issue, according to QUIC-LB
-// (draft-ietf-quic-load-balancers). The first octet has the config ID in its upper three bits, and in the others the
-// length of the remaining octets. These are the server ID and a nonce, encrypted if there is a key.
+// (draft-ietf-quic-load-balancers). The upper three bits of the first octet are the config ID. Its lower five bits are
+// the number of octets that follow it. These are the server ID and a nonce, encrypted if there is a key.
 type IDFormat struct {
 	// configID identifies the format: 0 to maxConfigID.
 	configID byte
@@ -51,7 +51,7 @@
 		return f, nil
 	}
 	if len(key) != aes.BlockSize {
-		return nil, fmt.Errorf("invalid key of %d bytes: expected %d bytes", len(key), aes.BlockSize)
+		return nil, fmt.Errorf("invalid key of %d bytes: expected %d bytes, or 0 for plaintext", len(key), aes.BlockSize)
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -35,7 +35,8 @@
 	// routedFrom is the client address of the latest datagram that the router has delivered to the flow. The router's
 	// goroutine owns it.
 	routedFrom netip.AddrPort
-	// server is the room server of the established connection; 0 if there is none. The router's goroutine owns it.
+	// server is the room server of the established connection; 0 until the connection is established. It remains
+	// after a migration. The router's goroutine owns it.
 	server decide.ServerID
 
 	// commands passes the engine's commands to run.
@@ -63,7 +64,7 @@
 	// lastServerSourceID is the source connection ID in the room server's latest long header; nil if there is none.
 	lastServerSourceID []byte
 	// retained holds the client's first datagrams until the connection is established. Each attempt sends them to its
-	// room server.
+	// room server; if the flow is restored, establish sends them.
 	retained [][]byte
 	// pending holds the room server's first datagrams until the connection is established.
 	pending [][]byte
@@ -71,7 +72,8 @@
 	upstream *upstream
 	// accepted says that the room server of the current attempt has accepted the client.
 	accepted bool
-	// established says that datagrams are forwarded in both directions.
+	// established says that the engine has established the connection. From then on the room server's datagrams are
+	// forwarded to the client.
 	established bool
 	// finalAnswer is the packet that has rejected or failed the request; nil if there is none.
 	finalAnswer []byte
@@ -83,7 +85,7 @@
 	// unansweredSince is the arrival time of the first client datagram after the room server's latest datagram; zero
 	// if there is none.
 	unansweredSince time.Time
-	// responseAwaited says that the engine is waiting for a response from the room server.
+	// responseAwaited says that the engine's timeout for a response from the room server runs.
 	responseAwaited bool
 	// trafficReported is the time of the latest report of traffic to the engine.
 	trafficReported time.Time
--- a/internal/frontend/quic/flow_attempt.go
+++ b/internal/frontend/quic/flow_attempt.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// closeUpstream closes the socket of the current attempt, if there is one.
+// closeUpstream closes the socket of the current attempt, if there is one, and drops the pending datagrams of its room
+// server.
 func (fl *flow) closeUpstream() {
 	if fl.upstream != nil {
 		fl.upstream.conn.Close()
@@ -110,7 +111,7 @@
 }
 
 // establish marks the connection as established and forwards the room server's pending datagrams to the client. From
-// then on datagrams are forwarded in both directions.
+// then on the room server's datagrams are forwarded to the client as they arrive.
 func (fl *flow) establish(n int) {
 	if fl.upstream == nil || fl.upstream.attempt != n {
 		return
@@ -132,9 +133,9 @@
 	fl.retained, fl.pending = nil, nil
 }
 
-// cancelAttempt ends attempt n if the room server has not accepted it. The client's datagrams were sent when the
-// attempt began, since UDP has no handshake. The attempt may therefore have been executed, and a cancellation is
-// ignored if why says that the attempt was never executed.
+// cancelAttempt ends attempt n with code why, unless the room server has accepted it. The client's datagrams were sent
+// when the attempt began, since UDP has no handshake, so the room server may have executed the attempt. If why is a
+// code for attempts that were never executed, the attempt is therefore not ended.
 func (fl *flow) cancelAttempt(n int, why decide.Code) {
 	if fl.upstream != nil && fl.upstream.attempt == n && !fl.accepted && !why.NeverExecuted() {
 		fl.endAttempt(why)
--- a/internal/frontend/quic/flow_close.go
+++ b/internal/frontend/quic/flow_close.go
@@ -33,8 +33,9 @@
 	fl.frontend.send(raw, fl.clientAddress)
 }
 
-// resetClient ends the connection on the client's side: with a stateless reset if the client uses a connection ID in
-// the room servers' format, else with a CONNECTION_CLOSE frame in an Initial packet.
+// resetClient makes the client end the connection: with a stateless reset if the client uses a connection ID in the
+// room servers' format, else with a CONNECTION_CLOSE frame in an Initial packet. It sends nothing if the flow is
+// restored and has not handled a client datagram yet.
 func (fl *flow) resetClient() {
 	if fl.lastDestinationID != nil {
 		fl.frontend.sendReset(fl.lastDestinationID, fl.clientDatagramSize, fl.clientAddress)
--- a/internal/frontend/quic/flow_datagrams.go
+++ b/internal/frontend/quic/flow_datagrams.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// responseDelay is how long the room server may leave the client's datagrams unanswered until a further datagram
-	// makes the engine wait for a response. A single datagram may need no response: it may be an acknowledgement.
+	// responseDelay is how long the room server may leave the client's datagrams unanswered. A further datagram after
+	// this time starts the engine's timeout for a response. A single datagram does not, since it may be an
+	// acknowledgement, which needs no response.
 	responseDelay = 300 * time.Millisecond
 	// trafficReportsPerIdle is the maximum number of reports of traffic to the engine within Config.Idle.
 	trafficReportsPerIdle = 8
@@ -43,7 +44,8 @@
 	}
 }
 
-// expectResponse makes the engine wait for a response if the client still sends after responseDelay without one.
+// expectResponse starts the engine's timeout for a response if the room server has sent nothing since an earlier client
+// datagram that arrived more than responseDelay ago. The engine migrates the client when the timeout expires.
 func (fl *flow) expectResponse() {
 	now := time.Now()
 	if fl.unansweredSince.IsZero() {
@@ -56,7 +58,7 @@
 	}
 }
 
-// responseReceived records that the room server has sent a datagram, and ends the engine's wait for a response.
+// responseReceived records that the room server has sent a datagram, and stops the engine's timeout for a response.
 func (fl *flow) responseReceived() {
 	fl.unansweredSince = time.Time{}
 	if fl.responseAwaited {
@@ -66,8 +68,8 @@
 	fl.reportTraffic()
 }
 
-// reportTraffic reports to the engine that the connection has traffic, at most trafficReportsPerIdle times within
-// Config.Idle.
+// reportTraffic reports to the engine that the connection has traffic, which restarts the engine's idle timeout. It
+// does so at most trafficReportsPerIdle times within Config.Idle.
 func (fl *flow) reportTraffic() {
 	now := time.Now()
 	if now.Sub(fl.trafficReported) > fl.frontend.cfg.Idle/trafficReportsPerIdle {
@@ -93,7 +95,7 @@
 	case closed != nil:
 		fl.serverRejected(closed)
 	case !fl.restored && !fl.isResponseToInitial(p):
-		return // a packet with another connection ID, or not a response to an Initial packet
+		return // a packet with a short header, of another version, or with another connection ID
 	default:
 		fl.serverAccepted(d.raw)
 	}
@@ -164,8 +166,9 @@
 	fl.frontend.runInRouter(func() { fl.frontend.flows.addID(fl, id) })
 }
 
-// decryptClose returns the CONNECTION_CLOSE frame in an Initial packet, or nil if there is none. label is the HKDF
-// label of the sender's keys. Only Initial packets are decrypted: the balancer has no keys for other packets.
+// decryptClose returns the CONNECTION_CLOSE frame in an Initial packet, or nil if there is none or the packet cannot be
+// decrypted. label is the HKDF label of the sender's keys. Only Initial packets are decrypted: the balancer has no keys
+// for other packets.
 func (fl *flow) decryptClose(label string, raw []byte, p packet) *closeFrame {
 	if !p.isInitial() || fl.originalID == nil {
 		return nil
--- a/internal/frontend/quic/flow_table.go
+++ b/internal/frontend/quic/flow_table.go
@@ -6,8 +6,8 @@
 	"cottonplank/decide"
 )
 
-// maxFlowIDs limits the connection IDs of one flow, so that a client that makes up connection IDs cannot fill the
-// table.
+// maxFlowIDs is the maximum number of connection IDs of one flow, so that a client that makes up connection IDs cannot
+// fill the table.
 const maxFlowIDs = 16
 
 // flowTable holds the flows, indexed by their connection IDs. The router's goroutine owns it.
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -1,7 +1,7 @@
 // Package quic is the frontend for QUIC clients. It routes UDP datagrams by their connection IDs and does not
 // terminate QUIC. A client's first Initial packet is passed to package core as a request. Later packets carry
-// connection IDs that room servers have issued in QUIC-LB's format, which encodes the room server. If no room server
-// can answer a datagram, its sender gets a stateless reset.
+// connection IDs that room servers have issued in QUIC-LB's format. Each of these IDs encodes its room server. A
+// client whose room server is unknown or not available gets a stateless reset.
 //
 // Only the unencrypted fields of packets are parsed (RFC 8999 and RFC 9000). Initial packets are also decrypted,
 // which is possible because their keys are derived from a connection ID.
@@ -23,10 +23,11 @@
 )
 
 const (
-	// routerBacklog is the capacity of the queue of client datagrams to the router.
+	// routerBacklog is the capacity of the queue of client datagrams to the router. While it is full, no further
+	// datagrams are read from the socket.
 	routerBacklog = 256
 	// maxRepliesPerSecond limits stateless resets and other replies to datagrams whose source address may be spoofed,
-	// so that the balancer cannot be abused to amplify traffic.
+	// so that an attacker cannot make the balancer send a large number of datagrams to others.
 	maxRepliesPerSecond = 100
 	// readBufferBytes is the size of the receive buffer of the socket for client datagrams.
 	readBufferBytes = 1 << 20
@@ -42,17 +43,19 @@
 	ResetKey []byte
 	// Class is the class of all requests of this frontend.
 	Class int
-	// Timeout is the time after which a request that no room server has accepted is rejected or fails.
+	// Timeout is how long a client waits for the answer to its request. A request that no room server accepts in this
+	// time is rejected, or fails if a room server may have executed it.
 	Timeout time.Duration
-	// Idle is the time without traffic after which an established connection is closed.
+	// Idle is the time without traffic in either direction after which the flow of an established connection ends.
+	// Nothing is sent to the client or to the room server.
 	Idle time.Duration
 	// MaxFlows is the maximum number of flows. When it is reached, further requests are rejected, and datagrams of
 	// established connections that have no flow are dropped.
 	MaxFlows int
 }
 
-// Frontend routes client datagrams to room servers, and their datagrams back to the clients. Each client connection
-// is a flow with its own goroutine.
+// Frontend routes datagrams from clients to room servers, and from room servers to clients. Each client connection is
+// a flow with its own goroutine, also while its request waits for a room server.
 type Frontend struct {
 	cfg    Config
 	engine *core.Engine
@@ -137,7 +140,8 @@
 			return
 		}
 		if err != nil {
-			// Either the socket is paused, or the error concerns only one datagram.
+			// Either the socket is paused, or the error concerns only one datagram. In the second case
+			// WaitWhilePaused returns at once.
 			pause.WaitWhilePaused(ctx, err)
 			continue
 		}
--- a/internal/frontend/quic/id_encryption.go
+++ b/internal/frontend/quic/id_encryption.go
@@ -5,8 +5,8 @@
 	"crypto/cipher"
 )
 
-// encryptID encrypts the server ID and the nonce of a connection ID in place: in a single AES block if they have its
-// size together, else with QUIC-LB's four-pass Feistel network.
+// encryptID encrypts text, the server ID and the nonce of a connection ID, in place. If text has the size of an AES
+// block, it is encrypted as a single block, else with QUIC-LB's four-pass Feistel network.
 func encryptID(block cipher.Block, text []byte) {
 	if len(text) == aes.BlockSize {
 		block.Encrypt(text, text)
@@ -26,8 +26,9 @@
 
 // runFeistel runs the given passes of the Feistel network on the two halves of text. An odd pass encrypts the left
 // half and XORs the result into the right half, an even pass encrypts the right half and XORs the result into the
-// left half. If the length is odd, the upper four bits of the octet in the middle belong to the left half, and the
-// lower four bits to the right half.
+// left half. The encrypted block contains the half from its start, and in its last two octets the length of text and
+// the number of the pass. If the length is odd, the upper four bits of the octet in the middle belong to the left
+// half, and the lower four bits to the right half.
 func runFeistel(block cipher.Block, text []byte, passes []byte) {
 	length := len(text)
 	halfLength := (length + 1) / 2
--- a/internal/frontend/quic/initial.go
+++ b/internal/frontend/quic/initial.go
@@ -32,7 +32,7 @@
 // initialKeys protect the Initial packets of one side (RFC 9001, section 5). They are derived from a connection ID
 // that is sent unencrypted, so anyone who sees a connection's first packet can derive them.
 type initialKeys struct {
-	// aead encrypts payloads.
+	// aead encrypts and decrypts payloads.
 	aead cipher.AEAD
 	// iv is combined with the packet number to form the AEAD nonce.
 	iv []byte
@@ -107,6 +107,8 @@
 
 // unprotect returns the decrypted payload of the Initial packet at the start of datagram; p is this packet as parsed.
 // It does not change datagram. It returns an error if the packet is too short or was not protected with these keys.
+// The packet number is taken from the header as it is, so a packet cannot be decrypted if its header omits upper bits
+// of the number (RFC 9000, section 17.1).
 func (k *initialKeys) unprotect(datagram []byte, p packet) ([]byte, error) {
 	if p.end-p.numberOffset < sampleOffset+aes.BlockSize {
 		return nil, errMalformedPacket
@@ -137,10 +139,10 @@
 	return nonce
 }
 
-// headerMask returns the mask for header protection. The first 16 bytes of sample are the sample of the packet's
-// ciphertext.
-func (k *initialKeys) headerMask(sample []byte) []byte {
+// headerMask returns the mask for header protection. The sample is the first 16 bytes of ciphertext, which begins
+// sampleOffset bytes after the start of the packet number.
+func (k *initialKeys) headerMask(ciphertext []byte) []byte {
 	var mask [aes.BlockSize]byte
-	k.headerCipher.Encrypt(mask[:], sample[:aes.BlockSize])
+	k.headerCipher.Encrypt(mask[:], ciphertext[:aes.BlockSize])
 	return mask[:]
 }
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -41,7 +41,8 @@
 	destinationID []byte
 	// sourceID is the source connection ID of a long header.
 	sourceID []byte
-	// token is the token of an Initial packet, which serves for address validation.
+	// token is the address validation token of an Initial packet (RFC 9000, section 8.1). The balancer does not use
+	// it.
 	token []byte
 	// numberOffset is the offset of an Initial packet's packet number in the datagram.
 	numberOffset int
--- a/internal/frontend/quic/packet_reader.go
+++ b/internal/frontend/quic/packet_reader.go
@@ -2,18 +2,18 @@
 
 import "encoding/binary"
 
-// packetReader reads the fields of a packet one after the other. After a truncated field, truncated is set, and the
-// values of this field and all further fields must not be used.
+// packetReader reads the fields of a packet, or of the frames in its payload, one after the other. After a truncated
+// field, truncated is set, and the values of this field and all further fields must not be used.
 type packetReader struct {
-	// data is the packet.
+	// data is the datagram that begins with the packet, or the packet's decrypted payload.
 	data []byte
 	// offset is the position of the next field in data.
 	offset int
-	// truncated says that the packet ended within a field.
+	// truncated says that data ended within a field.
 	truncated bool
 }
 
-// done reports whether the packet has no further fields, or a field was truncated.
+// done reports whether data has no further fields, or a field was truncated.
 func (r *packetReader) done() bool { return r.truncated || r.offset >= len(r.data) }
 
 // bytes reads n bytes. The result shares memory with data; it is nil if fewer than n bytes are left.
--- a/internal/frontend/quic/router.go
+++ b/internal/frontend/quic/router.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// flowLinger is how long a flow remains after the final answer to its request, or after its client was asked to
-	// migrate. Packets that the client repeats in this time get the same answer and start no new flow.
+	// flowLinger is how long a flow remains after the final answer to its request, or after its client was made to
+	// migrate. Packets that the client sends in this time are answered in the same way and start no new flow.
 	flowLinger = 3 * time.Second
-	// overloadRetryAfter is the retry time that is sent to clients that are rejected because of Config.MaxFlows.
+	// overloadRetryAfter is the time after which a client that is rejected because of Config.MaxFlows may retry. It is
+	// sent to the client.
 	overloadRetryAfter = time.Second
 )
 
-// route delivers a datagram to its flow, or begins a flow for it. It runs in the router's goroutine, as do all
-// functions of this file.
+// route delivers a datagram to its flow, or begins a flow for it. Other datagrams get a reply or are dropped. It runs
+// in the router's goroutine, as do all functions of this file.
 func (f *Frontend) route(ctx context.Context, d datagram) {
 	p, err := parsePacket(d.raw, f.cfg.IDs.Len())
 	if err != nil {
@@ -74,12 +75,12 @@
 		f.rejectWithoutFlow(d, p)
 		return
 	}
-	fl := f.newFlow(ctx, d, p)
+	fl := f.startFlow(ctx, d, p)
 	fl.originalID, fl.clientID = clone(p.destinationID), clone(p.sourceID)
 	fl.deliver(d, p)
 	f.engine.RequestReceived(fl.call, core.Request{
 		Class:    f.cfg.Class,
-		Key:      d.from.Addr().String(),
+		Key:      d.from.Addr().String(), // by which the decision module recognizes the client
 		Deadline: time.Now().Add(f.cfg.Timeout),
 	})
 }
@@ -93,9 +94,10 @@
 	}
 }
 
-// restoreFlow handles a datagram whose connection ID encodes a room server but has no flow: either the balancer was
-// restarted, or the client uses another of the connection IDs that its room server has issued. If the room server is
-// not available, the client gets a stateless reset at once.
+// restoreFlow handles a datagram whose connection ID encodes a room server but has no flow. Either the client uses
+// another of the connection IDs that its room server has issued, or its flow no longer exists: the balancer was
+// restarted, or the flow ended, for example after Config.Idle. If the room server is not available, the connection is
+// not restored, and flow.answer sends a stateless reset.
 func (f *Frontend) restoreFlow(ctx context.Context, d datagram, p packet, server decide.ServerID) {
 	if !p.long {
 		// If a flow has the same server and client address, only the connection ID has changed.
@@ -108,15 +110,15 @@
 	if f.flows.count >= f.cfg.MaxFlows {
 		return // the client's loss recovery sends the data again
 	}
-	fl := f.newFlow(ctx, d, p)
+	fl := f.startFlow(ctx, d, p)
 	fl.restored = true
 	fl.deliver(d, p)
 	request := core.Request{Class: f.cfg.Class, Key: d.from.Addr().String()}
-	f.engine.RestoreConnection(fl.call, request, server, 0)
+	f.engine.RestoreConnection(fl.call, request, server, 0) // 0: without waiting for an unavailable room server
 }
 
-// newFlow adds a flow for the packet's destination connection ID and starts the flow's goroutine.
-func (f *Frontend) newFlow(ctx context.Context, d datagram, p packet) *flow {
+// startFlow adds a flow for the packet's destination connection ID and starts the flow's goroutine.
+func (f *Frontend) startFlow(ctx context.Context, d datagram, p packet) *flow {
 	fl := newFlow(f, d.from)
 	f.flows.add(fl, p.destinationID)
 	fl.call = f.engine.Accept(fl, core.ConnTraits{Linger: flowLinger, Idle: f.cfg.Idle, Resumable: true})
