--- a/internal/frontend/quic/attempt_test.go
+++ b/internal/frontend/quic/attempt_test.go
@@ -10,7 +10,8 @@
 )
 
 // If a room server rejects or ignores the request or has closed its port, another server is tried. The client sees no
-// rejection and is accepted by one server only.
+// rejection and is accepted by one server only. At least five attempts for the four clients show that the impaired
+// server was tried.
 func TestRetryAtAnotherServer(t *testing.T) {
 	t.Parallel()
 	for name, impair := range map[string]func(*fakeServer){
@@ -72,7 +73,7 @@
 	}
 }
 
-// When Config.MaxFlows is reached, a further client is rejected at once.
+// While the frontend has Config.MaxFlows flows, a further client is rejected.
 func TestMaxFlows(t *testing.T) {
 	t.Parallel()
 	ids := newTestFormat(t, nil)
--- a/internal/frontend/quic/client_close_test.go
+++ b/internal/frontend/quic/client_close_test.go
@@ -26,7 +26,7 @@
 	c.conn.Write(c.initial)
 	eventually(t, "the request waits", func() bool { return b.engine.CurrentSnapshot(time.Second).Waiting == 1 })
 	c.conn.Write(c.closeDatagram())
-	eventually(t, "the client has left", func() bool { return b.engine.CurrentSnapshot(time.Second).ClientsLeft == 1 })
+	eventually(t, "the close is counted", func() bool { return b.engine.CurrentSnapshot(time.Second).ClientsLeft == 1 })
 	c.conn.Write(c.closeDatagram())
 	s := newFakeServer(t, "s-1", ids, accepts)
 	b.engine.EndpointsUpdated(core.EndpointUpdate{
--- a/internal/frontend/quic/fake_client_test.go
+++ b/internal/frontend/quic/fake_client_test.go
@@ -21,7 +21,8 @@
 	return b
 }
 
-// fakeClient is a QUIC client that implements the same subset of the protocol as fakeServer.
+// fakeClient is a QUIC client that implements the part of the protocol that fakeServer implements: Initial packets,
+// connection IDs, and packets with short headers that contain a plain text.
 type fakeClient struct {
 	t        testing.TB
 	frontend netip.AddrPort
@@ -41,7 +42,7 @@
 func newFakeClient(t testing.TB, frontend netip.AddrPort) *fakeClient {
 	t.Helper()
 	c := &fakeClient{t: t, frontend: frontend, originalID: randomBytes(t, 8), ownID: randomBytes(t, 5)}
-	c.originalID[0] = 0xff // room servers never issue IDs with this first octet
+	c.originalID[0] = 0xff // room servers never issue IDs with this first octet, because its config ID 7 is reserved
 	c.initial = c.paddedInitial([]byte{frameCrypto, 0, 30})
 	c.changeAddress()
 	t.Cleanup(func() { c.conn.Close() })
@@ -113,7 +114,7 @@
 	return findClose(payload)
 }
 
-// mustOpen opens the connection. The test fails if the connection is rejected.
+// mustOpen opens the connection. The test fails if the connection is rejected or there is no response.
 func (c *fakeClient) mustOpen() {
 	c.t.Helper()
 	if closed, err := c.open(5 * time.Second); err != nil || closed != nil {
--- a/internal/frontend/quic/initial_test.go
+++ b/internal/frontend/quic/initial_test.go
@@ -18,6 +18,8 @@
 		"22f8ef4cdd93795d77d06edbb7aaf2f58891850abbdca3d20398c276456cbc42158407dd074ee"
 )
 
+// The IVs of both sides are those of RFC 9001, appendix A.1. With other labels or secrets, Initial packets could not be
+// decrypted.
 func TestInitialKeysVectors(t *testing.T) {
 	for _, v := range []struct{ label, iv string }{
 		{clientInitialLabel, "fa044b2f42a3fd3b46fb255c"},
@@ -35,6 +37,8 @@
 	}
 }
 
+// protect returns the bytes of the RFC's packet, and parsePacket and unprotect reverse it. The length 13 of connection
+// IDs in short headers does not matter here.
 func TestServerInitialVector(t *testing.T) {
 	keys, err := newInitialKeys(unhex(t, rfcOriginalID), serverInitialLabel)
 	if err != nil {
@@ -57,6 +61,8 @@
 	}
 }
 
+// A packet from newClosePacket can be parsed and decrypted, with and without a reason phrase. Without one the frame has
+// only sampleOffset bytes, the minimum for header protection. A packet with a changed byte is not decrypted.
 func TestClosePacket(t *testing.T) {
 	originalID, clientID, serverID := unhex(t, rfcOriginalID), []byte{1, 2, 3}, []byte{4, 5, 6, 7}
 	for _, reason := range []string{"", "retry-after=1500ms"} {
--- a/internal/frontend/quic/packet_bytes_test.go
+++ b/internal/frontend/quic/packet_bytes_test.go
@@ -51,7 +51,7 @@
 		"close": {closed, "c7000000010301020304040506070027f7b43239a36939dde18b263ebace" +
 			"52498519dee479491b970785fbd26b756bd227dd6f1a8072f2"},
 		"version negotiation": {negotiation, "c0000000000303040502010200000001"},
-		"stateless reset":     {reset[:], "fa8d48b53bc0810ea99dcd1207c03d69"},
+		"reset token":         {reset[:], "fa8d48b53bc0810ea99dcd1207c03d69"},
 	} {
 		if got := hex.EncodeToString(v.got); got != v.want {
 			t.Errorf("%s: bytes %s, want %s", name, got, v.want)
--- a/internal/frontend/quic/packet_fuzz_test.go
+++ b/internal/frontend/quic/packet_fuzz_test.go
@@ -7,7 +7,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// parsePacket and unprotect do not panic, and the parsed offsets and the connection ID are within the datagram.
+// parsePacket and unprotect do not panic. The parsed offsets are within the datagram, and the connection ID of a short
+// header has the given length of 13 bytes.
 func FuzzPacket(f *testing.F) {
 	initial, err := hex.DecodeString(rfcPacket)
 	if err != nil {
--- a/internal/frontend/quic/routing_test.go
+++ b/internal/frontend/quic/routing_test.go
@@ -31,7 +31,8 @@
 		cfg.Conn = shared
 	}, s1.endpoint(decide.Ready), s2.endpoint(decide.Ready))
 	// The first of the two calls may still be routed by the previous process: the pause wakes its reader by a read
-	// deadline, and a datagram that arrives before the reader runs is still returned. This cannot happen twice.
+	// deadline, and a datagram that arrives before the reader runs is still returned. The reader's next read fails, so
+	// this cannot happen twice.
 	for range 2 {
 		if response, err := c.call("hello"); err != nil || response != "s-1 hello" {
 			t.Fatalf("after the restart: %q, %v", response, err)
