--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter runs balancers for the simulator: it reads batches of events on standard input and writes one reply
-// to each on standard output. It exits with status 1 and one line on standard error when the input is invalid.
+// Command adapter runs balancers for the simulator. It reads batches of events from standard input and writes one reply
+// to each batch to standard output. If the input is invalid, it prints one line to standard error and exits with
+// status 1.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(in)
 	h := &host{encoder: simwire.NewEncoder(out), balancers: map[int]*decide.Balancer{}}
@@ -38,14 +39,14 @@
 	}
 }
 
-// host holds one Balancer for each instance; nothing is shared between them.
+// host holds one Balancer for each instance. The instances share no state.
 type host struct {
 	encoder   *simwire.Encoder
 	balancers map[int]*decide.Balancer
-	actions   []decide.Action // buffer of the actions of one event
+	actions   []decide.Action // buffer for the actions of one event
 }
 
-// Create starts an instance, or starts it again without its earlier state.
+// Create starts an instance. It discards the state of an earlier instance that has the same number.
 func (h *host) Create(instance int, now time.Duration, settings decide.Settings) error {
 	b, err := decide.New(settings)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Event lets an instance handle an event, and writes its actions.
+// Event passes an event to the Balancer of an instance and writes the resulting actions.
 func (h *host) Event(instance int, now time.Duration, event decide.Event) error {
 	h.actions = h.balancers[instance].Handle(now, event, h.actions[:0])
 	for _, action := range h.actions {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,7 +11,7 @@
 // runAdapter is the environment variable that makes the test binary run the adapter.
 const runAdapter = "ADAPTER_UNDER_TEST"
 
-// TestMain runs the adapter itself when the environment asks for it, so that the tests start a real process.
+// TestMain runs the adapter instead of the tests if runAdapter is set, so that the tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAdapter) == "1" {
 		main()
@@ -33,7 +33,7 @@
 	return out.String(), errs.String(), cmd.ProcessState.ExitCode()
 }
 
-// create is a CREATE message of a small deployment.
+// create returns a CREATE message with the settings of a small deployment.
 func create(who string) string {
 	return "CREATE\twho=" + who + "\tentropy=5\tareas=north\tbalancers=1\tlimits.most_tries=2" +
 		"\tmembership_mode=subscribe" +
@@ -42,12 +42,12 @@
 		"\trules.fall_multiple=3\trules.fall_s=3\tzone=north\n"
 }
 
-// listing is a list of the servers 11 and 12.
+// listing is a MANIFEST message that lists the servers 11 and 12.
 const listing = "MANIFEST\tpage=0\tlines=2\n" +
 	"ENTRY\tunits=1\tcondition=on\taz=north\tcell=0\tserver=11\n" +
 	"ENTRY\tunits=1\tcondition=on\taz=north\tcell=0\tserver=12\n"
 
-// frame makes one batch of a body.
+// frame returns a batch with the given body. n is the batch's number and its clock in seconds.
 func frame(n, body string) string { return "FRAME\tt_s=" + n + "\tn=" + n + "\n" + body + "COMMIT\n" }
 
 func TestConversation(t *testing.T) {
@@ -58,7 +58,7 @@
 			"DONE\twho=3\tid=u-1\trc=50\tserver=12\tn=0\tno_more=0\n")
 	out, errs, code := adapter(t, in)
 	if code != 0 || errs != "" {
-		t.Fatalf("exit %d, %q", code, errs)
+		t.Fatalf("exit status %d, standard error %q", code, errs)
 	}
 	replies := strings.SplitAfter(out, "\n")
 	var placed []string
@@ -75,7 +75,7 @@
 		t.Fatalf("unexpected replies: %q", out)
 	}
 	if len(placed) != 2 || placed[0] == placed[1] {
-		t.Fatalf("want the two servers in turn, got %v", placed)
+		t.Fatalf("want one attempt at each of the two servers, got %v", placed)
 	}
 }
 
@@ -93,7 +93,7 @@
 		}
 	}
 	if got := strings.Join(of3, ""); got != one {
-		t.Fatalf("instance 3 beside another:\n%q\nalone:\n%q", got, one)
+		t.Fatalf("replies of instance 3 beside instance 4:\n%q\nalone:\n%q", got, one)
 	}
 }
 
@@ -103,10 +103,10 @@
 		frame("3", "DONE\twho=3\tid=u-1\trc=40\tserver=11\tn=0\tno_more=0\n")
 	out, errs, code := adapter(t, in)
 	if code != 0 {
-		t.Fatalf("exit %d, %q", code, errs)
+		t.Fatalf("exit status %d, standard error %q", code, errs)
 	}
 	if last := out[strings.Index(out, "NEXT\tn=2\n"):]; strings.Contains(last, "u-1") {
-		t.Fatalf("acted for a request of the halted instance: %q", last)
+		t.Fatalf("reply names a request of the halted instance: %q", last)
 	}
 }
 
@@ -118,10 +118,10 @@
 		t.Run(in, func(t *testing.T) {
 			out, errs, code := adapter(t, in)
 			if code == 0 || strings.Count(errs, "\n") != 1 || strings.Contains(errs, "goroutine") {
-				t.Errorf("exit %d, %q", code, errs)
+				t.Errorf("exit status %d, standard error %q", code, errs)
 			}
 			if strings.Contains(out, "NEXT") {
-				t.Errorf("answered %q", out)
+				t.Errorf("replied to an invalid batch: %q", out)
 			}
 		})
 	}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -11,29 +11,29 @@
 	"cottonplank/decide"
 )
 
-// Host receives the decoded messages in their order of arrival, each with the clock of its batch.
+// Host receives the decoded messages in the order in which they arrive, each with the clock of its batch.
 type Host interface {
-	// Create starts an instance, which replaces an earlier one of that number.
+	// Create starts an instance. It replaces an earlier instance that has the same number.
 	Create(instance int, now time.Duration, settings decide.Settings) error
 	// Halt discards an instance.
 	Halt(instance int) error
-	// Event hands an event to an instance. The event's slices may be reused after the call.
+	// Event delivers an event to an instance. The caller may reuse the event's slices after the call.
 	Event(instance int, now time.Duration, event decide.Event) error
 }
 
 const (
-	// maxLists is the number of numbered lists that can be in use at once.
+	// maxLists is the number of endpoint lists that can be in use at once. They are numbered from 0.
 	maxLists = 16
-	// readBufferSize is the size of the input buffer in bytes; longer lines are copied.
+	// readBufferSize is the size of the input buffer in bytes. Longer lines are copied to a buffer of their own.
 	readBufferSize = 1 << 16
-	// firstMessageLine is the number of the line after the FRAME line.
+	// firstMessageLine is the number, within a batch, of the line after the FRAME line, which is line 1.
 	firstMessageLine = 2
 )
 
 // Decoder reads batches from the simulator.
 type Decoder struct {
 	in        *bufio.Reader
-	longLine  []byte // a line that is longer than the read buffer
+	longLine  []byte // copy of a line that is longer than the read buffer
 	line      line
 	lists     [maxLists]serverList
 	schemas   map[int]*schema   // of each instance
@@ -42,16 +42,16 @@
 	batch     uint64            // number of the current batch
 }
 
-// serverList is a numbered endpoint list, to which messages of all instances refer.
+// serverList is a numbered endpoint list. The messages of all instances refer to it by its number.
 type serverList struct {
 	servers  []decide.Server
-	received bool
+	received bool // whether a MANIFEST has set this list
 }
 
-// schema is how the settings of one instance name things.
+// schema holds the names that one instance's settings define for its messages.
 type schema struct {
 	classes       map[string]int // index of a class by its name
-	reportColumns []string       // columns of a load report
+	reportColumns []string       // names of the columns of a load report
 }
 
 // NewDecoder returns a decoder that reads from in.
@@ -63,8 +63,8 @@
 	}
 }
 
-// Batch hands the messages of one batch to host and returns the batch's number. At the end of the input between
-// batches it returns io.EOF. Other errors name the batch and the line; errors of the host are wrapped.
+// Batch delivers the messages of one batch to host and returns the batch's number. It returns io.EOF if the input ends
+// between batches. Other errors name the batch and the line, and wrap the errors that host returns.
 func (d *Decoder) Batch(host Host) (uint64, error) {
 	if err := d.beginBatch(); err != nil {
 		if err == io.EOF {
@@ -83,7 +83,7 @@
 	}
 }
 
-// beginBatch reads the line that begins a batch. Blank lines between batches are skipped.
+// beginBatch reads the FRAME line that begins a batch. Blank lines between batches are skipped.
 func (d *Decoder) beginBatch() error {
 	raw, err := d.readLine()
 	for err == nil && len(raw) == 0 {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// readLine returns the next line without its end. A last line without an end belongs to a truncated batch and is an
-// error.
+// readLine returns the next line without its line ending. It returns an error if the last line of the input has no
+// line ending, because its batch is truncated.
 func (d *Decoder) readLine() ([]byte, error) {
 	raw, err := d.in.ReadSlice('\n')
 	if err == nil {
@@ -132,7 +132,7 @@
 	return bytes.TrimSuffix(bytes.TrimSuffix(raw, []byte{'\n'}), []byte{'\r'})
 }
 
-// message reads one message of a batch and reports whether it ends the batch.
+// message reads one message of a batch and reports whether the message ends the batch.
 func (d *Decoder) message(host Host) (done bool, err error) {
 	raw, err := d.readLine()
 	if err == io.EOF {
@@ -153,7 +153,7 @@
 	return false, d.instanceMessage(host)
 }
 
-// instanceMessage handles the messages that name an instance.
+// instanceMessage handles a message that is addressed to an instance.
 func (d *Decoder) instanceMessage(host Host) error {
 	l := &d.line
 	if !isInstanceMessage(l.name) {
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -11,7 +11,7 @@
 	"cottonplank/decide"
 )
 
-// createLine has the settings of a small deployment; a test adds or changes fields.
+// createLine is a CREATE message with the settings of a small deployment. Tests add or change fields.
 const createLine = "CREATE\twho=3\tentropy=51\tareas=north,south\tbalancers=2\tlimits.connect_timeout_s=0.1" +
 	"\tlimits.max_retry_after_s=1.5\tlimits.may_probe=true\tlimits.most_tries=3\tlimits.retry_after=true" +
 	"\tmembership_mode=subscribe\tpenalties.probe=0.002\tpenalties.moves=0.02\tpenalties.cross_zone=0.03" +
@@ -52,12 +52,12 @@
 	return nil
 }
 
-// batch frames lines as batch 12.
+// batch returns the lines as batch 12.
 func batch(lines ...string) string {
 	return "FRAME\tt_s=8.41225\tn=12\n" + strings.Join(lines, "\n") + "\nCOMMIT\n"
 }
 
-// decodeAll reads all batches and returns their numbers.
+// decodeAll decodes all batches and returns the host that received their messages, and the batches' numbers.
 func decodeAll(in string) (*recorder, []uint64, error) {
 	r, d := &recorder{}, NewDecoder(strings.NewReader(in))
 	var seqs []uint64
@@ -95,7 +95,7 @@
 		Costs: decide.Costs{Probe: 0.002, Migration: 0.02, CrossZone: 0.03},
 	}
 	if len(r.settings) != 1 || !reflect.DeepEqual(r.settings[0], want) {
-		t.Fatalf("got %+v", r.settings)
+		t.Fatalf("unexpected settings: %+v", r.settings)
 	}
 }
 
@@ -138,7 +138,7 @@
 				t.Errorf("\n got %+v\nwant %+v", r.events, want)
 			}
 			if r.clocks[1] != 8412250*time.Microsecond || batches[0] != 12 || r.instances[1] != 3 {
-				t.Errorf("clock %v, batch %v, instance %v", r.clocks, batches, r.instances)
+				t.Errorf("wrong clock %v, batch %v or instance %v", r.clocks, batches, r.instances)
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 		t.Run(rc, func(t *testing.T) {
 			r, _, err := decodeAll(batch(createLine, "PROBE_RESULT\twho=3\tserver=1\trc="+rc))
 			if err != nil || r.events[0].(decide.ProbeCompleted).Code != want[i] {
-				t.Errorf("%v, %v", r.events, err)
+				t.Errorf("wrong outcome code: events %v, error %v", r.events, err)
 			}
 		})
 	}
@@ -162,10 +162,12 @@
 		batch(createLine, "MEMO\twho=3\tfrom=1\tcontents=aGk=",
 			"HEARTBEAT\twho=3\tid=x\tn=0\tserver=1\twhat=9\tamount=1"))
 	if err != nil || len(r.events) != 0 || len(seqs) != 2 {
-		t.Fatalf("%v, %v, %v", r.events, seqs, err)
+		t.Fatalf("events %v, batches %v, error %v; want no event from two batches", r.events, seqs, err)
 	}
 }
 
+// A list replaces an earlier list with the same number, and an event that refers to the earlier list keeps its entries
+// until the host has handled it.
 func TestListNumbersAreReused(t *testing.T) {
 	manifest := func(server string) string {
 		return "MANIFEST\tpage=0\tlines=1\nENTRY\tunits=1.5\tcondition=fading\taz=south\tcell=4\tserver=" + server +
@@ -176,23 +178,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line := decide.Server{ID: 8, Zone: "south", Cell: 4, State: decide.Draining, Weight: 1.5,
+	first := decide.Server{ID: 8, Zone: "south", Cell: 4, State: decide.Draining, Weight: 1.5,
 		Started: 6100 * time.Millisecond}
-	second := line
+	second := first
 	second.ID = 9
 	want := []decide.Event{
-		decide.ListReceived{Kind: decide.ListRestored, Servers: []decide.Server{line}},
+		decide.ListReceived{Kind: decide.ListRestored, Servers: []decide.Server{first}},
 		decide.ListReceived{Kind: decide.ListSnapshot, Servers: []decide.Server{second}},
 	}
 	if !reflect.DeepEqual(r.events, want) {
-		t.Fatalf("got %+v", r.events)
+		t.Fatalf("unexpected events: %+v", r.events)
 	}
 }
 
 func TestHaltThenCreateInOneBatch(t *testing.T) {
 	r, _, err := decodeAll(batch(createLine, "HALT\twho=3", createLine, "FIRED\twho=3\tnonce=1"))
 	if err != nil || len(r.settings) != 2 || len(r.halted) != 1 || len(r.events) != 1 {
-		t.Fatalf("%d created, halted %v, %d events, %v", len(r.settings), r.halted, len(r.events), err)
+		t.Fatalf("%d instances created, halted %v, %d events, error %v", len(r.settings), r.halted, len(r.events), err)
 	}
 }
 
@@ -205,17 +207,17 @@
 	lines = append(lines, "ABORTED\twho=3\tid="+long)
 	r, _, err := decodeAll(batch(lines...))
 	if err != nil || len(r.events) != 5001 || len(r.events[5000].(decide.ClientDisconnected).ID) != len(long) {
-		t.Fatalf("%d events, %v", len(r.events), err)
+		t.Fatalf("%d events, error %v", len(r.events), err)
 	}
 }
 
-// withMessage is a batch that creates an instance and has one more line.
+// withMessage returns a batch with createLine and one more line.
 func withMessage(line string) string { return batch(createLine, line) }
 
-// withSettings is a batch that creates an instance, with one text of the settings replaced.
+// withSettings returns a batch with createLine, in which it replaces one text.
 func withSettings(old, new string) string { return batch(strings.Replace(createLine, old, new, 1)) }
 
-// invalidInputs are inputs, and what their error messages must contain.
+// invalidInputs are the invalid inputs and the texts that their error messages must contain.
 var invalidInputs = map[string][]string{
 	withMessage("=5\twho=3"): {"batch 12, line 3",
 		"unknown message"},
@@ -231,7 +233,7 @@
 	withMessage("FIRED\twho=3\tnonce"):                {"expected name=value"},
 	withMessage("DEMAND\twho=3\tid=u\tremaining_s=1"): {"service", "missing"},
 	withMessage("DEMAND\twho=3\tid=u\tservice=x\tremaining_s=1"): {"service",
-		"a class of the settings"},
+		"the name of a class in the settings"},
 	withMessage("DEMAND\twho=3\tid=u\tservice=feed"): {"remaining_s", "missing"},
 	withMessage("DEMAND\twho=3\tid=u\tservice=feed\tremaining_s=soon"): {"remaining_s", "seconds",
 		"soon"},
@@ -272,11 +274,11 @@
 		t.Run(end, func(t *testing.T) {
 			_, _, err := decodeAll(input)
 			if err == nil {
-				t.Fatal("accepted")
+				t.Fatal("invalid input was accepted")
 			}
 			for _, part := range want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("message %q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
@@ -295,7 +297,7 @@
 		_, _, err := decodeAll(input)
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || *fieldError != want {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("got error %v, want %v", err, want)
 		}
 	}
 }
@@ -306,7 +308,7 @@
 		"0.000001": time.Microsecond, "3": 3 * time.Second, "1e-05": 10 * time.Microsecond,
 	} {
 		if got, err := parseSeconds([]byte(in)); err != nil || got != want {
-			t.Errorf("%s: %v, %v", in, got, err)
+			t.Errorf("%s: got %v, error %v", in, got, err)
 		}
 	}
 	for _, in := range []string{"", ".", "x", "1.2.3", "99999999999", "NaN", "Inf"} {
@@ -325,11 +327,11 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		r, seqs, err := decodeAll(in) // must not panic
 		if err == nil && strings.Count(in, "COMMIT") < len(seqs) {
-			t.Fatalf("%d batches from %q", len(seqs), in)
+			t.Fatalf("%d batches decoded, more than COMMIT lines in %q", len(seqs), in)
 		}
 		for _, ev := range r.events {
 			if ev == nil {
-				t.Fatal("the host got a nil event")
+				t.Fatal("the host received a nil event")
 			}
 		}
 	})
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -11,13 +11,13 @@
 	"cottonplank/decide"
 )
 
-// writeBufferSize is the size of the output buffer in bytes; a longer reply is written in parts.
+// writeBufferSize is the size of the output buffer in bytes. A longer reply takes several writes.
 const writeBufferSize = 1 << 16
 
-// Encoder writes replies.
+// Encoder writes the replies to batches.
 type Encoder struct {
 	out *bufio.Writer
-	buf []byte // the line that is being built
+	buf []byte // the line that is being written
 }
 
 // NewEncoder returns an encoder that writes to out.
@@ -25,7 +25,7 @@
 	return &Encoder{out: bufio.NewWriterSize(out, writeBufferSize)}
 }
 
-// Action writes one action of an instance. It fails on an action that the simulator does not know.
+// Action writes one action of an instance. It returns an error for an action that the protocol has no message for.
 func (e *Encoder) Action(instance int, action decide.Action) error {
 	switch a := action.(type) {
 	case decide.StartAttempt:
@@ -48,12 +48,12 @@
 	case decide.Log:
 		e.begin("RECORD", instance).text("body_text", singleLine.Replace(a.Text))
 	default:
-		return fmt.Errorf("no wire form for action %T", a)
+		return fmt.Errorf("unsupported action %T", a)
 	}
 	return e.writeLine()
 }
 
-// singleLine keeps a log text on one line and in one field.
+// singleLine replaces line breaks and tabs, which would end the line or the field, in a log text.
 var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // End ends the reply to a batch and flushes it.
@@ -64,12 +64,12 @@
 		return err
 	}
 	if err := e.out.Flush(); err != nil {
-		return fmt.Errorf("reply %d: %w", batch, err)
+		return fmt.Errorf("flush reply to batch %d: %w", batch, err)
 	}
 	return nil
 }
 
-// begin starts a line with a message name and the instance.
+// begin starts a line with a message name and the number of the instance.
 func (e *Encoder) begin(message string, instance int) *Encoder {
 	e.buf = append(e.buf[:0], message...)
 	return e.number("who", uint64(instance))
@@ -91,7 +91,7 @@
 	return e
 }
 
-// seconds leaves out a time of 0, which the simulator takes as absent.
+// seconds appends a time in seconds. A time of 0 means that there is none, so its field is omitted.
 func (e *Encoder) seconds(name string, value time.Duration) *Encoder {
 	if value != 0 {
 		e.fieldName(name)
--- a/internal/simwire/encode_test.go
+++ b/internal/simwire/encode_test.go
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if out.Len() != 0 {
-			t.Fatal("written before the reply ends")
+			t.Fatal("output was written before the end of the reply")
 		}
 		if err := encoder.End(12); err != nil {
 			t.Fatal(err)
@@ -42,13 +42,13 @@
 	}
 }
 
-// brokenWriter fails every write.
+// brokenWriter is a writer whose writes all fail.
 type brokenWriter struct{}
 
-func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("pipe is gone") }
+func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
 func TestWriteErrorsAreReported(t *testing.T) {
 	if err := NewEncoder(brokenWriter{}).End(1); err == nil {
-		t.Fatal("no error from a broken pipe")
+		t.Fatal("the write error was not returned")
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -15,17 +15,17 @@
 	attrReturning = 16
 )
 
-// Kinds of the notes of a HEARTBEAT message, with the units of their amounts.
+// Values of the what field of a HEARTBEAT message, with the units of its amount field.
 const (
 	noteLoad         = 1 // microseconds of work per second
 	noteMessageDelay = 2 // milliseconds
 )
 
-// outcomeCodes are the outcomes of the codes 10, 20, ... 80.
+// outcomeCodes are the outcome codes for the values 10, 20, ... 80 of the rc field, in this order.
 var outcomeCodes = [8]decide.Code{decide.OK, decide.ServerError, decide.Rejected, decide.TimedOut,
 	decide.ConnectFailed, decide.Reset, decide.Cancelled, decide.NotSent}
 
-// event reads an event of an instance. It returns nil for a message that is ignored.
+// event converts a message to an instance into an event. It returns nil for a message that is ignored.
 func (d *Decoder) event(schema *schema) (decide.Event, error) {
 	l := &d.line
 	switch string(l.name) {
@@ -50,7 +50,7 @@
 	case "PROBE_RESULT":
 		return probeCompleted(l, schema)
 	}
-	return nil, nil // MEMO: balancers send each other no messages
+	return nil, nil // MEMO is a message from another balancer. Balancers don't use such messages.
 }
 
 func restored(l *line, schema *schema) (decide.Event, error) {
@@ -73,7 +73,7 @@
 	}
 	class, ok := schema.classes[string(service)]
 	if !ok {
-		return r, l.invalid("service", "a class of the settings", service)
+		return r, l.invalid("service", "the name of a class in the settings", service)
 	}
 	if r.Remaining, err = l.seconds("remaining_s"); err != nil {
 		return r, err
@@ -97,7 +97,7 @@
 	return r, nil
 }
 
-// attemptRef names an attempt.
+// attemptRef identifies an attempt and its server.
 type attemptRef struct {
 	id      decide.RequestID
 	attempt int
@@ -128,7 +128,8 @@
 	return event, err
 }
 
-// note reads what a client reports of its connection. Kinds that are not known are ignored.
+// note reads a HEARTBEAT message, which reports the load or the message delay of a connection. Other kinds are
+// ignored.
 func note(l *line) (decide.Event, error) {
 	ref, err := attempt(l)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return event, err
 }
 
-// outcome is what the ends of attempts and of probes have in common.
+// outcome holds the fields that the messages about ended attempts and about probes have in common.
 type outcome struct {
 	code    decide.Code
 	elapsed time.Duration
@@ -202,7 +203,7 @@
 	return o, err
 }
 
-// loadReport reads the columns of a load report that the balancer uses.
+// loadReport reads the load and the number of connections from a load report. Other columns are ignored.
 func loadReport(l *line, columns []string) (decide.LoadReport, error) {
 	report := decide.NoLoadReport
 	rest, ok := l.get("health_info")
@@ -220,7 +221,7 @@
 		}
 		number, err := parseDecimal(value)
 		if err != nil {
-			return report, l.invalid("health_info", "numbers apart by commas", value)
+			return report, l.invalid("health_info", "comma-separated numbers", value)
 		}
 		switch column {
 		case "x0":
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -10,8 +10,8 @@
 // field is one name=value pair of a line.
 type field struct{ name, value []byte }
 
-// line is a message split into its name and fields. They share memory with the read buffer, and are valid until the
-// next line is read.
+// line is a message that is split into its name and fields. The name and the fields are slices of the read buffer,
+// so they are valid only until the next line is read.
 type line struct {
 	name   []byte
 	fields []field
@@ -21,13 +21,13 @@
 type FieldError struct {
 	Message string // name of the message
 	Field   string // name of the field
-	Problem string // continues the name, such as " is missing"
+	Problem string // text that follows the field's name, such as " is missing"
 }
 
-// Error returns the message, the field and the problem.
+// Error returns the name of the message, the name of the field and the problem.
 func (e *FieldError) Error() string { return e.Message + ": field " + e.Field + e.Problem }
 
-// parse splits raw at the tabs. A part without '=' is an error.
+// parse splits raw at the tabs. It returns an error if a field has no name or no '='.
 func (l *line) parse(raw []byte) error {
 	l.fields = l.fields[:0]
 	var rest []byte
@@ -49,7 +49,7 @@
 
 var tab, equals = []byte{'\t'}, []byte{'='}
 
-// maxExcerpt is the number of bytes of input that an error message quotes.
+// maxExcerpt is the largest number of bytes of input that an error message quotes.
 const maxExcerpt = 60
 
 // excerpt quotes the start of raw for an error message.
@@ -84,7 +84,7 @@
 	return &FieldError{string(l.name), name, ": expected " + expected + ", found " + excerpt(value)}
 }
 
-// number reads a required whole number of at most so many bits.
+// number reads a required whole number that fits in the given number of bits.
 func (l *line) number(name string, bits int) (uint64, error) {
 	value, err := l.required(name)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return number, nil
 }
 
-// optionalDecimal reads a decimal number; absent and empty mean 0.
+// optionalDecimal reads a decimal number. An absent or empty field means 0.
 func (l *line) optionalDecimal(name string) (float64, error) {
 	value, ok := l.get(name)
 	if !ok || len(value) == 0 {
@@ -123,7 +123,7 @@
 	return duration, nil
 }
 
-// flag reads a bool, 1 or 0; absent means 0.
+// flag reads a boolean, 1 or 0. An absent field means 0.
 func (l *line) flag(name string) (bool, error) {
 	value, ok := l.get(name)
 	switch {
@@ -135,19 +135,19 @@
 	return false, l.invalid(name, "1 or 0", value)
 }
 
-// text returns the value of a field; absent means empty.
+// text returns the value of a field, or an empty string if the field is absent.
 func (l *line) text(name string) string {
 	value, _ := l.get(name)
 	return string(value)
 }
 
-// maxNumber bounds the numbers that are accepted; as seconds it still fits a time.Duration.
+// maxNumber is the largest accepted decimal number. As a number of seconds it fits in a time.Duration.
 const maxNumber = 9e9
 
 // parseDecimal reads a number from -maxNumber to maxNumber.
 func parseDecimal(text []byte) (float64, error) {
 	number, err := strconv.ParseFloat(string(text), 64)
-	if err == nil && !(number >= -maxNumber && number <= maxNumber) { // NaN is out of range too
+	if err == nil && !(number >= -maxNumber && number <= maxNumber) { // the condition is also true for NaN
 		err = strconv.ErrRange
 	}
 	return number, err
@@ -156,7 +156,8 @@
 // maxExactSeconds is the length of the longest text that parseSeconds reads digit by digit.
 const maxExactSeconds = 18
 
-// parseSeconds reads plain decimals exactly, to the nanosecond. Other notations go through a float.
+// parseSeconds reads plain decimals exactly, to the nanosecond. It reads other notations as a float64, which rounds to
+// the microsecond.
 func parseSeconds(text []byte) (time.Duration, error) {
 	var whole, fraction int64
 	scale := int64(time.Second)
--- a/internal/simwire/lists.go
+++ b/internal/simwire/lists.go
@@ -7,13 +7,14 @@
 	"cottonplank/decide"
 )
 
-// listNumberBits and serverBits are the sizes of the numbers of lists and servers.
+// listNumberBits and serverBits are the sizes, in bits, of list numbers and server IDs.
 const (
 	listNumberBits = 32
 	serverBits     = 32
 )
 
-// manifest reads a numbered list, which replaces an earlier one of that number.
+// manifest reads a MANIFEST message and the entries of its endpoint list. The list replaces an earlier list that has
+// the same number.
 func (d *Decoder) manifest() error {
 	number, err := d.line.number("page", listNumberBits)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// entry reads one line of a list.
+// entry reads one entry of an endpoint list.
 func (d *Decoder) entry(raw []byte) (s decide.Server, err error) {
 	l := &d.line
 	if err := l.parse(raw); err != nil {
@@ -91,7 +92,7 @@
 	return 0, l.invalid("condition", "on, fading or off", condition)
 }
 
-// internZone returns one copy of each zone's name, as every list entry has one.
+// internZone returns the stored copy of a zone's name, so that the entries of one zone share one string.
 func (d *Decoder) internZone(name string) string {
 	if interned, ok := d.zoneNames[name]; ok {
 		return interned
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,11 +9,11 @@
 	"cottonplank/decide"
 )
 
-// countBits is the size of counts and instance numbers.
+// countBits is the size, in bits, of counts and instance numbers.
 const countBits = 31
 
 // settingsReader reads the fields of a CREATE line. It stores the first error, so that its caller can read all fields
-// and check once.
+// and check for an error once.
 type settingsReader struct {
 	line *line
 	err  error
@@ -27,12 +27,12 @@
 
 func (r *settingsReader) text(name string) string { return r.line.text(name) }
 
-// seconds reads a time; absent means 0.
+// seconds reads a time in seconds. An absent field means 0.
 func (r *settingsReader) seconds(name string) time.Duration {
 	return secondsToDuration(r.decimal(name))
 }
 
-// decimal reads a number; absent means 0.
+// decimal reads a decimal number. An absent field means 0.
 func (r *settingsReader) decimal(name string) float64 {
 	value, err := r.line.optionalDecimal(name)
 	r.recordError(err)
@@ -46,14 +46,14 @@
 	return int(value)
 }
 
-// requiredDecimal reads a required number.
+// requiredDecimal reads a required decimal number.
 func (r *settingsReader) requiredDecimal(name string) float64 {
 	_, err := r.line.required(name)
 	r.recordError(err)
 	return r.decimal(name)
 }
 
-// requiredSeconds reads a required time.
+// requiredSeconds reads a required time in seconds.
 func (r *settingsReader) requiredSeconds(name string) time.Duration {
 	return secondsToDuration(r.requiredDecimal(name))
 }
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// parseSettings reads the settings of a CREATE line; unknown fields are ignored.
+// parseSettings reads the settings of a CREATE line. Unknown fields are ignored.
 func parseSettings(l *line) (decide.Settings, *schema, error) {
 	r := &settingsReader{line: l}
 	seed, err := l.number("entropy", 64)
@@ -106,7 +106,8 @@
 	return settings, schema, r.err
 }
 
-// watchList reports whether list changes come only when they are asked for.
+// watchList reports whether the balancer must request changes of the endpoint list. Otherwise the simulator sends them
+// unrequested.
 func (r *settingsReader) watchList() bool {
 	switch mode := r.text("membership_mode"); mode {
 	case "subscribe":
@@ -133,7 +134,7 @@
 	return classes
 }
 
-// class reads one class; the list of message latency objectives may be shorter than that of the classes.
+// class reads one class. The list of message latency objectives may be shorter than the list of classes.
 func (r *settingsReader) class(index int, objectives []string) decide.Class {
 	prefix := "profiles." + strconv.Itoa(index) + "."
 	class := decide.Class{
@@ -172,7 +173,7 @@
 	return secondsToDuration(seconds)
 }
 
-// choice reads a field that holds one of several words.
+// choice reads a field that must contain one of the given words.
 func choice[T any](r *settingsReader, name string, words map[string]T) T {
 	value, ok := words[r.text(name)]
 	if !ok {
