--- a/decide/comparison_test.go
+++ b/decide/comparison_test.go
@@ -74,8 +74,8 @@
 	return ""
 }
 
-// randomServer returns a random list entry. The weight is unset if weights is 0, 1 if weights is 1, and otherwise one
-// of so many random values.
+// randomServer returns a random list entry. The weight is 0 if weights is 0, 1 if weights is 1, and otherwise a random
+// multiple of 1/8 below weights/8.
 func (p *comparison) randomServer(id ServerID, weights int) Server {
 	s := Server{ID: id, Zone: []string{"a", "a", "b", "c"}[p.rng.IntN(4)], Cell: p.rng.IntN(9)}
 	switch {
@@ -310,7 +310,8 @@
 		actions: map[string]int{}, listed: map[ServerID]Server{}}
 }
 
-// run sends a list of n servers and then makes the given number of steps. It returns false at the first difference.
+// run sends a list of n servers, imports a random learned state of them and then makes the given number of steps. Half
+// way through, it also compares the exported learned states. It returns false at the first difference.
 func (p *comparison) run(n, weights, steps int) bool {
 	for i := range n {
 		id := ServerID(i + 1)
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -86,7 +86,7 @@
 
 // After a release doubles the number of servers, a large fleet uses the warming servers. The quotas of many balancers
 // can be so small, or drawn by so many balancers without a request, that the new servers stay nearly idle while the old
-// servers are overloaded.
+// servers are overloaded and clients wait.
 func TestWarmingServersAreUsedByLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // as many servers start as are warm
@@ -148,8 +148,8 @@
 	}
 }
 
-// establishedFleet returns a fleet of n balancers and the given number of old servers, to which it sends requests for
-// about the given load, and the groups of the requests. There are as many groups as servers.
+// establishedFleet returns a fleet of n balancers and the given number of old servers, which have about the given load,
+// and the names of the connections' groups. There are as many groups as servers.
 func establishedFleet(t *testing.T, n, old int, load float64) (f *fleetSimulation, groups []string) {
 	t.Helper()
 	for i := range old {
@@ -276,7 +276,7 @@
 }
 
 // A fleet recovers from an overload. Half of the servers fail for 12 s, while there are more clients than all servers
-// have capacity for. Rejected clients reconnect, and connections at an overloaded server time out. In one case, the
+// have capacity for. Rejected clients reconnect, and attempts at an overloaded server time out. In one case, the
 // servers also share a store that limits the rate of set-ups. Such a fleet stays overloaded after the failure if its
 // groups were spread over many servers in the meantime, because every server with a connection of a group bears the
 // group's load.
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -27,11 +27,11 @@
 	load                float64       // load of the warm servers before the start of the warming servers
 	demandFactor        float64       // demand after the start divided by the demand before it; below 1 counts as 1
 	uneven              bool          // some balancers get several times the mean demand
-	synchronized        bool          // the demand after the start arrives within 50 ms of each full second
+	synchronized        bool          // the demand after the start arrives in the first two steps of each second
 	restartedFraction   float64       // fraction of the balancers that are replaced, evenly over the warm-up
 	learned             bool          // replacements import the learned state of the balancers that they replace
 	warmUp              time.Duration // time that the fleet runs before the start; 0: defaultWarmUp
-	lateFraction        float64       // fraction of the balancers that observe the start 3 s late
+	lateFraction        float64       // fraction of the balancers that observe the start about 3 s late
 	droppingServers     int           // warm servers of zone a that drop all connections 2 s after the start
 	seed                uint64        // seed of the simulation's random choices
 }
@@ -282,7 +282,7 @@
 }
 
 // run advances the simulation by d, in which the given number of clients per second arrive. If synchronized, they
-// arrive at the start of each second.
+// arrive in the first two steps of each second.
 func (f *slowStartSimulation) run(d time.Duration, rate float64, synchronized bool) {
 	for end := f.now + d; f.now < end; {
 		f.now += slowStartStep
