--- a/internal/cluster/membership/budget_property_test.go
+++ b/internal/cluster/membership/budget_property_test.go
@@ -15,9 +15,9 @@
 )
 
 // Guards against overuse of a shared budget: while instances join, are killed, restart and are partitioned at random,
-// the quotas of all live instances must never add up to more than the whole budget. The model keeps the two
-// assumptions of docs/membership.md: a partition lasts less than MaxPartitionDuration, and during a partition each
-// segment keeps at least one converged instance.
+// the shares (1/divisor) of all live instances that are admitted must never add up to more than the whole budget. The
+// model keeps the two assumptions of docs/membership.md: a partition lasts less than MaxPartitionDuration, and during a
+// partition each segment keeps at least one converged instance.
 func TestQuotasNeverExceedBudget(t *testing.T) {
 	flag.Set("rapid.seed", "20261202")
 	flag.Set("rapid.nofailfile", "true")
--- a/internal/cluster/membership/cluster_model_test.go
+++ b/internal/cluster/membership/cluster_model_test.go
@@ -238,8 +238,8 @@
 	return count
 }
 
-// checkInvariants fails the test if the quotas of the admitted instances add up to more than the whole budget, or if
-// the version of a view has decreased.
+// checkInvariants fails the test if the shares (1/divisor) of the admitted instances add up to more than the whole
+// budget, or if the version of a view has decreased.
 func (m *clusterModel) checkInvariants() {
 	sum := 0.0
 	var quotas strings.Builder
@@ -260,6 +260,6 @@
 			instance.name, instance.segment, view.Divisors.Zone, view.Divisors.Admitted, view.Partitioned)
 	}
 	if sum > 1+1e-9 {
-		m.t.Fatalf("after %v the quotas add up to %.3f:%s", m.now, sum, quotas.String())
+		m.t.Fatalf("after %v the admitted shares add up to %.3f, want at most 1:%s", m.now, sum, quotas.String())
 	}
 }
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -11,17 +11,20 @@
 type Config struct {
 	// Self describes the instance itself.
 	Self Member
-	// FleetSize is the configured number of instances. It is used until the view has converged.
+	// FleetSize is the configured number of instances; a value below 1 means 1. The divisors are not below the
+	// configured sizes until the view has converged.
 	FleetSize int
 	// ZoneSize is the configured number of instances in this instance's zone; 0 means FleetSize.
 	ZoneSize int
-	// Standalone reports that no peers are configured. The instance then does not wait for contact to a peer.
+	// Standalone means that no peers are configured. As long as none is discovered either, the instance does not wait
+	// for contact to a peer.
 	Standalone bool
 	// WallClock is the time since the Unix epoch at time 0 of the state machine.
 	WallClock time.Duration
 
-	// SuspicionTimeout is how long a reported failure stays a suspicion, unless failed probes of this instance confirm
-	// it sooner.
+	// SuspicionTimeout is the minimum age at which a suspicion is confirmed, unless the suspect fails to answer probes
+	// that this instance sends (see failedProbesToConfirm). Both also require answers of other members (see
+	// respondersToConfirm).
 	SuspicionTimeout time.Duration
 	// PauseThreshold is the longest normal gap between two ticks. A longer gap means that this process was paused.
 	PauseThreshold time.Duration
@@ -31,16 +34,16 @@
 	// member discovers a new member.
 	DetectionTime time.Duration
 	// MaxPartitionDuration is the longest expected network partition. The divisors count an unreachable member for this
-	// long, and while a partition lasts, at most for this long, no member is declared failed.
+	// long. No member is declared failed during a partition; after this time a partition counts as over.
 	MaxPartitionDuration time.Duration
-	// PartitionFraction is the fraction of the cluster above which a loss within DetectionTime counts as a partition.
+	// PartitionFraction is the fraction of the members above which a loss within DetectionTime counts as a partition.
 	PartitionFraction float64
 }
 
 // Defaults of Config.
 const (
-	// DefaultSuspicionTimeout gives a member time to refute a false report. A refutation takes two or three gossip
-	// rounds of 0.2 s in each direction.
+	// DefaultSuspicionTimeout gives a member time to refute a false report. The report takes two or three gossip rounds
+	// of 0.2 s to reach the member, and the refutation takes as many to come back.
 	DefaultSuspicionTimeout = 3 * time.Second
 	// DefaultPauseThreshold is four ticks.
 	DefaultPauseThreshold = time.Second
@@ -48,12 +51,13 @@
 	// each direction, only 0.5 % of the intervals of this length pass without an answer.
 	DefaultIsolationTimeout = 12 * time.Second
 	// DefaultDetectionTime is enough for 20 members: up to 31 s of suspicion in the failure detector, if no other member
-	// confirms the failure, and a round of probes.
+	// confirms the failure, and 14 s for probes and gossip. Package gossip replaces it by a value for the
+	// configured fleet size.
 	DefaultDetectionTime = 45 * time.Second
 	// DefaultMaxPartitionDuration is the default of the setting partition_hold_s.
 	DefaultMaxPartitionDuration = time.Hour
-	// DefaultPartitionFraction is above 1/9, the fraction of a region's instances that one zone holds. The loss of one
-	// zone is an expected failure and does not count as a partition.
+	// DefaultPartitionFraction is above 1/9, the fraction of the members that are in one zone if there are nine zones of
+	// equal size. The loss of such a zone is an expected failure and does not count as a partition.
 	DefaultPartitionFraction = 0.2
 )
 
@@ -66,7 +70,8 @@
 
 // ConfigError reports a value of Config that is missing or out of range.
 type ConfigError struct {
-	// Key is the name of the setting in the operator's file.
+	// Key is the name of the setting in the section "membership" of the operator's file. The key "partition_part" of
+	// PartitionFraction is not a setting of that file.
 	Key string
 	// Problem says what is wrong with the value.
 	Problem string
--- a/internal/cluster/membership/event.go
+++ b/internal/cluster/membership/event.go
@@ -4,7 +4,8 @@
 type Event interface{ event() }
 
 type (
-	// MemberAlive reports that a member was discovered or that its description changed.
+	// MemberAlive reports that a member was discovered, that it is alive after a reported failure or a planned stop, or
+	// that its description changed.
 	MemberAlive struct{ Member Member }
 
 	// FailureReported reports that the failure detector considers a member failed.
@@ -23,10 +24,10 @@
 		Incarnation uint64
 	}
 
-	// ProbeSucceeded reports that a member answered a probe of this instance.
+	// ProbeSucceeded reports that a member answered a probe that this instance sent.
 	ProbeSucceeded struct{ Name string }
 
-	// ProbeFailed reports that a member did not answer a probe of this instance in time.
+	// ProbeFailed reports that a probe that this instance sent to a member was not answered in time.
 	ProbeFailed struct{ Name string }
 
 	// Tick makes the state machine evaluate its timeouts. The caller sends one every TickInterval.
--- a/internal/cluster/membership/harness_test.go
+++ b/internal/cluster/membership/harness_test.go
@@ -50,6 +50,7 @@
 	return h
 }
 
+// newMember returns a member whose view has converged in a cluster of 20.
 func newMember(name string, incarnation uint64) Member {
 	return Member{Name: name, Zone: "a", Incarnation: incarnation, Divisor: 20}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,6 +1,8 @@
 // Package membership decides what one instance concludes from the reports of its failure detector: who is a member of
 // the cluster, whether the instance itself is isolated, and by how many instances a shared budget is divided. It is a
-// pure state machine: no I/O, no clock, no goroutine. Package gossip connects it to the network.
+// pure state machine: no I/O, no clock, no goroutine. Package gossip connects it to the network. A shared budget is a
+// limit on what several instances do together, for example on their polls of service discovery; each instance may use
+// the budget divided by the number of instances.
 //
 // A failure detector alone can't distinguish the failure of a member from a pause of the observing process, a network
 // partition or a false report. The state machine therefore treats each reported failure as a suspicion. It declares
@@ -42,11 +44,12 @@
 	Region string
 	// Version is the version of the member's program.
 	Version string
-	// Incarnation is the start time of the member's process in milliseconds since the Unix epoch, by the member's own
-	// clock. A member raises it to refute a false leave message.
+	// Incarnation is the time, in milliseconds since the Unix epoch by the member's own clock, at which the member's
+	// process last started to take part in the cluster. A member raises it to refute a false leave message.
 	Incarnation uint64
 	// State is the member's state as this instance sees it.
 	State State
-	// Divisor is the divisor of its zone's budget that the member announced last; 0 while its view has not converged.
+	// Divisor is the divisor of its zone's budget that the member announced last; 0 until its view has converged (see
+	// BudgetDivisors.Converged).
 	Divisor int
 }
--- a/internal/cluster/membership/partition.go
+++ b/internal/cluster/membership/partition.go
@@ -12,9 +12,11 @@
 	cfg *Config
 	// active reports that the cluster is partitioned. The fields below are meaningful only while it is set.
 	active bool
-	// sizeBefore is the number of members before the loss, including the instance itself.
+	// sizeBefore is the number of members before the loss, including the instance itself. It does not include members
+	// that were unreachable before startedAt.
 	sizeBefore int
-	// startedAt is the beginning of the partition. Members that were lost earlier do not belong to it.
+	// startedAt is Config.DetectionTime before the detection of the partition. Members whose failure was reported
+	// earlier do not belong to it.
 	startedAt time.Duration
 	// deadline is the time at which the partition counts as over, even if it has not healed. The lost members may then
 	// be declared failed.
@@ -22,7 +24,9 @@
 }
 
 // update detects the start and the end of a partition from the states of the peers. It is called on each tick. A
-// partition has healed when at most half of PartitionFraction is still unreachable.
+// partition starts when at least minPartitionLoss members and more than PartitionFraction of all members are lost
+// within DetectionTime. It has healed when the members that are still unreachable are at most PartitionFraction/2 of
+// sizeBefore.
 func (d *partitionDetector) update(now time.Duration, peers map[string]*peer) {
 	if d.active {
 		missing := countUnreachableSince(peers, d.startedAt)
--- a/internal/cluster/membership/quota.go
+++ b/internal/cluster/membership/quota.go
@@ -4,13 +4,14 @@
 
 // quota decides by how many instances a shared budget is divided, and whether this instance may use its share. The
 // shares of all admitted instances never add up to more than the whole budget, as long as no partition lasts longer
-// than Config.MaxPartitionDuration:
+// than Config.MaxPartitionDuration and each side of a partition keeps at least one converged instance:
 //
-//   - The divisor counts every name that was alive within MaxPartitionDuration and has not left. It increases as soon
-//     as a new name appears. A member that failed, flaps or is on the other side of a partition stays counted.
-//   - A new process is admitted once it has been in contact with the cluster for Config.DetectionTime and its view has
-//     converged: it sees at least as many members alive as any converged member counts. By then every live instance
-//     counts the new process.
+//   - The divisor counts every name that was alive within MaxPartitionDuration. A member that left is counted for
+//     another Config.DetectionTime only. The divisor increases as soon as a new name appears. A member that failed,
+//     flaps or is on the other side of a partition stays counted.
+//   - A new process is admitted once it has been in contact with the cluster for DetectionTime and its view has
+//     converged: it sees at least as many members alive as any converged member counts and as are configured. By then
+//     every live instance counts the new process. For exceptions see update.
 //
 // So every admitted instance is counted by all others, and each of them divides the budget by at least the number of
 // admitted instances.
@@ -22,7 +23,7 @@
 	divisor int
 	// admitted reports that this instance may use its share.
 	admitted bool
-	// converged reports that the view has been complete at least once, so that all other instances count this one. It
+	// converged reports that the view has converged, as described above, so that all other instances count this one. It
 	// is never reset.
 	converged bool
 }
@@ -47,13 +48,15 @@
 		q.admitted = true
 		return
 	}
-	// If no live peer announces a divisor, the whole cluster has just started. The instance may then use its share,
-	// because every instance divides by at least the configured size.
+	// If no live peer announces a divisor, none has converged yet: the whole cluster has just started. The instance may
+	// then use its share, because every instance divides by at least the configured size. So the shares do not exceed
+	// the budget unless more instances run than are configured.
 	q.divisor = max(counted, announced, q.configuredSize)
 	q.admitted = peers.contacted && announced == 0
 }
 
-// isKnownToPeers reports whether every reachable member has discovered this instance.
+// isKnownToPeers reports whether every reachable member has discovered this instance. That is assumed after
+// DetectionTime in contact with the cluster.
 func (q *quota) isKnownToPeers(now time.Duration, peers quotaPeers) bool {
 	return peers.standalone || peers.contacted && now-peers.contactedAt >= q.cfg.DetectionTime
 }
--- a/internal/cluster/membership/state_machine.go
+++ b/internal/cluster/membership/state_machine.go
@@ -8,7 +8,7 @@
 // StateMachine tracks the cluster membership as one instance sees it. It is not safe for concurrent use.
 type StateMachine struct {
 	cfg   Config
-	now   time.Duration // time of the event being handled, since the start of the instance
+	now   time.Duration // time of the event being handled, since the creation of the state machine
 	peers map[string]*peer
 
 	// lastTick is the time of the latest Tick.
@@ -49,8 +49,8 @@
 	return m, nil
 }
 
-// Handle applies one event and reports whether it changed the view. now is the time since the start of the instance;
-// it never decreases.
+// Handle applies one event and reports whether it changed the view. now is the time since the creation of the state
+// machine; it never decreases.
 func (m *StateMachine) Handle(now time.Duration, event Event) bool {
 	m.now = now
 	staleBefore := m.viewStale
@@ -122,8 +122,8 @@
 	p.leftAt = m.now
 }
 
-// handleProbeSuccess records that datagrams to and from a peer arrive. The suspicion of a suspect that answers starts
-// over.
+// handleProbeSuccess records that datagrams arrive in both directions between this instance and a peer. The suspicion
+// of a suspect that answers starts over. Answers of failed members and of members that left are ignored.
 func (m *StateMachine) handleProbeSuccess(name string) {
 	p := m.peers[name]
 	if p == nil || p.State == Left || p.State == Failed {
@@ -180,8 +180,8 @@
 }
 
 // confirmFailures declares suspects failed if the evidence is enough. It confirms no failure after a pause of this
-// process until enough peers have answered, and none during a partition, which could be the cause of the loss as
-// well. An isolated instance gets no answers, so it confirms no failure either.
+// process until enough peers have answered, and none during a partition, because the suspects may be alive on its other
+// side. An isolated instance receives no answers, so it does not confirm suspicions that start during the isolation.
 func (m *StateMachine) confirmFailures() {
 	alive := m.countPeers(Alive)
 	if m.respondersSincePause != nil || m.partition.active || alive == 0 {
--- a/internal/cluster/membership/state_machine_test.go
+++ b/internal/cluster/membership/state_machine_test.go
@@ -65,7 +65,7 @@
 }
 
 // After a pause of this process all timers of the failure detector expire at once, so that it may report members that
-// are alive. No failure may be confirmed before a round of probes has been answered.
+// are alive. No failure may be confirmed before respondersAfterPause peers have answered probes.
 func TestProcessPauseConfirmsNoFailure(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	h.pause(9 * time.Second)
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// failedProbesToConfirm is the number of this instance's probes of the suspect that must fail to confirm the failure
-	// before Config.SuspicionTimeout.
+	// failedProbesToConfirm is the number of probes from this instance that the suspect must leave unanswered to confirm
+	// the failure before Config.SuspicionTimeout.
 	failedProbesToConfirm = 2
 	// minSuspicionTimeout is the minimum age of a suspicion that failed probes can confirm. It gives the suspect time to
 	// refute a false report: a refutation takes two or three gossip rounds of 0.2 s in each direction.
 	minSuspicionTimeout = 1500 * time.Millisecond
-	// respondersToConfirm is the number of distinct peers that must answer this instance during a suspicion before the
-	// failure is confirmed. Their answers show that this instance's own network works.
+	// respondersToConfirm is the number of distinct live peers that must answer this instance during a suspicion before
+	// the failure is confirmed; if fewer are alive, all of them. Their answers show that this instance's own network
+	// works.
 	respondersToConfirm = 3
-	// respondersAfterPause is the number of distinct peers that must answer after a pause of this process before any
-	// failure is confirmed. That many answers stand for a full round of probes.
+	// respondersAfterPause is the number of distinct live peers that must answer after a pause of this process before
+	// any failure is confirmed; if fewer are alive, all of them.
 	respondersAfterPause = 10
 )
 
 // suspicion is the evidence on a reported failure, collected since the suspicion started or last started over.
 type suspicion struct {
 	startedAt    time.Duration
-	responders   map[string]struct{} // other peers that have answered probes of this instance
-	failedProbes int                 // this instance's probes of the suspect that were not answered
+	responders   map[string]struct{} // live peers that have answered probes from this instance
+	failedProbes int                 // probes from this instance that the suspect has not answered
 }
 
 func newSuspicion(now time.Duration) suspicion {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -9,7 +9,8 @@
 type View struct {
 	// Version increases when any other field changes.
 	Version uint64
-	// Members lists all members, sorted by name, including the instance itself.
+	// Members lists all members, sorted by name, including the instance itself. The instance's own entry is Config.Self:
+	// its Divisor and Incarnation are not updated.
 	Members []Member
 	// Alive counts the members in state Alive, including the instance itself.
 	Alive int
@@ -34,9 +35,10 @@
 	// server.
 	Zone int
 	// Admitted reports that the instance may use its share of the zone's budget. A new process may not use it until all
-	// other instances count the process in their divisors.
+	// other instances count the process in their divisors, except while the whole cluster starts (see quota.update).
 	Admitted bool
-	// Converged reports that all other instances count this one. The instance then announces Zone as Member.Divisor.
+	// Converged reports that all other instances of the zone count this one. Once set, it stays set. The instance then
+	// announces Zone as Member.Divisor.
 	Converged bool
 }
 
