--- a/internal/session/arbiter/arbiter.go
+++ b/internal/session/arbiter/arbiter.go
@@ -1,10 +1,12 @@
-// Package arbiter decides which client connection a session is attached to. Each room server has an arbiter for the
-// sessions whose state it holds. Balancers share nothing, so that a session is attached at most once is decided here:
-// each attachment has a new epoch, and a fencing token that tells it apart from any other of that epoch.
+// Package arbiter decides which connection a session is attached to. Each room server has an arbiter for the sessions
+// whose state it holds. Balancers do not coordinate with each other, so the arbiters ensure that a session is
+// attached to at most one connection. Each attachment has a new epoch, and a fencing token that distinguishes it from
+// any other attachment of the same epoch.
 //
-// A migration moves a session's state to another room server. Export claims the state at the old server, Prepare stores
-// it at the new one without attaching it, Commit removes it from the old server, and Activate attaches it at the new
-// one. The old server retains a tombstone, which redirects clients that still present an older session token.
+// A migration transfers a session's state to another room server. Export claims the state at the old server, Prepare
+// stores it at the new one without attaching it, Commit removes it from the old server, and Activate attaches it at
+// the new one. The old server retains tombstones, which redirect clients that present a token of before the
+// migration.
 //
 // The package is the reference implementation of what docs/resume-protocol.md demands of a room server, and the room
 // servers of the test bench use it. It does no I/O and reads no clock; its callers pass the time.
@@ -24,19 +26,21 @@
 
 // The verdicts.
 const (
-	// Granted means that the caller may have the session.
+	// Granted means that the request was executed: the session is attached or exported.
 	Granted Verdict = iota
-	// InUse means that the session is being attached, or is claimed by another migration. The caller may retry.
+	// InUse means that another migration has claimed the session, or that another connection has attached or prepared
+	// it and the client has not yet confirmed that connection's token. The caller may retry.
 	InUse
-	// TokenUsed means that the token is no longer valid, because the session has continued from it.
+	// TokenUsed means that the token is not valid, usually because the client has confirmed a newer one.
 	TokenUsed
 	// Ended means that the session has ended.
 	Ended
-	// Migrated means that the session's state is at another room server.
+	// Migrated means that the session's state was migrated to another room server.
 	Migrated
 	// StateTooLarge means that the state is larger than the caller accepts.
 	StateTooLarge
-	// Unknown means that the room server has no state of the session.
+	// Unknown means that the room server does not know the session, or only from a migration to it that is not
+	// activated.
 	Unknown
 )
 
@@ -53,7 +57,7 @@
 	}[v]
 }
 
-// Answer is a verdict with its details.
+// Answer is the answer to a Reattach or an Export: the verdict and its details.
 type Answer struct {
 	// Verdict says which of the other fields are set.
 	Verdict Verdict
@@ -61,32 +65,35 @@
 	Position uint64
 	// State is the session's state. It is set for Granted.
 	State []byte
-	// Displaced is the connection that lost the session and has to be closed; 0 if there is none. It is set for
-	// Granted.
+	// Displaced is the connection that has lost the session to the caller and has to be closed; 0 if there is none.
+	// It is set for Granted.
 	Displaced Conn
-	// MigratedTo is the room server that has the state. It is set for Migrated.
+	// MigratedTo is the room server to which the state was migrated. It is set for Migrated.
 	MigratedTo string
-	// Ref identifies the copy of the state: for Granted the one here, for Migrated the one at MigratedTo.
+	// Ref identifies the copy of the state: for Granted the one at this room server, for Migrated the one at
+	// MigratedTo.
 	Ref token.Ref
-	// RetryAfter is the time until the claim on the session expires; 0 if that is unknown. It is set for InUse.
+	// RetryAfter is the time until the claim on the session expires; 0 if the session is in use without a claim. It
+	// is set for InUse.
 	RetryAfter time.Duration
 }
 
 // Config is the configuration of an arbiter.
 type Config struct {
-	// Retention is how long a session without a connection, or a tombstone, is retained.
+	// Retention is the minimum time for which a session that has no connection is retained, and likewise the
+	// tombstones of a session that was migrated and the record of one that has ended.
 	Retention time.Duration
-	// Limit is the maximum number of sessions, including those of which only tombstones are left. New sessions
-	// beyond it are rejected.
+	// Limit is the maximum number of sessions, including those that were migrated or have ended and are still
+	// retained. Further sessions are rejected.
 	Limit int
 }
 
 // Arbiter holds the sessions of one room server. It is not safe for concurrent use.
 type Arbiter struct {
 	cfg Config
-	// records holds all that is known of the sessions.
+	// records holds the sessions, including those that were migrated or have ended.
 	records map[token.SessionID]*record
-	// lastSweep is when expired records were last removed.
+	// lastSweep is when sweep last removed expired records.
 	lastSweep time.Time
 }
 
@@ -95,8 +102,9 @@
 	return &Arbiter{cfg: cfg, records: map[token.SessionID]*record{}}
 }
 
-// Create adds a new session, which is attached to the connection. It returns false if the session exists already or
-// there are too many: the arbiter does not hold the session then, and its client gets no token.
+// Create adds a new session, which is attached to conn. It returns false if the arbiter already has a session of this
+// ID, or has reached Config.Limit. The room server may serve the client nevertheless, but without a session that can
+// be resumed: it must not report that it retains the session, so that the client gets no token.
 func (a *Arbiter) Create(now time.Time, ref token.Ref, conn Conn) bool {
 	a.sweep(now)
 	if a.records[ref.Session] != nil || len(a.records) >= a.cfg.Limit {
@@ -109,7 +117,8 @@
 	return true
 }
 
-// Sessions returns the number of copies of sessions' states that are held, and how many of them are attached.
+// Sessions returns the number of copies of session states that the arbiter holds, including those that are only
+// prepared, and how many of them are attached.
 func (a *Arbiter) Sessions() (held, attached int) {
 	for _, r := range a.records {
 		for _, c := range r.copies {
@@ -122,7 +131,7 @@
 	return held, attached
 }
 
-// attachedCopy returns the copy of a session that is attached to the connection, or nil.
+// attachedCopy returns the copy of a session that is attached to the connection, or nil if there is none.
 func (a *Arbiter) attachedCopy(conn Conn, session token.SessionID) *stateCopy {
 	r := a.records[session]
 	if r == nil {
@@ -136,14 +145,15 @@
 	return nil
 }
 
-// expiry returns when a record that is changed at now expires.
+// expiry returns the expiry time of a record that is changed at now.
 func (a *Arbiter) expiry(now time.Time) time.Time { return now.Add(a.cfg.Retention) }
 
-// sweepsPerRetention is how often expired records are removed within the time for which they are retained.
+// sweepsPerRetention is the maximum number of sweeps within Config.Retention.
 const sweepsPerRetention = 8
 
-// sweep removes records that are expired and not in use. Since most calls sweep, it does nothing if the last time was
-// recent.
+// sweep removes records that have expired and are not in use. Most methods call it, so it does nothing if the last
+// sweep is more recent than a fraction 1/sweepsPerRetention of Config.Retention. An expired record stays valid until
+// a sweep removes it.
 func (a *Arbiter) sweep(now time.Time) {
 	if now.Sub(a.lastSweep) < a.cfg.Retention/sweepsPerRetention {
 		return
--- a/internal/session/arbiter/arbiter_test.go
+++ b/internal/session/arbiter/arbiter_test.go
@@ -14,7 +14,8 @@
 
 func newTestArbiter() *Arbiter { return New(Config{Retention: 10 * time.Second, Limit: 2}) }
 
-// newArbiterWithSession returns an arbiter with the session of firstRef, which is attached to connection 1.
+// newArbiterWithSession returns an arbiter with the session of firstRef, which is attached to connection 1 and has a
+// state at position 5.
 func newArbiterWithSession(t *testing.T) *Arbiter {
 	t.Helper()
 	a := newTestArbiter()
@@ -24,9 +25,9 @@
 	return a
 }
 
-// A migration takes the session away from its connection, whose moves are acknowledged no longer. The tombstone
-// redirects to the new server, where only the connection that prepared the copy attaches it. So a session is never
-// attached twice.
+// A session must never be attached twice. An export detaches it from its connection, whose moves are no longer
+// acknowledged. After the commit, the tombstone at the old room server redirects to the new one. Only the connection
+// that has prepared the copy there can activate it, and a redirected request does not displace that connection.
 func TestMigration(t *testing.T) {
 	old, next := newArbiterWithSession(t), newTestArbiter()
 	session := firstRef.Session
@@ -36,41 +37,41 @@
 		t.Fatalf("export: %+v", exported)
 	}
 	if old.SaveState(1, session, 6, nil) {
-		t.Error("a connection that lost the session was acknowledged")
+		t.Error("a move was saved on a connection that has lost the session")
 	}
 	if answer := old.Reattach(start, firstRef, 78, false, 3); answer.Verdict != InUse || answer.RetryAfter <= 0 {
-		t.Errorf("reattach during a claim: %+v", answer)
+		t.Errorf("reattach during a claim: got %+v, want InUse", answer)
 	}
 	migrated := token.Ref{Session: session, Epoch: 2, Fence: 77}
 	if !next.Prepare(start, migrated, 5, exported.State, 4) || next.SaveState(4, session, 6, nil) {
-		t.Error("not prepared, or attached before the commit")
+		t.Error("the copy was not prepared, or was attached before the commit")
 	}
 	if next.Activate(start, 5, session) || !old.Commit(start, session, 77, "b") || !next.Activate(start, 4, session) {
-		t.Error("attached by another connection, or not at all")
+		t.Error("activated on another connection, not committed, or not activated on connection 4")
 	}
 	answer := old.Reattach(start, firstRef, 79, false, 3)
 	if answer.Verdict != Migrated || answer.MigratedTo != "b" || answer.Ref != migrated {
-		t.Errorf("reattach at the old server after the migration: %+v", answer)
+		t.Errorf("reattach at the old room server after the migration: got %+v, want a redirect", answer)
 	}
 	if old.Commit(start, session, 77, "c") {
-		t.Error("committed twice")
+		t.Error("a second commit was accepted")
 	}
 	if answer := next.Reattach(start, migrated, 80, true, 6); answer.Verdict != InUse {
-		t.Errorf("redirected while the session is being attached: %+v", answer)
+		t.Errorf("redirected request before the client has confirmed its token: got %+v, want InUse", answer)
 	}
 	next.ConfirmToken(4, session)
 	if answer := next.Reattach(start, migrated, 80, true, 6); answer.Verdict != TokenUsed {
-		t.Errorf("redirected after the client has confirmed its token: %+v", answer)
+		t.Errorf("redirected request after the client has confirmed its token: got %+v, want TokenUsed", answer)
 	}
 }
 
-// A claim ends with its connection. The end of a session and that of its retention have verdicts of their own. The
-// limits on the size of a state and the number of sessions hold.
+// The limits on the size of an exported state and on the number of sessions are enforced. A claim ends with its
+// connection. A session that has ended and a session whose retention is over have different verdicts.
 func TestEndsAndLimits(t *testing.T) {
 	a := newArbiterWithSession(t)
 	session := firstRef.Session
 	if answer := a.Export(start, firstRef, 77, start.Add(time.Second), 4, false, 2); answer.Verdict != StateTooLarge {
-		t.Errorf("export of a state that is one byte too large: %+v", answer)
+		t.Errorf("export of a state that is one byte too large: got %+v, want StateTooLarge", answer)
 	}
 	if !a.Create(start, token.Ref{Session: token.SessionID{2}, Epoch: 1}, 2) ||
 		a.Create(start, token.Ref{Session: token.SessionID{3}, Epoch: 1}, 3) {
@@ -79,18 +80,18 @@
 	a.Export(start, firstRef, 77, start.Add(time.Second), 100, false, 4)
 	a.Disconnected(start, 4, session)
 	if a.Commit(start, session, 77, "b") {
-		t.Error("a claim outlives its connection")
+		t.Error("a claim was committed after its connection had ended")
 	}
 	answer := a.Reattach(start, firstRef, 80, false, 5)
 	if answer.Verdict != Granted || answer.Ref.Epoch != 2 || answer.Position != 5 {
-		t.Errorf("reattach after the claim: %+v", answer)
+		t.Errorf("reattach after the end of the claim: got %+v, want Granted at epoch 2, position 5", answer)
 	}
 	a.End(start, 5, session)
 	if answer := a.Reattach(start, firstRef, 81, false, 6); answer.Verdict != Ended {
-		t.Errorf("reattach after the end: %+v", answer)
+		t.Errorf("reattach after the end of the session: got %+v, want Ended", answer)
 	}
 	if answer := a.Reattach(start.Add(20*time.Second), firstRef, 81, false, 6); answer.Verdict != Unknown {
-		t.Errorf("reattach after the retention: %+v", answer)
+		t.Errorf("reattach after the retention: got %+v, want Unknown", answer)
 	}
 	if held, attached := a.Sessions(); held != 1 || attached != 1 {
 		t.Errorf("%d held, %d attached, want 1 and 1: the attached session must be retained", held, attached)
--- a/internal/session/arbiter/attach.go
+++ b/internal/session/arbiter/attach.go
@@ -6,8 +6,10 @@
 	"cottonplank/internal/session/token"
 )
 
-// Reattach attaches a session that is here to a connection, under the next epoch and the fencing token fence.
-// viaRedirect says that the tombstone of another room server has led to ref, and the client has no token of it.
+// Reattach attaches a session that the room server holds to conn. The attachment gets the next epoch and the fencing
+// token fence. A claim does not prevent it if the claim's number is fence, because the claim belongs to the same
+// request then. viaRedirect says that the client has no token of ref: the balancer got ref from another room server's
+// tombstone, or from a migration for the same request.
 func (a *Arbiter) Reattach(now time.Time, ref token.Ref, fence uint64, viaRedirect bool, conn Conn) Answer {
 	r, c, answer := a.find(now, ref, fence, viaRedirect, conn)
 	if c == nil {
@@ -22,16 +24,17 @@
 	return answer
 }
 
-// ConfirmToken notes that the client of an attached session has the token of this attachment. Older tokens of the
-// session become invalid.
+// ConfirmToken records that the client has received the token of the attachment to conn. Older tokens of the session
+// become invalid. It does nothing if the session is not attached to conn.
 func (a *Arbiter) ConfirmToken(conn Conn, session token.SessionID) {
 	if c := a.attachedCopy(conn, session); c != nil {
 		c.confirm()
 	}
 }
 
-// SaveState stores the state of an attached session. It returns false if the session is no longer attached to the
-// connection: the client's moves must not be acknowledged then.
+// SaveState stores the state of an attached session; position is the number of the client's moves in it. SaveState
+// returns false if the session is not attached to conn, usually because conn has lost it. The room server must not
+// acknowledge moves then.
 func (a *Arbiter) SaveState(conn Conn, session token.SessionID, position uint64, state []byte) bool {
 	c := a.attachedCopy(conn, session)
 	if c == nil {
@@ -41,8 +44,8 @@
 	return true
 }
 
-// Disconnected notes that a connection has ended. A session that was attached to it can be attached with its token; a
-// claim of the connection ends.
+// Disconnected records that a connection has ended. A session that was attached to it, or prepared by it, stays
+// available to other connections. A claim that was made on the connection ends.
 func (a *Arbiter) Disconnected(now time.Time, conn Conn, session token.SessionID) {
 	r := a.records[session]
 	if r == nil {
@@ -59,7 +62,8 @@
 	}
 }
 
-// End notes that the session that is attached to a connection was played to its end.
+// End records that the session that is attached to a connection has ended regularly, and discards its state. It does
+// nothing if the session is not attached to conn.
 func (a *Arbiter) End(now time.Time, conn Conn, session token.SessionID) {
 	if a.attachedCopy(conn, session) == nil {
 		return
@@ -68,9 +72,13 @@
 	r.copies, r.ended, r.expires = nil, true, a.expiry(now)
 }
 
-// find returns the copy that may be attached or exported with a token, or nil and the answer that says why there is
-// none. A claim by another number than claim makes the session in use, and so does a connection other than conn,
-// unless the token is that of the current attachment.
+// find returns the copy that ref allows to attach or export, or nil and the answer that says why there is none. The
+// answer is InUse if a claim with a number other than claim is valid. It is also InUse if the copy has a connection
+// other than conn, unless the client presents the token of the current attachment itself. The copy may have conn
+// itself as its connection: a balancer whose commit was interrupted reattaches on the connection that has prepared
+// the copy.
+//
+// If the client presents a token itself, find invalidates older tokens; see stateCopy.present.
 func (a *Arbiter) find(now time.Time, ref token.Ref, claim uint64, viaRedirect bool, conn Conn) (
 	*record, *stateCopy, Answer,
 ) {
@@ -84,7 +92,8 @@
 		if match == noMatch {
 			continue
 		}
-		// A token that is presented twice must not interrupt the attachment that it has begun.
+		// A token that is presented twice must not interrupt the attachment that it has started the first time. So an
+		// older token does not displace a connection.
 		if match == previousMatch && c.conn != 0 && c.conn != conn {
 			return r, nil, Answer{Verdict: InUse}
 		}
--- a/internal/session/arbiter/migrate.go
+++ b/internal/session/arbiter/migrate.go
@@ -7,10 +7,11 @@
 	"cottonplank/internal/session/token"
 )
 
-// Export claims a session for a migration and returns its state. The session is detached, and nothing else attaches or
-// claims it until the claim expires or the claimant's connection ends. The same claim may export it again.
-// viaRedirect says that the tombstone of another room server has led to ref, and the client has no token of it. A
-// state of more than maxState bytes is neither returned nor claimed.
+// Export claims a session for a migration and returns its state. The session is detached from its connection. Other
+// requests can neither attach nor claim it until claimExpires or until the connection claimant ends, whichever is
+// first. Another Export with the same claim number returns the state again and replaces claimant and claimExpires.
+// viaRedirect has the same meaning as for Reattach. A state of more than maxState bytes is neither returned nor
+// claimed.
 func (a *Arbiter) Export(now time.Time, ref token.Ref, claim uint64, claimExpires time.Time, maxState int,
 	viaRedirect bool, claimant Conn) Answer {
 	_, c, answer := a.find(now, ref, claim, viaRedirect, claimant)
@@ -26,9 +27,11 @@
 	return answer
 }
 
-// Commit removes a session that was migrated to another room server and leaves tombstones. A claim that has expired
-// still commits unless the session was claimed or attached again. Commit returns false if it was: the migration must
-// be aborted then.
+// Commit removes a session that was migrated to the given room server and leaves tombstones that redirect to it. A
+// claim whose time has expired can still be committed if the session was not claimed or attached since. Commit
+// returns false if the claim has ended: another request has claimed or attached the session, the claimant's
+// connection has ended, or the session was removed. The balancer must then not activate the session at the new room
+// server.
 func (a *Arbiter) Commit(now time.Time, session token.SessionID, claim uint64, server string) bool {
 	a.sweep(now)
 	r := a.records[session]
@@ -45,9 +48,11 @@
 	return false
 }
 
-// Prepare stores a state that a migration has brought, without attaching it. It can be attached by Activate for the
-// same connection, or by Reattach for a client that a tombstone has redirected to ref. Prepare returns false if there
-// are too many sessions, or ref is in use already.
+// Prepare stores a state that a migration has transferred, without attaching it. The copy can be attached by Activate
+// on the same connection. It can also be attached or exported by a request with viaRedirect, since only a committed
+// migration leaves a redirect to ref; while the connection exists, such a request has to come on it. Prepare returns
+// false if Config.Limit is reached, if another connection has prepared the same ref, or if Activate has attached the
+// copy of ref already.
 func (a *Arbiter) Prepare(now time.Time, ref token.Ref, position uint64, state []byte, conn Conn) bool {
 	a.sweep(now)
 	r := a.records[ref.Session]
@@ -59,7 +64,8 @@
 		a.records[ref.Session] = r
 	}
 	r.expires = a.expiry(now)
-	// Activate attaches what the connection prepared last, so earlier copies of the connection are obsolete.
+	// Activate attaches the copy that the connection has prepared last, so other copies that it has prepared are
+	// removed.
 	r.copies = slices.DeleteFunc(r.copies, func(c *stateCopy) bool {
 		return c.prepared && c.conn == conn && c.ref != ref
 	})
@@ -77,8 +83,9 @@
 	return true
 }
 
-// Activate attaches the session that a connection has prepared, after its migration was committed. It returns false
-// if there is none.
+// Activate attaches the copy that a connection has prepared. The balancer calls for it only after the old room server
+// has executed Commit, which the arbiter cannot check. Activate returns false if the connection has no prepared copy,
+// for example because another request has attached it.
 func (a *Arbiter) Activate(now time.Time, conn Conn, session token.SessionID) bool {
 	r := a.records[session]
 	if r == nil {
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -6,19 +6,21 @@
 	"cottonplank/internal/session/token"
 )
 
-// maxTombstones limits the tombstones of one session.
+// maxTombstones limits the tombstones of a session. removeOtherCopies enforces it, so that a session that was just
+// migrated can have more.
 const maxTombstones = 16
 
-// record is all that a room server knows of one session.
+// record is what the arbiter of a room server knows about one session.
 type record struct {
-	// copies holds the copies of the session's state. There is at most one, unless several balancers prepare the
-	// same migration.
+	// copies holds the copies of the session's state at this room server. There are several only while migrations
+	// have prepared copies; at most one copy is attached.
 	copies []*stateCopy
-	// tombstones say where earlier copies went, the oldest first.
+	// tombstones redirects tokens of copies that were migrated to another room server. They are in the order of the
+	// migrations, the oldest first. Of one migration, the tombstone of the last attachment is first.
 	tombstones []tombstone
-	// ended says that the session was played to its end.
+	// ended says that the session has ended regularly.
 	ended bool
-	// expires is when the record is removed, unless a copy of it is in use.
+	// expires is the time from which on sweep removes the record, unless the record is in use.
 	expires time.Time
 }
 
@@ -27,20 +29,21 @@
 	// ref identifies the copy. Each attachment changes it.
 	ref token.Ref
 	// previous holds earlier attachments of the copy, the oldest first. Their tokens stay valid until the client
-	// has proved that it has the token of ref.
+	// confirms or presents a newer one: it may have been disconnected before it received that.
 	previous []attachment
-	// confirmed says that the client has proved that it has the token of ref.
+	// confirmed says that the client has confirmed or presented the token of ref.
 	confirmed bool
-	// prepared says that a migration has brought the copy and may not be committed yet. The copy is not attached
-	// until it is.
+	// prepared says that a migration has transferred the copy here, but that the copy was not attached since. The
+	// migration may not be committed yet.
 	prepared bool
 	// conn is the connection to which the copy is attached, or which has prepared it; 0 if there is none.
 	conn Conn
-	// claim is the number of the migration that exports the copy; 0 if there is none.
+	// claim is the number of the claim on the copy, which an export has made; 0 if there is none. It can have
+	// expired.
 	claim uint64
-	// claimant is the connection of that migration.
+	// claimant is the connection on which the claim was made. The claim ends with it.
 	claimant Conn
-	// claimExpires is when other migrations may claim the copy.
+	// claimExpires is the time from which on other requests may attach or claim the copy.
 	claimExpires time.Time
 	// position is the number of the client's moves in state.
 	position uint64
@@ -50,33 +53,35 @@
 
 // attachment identifies an earlier attachment of a copy.
 type attachment struct {
-	// ref identified the copy while it was attached.
+	// ref identified the copy during that attachment.
 	ref token.Ref
-	// confirmed says that the client has proved that it has the token of ref. A client that a tombstone redirects to
-	// the attachment is rejected then, as it presents an older token, which is used.
+	// confirmed says that the client has confirmed or presented the token of ref. Requests that were redirected to
+	// ref are rejected then, because they present an older token, which has become invalid.
 	confirmed bool
 }
 
-// tombstone says where a copy went.
+// tombstone redirects the token of an attachment of a copy that was migrated to another room server.
 type tombstone struct {
 	attachment
 	// server is the room server to which the copy was migrated.
 	server string
-	// next identifies the copy at that server.
+	// next identifies the copy at that room server.
 	next token.Ref
 }
 
 // attached reports whether the copy is attached to a connection.
 func (c *stateCopy) attached() bool { return c.conn != 0 && !c.prepared }
 
-// claimedAt reports whether a migration has a claim on the copy that is not expired.
+// claimedAt reports whether there is a claim on the copy that has not expired.
 func (c *stateCopy) claimedAt(now time.Time) bool { return c.claim != 0 && now.Before(c.claimExpires) }
 
-// confirm notes that the client has the token of the current attachment. The tokens of earlier ones become invalid.
+// confirm records that the client has the token of the current attachment. The tokens of earlier attachments become
+// invalid.
 func (c *stateCopy) confirm() { c.confirmed, c.previous = true, nil }
 
-// detach takes the copy from its connection and ends an expired claim. It returns the connection that loses the
-// session, or 0. One that has only prepared the copy learns of its loss when it activates it.
+// detach detaches the copy from its connection and ends the claim on it, which has expired or is that of the caller.
+// It returns the connection that the copy was attached to, or 0. A connection that has only prepared the copy is not
+// returned: its Activate fails.
 func (c *stateCopy) detach() (displaced Conn) {
 	if !c.prepared {
 		displaced = c.conn
@@ -85,17 +90,18 @@
 	return displaced
 }
 
-// tokenMatch is how a token fits a copy.
+// tokenMatch is the result of the check of a token against a copy.
 type tokenMatch uint8
 
 const (
 	noMatch       tokenMatch = iota
-	currentMatch             // it is the token of the current attachment
-	previousMatch            // it is valid only until the client has proved that it has a newer one
+	currentMatch             // the client has the token of the current attachment
+	previousMatch            // the client has an older token, valid until it confirms or presents a newer one
 )
 
-// present checks a token against the copy. viaRedirect says that the client has no token of ref, but was redirected
-// to it. A token that is presented without a redirect invalidates those before it.
+// present checks a token against the copy. viaRedirect says that the client has no token of ref, but an older one
+// from which the balancer was redirected to ref. A token that is presented without a redirect invalidates older
+// tokens.
 func (c *stateCopy) present(ref token.Ref, viaRedirect bool) tokenMatch {
 	if c.ref == ref && !viaRedirect && !c.prepared {
 		c.confirm()
@@ -110,7 +116,7 @@
 	return noMatch
 }
 
-// presentPrevious checks a token against the copy's earlier attachments and reports whether it is valid.
+// presentPrevious is present for the earlier attachments of the copy. It reports whether the token is valid.
 func (c *stateCopy) presentPrevious(ref token.Ref, viaRedirect bool) bool {
 	for i, earlier := range c.previous {
 		if earlier.ref != ref || viaRedirect && earlier.confirmed {
@@ -125,7 +131,7 @@
 	return false
 }
 
-// inUse reports whether a copy has a connection or a claim.
+// inUse reports whether any copy has a connection or a claim that has not expired.
 func (r *record) inUse(now time.Time) bool {
 	for _, c := range r.copies {
 		if c.conn != 0 || c.claimedAt(now) {
@@ -135,17 +141,20 @@
 	return false
 }
 
-// removeOtherCopies makes c the only copy of the session. Others were prepared by migrations that have lost against
-// this one. Tombstones remain, for a client that never got the token of the new attachment presents an older one. They
-// cannot form a loop, since epochs only rise.
+// removeOtherCopies makes c, which is being attached, the only copy of the session. The other copies were prepared by
+// migrations that cannot be committed any more. The newest maxTombstones tombstones are kept, because a client that
+// was disconnected before it received the token of the new attachment presents an older one. Redirects cannot form a
+// loop, because each one leads to a higher epoch.
 func (r *record) removeOtherCopies(c *stateCopy) {
 	r.copies, r.ended = []*stateCopy{c}, false
 	excess := max(len(r.tombstones)-maxTombstones, 0)
 	r.tombstones = r.tombstones[excess:]
 }
 
-// replaceByTombstones removes all copies. Tombstones of c, which has the claim, and of its earlier attachments redirect
-// to the server. Other copies were only prepared and can never be attached now.
+// replaceByTombstones removes all copies and leaves tombstones that redirect to the given room server: one for the
+// last attachment of c, which has the claim, and one for each earlier attachment whose token is still valid. The
+// other copies were prepared by migrations that cannot be committed any more. The reference in the tombstones has to
+// be the one under which the balancer has prepared the copy at that room server (migration.Flow.Next).
 func (r *record) replaceByTombstones(c *stateCopy, server string) {
 	next := token.Ref{Session: c.ref.Session, Epoch: c.ref.Epoch + 1, Fence: c.claim}
 	r.tombstones = append(r.tombstones, tombstone{attachment{c.ref, c.confirmed}, server, next})
@@ -155,7 +164,7 @@
 	r.copies = nil
 }
 
-// answerWithoutCopy returns the answer for a token that fits no copy.
+// answerWithoutCopy returns the answer for a token that matches no copy.
 func (r *record) answerWithoutCopy(ref token.Ref, viaRedirect bool) Answer {
 	for _, t := range r.tombstones {
 		if t.ref != ref {
@@ -175,7 +184,7 @@
 	return Answer{Verdict: TokenUsed}
 }
 
-// hasPrepared reports whether a migration that may not be committed has brought a copy.
+// hasPrepared reports whether any copy was prepared by a migration and not attached since.
 func (r *record) hasPrepared() bool {
 	for _, c := range r.copies {
 		if c.prepared {
--- a/internal/session/token/helpers_test.go
+++ b/internal/session/token/helpers_test.go
@@ -11,7 +11,7 @@
 	random = rand.NewChaCha8([32]byte{7})
 )
 
-// newTestKey returns a random key that seals within the given time relative to noon.
+// newTestKey returns a key that seals between two times, which are given relative to noon.
 func newTestKey(t testing.TB, notBefore, notAfter time.Duration) Key {
 	t.Helper()
 	key, err := NewKey(noon.Add(notBefore), noon.Add(notAfter), random)
@@ -21,7 +21,7 @@
 	return key
 }
 
-// fixedKey returns a key that is the same in each run.
+// fixedKey returns a key with a constant ID and secret, for tests that compare sealed bytes.
 func fixedKey() Key {
 	return Key{
 		ID:        "0a0b0c0d",
@@ -31,7 +31,7 @@
 	}
 }
 
-// sequence returns n bytes that count up from first.
+// sequence returns n bytes: first, first+1 and so on.
 func sequence(first byte, n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -40,7 +40,7 @@
 	return b
 }
 
-// newTestRing returns a ring whose tokens live for one hour.
+// newTestRing returns a ring for tokens with a lifetime of one hour.
 func newTestRing(t testing.TB, keys ...Key) *Ring {
 	t.Helper()
 	ring, err := NewRing(keys, time.Hour)
--- a/internal/session/token/keyfile.go
+++ b/internal/session/token/keyfile.go
@@ -27,7 +27,7 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("%s: a %s was expected, found %s", typeError.Field, typeError.Type, typeError.Value)
+			return nil, fmt.Errorf("%s: expected %s, found %s", typeError.Field, typeError.Type, typeError.Value)
 		}
 		return nil, err
 	}
@@ -35,14 +35,14 @@
 	for i, key := range file.Keys {
 		secret, err := hex.DecodeString(key.Secret)
 		if err != nil {
-			return nil, fmt.Errorf("keys[%d].secret: is not hexadecimal", i)
+			return nil, fmt.Errorf("keys[%d].secret: invalid value: expected hexadecimal digits", i)
 		}
 		keys = append(keys, Key{ID: key.ID, Secret: secret, NotBefore: key.NotBefore, NotAfter: key.NotAfter})
 	}
 	return keys, nil
 }
 
-// FormatKeys returns the JSON text of a keys file. ParseKeys parses it.
+// FormatKeys returns the JSON text of a keys file with the given keys, which ParseKeys parses.
 func FormatKeys(keys []Key) ([]byte, error) {
 	file := keysFile{Keys: []keyJSON{}}
 	for _, key := range keys {
--- a/internal/session/token/keyfile_test.go
+++ b/internal/session/token/keyfile_test.go
@@ -10,7 +10,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// Errors name the faulty key and value, but not the secret.
+// An error for an invalid keys file names the faulty key and value, but does not contain the secret, which would end
+// up in logs.
 func TestInvalidKeys(t *testing.T) {
 	const secret = "8f95f09245765f80256934e50c66207f8f95f09245765f80256934e50c66207f"
 	oneKey := func(id, secret, notBefore string) string {
@@ -37,11 +38,12 @@
 		})
 	}
 	key := newTestKey(t, 0, time.Hour)
-	if _, err := NewRing([]Key{key, key}, time.Hour); err == nil || !strings.Contains(err.Error(), "twice") {
-		t.Errorf("one ID twice: %v", err)
+	if _, err := NewRing([]Key{key, key}, time.Hour); err == nil || !strings.Contains(err.Error(), "duplicate ID") {
+		t.Errorf("two keys with one ID: error %v, want one with \"duplicate ID\"", err)
 	}
 }
 
+// ParseKeys accepts what FormatKeys returns, and gets the same secret.
 func TestFormattedKeysAreParsed(t *testing.T) {
 	key := newTestKey(t, 0, time.Hour)
 	raw, err := FormatKeys([]Key{key})
@@ -53,7 +55,7 @@
 	}
 }
 
-// Operators copy the keys file between balancers of different versions.
+// Operators copy the keys file between balancers of different versions, so its format must not change.
 func TestKeysFileText(t *testing.T) {
 	const want = `{
   "keys": [
@@ -80,7 +82,7 @@
 	}
 }
 
-// Whatever the text, neither function panics.
+// Neither ParseKeys nor NewRing panics, whatever the text of a keys file is.
 func FuzzParseKeys(f *testing.F) {
 	raw, _ := FormatKeys([]Key{newTestKey(f, 0, time.Hour)})
 	fuzzcorpus.Add(f, raw)
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// Leeway is the maximum difference between the clocks of two balancers.
+	// Leeway is the largest difference between the clocks of two balancers that is tolerated.
 	Leeway = time.Minute
-	// MaxLifetime is the maximum lifetime of a token, and so of a key after it has stopped sealing.
+	// MaxLifetime is the maximum lifetime of tokens that a ring can be configured with.
 	MaxLifetime = 24 * time.Hour
 
-	maxKeys     = 64
+	maxKeys     = 64 // per ring
 	keyIDDigits = 8
 )
 
-// Key is a key of a ring. It seals from NotBefore until NotAfter, while no key with a later NotBefore does.
+// Key is a key of a ring. It seals new tokens between NotBefore and NotAfter, until a key with a later NotBefore
+// replaces it.
 type Key struct {
-	// ID names the key in tokens. It consists of 8 lower-case hexadecimal digits.
+	// ID identifies the key in tokens. It consists of 8 lower-case hexadecimal digits.
 	ID string
 	// Secret is the XChaCha20-Poly1305 key, 32 bytes.
 	Secret []byte
@@ -33,16 +34,16 @@
 	NotBefore time.Time
 	// NotAfter is when the key stops sealing.
 	NotAfter time.Time
-	// aead is the cipher under Secret; nil until the key is part of a ring.
+	// aead is the cipher for Secret. It is nil until the key is added to a ring.
 	aead cipher.AEAD
 }
 
-// NewKey returns a random key that seals within the given time, which is truncated to whole seconds.
+// NewKey returns a random key that seals from notBefore until notAfter. Both are truncated to whole seconds.
 func NewKey(notBefore, notAfter time.Time, random io.Reader) (Key, error) {
 	const idBytes = keyIDDigits / 2
 	raw := make([]byte, idBytes+chacha20poly1305.KeySize)
 	if _, err := io.ReadFull(random, raw); err != nil {
-		return Key{}, fmt.Errorf("random numbers: %w", err)
+		return Key{}, fmt.Errorf("read random numbers: %w", err)
 	}
 	return Key{
 		ID:        hex.EncodeToString(raw[:idBytes]),
@@ -56,7 +57,7 @@
 // file.
 func (k *Key) prepare() error {
 	if !isKeyID(k.ID) {
-		return fmt.Errorf("id: %q is not %d hexadecimal digits", k.ID, keyIDDigits)
+		return fmt.Errorf("id: %q is invalid: expected %d lower-case hexadecimal digits", k.ID, keyIDDigits)
 	}
 	if !k.NotAfter.After(k.NotBefore) {
 		notAfter, notBefore := k.NotAfter.Format(time.RFC3339), k.NotBefore.Format(time.RFC3339)
@@ -64,7 +65,7 @@
 	}
 	aead, err := chacha20poly1305.NewX(k.Secret)
 	if err != nil {
-		return fmt.Errorf("secret: has %d bytes, %d expected", len(k.Secret), chacha20poly1305.KeySize)
+		return fmt.Errorf("secret: has %d bytes: expected %d", len(k.Secret), chacha20poly1305.KeySize)
 	}
 	k.aead = aead
 	return nil
@@ -75,28 +76,31 @@
 	return len(text) == keyIDDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
 
-// Ring holds the keys that the balancers of a site share. It is immutable: a reload replaces it.
+// Ring is a keyring: the keys that the balancers of a site share. It is immutable, so that a reload of the keys file
+// creates a new one.
 type Ring struct {
 	// keys is sorted by NotBefore, then by ID.
 	keys []*Key
-	// lifetime is the maximum lifetime of the tokens that the keys seal.
+	// lifetime is the maximum lifetime of the tokens that the keys seal. It decides when a key is retired; Seal does
+	// not check it.
 	lifetime time.Duration
 }
 
-// NewRing returns a ring of the keys. lifetime is the maximum lifetime of a token, at most MaxLifetime: a key opens
-// tokens for that long after it has stopped sealing. Errors name the faulty key and value, but never a secret.
+// NewRing returns a ring with the given keys. lifetime is the maximum lifetime of a token, and must not exceed
+// MaxLifetime. A key opens tokens until lifetime and twice Leeway after its NotAfter. Errors name the faulty key and
+// value, but never a secret.
 func NewRing(keys []Key, lifetime time.Duration) (*Ring, error) {
 	if lifetime <= 0 || lifetime > MaxLifetime {
-		return nil, fmt.Errorf("token lifetime: %v is not above 0 and up to %v", lifetime, MaxLifetime)
+		return nil, fmt.Errorf("token lifetime: %v is out of range: expected above 0 and up to %v", lifetime, MaxLifetime)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("keys: %d of them, 1 to %d expected", len(keys), maxKeys)
+		return nil, fmt.Errorf("keys: %d keys found: expected 1 to %d", len(keys), maxKeys)
 	}
 	ring := &Ring{lifetime: lifetime}
 	seen := map[string]bool{}
 	for i, key := range keys {
 		if seen[key.ID] {
-			return nil, fmt.Errorf("keys[%d].id: %q is there twice", i, key.ID)
+			return nil, fmt.Errorf("keys[%d].id: duplicate ID %q", i, key.ID)
 		}
 		seen[key.ID] = true
 		if err := key.prepare(); err != nil {
@@ -122,16 +126,18 @@
 // KeyUse is what a key of a ring is used for at a given time.
 type KeyUse string
 
-// The uses of a key. Operators see them in the list of keys.
+// The uses of a key. Operators see these words in the list of keys.
 const (
-	// KeyWaits means that the key will seal later. It opens tokens already, for balancers whose clock is ahead.
+	// KeyWaits means that the key will seal later. It already opens tokens, because a balancer whose clock is ahead
+	// may seal with it.
 	KeyWaits KeyUse = "waits"
 	// KeySeals means that the key seals new tokens, and opens them.
 	KeySeals KeyUse = "seals"
-	// KeyOpens means that the key opens tokens that it has sealed, but does not seal: another key does, or its time
-	// to seal is over.
+	// KeyOpens means that the key opens tokens, but no longer seals new ones: its NotAfter has passed, or another key
+	// seals instead.
 	KeyOpens KeyUse = "opens"
-	// KeyRetired means that all tokens that the key has sealed are expired, or that the key is not in the ring.
+	// KeyRetired means that the key neither seals nor opens tokens: all tokens that it has sealed have expired, or
+	// the key is not in the ring.
 	KeyRetired KeyUse = "retired"
 )
 
@@ -157,8 +163,9 @@
 	return ""
 }
 
-// sealingKey returns the key that seals at now, or nil. If several keys may seal, it is the one with the latest
-// NotBefore, so that a new key replaces an old one as soon as its time comes.
+// sealingKey returns the key that seals at now, or nil if there is none. If several keys may seal, it is the one with
+// the latest NotBefore, and of those with the same NotBefore the one with the highest ID. So a new key replaces an
+// old one at its NotBefore, even if the old one's NotAfter is later.
 func (r *Ring) sealingKey(now time.Time) *Key {
 	for _, key := range slices.Backward(r.keys) {
 		if !now.Before(key.NotBefore) && now.Before(key.NotAfter) {
@@ -168,8 +175,9 @@
 	return nil
 }
 
-// openingKey returns the key with the given ID, or nil if there is none or it is retired. A key retires when the last
-// token that it can have sealed is expired, even if both the sealing and the opening balancer's clock are behind.
+// openingKey returns the key with the given ID, or nil if there is none or it is retired. The last token that a key
+// seals expires at NotAfter plus lifetime at the latest, and Open accepts it until Leeway after that. The second
+// Leeway allows for clocks that differ, so that a key is not retired before its last token has expired.
 func (r *Ring) openingKey(keyID string, now time.Time) *Key {
 	for _, key := range r.keys {
 		if key.ID == keyID && !now.After(key.NotAfter.Add(r.lifetime+2*Leeway)) {
--- a/internal/session/token/ring_test.go
+++ b/internal/session/token/ring_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A key that has stopped sealing opens tokens until the last one that it sealed has expired, and no longer. The next
-// key seals from its NotBefore on. So a rotation rejects no token that is still valid.
+// A key that has stopped sealing opens tokens until the last one that it sealed has expired, and is retired a few
+// minutes later. The next key seals from its NotBefore on. So a key rotation rejects no token that is still valid.
 func TestKeyRotation(t *testing.T) {
 	old, next := newTestKey(t, -time.Hour, time.Minute), newTestKey(t, 0, 3*time.Hour)
 	ring := newTestRing(t, next, old)
@@ -33,10 +33,10 @@
 	token.Expires = lastSealed.Add(time.Hour)
 	text := mustSeal(t, newTestRing(t, old), token, lastSealed)
 	if _, err := ring.Open(text, "armor", token.Expires.Add(-time.Second)); err != nil {
-		t.Errorf("the old key's last token, before it expires: %v", err)
+		t.Errorf("the old key's last token one second before its expiry: error %v, want none", err)
 	}
 	if _, err := ring.Open(text, "armor", noon.Add(time.Hour+4*time.Minute)); !errors.Is(err, ErrUnknownKey) {
-		t.Errorf("the old key's last token, once the key is retired: %v", err)
+		t.Errorf("the old key's last token after the key is retired: error %v, want ErrUnknownKey", err)
 	}
 	if _, err := newTestRing(t, old).Seal(token, noon.Add(2*time.Minute), random); !errors.Is(err, ErrNoSealingKey) {
 		t.Errorf("sealing after the only key's NotAfter: error %v, want %v", err, ErrNoSealingKey)
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// version is the first field of a sealed token.
+	// version is the version field, the first one, of the tokens that this package seals and opens.
 	version = "1"
-	// maxVersionDigits limits the version field of a token that counts as one of an unsupported version.
+	// maxVersionDigits is the maximum length of a version field. A token whose field is longer is malformed and does
+	// not count as one of an unsupported version.
 	maxVersionDigits = 4
 )
 
-// ErrNoSealingKey is returned by Ring.Seal when no key of the ring seals at that time.
+// ErrNoSealingKey is returned by Ring.Seal if no key of the ring may seal at the given time.
 var ErrNoSealingKey = errors.New("no key seals now")
 
 // payload is the encrypted part of a token: a CBOR map (RFC 8949) with integer keys.
@@ -37,7 +38,8 @@
 // payloadDecoder rejects payloads with duplicate or unknown keys.
 var payloadDecoder = newPayloadDecoder()
 
-// newPayloadDecoder returns the decoder with limits that are just above what a payload needs.
+// newPayloadDecoder returns the decoder with the lowest limits that the library allows. They exceed what a payload
+// needs.
 func newPayloadDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -54,14 +56,15 @@
 
 // Seal encrypts a token with the key that seals at now and returns its text, VERSION.KEYID.BOX. BOX is the base64url
 // encoding (RFC 4648, without padding) of a nonce and an XChaCha20-Poly1305 box (draft-irtf-cfrg-xchacha-03), which
-// also authenticates VERSION.KEYID. The nonce has 192 random bits, so that balancers do not repeat each other's.
+// also authenticates VERSION.KEYID. The nonce has 192 random bits, so that balancers that share a key do not use the
+// same nonce twice.
 //
-// Seal returns an error that wraps ErrNoSealingKey if no key seals at now. It fails too if a name in the token is
-// longer than MaxName, or if random fails.
+// Seal returns an error that wraps ErrNoSealingKey if no key seals at now. It also returns an error if a name in the
+// token is longer than MaxName, or if random returns one.
 func (r *Ring) Seal(t Token, now time.Time, random io.Reader) (string, error) {
 	for _, name := range []string{t.Site, t.Room, t.Server} {
 		if len(name) > MaxName {
-			return "", fmt.Errorf("token: a name of %d bytes, %d at most", len(name), MaxName)
+			return "", fmt.Errorf("token: name is too long: %d bytes, expected at most %d", len(name), MaxName)
 		}
 	}
 	key := r.sealingKey(now)
@@ -75,15 +78,15 @@
 	const nonceSize = chacha20poly1305.NonceSizeX
 	box := make([]byte, nonceSize, nonceSize+len(plaintext)+chacha20poly1305.Overhead)
 	if _, err := io.ReadFull(random, box); err != nil {
-		return "", fmt.Errorf("token: random numbers: %w", err)
+		return "", fmt.Errorf("token: read random numbers: %w", err)
 	}
 	header := version + "." + key.ID
 	box = key.aead.Seal(box, box, plaintext, []byte(header))
 	return header + "." + base64.RawURLEncoding.EncodeToString(box), nil
 }
 
-// Open decrypts the text of a token for a balancer of the given site. Its error is one of ErrMalformed,
-// ErrUnsupportedVersion, ErrUnknownKey, ErrForged, ErrWrongSite and ErrExpired.
+// Open decrypts and validates the text of a token at a balancer of the given site. The error is nil or one of
+// ErrMalformed, ErrUnsupportedVersion, ErrUnknownKey, ErrForged, ErrWrongSite and ErrExpired.
 func (r *Ring) Open(text, site string, now time.Time) (Token, error) {
 	tokenVersion, rest, hasRest := strings.Cut(text, ".")
 	keyID, encodedBox, hasBox := strings.Cut(rest, ".")
@@ -111,13 +114,15 @@
 	}
 	t, err := decodePayload(plaintext)
 	if err != nil {
-		// A balancer with our keys has sealed it, so it has the content of a newer release.
+		// The payload is authentic: a balancer with the same key has sealed it. So it has the format of a newer
+		// release.
 		return Token{}, ErrUnsupportedVersion
 	}
 	return t, t.validate(site, now)
 }
 
-// validate returns ErrWrongSite or ErrExpired if a token with an authentic payload is not valid.
+// validate checks the site and the expiry of a token whose payload is authentic. It returns ErrWrongSite, ErrExpired
+// or nil.
 func (t Token) validate(site string, now time.Time) error {
 	if t.Site != site {
 		return ErrWrongSite
@@ -128,7 +133,7 @@
 	return nil
 }
 
-// encodePayload returns the CBOR encoding of a token.
+// encodePayload returns the CBOR encoding of a token: a payload with the expiry in whole milliseconds.
 func encodePayload(t Token) ([]byte, error) {
 	return cbor.Marshal(payload{
 		Session:  t.Session[:],
@@ -142,14 +147,15 @@
 	})
 }
 
-// decodePayload decodes the result of encodePayload. It returns an error for any other form.
+// decodePayload decodes the result of encodePayload. It returns an error if plaintext is not the CBOR encoding of a
+// payload, or if the session ID has a wrong length.
 func decodePayload(plaintext []byte) (Token, error) {
 	var p payload
 	if err := payloadDecoder.Unmarshal(plaintext, &p); err != nil {
 		return Token{}, err
 	}
 	if len(p.Session) != IDBytes {
-		return Token{}, fmt.Errorf("session id: %d bytes, %d expected", len(p.Session), IDBytes)
+		return Token{}, fmt.Errorf("session ID: has %d bytes: expected %d", len(p.Session), IDBytes)
 	}
 	return Token{
 		Ref:      Ref{Session: SessionID(p.Session), Epoch: p.Epoch, Fence: p.Fence},
@@ -161,7 +167,8 @@
 	}, nil
 }
 
-// isVersion reports whether the text has the form of a token's version, supported or not.
+// isVersion reports whether the text has the form of a version field: 1 to maxVersionDigits decimal digits. The
+// version may be unsupported.
 func isVersion(text string) bool {
 	return text != "" && len(text) <= maxVersionDigits && strings.Trim(text, "0123456789") == ""
 }
--- a/internal/session/token/seal_test.go
+++ b/internal/session/token/seal_test.go
@@ -10,7 +10,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// Balancers that share a key open each other's tokens, and the longest token leaves space in a request line.
+// Balancers that share a key open each other's tokens. A token with the longest names leaves enough space for other
+// fields in a request line, and contains no character that the line uses as a separator.
 func TestOpenWithSharedKey(t *testing.T) {
 	key := newTestKey(t, -time.Hour, time.Hour)
 	want := newTestToken()
@@ -21,23 +22,24 @@
 	otherRing := newTestRing(t, key, newTestKey(t, -time.Minute, time.Hour))
 	got, err := otherRing.Open(text, want.Site, noon.Add(time.Minute))
 	if err != nil || !got.Expires.Equal(want.Expires) {
-		t.Fatalf("opened as %+v: %v", got, err)
+		t.Fatalf("opened as %+v, error %v", got, err)
 	}
 	if got.Expires = want.Expires; got != want {
 		t.Errorf("sealed %+v, opened %+v", want, got)
 	}
 	if len(text) > 700 || len(text) > MaxText || strings.ContainsAny(text, " ,=\r\n") {
-		t.Errorf("%d characters, or some that a request line cannot hold: %q", len(text), text)
+		t.Errorf("token of %d bytes, which is too long or contains a separator of request lines: %q", len(text), text)
 	}
 }
 
-// A token that is cut off or changed at any byte is rejected. One that is cut off counts as malformed or forged.
+// A token that is truncated or changed at any byte is rejected. If it is truncated, the error is ErrMalformed or
+// ErrForged.
 func TestOpenRejectsAlteredTokens(t *testing.T) {
 	ring := newTestRing(t, newTestKey(t, -time.Hour, time.Hour))
 	text := mustSeal(t, ring, newTestToken(), noon)
 	for i := range text {
 		if _, err := ring.Open(text[:i], "armor", noon); !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrForged) {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("truncated to %d bytes: error %v, want ErrMalformed or ErrForged", i, err)
 		}
 		for _, b := range []byte{'A', 'z', '0', '.', '~'} {
 			changed := []byte(text)
@@ -46,21 +48,21 @@
 			}
 			changed[i] = b
 			if _, err := ring.Open(string(changed), "armor", noon); err == nil {
-				t.Errorf("opened with %q at %d", b, i)
+				t.Errorf("opened with %q at byte %d, want an error", b, i)
 			}
 		}
 	}
 	if _, err := ring.Open(text+strings.Repeat("A", MaxText), "armor", noon); !errors.Is(err, ErrMalformed) {
-		t.Errorf("too long: %v", err)
+		t.Errorf("longer than MaxText: error %v, want ErrMalformed", err)
 	}
 }
 
-// Each cause of a rejection has its own error, and a clock that is off by 30 s causes none.
+// Each cause of a rejection has its own error, and a clock that is 30 s ahead or behind causes none.
 func TestOpenErrors(t *testing.T) {
 	key := newTestKey(t, -time.Hour, time.Hour)
 	ring := newTestRing(t, key)
 	text := mustSeal(t, ring, newTestToken(), noon)
-	sameID := key // another site's key, which has the same ID
+	sameID := key // another key, whose ID is the same by chance
 	sameID.Secret = bytes.Repeat([]byte{9}, 32)
 	otherRing := newTestRing(t, newTestKey(t, -time.Hour, time.Hour))
 	for name, v := range map[string]struct {
@@ -90,7 +92,7 @@
 	}
 }
 
-// Whatever the text, Open rejects it or returns the token that was sealed.
+// Open rejects any text that Seal has not returned. The fuzzer has no key, so it can create no other valid token.
 func FuzzOpen(f *testing.F) {
 	ring := newTestRing(f, newTestKey(f, -time.Hour, time.Hour))
 	token := newTestToken()
--- a/internal/session/token/sealed_bytes_test.go
+++ b/internal/session/token/sealed_bytes_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Balancers of different versions share tokens, so the sealed bytes must stay as they are.
+// Balancers of different versions open each other's tokens, so the bytes of a sealed token must not change. The
+// tokens in this test are sealed with a constant key and nonce.
 func TestSealedBytes(t *testing.T) {
 	ring := newTestRing(t, fixedKey())
 	withoutRoom := newTestToken()
@@ -40,7 +41,8 @@
 	}
 }
 
-// Clients and the management interface see these texts.
+// These texts must not change: room servers receive session IDs in this form, clients receive the words of the
+// errors, and operators read the uses of keys.
 func TestReferenceAndReasonTexts(t *testing.T) {
 	ref := newTestToken().Ref
 	for _, v := range []struct{ got, want string }{
