--- a/internal/session/migration/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -8,11 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-var longModel = flag.Bool("model.long", false, "explore the model for minutes")
+var longModel = flag.Bool("model.long", false, "check more sequences of actions, which takes minutes")
 
-// A session is never attached twice, its epochs do not decrease, and no acknowledged move is lost while the room server
-// that holds it lives. Whatever exchanges are cut off, tokens replayed and processes killed, in whatever order, the
-// newest token resumes the session once the faults end. So the order of export, commit and activate is right.
+// The model checks the order of export, commit and activate. It runs random sequences of requests, interrupted
+// exchanges, replayed tokens and killed processes against the real Flow and Arbiter. A session must never be attached
+// twice, its epochs must not decrease, and no acknowledged move may be lost unless a room server has crashed. Once
+// the faults have ended, the client's newest token must resume the session.
 func TestModel(t *testing.T) {
 	if *longModel {
 		flag.Set("rapid.checks", "300000")
@@ -31,20 +32,22 @@
 	anyLoss     = rapid.IntRange(int(requestLost), int(responseLost))
 )
 
-// explore runs random actions and then checks that the client can resume its session.
+// explore runs random actions, checks the invariants after each one, and finally checks that the client can resume
+// its session.
 func explore(t *rapid.T) {
 	s := newSimulation()
-	// rapid draws from the sorted names, so the names are part of what a seed explores.
+	// rapid sorts the actions by name before it draws one, so changing a name changes the sequence that a seed
+	// selects.
 	t.Repeat(map[string]func(*rapid.T){
 		"":                    s.check,
 		"advance":             s.advanceAny,
-		"advance again":       s.advanceAny, // twice as likely as other actions
+		"advance again":       s.advanceAny, // the same action again makes it twice as likely as others
 		"attempt again":       s.retryAny,
 		"connect":             s.connect,
 		"crash a server":      s.crashServer,
 		"drain a server":      s.drainServer,
 		"finish":              s.finishAny,
-		"finish but the last": s.finishButLast,
+		"finish but the last": s.loseFinalExchange,
 		"kill a balancer":     s.killBalancer,
 		"leave":               func(t *rapid.T) { s.drop(s.anyRequest(t)) },
 		"lose an exchange":    s.loseExchange,
@@ -55,7 +58,7 @@
 	s.checkResumable(t)
 }
 
-// anyRequest draws a request, or skips the action if there is none.
+// anyRequest draws one of the current requests. If there is none, the action that calls it is skipped.
 func (s *simulation) anyRequest(t *rapid.T) *request {
 	if len(s.requests) == 0 {
 		t.Skip("no request")
@@ -63,7 +66,7 @@
 	return s.requests[rapid.IntRange(0, len(s.requests)-1).Draw(t, "request")]
 }
 
-// connect lets the client present its newest token.
+// connect makes the client present its newest token, unless it has a request or a connection already.
 func (s *simulation) connect(t *rapid.T) {
 	for _, r := range s.requests {
 		if r.byClient {
@@ -73,12 +76,13 @@
 	s.present(anyBalancer.Draw(t, "balancer"), s.current, true, anyServer.Draw(t, "server"))
 }
 
-// replayToken presents any token that the client has ever had.
+// replayToken presents any token that the client has ever had, as somebody who has recorded it.
 func (s *simulation) replayToken(t *rapid.T) {
 	old := rapid.SampledFrom(s.issued).Draw(t, "token")
-	// The newest token in other hands while its owner is connected is theft, which no arbiter can tell from its use.
+	// A token is a bearer token: an arbiter cannot distinguish a thief with the newest token from the client. So the
+	// invariants do not cover the theft of the newest token while the client is connected.
 	if old.Ref == s.current.Ref && s.established != nil {
-		t.Skip("the newest token")
+		t.Skip("the newest token, while the client is connected")
 	}
 	s.present(anyBalancer.Draw(t, "balancer"), old, false, anyServer.Draw(t, "server"))
 }
@@ -90,7 +94,7 @@
 	s.advance(r, delivery(anyLoss.Draw(t, "loss")))
 }
 
-// finishAny advances a request by several steps, mostly to its end.
+// finishAny advances a request by several steps, usually until it is finished.
 func (s *simulation) finishAny(t *rapid.T) {
 	r := s.anyRequest(t)
 	for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -102,8 +106,8 @@
 	}
 }
 
-// finishButLast advances a request until its session is about to be attached, and loses that exchange.
-func (s *simulation) finishButLast(t *rapid.T) {
+// loseFinalExchange advances a request until its next step is Activate or Establish, and loses that exchange.
+func (s *simulation) loseFinalExchange(t *rapid.T) {
 	r := s.anyRequest(t)
 	for !r.finished() && r.step != Activate && r.step != Establish {
 		s.advance(r, delivered)
@@ -112,12 +116,12 @@
 	s.advance(r, delivery(anyLoss.Draw(t, "loss")))
 }
 
-// finished reports whether the request has its final answer, or its connection is established.
+// finished reports whether the request has got its final answer or its connection is established.
 func (r *request) finished() bool {
 	return r.step == Wait || r.step == StartOver || r.step == RetryLater
 }
 
-// retryAny ends a request's attempt, and the balancer makes another.
+// retryAny ends the current attempt of a request and starts the next one at any room server.
 func (s *simulation) retryAny(t *rapid.T) {
 	const maxRetries = 2
 	r := s.anyRequest(t)
@@ -128,7 +132,7 @@
 	s.retry(r, anyServer.Draw(t, "server"))
 }
 
-// playMove saves one more move of the client, and acknowledges it if the arbiter allows that.
+// playMove saves one more move of the client, which is acknowledged if the arbiter saves it.
 func (s *simulation) playMove(t *rapid.T) {
 	if s.established == nil {
 		t.Skip("the client is not connected")
@@ -148,16 +152,17 @@
 	s.dropAll(func(r *request) bool { return r.balancer == balancer })
 }
 
-// drainServer closes a room server's established connections.
+// drainServer closes the established connections of a room server, which keeps its sessions.
 func (s *simulation) drainServer(t *rapid.T) {
 	server := anyServer.Draw(t, "server")
 	s.dropAll(func(r *request) bool { return r.server == server && r.established })
 }
 
-// crashServer closes a room server's connections and removes its state.
+// crashServer closes all connections of a room server and removes its sessions. Nine of ten draws skip it, because
+// after a crash several invariants are no longer checked.
 func (s *simulation) crashServer(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "one in ten") != 0 {
-		t.Skip("not now")
+		t.Skip("no crash in nine of ten draws")
 	}
 	name := anyServer.Draw(t, "server")
 	s.serverCrashed = true
@@ -165,11 +170,12 @@
 	s.servers[name] = newRoomServer(name)
 }
 
-// checkResumable ends all faults and checks that the client's newest token resumes the session.
+// checkResumable closes all connections, waits until all claims have expired, and checks that the client's newest
+// token resumes the session if no further exchange fails.
 func (s *simulation) checkResumable(t *rapid.T) {
 	s.dropAll(func(*request) bool { return true })
 	if s.startedOver {
-		return // a claim or a lost exchange was in the way then; the client has begun another session
+		return // an earlier fault has made the client start over, so it has begun another session
 	}
 	s.now = s.now.Add(5 * time.Second)
 	const maxSteps = 60
@@ -182,9 +188,9 @@
 		s.check(t)
 	}
 	if r.flow.redirects > maxRedirects {
-		return // too many migrations were cut off before the client confirmed its token
+		return // the client was disconnected after too many migrations before it received the new token
 	}
 	if s.established != r && !s.serverCrashed {
-		t.Fatalf("the newest token ends at step %d, reason %v", r.step, r.flow.Reason)
+		t.Fatalf("the newest token did not resume the session: last step %d, reason %v", r.step, r.flow.Reason)
 	}
 }
--- a/internal/session/migration/reason_test.go
+++ b/internal/session/migration/reason_test.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/session/token"
 )
 
-// Clients, INFO and the MIB's table see these words, the MIB in this order.
+// Clients receive these words, and INFO and the MIB's table contain them. The table's order must not change either.
 func TestReasonWords(t *testing.T) {
 	want := []string{"malformed", "version", "unknown-key", "forged", "expired", "site", "room", "used", "over", "gone",
 		"late", "large", "stale", "lost", "unsupported"}
@@ -23,6 +23,7 @@
 	}
 }
 
+// Each error of token.Ring.Open has its own reason, also if it is wrapped. Any other error counts as malformed.
 func TestReasonForError(t *testing.T) {
 	for err, want := range map[error]string{
 		token.ErrMalformed:          "malformed",
--- a/internal/session/migration/simulation_test.go
+++ b/internal/session/migration/simulation_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is one session, its client, others that replay the client's tokens, two balancers and three room servers.
-// Each exchange with a room server is one action. It may be cut off before it arrives or before its response does, and
-// any other action may happen between two exchanges.
+// simulation simulates one session, its client, others that replay the client's tokens, two balancers and three room
+// servers. Each exchange with a room server is one action. The connection may fail before the request arrives or
+// before the response does, and any other action may happen between two exchanges.
 type simulation struct {
 	now      time.Time
 	servers  map[string]*roomServer
@@ -27,29 +27,30 @@
 	current token.Token
 	// issued holds all tokens that the client has ever had.
 	issued []token.Token
-	// acknowledged is the number of the client's moves that it knows to be in the state.
+	// acknowledged is the number of moves that were acknowledged to the client.
 	acknowledged uint64
 	// established is the request whose connection the client uses; nil if there is none.
 	established *request
 	// maxEpoch is the highest epoch of an attachment so far.
 	maxEpoch uint64
-	// serverCrashed says that a room server has lost its state. Starting over is correct from then on.
+	// serverCrashed says that a room server has crashed and lost its sessions. The client may have to start over
+	// after that, and acknowledged moves may be lost.
 	serverCrashed bool
 	// startedOver says that the client was told to start over.
 	startedOver bool
-	// maxConfirmedEpoch is the highest epoch whose token a room server has received from the client.
+	// maxConfirmedEpoch is the highest epoch whose token the client has confirmed or presented to a room server.
 	maxConfirmedEpoch uint64
-	// fault describes the first violation that was found while an action ran; empty if there is none.
+	// fault describes the first violation of an invariant during an action; empty if there is none.
 	fault string
 }
 
-// roomServer is the arbiter of a room server.
+// roomServer is a simulated room server, which consists of its name and its arbiter.
 type roomServer struct {
 	name     string
 	sessions *arbiter.Arbiter
 }
 
-// request is one request with a token at one balancer.
+// request is one request that presents a token at one balancer.
 type request struct {
 	balancer int
 	flow     *Flow
@@ -59,23 +60,24 @@
 	server string
 	// conn is the connection to server.
 	conn arbiter.Conn
-	// exportConn is the connection that has the claim on the state; 0 if there is none.
+	// exportConn is the connection on which the state was exported and claimed; 0 if there is none.
 	exportConn arbiter.Conn
 	// exportServer is the room server of exportConn.
 	exportServer string
-	// byClient says that the client makes the request, as opposed to a replay.
+	// byClient says that the client itself makes the request. Otherwise it is a replay of one of its tokens.
 	byClient bool
-	// established says that the room server's acceptance was passed on.
+	// established says that the balancer has forwarded the room server's acceptance.
 	established bool
 	// retries counts the attempts after the first one.
 	retries int
 	// tokenEpoch is the epoch of the token that was presented.
 	tokenEpoch uint64
-	// tokenUsed says that the token had been replaced by a confirmed one when it was presented.
+	// tokenUsed says that the client had confirmed a newer token when this one was presented, so that no room server
+	// may accept it.
 	tokenUsed bool
 }
 
-// delivery is what happens to an exchange with a room server.
+// delivery says whether an exchange with a room server succeeds, or where it is interrupted.
 type delivery int
 
 const (
@@ -90,7 +92,8 @@
 	return &roomServer{name: name, sessions: arbiter.New(arbiter.Config{Retention: time.Hour, Limit: 10})}
 }
 
-// newSimulation returns a simulation whose session is at server "a", without a connection.
+// newSimulation returns a simulation with a session at room server "a", which is not attached. The client has its
+// token.
 func newSimulation() *simulation {
 	s := &simulation{now: time.Unix(1e9, 0), servers: map[string]*roomServer{}}
 	for _, name := range []string{"a", "b", "c"} {
@@ -114,7 +117,7 @@
 	s.servers[server].sessions.Disconnected(s.now, conn, session)
 }
 
-// present begins a request with a token.
+// present starts a request with a token at a balancer. server is the room server of its first attempt.
 func (s *simulation) present(balancer int, presented token.Token, byClient bool, server string) *request {
 	s.lastClaim++
 	r := &request{
@@ -131,14 +134,14 @@
 	return r
 }
 
-// retry ends the request's attempt and begins another.
+// retry ends the current attempt of the request and starts another one at server.
 func (s *simulation) retry(r *request, server string) {
 	s.disconnect(r.server, r.conn)
 	r.server, r.conn = server, s.newConn()
 	r.step = r.flow.Attempt(server)
 }
 
-// drop ends a request's connections, whatever its step.
+// drop closes the connections of a request, whatever its step is, and removes the request.
 func (s *simulation) drop(r *request) {
 	s.disconnect(r.server, r.conn)
 	if r.exportConn != 0 {
@@ -152,7 +155,7 @@
 	}
 }
 
-// dropAll drops the requests that match.
+// dropAll drops all requests for which match returns true.
 func (s *simulation) dropAll(match func(*request) bool) {
 	for _, r := range slices.Clone(s.requests) {
 		if match(r) {
@@ -161,7 +164,8 @@
 	}
 }
 
-// displace closes the connection that lost the session to the request by.
+// displace closes the connection conn, which has lost the session to the request by. It is a violation if the client
+// loses its connection to a replay.
 func (s *simulation) displace(by *request, conn arbiter.Conn) {
 	if conn == 0 {
 		return
@@ -178,21 +182,22 @@
 	}
 }
 
-// fail records a violation.
+// fail records a violation, which check reports after the action.
 func (s *simulation) fail(format string, args ...any) {
 	if s.fault == "" {
 		s.fault = fmt.Sprintf(format, args...)
 	}
 }
 
-// noteConfirmed notes that a room server has granted a session to the client's own token. Older tokens are used then.
+// noteConfirmed records the epoch of the client's token if a room server has granted the session to it without a
+// redirect. Older tokens are invalid from then on.
 func (s *simulation) noteConfirmed(r *request, answer arbiter.Answer) {
 	if r.byClient && answer.Verdict == arbiter.Granted && !r.flow.ViaRedirect {
 		s.maxConfirmedEpoch = max(s.maxConfirmedEpoch, r.tokenEpoch)
 	}
 }
 
-// advance makes the request's next exchange.
+// advance executes the next step of the request. d says whether the exchange of that step succeeds.
 func (s *simulation) advance(r *request, d delivery) {
 	switch r.step {
 	case Locate:
@@ -290,21 +295,22 @@
 	r.step = r.flow.UpstreamAccepted()
 }
 
-// establish brings the acceptance and the new token to the client, and its confirmation to the room server.
+// establish forwards the acceptance and the new token to the client, and the client's confirmation to the room
+// server.
 func (s *simulation) establish(r *request, d delivery) {
 	r.established = true
 	if r.tokenUsed && !s.serverCrashed {
 		s.fail("a used token was accepted")
 	}
 	if d == requestLost || !r.byClient {
-		// The client never gets the token. One that replays an old token cannot continue without.
+		// The client never receives the token. A replay does not receive it either, and ends here.
 		s.drop(r)
 		return
 	}
 	s.current = token.Token{Ref: r.flow.Next, Server: r.server, Position: r.flow.Position}
 	s.issued = append(s.issued, s.current)
 	if r.flow.Position < s.acknowledged && !s.serverCrashed {
-		s.fail("%d moves were acknowledged to the client, its session has %d", s.acknowledged, r.flow.Position)
+		s.fail("%d moves were acknowledged to the client, but its session has %d", s.acknowledged, r.flow.Position)
 	}
 	if d == responseLost {
 		s.drop(r)
@@ -326,7 +332,7 @@
 		attached += n
 	}
 	if attached > 1 {
-		t.Fatalf("attached %d times", attached)
+		t.Fatalf("the session is attached %d times, want at most once", attached)
 	}
 	for _, r := range s.requests {
 		epoch := r.flow.Next.Epoch
@@ -334,7 +340,7 @@
 			continue
 		}
 		if epoch < s.maxEpoch && !s.serverCrashed {
-			t.Fatalf("epoch %d after %d", epoch, s.maxEpoch)
+			t.Fatalf("a session is established at epoch %d after epoch %d", epoch, s.maxEpoch)
 		}
 		s.maxEpoch = max(s.maxEpoch, epoch)
 	}
--- a/internal/session/protocol/fields.go
+++ b/internal/session/protocol/fields.go
@@ -15,10 +15,10 @@
 	errInvalidNumber = errors.New("invalid number")
 )
 
-// fields parses the fields of a line one after the other and keeps the first error. Each value has only one valid
-// form, so that a line that is parsed and formatted again is the same.
+// fields parses the fields of a line one by one and keeps the first error. It accepts only one form of each value, so
+// that formatting a parsed line gives the same line.
 type fields struct {
-	// remaining holds the fields that are not parsed yet.
+	// remaining holds the fields that have not been parsed.
 	remaining []string
 	// err is the first error; nil if there is none.
 	err error
@@ -27,7 +27,7 @@
 // newFields returns the parser of the given fields.
 func newFields(texts []string) fields { return fields{remaining: texts} }
 
-// next returns the next field, or an empty string if there is none.
+// next removes the next field and returns it. If there is none, it records an error and returns an empty string.
 func (f *fields) next() string {
 	if len(f.remaining) == 0 {
 		f.fail(errFieldCount)
@@ -45,7 +45,7 @@
 	}
 }
 
-// end returns the first error. Fields that are not parsed are one.
+// end returns the first error. It is an error if there are fields that have not been parsed.
 func (f *fields) end() error {
 	if len(f.remaining) > 0 {
 		f.fail(errFieldCount)
@@ -53,7 +53,7 @@
 	return f.err
 }
 
-// unsigned parses a number of at most the given bits, without leading zeros.
+// unsigned parses a number that fits into the given number of bits. It rejects leading zeros and upper-case digits.
 func (f *fields) unsigned(base, bits int) uint64 {
 	text := f.next()
 	value, err := strconv.ParseUint(text, base, bits)
@@ -73,7 +73,7 @@
 // flag parses 0 or 1.
 func (f *fields) flag() bool { return f.unsigned(10, 1) == 1 }
 
-// flagDigit formats a value that flag parses.
+// flagDigit returns the digit for a value, which flag parses.
 func flagDigit(value bool) int {
 	if value {
 		return 1
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// milliseconds parses a duration. The 31 bits of its number cannot overflow a time.Duration.
+// milliseconds parses a duration in milliseconds. The limit of 31 bits prevents an overflow of time.Duration.
 func (f *fields) milliseconds() time.Duration {
 	return time.Duration(f.unsigned(10, 31)) * time.Millisecond
 }
@@ -90,7 +90,7 @@
 func (f *fields) stateSize() int {
 	size := f.decimal()
 	if size > MaxState {
-		f.fail(fmt.Errorf("%d bytes of state, %d at most", size, MaxState))
+		f.fail(fmt.Errorf("state is too large: %d bytes, expected at most %d", size, MaxState))
 		return 0
 	}
 	return int(size)
@@ -105,7 +105,7 @@
 	return id
 }
 
-// ref parses the three fields of a reference.
+// ref parses the three fields of a reference: session ID, epoch and fence.
 func (f *fields) ref() token.Ref {
 	var ref token.Ref
 	ref.Session = f.session()
@@ -114,12 +114,12 @@
 	return ref
 }
 
-// name parses a percent-encoded name that is not empty.
+// name parses a name, which has to be percent-encoded as by url.PathEscape and must not be empty.
 func (f *fields) name() string {
 	text := f.next()
 	name, err := url.PathUnescape(text)
 	if err != nil || name == "" || url.PathEscape(name) != text {
-		f.fail(fmt.Errorf("%q is not a valid name", text))
+		f.fail(fmt.Errorf("invalid name %q: expected percent-encoded text that is not empty", text))
 	}
 	return name
 }
--- a/internal/session/protocol/line_texts_test.go
+++ b/internal/session/protocol/line_texts_test.go
@@ -8,7 +8,7 @@
 	"cottonplank/internal/session/token"
 )
 
-// Balancers, room servers and clients of different versions exchange these lines.
+// Balancers, room servers and clients of different versions exchange these lines, so their texts must not change.
 func TestLineTexts(t *testing.T) {
 	const id = "01ff0000000000000000000000000000"
 	export := Export{Ref: ref, Claim: 0x5f, ClaimFor: 2 * time.Second, MaxState: 100, ViaRedirect: true}
@@ -41,6 +41,7 @@
 	}
 }
 
+// The answers of a room server to Export must not change either, and ParseAnswer understands each of them.
 func TestAnswerTexts(t *testing.T) {
 	for want, answer := range map[string]arbiter.Answer{
 		"STATE 3 4 5":       {Verdict: arbiter.Granted, Position: 4, State: []byte("board"), Ref: ref},
@@ -62,7 +63,7 @@
 	}
 }
 
-// Only one form of each line is accepted.
+// ParseOpen rejects wrong numbers of fields, leading zeros, upper-case digits, unknown modes and values out of range.
 func TestParseOpenRejectsOtherForms(t *testing.T) {
 	const id = "01ff0000000000000000000000000000"
 	for _, text := range []string{
@@ -75,7 +76,7 @@
 		}
 	}
 	if _, err := ParseOpen("move:" + id + ":3:abc:7:1048576"); err != nil {
-		t.Errorf("a state of the maximum size: %v", err)
+		t.Errorf("state of the maximum size: error %v, want none", err)
 	}
 	if id, err := token.ParseSessionID(id); err != nil || id != ref.Session {
 		t.Errorf("session ID %s, %v", id, err)
--- a/internal/session/protocol/open.go
+++ b/internal/session/protocol/open.go
@@ -16,11 +16,12 @@
 	ModeNew Mode = "new"
 	// ModeReattach attaches a session that the room server holds.
 	ModeReattach Mode = "back"
-	// ModeMigrate announces a session's state, which follows after ReadyLine.
+	// ModeMigrate announces the state of a session of another room server. The balancer sends the state when the room
+	// server has answered with ReadyLine.
 	ModeMigrate Mode = "move"
 )
 
-// Open is the value of the field FieldName in a request line. It tells a room server which session to open.
+// Open is the value of the field FieldName in a request line. It tells a room server which session to open, and how.
 type Open struct {
 	// Mode says how to open the session, and which of the other fields are used.
 	Mode Mode
@@ -29,8 +30,8 @@
 	Ref token.Ref
 	// Next is the fencing token of the new attachment. It is used with ModeReattach.
 	Next uint64
-	// ViaRedirect says that a tombstone has led to Ref, of which the client has no token. It is used with
-	// ModeReattach.
+	// ViaRedirect says that Ref is not from the client's token, but from a tombstone or from a migration for the same
+	// request. It is used with ModeReattach.
 	ViaRedirect bool
 	// Position is the number of the client's moves in the state. It is used with ModeMigrate.
 	Position uint64
@@ -38,10 +39,10 @@
 	Size int
 }
 
-// minOpenFields is the number of fields that all modes have: the mode and those of the reference.
+// minOpenFields is the number of fields that are common to all modes: the mode and the three fields of Ref.
 const minOpenFields = 4
 
-// String returns the text of the field, which ParseOpen parses.
+// String returns the value of the request line's field, which ParseOpen parses.
 func (o Open) String() string {
 	common := fmt.Sprintf("%s:%s:%d:%x", o.Mode, o.Ref.Session, o.Ref.Epoch, o.Ref.Fence)
 	switch o.Mode {
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol formats and parses the lines with which balancers, room servers and clients migrate sessions, as
-// docs/resume-protocol.md specifies them. It knows the text only; packages arbiter and migration decide what to do.
-// Lines are passed without their line ends.
+// Package protocol formats and parses the lines that balancers, room servers and clients exchange to resume and
+// migrate sessions. docs/resume-protocol.md specifies them. Packages arbiter and migration decide which lines to
+// send. All lines are without their line ends.
 package protocol
 
 import (
@@ -9,25 +9,28 @@
 )
 
 const (
-	// FieldName is the name of the field of a request line that says how to open a session.
+	// FieldName is the name of the field in a request line to a room server that contains the text of an Open.
 	FieldName = "session"
-	// NewToken is the value with which a client that has no token requests one.
+	// NewToken is what a client without a token sends instead of one to request a token.
 	NewToken = "new"
-	// MaxState is the maximum size of a session's state in bytes that any balancer transfers.
+	// MaxState is the maximum size in bytes of a session's state that any balancer transfers. The configuration of a
+	// balancer can only lower it.
 	MaxState = 1 << 20
 )
 
-// Lines between a balancer and a room server that have no parameters.
+// Lines to and from a room server that have no parameters.
 const (
-	// ReadyLine is sent by a room server that waits for a session's state.
+	// ReadyLine is the room server's response to a request line with ModeMigrate: it waits for the session's state.
 	ReadyLine = "READY"
-	// ActivateLine tells a room server to attach the session that it has prepared.
+	// ActivateLine tells a room server to attach the session that it has reported with SessionReadyLine, and to
+	// accept the client.
 	ActivateLine = "GO"
-	// CommitDone answers a Commit: the room server has let the session go.
+	// CommitDone is the answer to a Commit that was executed: the room server has released the session.
 	CommitDone = "DONE"
-	// CommitRejected answers a Commit: the session was attached or claimed by another.
+	// CommitRejected is the answer to a Commit whose claim has ended, for example because another request has
+	// attached or claimed the session.
 	CommitRejected = "NO"
-	// HaveLine is sent by a client, through its balancer, to confirm that it has its token.
+	// HaveLine is sent by a client, through its balancer, to confirm that it has received its token.
 	HaveLine = "HAVE"
 )
 
@@ -43,23 +46,23 @@
 )
 
 // SessionReadyLine returns the line with which a room server reports that it holds the session that the balancer has
-// opened, at this epoch and position. The balancer may activate it.
+// opened with ModeReattach or ModeMigrate, at this epoch and position. The balancer may then send ActivateLine.
 func SessionReadyLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionReady, epoch, position)
 }
 
-// SessionRetainedLine returns the line with which a room server reports, first after it has accepted the client, that
-// it retains the session: the session can be migrated, and the client gets a token.
+// SessionRetainedLine returns the line that a room server sends directly after it has accepted a client if it retains
+// the session. The session can then be resumed and migrated, so the balancer issues a token to the client.
 func SessionRetainedLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionRetained, epoch, position)
 }
 
-// PositionLine returns the line with which a room server acknowledges all of the client's moves up to a position.
+// PositionLine returns the line with which a room server acknowledges the client's moves; position is their number.
 func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPosition, position) }
 
 // ParseNumbers parses a line that consists of a word and decimal numbers, such as those of SessionReadyLine,
-// SessionRetainedLine and PositionLine. It returns false if the line does not have that form; the numbers are
-// undefined then.
+// SessionRetainedLine and PositionLine. It returns false if the line does not have that form; the values of the
+// numbers are undefined then.
 func ParseNumbers(line, word string, numbers ...*uint64) bool {
 	f, err := parametersOf(line, word)
 	if err != nil {
@@ -74,15 +77,16 @@
 // TokenLine returns the line that gives a client its session token.
 func TokenLine(text string) string { return wordToken + " " + text }
 
-// StartOverLine returns the line that tells a client that its session cannot continue. reason is a word of
+// StartOverLine returns the line that tells a client that its session cannot be resumed. reason is the word of a
 // migration.Reason.
 func StartOverLine(reason string) string { return wordStartOver + " " + reason }
 
-// parametersOf returns the parameters of a line that begins with a word.
+// parametersOf returns the parameters of a line. It returns an error if the line does not begin with word and a
+// space.
 func parametersOf(line, word string) (fields, error) {
 	rest, ok := strings.CutPrefix(line, word+" ")
 	if !ok {
-		return fields{}, fmt.Errorf("expected %s", word)
+		return fields{}, fmt.Errorf("invalid line: expected %s and its parameters", word)
 	}
 	return newFields(strings.Split(rest, " ")), nil
 }
--- a/internal/session/protocol/protocol_test.go
+++ b/internal/session/protocol/protocol_test.go
@@ -12,6 +12,7 @@
 
 var ref = token.Ref{Session: token.SessionID{1, 0xff}, Epoch: 3, Fence: 0xabc}
 
+// ParseOpen returns what Open.String has formatted. The text contains no separator of request lines.
 func TestOpenIsParsed(t *testing.T) {
 	for _, open := range []Open{
 		{Mode: ModeNew, Ref: ref},
@@ -27,7 +28,8 @@
 	}
 }
 
-// Names may contain any bytes.
+// ParseExport and ParseCommit return what String has formatted, also if a room server's name contains spaces,
+// slashes, percent signs or characters that are not ASCII.
 func TestTransferRequestsAreParsed(t *testing.T) {
 	export := Export{Ref: ref, Claim: 5, ClaimFor: 2 * time.Second, MaxState: 100, ViaRedirect: true}
 	if got, err := ParseExport(export.String()); err != nil || got != export {
@@ -39,6 +41,7 @@
 	}
 }
 
+// ParseAnswer returns what AnswerLine has formatted, for each verdict.
 func TestAnswersAreParsed(t *testing.T) {
 	for _, want := range []arbiter.Answer{
 		{Verdict: arbiter.Granted, Position: 4, State: []byte("abc"), Ref: ref},
@@ -67,11 +70,11 @@
 		t.Errorf("HELD is parsed as epoch %d, position %d", epoch, position)
 	}
 	if ParseNumbers("HELD 3", "HELD", &epoch, &position) {
-		t.Error("HELD with one number is accepted")
+		t.Error("HELD with one number instead of two is accepted")
 	}
 }
 
-// A text that is accepted is formatted as it was. So no two texts mean the same.
+// Parsing any accepted text and formatting the result gives the same text. So no two texts have the same meaning.
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f,
 		[]byte(Open{Mode: ModeReattach, Ref: ref, Next: 9}.String()),
--- a/internal/session/protocol/transfer.go
+++ b/internal/session/protocol/transfer.go
@@ -14,17 +14,19 @@
 type Export struct {
 	// Ref identifies the copy of the state.
 	Ref token.Ref
-	// Claim is the number of the claim that the export makes.
+	// Claim is the number of the claim that the export makes. It is also the fencing token of the copy that the
+	// migration creates.
 	Claim uint64
-	// ClaimFor is how long the claim is valid, in whole milliseconds.
+	// ClaimFor is how long the claim is valid. String truncates it to whole milliseconds.
 	ClaimFor time.Duration
 	// MaxState is the maximum size of the state in bytes that the balancer accepts.
 	MaxState int
-	// ViaRedirect says that a tombstone has led to Ref, of which the client has no token.
+	// ViaRedirect says that Ref is not from the client's token, but from a tombstone or from a migration for the same
+	// request.
 	ViaRedirect bool
 }
 
-// String returns the request's line, which ParseExport parses.
+// String returns the line of the request, which ParseExport parses.
 func (e Export) String() string {
 	return fmt.Sprintf("%s %s %d %x %x %d %d %d", wordExport, e.Ref.Session, e.Ref.Epoch, e.Ref.Fence,
 		e.Claim, e.ClaimFor.Milliseconds(), e.MaxState, flagDigit(e.ViaRedirect))
@@ -45,8 +47,8 @@
 	return e, f.end()
 }
 
-// Commit is a balancer's request to let a session go to another room server. The answer is CommitDone or
-// CommitRejected.
+// Commit is a balancer's request to release a session that was exported and is prepared at another room server. The
+// answer is CommitDone or CommitRejected.
 type Commit struct {
 	// Session is the session's ID.
 	Session token.SessionID
@@ -56,7 +58,7 @@
 	To string
 }
 
-// String returns the request's line, which ParseCommit parses.
+// String returns the line of the request, which ParseCommit parses.
 func (c Commit) String() string {
 	return fmt.Sprintf("%s %s %x %s", wordCommit, c.Session, c.Claim, url.PathEscape(c.To))
 }
@@ -74,7 +76,8 @@
 	return c, f.end()
 }
 
-// First words of the lines that answer Export.
+// First words of the lines that answer Export. Those other than wordState also reject a request line with
+// ModeReattach.
 const (
 	wordState         = "STATE"
 	wordMigrated      = "MOVED"
@@ -86,7 +89,7 @@
 )
 
 // AnswerLine returns the line with which a room server answers Export, or rejects a request line with ModeReattach.
-// If the verdict is Granted, the bytes of the state follow the line.
+// If the verdict is Granted, the room server sends the bytes of the state after the line.
 func AnswerLine(answer arbiter.Answer) string {
 	switch answer.Verdict {
 	case arbiter.Granted:
@@ -108,8 +111,9 @@
 	return ""
 }
 
-// ParseAnswer parses the result of AnswerLine for a session. stateSize is the number of bytes of state that follow the
-// line; the answer's State is not set. ok is false if the line has another form.
+// ParseAnswer parses the result of AnswerLine for a session, whose ID the line does not contain. stateSize is the
+// number of bytes of state that follow the line; the answer's State is not set. ok is false if the line has another
+// form.
 func ParseAnswer(line string, session token.SessionID) (answer arbiter.Answer, stateSize int, ok bool) {
 	parts := strings.Split(line, " ")
 	f := newFields(parts[1:])
