--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -50,6 +50,8 @@
 // frame returns a batch with the given body. n is the batch's number and its clock in seconds.
 func frame(n, body string) string { return "FRAME\tt_s=" + n + "\tn=" + n + "\n" + body + "COMMIT\n" }
 
+// A request whose connection fails at one server is attempted at the other one, and each batch gets one reply. The test
+// does not know which server is first, so the last batch reports a failure at both.
 func TestConversation(t *testing.T) {
 	in := frame("1", "") +
 		frame("2", create("3")+listing+"TARGETS\twho=3\tgeneration=1\tpage=0\thow=restored\n") +
@@ -79,6 +81,7 @@
 	}
 }
 
+// The replies of an instance are the same with and without another instance in the process.
 func TestInstancesShareNothing(t *testing.T) {
 	body := func(who string) string {
 		return create(who) + listing + "TARGETS\twho=" + who + "\tgeneration=1\tpage=0\thow=restored\n" +
@@ -97,6 +100,7 @@
 	}
 }
 
+// A new instance with the number of a halted one does not know its requests: it ignores the end of such an attempt.
 func TestHaltDiscardsInstance(t *testing.T) {
 	in := frame("1", create("3")) +
 		frame("2", "DEMAND\twho=3\tid=u-1\tservice=feed\tremaining_s=1\nHALT\twho=3\n"+create("3")) +
--- a/decide/affinity_fleet_test.go
+++ b/decide/affinity_fleet_test.go
@@ -43,10 +43,12 @@
 				"the preferred servers had capacity for %.0f, the others have capacity for %.0f; migrations off %d servers",
 				initial, established, preferred, maxLoad, f.rejected-rejected, available, elsewhere, len(f.migratedOff))
 			if preferred > 2*maxPreferredServers || preferred < maxPreferredServers {
-				t.Errorf("initial load %.1f: the group is on %d servers", initial, preferred)
+				t.Errorf("initial load %.1f: the group is on %d servers, want maxPreferredServers to twice that", initial,
+					preferred)
 			}
 			if maxLoad > migrationLoad+0.05 {
-				t.Errorf("initial load %.1f: the load of a preferred server is %.2f", initial, maxLoad)
+				t.Errorf("initial load %.1f: the load of a preferred server is %.2f, want at most migrationLoad + 0.05",
+					initial, maxLoad)
 			}
 			// At least half of the capacity that the preferred servers had is used. The upper bound is the number of
 			// connections above which connections would be migrated off.
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -107,7 +107,7 @@
 			now += time.Second
 			i++
 			s := list[i/2*7919%n]
-			s.State = State(i % 2) // alternately draining and ready
+			s.State = State(i % 2) // each server is listed as ready and, in the next event, as draining
 			out = balancer.Handle(now, ListReceived{Kind: ListDelta, Servers: []Server{s}}, out[:0])
 		}
 	})
--- a/decide/comparison_test.go
+++ b/decide/comparison_test.go
@@ -346,7 +346,8 @@
 	return true
 }
 
-// comparisonSettings returns settings in which every setting that the server index depends on varies with the seed.
+// comparisonSettings returns the settings of a balancer in one of three zones. GroupAffinity, WatchList, ProbingAllowed
+// and Balancers vary with the seed.
 func comparisonSettings(seed uint64) Settings {
 	set := settings()
 	set.Seed, set.GroupAffinity, set.WatchList, set.ProbingAllowed = seed, seed%3 != 0, seed%2 == 0, seed%5 != 4
--- a/decide/fleet_simulation_test.go
+++ b/decide/fleet_simulation_test.go
@@ -12,8 +12,9 @@
 
 // fleetSimulation runs many balancers that send requests to the same servers. The load of a server results from the
 // connections of all balancers: one unit for each connection, and groupLoad for each group with at least one connection
-// there. Load reports show the load of reportDelay ago. Unless meanLifetime is set, connections last until they are
-// migrated or drained; then their clients reconnect to a random balancer.
+// there. A load report contains the server's load of reportDelay ago and its present number of connections. Unless
+// meanLifetime is set, connections last until they are migrated or drained; then their clients reconnect to a random
+// balancer.
 type fleetSimulation struct {
 	now       time.Duration
 	rng       *rand.Rand
@@ -43,7 +44,7 @@
 	idleProbes      int             // probes of servers at which the probing balancer has no connection
 	rejected        int             // rejected requests
 	rejectionDelays []time.Duration // time from a request's arrival to its rejection
-	setupTimeouts   int             // attempts at an overloaded server, which time out
+	setupTimeouts   int             // attempts that timed out at an overloaded server
 }
 
 // connectionEnd is the scheduled end of a connection.
@@ -161,7 +162,7 @@
 	}
 }
 
-// answerProbe schedules the answer of a server, with a report of its load reportDelay ago.
+// answerProbe schedules the answer of a server, with its load of reportDelay ago and its present number of connections.
 func (f *fleetSimulation) answerProbe(i int, id ServerID) {
 	f.probes++
 	if len(f.balancers[i].servers[id].connections) == 0 {
@@ -194,8 +195,8 @@
 	}
 }
 
-// establish adds a connection to a server. It schedules the end of the set-up, which may wait for the shared store,
-// and the end of the connection.
+// establish adds a connection to a server. It schedules the Established event, later if the shared store is busy, and
+// the end of the connection if meanLifetime is set.
 func (f *fleetSimulation) establish(i int, a StartAttempt) {
 	s := f.servers[a.Server]
 	s.connections++
@@ -213,7 +214,9 @@
 	}
 }
 
-// reject records a rejection. If connections have a limited lifetime, the client reconnects up to twice.
+// reject records a rejection. If connections have a limited lifetime, the client should reconnect up to twice. Known
+// fault: a client that is rejected at once when it reconnects does not reconnect again, because run is then removing
+// entries from f.reconnects and loses the entry that is added meanwhile.
 func (f *fleetSimulation) reject(a Reject) {
 	f.finish(a.ID, Cancelled) // ends the set-up that may still be in progress
 	f.rejected++
@@ -299,8 +302,10 @@
 	}
 }
 
-// startWarming lists n servers that start now, with consecutive IDs from id. It returns the number of connections that
-// one of them tolerates within an overload window, averaged over its first seconds, for the default lifetime.
+// startWarming adds n servers that start now, with consecutive IDs from id, to the list and sends it to all balancers.
+// It returns the number of connections that one of them tolerates within an overload window for the default lifetime,
+// at the age of 4 s, when the tests end. Until then, its capacity fraction rises by 0.28, because the rise from 0.3 to
+// 1 takes 10 s.
 func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (limit float64) {
 	for end := id + ServerID(n); id < end; id++ {
 		f.list = append(f.list, Server{ID: id, Zone: "a", Started: f.now})
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// A fleet without capacity for a burst rejects its requests within the time of two probes. Otherwise the requests would
-// wait until their deadlines and their clients would then reconnect.
+// If a burst is larger than the capacity of the fleet, at least 80% of the rejections follow within twice the time-out
+// of an on-demand probe. Otherwise the requests would wait until their deadlines and their clients would then
+// reconnect.
 func TestBurstBeyondCapacityIsRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newFleetSimulation(t, fleetSettings(), 3, servers(9, 0), 26)
@@ -84,9 +85,10 @@
 	}
 }
 
-// After a release doubles the number of servers, a large fleet uses the warming servers. The quotas of many balancers
-// can be so small, or drawn by so many balancers without a request, that the new servers stay nearly idle while the old
-// servers are overloaded and clients wait.
+// After a release doubles the number of servers, a large fleet uses the warming servers. The quota of each of many
+// balancers can be far below one request; it is rounded up or down at random. If too few quotas are rounded up, or
+// mostly those of balancers without a request, the new servers stay nearly idle while the old servers are overloaded
+// and clients wait.
 func TestWarmingServersAreUsedByLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // as many servers start as are warm
@@ -126,7 +128,7 @@
 	for _, c := range []struct {
 		n    int
 		most float64 // largest number of probes per second at all servers
-		idle float64 // largest fraction of probes of servers at which the probing balancer has no connection
+		idle float64 // largest fraction of probes of servers at which the probing balancer has no connection; 1: no limit
 	}{{3, 45, 1}, {80, 80, 0.35}, {300, 95, 0.35}} {
 		t.Run(fmt.Sprintf("%d balancers", c.n), func(t *testing.T) {
 			f := newFleetSimulation(t, fleetSettings(), c.n, servers(9, 0), 26)
@@ -148,8 +150,10 @@
 	}
 }
 
-// establishedFleet returns a fleet of n balancers and the given number of old servers, which have about the given load,
-// and the names of the connections' groups. There are as many groups as servers.
+// establishedFleet returns a fleet of n balancers and the given number of old servers, and the names of the
+// connections' groups, of which there are as many as servers. The fleet has received requests for 20 s. If all of them
+// were placed, the connections alone would cause the given mean load. The groups add to it, and some requests may be
+// rejected.
 func establishedFleet(t *testing.T, n, old int, load float64) (f *fleetSimulation, groups []string) {
 	t.Helper()
 	for i := range old {
@@ -163,7 +167,7 @@
 var fleetSizes = []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}}
 
 // When a third of the servers is replaced, the clients of the draining servers reconnect within a second, through all
-// balancers. They do not overload the warming servers.
+// balancers. The warming servers get some of the requests and are not overloaded.
 func TestWarmingServersWhileOthersDrain(t *testing.T) {
 	t.Parallel()
 	for _, c := range fleetSizes {
@@ -234,8 +238,9 @@
 			t.Logf("%d balancers: load %.2f, %d connections; %d migrated within 2 s, %d within 0.5 s, %d within 10 s, load %.2f",
 				c.n, before, connections,
 				first, most, len(f.migratedOff[id]), f.load(id))
-			// If all connections have the mean load, the excess is about 0.69 of them. A balancer rounds the number of
-			// its migrations up or down at random, so it may migrate one connection too many.
+			// If all connections have the mean load, the excess is 1 - migrationTargetLoad/before of them: 0.69 at a
+			// load of 2.42. A balancer rounds the number of its migrations up or down at random, so it may migrate one
+			// connection too many.
 			excess := float64(connections) * (1 - migrationTargetLoad/before)
 			if float64(first) > excess+3 || f.load(id) > 1.1 {
 				t.Errorf("%d balancers: %d of %d migrated within 2 s, the excess is %.0f; load %.2f after 10 s, want at most 1.1",
@@ -253,9 +258,11 @@
 // attempts. The total number of attempts at that server stays small.
 func TestLargeFleetEjectsFailingServer(t *testing.T) {
 	t.Parallel()
-	// The largest number of attempts by number of balancers. Each of 3 balancers sees about 20 requests and makes up to
-	// four attempts, as the ejection time doubles from 4 s. Most of 300 balancers see one or two requests. Balancers
-	// share no state, so an ejection by one balancer does not prevent attempts by the others.
+	// The largest number of attempts at the failing server in 10 s, by number of balancers. The limit of 12 allows four
+	// attempts for each of 3 balancers, which get about 20 requests each. A balancer ejects the server for 4 s after the
+	// first failed attempt and for 8 s or longer after the next one, but may place several requests there before the
+	// first of them fails. Most of 300 balancers get one or two requests each. The ejection by one balancer does not
+	// prevent attempts by the others, because balancers share no state.
 	limit := map[int]int{3: 12, 80: 48, 300: 60}
 	for _, c := range fleetSizes {
 		t.Run(fmt.Sprintf("%d balancers", c.n), func(t *testing.T) {
@@ -275,11 +282,11 @@
 	}
 }
 
-// A fleet recovers from an overload. Half of the servers fail for 12 s, while there are more clients than all servers
-// have capacity for. Rejected clients reconnect, and attempts at an overloaded server time out. In one case, the
-// servers also share a store that limits the rate of set-ups. Such a fleet stays overloaded after the failure if its
-// groups were spread over many servers in the meantime, because every server with a connection of a group bears the
-// group's load.
+// A fleet recovers from an overload. Half of the servers, all those of zone a, fail for 12 s, while there are more
+// clients than all servers have capacity for. Rejected clients reconnect (see the fault described at reject), and
+// attempts at an overloaded server time out. In one case, the servers also share a store that limits the rate of
+// set-ups. Such a fleet stays overloaded after the failure if its groups were spread over many servers in the meantime,
+// because every server with a connection of a group bears the group's load.
 func TestFleetRecoversFromOverload(t *testing.T) {
 	t.Parallel()
 	var zipf []string // the n-th of eight groups has 1/n times the clients of the first
@@ -306,14 +313,15 @@
 			clear(f.failing)
 			back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf),
 				f.averageServed(5*time.Second, 0.2, zipf)}
-			t.Logf("store %v: %.0f connections served well before the failure, %.0f during it, %.0f in each 5 s after it; "+
-				"%d and %d group placements; %d set-ups timed out, %d requests rejected",
+			t.Logf("store %v: %.0f connections at servers within capacity before the failure, %.0f during it, "+
+				"%.0f in each 5 s after it; %d and %d group placements; %d set-ups timed out, %d requests rejected",
 				store, before, during, back, placements, f.groupPlacements(), f.setupTimeouts, f.rejected)
-			// If opening a group at a server had no reserved load, the results without and with the store would be
-			// 143 and 150 connections before the failure, 130 and 137 at the end, and 34 and 36 group placements.
+			// If no extra load were reserved for the first connection of a group at a server, there would be 143
+			// connections at servers within capacity before the failure, 130 in the third 5 s after it and 34 group
+			// placements before it with the store, and 150, 137 and 36 without it.
 			if back[2] < 0.85*before || before < 155 || placements > 30 {
-				t.Errorf("store %v: %.0f connections served well 10 to 15 s after the failure, %.0f before it, "+
-					"%d group placements", store,
+				t.Errorf("store %v: %.0f connections at servers within capacity 10 to 15 s after the failure, "+
+					"%.0f before it, %d group placements before it", store,
 					back[2], before, placements)
 			}
 		})
--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -283,7 +283,7 @@
 }
 
 func (b *referenceBalancer) probeForRequest(r *referenceRequest) {
-	belowSaturation := b.hasGroup(r) || slices.ContainsFunc(b.localAnswers, func(s *referenceServer) bool {
+	capacityKnown := b.hasGroup(r) || slices.ContainsFunc(b.localAnswers, func(s *referenceServer) bool {
 		return b.hasRecentReport(s) && s.load < b.capacityThreshold && b.withinSlowStartQuota(r, s)
 	})
 	preferred, remotePreferred := b.preferredServers(r)
@@ -295,7 +295,7 @@
 			return
 		}
 		targets = targets[:min(onDemandProbes, len(targets))]
-		for n := 0; !belowSaturation && n < min(onDemandProbes, len(list)); n++ {
+		for n := 0; !capacityKnown && n < min(onDemandProbes, len(list)); n++ {
 			b.probeCursor++
 			targets = append(targets, list[b.probeCursor%len(list)])
 		}
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -1,8 +1,9 @@
 package decide
 
-// A reference implementation of Balancer. It has no index: it rebuilds each list of servers and scans all of it, so it
-// is slow but simple. comparison_test.go checks that the Balancer's actions equal those of the reference. A change to a
-// decision must be made in both implementations.
+// A reference implementation of Balancer. It has no index: it rebuilds its lists of servers whenever the endpoint list
+// changes, and scans a whole list for each choice, so it is slow but simple. comparison_test.go checks that the
+// Balancer's actions equal those of the reference. A change to a decision must be made in both implementations. The
+// reference ignores FleetSize events, and the comparison sends none.
 
 import (
 	"cmp"
--- a/decide/safety_test.go
+++ b/decide/safety_test.go
@@ -11,7 +11,7 @@
 type randomHost struct {
 	*harness
 	rng           *rand.Rand
-	live          map[RequestID]*trackedRequest // requests that are not forgotten; see prune
+	live          map[RequestID]*trackedRequest // requests that prune has not removed
 	ids           []RequestID                   // IDs of the live requests, in order of arrival
 	timers        []timerDue
 	everListed    map[ServerID]bool          // servers that were listed at any time
@@ -326,8 +326,8 @@
 	}
 }
 
-// The actions follow the safety rules for any sequence of events that a host may send, and the stored state stays
-// within its limits.
+// The actions follow the safety rules that randomHost.check tests, for random sequences of events that a host may send,
+// and the stored state stays within its limits.
 func TestSafetyRulesHoldForAnyEvents(t *testing.T) {
 	for seed := range uint64(40) {
 		set := settings()
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -67,7 +67,7 @@
 	{name: "300 long lifetime", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200,
 		meanLifetime: 150 * time.Second, load: 0.5, demandFactor: 2},
 	{name: "300 long lifetime drop without groups", balancers: 300, warmServers: 15, warmingServers: 2,
-		serverCapacity: 200, meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5, demandFactor: 1,
+		serverCapacity: 200, meanLifetime: 150 * time.Second, settleTime: 40 * time.Second, load: 0.5, demandFactor: 1,
 		droppingServers: 3},
 	{name: "300 drop", balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 60, load: 0.5,
 		demandFactor: 1, droppingServers: 7},
@@ -96,12 +96,12 @@
 		serverCapacity: 60, load: 0.5, demandFactor: 2},
 	{name: "30 configured 3 without groups", balancers: 30, configuredBalancers: 3, warmServers: 10, warmingServers: 1,
 		serverCapacity: 60, load: 0.5, demandFactor: 2},
-	{name: "2300", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2, groups: 40,
+	{name: "2300", balancers: 2300, warmServers: 12, settleTime: 8 * time.Second, warmingServers: 2, groups: 40,
 		serverCapacity: 200, load: 0.5, demandFactor: 2},
-	{name: "2300 without groups", balancers: 2300, warmServers: 12, warmUp: 8 * time.Second, warmingServers: 2,
+	{name: "2300 without groups", balancers: 2300, warmServers: 12, settleTime: 8 * time.Second, warmingServers: 2,
 		serverCapacity: 200, load: 0.5, demandFactor: 2},
-	{name: "2300 configured 230", balancers: 2300, configuredBalancers: 230, warmServers: 12, warmUp: 8 * time.Second,
-		warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
+	{name: "2300 configured 230", balancers: 2300, configuredBalancers: 230, warmServers: 12,
+		settleTime: 8 * time.Second, warmingServers: 2, groups: 40, serverCapacity: 200, load: 0.5, demandFactor: 2},
 }
 
 // The requests that all balancers together send to a warming server do not overload it, although each balancer knows
@@ -127,14 +127,14 @@
 }
 
 // Connections last five times the default lifetime. Soon after the warming servers start, three of the fifteen warm
-// servers drop all of their connections. The groups of such a server reconnect to the same next preferred servers, so
-// that a warming server among these gets three times the mean demand of the zone's servers. The test runs the first ten
-// seeds instead of selected ones.
+// servers of their zone drop all of their connections. The groups of such a server reconnect to the same next preferred
+// servers, so that a warming server among these gets three times the mean demand of the zone's servers. The test runs
+// the first ten seeds instead of selected ones.
 func TestSlowStartDuringResetsOfLongConnections(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		c := slowStartCase{balancers: 300, warmServers: 15, warmingServers: 2, groups: 40, serverCapacity: 200,
-			meanLifetime: 150 * time.Second, warmUp: 40 * time.Second, load: 0.5,
+			meanLifetime: 150 * time.Second, settleTime: 40 * time.Second, load: 0.5,
 			demandFactor: 1, droppingServers: 3, seed: seed}
 		r := c.play(t, slowStartSettings())
 		t.Logf("seed %d: %v", seed, r)
--- a/decide/slowstart_result_test.go
+++ b/decide/slowstart_result_test.go
@@ -13,7 +13,7 @@
 	overloads int     // servers that were overloaded
 	broken    int     // servers that were overloaded mainly by balancers that had observed their start
 	most      float64 // largest number of requests within an overload window, as a fraction of the allowed number
-	use       float64 // mean of the used fractions of the servers' budgets
+	use       float64 // requests at a server divided by its budget, mean over the servers
 	least     int     // requests at the server with the fewest requests
 	all       int     // requests at all warming servers
 	rejected  int     // rejected and failed requests at all balancers
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -25,12 +25,12 @@
 	serverCapacity      float64       // connections at which a warm server's load is 1
 	meanLifetime        time.Duration // mean lifetime of a connection
 	load                float64       // load of the warm servers before the start of the warming servers
-	demandFactor        float64       // demand after the start divided by the demand before it; below 1 counts as 1
+	demandFactor        float64       // requests per second after the start divided by those before; below 1 counts as 1
 	uneven              bool          // some balancers get several times the mean demand
 	synchronized        bool          // the demand after the start arrives in the first two steps of each second
 	restartedFraction   float64       // fraction of the balancers that are replaced, evenly over the warm-up
 	learned             bool          // replacements import the learned state of the balancers that they replace
-	warmUp              time.Duration // time that the fleet runs before the start; 0: defaultWarmUp
+	settleTime          time.Duration // time that the fleet runs before the start; 0: defaultSettleTime
 	lateFraction        float64       // fraction of the balancers that observe the start about 3 s late
 	droppingServers     int           // warm servers of zone a that drop all connections 2 s after the start
 	seed                uint64        // seed of the simulation's random choices
@@ -88,10 +88,10 @@
 	*Balancer
 	zone          string
 	stopped       bool
-	late          bool
+	late          bool // whether it receives the list with the warming servers late
 	observedStart bool // whether it has received the list with the warming servers
 	connections   map[RequestID]*simulatedServer
-	attempts      map[RequestID]int
+	attempts      map[RequestID]int // number of attempts of each request
 	group         map[RequestID]string
 }
 
@@ -106,16 +106,16 @@
 	servers   map[ServerID]*simulatedServer
 	list      []Server
 	due       eventHeap
-	seq       int
-	next      int
-	rejected  int
-	seeds     uint64
+	seq       int    // number of the latest scheduled event
+	next      int    // number of the latest request
+	rejected  int    // rejected and failed requests
+	seeds     uint64 // number of balancers that were created; each has a seed of its own
 }
 
 const (
 	slowStartStep        = 20 * time.Millisecond
 	slowStartReportDelay = 200 * time.Millisecond
-	defaultWarmUp        = 12 * time.Second
+	defaultSettleTime    = 12 * time.Second
 )
 
 // newSlowStartSimulation creates the servers that are warm from the start and starts the balancers.
@@ -366,11 +366,12 @@
 // play runs a case and returns the results of its warming servers.
 func (c slowStartCase) play(t *testing.T, set Settings) slowStartResult {
 	f := newSlowStartSimulation(t, c, set)
-	// The rate keeps the load of the warm servers constant. A higher rate at first reaches that load sooner.
+	// The rate keeps the load of the warm servers constant. In the first 4 s, a higher rate sends requests for 0.9
+	// of these connections.
 	rate := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
 	fill := 4 * time.Second
 	f.run(fill, rate*(c.meanLifetime.Seconds()/fill.Seconds())*0.9, false)
-	f.run(cmp.Or(c.warmUp, defaultWarmUp), rate, false)
+	f.run(cmp.Or(c.settleTime, defaultSettleTime), rate, false)
 	if c.lostFor > 0 {
 		f.loseAndRestartServers(rate)
 	} else {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -26,7 +26,8 @@
 	maxLists = 16
 	// readBufferSize is the size of the input buffer in bytes. Longer lines are copied to a buffer of their own.
 	readBufferSize = 1 << 16
-	// firstMessageLine is the number, within a batch, of the line after the FRAME line, which is line 1.
+	// firstMessageLine is the number, within a batch, of the line after the FRAME line, which is line 1. It begins the
+	// first message.
 	firstMessageLine = 2
 )
 
@@ -64,7 +65,8 @@
 }
 
 // Batch delivers the messages of one batch to host and returns the batch's number. It returns io.EOF if the input ends
-// between batches. Other errors name the batch and the line, and wrap the errors that host returns.
+// between batches. Other errors name the batch and the line, and wrap the errors that host returns. Known fault: the
+// ENTRY lines of a MANIFEST are not counted, so after a MANIFEST the line in an error is too small.
 func (d *Decoder) Batch(host Host) (uint64, error) {
 	if err := d.beginBatch(); err != nil {
 		if err == io.EOF {
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -318,6 +318,8 @@
 	}
 }
 
+// FuzzDecoder checks that no input makes the decoder panic, deliver a nil event or decode more batches than there are
+// COMMIT texts.
 func FuzzDecoder(f *testing.F) {
 	f.Add(batch(createLine, "FIRED\twho=3\tnonce=77"))
 	f.Add(batch(createLine, "DEMAND\twho=3\tid=u\tservice=feed\tremaining_s=1\tattrs=3\tsize_hint_s=0.1"))
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -203,7 +203,8 @@
 	return o, err
 }
 
-// loadReport reads the load and the number of connections from a load report. Other columns are ignored.
+// loadReport reads a load report. The simulator's column x0 is the load, and inflight is the number of connections.
+// Other columns are ignored.
 func loadReport(l *line, columns []string) (decide.LoadReport, error) {
 	report := decide.NoLoadReport
 	rest, ok := l.get("health_info")
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -92,7 +92,7 @@
 	}
 	number, err := strconv.ParseUint(string(value), 10, bits)
 	if err != nil {
-		return 0, l.invalid(name, "a whole number", value)
+		return 0, l.invalid(name, "a whole number in the field's range", value)
 	}
 	return number, nil
 }
@@ -105,7 +105,7 @@
 	}
 	number, err := parseDecimal(value)
 	if err != nil {
-		return 0, l.invalid(name, "a number", value)
+		return 0, l.invalid(name, "a number from -9e9 to 9e9", value)
 	}
 	return number, nil
 }
@@ -153,16 +153,16 @@
 	return number, err
 }
 
-// maxExactSeconds is the length of the longest text that parseSeconds reads digit by digit.
-const maxExactSeconds = 18
+// maxExactLength is the largest number of characters of a text that parseSeconds reads digit by digit.
+const maxExactLength = 18
 
-// parseSeconds reads plain decimals exactly, to the nanosecond. It reads other notations as a float64, which rounds to
-// the microsecond.
+// parseSeconds reads plain decimals of up to maxExactLength characters exactly, and cuts off digits below a nanosecond.
+// It reads longer texts and other notations as a float64 and rounds them to the microsecond.
 func parseSeconds(text []byte) (time.Duration, error) {
 	var whole, fraction int64
 	scale := int64(time.Second)
 	seenPoint := false
-	if len(text) == 0 || len(text) > maxExactSeconds {
+	if len(text) == 0 || len(text) > maxExactLength {
 		return parseFloatSeconds(text)
 	}
 	for i, c := range text {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -58,6 +58,7 @@
 	return secondsToDuration(r.requiredDecimal(name))
 }
 
+// flag reports whether a field is true or 1. Unlike line.flag, it accepts any other value as false.
 func (r *settingsReader) flag(name string) bool { return r.text(name) == "true" || r.text(name) == "1" }
 
 func (r *settingsReader) list(name string) []string {
