--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -1,9 +1,10 @@
 // Package invariants checks the behaviour of a fleet of balancers from outside: that each request gets exactly one
-// answer in time, that a request has one attempt at a time, that draining room servers get no new attempts, that room
-// servers are not overloaded while they warm up, and that sessions are attached once and lose nothing.
+// answer in time, that a request has one attempt at a time, that draining room servers receive no new attempts after
+// a grace period, that room servers are not overloaded while they warm up, that a session is attached at one room
+// server at a time, and that sessions lose no acknowledged moves.
 //
-// A Checker is fed with the events that emulated clients, room servers and discovery observe. It has no clock:
-// events carry their times. A Recorder is a Checker for concurrent use that stamps events with the current time.
+// A Checker processes the events that emulated clients, room servers and discovery record. It has no clock: events
+// carry their times. A Recorder is safe for concurrent use and sets the times of events itself.
 package invariants
 
 import (
@@ -15,7 +16,7 @@
 
 // Limits are the time limits of the invariants.
 type Limits struct {
-	// DrainGrace is how long new attempts may arrive at a room server after the balancer has observed its drain.
+	// DrainGrace is how long new attempts may arrive at a room server after discovery has sent the balancer its drain.
 	DrainGrace time.Duration
 	// Slack is the tolerance that is added to each time limit.
 	Slack time.Duration
@@ -23,21 +24,24 @@
 
 // Report is what a Checker has found.
 type Report struct {
-	// Violations describes each violation that concerns requests and room servers, one a string.
+	// Violations has one text for each violation that concerns requests or room servers.
 	Violations []string
-	// Collapses counts the violations that are room servers overloaded while they warmed up.
+	// Collapses counts the room servers that crashed because they were overloaded while they warmed up. Violations has
+	// a text for each of them.
 	Collapses int
-	// DoubleAttachments counts the attachments of a session that was attached already, or at an epoch used before.
+	// DoubleAttachments counts the attachments of a session that was attached already, or at the same epoch as the
+	// highest one before.
 	DoubleAttachments int
-	// EpochRegressions counts the attachments at a lower epoch than an earlier one of the session.
+	// EpochRegressions counts the attachments at a lower epoch than an earlier attachment of the session.
 	EpochRegressions int
-	// UnansweredRequests counts the requests that got no answer although one was due.
+	// UnansweredRequests counts the requests that got no answer by their deadline, or whose connection was lost before
+	// an answer.
 	UnansweredRequests int
 	// LostSessions counts the sessions that lost acknowledged moves or were stranded.
 	LostSessions int
-	// StartedOver counts the sessions whose clients were told to start over.
+	// StartedOver counts how often a client started over.
 	StartedOver int
-	// Resumed counts how often a client continued its session.
+	// Resumed counts how often a client resumed its session.
 	Resumed int
 }
 
@@ -45,7 +49,7 @@
 type Checker struct {
 	limits   Limits
 	requests map[string]*request
-	// drains holds when a balancer observed that a room server drains.
+	// drains holds the time at which discovery first sent a balancer the drain of a room server.
 	drains   map[observation]time.Duration
 	sessions map[string]*session
 	// killed holds the balancers that were killed and have not been started again.
@@ -53,27 +57,29 @@
 	report Report
 }
 
-// observation identifies what a balancer knows about a room server.
+// observation is the key of a balancer's observation of a room server's drain.
 type observation struct {
 	balancer string
 	server   string
 }
 
-// request is what is known of one request.
+// request is the state of one request.
 type request struct {
 	balancer string
 	deadline time.Duration
 	answered bool
-	// excused says that no answer is due any more: the client left, the balancer was killed, or the missing answer
-	// was reported.
+	// excused says that no answer is expected any more: the client left, the balancer was killed, or the missing answer
+	// was counted as a violation.
 	excused bool
-	// attempts counts the active attempts by room server.
+	// attempts holds the number of active attempts by room server.
 	attempts map[string]int
-	// concurrentSince holds, by room server of an active attempt, when another attempt started beside it.
+	// concurrentSince holds, by the room server of an active attempt, the time at which the first later attempt of the
+	// request started. An entry is kept until the room server's own attempts have ended, also if the later attempt ends
+	// before.
 	concurrentSince map[string]time.Duration
 }
 
-// New returns a Checker that has seen no events.
+// New returns a Checker without events.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits:   limits,
@@ -115,8 +121,9 @@
 	}
 }
 
-// Report returns what was found up to the given time: requests without an answer that are due by then are violations.
-// The Checker may be used further.
+// Report returns what was found up to the given time. Unanswered requests whose deadline has passed by then are
+// violations in this report alone. Events may be added afterwards, but Report has a side effect: it evaluates
+// concurrent attempts and forgets since when they are concurrent, so that they are not evaluated again when they end.
 func (c *Checker) Report(now time.Duration) Report {
 	for id, r := range c.requests {
 		for server := range r.concurrentSince {
@@ -136,12 +143,12 @@
 	return report
 }
 
-// violated adds a violation to the report.
+// violated adds the text of a violation to the report.
 func (c *Checker) violated(format string, args ...any) {
 	c.report.Violations = append(c.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// request returns the record of a request, a new one at its first event.
+// request returns the state of a request, and creates it at the request's first event.
 func (c *Checker) request(id string) *request {
 	r := c.requests[id]
 	if r == nil {
@@ -151,12 +158,12 @@
 	return r
 }
 
-// awaitsAnswer reports whether an answer is still due.
+// awaitsAnswer reports whether an answer is still expected.
 func (r *request) awaitsAnswer() bool {
 	return !r.answered && !r.excused
 }
 
-// overdue reports whether the client has stopped waiting by the given time.
+// overdue reports whether the request's deadline and the slack have passed at the given time.
 func (c *Checker) overdue(r *request, now time.Duration) bool {
 	return r.deadline > 0 && now > r.deadline+c.limits.Slack
 }
@@ -165,7 +172,7 @@
 	r := c.request(e.Request)
 	r.balancer = e.Balancer
 	r.deadline = e.Deadline
-	// The first line may have been written into a connection that the kill has already broken.
+	// A client that connected before the kill may send its request after it, on a connection that is already broken.
 	r.excused = c.killed[e.Balancer]
 }
 
@@ -195,7 +202,7 @@
 	if !r.awaitsAnswer() {
 		return
 	}
-	c.violated("%v: request %s was cut off without an answer by %s", e.At, e.Request, r.balancer)
+	c.violated("%v: the connection of request %s was cut off without an answer from %s", e.At, e.Request, r.balancer)
 	c.report.UnansweredRequests++
 	r.excused = true
 }
@@ -209,13 +216,14 @@
 	}
 }
 
-// balancerStarted forgets what the balancer's previous process has observed.
+// balancerStarted deletes what the balancer's previous process has observed, which its new process does not know.
 func (c *Checker) balancerStarted(balancer string) {
 	delete(c.killed, balancer)
 	maps.DeleteFunc(c.drains, func(o observation, _ time.Duration) bool { return o.balancer == balancer })
 }
 
-// drainObserved records the first observation of a drain; repetitions do not extend the grace period.
+// drainObserved records the time of the first observation of a drain. Further observations do not extend the grace
+// period.
 func (c *Checker) drainObserved(e Event) {
 	key := observation{e.Balancer, e.Server}
 	if _, ok := c.drains[key]; !ok {
@@ -247,8 +255,11 @@
 	}
 }
 
-// endConcurrency checks how long the attempt at a room server was active beside another one. Within the slack this is
-// no violation, because a room server observes the end of a connection a little after the balancer has closed it.
+// endConcurrency checks the time from the start of a later attempt of the same request until at, where at is the end
+// of the attempt at the given room server or the time of the report. This is not exactly the time during which both
+// attempts were active: if the later attempt ends first, the measured time still runs until at. A time within the
+// slack is no violation, because a room server observes the end of a connection a little after the balancer has
+// closed it.
 func (c *Checker) endConcurrency(r *request, id, server string, at time.Duration) {
 	since, ok := r.concurrentSince[server]
 	if ok && at-since > c.limits.Slack {
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -8,57 +8,57 @@
 
 const ms = time.Millisecond
 
-// sent returns the event of a request to balancer n1 that its client gives up at the deadline.
+// sent returns the event of a request to balancer n1 with a deadline.
 func sent(deadline time.Duration) Event {
 	return Event{Kind: RequestSent, Request: "r", Balancer: "n1", Deadline: deadline}
 }
 
-// answered returns the event of the request's answer.
+// answered returns the event that the request is answered.
 func answered(at time.Duration) Event {
 	return Event{At: at, Kind: RequestAnswered, Request: "r", Answer: "UP"}
 }
 
-// lost returns the event of the request's lost connection.
+// lost returns the event that the request's connection is lost.
 func lost() Event {
 	return Event{Kind: ConnectionLost, Request: "r"}
 }
 
-// left returns the event of the client's leaving.
+// left returns the event that the client stops waiting.
 func left(at time.Duration) Event {
 	return Event{At: at, Kind: ClientLeft, Request: "r"}
 }
 
-// started returns the event of an attempt's start.
+// started returns the event that an attempt starts at a room server.
 func started(at time.Duration, server string) Event {
 	return Event{At: at, Kind: AttemptStarted, Request: "r", Server: server}
 }
 
-// ended returns the event of an attempt's end.
+// ended returns the event that an attempt ends at a room server.
 func ended(at time.Duration, server string) Event {
 	return Event{At: at, Kind: AttemptEnded, Request: "r", Server: server}
 }
 
-// balancerEvent returns an event of a balancer's process.
+// balancerEvent returns an event of a balancer that has no other fields.
 func balancerEvent(kind Kind, balancer string) Event {
 	return Event{Kind: kind, Balancer: balancer}
 }
 
-// observed returns the event of a balancer's being told of room server a.
+// observed returns the event that discovery sends a balancer an entry of room server a.
 func observed(kind Kind, balancer string) Event {
 	return Event{Kind: kind, Balancer: balancer, Server: "a"}
 }
 
-// attached returns the event of the session's attachment.
+// attached returns the event that a room server attaches the session.
 func attached(epoch uint64, server string) Event {
 	return Event{Kind: SessionAttached, Session: "s", Epoch: epoch, Server: server}
 }
 
-// detached returns the event of the session's detachment.
+// detached returns the event that a room server detaches the session.
 func detached(server string) Event {
 	return Event{Kind: SessionDetached, Session: "s", Server: server}
 }
 
-// positioned returns an event of the session at a position.
+// positioned returns an event of the session's client with a position.
 func positioned(kind Kind, position uint64) Event {
 	return Event{Kind: kind, Session: "s", Position: position}
 }
@@ -68,16 +68,16 @@
 	drainGrace = 500 * ms
 	slack      = 50 * ms
 	deadline   = 100 * ms
-	// longDeadline is after the end of the drain's grace period.
+	// longDeadline is later than the end of the grace period and of the test.
 	longDeadline = 2 * time.Second
-	// afterGrace is after the end of the drain's grace period and the slack.
+	// afterGrace is 1 ms after the end of the drain's grace period and the slack.
 	afterGrace = 551 * ms
 )
 
-// checkerCase is a sequence of events and what the Checker has to find.
+// checkerCase is a sequence of events and the expected findings.
 type checkerCase struct {
 	events []Event
-	// violation is a part of the violation's description; empty if there is none.
+	// violation is a substring of the expected violation's text; empty if none is expected.
 	violation   string
 	collapses   int
 	double      int
@@ -85,7 +85,8 @@
 	lost        int
 }
 
-// runCheckerCases checks that the Checker finds the violation of each case, and nothing else.
+// runCheckerCases checks that the Checker finds what each case expects. A case without an expected violation fails if
+// there is any.
 func runCheckerCases(t *testing.T, cases map[string]checkerCase) {
 	t.Helper()
 	for name, v := range cases {
@@ -135,13 +136,13 @@
 	})
 }
 
-// A request may have one attempt at a time, none at a draining room server, and no room server may be overloaded while
-// it warms up.
+// A request may have one attempt at a time, none at a draining room server, and no room server may be overloaded
+// while it warms up.
 func TestAttempts(t *testing.T) {
 	runCheckerCases(t, map[string]checkerCase{
-		"two attempts":    {events: []Event{started(0, "a"), started(0, "b")}, violation: "beside another"},
-		"end seen late":   {events: []Event{started(0, "a"), started(0, "b"), ended(40*ms, "a")}},
-		"attempts in row": {events: []Event{started(0, "a"), ended(0, "a"), started(0, "b")}},
+		"two attempts":      {events: []Event{started(0, "a"), started(0, "b")}, violation: "beside another"},
+		"end seen late":     {events: []Event{started(0, "a"), started(0, "b"), ended(40*ms, "a")}},
+		"one after another": {events: []Event{started(0, "a"), ended(0, "a"), started(0, "b")}},
 		"sent to a draining server": {
 			events: []Event{
 				observed(DrainObserved, "n1"), sent(longDeadline), started(afterGrace, "a"), left(afterGrace),
--- a/internal/testbench/invariants/event.go
+++ b/internal/testbench/invariants/event.go
@@ -2,46 +2,55 @@
 
 import "time"
 
-// Kind says what happened in an Event.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // The kinds of events. Each comment lists the fields of Event that the kind uses besides At.
 const (
-	// RequestSent reports that a client has written its whole first line: Request, Balancer, Deadline.
+	// RequestSent reports that a client is about to write its first line: Request, Balancer, Deadline.
 	RequestSent Kind = iota
-	// RequestAnswered reports that a client has read its final answer, UP, BUSY, ERR or ANEW: Request, Answer.
+	// RequestAnswered reports that a client has read the first line of its final answer, which begins with UP, BUSY,
+	// ERR or ANEW: Request, Answer.
 	RequestAnswered
-	// ClientLeft reports that a client has closed its connection before an answer: Request.
+	// ClientLeft reports that a client has stopped waiting for an answer, or that it could not write its first line:
+	// Request.
 	ClientLeft
-	// ConnectionLost reports that a client's connection ended without an answer: Request.
+	// ConnectionLost reports that a client's connection ended before an answer although the client was waiting for one:
+	// Request.
 	ConnectionLost
-	// BalancerKilled reports that a balancer was killed; its unanswered requests are excused: Balancer.
+	// BalancerKilled reports that a balancer was killed, so that it owes its requests no more answers: Balancer.
 	BalancerKilled
 	// AttemptStarted reports that a room server has received the first line of an attempt: Request, Server.
 	AttemptStarted
-	// AttemptEnded reports that an attempt has ended at its room server: Request, Server.
+	// AttemptEnded reports that a room server has rejected an attempt or that the attempt's connection has ended:
+	// Request, Server.
 	AttemptEnded
-	// BalancerStarted reports a new process under the balancer's name, which discovery has sent nothing yet: Balancer.
+	// BalancerStarted reports that a new process runs under the balancer's name. It has received nothing from discovery
+	// yet: Balancer.
 	BalancerStarted
-	// DrainObserved reports that discovery has told a balancer that a room server is draining or removed: Balancer,
-	// Server.
+	// DrainObserved reports that discovery is sending a balancer an entry by which a room server is draining or removed:
+	// Balancer, Server.
 	DrainObserved
-	// ReadyObserved reports that discovery has told a balancer that a room server is ready: Balancer, Server.
+	// ReadyObserved reports that discovery is sending a balancer an entry by which a room server is ready: Balancer,
+	// Server.
 	ReadyObserved
 	// ServerCollapsed reports that a room server crashed because it was overloaded while it warmed up: Server.
 	ServerCollapsed
-	// SessionAttached reports that a room server lets a session's client play: Session, Epoch, Server.
+	// SessionAttached reports that a room server has attached a session to its client's connection: Session, Epoch,
+	// Server.
 	SessionAttached
-	// SessionDetached reports that a room server no longer lets a session's client play: Session, Server.
+	// SessionDetached reports that a room server has detached a session, because its connection ended or lost the
+	// session to another one: Session, Server.
 	SessionDetached
-	// PositionAcknowledged reports that a client has read that its moves up to a position are stored: Session,
-	// Position.
+	// PositionAcknowledged reports that a client has read an acknowledgement that its moves up to a position are
+	// stored: Session, Position.
 	PositionAcknowledged
-	// SessionResumed reports that a client continues its session from a position: Session, Position.
+	// SessionResumed reports that a client has resumed its session at a position: Session, Position.
 	SessionResumed
-	// SessionStartedOver reports that a client was told to start over: Session.
+	// SessionStartedOver reports that a client starts over, because a balancer answered ANEW or because the client
+	// reconnects without using session tokens: Session.
 	SessionStartedOver
-	// SessionStranded reports that a client was left without a room server until the end of the run: Session.
+	// SessionStranded reports that a client had no room server at the end of the run: Session.
 	SessionStranded
 )
 
@@ -49,22 +58,23 @@
 type Event struct {
 	// At is the time since the start of the run.
 	At time.Duration
-	// Kind says what happened and which of the other fields are set.
+	// Kind is the kind of the event and determines which of the other fields are set.
 	Kind Kind
-	// Request is the ID that the client gave its request.
+	// Request is the request's ID, which the client chooses.
 	Request string
 	// Balancer is the name of the balancer.
 	Balancer string
 	// Server is the name of the room server.
 	Server string
-	// Session identifies the session. Clients and room servers use identifiers of their own.
+	// Session identifies the session. Clients and room servers identify the same session by different strings, so that
+	// the events of clients are not related to those of room servers.
 	Session string
-	// Answer is the final answer to a request, as the client read it.
+	// Answer is the first line of the final answer to a request.
 	Answer string
 	// Epoch is the epoch at which the session is attached.
 	Epoch uint64
 	// Position is the number of the session's last move.
 	Position uint64
-	// Deadline is when the client stops waiting for an answer, since the start of the run; 0 if it never does.
+	// Deadline is the time since the start of the run by which a request has to be answered; 0 if there is no limit.
 	Deadline time.Duration
 }
--- a/internal/testbench/invariants/recorder.go
+++ b/internal/testbench/invariants/recorder.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Recorder is a Checker for concurrent use, whose events happen as they are added.
+// Recorder passes events to a Checker and sets the time of each event to the time at which it is added. It is safe
+// for concurrent use.
 type Recorder struct {
 	start   time.Time
 	mu      sync.Mutex
@@ -25,7 +26,7 @@
 	return time.Since(r.start)
 }
 
-// Add checks an event that happens now; it overwrites Event.At. A nil Recorder ignores the event.
+// Add sets Event.At to the current time and checks the event. A nil Recorder ignores it.
 func (r *Recorder) Add(e Event) {
 	if r == nil {
 		return
@@ -36,7 +37,7 @@
 	r.checker.Add(e)
 }
 
-// Report returns what was found up to now.
+// Report returns what was found up to now. It has the same side effect as Checker.Report.
 func (r *Recorder) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbench/invariants/session.go
+++ b/internal/testbench/invariants/session.go
@@ -1,18 +1,18 @@
 package invariants
 
-// session is what is known of one session.
+// session is the state of one session, as the events of either its client or its room servers give it.
 type session struct {
 	// server is the room server at which the session is attached; empty if it is detached.
 	server string
 	// epoch is the highest epoch at which the session was attached.
 	epoch uint64
-	// acknowledged is the highest position that the client knows to be stored.
+	// acknowledged is the highest position of which the client has read an acknowledgement.
 	acknowledged uint64
-	// lost says that the session was counted as lost.
+	// lost says that LostSessions counts the session already.
 	lost bool
 }
 
-// session returns the record of a session, a new one at its first event.
+// session returns the state of a session, and creates it at the session's first event.
 func (c *Checker) session(id string) *session {
 	s := c.sessions[id]
 	if s == nil {
@@ -57,7 +57,7 @@
 	s.epoch = max(s.epoch, e.Epoch)
 }
 
-// sessionLost counts a lost session once.
+// sessionLost counts a lost session, each session at most once.
 func (c *Checker) sessionLost(s *session) {
 	if !s.lost {
 		s.lost = true
