--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -13,8 +13,8 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// Discovery emulates the discovery service. It serves each balancer at an address of its own and records which changes
-// of room servers the balancer was told. It is safe for concurrent use.
+// Discovery emulates the discovery service. It serves each balancer at an address of its own and records which
+// entries of room servers it sends to which balancer. It is safe for concurrent use.
 type Discovery struct {
 	recorder *invariants.Recorder
 	calls    atomic.Uint64
@@ -26,7 +26,7 @@
 	entries []Entry
 	// changed is closed when there is a new version, and replaced by a new channel.
 	changed chan struct{}
-	// deltas holds the changes; the first made version 1.
+	// deltas holds the change of each version, starting with that of version 1.
 	deltas []listing
 }
 
@@ -38,7 +38,7 @@
 // Calls returns the number of calls of all balancers so far.
 func (d *Discovery) Calls() uint64 { return d.calls.Load() }
 
-// ListenFor starts to serve a balancer at a free address on loopback, until Stop.
+// ListenFor starts serving a balancer at a free port on loopback, until Stop.
 func (d *Discovery) ListenFor(balancer string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,14 +52,14 @@
 	return listener.Addr().String(), nil
 }
 
-// Handler returns a handler that serves a balancer.
+// Handler returns an HTTP handler for the calls of a balancer.
 func (d *Discovery) Handler(balancer string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(listPattern, func(w http.ResponseWriter, req *http.Request) { d.serve(balancer, w, req) })
 	return mux
 }
 
-// Stop stops serving and ends all watches.
+// Stop closes the servers that ListenFor started, and ends their watches.
 func (d *Discovery) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// SetLifecycle publishes a room server in a lifecycle.
+// SetLifecycle publishes a room server with the given lifecycle.
 func (d *Discovery) SetLifecycle(server *RoomServer, zone, lifecycle string) {
 	e := ActiveEntry(server.Name(), server.Address(), zone)
 	e.Lifecycle = lifecycle
@@ -76,14 +76,14 @@
 	d.Put(e)
 }
 
-// PutServer publishes a room server that need not exist.
+// PutServer publishes a room server with the given lifecycle by its name and address. No RoomServer has to exist.
 func (d *Discovery) PutServer(name, address, zone, lifecycle string) {
 	e := ActiveEntry(name, address, zone)
 	e.Lifecycle = lifecycle
 	d.Put(e)
 }
 
-// Put publishes a new version in which the given entries are added, changed, or removed if their lifecycle is left.
+// Put publishes a new version in which the given entries are added, replaced or, with LifecycleLeft, removed.
 func (d *Discovery) Put(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,20 +108,20 @@
 	d.changed = make(chan struct{})
 }
 
-// ListingJSON returns the list in the form of the known list of a balancer's configuration.
+// ListingJSON returns the list as JSON, in the format of the known list in a balancer's configuration.
 func (d *Discovery) ListingJSON() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return mustMarshal(d.snapshot())
 }
 
-// snapshot returns the whole list. The caller holds mu.
+// snapshot returns the complete list as a message. The caller holds mu.
 func (d *Discovery) snapshot() listing {
 	return listing{Generation: d.version, Reset: true, Instances: slices.Clone(d.entries)}
 }
 
-// changesSince returns the deltas after a version, or a snapshot if the version is not known, and a channel that is
-// closed when there is a new version.
+// changesSince returns the deltas after a version, or a snapshot if the version is negative or higher than the
+// current one, and a channel that is closed when there is a new version.
 func (d *Discovery) changesSince(version int64) ([]listing, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +131,8 @@
 	return slices.Clone(d.deltas[version:]), d.changed
 }
 
-// serve answers a call of a balancer: a poll with a snapshot, a watch with all changes until it ends.
+// serve answers a call of a balancer: a poll with a snapshot, a watch with all changes after its version until it
+// ends. A watch from version 0 starts with a snapshot, since its balancer has no list.
 func (d *Discovery) serve(balancer string, w http.ResponseWriter, req *http.Request) {
 	d.calls.Add(1)
 	query := parseListQuery(req)
@@ -147,7 +148,8 @@
 	d.watch(req, w, balancer, query.version)
 }
 
-// watch writes the changes after a version until the call ends.
+// watch writes the changes after a version until the call ends. If there are none at first, it writes an empty delta
+// to confirm the watch.
 func (d *Discovery) watch(req *http.Request, w http.ResponseWriter, balancer string, version int64) {
 	out, flusher := json.NewEncoder(w), w.(http.Flusher)
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -175,7 +177,8 @@
 	}
 }
 
-// send records what a balancer learns from a list and writes the list. It reports whether it was written.
+// send records an event for each entry of a message to a balancer and then writes the message. It reports whether the
+// write succeeded.
 func (d *Discovery) send(balancer string, out *json.Encoder, l listing) bool {
 	for _, e := range l.Instances {
 		d.recorder.Add(invariants.Event{Kind: e.observation(), Balancer: balancer, Server: e.Instance})
--- a/internal/testbench/emulator/endpoint_table.go
+++ b/internal/testbench/emulator/endpoint_table.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// StartedAt is added to the version of an entry's latest change to give its Started, in milliseconds since 1970, so
-// that the entry shows the version.
+// StartedAt is the base of Entry.Started in an EndpointTable, in milliseconds since 1970: an entry that last changed
+// in version v has the value StartedAt+v. Receivers derive the version from it.
 const StartedAt = 1_700_000_000_000
 
 // maxCachedSnapshots is the number of encoded snapshots that an EndpointTable caches.
 const maxCachedSnapshots = 4
 
-// EndpointTable is an endpoint list with its history, for any number of ListServers. It encodes each change once. It is
-// safe for concurrent use.
+// EndpointTable is an endpoint list with its history, shared by any number of ListServers. It encodes each change
+// once. It is safe for concurrent use.
 type EndpointTable struct {
 	encodings atomic.Uint64
 
@@ -22,15 +22,15 @@
 	mu sync.Mutex
 	// initial holds the entries of version 1.
 	initial []Entry
-	// indexes holds the places of entries in initial, by instance.
+	// indexes holds the index of each entry in initial, by instance.
 	indexes map[string]int
-	// changes holds the changed entries; the first made version 2.
+	// changes holds the changed entry of each version, starting with version 2.
 	changes []Entry
-	// lines holds the changes as a watch sends them.
+	// lines holds the encoded messages of the changes.
 	lines [][]byte
 	// snapshots caches encoded snapshots by version.
 	snapshots map[int64][]byte
-	// cached holds the versions of snapshots, the oldest first.
+	// cached holds the versions of snapshots, the one that was cached first at the start.
 	cached []int64
 }
 
@@ -55,12 +55,13 @@
 	return t.version()
 }
 
-// version is Version for callers that hold mu.
+// version returns the newest version. The caller holds mu.
 func (t *EndpointTable) version() int64 {
 	return int64(len(t.changes)) + 1
 }
 
-// Publish changes or adds an entry and returns the new version.
+// Publish changes or adds an entry and returns the new version. Two known faults: an entry that is not in version 1
+// is listed once more at each further change of it, and an entry with LifecycleLeft stays in the list.
 func (t *EndpointTable) Publish(e Entry) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,23 +72,24 @@
 	return version
 }
 
-// encode returns a listing as a line.
+// encode returns a message as a line of JSON.
 func (t *EndpointTable) encode(l listing) []byte {
 	t.encodings.Add(1)
 	return append(mustMarshal(l), '\n')
 }
 
-// Encodings returns the number of snapshots and changes that were encoded so far.
+// Encodings returns how many messages, snapshots and changes, were encoded so far.
 func (t *EndpointTable) Encodings() uint64 { return t.encodings.Load() }
 
-// Entries returns the list of a version. Its order is the same in all versions.
+// Entries returns the list of a version. The entries of version 1 have the same order in all versions; added ones
+// follow.
 func (t *EndpointTable) Entries(version int64) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries(version)
 }
 
-// entries is Entries for callers that hold mu.
+// entries returns the list of a version. The caller holds mu.
 func (t *EndpointTable) entries(version int64) []Entry {
 	entries := slices.Clone(t.initial)
 	for _, e := range t.changes[:version-1] {
@@ -100,7 +102,7 @@
 	return entries
 }
 
-// Snapshot returns the encoded list of a version. Callers must not change it.
+// Snapshot returns the encoded snapshot of a version. Callers must not modify it.
 func (t *EndpointTable) Snapshot(version int64) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,8 +119,8 @@
 	return raw
 }
 
-// changesBetween returns the changes after one version up to another, encoded and as entries. Callers must not change
-// them.
+// changesBetween returns the changes after one version up to and including another, encoded and as entries. Callers
+// must not modify them.
 func (t *EndpointTable) changesBetween(after, upTo int64) ([][]byte, []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testbench/emulator/faulty_conns.go
+++ b/internal/testbench/emulator/faulty_conns.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// outageListener accepts connections as an outage demands.
+// outageListener applies an outage to the connections that it accepts.
 type outageListener struct {
 	net.Listener
 	dials  *atomic.Uint64
@@ -14,7 +14,8 @@
 	outage Outage
 }
 
-// Accept returns the next connection that is to be served. It resets or keeps open those that are not.
+// Accept returns the next connection to serve. With ResetConnections it resets all connections, and with NoResponse
+// it leaves them open without serving them.
 func (l *outageListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -34,14 +35,15 @@
 	}
 }
 
-// faultyConns are the connections that were accepted during one outage.
+// faultyConns are the connections that were accepted by one server of a FaultyListener.
 type faultyConns struct {
-	// muted says that what is written to the connections is lost, and that they stay open until reset.
+	// muted says that writes to the connections are discarded, and that the connections stay open until reset is
+	// called.
 	muted atomic.Bool
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// ended says that reset was called, so that further connections are reset too.
+	// ended says that reset was called. Connections that are added afterwards are reset too.
 	ended bool
 	open  map[*faultyConn]struct{}
 }
@@ -57,7 +59,7 @@
 	}
 }
 
-// remove removes a connection that is closed.
+// remove removes a closed connection.
 func (s *faultyConns) remove(c *faultyConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +77,7 @@
 	}
 }
 
-// faultyConn is a connection that an outage may mute.
+// faultyConn is a connection that is silent while its faultyConns are muted.
 type faultyConn struct {
 	*net.TCPConn
 	conns *faultyConns
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -11,45 +11,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Outage is a fault of a FaultyListener.
+// Outage is a fault that a FaultyListener injects.
 type Outage uint8
 
 // The outages.
 const (
-	// NoOutage is no outage.
+	// NoOutage serves all calls.
 	NoOutage Outage = iota
-	// RefuseConnections refuses connections: nobody listens.
+	// RefuseConnections closes the listener, so that connections are refused.
 	RefuseConnections
 	// ResetConnections accepts connections and resets them.
 	ResetConnections
 	// ServiceUnavailable answers calls with the status 503.
 	ServiceUnavailable
-	// NoResponse accepts connections and never answers on them, also after the end of the outage.
+	// NoResponse accepts connections and sends nothing on them, not even after the end of the outage.
 	NoResponse
-	// NetworkCut completes no connections, and open ones are silent from then on.
+	// NetworkCut lets the TCP handshake of new connections time out, and sends nothing more on open ones.
 	NetworkCut
 )
 
 const (
-	// faultyListenAddress has a free port of an IP address that clients' connections do not use.
+	// faultyListenAddress stands for a free port of an IP address that is not the source address of clients'
+	// connections. Otherwise one of these could occupy the port while the listener is closed.
 	faultyListenAddress = "127.77.0.1:0"
-	// defaultBacklog is the backlog of a listener outside of CutOff.
+	// defaultBacklog is the listener's backlog after a NetworkCut.
 	defaultBacklog = 1024
-	// maxBacklogConns is the number of connections that fill a backlog of 0 at the latest.
+	// maxBacklogConns is the number of connections after which a backlog of 0 has to be full.
 	maxBacklogConns = 8
-	// backlogTimeout is how long a connection takes that does not fit into the backlog any more.
+	// backlogTimeout is how long a connection may take to be established before the backlog counts as full.
 	backlogTimeout = 200 * time.Millisecond
-	// relistenTimeout bounds the time until the address can be listened at again.
+	// relistenTimeout bounds the time for which listenAgain retries.
 	relistenTimeout = 5 * time.Second
 	// faultyReadHeaderTimeout bounds the time that a call may take to send its header.
 	faultyReadHeaderTimeout = 20 * time.Second
 )
 
-// errBacklogNotFull is returned when CutOff fails.
-var errBacklogNotFull = errors.New("the listener's backlog does not fill")
+// errBacklogNotFull is returned by SetOutage if NetworkCut cannot be injected.
+var errBacklogNotFull = errors.New("the listener's backlog cannot be filled")
 
-// FaultyListener is an address of discovery, for any number of balancers, that can have outages. All methods but
-// Address have to be called from one goroutine.
+// FaultyListener serves an HTTP handler for discovery at one address, for any number of balancers, and injects
+// outages. All methods but Address have to be called from one goroutine.
 type FaultyListener struct {
 	// Dials counts the connections that were accepted.
 	Dials atomic.Uint64
@@ -60,13 +61,13 @@
 	handler  http.Handler
 	outage   Outage
 	listener net.Listener
-	// conns are the connections since the latest change of the outage.
+	// conns are the connections that the latest HTTP server accepted.
 	conns *faultyConns
-	// cleanups close what has to stay silent until Close.
+	// cleanups close the connections that stay open and silent until Close.
 	cleanups []func()
 }
 
-// NewFaultyListener starts to serve a handler without an outage.
+// NewFaultyListener starts serving a handler without an outage.
 func NewFaultyListener(handler http.Handler) (*FaultyListener, error) {
 	listener, err := net.Listen("tcp", faultyListenAddress)
 	if err != nil {
@@ -80,8 +81,10 @@
 // Address returns the address at which balancers find discovery.
 func (d *FaultyListener) Address() string { return d.address }
 
-// Serialized returns a handler that executes calls one at a time: each takes the given time, and one that has waited
-// for longer than the timeout is answered with the status 503.
+// Serialized returns a handler that delays calls as a service with limited capacity does: one call at a time is
+// delayed by callTime and then passed to the handler. A call that waits for its turn for longer than the timeout is
+// answered with the status 503. The calls in the handler itself are not limited, so that open watches do not hold up
+// other calls.
 func Serialized(handler http.Handler, callTime, timeout time.Duration) http.Handler {
 	semaphore := make(chan struct{}, 1)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -96,12 +99,13 @@
 	})
 }
 
-// unresponsive reports whether connections are not answered during the outage, nor after its end.
+// unresponsive reports whether the outage leaves open connections without any answer, also after its end.
 func (o Outage) unresponsive() bool {
 	return o == NoResponse || o == NetworkCut
 }
 
-// SetOutage ends the current outage and starts another; Open starts none.
+// SetOutage ends the current outage and starts another. NoOutage starts none. Known fault: RefuseConnections and
+// NetworkCut have no effect if they directly follow NetworkCut, because the listener is kept and serves again.
 func (d *FaultyListener) SetOutage(outage Outage) error {
 	silent := d.outage.unresponsive() || outage.unresponsive()
 	if silent {
@@ -132,8 +136,8 @@
 	return nil
 }
 
-// listenAgain listens at the address. It retries while the previous listener is being closed, which ends when its
-// Accept has returned.
+// listenAgain listens at the address again. It retries while the port is still in use: the previous listener's socket
+// is closed only once its Accept has returned.
 func (d *FaultyListener) listenAgain() (net.Listener, error) {
 	end := time.Now().Add(relistenTimeout)
 	for {
@@ -159,7 +163,7 @@
 	}
 }
 
-// cutOff fills the listener's backlog, so that SYNs are lost as in a network that is cut.
+// cutOff fills the listener's backlog, so that the kernel drops further SYNs as a network that is cut would.
 func (d *FaultyListener) cutOff(listener net.Listener) error {
 	d.listener = listener
 	if err := setBacklog(listener, 0); err != nil {
@@ -175,7 +179,7 @@
 	return fmt.Errorf("faulty listener %s: %w", d.address, errBacklogNotFull)
 }
 
-// endCutOff accepts connections again, at the same listener.
+// endCutOff restores the backlog and accepts connections again, with the same listener.
 func (d *FaultyListener) endCutOff(outage Outage) error {
 	d.outage = outage
 	if err := setBacklog(d.listener, defaultBacklog); err != nil {
@@ -199,7 +203,7 @@
 	return nil
 }
 
-// serve starts an HTTP server for the current outage; it ends when the listener is closed.
+// serve starts an HTTP server that applies the current outage. It stops accepting when the listener is closed.
 func (d *FaultyListener) serve(listener net.Listener) {
 	d.listener = listener
 	d.conns = &faultyConns{open: map[*faultyConn]struct{}{}}
--- a/internal/testbench/emulator/front_layer.go
+++ b/internal/testbench/emulator/front_layer.go
@@ -15,7 +15,7 @@
 	balancers []balancerAddress
 }
 
-// balancerAddress is where clients find a balancer.
+// balancerAddress is the name of a balancer and the address at which it accepts clients.
 type balancerAddress struct {
 	name    string
 	address string
@@ -33,7 +33,7 @@
 	f.balancers = append(f.balancers, balancerAddress{name, address})
 }
 
-// Remove removes the balancer of that name that was added first, if there is one.
+// Remove removes the first balancer of the given name, if there is one.
 func (f *FrontLayer) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// pick returns a random balancer, another than the excluded one if there is another. Without balancers it returns empty
+// pick returns a random balancer. It avoids the excluded one if there are others. Without balancers it returns empty
 // strings.
 func (f *FrontLayer) pick(exclude string) (name, address string) {
 	f.mu.Lock()
--- a/internal/testbench/emulator/list_server.go
+++ b/internal/testbench/emulator/list_server.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ListServer is one replica of the discovery service that serves an EndpointTable to thousands of watches, up to the
-// version that has reached it. It is safe for concurrent use.
+// ListServer emulates one replica of the discovery service, for thousands of watches. It serves an EndpointTable up
+// to the version that AdvanceTo sets, so that replicas can differ. It is safe for concurrent use.
 type ListServer struct {
 	table    *EndpointTable
 	calls    atomic.Uint64
@@ -23,33 +23,34 @@
 	// changed is closed when there is a new version, and replaced by a new channel.
 	changed   chan struct{}
 	endpoints []listEndpoint
-	// servers are the running servers; empty while the replica is stopped.
+	// servers are the running HTTP servers; empty while the ListServer is stopped.
 	servers []*http.Server
 }
 
-// listEndpoint is an address at which a ListServer serves.
+// listEndpoint is an address at which a ListServer accepts calls.
 type listEndpoint struct {
 	address string
 	// observe is called with the entries that are about to be sent; it may be nil.
 	observe func([]Entry)
 }
 
-// ListTraffic is what a ListServer has served since it was made.
+// ListTraffic is what a ListServer has received and sent since it was created.
 type ListTraffic struct {
 	// Calls counts the calls received.
 	Calls uint64
-	// Messages counts the snapshots, deltas and heartbeats sent.
+	// Messages counts the snapshots, deltas and heartbeats that were written, including failed writes.
 	Messages uint64
-	// Bytes is the size of the messages.
+	// Bytes is the total size of these messages.
 	Bytes uint64
 }
 
-// NewListServer returns a server of a table's version 1.
+// NewListServer returns a server that serves version 1 of a table. It has no address yet.
 func NewListServer(table *EndpointTable) *ListServer {
 	return &ListServer{table: table, version: 1, changed: make(chan struct{})}
 }
 
-// AdvanceTo makes the list up to a version available. Older versions than the current one are ignored.
+// AdvanceTo makes the versions of the table up to the given one available. It ignores a version that is not newer
+// than the current one.
 func (s *ListServer) AdvanceTo(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// Listen starts to serve at a free address on loopback. If observe is not nil it is called with the entries that are
-// about to be sent there.
+// Listen starts serving at a free port on loopback. If observe is not nil, it is called with all entries before they
+// are sent there.
 func (s *ListServer) Listen(observe func([]Entry)) (address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,14 +74,14 @@
 	return endpoint.address, nil
 }
 
-// Address returns the current address of the n-th call of Listen, counted from 0.
+// Address returns the current address that belongs to the n-th call of Listen, counted from 0.
 func (s *ListServer) Address(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints[n].address
 }
 
-// start starts the server of an endpoint and returns its address. The caller holds mu.
+// start starts the HTTP server of an endpoint and returns its address. The caller holds mu.
 func (s *ListServer) start(endpoint listEndpoint) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -104,7 +105,7 @@
 	s.servers = nil
 }
 
-// Start serves again after Stop, at new addresses: by now, other connections may use the old ports.
+// Start serves again after Stop. The addresses change, since other connections may use the old ports by then.
 func (s *ListServer) Start() (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,20 +117,20 @@
 	return nil
 }
 
-// Traffic returns what was served so far.
+// Traffic returns what was received and sent so far.
 func (s *ListServer) Traffic() ListTraffic {
 	return ListTraffic{Calls: s.calls.Load(), Messages: s.messages.Load(), Bytes: s.bytes.Load()}
 }
 
-// current returns the version, and a channel that is closed when there is a new one.
+// current returns the current version, and a channel that is closed when there is a new one.
 func (s *ListServer) current() (int64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.changed
 }
 
-// serve answers a call: a poll with a snapshot, a watch with a snapshot or an empty delta and all changes until it
-// ends.
+// serve answers a call: a poll with a snapshot, a watch with all changes after its version until it ends. A watch
+// whose version is unknown starts with a snapshot, and one that has the current version starts with an empty delta.
 func (s *ListServer) serve(observe func([]Entry), w http.ResponseWriter, req *http.Request) {
 	s.calls.Add(1)
 	call := &listCall{server: s, w: w, observe: observe}
@@ -149,14 +150,14 @@
 	call.sendChanges(req, query.version, version, changed)
 }
 
-// listCall is a call that a ListServer answers.
+// listCall is one call to a ListServer.
 type listCall struct {
 	server  *ListServer
 	w       http.ResponseWriter
 	observe func([]Entry)
 }
 
-// write writes and counts a message and reports whether it was written.
+// write counts and writes a message, and reports whether the write succeeded.
 func (c *listCall) write(message []byte) bool {
 	c.server.messages.Add(1)
 	c.server.bytes.Add(uint64(len(message)))
@@ -164,7 +165,7 @@
 	return err == nil
 }
 
-// sendSnapshot sends the list of a version.
+// sendSnapshot sends the snapshot of a version.
 func (c *listCall) sendSnapshot(version int64) bool {
 	message := c.server.table.Snapshot(version)
 	if c.observe != nil {
@@ -173,12 +174,12 @@
 	return c.write(message)
 }
 
-// sendUnchanged sends an empty delta to a watch whose client has the current version.
+// sendUnchanged sends an empty delta, which confirms a watch whose client has the current version.
 func (c *listCall) sendUnchanged(version int64) bool {
 	return c.write(fmt.Appendf(nil, "{\"generation\":%d,\"reset\":false,\"instances\":[]}\n", version))
 }
 
-// sendChange sends the change of an entry.
+// sendChange sends the encoded change of an entry.
 func (c *listCall) sendChange(message []byte, e Entry) bool {
 	if c.observe != nil {
 		c.observe([]Entry{e})
@@ -186,7 +187,7 @@
 	return c.write(message)
 }
 
-// sendChanges sends the changes from one version to another, and all further ones until the call ends.
+// sendChanges sends the changes after one version up to another, and all later ones until the call ends.
 func (c *listCall) sendChanges(req *http.Request, from, to int64, changed <-chan struct{}) {
 	flusher := c.w.(http.Flusher)
 	heartbeat := time.NewTicker(heartbeatInterval)
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// testEntries returns the lines of a list of ready endpoints.
+// testEntries returns the entries of n ready endpoints.
 func testEntries(n int) (entries []Entry) {
 	for i := range n {
 		entries = append(entries, ActiveEntry(fmt.Sprintf("h-%d", i), "127.1.0.1:1", "a"))
@@ -17,13 +17,13 @@
 	return entries
 }
 
-// listClient reads the messages of one call.
+// listClient reads the messages of one call to a list server.
 type listClient struct {
 	t     *testing.T
 	lines *bufio.Scanner
 }
 
-// callList calls a list server with a query.
+// callList calls a list server with a query string.
 func callList(t *testing.T, address, query string) *listClient {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/registry/instances" + query)
@@ -36,7 +36,7 @@
 	return &listClient{t, lines}
 }
 
-// next returns the next message that is not a heartbeat. It reports false if the call has ended.
+// next returns the next message that is not a heartbeat. It returns false if the call has ended.
 func (c *listClient) next() (l listing, ok bool) {
 	c.t.Helper()
 	for c.lines.Scan() {
@@ -71,7 +71,7 @@
 	return l
 }
 
-// watchList opens watches of a list server whose clients have version 1, which is the current one.
+// watchList opens watches from version 1, which has to be the server's current one.
 func watchList(t *testing.T, address string, count int) (watches []*listClient) {
 	t.Helper()
 	for range count {
@@ -82,7 +82,7 @@
 	return watches
 }
 
-// startListServer starts a server of a table, at an address without an observer.
+// startListServer starts a list server at one address, without an observer.
 func startListServer(t *testing.T, table *EndpointTable) (server *ListServer, address string) {
 	t.Helper()
 	server = NewListServer(table)
@@ -94,7 +94,7 @@
 	return server, address
 }
 
-// publishLeaving publishes versions of an entry that is leaving, and checks their numbers.
+// publishLeaving publishes an entry with the lifecycle leaving once for each version, and checks the versions.
 func publishLeaving(t *testing.T, table *EndpointTable, e Entry, from, to int64) {
 	t.Helper()
 	e.Lifecycle = "leaving"
@@ -105,7 +105,8 @@
 	}
 }
 
-// A watch receives each change once, encoded once for all watches, and no version that has not reached the server.
+// A watch receives each change once and no version beyond that of AdvanceTo. A change is encoded once for all
+// watches.
 func TestListServerWatch(t *testing.T) {
 	table := NewEndpointTable(testEntries(3))
 	server, address := startListServer(t, table)
@@ -118,7 +119,7 @@
 	publishLeaving(t, table, testEntries(3)[1], 2, 4)
 	wantSnapshot(t, address, 1)
 	server.AdvanceTo(3)
-	server.AdvanceTo(2) // does not go back
+	server.AdvanceTo(2) // ignored: the server has version 3
 	for _, watch := range watches {
 		for version := int64(2); version <= 3; version++ {
 			l := watch.wantDelta(version, 1)
@@ -128,7 +129,7 @@
 		}
 	}
 	if n := table.Encodings() - before; n != 3 {
-		t.Errorf("%d encodings for 3 changes and 50 watches", n)
+		t.Errorf("%d encodings for 3 changes and 50 watches, want 3", n)
 	}
 	if l, ok := callList(t, address, "?watch=1&from=2").next(); !ok || l.Generation != 3 {
 		t.Errorf("a watch from version 2: %+v", l)
@@ -138,8 +139,8 @@
 	}
 }
 
-// A stopped server ends its watches and answers nothing. It serves the list again after Start, and its observer is
-// called with what is sent.
+// A stopped server ends its watches and accepts no calls. After Start it serves the list again, and calls the
+// observer with the entries that it sends.
 func TestListServerRestart(t *testing.T) {
 	table := NewEndpointTable(testEntries(3))
 	server, address := startListServer(t, table)
@@ -173,7 +174,7 @@
 	}
 }
 
-// The cost of a change does not depend on the size of the list, and is one message for each watch.
+// A change costs one message for each watch and one encoding, and its bytes do not depend on the size of the list.
 func TestListServerCost(t *testing.T) {
 	const watchCount, changes = 20, 10
 	for _, n := range []int{100, 200, 400} {
@@ -192,7 +193,7 @@
 			}
 			after := server.Traffic()
 			messages := after.Messages - before.Messages
-			// There may be a heartbeat every 2 s.
+			// Each watch may also be sent a heartbeat every 2 s.
 			if messages < watchCount*changes || messages > watchCount*changes+2*watchCount {
 				t.Errorf("%d messages for %d changes and %d watches", messages, changes, watchCount)
 			}
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -21,60 +21,63 @@
 )
 
 const (
-	// answerGrace is how long after its deadline a client still waits for an answer, to tell late from missing ones.
+	// answerGrace is how long a client still waits for an answer after the request's deadline, so that late answers are
+	// recorded as late and not as missing.
 	answerGrace = 500 * time.Millisecond
-	// strandedAfter is how long a client must have been detached at the end of a run for its session to be stranded.
+	// strandedAfter is how long a client must have had no room server at the end of a run for its session to count as
+	// stranded.
 	strandedAfter = 3 * time.Second
-	// readBufferBytes is the size of the read buffer of a connection.
+	// readBufferBytes is the size of a connection's read buffer in bytes.
 	readBufferBytes = 4096
 )
 
-// interrupted is a deadline in the past, which ends a connection's reads and writes at once.
+// interrupted is a deadline in the past, with which a connection's reads and writes fail immediately.
 var interrupted = time.Unix(1, 0)
 
-// PlayerConfig is what the players of a run have in common.
+// PlayerConfig is the configuration that the players of a run share.
 type PlayerConfig struct {
 	FrontLayer *FrontLayer
 	Recorder   *invariants.Recorder
-	// Class and Tenant are sent with each request.
+	// Class and Tenant are the traffic class and the tenant in each request.
 	Class  string
 	Tenant string
 	// ClientTimeout is how long a client waits for the answer to a request.
 	ClientTimeout time.Duration
 	// PlayInterval is the time between two moves in the game.
 	PlayInterval time.Duration
-	// MeanGame is the mean duration of a game, which is exponentially distributed; 0 if games do not end.
+	// MeanGame is the mean duration of a game, which is exponentially distributed; 0 if games do not end. The remaining
+	// duration is chosen anew on each connection.
 	MeanGame time.Duration
 	// ResumesSessions says that players use session tokens.
 	ResumesSessions bool
 	Statistics      *Statistics
 }
 
-// Player emulates a client. It plays one session at a time, reconnects when it is told to move or its connection
-// breaks, and starts over when it is told to. Only Replay may be called while Play runs.
+// Player emulates a client. It plays one session at a time and reconnects when it is told to move or its connection
+// breaks. It starts over when it is told to or, without session tokens, when it reconnects. Only Replay may be called
+// while Play runs.
 type Player struct {
 	cfg  PlayerConfig
 	rng  *rand.Rand
 	key  string
 	room string
-	// session is the number of the player's current session.
+	// session is the number of the player's current session, from 1.
 	session int
 	// token is the newest token of the session; empty if it has none.
 	token string
-	// acknowledged is the last move that the client knows to be stored.
+	// acknowledged is the number of the last move that a room server has acknowledged.
 	acknowledged uint64
-	// detachedAt is when the session lost its room server; zero while it has one.
+	// detachedAt is when the player lost its room server; zero while it has one.
 	detachedAt time.Time
-	// reconnecting says that the next request continues an earlier connection.
+	// reconnecting says that the player has lost its room server and its requests say so.
 	reconnecting bool
-	// replay says that the next token is to be presented more than once.
+	// replay says that the next token that the player presents is presented by copies too, see Replay.
 	replay atomic.Bool
 }
 
 // requestCount numbers the requests of all players of the process.
 var requestCount atomic.Uint64
 
-// newRequestID returns the ID of a new request.
 func newRequestID() string {
 	return fmt.Sprintf("%016x", requestCount.Add(1))
 }
@@ -84,11 +87,11 @@
 	net.Conn
 	reader   *bufio.Reader
 	balancer string
-	// token is the token that was presented; empty if there was none.
+	// token is the session token that the request presents; empty if it has none.
 	token string
 }
 
-// NewPlayer returns a player in a puzzle room; the seed determines its key and its random choices.
+// NewPlayer returns a player of a puzzle room. The seed determines the player's key and its random choices.
 func NewPlayer(cfg PlayerConfig, seed uint64, room string) *Player {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	return &Player{cfg: cfg, rng: rng, key: fmt.Sprintf("%016x", rng.Uint64()), room: room}
@@ -108,14 +111,15 @@
 	}
 }
 
-// Finish records whether the session was stranded. It has to be called after Play has returned.
+// Finish records whether the session is stranded. It has to be called after Play has returned.
 func (p *Player) Finish() {
 	if !p.detachedAt.IsZero() && time.Since(p.detachedAt) > strandedAfter {
 		p.cfg.Recorder.Add(invariants.Event{Kind: invariants.SessionStranded, Session: p.sessionName()})
 	}
 }
 
-// sessionName identifies the session in the client's events. Clients do not know the identifiers of room servers.
+// sessionName returns the name of the session in the client's events. Clients do not know the session IDs that room
+// servers use.
 func (p *Player) sessionName() string {
 	return p.key + "/" + strconv.Itoa(p.session)
 }
@@ -125,8 +129,8 @@
 	return from + time.Duration(p.rng.Int64N(int64(to-from)))
 }
 
-// connect makes one request and plays while its connection is established. It returns the pause before the next
-// request.
+// connect makes one request and, if it is accepted, plays until the connection ends. It returns the pause before the
+// next request.
 func (p *Player) connect(ctx context.Context) time.Duration {
 	balancer, address := p.cfg.FrontLayer.pick("")
 	conn, err := net.DialTimeout("tcp", address, p.cfg.ClientTimeout)
@@ -157,7 +161,7 @@
 	return p.answered(ctx, c, answer)
 }
 
-// answered acts on the answer to a request. It returns the pause before the next request.
+// answered handles the answer to a request. It returns the pause before the next request.
 func (p *Player) answered(ctx context.Context, c *playerConn, answer string) time.Duration {
 	word, rest, _ := strings.Cut(answer, " ")
 	switch word {
@@ -176,7 +180,7 @@
 	return p.jitter(50*time.Millisecond, 200*time.Millisecond)
 }
 
-// request sends a request and reads its answer. It reports false if there is none.
+// request sends a request and reads the first line of its answer. It reports false if there is no answer.
 func (p *Player) request(ctx context.Context, c *playerConn, id string) (answer string, ok bool) {
 	if !p.send(c, c.balancer, id, c.token, p.reconnecting) {
 		return "", false
@@ -196,7 +200,7 @@
 	return line, true
 }
 
-// setReadDeadline sets a connection's read deadline unless ctx has ended, which interrupts the connection.
+// setReadDeadline sets a connection's read deadline. If ctx has ended, the connection stays interrupted instead.
 func setReadDeadline(ctx context.Context, conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
@@ -204,7 +208,7 @@
 	}
 }
 
-// send records a request and writes its first line. It reports whether the line was written.
+// send records a request and then writes its first line. It reports whether the write succeeded.
 func (p *Player) send(conn net.Conn, balancer, id, token string, reconnecting bool) bool {
 	recorder := p.cfg.Recorder
 	recorder.Add(invariants.Event{
@@ -220,7 +224,7 @@
 	return true
 }
 
-// firstLine returns the first line of a request.
+// firstLine returns the first line of a request, without the line end.
 func (p *Player) firstLine(id, token string, reconnecting bool) string {
 	line := fmt.Sprintf("OPEN %s %s c=%s,t=%s,d=%d,g=%s",
 		id, p.key, p.cfg.Class, p.cfg.Tenant, p.cfg.ClientTimeout.Milliseconds(), p.room)
--- a/internal/testbench/emulator/player_replay.go
+++ b/internal/testbench/emulator/player_replay.go
@@ -12,26 +12,28 @@
 	"cottonplank/internal/textline"
 )
 
-// replayGrace is how long after its deadline a copy of a token still waits for its answer.
+// replayGrace is how long after its deadline a request with a copied token still waits for its answer.
 const replayGrace = time.Second
 
-// Replay makes the player's next token be presented at two balancers besides the player's own request: once at the
-// same time, when any of the three may be accepted, and once after the token was used, when none may be.
+// Replay makes copies of the next token that the player presents. Two balancers receive a copy at the same time as
+// the player's own request: one of the three requests may be accepted. After the player has attached its session with
+// the token, two balancers receive a copy again: neither may accept it.
 func (p *Player) Replay() {
 	p.replay.Store(true)
 }
 
-// raceToken presents a token at two balancers while the player presents it too.
+// raceToken presents copies of a token at two balancers while the player itself presents it.
 func (p *Player) raceToken(token string, reconnecting bool) {
 	p.present(token, reconnecting, &p.cfg.Statistics.RacedTokens, &p.cfg.Statistics.RacesWon)
 }
 
-// replayToken presents a token that was used at two balancers.
+// replayToken presents copies of a token at two balancers after the player has used it.
 func (p *Player) replayToken(token string) {
 	p.present(token, false, &p.cfg.Statistics.ReplayedTokens, &p.cfg.Statistics.ReplaysAccepted)
 }
 
-// present presents a token at two balancers at once, and counts the requests and those that were accepted.
+// present presents a token at two balancers at the same time. It counts the requests in presented, and those that
+// were accepted in accepted.
 func (p *Player) present(token string, reconnecting bool, presented, accepted *atomic.Int64) {
 	firstName, firstAddress := p.cfg.FrontLayer.pick("")
 	secondName, secondAddress := p.cfg.FrontLayer.pick(firstName)
@@ -47,7 +49,8 @@
 	requests.Wait()
 }
 
-// requestOnce makes a request with a token, closes the connection and returns the answer; empty if there was none.
+// requestOnce makes a request with a token, closes the connection and returns the first line of the answer; empty if
+// there was none. Unlike a player's own request, one that times out is recorded as a lost connection.
 func (p *Player) requestOnce(balancer balancerAddress, token string, reconnecting bool) string {
 	conn, err := net.DialTimeout("tcp", balancer.address, p.cfg.ClientTimeout)
 	if err != nil {
--- a/internal/testbench/emulator/player_session.go
+++ b/internal/testbench/emulator/player_session.go
@@ -13,16 +13,18 @@
 	"cottonplank/internal/textline"
 )
 
-// attachTimeout is how long a player waits for its token and the position of its session.
+// attachTimeout is how long a player waits for the token and the position of its session after its request was
+// accepted.
 const attachTimeout = 2 * time.Second
 
-// reasonNoToken is the reason of a session that starts over because the player does not use tokens.
+// reasonNoToken is the reason for starting over if the player does not use session tokens.
 const reasonNoToken = "no-token"
 
-// endOfGame is the line that ends a game, and its answer.
+// endOfGame is the line by which a client ends its game, and also the room server's answer to it.
 const endOfGame = "BYE"
 
-// play plays on an established connection until it ends. It returns the pause before the next request.
+// play plays on an established connection until the connection or the game ends, the room server tells the client to
+// move, or ctx ends. It returns the pause before the next request.
 func (p *Player) play(ctx context.Context, c *playerConn) time.Duration {
 	if !p.attach(c) {
 		return p.detached()
@@ -71,8 +73,8 @@
 	}
 }
 
-// readLines returns a channel of the lines that are read until the connection ends or done is closed. The channel is
-// closed then.
+// readLines returns a channel of the lines that it reads until the connection ends or done is closed. It closes the
+// channel then.
 func readLines(r *bufio.Reader, done <-chan struct{}) <-chan string {
 	lines := make(chan string)
 	go func() {
@@ -92,8 +94,8 @@
 	return lines
 }
 
-// attach attaches the session to the room server of a new connection, and reports whether it did. Without tokens a
-// reconnected player starts over.
+// attach makes the player ready to play on a new connection, and reports whether it succeeded. Without session tokens
+// a player that reconnects starts over.
 func (p *Player) attach(c *playerConn) bool {
 	if p.cfg.ResumesSessions {
 		return p.attachWithToken(c)
@@ -105,7 +107,8 @@
 	return true
 }
 
-// attachWithToken reads the session's new token and position. It reports false if the connection ends before.
+// attachWithToken reads the session's new token, confirms it and reads the position. It reports false if the
+// connection ends, the timeout passes or another line arrives before that.
 func (p *Player) attachWithToken(c *playerConn) bool {
 	c.SetReadDeadline(time.Now().Add(attachTimeout))
 	defer c.SetReadDeadline(time.Time{})
@@ -137,7 +140,8 @@
 	return true
 }
 
-// attached notes that the player has a room server again, with the same session or a new one.
+// attached updates the state of a player that has a room server now. resumed says that it presented a token, and so
+// continues an earlier session.
 func (p *Player) attached(resumed bool) {
 	if !p.detachedAt.IsZero() && resumed && p.cfg.Statistics.OnResumed != nil {
 		p.cfg.Statistics.OnResumed(time.Since(p.detachedAt))
@@ -146,7 +150,8 @@
 	p.reconnecting = false
 }
 
-// detached notes that the player has lost its room server. It returns the pause before the player reconnects.
+// detached updates the state of a player that has lost its room server. It returns the pause before the player
+// reconnects.
 func (p *Player) detached() time.Duration {
 	if p.detachedAt.IsZero() {
 		p.detachedAt = time.Now()
@@ -155,7 +160,7 @@
 	return p.jitter(0, 40*time.Millisecond)
 }
 
-// connectionBroken notes that an established connection broke. It returns the pause before the player reconnects.
+// connectionBroken counts an established connection that broke. It returns the pause before the player reconnects.
 func (p *Player) connectionBroken(balancer string) time.Duration {
 	if p.cfg.Statistics.OnBroken != nil {
 		p.cfg.Statistics.OnBroken(balancer)
@@ -165,14 +170,14 @@
 	return p.jitter(20*time.Millisecond, 200*time.Millisecond)
 }
 
-// gameEnded notes the end of a game. It returns the pause before the next.
+// gameEnded counts a game whose end was confirmed. It returns the pause before the next game.
 func (p *Player) gameEnded() time.Duration {
 	p.cfg.Statistics.GamesEnded.Add(1)
 	p.newSession()
 	return p.jitter(0, p.cfg.PlayInterval)
 }
 
-// startOver replaces a session that cannot be continued by a new one.
+// startOver replaces a session that cannot be resumed by a new one.
 func (p *Player) startOver(reason string) {
 	p.cfg.Statistics.StartedOver.Add(1)
 	if p.cfg.Statistics.OnStartedOver != nil {
@@ -182,14 +187,14 @@
 	p.newSession()
 }
 
-// newSession forgets the current session.
+// newSession resets what the player knows of its current session and begins the next one.
 func (p *Player) newSession() {
 	p.token = ""
 	p.acknowledged = 0
 	p.session++
 }
 
-// received processes a new token or an acknowledged position; it ignores other lines.
+// received handles a line with a new token or an acknowledged position. It ignores other lines.
 func (p *Player) received(line string) {
 	var position uint64
 	if token, ok := strings.CutPrefix(line, protocol.TokenLine("")); ok {
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -15,10 +15,11 @@
 	"cottonplank/internal/textline"
 )
 
-// firstLineFields is the number of fields of a first line that are separated by spaces.
+// firstLineFields is the number of space-separated fields of a first line: OPEN, the request ID, the client's key and
+// a list of name=value pairs.
 const firstLineFields = 4
 
-// Answers of a room server.
+// Final answers of a room server that do not establish a connection.
 const (
 	answerBusy   = "BUSY"
 	answerError  = "ERR"
@@ -31,23 +32,24 @@
 	id     arbiter.Conn
 	conn   *net.TCPConn
 	reader *bufio.Reader
-	// request is the ID of the request whose attempt is active on this connection; empty if there is none.
+	// request is the ID of the request whose attempt is active on this connection; empty if there is no attempt.
 	request string
-	// established says that the request was answered UP. The server's mu guards it.
+	// established says that the connection is established: the request was answered UP. The server's mu guards it.
 	established bool
-	// session is what the latest first line has said of its session; nil if it has none.
+	// session holds the session parameters of the latest first line, or of the latest EXPORT; nil if there is no
+	// session.
 	session *protocol.Open
-	// playing says that the attachment of session was recorded. The server's mu guards it.
+	// playing says that the attachment of session was recorded, and its detachment not yet. The server's mu guards it.
 	playing bool
-	// epoch is the epoch of session. The server's mu guards it.
+	// epoch is the epoch of the session's copy here. The server's mu guards it.
 	epoch uint64
 	// position is the number of the session's last move. The server's mu guards it.
 	position uint64
-	// writes is held during a write, so that messages are not interleaved.
+	// writes is held during each write, so that messages of different goroutines are not interleaved.
 	writes sync.Mutex
 }
 
-// run answers lines until the connection ends.
+// run handles lines until the connection ends.
 func (c *roomConn) run() {
 	defer c.close()
 	for {
@@ -58,7 +60,7 @@
 	}
 }
 
-// close closes the connection and records what has ended with it.
+// close closes the connection and records that its session is detached and its attempt has ended.
 func (c *roomConn) close() {
 	c.conn.Close()
 	s := c.server
@@ -75,7 +77,7 @@
 	c.attemptEnded()
 }
 
-// writeLine writes a line and reports whether it did.
+// writeLine writes a line and reports whether the write succeeded.
 func (c *roomConn) writeLine(line string) bool {
 	c.writes.Lock()
 	defer c.writes.Unlock()
@@ -83,7 +85,7 @@
 	return err == nil
 }
 
-// handle answers a line. It reports false if the connection has to be closed.
+// handle handles a line. It reports false if the connection has to be closed.
 func (c *roomConn) handle(line string) bool {
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
@@ -121,8 +123,8 @@
 	return c.writeLine(fmt.Sprintf("PONG qps=0,inflight=%d,x0=%.3f", established, utilization))
 }
 
-// firstLineField returns the value of a field in the list of a first line; empty if the list does not have it. The
-// balancer has validated the line.
+// firstLineField returns a value from the name=value list of a first line; empty if the list does not have the name.
+// It does not validate the line, as the balancer has done so.
 func firstLineField(line, name string) string {
 	list := line[strings.LastIndexByte(line, ' ')+1:]
 	for pair := range strings.SplitSeq(list, ",") {
@@ -133,7 +135,7 @@
 	return ""
 }
 
-// open answers a first line.
+// open handles a first line. A further first line on a connection with an active attempt belongs to the same attempt.
 func (c *roomConn) open(line string) bool {
 	s := c.server
 	fields := strings.Split(line, " ")
@@ -166,7 +168,7 @@
 	return c.openSession(session)
 }
 
-// establish answers UP, followed by a line about the session if that is not empty and by a load report if there is one.
+// establish answers UP, followed by the session line if it is not empty, and by the load if one is configured.
 func (c *roomConn) establish(sessionLine string) bool {
 	s := c.server
 	s.mu.Lock()
@@ -183,16 +185,16 @@
 	return c.writeLine(answer)
 }
 
-// endAttempt gives the final answer of an attempt that is not established. It reports false, as the connection has to
-// be closed.
+// endAttempt ends an attempt without establishing the connection, and writes the final answer. It always returns
+// false, since the connection has to be closed.
 func (c *roomConn) endAttempt(answer string) bool {
 	c.attemptEnded()
 	c.writeLine(answer)
 	return false
 }
 
-// attemptEnded records the end of the attempt. It has to be called before the answer is written, because the balancer
-// may start the next attempt as soon as it has read it.
+// attemptEnded records the end of the attempt, if there is one. It has to be called before the final answer is
+// written, because the balancer may start the next attempt as soon as it has read the answer.
 func (c *roomConn) attemptEnded() {
 	if c.request == "" {
 		return
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -1,6 +1,6 @@
 // Package emulator emulates the parties that a balancer talks to: room servers, discovery, and clients behind the
-// platform's front layer. They run on loopback, can be made to fail in the ways that the balancer has to handle, and
-// record what they observe in an invariants.Recorder. Tests and experiments share them.
+// platform's front layer. They run on loopback, inject the faults that the balancer has to handle, and record what
+// they observe in an invariants.Recorder. Both tests and experiments use them.
 package emulator
 
 import (
@@ -18,9 +18,9 @@
 const (
 	// unlimitedCapacity replaces a RoomServerConfig.Capacity of 0.
 	unlimitedCapacity = 1 << 20
-	// sessionRetention is how long a room server keeps a detached session.
+	// sessionRetention is how long a room server retains a detached session.
 	sessionRetention = time.Minute
-	// maxSessions is the largest number of sessions that a room server keeps.
+	// maxSessions is the largest number of sessions that a room server retains, attached or not.
 	maxSessions = 1 << 16
 )
 
@@ -28,46 +28,46 @@
 type RoomServerConfig struct {
 	// Name is the server's instance ID.
 	Name string
-	// Capacity is the number of connections beyond which requests are rejected; 0 if it is unlimited.
+	// Capacity is the number of established connections at which further requests are rejected; 0 if it is unlimited.
 	Capacity int
-	// ResumesSessions says that the server keeps sessions, which may be resumed.
+	// ResumesSessions says that the server supports sessions that can be resumed.
 	ResumesSessions bool
-	// StateBytes is the size of a session's state in bytes.
+	// StateBytes is the size of a session's state in bytes. The state has at least positionBytes.
 	StateBytes int
-	// LoadMicros is the load that the server reports for each connection, in microseconds of work a second; 0 if it
-	// reports none.
+	// LoadMicros is the load that the server reports for each established connection, in microseconds of work a second;
+	// 0 if it reports none.
 	LoadMicros int
 	// Recorder receives what the server observes; it may be nil.
 	Recorder *invariants.Recorder
 
 	// SetupRate is the number of connections a second that the server can establish once it is warm. With 0 the
-	// server needs no warm-up and never collapses.
+	// server never collapses.
 	SetupRate float64
-	// WarmupFraction is the share of SetupRate that the server can establish at its start.
+	// WarmupFraction is the fraction of SetupRate that the server has at its start. It rises to 1 during WarmupTime.
 	WarmupFraction float64
-	// WarmupTime is the time after the start at which the server is warm.
+	// WarmupTime is how long the server warms up after its start; 0 if it needs no warm-up.
 	WarmupTime time.Duration
-	// CollapseFactor is the multiple of the current setup rate at which a server that warms up collapses.
+	// CollapseFactor is the multiple of the current setup rate above which a server that is warming up collapses.
 	CollapseFactor float64
 }
 
-// Faults are the faults of a RoomServer. The zero value is none.
+// Faults are the faults that a RoomServer injects. The zero value injects none.
 type Faults struct {
-	// StallExport leaves EXPORT without an answer.
+	// StallExport ignores EXPORT.
 	StallExport bool
-	// TruncateExport breaks the connection in the middle of an exported state.
+	// TruncateExport closes the connection after half of an exported state.
 	TruncateExport bool
-	// StallCommit leaves COMMIT without an answer and does not execute it.
+	// StallCommit ignores COMMIT: it is neither executed nor answered.
 	StallCommit bool
-	// LoseCommit executes COMMIT and breaks the connection before the answer.
+	// LoseCommit executes COMMIT and closes the connection without an answer.
 	LoseCommit bool
-	// BreakAtActivate breaks the connection at GO.
+	// BreakAtActivate closes the connection when GO arrives, without activating the session.
 	BreakAtActivate bool
-	// LoseSessions loses all sessions once, when the faults are injected.
+	// LoseSessions deletes all sessions, once, when InjectFaults is called.
 	LoseSessions bool
 	// FailRequests answers every first line with ERR.
 	FailRequests bool
-	// OverstateSize sends a state that is one byte shorter than was announced, and ends the connection.
+	// OverstateSize announces an exported state as one byte longer than it is, and closes the connection after it.
 	OverstateSize bool
 }
 
@@ -77,14 +77,14 @@
 	listener net.Listener
 	started  time.Time
 	faults   atomic.Pointer[Faults]
-	// stalledCommits counts the commits that were left without an answer.
+	// stalledCommits counts the commits that StallCommit ignored.
 	stalledCommits atomic.Int64
-	// goroutines counts those that Stop waits for.
+	// goroutines are the goroutines that Stop waits for.
 	goroutines sync.WaitGroup
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// arbiter keeps the sessions.
+	// arbiter holds the sessions.
 	arbiter *arbiter.Arbiter
 	conns   map[arbiter.Conn]*roomConn
 	lastID  arbiter.Conn
@@ -92,9 +92,10 @@
 	established int
 	draining    bool
 	stopped     bool
-	// collapsed says that the server was overloaded while it warmed up.
+	// collapsed says that the server has crashed because it was overloaded while it warmed up.
 	collapsed bool
-	// recentSetups holds the times at which connections were established within the last second.
+	// recentSetups holds the times at which requests were admitted within the last second. It is used if SetupRate is
+	// set.
 	recentSetups []time.Time
 	accepted     uint64
 	probes       uint64
@@ -110,7 +111,7 @@
 	Open int
 }
 
-// NewRoomServer starts a room server at a free address on loopback.
+// NewRoomServer starts a room server at a free port on loopback.
 func NewRoomServer(cfg RoomServerConfig) (*RoomServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -138,7 +139,7 @@
 // Name returns the server's instance ID.
 func (s *RoomServer) Name() string { return s.cfg.Name }
 
-// Address returns the address at which balancers find the server.
+// Address returns the address at which the server accepts connections.
 func (s *RoomServer) Address() string { return s.listener.Addr().String() }
 
 // startedMillis returns when the server started, in milliseconds since 1970, as discovery reports it; 0 for a server
@@ -160,7 +161,7 @@
 	}
 }
 
-// Sessions returns the number of sessions that the server keeps, and of those that are attached.
+// Sessions returns the number of copies of sessions' states that the server holds, and how many of them are attached.
 func (s *RoomServer) Sessions() (kept, attached int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,10 +182,11 @@
 	return Traffic{Accepted: s.accepted, Probes: s.probes, Open: len(s.conns)}
 }
 
-// StalledCommits returns the number of commits that were left without an answer by Faults.StallCommit.
+// StalledCommits returns the number of commits that Faults.StallCommit has ignored.
 func (s *RoomServer) StalledCommits() int64 { return s.stalledCommits.Load() }
 
-// Drain tells all clients to move and rejects new ones. Sessions may still be exported.
+// Drain tells all clients with established connections to move, and rejects new requests. Sessions can still be
+// exported.
 func (s *RoomServer) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -201,7 +203,7 @@
 	}
 }
 
-// EndDrain admits new clients again.
+// EndDrain ends the drain: requests are admitted again.
 func (s *RoomServer) EndDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +234,7 @@
 	}
 }
 
-// serve starts to serve a connection.
+// serve starts handling a connection, or closes it if the server is stopped.
 func (s *RoomServer) serve(conn *net.TCPConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,8 +249,8 @@
 	s.goroutines.Go(c.run)
 }
 
-// admit counts a connection to be established and reports whether the server has capacity for it, and whether it has
-// collapsed.
+// admit decides on a request. It reports whether the server has the capacity for the connection and is not draining,
+// and whether the server has collapsed.
 func (s *RoomServer) admit() (admitted, collapsed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,12 +260,12 @@
 	}
 	s.collapsed = true
 	s.cfg.Recorder.Add(invariants.Event{Kind: invariants.ServerCollapsed, Server: s.cfg.Name})
-	go s.Stop() // waits for the goroutine of the connection that calls this
+	go s.Stop() // in a goroutine, because Stop waits for the connection's goroutine, which calls admit
 	return admitted, true
 }
 
-// overloadedBySetup counts a connection to be established and reports whether it is one too many for a server that
-// warms up. The caller holds mu.
+// overloadedBySetup counts an admitted request and reports whether it overloads the server while that is warming up.
+// The caller holds mu.
 func (s *RoomServer) overloadedBySetup(now time.Time) bool {
 	if s.cfg.SetupRate == 0 {
 		return false
@@ -277,7 +279,8 @@
 	return warmth < 1 && float64(len(s.recentSetups)) > rate*s.cfg.CollapseFactor
 }
 
-// closeDisplaced closes a connection that has lost its session to another. The caller holds mu.
+// closeDisplaced closes a connection that has lost its session to another connection; 0 stands for none. The caller
+// holds mu.
 func (s *RoomServer) closeDisplaced(id arbiter.Conn) {
 	if c := s.conns[id]; c != nil {
 		c.sessionDetached()
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -12,8 +12,8 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// openRequest sends a request to a room server and returns the connection and the first line of the answer; empty if
-// there is none.
+// openRequest sends a request to a room server. It returns the connection, nil if it is refused, and the first line
+// of the answer, empty if there is none.
 func openRequest(t *testing.T, server *RoomServer, id int) (net.Conn, string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Address())
@@ -27,8 +27,8 @@
 	return conn, line
 }
 
-// A saturated room server rejects requests and reports its load, and a draining one tells its clients to move and
-// rejects new ones.
+// A saturated room server rejects requests and reports its load. A draining one tells its clients to move and rejects
+// new requests.
 func TestRoomServer(t *testing.T) {
 	server, err := NewRoomServer(RoomServerConfig{Name: "s-1", Capacity: 2, LoadMicros: 500})
 	if err != nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// A room server that is overloaded while it warms up collapses, and the invariants report it; a warm one does not.
+// A room server that is overloaded while it warms up collapses, and the Recorder reports one collapse. A warm room
+// server does not collapse at the same load.
 func TestWarmup(t *testing.T) {
 	for name, v := range map[string]struct {
 		warmup    time.Duration
@@ -80,11 +81,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for id := range 14 { // 0.3 * 10 * 4 is 12 within a second
+			for id := range 14 { // the limit is 0.3 * 10 * 4 = 12 requests within a second
 				openRequest(t, server, id)
 			}
 			if v.collapses > 0 {
-				// Another request after the collapse, as the 14th is if it comes before the listener is closed.
+				// A request after the collapse must not record a second one. The 14th request above is such a request only
+				// if it arrives before the listener is closed.
 				(&roomConn{server: server}).open("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=solo-play,d=900")
 			}
 			server.Stop()
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -12,10 +12,10 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// positionBytes is the size of the position at the start of a session's state.
+// positionBytes is the size in bytes of the position at the start of a session's state.
 const positionBytes = 8
 
-// openSession answers a first line with a session.
+// openSession handles a first line that has session parameters.
 func (c *roomConn) openSession(session protocol.Open) bool {
 	c.session = &session
 	switch session.Mode {
@@ -27,7 +27,8 @@
 	return c.importSession(session)
 }
 
-// createSession starts a new session. Without one, for lack of space, the connection is established all the same.
+// createSession starts a new session. If the arbiter does not accept the session, because it has too many or has this
+// one already, the connection is established without a session.
 func (c *roomConn) createSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	s.mu.Lock()
@@ -44,8 +45,8 @@
 	return c.establish(protocol.SessionRetainedLine(session.Ref.Epoch, 0))
 }
 
-// reattachSession offers a session that the server has kept. If the arbiter does not grant it, the balancer may send
-// another first line on this connection.
+// reattachSession offers the balancer a session that the server holds. If the arbiter does not grant the session, the
+// balancer may send another first line on this connection.
 func (c *roomConn) reattachSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	s.mu.Lock()
@@ -61,7 +62,8 @@
 	return c.writeLine(protocol.SessionReadyLine(answer.Ref.Epoch, answer.Position))
 }
 
-// importSession receives the state of a session from another server.
+// importSession receives the state of a session that the balancer has exported from another room server, and stores
+// it without attaching the session.
 func (c *roomConn) importSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	if !c.writeLine(protocol.ReadyLine) {
@@ -81,7 +83,8 @@
 	return c.writeLine(protocol.SessionReadyLine(session.Ref.Epoch, session.Position))
 }
 
-// activateSession attaches a reattached or imported session, and establishes the connection.
+// activateSession handles GO: it attaches a session that was reattached or imported, and establishes the connection.
+// The arbiter has already attached a reattached session.
 func (c *roomConn) activateSession() bool {
 	s := c.server
 	if c.session == nil || c.established || s.faults.Load().BreakAtActivate {
@@ -97,8 +100,8 @@
 	return activated && c.establish(protocol.SessionRetainedLine(c.epoch, c.position))
 }
 
-// sessionAttached records that the client plays here. The caller holds the server's mu, so that events are recorded in
-// the order of the arbiter's decisions.
+// sessionAttached records that the session is attached to this connection. The caller holds the server's mu, so that
+// events are recorded in the order of the arbiter's decisions.
 func (c *roomConn) sessionAttached(epoch, position uint64) {
 	c.epoch, c.position, c.playing = epoch, position, true
 	c.server.cfg.Recorder.Add(invariants.Event{
@@ -109,7 +112,8 @@
 	})
 }
 
-// sessionDetached records that the client no longer plays here, if it did. The caller holds the server's mu.
+// sessionDetached records that the session is no longer attached to this connection, if its attachment was recorded.
+// The caller holds the server's mu.
 func (c *roomConn) sessionDetached() {
 	if !c.playing {
 		return
@@ -122,14 +126,14 @@
 	})
 }
 
-// encodeState returns a session's state at a position: the position, and padding up to the configured size.
+// encodeState returns a session's state at a position: the position, followed by zeros up to the configured size.
 func (c *roomConn) encodeState(position uint64) []byte {
 	state := make([]byte, max(c.server.cfg.StateBytes, positionBytes))
 	binary.BigEndian.PutUint64(state, position)
 	return state
 }
 
-// confirmToken confirms that the client has received its token, and answers with the session's position.
+// confirmToken handles the client's confirmation that it has its token. It answers with the session's position.
 func (c *roomConn) confirmToken() bool {
 	s := c.server
 	s.mu.Lock()
@@ -141,16 +145,16 @@
 	return c.writeLine(protocol.PositionLine(position))
 }
 
-// play makes a move of the game if it is the next one, and answers with the position. It reports false, without an
-// acknowledgement, if the connection has lost its session.
+// play executes a move of the game if it is the next one, and answers with the session's position in any case. It
+// reports false, without an answer, if the connection has lost its session.
 func (c *roomConn) play(text string) bool {
 	move, err := strconv.ParseUint(text, 10, 64)
 	position, ok := c.savePosition(move, err == nil)
 	return ok && c.writeLine(protocol.PositionLine(position))
 }
 
-// savePosition saves a valid move that is the next one. It returns the position after it, and reports false if the
-// connection has lost its session.
+// savePosition saves a move if it is valid and the next one, and returns the resulting position. It reports false if
+// the connection has lost its session. A saved move also confirms the session's token.
 func (c *roomConn) savePosition(move uint64, valid bool) (position uint64, ok bool) {
 	s := c.server
 	s.mu.Lock()
@@ -168,7 +172,7 @@
 	return c.position, true
 }
 
-// endSession ends the session at the end of the game.
+// endSession ends the session, because its game has ended, and confirms that to the client.
 func (c *roomConn) endSession() {
 	if c.session != nil {
 		c.server.mu.Lock()
@@ -178,7 +182,8 @@
 	c.writeLine(endOfGame)
 }
 
-// exportSession sends the state of a session to a balancer.
+// exportSession handles EXPORT: it sends the state of a session to the balancer if the arbiter grants it. It reports
+// false if the connection has to be closed.
 func (c *roomConn) exportSession(line string) bool {
 	s, faults := c.server, c.server.faults.Load()
 	export, err := protocol.ParseExport(line)
@@ -202,7 +207,8 @@
 	return c.sendState(answer, faults)
 }
 
-// sendState sends an exported state, spoiled as the faults demand.
+// sendState sends an exported state and applies the faults TruncateExport and OverstateSize. It reports false if the
+// connection has to be closed.
 func (c *roomConn) sendState(answer arbiter.Answer, faults *Faults) bool {
 	line, state := protocol.AnswerLine(answer), answer.State
 	if faults.TruncateExport {
@@ -220,7 +226,8 @@
 	return err == nil && !faults.TruncateExport && !faults.OverstateSize
 }
 
-// commitExport releases a session that was exported.
+// commitExport handles COMMIT: it releases a session that was exported. It reports false if the connection has to be
+// closed.
 func (c *roomConn) commitExport(line string) bool {
 	s, faults := c.server, c.server.faults.Load()
 	commit, err := protocol.ParseCommit(line)
