--- a/internal/testbench/hollow/convergence.go
+++ b/internal/testbench/hollow/convergence.go
@@ -10,18 +10,19 @@
 
 // Findings are the results of checking a run's events.
 type Findings struct {
-	// Latencies holds, for each version and node, the time until the version was applied: since its publication, or
-	// since the node became reachable if that was later.
+	// Latencies holds, for each version and node, the time until the node applied the version: from the publication,
+	// or from when the node became reachable if that was later.
 	Latencies []time.Duration
-	// LostUpdates counts the updates that a node skipped, and the nodes that did not have the list at the end.
+	// LostUpdates counts the updates that a node skipped, and the nodes that did not have the final list at the end.
 	LostUpdates int
 	// Regressions counts how often the version of a node went down.
 	Regressions int
-	// Violations describes each lost update and regression, one a string.
+	// Violations has one text for each regression, each gap in the updates of a node, and each node without the final
+	// list.
 	Violations []string
 }
 
-// FinalList is the list that the nodes have to end with.
+// FinalList is the list that the nodes must have at the end of the run.
 type FinalList struct {
 	// Version is the last published version.
 	Version int64
@@ -39,21 +40,21 @@
 	findings  Findings
 }
 
-// nodeHistory is what is known of one node.
+// nodeHistory is the state of one node as its events give it.
 type nodeHistory struct {
 	reachable bool
 	// reachableSince is when the node last became reachable.
 	reachableSince time.Duration
-	// version is the version that the node has.
+	// version is the version that the node has applied last; 0 if it has no list.
 	version int64
-	// maxVersion is the highest version that the node has had, also in earlier processes.
+	// maxVersion is the highest version that the node has had, including before its restarts.
 	maxVersion int64
 	// final is the node's FinalState event; nil if there was none.
 	final *Event
 }
 
 // Check checks that the nodes of a run applied all published versions in order. Nodes that have been reachable for at
-// least the grace period at the end must have the final list.
+// least the grace period at end, the end of the run, must have the final list.
 func Check(events []Event, want FinalList, end, grace time.Duration) Findings {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -75,7 +76,7 @@
 	return c.findings
 }
 
-// publications returns when each version was published.
+// publications returns the time at which each version was published.
 func publications(events []Event) map[int64]time.Duration {
 	published := map[int64]time.Duration{}
 	for _, e := range events {
@@ -86,7 +87,7 @@
 	return published
 }
 
-// node returns the history of a node, a new one at its first event.
+// node returns the history of a node, and creates it at the node's first event.
 func (c *convergenceCheck) node(id int) *nodeHistory {
 	n := c.nodes[id]
 	if n == nil {
@@ -96,7 +97,7 @@
 	return n
 }
 
-// add checks the next event of a node.
+// add processes the next event of a node.
 func (c *convergenceCheck) add(e Event) {
 	n := c.node(e.Node)
 	switch e.Kind {
@@ -117,7 +118,8 @@
 	}
 }
 
-// versionApplied checks that a version is the next one, and measures the latency of the versions that are new.
+// versionApplied checks that a node skips no version, except by a snapshot, and does not go back to an older one. It
+// measures the latency of each version that the node has not had before.
 func (c *convergenceCheck) versionApplied(n *nodeHistory, e Event) {
 	if e.Version < n.version {
 		c.findings.Regressions++
@@ -125,7 +127,8 @@
 	}
 	if !e.Snapshot && n.version > 0 && e.Version > n.version+1 {
 		c.findings.LostUpdates += int(e.Version - n.version - 1)
-		c.violated("%v: hollow node %d received version %d after %d", e.At-c.start, e.Node, e.Version, n.version)
+		c.violated("%v: hollow node %d received the delta of version %d after version %d",
+			e.At-c.start, e.Node, e.Version, n.version)
 	}
 	for v := n.maxVersion + 1; v <= e.Version; v++ {
 		if at, ok := c.published[v]; ok {
@@ -136,22 +139,22 @@
 	n.maxVersion = max(n.maxVersion, e.Version)
 }
 
-// checkFinal checks the list that a node has at the end.
+// checkFinal checks the list that a node has at the end of the run.
 func (c *convergenceCheck) checkFinal(id int, final *Event, want FinalList) {
 	switch {
 	case final == nil:
 		c.violated("hollow node %d has not reported its final list", id)
 	case final.Version != want.Version:
-		c.violated("hollow node %d has version %d at the end, not %d", id, final.Version, want.Version)
+		c.violated("hollow node %d has version %d at the end, expected version %d", id, final.Version, want.Version)
 	case final.Digest != want.Digest:
-		c.violated("hollow node %d has another list at the end, of version %d", id, want.Version)
+		c.violated("hollow node %d has a list at the end that differs from version %d", id, want.Version)
 	default:
 		return
 	}
 	c.findings.LostUpdates++
 }
 
-// violated adds a violation to the findings.
+// violated adds the text of a violation to the findings.
 func (c *convergenceCheck) violated(format string, args ...any) {
 	c.findings.Violations = append(c.findings.Violations, fmt.Sprintf(format, args...))
 }
--- a/internal/testbench/hollow/convergence_test.go
+++ b/internal/testbench/hollow/convergence_test.go
@@ -8,26 +8,26 @@
 
 const (
 	ms = time.Millisecond
-	// testNode is the number of the node in the events of TestCheck.
+	// testNode is the number of the node in the events of these tests.
 	testNode = 4
 )
 
-// at returns an event of the test's node.
+// at returns an event of testNode.
 func at(when time.Duration, kind Kind, version int64) Event {
 	return Event{At: when, Kind: kind, Node: testNode, Version: version}
 }
 
-// applied returns the event of a version's having been applied as a delta.
+// applied returns the event that the node has applied a version as a delta.
 func applied(when time.Duration, version int64) Event {
 	return at(when, VersionApplied, version)
 }
 
-// snapshotApplied returns the event of a version's having been applied in a snapshot.
+// snapshotApplied returns the event that the node has applied a version as a snapshot.
 func snapshotApplied(when time.Duration, version int64) Event {
 	return Event{At: when, Kind: VersionApplied, Node: testNode, Version: version, Snapshot: true}
 }
 
-// The run of these tests: two versions are published, and the node must end with them.
+// The run of these tests publishes versions 2 and 3. The node must have version 3 at the end.
 const (
 	finalDigest = 77
 	endOfRun    = 10_000 * ms
@@ -45,7 +45,7 @@
 // inOrder are the latencies of a node that applies version 2 at 110 ms and version 3 at 230 ms.
 var inOrder = []time.Duration{10 * ms, 30 * ms}
 
-// checkCase is a history of the node and what Check has to find.
+// checkCase is a history of the node and the expected findings.
 type checkCase struct {
 	events      []Event
 	lost        int
@@ -53,7 +53,7 @@
 	latencies   []time.Duration
 }
 
-// runCheckCases checks the findings of each case.
+// runCheckCases checks that Check returns the expected findings of each case.
 func runCheckCases(t *testing.T, cases map[string]checkCase) {
 	t.Helper()
 	begin := []Event{
@@ -98,7 +98,7 @@
 			},
 			latencies: inOrder,
 		},
-		"latency since it is reachable": {
+		"latency since the node is reachable": {
 			events: []Event{
 				applied(110*ms, 2), at(150*ms, NodeUnreachable, 0),
 				at(900*ms, NodeReachable, 0), applied(950*ms, 3), good,
@@ -112,7 +112,8 @@
 	})
 }
 
-// Check finds nodes without the final list, unless they were not reachable for the grace period.
+// Check finds the nodes without the final list, except those that were not reachable for the whole grace period
+// before the end.
 func TestCheckFinalState(t *testing.T) {
 	runCheckCases(t, map[string]checkCase{
 		"never applied": {
--- a/internal/testbench/hollow/digest.go
+++ b/internal/testbench/hollow/digest.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// Digest returns the hash of one endpoint. The digest of a list is the XOR of those of its endpoints, so that it does
-// not depend on their order and is updated in constant time.
+// Digest returns the hash of one endpoint. The digest of a list is the XOR of the digests of its endpoints. It does
+// not depend on their order, and a change of one endpoint updates it in constant time.
 func Digest(instance, address, zone string, state decide.State) uint64 {
 	hash := fnv.New64a()
 	for _, s := range []string{instance, address, zone} {
@@ -26,27 +26,27 @@
 	return Digest(e.Name, e.Address, e.Zone, e.State)
 }
 
-// endpointVersion returns the version of the list in which an emulated endpoint last changed.
+// endpointVersion returns the version of the list in which an endpoint of an emulator.EndpointTable last changed.
 func endpointVersion(e core.Endpoint) int64 {
 	return e.Started.UnixMilli() - emulator.StartedAt
 }
 
-// sharedList is the history of the endpoint list, which all nodes of a process share to save memory.
+// sharedList is the history of the endpoint list. All nodes of a process share it to save memory.
 type sharedList struct {
 	mu sync.Mutex
-	// history holds the digests of each endpoint, by its name, in the order of versions.
+	// history holds the digests of each endpoint by its name, in ascending order of versions.
 	history map[string][]versionedDigest
-	// initialDigest is the digest of the list that the nodes know at their start.
+	// initialDigest is the digest of the known list, with which the nodes start.
 	initialDigest uint64
 }
 
-// versionedDigest is the digest of an endpoint from a version on.
+// versionedDigest is the digest that an endpoint has from a version on.
 type versionedDigest struct {
 	version int64
 	digest  uint64
 }
 
-// newSharedList returns a history that begins with the known endpoints at a version.
+// newSharedList returns a history that begins with the known list, which has the given version.
 func newSharedList(known []core.Endpoint, version int64) *sharedList {
 	s := &sharedList{history: make(map[string][]versionedDigest, len(known))}
 	for _, e := range known {
@@ -57,7 +57,8 @@
 	return s
 }
 
-// digestAt returns the digest of an endpoint at a version; 0 if the list did not have it. The caller holds mu.
+// digestAt returns the digest that an endpoint had at a version; 0 if the list did not have the endpoint. The caller
+// holds mu.
 func (s *sharedList) digestAt(version int64, name string) (digest uint64) {
 	for _, entry := range s.history[name] {
 		if entry.version <= version {
@@ -67,7 +68,8 @@
 	return digest
 }
 
-// record adds a change to the history; one that it has already makes no difference. The caller holds mu.
+// record adds the change of an endpoint to the history, unless the history has the change already. The caller holds
+// mu.
 func (s *sharedList) record(version int64, name string, digest uint64) {
 	entries := s.history[name]
 	i := len(entries)
@@ -79,16 +81,16 @@
 	}
 }
 
-// nodeList is the list of one node: the shared list at a version, except for the endpoints of which the node
-// received an older change afterwards.
+// nodeList is the list of one node: the shared list at a version, except for endpoints of which the node received a
+// change of an older version after a newer one.
 type nodeList struct {
 	version int64
-	// older holds the digests of the exceptions by the endpoint's name.
+	// older holds the digests of these endpoints by their names.
 	older  map[string]uint64
 	digest uint64
 }
 
-// applyDelta applies the change of one endpoint and records it in the shared list.
+// applyDelta applies the change of one endpoint to the node's list and records it in the shared list.
 func (l *nodeList) applyDelta(shared *sharedList, e core.Endpoint) {
 	version, digest := endpointVersion(e), endpointDigest(e)
 	shared.mu.Lock()
@@ -109,7 +111,8 @@
 	}
 }
 
-// replace applies a full snapshot.
+// replace replaces the list by a snapshot. Known fault: it does not record the snapshot's endpoints in the shared
+// list. If no node received a change as a delta, the next change of that endpoint makes the digest of the list wrong.
 func (l *nodeList) replace(endpoints []core.Endpoint) {
 	*l = nodeList{}
 	for _, e := range endpoints {
--- a/internal/testbench/hollow/digest_test.go
+++ b/internal/testbench/hollow/digest_test.go
@@ -10,7 +10,7 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// testEndpoint returns an endpoint that changed last in the given version.
+// testEndpoint returns an endpoint that last changed in the given version.
 func testEndpoint(name string, version int64, state decide.State) core.Endpoint {
 	return core.Endpoint{
 		Name:    name,
@@ -29,12 +29,13 @@
 	allDeltas      = []core.Endpoint{deltaA2, deltaB3, deltaA4}
 )
 
-// newTestList returns a list with the known endpoints.
+// newTestList returns a node's list with the known endpoints.
 func newTestList(shared *sharedList) nodeList {
 	return nodeList{version: 1, digest: shared.initialDigest}
 }
 
-// The digest of a node's list is that of the endpoints it received last, also when a change is repeated.
+// The digest of a node's list equals that of the endpoints as the node received them last, also if deltas are
+// repeated or arrive in another order than that of their versions.
 func TestNodeListDigest(t *testing.T) {
 	final, regressed := []core.Endpoint{deltaA4, deltaB3}, []core.Endpoint{deltaA2, deltaB3}
 	for name, v := range map[string]struct {
@@ -49,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			shared := newSharedList(knownEndpoints, 1)
-			other := newTestList(shared) // has recorded all changes before
+			other := newTestList(shared) // another node, which has recorded all changes in the shared list before
 			for _, e := range allDeltas {
 				other.applyDelta(shared, e)
 			}
@@ -71,7 +72,7 @@
 	}
 }
 
-// The digest of a node's list shows that a change was skipped.
+// A node that skips a change has another digest than a node that applied all changes.
 func TestNodeListSkippedDelta(t *testing.T) {
 	shared := newSharedList(knownEndpoints, 1)
 	complete, skipping := newTestList(shared), newTestList(shared)
--- a/internal/testbench/hollow/fleet_test.go
+++ b/internal/testbench/hollow/fleet_test.go
@@ -13,7 +13,7 @@
 	"cottonplank/internal/testbench/faultproxy"
 )
 
-// testEntries returns the lines of a list of ready endpoints.
+// testEntries returns the entries of n ready endpoints.
 func testEntries(n int) (entries []emulator.Entry) {
 	for i := range n {
 		entries = append(entries, emulator.ActiveEntry(fmt.Sprintf("h-%d", i), "127.1.0.1:1", "a"))
@@ -35,11 +35,11 @@
 	}
 }
 
-// fleet is a number of nodes that watch one server of the endpoint list.
+// fleet is a number of nodes that watch the endpoint list at one emulator.ListServer.
 type fleet struct {
 	table  *emulator.EndpointTable
 	server *emulator.ListServer
-	// ports holds the proxy in front of the server for each node.
+	// ports holds each node's port of the proxy in front of the server.
 	ports  []*faultproxy.Port
 	nodes  []*node
 	shared *sharedList
@@ -49,7 +49,7 @@
 	events []Event
 }
 
-// record adds an event.
+// record adds an event of a node or of the test.
 func (f *fleet) record(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,11 +61,11 @@
 	nodes      int
 	endpoints  int
 	fullEngine bool
-	// known says that the nodes start with the list.
+	// known says that the nodes start with version 1 of the list.
 	known bool
 }
 
-// startFleet starts a fleet and waits until all nodes watch the list.
+// startFleet starts a fleet and waits until the watches of all nodes have received something.
 func startFleet(t *testing.T, options fleetOptions) *fleet {
 	t.Helper()
 	f := &fleet{table: emulator.NewEndpointTable(testEntries(options.endpoints))}
@@ -91,7 +91,7 @@
 	return f
 }
 
-// decodeList returns a copy of the first version of the list.
+// decodeList returns a copy of version 1 of the list.
 func (f *fleet) decodeList(t *testing.T) []core.Endpoint {
 	t.Helper()
 	list, err := httpsource.DecodeListing(f.table.Snapshot(1))
@@ -101,7 +101,7 @@
 	return list.Endpoints
 }
 
-// startNode starts the node with the given number behind a proxy of its own.
+// startNode starts the node with the given number, which reaches the server over a proxy port of its own.
 func (f *fleet) startNode(t *testing.T, link *faultproxy.Link, id int, options fleetOptions) {
 	t.Helper()
 	port, err := link.Port(id)
@@ -155,7 +155,7 @@
 	})
 }
 
-// bytes returns how many bytes the nodes and the server have exchanged.
+// bytes returns how many bytes the nodes and the server have exchanged, in both directions.
 func (f *fleet) bytes() (sum uint64) {
 	for _, port := range f.ports {
 		n, _ := port.Counts()
--- a/internal/testbench/hollow/messages_test.go
+++ b/internal/testbench/hollow/messages_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The keys of the messages between an experiment and its workers are fixed.
+// The JSON keys of the messages between an experiment and its workers must not change.
 func TestMessageEncoding(t *testing.T) {
 	event := Event{At: 1, Kind: VersionApplied, Node: 2, Version: 3, Snapshot: true, Digest: 5}
 	usage := &Usage{CPU: time.Second, Interval: 2 * time.Second, Running: 3, Connected: 4, ResidentMB: 1.5}
@@ -18,7 +18,7 @@
 			Setup{KnownListPath: "/known.json", ConfigPaths: map[string]string{"a": "/a.json"}, FullEngine: true},
 			`{"Known":"/known.json","Settings":{"a":"/a.json"},"Full":true}`,
 		},
-		"order": {
+		"command": {
 			Command{
 				Start:  []NodeSpec{{ID: 1, Zone: "a", Address: "127.0.0.1:1", NoKnownList: true}},
 				Stop:   []int{2},
@@ -26,8 +26,8 @@
 			},
 			`{"Start":[{"Balancer":1,"Zone":"a","Address":"127.0.0.1:1","Cold":true}],"Stop":[2],"End":true}`,
 		},
-		"empty order":  {Command{}, `{"Start":null,"Stop":null,"End":false}`},
-		"empty report": {Report{}, `{}`},
+		"empty command": {Command{}, `{"Start":null,"Stop":null,"End":false}`},
+		"empty report":  {Report{}, `{}`},
 		"report": {
 			Report{Events: []Event{event}, Usage: usage, Done: true},
 			`{"Events":[{"At":1,"Kind":4,"Balancer":2,"Version":3,"Whole":true,"Digest":5}],` +
--- a/internal/testbench/hollow/node.go
+++ b/internal/testbench/hollow/node.go
@@ -1,6 +1,7 @@
-// Package hollow runs hollow nodes, as kubemark does: balancers without clients, many to a process, which consist of
-// the control code alone. A node watches the endpoint list as a real balancer does and reports which versions it has
-// applied; Check evaluates these reports. RunWorker is the process that an experiment starts to run nodes.
+// Package hollow runs hollow nodes, as kubemark does: balancers without clients, many in one process, which consist
+// of an engine and a discovery client alone. A node watches the endpoint list as a real balancer does and reports
+// which versions it has applied. Check evaluates these reports. RunWorker is the main function of the worker
+// processes in which an experiment runs nodes.
 package hollow
 
 import (
@@ -19,13 +20,13 @@
 )
 
 const (
-	// engineTimeout is the longest wait for a node's engine to apply a list or to return a snapshot.
+	// engineTimeout bounds the wait until a node's engine has applied an update or returned an up-to-date snapshot.
 	engineTimeout = 30 * time.Second
-	// snapshotPollInterval is the time between two requests for an engine's snapshot.
+	// snapshotPollInterval is the time between two requests for an engine's detailed snapshot.
 	snapshotPollInterval = 20 * time.Millisecond
 )
 
-// Now returns the time of the machine's monotonic clock, which is the same in all processes.
+// Now returns the time of the machine's monotonic clock, which all processes share.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
@@ -40,50 +41,51 @@
 	Run(context.Context)
 }
 
-// newFollower returns the follower that a real balancer uses too: a watch over HTTP.
+// newFollower returns the discovery client that real balancers use too, which watches the list over HTTP.
 func newFollower(address string, version int64, handler core.UpdateHandler, log *logrus.Logger) follower {
 	return httpsource.New(address, version, handler, log)
 }
 
-// node is one hollow node: a follower of the endpoint list and an engine. The engine of a node without fullEngine
-// has an empty list; it still starts and renews watches as any other, and the node's list is kept in the shared one.
+// node is one hollow node: a follower of the endpoint list and an engine. Without fullEngine, the engine has an empty
+// list. It starts and renews watches all the same, and the node keeps its list as a nodeList, which needs little
+// memory.
 type node struct {
 	id int
 	// fullEngine says that the engine has the endpoint list.
 	fullEngine bool
 	engine     *core.Engine
 	shared     *sharedList
-	// record receives the node's events. It is called from several goroutines.
+	// record is called with the node's events, from several goroutines.
 	record func(Event)
 
-	// version is the version that was received last. The follower's goroutine owns it.
+	// version is the version that the node received last. The follower's goroutine owns it.
 	version int64
 	// list is the node's list. The follower's goroutine owns it.
 	list nodeList
 
 	// mu guards latest and watchAlive.
 	mu sync.Mutex
-	// latest is the version and the digest that were applied last.
+	// latest is a FinalState event with the version and the digest that were applied last.
 	latest Event
-	// watchAlive says that the watch has received a heartbeat.
+	// watchAlive says that a watch has ever received a message or a heartbeat.
 	watchAlive bool
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// nodeConfig is how a node is started.
+// nodeConfig is the configuration of a node.
 type nodeConfig struct {
 	engine core.Config
-	// address is where the node finds discovery.
+	// address is the address of discovery.
 	address string
-	// known is the list that the node starts with.
+	// known is the list with which the node starts.
 	known []core.Endpoint
 	// version is the version of known; 0 if the node starts without a list.
 	version int64
 }
 
-// startNode runs a node until ctx ends or it is stopped. The caller has set the node's id, fullEngine, shared and
-// record.
+// startNode starts a node, which runs until ctx ends or stop is called. The caller has set the node's id, fullEngine,
+// shared and record.
 func startNode(ctx context.Context, n *node, cfg nodeConfig) error {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -117,7 +119,7 @@
 	n.running.Wait()
 }
 
-// WatchAlive receives a heartbeat of the watch.
+// WatchAlive is called when the watch has received a message or a heartbeat. It passes the call to the engine.
 func (n *node) WatchAlive(watch uint64) {
 	n.mu.Lock()
 	n.watchAlive = true
@@ -125,7 +127,8 @@
 	n.engine.WatchAlive(watch)
 }
 
-// EndpointsUpdated receives an update of the endpoint list, and records its version once the engine has applied it.
+// EndpointsUpdated applies an update of the endpoint list. It records the new version once the engine has applied the
+// update; a snapshot is recorded even if the version is the same.
 func (n *node) EndpointsUpdated(update core.EndpointUpdate) {
 	if update.Kind == decide.ListFailed {
 		n.engine.EndpointsUpdated(update)
@@ -160,33 +163,35 @@
 	}
 }
 
-// updateEngine passes an update to the engine. With a full engine it waits until the update is applied; it reports
-// whether it was in time.
+// updateEngine passes an update to the engine, or an empty delta if the engine has no list. With a full engine it
+// waits until the update is applied, and reports whether that was the case within engineTimeout.
 func (n *node) updateEngine(update core.EndpointUpdate) bool {
 	if !n.fullEngine {
 		n.engine.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
 		return true
 	}
 	n.engine.EndpointsUpdated(update)
-	// Leaving lame duck changes nothing for an engine that is serving, and returns after the update was applied.
+	// LeaveLameDuck is used to wait: it has no effect on an engine that is serving, and returns after the event loop
+	// has handled the update.
 	return n.engine.LeaveLameDuck(engineTimeout) == nil
 }
 
-// connected reports whether the node's watch has received a heartbeat.
+// connected reports whether a watch of the node has ever received a message or a heartbeat.
 func (n *node) connected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.watchAlive
 }
 
-// state returns the version and the digest that were applied last.
+// state returns a FinalState event with the version and the digest that were applied last, without a time.
 func (n *node) state() Event {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.latest
 }
 
-// finalState returns the node's list at the end of the run, for a full engine as the engine has it.
+// finalState returns the FinalState event of the node. With a full engine, the digest is that of the engine's own
+// list.
 func (n *node) finalState() Event {
 	e := n.state()
 	if n.fullEngine {
@@ -198,7 +203,8 @@
 
 // engineDigest returns the digest of the engine's list.
 func (n *node) engineDigest() (digest uint64) {
-	// The engine caches its detailed snapshot for a while: one from before the last update does not count.
+	// The engine caches its detailed snapshot. A snapshot from before this call may lack the last update, so that the
+	// loop waits for a newer one.
 	start := time.Now()
 	snapshot := n.engine.DetailedSnapshot(engineTimeout)
 	for snapshot.At.Before(start) && time.Since(start) < engineTimeout {
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Nodes with and without full engines, started with and without a list, end with the list as it was published.
+// Nodes with and without full engines, started with and without a known list, end with the published list.
 func TestNodesConverge(t *testing.T) {
 	const nodes, changes = 5, 8
 	for _, fullEngine := range []bool{false, true} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// The bytes and messages that an update costs a node do not grow with the list; those of a full snapshot grow in
-// proportion to it. This guards the results kb_per_s and control_mb_max: a cost that doubles fails.
+// The bytes and messages of an update do not grow with the size of the list, and the bytes of a snapshot grow in
+// proportion to it. The test fails if a cost doubles, which would make the results kb_per_s and control_mb_max worse.
 func TestUpdateCost(t *testing.T) {
 	const nodes = 10
 	sizes := []int{200, 400, 800}
@@ -46,7 +46,7 @@
 			f := startFleet(t, fleetOptions{nodes: nodes, endpoints: endpoints})
 			f.publishAndWait(t, 1)
 			perEndpoint := float64(f.bytes()) / nodes / float64(endpoints)
-			if perEndpoint < 100 || perEndpoint > 200 { // about 125 for each line of the list
+			if perEndpoint < 100 || perEndpoint > 200 { // an entry has about 125 bytes
 				t.Errorf("%.0f bytes for each endpoint", perEndpoint)
 			} else {
 				t.Logf("%.0f bytes for each endpoint", perEndpoint)
@@ -64,8 +64,8 @@
 	bytesBefore, before := f.bytes(), f.server.Traffic()
 	f.publishAndWait(t, changes)
 	bytes, after := f.bytes()-bytesBefore, f.server.Traffic()
-	// An update is one message of about 170 bytes with its framing. The watch that the first poll starts, and
-	// heartbeats, may add to that.
+	// An update is one message of about 170 bytes with its framing. Heartbeats, and a watch that starts after a node's
+	// first poll, may add to that.
 	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
 		t.Errorf("%.0f bytes for each update", perChange)
 	} else {
@@ -79,7 +79,7 @@
 	}
 }
 
-// liveHeap returns the size of the live objects in bytes.
+// liveHeap returns the size of the live objects on the heap in bytes.
 func liveHeap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -88,11 +88,11 @@
 	return float64(m.HeapAlloc)
 }
 
-// memoryPerEndpoint is what an endpoint takes in an engine and its own copy of the list, in bytes, as measured.
+// memoryPerEndpoint is the memory of one endpoint in an engine and in the engine's copy of the list, in bytes.
 const memoryPerEndpoint = 800
 
-// The memory of an engine is proportional to the number of endpoints. This guards the result control_mb_max against
-// a slope that doubles.
+// The memory of an engine grows in proportion to the number of endpoints. The test fails if the memory for each
+// endpoint doubles, which would make the result control_mb_max worse.
 func TestEngineMemory(t *testing.T) {
 	const nodes = 4
 	var sizes []float64
@@ -102,7 +102,7 @@
 		f.publishAndWait(t, 2)
 		sizes = append(sizes, (liveHeap()-before)/nodes)
 	}
-	// Hash tables grow by doubling, so that the slope is taken over two doublings.
+	// Hash tables grow by doubling. For that reason the slope is measured over two doublings of the list.
 	perEndpoint := (sizes[2] - sizes[0]) / 3000
 	if perEndpoint < memoryPerEndpoint*0.7 || perEndpoint > memoryPerEndpoint*1.4 {
 		t.Errorf("%.0f bytes for each endpoint of an engine, want about %d: %.0f",
--- a/internal/testbench/hollow/resources.go
+++ b/internal/testbench/hollow/resources.go
@@ -20,7 +20,7 @@
 	}
 	fields := strings.Fields(string(raw))
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("statm: %q", raw)
+		return 0, fmt.Errorf("statm: expected at least 2 fields, found %q", raw)
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return pages * float64(os.Getpagesize()) / bytesPerMB, nil
 }
 
-// ownCPU returns the processor time that this process has used, in user and system mode.
+// ownCPU returns the processor time that this process has used, the sum of user and system mode.
 func ownCPU() (time.Duration, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -19,21 +19,22 @@
 const (
 	// reportInterval is the time between two reports of events.
 	reportInterval = 100 * time.Millisecond
-	// usageInterval is the time between two reports of the consumption of resources.
+	// usageInterval is the time between two reports of the resource usage.
 	usageInterval = time.Second
-	// maxLineBytes is the longest line that a worker reads.
+	// maxLineBytes is the longest line that a worker reads, in bytes. A longer line is handled as the end of the
+	// input, without an error of its own.
 	maxLineBytes = 16 << 20
 )
 
-// errNoSetup is returned when a worker's input ends before the setup.
-var errNoSetup = errors.New("worker: no setup")
+// errNoSetup is returned by RunWorker if its input ends before the setup.
+var errNoSetup = errors.New("worker: the input has no setup line")
 
-// worker runs nodes. The goroutine of RunWorker owns it, except for what mu guards.
+// worker runs nodes. The goroutine of RunWorker owns all fields but events.
 type worker struct {
 	setup Setup
-	// knownRaw is the encoded list that nodes start with.
+	// knownRaw is the known list as JSON.
 	knownRaw []byte
-	// known is the same list, shared by the nodes without full engines.
+	// known is the known list, which the nodes without full engines share. version is its version.
 	known   []core.Endpoint
 	version int64
 	shared  *sharedList
@@ -50,8 +51,9 @@
 	events []Event
 }
 
-// RunWorker runs hollow nodes as the commands that it reads from in say, and writes reports to out. It returns nil when
-// in ends, and an error if a command cannot be executed or ctx ends.
+// RunWorker reads a Setup and then Commands from in, runs hollow nodes as they demand, and writes Reports to out. It
+// returns nil when in ends after the setup, and an error if a line is invalid, a command cannot be executed, a report
+// cannot be written or ctx ends.
 func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -75,8 +77,8 @@
 	return w.run(ctx, commands, invalid)
 }
 
-// readCommands sends the commands that it reads until the input or ctx ends. It closes the channel then, after having
-// sent the error of a line that is not a command.
+// readCommands reads commands and sends them on a channel until the input or ctx ends or a line is not a command. In
+// the latter case it sends the error on invalid. It closes the channel of commands at the end.
 func readCommands(ctx context.Context, lines *bufio.Scanner, commands chan<- Command, invalid chan<- error) {
 	defer close(commands)
 	for lines.Scan() {
@@ -123,7 +125,7 @@
 	}
 }
 
-// setUp reads the setup and the files that it names.
+// setUp decodes the setup, reads the files that it names, and writes the first usage report.
 func (w *worker) setUp(line []byte) error {
 	if err := json.Unmarshal(line, &w.setup); err != nil {
 		return err
@@ -150,7 +152,7 @@
 	return w.sendUsage()
 }
 
-// execute executes a command.
+// execute executes a command: first Start, then Stop, then Finish.
 func (w *worker) execute(ctx context.Context, c Command) error {
 	for _, spec := range c.Start {
 		if err := w.start(ctx, spec); err != nil {
@@ -173,7 +175,7 @@
 func (w *worker) start(ctx context.Context, spec NodeSpec) error {
 	cfg := w.configs[spec.Zone]
 	if cfg == nil {
-		return fmt.Errorf("zone %q has no settings", spec.Zone)
+		return fmt.Errorf("no configuration for zone %q", spec.Zone)
 	}
 	settings := cfg.Settings
 	settings.Seed += uint64(spec.ID)
@@ -184,7 +186,7 @@
 		version: w.version,
 	}
 	if w.setup.FullEngine {
-		// Each engine has a copy of its own, as each process would, so that the memory is comparable.
+		// Each engine gets a copy of its own, as in a process of its own, so that the memory usage is comparable.
 		own, err := httpsource.DecodeListing(w.knownRaw)
 		if err != nil {
 			return err
@@ -202,7 +204,7 @@
 	return nil
 }
 
-// stop stops the running ones of the given nodes.
+// stop stops the given nodes. It ignores those that are not running.
 func (w *worker) stop(ids []int) {
 	var nodes sync.WaitGroup
 	for _, id := range ids {
@@ -214,14 +216,14 @@
 	nodes.Wait()
 }
 
-// record adds an event to the next report. Nodes call it from their goroutines.
+// record adds an event to the next report. Nodes call it from several goroutines.
 func (w *worker) record(e Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, e)
 }
 
-// send writes a report with the events since the last one, if it contains anything.
+// send adds the events since the last report to a report and writes it, unless it is empty.
 func (w *worker) send(r Report) error {
 	w.mu.Lock()
 	r.Events, w.events = w.events, nil
@@ -232,7 +234,7 @@
 	return w.out.Encode(r)
 }
 
-// sendUsage reports the consumption of resources since the last report.
+// sendUsage writes a report with the resource usage since the last one.
 func (w *worker) sendUsage() error {
 	cpu, err := ownCPU()
 	if err != nil {
