--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -10,7 +10,8 @@
 
 const maxDatagramBytes = 64 << 10
 
-// DatagramProxy forwards the UDP datagrams that arrive at its address to a target, in one direction.
+// DatagramProxy forwards UDP datagrams from its address to a target. It has one direction: datagrams of the target
+// are not sent back.
 type DatagramProxy struct {
 	conn     *net.UDPConn
 	target   netip.AddrPort
@@ -18,7 +19,8 @@
 	receiver sync.WaitGroup
 }
 
-// NewDatagramProxy listens on an address and forwards its datagrams to the target, disturbed by the path, until Close.
+// NewDatagramProxy listens on an address and forwards the datagrams that arrive there to the target until Close, with
+// the faults of the path.
 func NewDatagramProxy(listen, target netip.AddrPort, path *Path) (*DatagramProxy, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
@@ -29,7 +31,7 @@
 	return d, nil
 }
 
-// Close stops forwarding. Datagrams that are delayed at this moment are lost.
+// Close stops forwarding. Datagrams that still wait for their delay are lost.
 func (d *DatagramProxy) Close() {
 	d.conn.Close()
 	d.receiver.Wait()
@@ -47,7 +49,8 @@
 	}
 }
 
-// disturb loses or sends a datagram as the path's conditions demand.
+// disturb applies the path's conditions to a datagram: it drops the datagram, or sends it once or twice after a
+// delay.
 func (d *DatagramProxy) disturb(datagram []byte) {
 	conditions, _, _ := d.path.current()
 	if conditions.Cut || d.path.chance(conditions.Loss) {
@@ -66,7 +69,7 @@
 	}
 }
 
-// send sends a datagram after a delay.
+// send sends a datagram after a delay, without waiting for it.
 func (d *DatagramProxy) send(datagram []byte, delay time.Duration) {
 	if delay <= 0 {
 		d.conn.WriteToUDPAddrPort(datagram, d.target)
--- a/internal/testbench/faultproxy/datagram_test.go
+++ b/internal/testbench/faultproxy/datagram_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// datagramTest sends datagrams through a proxy to a receiver.
+// datagramTest is a sender of datagrams and a receiver, with a proxy between them.
 type datagramTest struct {
 	sender   net.Conn
 	receiver *net.UDPConn
 }
 
-// newDatagramTest starts a receiver and a proxy over the path.
+// newDatagramTest starts a receiver, a proxy that forwards to it with the faults of the path, and a sender.
 func newDatagramTest(t *testing.T, path *Path) *datagramTest {
 	t.Helper()
 	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -36,7 +36,7 @@
 	return &datagramTest{sender, receiver}
 }
 
-// received sends datagrams and returns how many arrive.
+// received sends datagrams and returns how many arrive. It waits until none has arrived for 400 ms.
 func (d *datagramTest) received(sent int) (n int) {
 	const wait = 400 * time.Millisecond
 	for range sent {
@@ -53,7 +53,8 @@
 	}
 }
 
-// Datagrams are forwarded, lost, duplicated and delayed as the path's conditions demand.
+// Datagrams are forwarded, dropped and duplicated according to the path's conditions. Delayed and reordered ones
+// arrive too.
 func TestDatagrams(t *testing.T) {
 	path := NewPath(3)
 	d := newDatagramTest(t, path)
--- a/internal/testbench/faultproxy/link.go
+++ b/internal/testbench/faultproxy/link.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Link is a connection between two places that several ports share. It is safe for concurrent use.
+// Link emulates the network between two places for the TCP connections of any number of ports. It is safe for
+// concurrent use.
 type Link struct {
-	// forward carries the bytes of those who dial.
+	// forward carries the bytes from the dialing side to the target.
 	forward *Path
-	// back carries the bytes of those who are dialed.
+	// back carries the bytes from the target to the dialing side.
 	back *Path
-	// target returns the address that a port's next connection leads to; empty if the connection is refused.
+	// target returns the address to dial for a port's next connection; empty if the connection is to be closed.
 	target func(*Port) string
 
 	// mu guards the fields below.
 	mu           sync.Mutex
 	disconnected bool
-	// conns holds both ends of all open connections.
+	// conns holds the port of each open connection: those of the clients and those to the targets.
 	conns map[net.Conn]*Port
 }
 
 // NewLink returns a link without faults. The target function is called for each new connection of a port and returns
-// the address to dial; if it returns an empty string the connection is closed. Both directions share one path.
+// the address to dial. If it returns an empty string, the connection is closed. Both directions share one path.
 func NewLink(target func(*Port) string) *Link {
 	both := NewPath(0)
 	return NewLinkWithPaths(both, both, target)
 }
 
-// NewLinkWithPaths returns a link whose directions have paths of their own.
+// NewLinkWithPaths returns a link with a path for each direction. The target function is used as in NewLink.
 func NewLinkWithPaths(forward, back *Path, target func(*Port) string) *Link {
 	return &Link{forward: forward, back: back, target: target, conns: map[net.Conn]*Port{}}
 }
 
-// Throttle delays both directions, and bounds the bandwidth of each in bytes a second; 0 and 0 remove both.
+// Throttle delays both directions and limits the bandwidth, in bytes a second, of each path. A value of 0 removes the
+// delay or the limit. All other conditions of the paths are removed.
 func (l *Link) Throttle(delay time.Duration, bytesPerSecond float64) {
 	for _, p := range []*Path{l.forward, l.back} {
 		p.Set(Conditions{Delay: delay})
@@ -42,7 +44,7 @@
 	}
 }
 
-// Disconnect breaks all connections and refuses new ones until Reconnect.
+// Disconnect closes all connections. Until Reconnect, the ports close each new connection as soon as it is accepted.
 func (l *Link) Disconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,14 +54,14 @@
 	}
 }
 
-// Reconnect ends the effect of Disconnect. Broken connections stay broken.
+// Reconnect ends the effect of Disconnect on new connections.
 func (l *Link) Reconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.disconnected = false
 }
 
-// add registers a connection of a port and reports whether the link accepts it.
+// add registers a connection of a port. It reports false if the link is disconnected.
 func (l *Link) add(c net.Conn, p *Port) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +71,7 @@
 	return !l.disconnected
 }
 
-// remove removes a connection that is closed.
+// remove removes a connection that has ended.
 func (l *Link) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbench/faultproxy/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A link proxies and counts bytes, is as slow as Throttle demands, and proxies nothing while it is disconnected.
+// A link proxies and counts bytes, applies the delay and the bandwidth limit of Throttle, and proxies nothing while
+// it is disconnected.
 func TestLink(t *testing.T) {
 	server := startEchoServer(t)
 	link := NewLink(func(*Port) string { return server })
@@ -16,17 +17,17 @@
 		t.Fatal("no echo")
 	}
 	if bytes, accepted := port.Counts(); bytes != 10 || accepted != 1 {
-		t.Errorf("%d bytes, %d connections", bytes, accepted)
+		t.Errorf("counted %d bytes and %d connections, want 10 and 1", bytes, accepted)
 	}
 	link.Throttle(50*time.Millisecond, 0)
 	start := time.Now()
 	if !echoed(conn, "hello") || time.Since(start) < 100*time.Millisecond {
-		t.Errorf("the echo took %v", time.Since(start))
+		t.Errorf("the echo took %v, want at least 100ms", time.Since(start))
 	}
 	link.Throttle(0, 100<<10)
 	start = time.Now()
 	if !echoed(conn, string(make([]byte, 30<<10))) || time.Since(start) < 300*time.Millisecond {
-		t.Errorf("60 KB at 100 KB/s took %v", time.Since(start))
+		t.Errorf("60 KiB at 100 KiB/s took %v, want at least 300ms", time.Since(start))
 	}
 	link.Throttle(0, 0)
 	link.Disconnect()
@@ -39,7 +40,7 @@
 	}
 }
 
-// A connection without a target is closed.
+// A connection is closed if the target function returns no address.
 func TestNoTarget(t *testing.T) {
 	port := openPort(t, NewLink(func(*Port) string { return "" }), 1)
 	if echoed(dial(t, port), "hello") {
@@ -47,7 +48,7 @@
 	}
 }
 
-// A port that is closed closes its own connections alone.
+// Closing a port closes its connections, and no connections of the link's other ports.
 func TestClosePort(t *testing.T) {
 	server := startEchoServer(t)
 	link := NewLink(func(*Port) string { return server })
@@ -58,11 +59,12 @@
 	}
 	closed.Close()
 	if echoed(closedConn, "a") || !echoed(openConn, "b") {
-		t.Error("the wrong connection was closed")
+		t.Error("want the connection of the closed port closed, and that of the other port open")
 	}
 }
 
-// A cut of one direction holds back the bytes of that direction alone until it ends.
+// A cut of one direction delays that direction's bytes until the cut ends, while the other direction works. A loss of
+// 1 on the path from the dialing side refuses new connections.
 func TestCutOfOneDirection(t *testing.T) {
 	server := startEchoServer(t)
 	forward, back := NewPath(1), NewPath(2)
--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -1,5 +1,6 @@
-// Package faultproxy proxies TCP connections and UDP datagrams between the processes of a test on loopback and injects
-// faults: delay, limited bandwidth, loss, duplication, reordering and cuts, for each direction by itself.
+// Package faultproxy proxies TCP connections and UDP datagrams between the processes of a test on loopback and
+// injects faults: delay, limited bandwidth, loss, duplication, reordering and cuts. Each direction can have faults of
+// its own.
 package faultproxy
 
 import (
@@ -10,46 +11,50 @@
 	"golang.org/x/time/rate"
 )
 
-// reorderDelay is the additional delay of a datagram that is reordered, during which others pass it.
+// reorderDelay is the additional delay of a datagram that is reordered, so that later ones arrive before it.
 const reorderDelay = 40 * time.Millisecond
 
-// burstsPerSecond is the number of bursts into which the bandwidth of a second is divided.
+// burstsPerSecond sets the burst of a bandwidth limit: the limit allows as many bytes at once as in this fraction of
+// a second, at least bufferSize.
 const burstsPerSecond = 10
 
 // Conditions are the faults of one direction between two places. The zero value injects none.
 type Conditions struct {
-	// Cut loses all datagrams, and holds back the bytes of streams until it ends.
+	// Cut drops all datagrams, and delays the bytes of streams until it ends.
 	Cut bool
-	// Loss is the probability that a datagram is lost or that a new stream is refused. Open streams lose nothing.
+	// Loss is the probability that a datagram is dropped. On a link's path from the dialing side, it is also the
+	// probability that a new connection is closed. Open streams lose nothing.
 	Loss float64
-	// Duplicate is the probability that a datagram is sent twice.
+	// Duplicate is the probability that a datagram is sent twice. Each copy is delayed on its own.
 	Duplicate float64
-	// Reorder is the probability that a datagram is delayed so much that later ones pass it.
+	// Reorder is the probability that a datagram is delayed by an additional reorderDelay.
 	Reorder float64
 	// Delay is added to the latency of datagrams and streams.
 	Delay time.Duration
-	// Jitter is the upper bound of the random delay that is added to the latency of datagrams.
+	// Jitter is the upper bound of a random delay that is also added to the latency of datagrams.
 	Jitter time.Duration
 }
 
-// Path is one direction between two places. It is safe for concurrent use.
+// Path holds the conditions and the bandwidth limit of one direction between two places. It is safe for concurrent
+// use.
 type Path struct {
 	// mu guards all other fields.
 	mu         sync.Mutex
 	conditions Conditions
-	// limit bounds the bandwidth of streams; nil if it is unlimited.
+	// limit limits the bandwidth of streams; nil if it is unlimited.
 	limit *rate.Limiter
 	// changed is closed when the conditions change, and replaced by a new channel.
 	changed chan struct{}
 	rng     *rand.Rand
 }
 
-// NewPath returns a path without faults; the seed determines its random choices.
+// NewPath returns a path without faults. The seed determines its random choices.
 func NewPath(seed uint64) *Path {
 	return &Path{changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Set replaces the conditions. They apply to what arrives from now on, and to bytes of streams that are held back.
+// Set replaces the conditions. The delays apply to data that arrives afterwards. The start and the end of a cut also
+// apply to the bytes of streams that have arrived before and are not forwarded yet.
 func (p *Path) Set(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +63,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Limit bounds the bandwidth of streams, in bytes a second; 0 removes the limit.
+// Limit limits the bandwidth of streams, in bytes a second. 0 removes the limit.
 func (p *Path) Limit(bytesPerSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +81,7 @@
 	return p.conditions, p.limit, p.changed
 }
 
-// chance reports at random whether an event of the given probability happens.
+// chance returns true with the given probability.
 func (p *Path) chance(probability float64) bool {
 	if probability <= 0 {
 		return false
--- a/internal/testbench/faultproxy/port.go
+++ b/internal/testbench/faultproxy/port.go
@@ -10,20 +10,20 @@
 
 // Port is a listener whose connections are proxied over a link.
 type Port struct {
-	// Balancer is the number that the port was opened with, for the link's target function.
+	// Balancer is the number of the balancer for which the port was opened. The link's target function may use it.
 	Balancer int
-	// Address is the address to dial.
+	// Address is the address at which the port accepts connections.
 	Address string
 
 	link     *Link
 	listener net.Listener
-	// goroutines counts those that Close waits for.
+	// goroutines are the goroutines that Close waits for.
 	goroutines sync.WaitGroup
 	bytes      atomic.Uint64
 	accepted   atomic.Uint64
 }
 
-// Port opens a port for a balancer at a free address on loopback.
+// Port opens a port for a balancer at a free port on loopback.
 func (l *Link) Port(balancer int) (*Port, error) {
 	return l.PortAt(balancer, "127.0.0.1:0")
 }
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-// Counts returns the number of bytes proxied, in both directions, and of connections accepted.
+// Counts returns how many bytes were proxied, in both directions together, and how many connections were accepted.
 func (p *Port) Counts() (bytes, accepted uint64) {
 	return p.bytes.Load(), p.accepted.Load()
 }
@@ -62,7 +62,8 @@
 	}
 }
 
-// proxy connects a client to the link's target and copies both directions until one of them ends.
+// proxy connects a client to the link's target and copies both directions until one of them ends. It closes the
+// client's connection if the link refuses it or has no target.
 func (p *Port) proxy(client net.Conn) {
 	defer client.Close()
 	p.accepted.Add(1)
@@ -85,7 +86,8 @@
 	}
 	defer p.link.remove(server)
 	ctx, cancel := context.WithCancel(context.Background())
-	// Half-closed connections are not proxied: those of the product have ended when one direction has.
+	// Half-closed connections are not proxied: balancers do not use a connection any more once one direction has
+	// ended.
 	end := func() {
 		cancel()
 		client.Close()
--- a/internal/testbench/faultproxy/stream.go
+++ b/internal/testbench/faultproxy/stream.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// bufferSize is the size of a stream's read buffer in bytes, and the largest packet.
+	// bufferSize is the size of a stream's read buffer in bytes, and so the largest size of a packet.
 	bufferSize = 4096
-	// maxQueuedPackets is how many packets of one direction may be delayed before reading stops.
+	// maxQueuedPackets is the number of packets of one direction that may wait before reading stops.
 	maxQueuedPackets = 64
 )
 
-// packet is a part of a stream that was read at once.
+// packet holds the bytes of a stream that one read has returned.
 type packet struct {
 	data []byte
-	// due is when the packet is to be written; zero if it is not delayed.
+	// due is the earliest time at which the packet may be written; zero if it is not delayed.
 	due time.Time
 }
 
-// copy copies one direction of a connection over a path until it ends, and calls end then.
+// copy copies one direction of a connection over a path until it ends, and then calls end, which closes both
+// connections.
 func (p *Port) copy(ctx context.Context, to io.Writer, from io.Reader, path *Path, end func()) {
 	packets := make(chan packet, maxQueuedPackets)
 	var reader sync.WaitGroup
@@ -39,7 +40,7 @@
 	}
 }
 
-// readPackets reads a stream into packets until it or ctx ends, and closes the channel then.
+// readPackets reads a stream and sends its bytes as packets until the stream or ctx ends. It closes the channel then.
 func readPackets(ctx context.Context, from io.Reader, path *Path, packets chan<- packet) {
 	defer close(packets)
 	buffer := make([]byte, bufferSize)
@@ -63,8 +64,8 @@
 	}
 }
 
-// waitToWrite waits until a packet may be written: its delay and any cut have ended and the bandwidth allows it. It
-// reports false if ctx ended first.
+// waitToWrite waits until a packet may be written: its delay and any cut have ended, and the bandwidth limit allows
+// it. It reports false if ctx ends before.
 func (p *Path) waitToWrite(ctx context.Context, next packet) bool {
 	if !next.due.IsZero() {
 		select {
@@ -80,7 +81,7 @@
 	return limit == nil || limit.WaitN(ctx, len(next.data)) == nil
 }
 
-// waitWhileCut waits for the end of a cut. It reports false if ctx ended first.
+// waitWhileCut waits while the path is cut. It reports false if ctx ends before the cut.
 func (p *Path) waitWhileCut(ctx context.Context) bool {
 	for {
 		conditions, _, changed := p.current()
--- a/internal/testbench/fuzzcorpus/fuzzcorpus_test.go
+++ b/internal/testbench/fuzzcorpus/fuzzcorpus_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// Truncated copies are a part of the message from its start, and mutated copies differ from it in one byte at most.
-// Neither changes the message itself.
+// A truncated copy is a prefix of the message, and a mutated copy differs from it in at most one byte. Neither
+// function changes the message itself.
 func TestVariants(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	original := []byte("OPEN 00000000000000ff 7f3a9c21e0b4d655 c=solo-play,d=900")
 	message := bytes.Clone(original)
 	for range 100 {
 		if part := truncated(rng, message); !bytes.HasPrefix(original, part) {
-			t.Errorf("truncated to %q", part)
+			t.Errorf("truncated to %q, which is no prefix of the message", part)
 		}
 		changed := mutated(rng, message)
 		differences := 0
@@ -24,7 +24,7 @@
 			}
 		}
 		if len(changed) != len(original) || differences > 1 {
-			t.Errorf("mutated to %q", changed)
+			t.Errorf("mutated to %q, want at most one other byte", changed)
 		}
 	}
 	if got := randomBytes(rng, 20); len(got) != 20 {
--- a/internal/testbench/stub/stub.go
+++ b/internal/testbench/stub/stub.go
@@ -1,5 +1,5 @@
-// Package stub implements the core's interfaces for tests whose subject is something else: a source of the endpoint
-// list that never delivers anything, and a prober that never completes a probe.
+// Package stub implements the core's interfaces for tests of other parts: a discovery source that never delivers an
+// endpoint list, and a prober that never completes a probe.
 package stub
 
 import (
