--- a/internal/codecheck/codecheck.go
+++ b/internal/codecheck/codecheck.go
@@ -1,5 +1,6 @@
-// Package codecheck holds the repository's own checks of its source and pages: line width, comments on exported names,
-// and pages that name files, packages or identifiers that do not exist. Its tests run them over the whole repository.
+// Package codecheck contains the repository's own checks of its source and its Markdown pages. They find Go lines
+// that are too wide, exported names without a comment, and pages that name files, folders, tests or identifiers that
+// do not exist. The package's tests run the checks over the whole repository.
 package codecheck
 
 import (
@@ -12,17 +13,17 @@
 	"unicode/utf8"
 )
 
-// MaxLineWidth is the longest allowed line of Go source, in characters.
+// MaxLineWidth is the maximum width of a line of Go source in characters. A tab counts as one character.
 const MaxLineWidth = 120
 
-// Finding is one violation of a check.
+// Finding is one violation that a check has found.
 type Finding struct {
 	File    string
-	Line    int // from 1
+	Line    int // counted from 1
 	Message string
 }
 
-// String returns the finding as file:line: message.
+// String returns the finding in the form file:line: message.
 func (f Finding) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message) }
 
 // WideLines returns the lines of a source that are longer than MaxLineWidth.
@@ -30,13 +31,15 @@
 	var findings []Finding
 	for i, line := range strings.Split(source, "\n") {
 		if width := utf8.RuneCountInString(line); width > MaxLineWidth {
-			findings = append(findings, Finding{file, i + 1, fmt.Sprintf("%d characters wide, %d at most", width, MaxLineWidth)})
+			findings = append(findings, Finding{file, i + 1, fmt.Sprintf("%d characters wide, maximum %d", width, MaxLineWidth)})
 		}
 	}
 	return findings
 }
 
-// Undocumented returns the exported names that a Go source declares without a comment. Test sources export nothing.
+// Undocumented returns the exported names that a Go source declares without a comment: types, functions, methods,
+// variables and constants. A comment on a declaration group counts for all its names. String and Error methods need
+// no comment. Fields and test files are not checked.
 func Undocumented(file, source string) ([]Finding, error) {
 	if strings.HasSuffix(file, "_test.go") {
 		return nil, nil
@@ -76,7 +79,8 @@
 	return findings, nil
 }
 
-// isStringMethod reports whether a function is a String or Error method: what these return needs no comment.
+// isStringMethod reports whether a function is a String or Error method without parameters. What these return is
+// known without a comment.
 func isStringMethod(f *ast.FuncDecl) bool {
 	return f.Recv != nil && (f.Name.Name == "String" || f.Name.Name == "Error") && len(f.Type.Params.List) == 0
 }
--- a/internal/codecheck/codecheck_test.go
+++ b/internal/codecheck/codecheck_test.go
@@ -11,7 +11,7 @@
 	source := strings.Repeat("x", MaxLineWidth) + "\n" + strings.Repeat("é", MaxLineWidth+1) + "\n"
 	findings := WideLines("a.go", source)
 	if len(findings) != 1 || findings[0].Line != 2 {
-		t.Errorf("found %v, want line 2 alone", findings)
+		t.Errorf("found %v, want only line 2", findings)
 	}
 }
 
@@ -46,7 +46,7 @@
 		t.Errorf("found %v, want lines 3, 8 and 14", findings)
 	}
 	if findings, err := Undocumented("a_test.go", source); err != nil || len(findings) > 0 {
-		t.Errorf("a test source: %v, %v", findings, err)
+		t.Errorf("in a test file: found %v, error %v, want nothing", findings, err)
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	for _, c := range []struct {
 		text string
-		dead string // empty: nothing is found
+		dead string // end of the expected message; empty if nothing is to be found
 	}{
 		{"[a page](page.md), [a site](https://example.org/x)", ""},
 		{"[gone](other.md)", "link target: other.md"},
@@ -87,7 +87,7 @@
 			case c.dead == "" && len(findings) > 0:
 				t.Errorf("found %v, want nothing", findings)
 			case c.dead != "" && (len(findings) != 1 || !strings.HasSuffix(findings[0].Message, c.dead)):
-				t.Errorf("found %v, want %q alone", findings, c.dead)
+				t.Errorf("found %v, want only %q", findings, c.dead)
 			}
 		})
 	}
--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -14,15 +14,17 @@
 	"strings"
 )
 
-// Repository knows the files and the declared identifiers of a source tree.
+// Repository holds the files and the declared identifiers of a source tree.
 type Repository struct {
-	files       map[string]bool            // paths of files and folders, slash-separated, relative to the root
-	baseNames   map[string]bool            // the files' last elements
-	identifiers map[string]bool            // every name that some Go source or MIB declares
-	packages    map[string]map[string]bool // by package name: the names that it declares
+	files       map[string]bool            // slash-separated paths of files and folders from the root, and .gitignore's
+	baseNames   map[string]bool            // last elements of the files' paths
+	identifiers map[string]bool            // names that any Go source or MIB declares
+	packages    map[string]map[string]bool // names that each package declares, by the package's name
 }
 
-// ReadRepository reads a source tree. Folders whose name begins with a dot are listed, but .git is not.
+// ReadRepository reads a source tree. Of .git and journal it only records that they exist, and skips their contents.
+// Known fault: in a git worktree .git is a file, and fs.SkipDir on a file skips the rest of the root folder. Most
+// files are missing from the result then, so that pages that name them are reported.
 func ReadRepository(root fs.FS) (*Repository, error) {
 	r := &Repository{
 		files: map[string]bool{}, baseNames: map[string]bool{},
@@ -46,8 +48,8 @@
 	return r, err
 }
 
-// addFile notes what a file declares: a Go source its identifiers, a MIB its objects, .gitignore the files that
-// operators make.
+// addFile records what a file declares: the identifiers of a Go source, and the objects of a MIB. The entries of
+// .gitignore are recorded as files, since pages name files that operators create and git ignores.
 func (r *Repository) addFile(root fs.FS, name string) error {
 	if name != ".gitignore" && path.Ext(name) != ".go" && path.Dir(name) != "mibs" {
 		return nil
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// addSource notes the identifiers that a Go source declares: at package level, as fields and methods, and as locals.
+// addSource records the identifiers that a Go source declares: at package level, as fields, methods, parameters and
+// results, and as local variables. An external test package counts as the package that it tests.
 func (r *Repository) addSource(name string, source []byte) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
 	if err != nil {
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// topFolders matches the folders of the repository that pages name.
+// topFolders matches the top-level folders of the repository whose paths are checked in pages.
 const topFolders = `(?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)`
 
 var (
@@ -126,9 +129,10 @@
 	innerUpper = regexp.MustCompile(`[a-z][A-Z]`)
 )
 
-// DeadReferences returns what a Markdown page names that does not exist: targets of links, Go files, folders of the
-// repository, tests, and, in code spans, identifiers. A plain word in a code span counts as an identifier if its
-// spelling is mixed case, or if it is qualified by the name of one of the repository's packages.
+// DeadReferences returns the references in a Markdown page to things that do not exist: targets of links within the
+// repository, Go files, paths below the top-level folders, tests and identifiers. Identifiers with a package name,
+// such as core.Engine, are checked anywhere, others only in code spans. See declares for which names count as
+// identifiers.
 func (r *Repository) DeadReferences(page, text string) []Finding {
 	var findings []Finding
 	for i, line := range strings.Split(text, "\n") {
@@ -172,7 +176,8 @@
 	return findings
 }
 
-// hasFile reports whether a Go file is there: by its path, or by its last element alone where no folder is named.
+// hasFile reports whether a Go file exists. The name may be the file's path, the end of its path, or only its base
+// name.
 func (r *Repository) hasFile(name string) bool {
 	name = strings.TrimPrefix(name, "./")
 	if !strings.Contains(name, "/") {
@@ -189,7 +194,8 @@
 	return false
 }
 
-// hasPath reports whether a path exists; the last element may be the identifier of a package, as in decide/Settings.
+// hasPath reports whether a path exists. Its last element may be a package with an identifier of it, as in
+// internal/core.Engine.
 func (r *Repository) hasPath(name string) bool {
 	name = strings.TrimSuffix(strings.TrimSuffix(name, "/..."), "/")
 	if r.files[name] {
@@ -199,8 +205,9 @@
 	return found && r.files[path.Join(path.Dir(name), folder)] && r.declares(folder+"."+member)
 }
 
-// declares reports whether a name that looks like an identifier of the repository is declared there. Names that do not
-// look like one are somebody else's: words of a wire, keys of a file, commands.
+// declares reports whether the repository declares a name, if the name looks like one of its identifiers: it is in
+// mixed case, or it is qualified by one of the repository's packages. For any other name declares returns true, since
+// pages also contain words of protocols, keys of files, commands and names of other packages.
 func (r *Repository) declares(name string) bool {
 	if !identifier.MatchString(name) {
 		return true
@@ -222,10 +229,10 @@
 	return true
 }
 
-// ErrNoPages is returned if a pattern matches no page.
-var ErrNoPages = errors.New("no such pages")
+// ErrNoPages is returned by CheckPages if a pattern matches no page.
+var ErrNoPages = errors.New("no pages match the pattern")
 
-// CheckPages returns the dead references of the Markdown pages of a tree whose paths match one of the patterns.
+// CheckPages returns the dead references of all Markdown pages of a tree whose paths match one of the patterns.
 func CheckPages(root fs.FS, patterns ...string) ([]Finding, error) {
 	repository, err := ReadRepository(root)
 	if err != nil {
--- a/internal/codecheck/repository_test.go
+++ b/internal/codecheck/repository_test.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the repository, seen from this package's folder.
+// repositoryRoot is the root of the repository, relative to this package's folder.
 const repositoryRoot = "../.."
 
-// eachSource calls check with every Go source of the repository.
+// eachSource calls check with the name and the text of each Go source of the repository. It fails if there are fewer
+// than 100, since the walk has then missed some.
 func eachSource(t *testing.T, check func(name, source string)) {
 	t.Helper()
 	sources := 0
@@ -37,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if sources < 100 {
-		t.Fatalf("only %d sources were found", sources)
+		t.Fatalf("found only %d Go sources, want at least 100", sources)
 	}
 }
 
@@ -61,7 +62,8 @@
 	})
 }
 
-// The changelog is left out: it names what there was.
+// All pages but the changelog are checked. The changelog also names what no longer exists. In a git worktree the test
+// fails because of the fault that the comment on ReadRepository describes.
 func TestPagesNameWhatExists(t *testing.T) {
 	findings, err := CheckPages(os.DirFS(repositoryRoot), "README.md", "docs/*.md")
 	if err != nil {
