--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -16,7 +16,7 @@
 
 // Repository holds the files and the declared identifiers of a source tree.
 type Repository struct {
-	files       map[string]bool            // slash-separated paths of files and folders from the root, and .gitignore's
+	files       map[string]bool            // slash-separated paths of files and folders, and lines of .gitignore
 	baseNames   map[string]bool            // last elements of the files' paths
 	identifiers map[string]bool            // names that any Go source or MIB declares
 	packages    map[string]map[string]bool // names that each package declares, by the package's name
@@ -205,9 +205,9 @@
 	return found && r.files[path.Join(path.Dir(name), folder)] && r.declares(folder+"."+member)
 }
 
-// declares reports whether the repository declares a name, if the name looks like one of its identifiers: it is in
-// mixed case, or it is qualified by one of the repository's packages. For any other name declares returns true, since
-// pages also contain words of protocols, keys of files, commands and names of other packages.
+// declares reports whether the repository declares a name, if the name looks like one of its identifiers: it has a
+// capital after a small letter, or it is qualified by one of the repository's packages. For any other name declares
+// returns true, since pages also contain words of protocols, keys of files, commands and names of other packages.
 func (r *Repository) declares(name string) bool {
 	if !identifier.MatchString(name) {
 		return true
--- a/internal/codecheck/repository_test.go
+++ b/internal/codecheck/repository_test.go
@@ -62,8 +62,8 @@
 	})
 }
 
-// All pages but the changelog are checked. The changelog also names what no longer exists. In a git worktree the test
-// fails because of the fault that the comment on ReadRepository describes.
+// The README and the pages in docs are checked, and the changelog is not, since it also names what no longer exists.
+// In a git worktree the test fails because of the fault that the comment on ReadRepository describes.
 func TestPagesNameWhatExists(t *testing.T) {
 	findings, err := CheckPages(os.DirFS(repositoryRoot), "README.md", "docs/*.md")
 	if err != nil {
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -112,7 +112,7 @@
 	server, address := startListServer(t, table)
 	l := wantSnapshot(t, address, 1)
 	if len(l.Instances) != 3 || l.Instances[2].Started != StartedAt+1 {
-		t.Errorf("%+v", l)
+		t.Errorf("snapshot %+v, want 3 entries of version 1", l)
 	}
 	watches := watchList(t, address, 50)
 	before := table.Encodings()
@@ -124,7 +124,7 @@
 		for version := int64(2); version <= 3; version++ {
 			l := watch.wantDelta(version, 1)
 			if l.Instances[0].Started != StartedAt+version || l.Instances[0].Lifecycle != "leaving" {
-				t.Fatalf("%+v", l)
+				t.Fatalf("delta %+v, want an entry that is leaving and has changed in this version", l)
 			}
 		}
 	}
@@ -132,10 +132,10 @@
 		t.Errorf("%d encodings for 3 changes and 50 watches, want 3", n)
 	}
 	if l, ok := callList(t, address, "?watch=1&from=2").next(); !ok || l.Generation != 3 {
-		t.Errorf("a watch from version 2: %+v", l)
+		t.Errorf("a watch from version 2 begins with %+v, want version 3", l)
 	}
 	if l, ok := callList(t, address, "?watch=1&from=9").next(); !ok || !l.Reset || l.Generation != 3 {
-		t.Errorf("a watch from an unknown version: %+v", l)
+		t.Errorf("a watch from an unknown version begins with %+v, want a snapshot of version 3", l)
 	}
 }
 
@@ -195,13 +195,13 @@
 			messages := after.Messages - before.Messages
 			// Each watch may also be sent a heartbeat every 2 s.
 			if messages < watchCount*changes || messages > watchCount*changes+2*watchCount {
-				t.Errorf("%d messages for %d changes and %d watches", messages, changes, watchCount)
+				t.Errorf("%d messages for %d changes and %d watches, want one each", messages, changes, watchCount)
 			}
 			if bytes := after.Bytes - before.Bytes; bytes > watchCount*changes*200 {
-				t.Errorf("%d bytes for %d changes and %d watches", bytes, changes, watchCount)
+				t.Errorf("%d bytes for %d changes and %d watches, want at most 200 each", bytes, changes, watchCount)
 			}
 			if got := table.Encodings() - encodings; got != changes {
-				t.Errorf("%d encodings for %d changes", got, changes)
+				t.Errorf("%d encodings for %d changes, want one for each", got, changes)
 			}
 		})
 	}
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -67,11 +67,11 @@
 	token string
 	// acknowledged is the number of the last move that a room server has acknowledged.
 	acknowledged uint64
-	// detachedAt is when the player lost its room server; zero while it has one.
+	// detachedAt is when the player lost its room server; zero while it has one, and before it has had one.
 	detachedAt time.Time
 	// reconnecting says that the player has lost its room server and its requests say so.
 	reconnecting bool
-	// replay says that the next token that the player presents is presented by copies too, see Replay.
+	// replay says that copies of the next token that the player presents are to be presented too; see Replay.
 	replay atomic.Bool
 }
 
--- a/internal/testbench/emulator/room_server_test.go
+++ b/internal/testbench/emulator/room_server_test.go
@@ -37,24 +37,24 @@
 	defer server.Stop()
 	first, line := openRequest(t, server, 1)
 	if !strings.HasPrefix(line, "UP s-1-") {
-		t.Fatalf("read %q", line)
+		t.Fatalf("read %q, want UP", line)
 	}
 	openRequest(t, server, 2)
 	if _, line := openRequest(t, server, 3); line != "BUSY\r\n" || server.Established() != 2 {
-		t.Errorf("saturated: %q, %d established", line, server.Established())
+		t.Errorf("saturated server: answer %q and %d connections, want BUSY and 2", line, server.Established())
 	}
 	conn, _ := net.Dial("tcp", server.Address())
 	defer conn.Close()
 	io.WriteString(conn, "STATS\r\n")
 	if line, _ := bufio.NewReader(conn).ReadString('\n'); line != "PONG qps=0,inflight=2,x0=1.000\r\n" {
-		t.Errorf("load report %q", line)
+		t.Errorf("load report %q, want 2 connections and a utilization of 1", line)
 	}
 	server.Drain()
 	if rest, _ := io.ReadAll(first); !strings.HasSuffix(string(rest), "MOVE\r\n") {
-		t.Errorf("draining: %q", rest)
+		t.Errorf("a client of a draining server reads %q, want MOVE at the end", rest)
 	}
 	if _, line := openRequest(t, server, 4); line != "BUSY\r\n" {
-		t.Errorf("while draining: %q", line)
+		t.Errorf("a draining server answers %q, want BUSY", line)
 	}
 }
 
--- a/internal/testbench/faultproxy/datagram_test.go
+++ b/internal/testbench/faultproxy/datagram_test.go
@@ -59,18 +59,18 @@
 	path := NewPath(3)
 	d := newDatagramTest(t, path)
 	if n := d.received(20); n != 20 {
-		t.Errorf("%d of 20 datagrams were forwarded", n)
+		t.Errorf("%d of 20 datagrams were forwarded, want all", n)
 	}
 	path.Set(Conditions{Cut: true})
 	if n := d.received(20); n != 0 {
-		t.Errorf("%d datagrams crossed a cut", n)
+		t.Errorf("%d datagrams crossed a cut, want none", n)
 	}
 	path.Set(Conditions{Loss: 0.5})
 	if n := d.received(200); n < 60 || n > 140 {
-		t.Errorf("%d of 200 datagrams arrived at a loss of 0.5", n)
+		t.Errorf("%d of 200 datagrams arrived at a loss of 0.5, want 60 to 140", n)
 	}
 	path.Set(Conditions{Duplicate: 1, Delay: 10 * time.Millisecond, Jitter: 10 * time.Millisecond, Reorder: 0.5})
 	if n := d.received(20); n != 40 {
-		t.Errorf("%d datagrams arrived of 20 that were duplicated", n)
+		t.Errorf("%d datagrams arrived of 20 that were duplicated, want 40", n)
 	}
 }
--- a/internal/testbench/faultproxy/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -80,7 +80,7 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != "hello" {
-		t.Errorf("after the cut: %q, %v", got, err)
+		t.Errorf("read %q, %v after the cut, want hello", got, err)
 	}
 	forward.Set(Conditions{Loss: 1})
 	if echoed(dial(t, port), "hello") {
--- a/internal/testbench/faultproxy/port.go
+++ b/internal/testbench/faultproxy/port.go
@@ -86,8 +86,7 @@
 	}
 	defer p.link.remove(server)
 	ctx, cancel := context.WithCancel(context.Background())
-	// Half-closed connections are not proxied: balancers do not use a connection any more once one direction has
-	// ended.
+	// Half-closed connections are not proxied: the connections of balancers end when one direction ends.
 	end := func() {
 		cancel()
 		client.Close()
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -21,7 +21,7 @@
 				want := FinalList{Version: 1 + changes, Digest: f.digest(1 + changes)}
 				got := Check(f.events, want, Now()+time.Hour, time.Minute)
 				if got.LostUpdates != 0 || got.Regressions != 0 || len(got.Latencies) != nodes*changes {
-					t.Errorf("%+v, want %d latencies alone", got, nodes*changes)
+					t.Errorf("%+v, want %d latencies and nothing else", got, nodes*changes)
 				}
 			})
 		}
@@ -47,7 +47,7 @@
 			f.publishAndWait(t, 1)
 			perEndpoint := float64(f.bytes()) / nodes / float64(endpoints)
 			if perEndpoint < 100 || perEndpoint > 200 { // an entry has about 125 bytes
-				t.Errorf("%.0f bytes for each endpoint", perEndpoint)
+				t.Errorf("%.0f bytes for each endpoint, want 100 to 200", perEndpoint)
 			} else {
 				t.Logf("%.0f bytes for each endpoint", perEndpoint)
 			}
@@ -67,15 +67,15 @@
 	// An update is one message of about 170 bytes with its framing. Heartbeats, and a watch that starts after a node's
 	// first poll, may add to that.
 	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
-		t.Errorf("%.0f bytes for each update", perChange)
+		t.Errorf("%.0f bytes for each update, want 100 to 280", perChange)
 	} else {
 		t.Logf("%.0f bytes for each update", perChange)
 	}
 	if perChange := float64(after.Messages-before.Messages) / nodes / changes; perChange < 1 || perChange > 1.5 {
-		t.Errorf("%.2f messages for each update", perChange)
+		t.Errorf("%.2f messages for each update, want 1 to 1.5", perChange)
 	}
 	if calls := after.Calls - before.Calls; calls > uint64(len(f.nodes)) {
-		t.Errorf("%d calls for updates", calls)
+		t.Errorf("%d calls for updates, want at most one for each node", calls)
 	}
 }
 
--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -16,7 +16,8 @@
 
 // Limits are the time limits of the invariants.
 type Limits struct {
-	// DrainGrace is how long new attempts may arrive at a room server after discovery has sent the balancer its drain.
+	// DrainGrace is how long new attempts of a balancer may arrive at a room server after discovery has sent the
+	// balancer the room server's drain.
 	DrainGrace time.Duration
 	// Slack is the tolerance that is added to each time limit.
 	Slack time.Duration
@@ -263,7 +264,7 @@
 func (c *Checker) endConcurrency(r *request, id, server string, at time.Duration) {
 	since, ok := r.concurrentSince[server]
 	if ok && at-since > c.limits.Slack {
-		c.violated("%v: request %s was active at %s beside another attempt for %v", at, id, server, at-since)
+		c.violated("%v: request %s was active at %s until %v after another attempt had started", at, id, server, at-since)
 	}
 	delete(r.concurrentSince, server)
 }
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -136,11 +136,11 @@
 	})
 }
 
-// A request may have one attempt at a time, none at a draining room server, and no room server may be overloaded
-// while it warms up.
+// A request may have one attempt at a time, none at a draining room server after the grace period, and no room server
+// may be overloaded while it warms up.
 func TestAttempts(t *testing.T) {
 	runCheckerCases(t, map[string]checkerCase{
-		"two attempts":      {events: []Event{started(0, "a"), started(0, "b")}, violation: "beside another"},
+		"two attempts":      {events: []Event{started(0, "a"), started(0, "b")}, violation: "another attempt had started"},
 		"end seen late":     {events: []Event{started(0, "a"), started(0, "b"), ended(40*ms, "a")}},
 		"one after another": {events: []Event{started(0, "a"), ended(0, "a"), started(0, "b")}},
 		"sent to a draining server": {
