--- a/internal/session/arbiter/arbiter.go
+++ b/internal/session/arbiter/arbiter.go
@@ -1,11 +1,12 @@
 // Package arbiter decides which connection a session is attached to. Each room server has an arbiter for the sessions
 // whose state it holds. Balancers do not coordinate with each other, so the arbiters ensure that a session is
-// attached to at most one connection. Each attachment has a new epoch, and a fencing token that distinguishes it from
-// any other attachment of the same epoch.
+// attached to at most one connection. Each attachment has a new epoch and a fencing token. The fencing token
+// distinguishes the attached copy of the session's state from copies of the same epoch that were prepared for a
+// migration and are never attached.
 //
 // A migration transfers a session's state to another room server. Export claims the state at the old server, Prepare
 // stores it at the new one without attaching it, Commit removes it from the old server, and Activate attaches it at
-// the new one. The old server retains tombstones, which redirect clients that present a token of before the
+// the new one. The old server retains tombstones, which redirect requests with tokens that were issued before the
 // migration.
 //
 // The package is the reference implementation of what docs/resume-protocol.md demands of a room server, and the room
@@ -28,8 +29,8 @@
 const (
 	// Granted means that the request was executed: the session is attached or exported.
 	Granted Verdict = iota
-	// InUse means that another migration has claimed the session, or that another connection has attached or prepared
-	// it and the client has not yet confirmed that connection's token. The caller may retry.
+	// InUse means that another request has claimed the session, or that the request presents an older token, which is
+	// still valid, while another connection has the session attached or prepared. The caller may retry.
 	InUse
 	// TokenUsed means that the token is not valid, usually because the client has confirmed a newer one.
 	TokenUsed
@@ -39,8 +40,8 @@
 	Migrated
 	// StateTooLarge means that the state is larger than the caller accepts.
 	StateTooLarge
-	// Unknown means that the room server does not know the session, or only from a migration to it that is not
-	// activated.
+	// Unknown means that the room server has no record of the session, or that it has no tombstones of the session
+	// and holds a copy that a migration has prepared and that is not attached.
 	Unknown
 )
 
@@ -68,7 +69,7 @@
 	// Displaced is the connection that has lost the session to the caller and has to be closed; 0 if there is none.
 	// It is set for Granted.
 	Displaced Conn
-	// MigratedTo is the room server to which the state was migrated. It is set for Migrated.
+	// MigratedTo is the instance ID of the room server to which the state was migrated. It is set for Migrated.
 	MigratedTo string
 	// Ref identifies the copy of the state: for Granted the one at this room server, for Migrated the one at
 	// MigratedTo.
@@ -104,7 +105,7 @@
 
 // Create adds a new session, which is attached to conn. It returns false if the arbiter already has a session of this
 // ID, or has reached Config.Limit. The room server may serve the client nevertheless, but without a session that can
-// be resumed: it must not report that it retains the session, so that the client gets no token.
+// be resumed: it must not send protocol.SessionRetainedLine, so that the client gets no token.
 func (a *Arbiter) Create(now time.Time, ref token.Ref, conn Conn) bool {
 	a.sweep(now)
 	if a.records[ref.Session] != nil || len(a.records) >= a.cfg.Limit {
--- a/internal/session/arbiter/migrate.go
+++ b/internal/session/arbiter/migrate.go
@@ -10,8 +10,8 @@
 // Export claims a session for a migration and returns its state. The session is detached from its connection. Other
 // requests can neither attach nor claim it until claimExpires or until the connection claimant ends, whichever is
 // first. Another Export with the same claim number returns the state again and replaces claimant and claimExpires.
-// viaRedirect has the same meaning as for Reattach. A state of more than maxState bytes is neither returned nor
-// claimed.
+// viaRedirect has the same meaning as for Reattach. If the state has more than maxState bytes, the session is not
+// claimed and the answer is StateTooLarge.
 func (a *Arbiter) Export(now time.Time, ref token.Ref, claim uint64, claimExpires time.Time, maxState int,
 	viaRedirect bool, claimant Conn) Answer {
 	_, c, answer := a.find(now, ref, claim, viaRedirect, claimant)
@@ -50,9 +50,9 @@
 
 // Prepare stores a state that a migration has transferred, without attaching it. The copy can be attached by Activate
 // on the same connection. It can also be attached or exported by a request with viaRedirect, since only a committed
-// migration leaves a redirect to ref; while the connection exists, such a request has to come on it. Prepare returns
-// false if Config.Limit is reached, if another connection has prepared the same ref, or if Activate has attached the
-// copy of ref already.
+// migration leaves a redirect to ref. While conn exists, such a request gets InUse unless it is made on conn. Prepare
+// returns false if the session has no record and Config.Limit is reached, if another connection, which still exists,
+// has prepared the same ref, or if Activate has attached the copy of ref already.
 func (a *Arbiter) Prepare(now time.Time, ref token.Ref, position uint64, state []byte, conn Conn) bool {
 	a.sweep(now)
 	r := a.records[ref.Session]
@@ -83,9 +83,9 @@
 	return true
 }
 
-// Activate attaches the copy that a connection has prepared. The balancer calls for it only after the old room server
-// has executed Commit, which the arbiter cannot check. Activate returns false if the connection has no prepared copy,
-// for example because another request has attached it.
+// Activate attaches the copy that a connection has prepared. The balancer requests it (protocol.ActivateLine) only
+// after the old room server has executed Commit, which the arbiter cannot check. Activate returns false if the
+// connection has no prepared copy, for example because another request has attached it.
 func (a *Arbiter) Activate(now time.Time, conn Conn, session token.SessionID) bool {
 	r := a.records[session]
 	if r == nil {
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -6,8 +6,8 @@
 	"cottonplank/internal/session/token"
 )
 
-// maxTombstones limits the tombstones of a session. removeOtherCopies enforces it, so that a session that was just
-// migrated can have more.
+// maxTombstones limits the tombstones of a session. Only removeOtherCopies, which is called when a copy is attached,
+// enforces it. So a session that was migrated since can have more.
 const maxTombstones = 16
 
 // record is what the arbiter of a room server knows about one session.
@@ -18,7 +18,7 @@
 	// tombstones redirects tokens of copies that were migrated to another room server. They are in the order of the
 	// migrations, the oldest first. Of one migration, the tombstone of the last attachment is first.
 	tombstones []tombstone
-	// ended says that the session has ended regularly.
+	// ended says that the room server has ended the session with End.
 	ended bool
 	// expires is the time from which on sweep removes the record, unless the record is in use.
 	expires time.Time
@@ -29,7 +29,7 @@
 	// ref identifies the copy. Each attachment changes it.
 	ref token.Ref
 	// previous holds earlier attachments of the copy, the oldest first. Their tokens stay valid until the client
-	// confirms or presents a newer one: it may have been disconnected before it received that.
+	// confirms or presents a newer one: it may have been disconnected before it received the newer token.
 	previous []attachment
 	// confirmed says that the client has confirmed or presented the token of ref.
 	confirmed bool
@@ -55,15 +55,15 @@
 type attachment struct {
 	// ref identified the copy during that attachment.
 	ref token.Ref
-	// confirmed says that the client has confirmed or presented the token of ref. Requests that were redirected to
-	// ref are rejected then, because they present an older token, which has become invalid.
+	// confirmed says that the client has confirmed or presented the token of ref. From then on, requests that were
+	// redirected to ref are rejected: they present an older token, which has become invalid.
 	confirmed bool
 }
 
 // tombstone redirects the token of an attachment of a copy that was migrated to another room server.
 type tombstone struct {
 	attachment
-	// server is the room server to which the copy was migrated.
+	// server is the instance ID of the room server to which the copy was migrated.
 	server string
 	// next identifies the copy at that room server.
 	next token.Ref
@@ -141,18 +141,18 @@
 	return false
 }
 
-// removeOtherCopies makes c, which is being attached, the only copy of the session. The other copies were prepared by
-// migrations that cannot be committed any more. The newest maxTombstones tombstones are kept, because a client that
-// was disconnected before it received the token of the new attachment presents an older one. Redirects cannot form a
-// loop, because each one leads to a higher epoch.
+// removeOtherCopies makes c, which is being attached, the only copy of the session, and marks the session as not
+// ended. The other copies were prepared by migrations that cannot be committed any more. The newest maxTombstones
+// tombstones are kept, because a client that was disconnected before it received the token of the new attachment
+// presents an older one. Redirects cannot form a loop, because each one leads to a higher epoch.
 func (r *record) removeOtherCopies(c *stateCopy) {
 	r.copies, r.ended = []*stateCopy{c}, false
 	excess := max(len(r.tombstones)-maxTombstones, 0)
 	r.tombstones = r.tombstones[excess:]
 }
 
-// replaceByTombstones removes all copies and leaves tombstones that redirect to the given room server: one for the
-// last attachment of c, which has the claim, and one for each earlier attachment whose token is still valid. The
+// replaceByTombstones removes all copies and leaves tombstones that redirect to the given room server: first one for
+// the last attachment of c, which has the claim, then one for each earlier attachment whose token is still valid. The
 // other copies were prepared by migrations that cannot be committed any more. The reference in the tombstones has to
 // be the one under which the balancer has prepared the copy at that room server (migration.Flow.Next).
 func (r *record) replaceByTombstones(c *stateCopy, server string) {
@@ -164,7 +164,8 @@
 	r.copies = nil
 }
 
-// answerWithoutCopy returns the answer for a token that matches no copy.
+// answerWithoutCopy returns the answer for a token that matches no copy. The answer is Migrated if a tombstone
+// redirects the token; otherwise the first that applies of Ended, Unknown and TokenUsed.
 func (r *record) answerWithoutCopy(ref token.Ref, viaRedirect bool) Answer {
 	for _, t := range r.tombstones {
 		if t.ref != ref {
--- a/internal/session/migration/flow.go
+++ b/internal/session/migration/flow.go
@@ -22,8 +22,9 @@
 	maxRedirects = 16
 )
 
-// Flow is the state of one client request that resumes a session, across all attempts. The frontend calls its methods
-// to report events; each method returns the next step. It is not safe for concurrent use.
+// Flow is the state of one client request that resumes a session, across all attempts. An attempt sends the request
+// to one room server, which the decision module has chosen. The frontend calls its methods to report events; each
+// method returns the next step. It is not safe for concurrent use.
 type Flow struct {
 	// Claim is the number under which the request claims the session at arbiters. It also becomes the fencing token
 	// of the copy that the request attaches.
@@ -35,11 +36,13 @@
 	Ref token.Ref
 	// ViaRedirect says that Ref is not from the client's token, but from a tombstone or from the flow's own commit.
 	ViaRedirect bool
-	// Next identifies the copy that the attempt's room server is to attach.
+	// Next identifies the copy that the attempt's room server attaches. It is set by the answer to the export or, if
+	// no state is transferred, when the room server has attached the session.
 	Next token.Ref
 	// Position is the number of the client's moves in the state.
 	Position uint64
-	// State is the session's state. It is set from the answer to the export until the answer to the commit.
+	// State is the session's state. It is set by the answer to the export and discarded at the latest by the answer
+	// to the commit.
 	State []byte
 	// Reason says why the client has to start over. It is set for StartOver.
 	Reason Reason
@@ -54,11 +57,11 @@
 	reattaching bool
 	// exported says that State is set. An exported state can be empty.
 	exported bool
-	// commitPending says that Holder was asked to commit and has not answered.
+	// commitPending says that the step Commit was returned and that Holder has not answered it.
 	commitPending bool
 	// commitInterrupted says that the connection to Holder has failed once while commitPending was set.
 	commitInterrupted bool
-	// activated says that the attempt's room server was told to attach the session.
+	// activated says that the step Activate was returned for the attempt's room server.
 	activated bool
 	// redirects counts the redirects that were followed.
 	redirects int
@@ -152,9 +155,9 @@
 // claim that was made on it ends with it.
 func (f *Flow) HolderDisconnected() Step {
 	if f.commitPending && !f.commitInterrupted {
-		// Only Holder knows whether the commit was executed. Another export with the same claim number finds out: if
-		// the commit was executed, Holder redirects to the room server that has prepared the copy, and otherwise it
-		// returns the state again, unless another request has attached or claimed the session since. Repeating the
+		// Only Holder can report whether the commit was executed. Another export with the same claim number shows it:
+		// if the commit was executed, Holder redirects to the room server that has prepared the copy, and otherwise
+		// it returns the state again, unless another request has attached or claimed the session since. Repeating the
 		// commit would not help: Holder rejects it if the first one was executed.
 		f.commitInterrupted = true
 		f.discardUncertainState()
--- a/internal/session/migration/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -49,7 +49,7 @@
 		"finish":              s.finishAny,
 		"finish but the last": s.loseFinalExchange,
 		"kill a balancer":     s.killBalancer,
-		"leave":               func(t *rapid.T) { s.drop(s.anyRequest(t)) },
+		"leave":               func(t *rapid.T) { s.drop(s.anyRequest(t)) }, // the client or a replay disconnects
 		"lose an exchange":    s.loseExchange,
 		"play a move":         s.playMove,
 		"replay a token":      s.replayToken,
@@ -106,7 +106,8 @@
 	}
 }
 
-// loseFinalExchange advances a request until its next step is Activate or Establish, and loses that exchange.
+// loseFinalExchange advances a request until it is finished or its next step is Activate or Establish. The exchange
+// of that step, if it has one, fails.
 func (s *simulation) loseFinalExchange(t *rapid.T) {
 	r := s.anyRequest(t)
 	for !r.finished() && r.step != Activate && r.step != Establish {
--- a/internal/session/migration/reason.go
+++ b/internal/session/migration/reason.go
@@ -9,8 +9,8 @@
 // Reason is why a client has to start over. Its text is a word of the wire protocol.
 type Reason uint8
 
-// The reasons. Those up to WrongRoom are faults of the token, which the balancer finds before it sends a request to
-// any room server. The table in the MIB has the same order.
+// The reasons. Those up to WrongRoom mean that the token is invalid or does not fit the client's request. The
+// balancer finds that out before it sends a request to any room server. The table in the MIB has the same order.
 const (
 	// Malformed means that the token is truncated, too long, or not in the expected form.
 	Malformed Reason = iota
@@ -32,15 +32,16 @@
 	SessionEnded
 	// HolderUnavailable means that the room server that should hold the state does not have it or cannot be reached.
 	HolderUnavailable
-	// StateTimeout means that the state did not arrive in time, that the holder rejected the commit because the claim
-	// had ended, or that the redirects were too many or led to an epoch that was not higher.
+	// StateTimeout means that the state did not arrive within the engine's timeout (core.ReasonStateTimeout), that
+	// the holder rejected the commit because the claim had ended, or that the redirects were too many or led to an
+	// epoch that was not higher.
 	StateTimeout
 	// StateTooLarge means that the state is larger than the balancer transfers.
 	StateTooLarge
 	// Stale means that the state lacks moves that were acknowledged to the client.
 	Stale
-	// Lost means that the balancer cannot find out whether the migration was committed, because the holder
-	// disconnected during the commit and again afterwards.
+	// Lost means that the balancer cannot find out whether the migration was committed, because the connection to the
+	// holder failed during the commit, and afterwards failed again or could not be opened.
 	Lost
 	// Unsupported means that the attempt's room server does not support the migration of sessions, or does not follow
 	// the protocol.
@@ -71,7 +72,8 @@
 // String returns the word for the reason in the wire protocol.
 func (r Reason) String() string { return reasonWords[r] }
 
-// IsTokenError reports whether the reason is a fault of the token, so that no request was sent to a room server.
+// IsTokenError reports whether the token is invalid or does not fit the client's request, so that no request was sent
+// to a room server.
 func (r Reason) IsTokenError() bool { return r <= WrongRoom }
 
 // ReasonWords returns the words of all reasons, in the order of the constants.
--- a/internal/session/migration/simulation_test.go
+++ b/internal/session/migration/simulation_test.go
@@ -31,14 +31,15 @@
 	acknowledged uint64
 	// established is the request whose connection the client uses; nil if there is none.
 	established *request
-	// maxEpoch is the highest epoch of an attachment so far.
+	// maxEpoch is the highest epoch at which a request has had Establish as its next step.
 	maxEpoch uint64
 	// serverCrashed says that a room server has crashed and lost its sessions. The client may have to start over
 	// after that, and acknowledged moves may be lost.
 	serverCrashed bool
 	// startedOver says that the client was told to start over.
 	startedOver bool
-	// maxConfirmedEpoch is the highest epoch whose token the client has confirmed or presented to a room server.
+	// maxConfirmedEpoch is the highest epoch whose token the client has confirmed, or for which a room server has
+	// granted the session to the client without a redirect.
 	maxConfirmedEpoch uint64
 	// fault describes the first violation of an invariant during an action; empty if there is none.
 	fault string
@@ -72,8 +73,8 @@
 	retries int
 	// tokenEpoch is the epoch of the token that was presented.
 	tokenEpoch uint64
-	// tokenUsed says that the client had confirmed a newer token when this one was presented, so that no room server
-	// may accept it.
+	// tokenUsed says that maxConfirmedEpoch was already higher than tokenEpoch when the token was presented, so that
+	// no room server may accept the token.
 	tokenUsed bool
 }
 
@@ -164,8 +165,8 @@
 	}
 }
 
-// displace closes the connection conn, which has lost the session to the request by. It is a violation if the client
-// loses its connection to a replay.
+// displace drops the request of connection conn, because an arbiter has granted the session to another request, by.
+// It is a violation if by is a replay and the dropped request is the client's own.
 func (s *simulation) displace(by *request, conn arbiter.Conn) {
 	if conn == 0 {
 		return
@@ -189,8 +190,8 @@
 	}
 }
 
-// noteConfirmed records the epoch of the client's token if a room server has granted the session to it without a
-// redirect. Older tokens are invalid from then on.
+// noteConfirmed records the epoch of the token that the client itself has presented, if a room server has granted the
+// session for that token without a redirect. Older tokens are invalid from then on.
 func (s *simulation) noteConfirmed(r *request, answer arbiter.Answer) {
 	if r.byClient && answer.Verdict == arbiter.Granted && !r.flow.ViaRedirect {
 		s.maxConfirmedEpoch = max(s.maxConfirmedEpoch, r.tokenEpoch)
--- a/internal/session/migration/step.go
+++ b/internal/session/migration/step.go
@@ -1,6 +1,6 @@
 package migration
 
-// Step is what the frontend has to do next for a Flow.
+// Step is what the frontend, the part of the balancer that does the I/O, has to do next for a Flow.
 type Step uint8
 
 // The steps.
@@ -10,21 +10,23 @@
 	// Locate means to look up the address of Flow.Holder and to report it with Flow.Located.
 	Locate
 	// Export means to request the state from Flow.Holder with Flow.Claim, and to report the answer with
-	// Flow.HolderAnswered.
+	// Flow.HolderAnswered, or a failure with Flow.HolderDisconnected.
 	Export
-	// OpenReattach means to send a request line to the attempt's room server that reattaches Flow.Ref, which it
-	// holds, and to report its response with Flow.UpstreamHolds or Flow.HolderAnswered.
+	// OpenReattach means to send to the attempt's room server, which is Flow.Holder, a request line with
+	// protocol.ModeReattach for Flow.Ref, and to report the room server's response with Flow.UpstreamHolds or
+	// Flow.HolderAnswered.
 	OpenReattach
-	// OpenMigrated means to send a request line to the attempt's room server that announces the state of Flow.Next,
-	// and to report its response with Flow.UpstreamReady.
+	// OpenMigrated means to send to the attempt's room server a request line with protocol.ModeMigrate, which
+	// announces Flow.State for the copy Flow.Next, and to report the room server's response with Flow.UpstreamReady.
 	OpenMigrated
 	// SendState means to send Flow.State to the attempt's room server, and to report its response with
 	// Flow.UpstreamHolds.
 	SendState
-	// Commit means to ask Flow.Holder to release the session, and to report the answer with Flow.Committed.
+	// Commit means to request that Flow.Holder release the session, and to report the answer with Flow.Committed, or
+	// a failure of the connection with Flow.HolderDisconnected.
 	Commit
-	// Activate means to tell the attempt's room server to attach the session, and to report with
-	// Flow.UpstreamAccepted that it has accepted the client.
+	// Activate means to send protocol.ActivateLine to the attempt's room server, and to report with
+	// Flow.UpstreamAccepted that the room server has accepted the client.
 	Activate
 	// Establish means to forward the room server's acceptance to the client. It is the last step of a resumption that
 	// succeeds.
--- a/internal/session/protocol/fields.go
+++ b/internal/session/protocol/fields.go
@@ -12,7 +12,7 @@
 
 var (
 	errFieldCount    = errors.New("wrong number of fields")
-	errInvalidNumber = errors.New("invalid number")
+	errInvalidNumber = errors.New("invalid number: expected lower-case digits without leading zeros, in range")
 )
 
 // fields parses the fields of a line one by one and keeps the first error. It accepts only one form of each value, so
--- a/internal/session/protocol/open.go
+++ b/internal/session/protocol/open.go
@@ -16,8 +16,8 @@
 	ModeNew Mode = "new"
 	// ModeReattach attaches a session that the room server holds.
 	ModeReattach Mode = "back"
-	// ModeMigrate announces the state of a session of another room server. The balancer sends the state when the room
-	// server has answered with ReadyLine.
+	// ModeMigrate announces the state of a session that another room server holds. The balancer sends the state after
+	// the room server has answered with ReadyLine.
 	ModeMigrate Mode = "move"
 )
 
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -11,7 +11,8 @@
 const (
 	// FieldName is the name of the field in a request line to a room server that contains the text of an Open.
 	FieldName = "session"
-	// NewToken is what a client without a token sends instead of one to request a token.
+	// NewToken is the text that a client without a token sends in place of a token, to request a new session with a
+	// token.
 	NewToken = "new"
 	// MaxState is the maximum size in bytes of a session's state that any balancer transfers. The configuration of a
 	// balancer can only lower it.
@@ -22,8 +23,9 @@
 const (
 	// ReadyLine is the room server's response to a request line with ModeMigrate: it waits for the session's state.
 	ReadyLine = "READY"
-	// ActivateLine tells a room server to attach the session that it has reported with SessionReadyLine, and to
-	// accept the client.
+	// ActivateLine requests that a room server accept the client with the session that it has reported with
+	// SessionReadyLine. After ModeMigrate, the room server attaches the session now; after ModeReattach, it has
+	// attached the session already.
 	ActivateLine = "GO"
 	// CommitDone is the answer to a Commit that was executed: the room server has released the session.
 	CommitDone = "DONE"
@@ -52,7 +54,8 @@
 }
 
 // SessionRetainedLine returns the line that a room server sends directly after it has accepted a client if it retains
-// the session. The session can then be resumed and migrated, so the balancer issues a token to the client.
+// the session. The client can then resume the session, also at another room server, so the balancer issues a token to
+// it.
 func SessionRetainedLine(epoch, position uint64) string {
 	return fmt.Sprintf("%s %d %d", wordSessionRetained, epoch, position)
 }
@@ -81,8 +84,8 @@
 // migration.Reason.
 func StartOverLine(reason string) string { return wordStartOver + " " + reason }
 
-// parametersOf returns the parameters of a line. It returns an error if the line does not begin with word and a
-// space.
+// parametersOf returns a parser of the parameters of a line. It returns an error if the line does not begin with word
+// and a space.
 func parametersOf(line, word string) (fields, error) {
 	rest, ok := strings.CutPrefix(line, word+" ")
 	if !ok {
--- a/internal/session/protocol/protocol_test.go
+++ b/internal/session/protocol/protocol_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Parsing any accepted text and formatting the result gives the same text. So no two texts have the same meaning.
+// Parsing any accepted text and formatting the result gives the same text. So no two accepted texts have the same
+// meaning, as they would if leading zeros were accepted.
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f,
 		[]byte(Open{Mode: ModeReattach, Ref: ref, Next: 9}.String()),
--- a/internal/session/protocol/transfer.go
+++ b/internal/session/protocol/transfer.go
@@ -76,8 +76,8 @@
 	return c, f.end()
 }
 
-// First words of the lines that answer Export. Those other than wordState also reject a request line with
-// ModeReattach.
+// First words of the lines that answer Export. The balancer also accepts those other than wordState as the rejection
+// of a request line with ModeReattach.
 const (
 	wordState         = "STATE"
 	wordMigrated      = "MOVED"
--- a/internal/session/token/keyfile.go
+++ b/internal/session/token/keyfile.go
@@ -21,7 +21,9 @@
 	NotAfter  time.Time `json:"not_after"`
 }
 
-// ParseKeys parses the JSON text of a keys file. Errors name the faulty key and value, but never a secret.
+// ParseKeys parses the JSON text of a keys file. Errors never contain the value of a secret. The error for a secret
+// names the key by its index, and one for a value of another JSON type names only the field. Errors for invalid JSON
+// and invalid times name neither.
 func ParseKeys(raw []byte) ([]Key, error) {
 	var file keysFile
 	if err := json.Unmarshal(raw, &file); err != nil {
--- a/internal/session/token/keyfile_test.go
+++ b/internal/session/token/keyfile_test.go
@@ -10,8 +10,8 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// An error for an invalid keys file names the faulty key and value, but does not contain the secret, which would end
-// up in logs.
+// An error for an invalid keys file says what is wrong, but does not contain the secret, which would be written to
+// logs. If a key is rejected, the error names the key's index and field.
 func TestInvalidKeys(t *testing.T) {
 	const secret = "8f95f09245765f80256934e50c66207f8f95f09245765f80256934e50c66207f"
 	oneKey := func(id, secret, notBefore string) string {
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// Leeway is the largest difference between the clocks of two balancers that is tolerated.
+	// Leeway is the largest difference between the clocks of two balancers that is tolerated. Ring.Open accepts a
+	// token until Leeway after its expiry.
 	Leeway = time.Minute
 	// MaxLifetime is the maximum lifetime of tokens that a ring can be configured with.
 	MaxLifetime = 24 * time.Hour
@@ -23,8 +24,8 @@
 	keyIDDigits = 8
 )
 
-// Key is a key of a ring. It seals new tokens between NotBefore and NotAfter, until a key with a later NotBefore
-// replaces it.
+// Key is a key of a ring. It seals new tokens from NotBefore until NotAfter, except while a key of the ring with a
+// later NotBefore seals them.
 type Key struct {
 	// ID identifies the key in tokens. It consists of 8 lower-case hexadecimal digits.
 	ID string
@@ -76,8 +77,8 @@
 	return len(text) == keyIDDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
 
-// Ring is a keyring: the keys that the balancers of a site share. It is immutable, so that a reload of the keys file
-// creates a new one.
+// Ring is a keyring: the keys that the balancers of a site share. It is immutable; a reload of the keys file creates
+// a new Ring.
 type Ring struct {
 	// keys is sorted by NotBefore, then by ID.
 	keys []*Key
@@ -87,7 +88,7 @@
 }
 
 // NewRing returns a ring with the given keys. lifetime is the maximum lifetime of a token, and must not exceed
-// MaxLifetime. A key opens tokens until lifetime and twice Leeway after its NotAfter. Errors name the faulty key and
+// MaxLifetime. A key opens tokens until its NotAfter plus lifetime plus twice Leeway. Errors name the faulty key and
 // value, but never a secret.
 func NewRing(keys []Key, lifetime time.Duration) (*Ring, error) {
 	if lifetime <= 0 || lifetime > MaxLifetime {
@@ -165,7 +166,7 @@
 
 // sealingKey returns the key that seals at now, or nil if there is none. If several keys may seal, it is the one with
 // the latest NotBefore, and of those with the same NotBefore the one with the highest ID. So a new key replaces an
-// old one at its NotBefore, even if the old one's NotAfter is later.
+// old one at the new key's NotBefore, even if the old key's NotAfter is later.
 func (r *Ring) sealingKey(now time.Time) *Key {
 	for _, key := range slices.Backward(r.keys) {
 		if !now.Before(key.NotBefore) && now.Before(key.NotAfter) {
@@ -176,8 +177,9 @@
 }
 
 // openingKey returns the key with the given ID, or nil if there is none or it is retired. The last token that a key
-// seals expires at NotAfter plus lifetime at the latest, and Open accepts it until Leeway after that. The second
-// Leeway allows for clocks that differ, so that a key is not retired before its last token has expired.
+// seals expires at NotAfter plus lifetime at the latest, and Open accepts it until Leeway after that. The key is
+// retired another Leeway later. In between, Open rejects that token with ErrExpired, and afterwards with
+// ErrUnknownKey.
 func (r *Ring) openingKey(keyID string, now time.Time) *Key {
 	for _, key := range r.keys {
 		if key.ID == keyID && !now.After(key.NotAfter.Add(r.lifetime+2*Leeway)) {
--- a/internal/session/token/ring_test.go
+++ b/internal/session/token/ring_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A key that has stopped sealing opens tokens until the last one that it sealed has expired, and is retired a few
-// minutes later. The next key seals from its NotBefore on. So a key rotation rejects no token that is still valid.
+// A key that has stopped sealing opens tokens until twice Leeway after the expiry of the last token that it can have
+// sealed, and is then retired. The next key seals from its own NotBefore on. So a key rotation rejects no token that
+// is still valid.
 func TestKeyRotation(t *testing.T) {
 	old, next := newTestKey(t, -time.Hour, time.Minute), newTestKey(t, 0, 3*time.Hour)
 	ring := newTestRing(t, next, old)
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// version is the version field, the first one, of the tokens that this package seals and opens.
+	// version is the first field of each token that this package seals and opens.
 	version = "1"
 	// maxVersionDigits is the maximum length of a version field. A token whose field is longer is malformed and does
 	// not count as one of an unsupported version.
@@ -55,9 +55,9 @@
 }
 
 // Seal encrypts a token with the key that seals at now and returns its text, VERSION.KEYID.BOX. BOX is the base64url
-// encoding (RFC 4648, without padding) of a nonce and an XChaCha20-Poly1305 box (draft-irtf-cfrg-xchacha-03), which
-// also authenticates VERSION.KEYID. The nonce has 192 random bits, so that balancers that share a key do not use the
-// same nonce twice.
+// encoding (RFC 4648, without padding) of a nonce, followed by the payload as XChaCha20-Poly1305
+// (draft-irtf-cfrg-xchacha-03) encrypts it. The encryption also authenticates VERSION.KEYID. The nonce has 192 random
+// bits, so that balancers that share a key do not use the same nonce twice.
 //
 // Seal returns an error that wraps ErrNoSealingKey if no key seals at now. It also returns an error if a name in the
 // token is longer than MaxName, or if random returns one.
@@ -114,8 +114,8 @@
 	}
 	t, err := decodePayload(plaintext)
 	if err != nil {
-		// The payload is authentic: a balancer with the same key has sealed it. So it has the format of a newer
-		// release.
+		// The payload is authentic: a balancer with the same key has sealed it. So the payload has the format of a
+		// newer release.
 		return Token{}, ErrUnsupportedVersion
 	}
 	return t, t.validate(site, now)
--- a/internal/session/token/token.go
+++ b/internal/session/token/token.go
@@ -1,7 +1,7 @@
 // Package token seals and opens session tokens. A client presents its token to continue its session. Any balancer of
 // the site can open the token, also after a restart, because it contains all that the balancer needs to know about
-// the session, and the balancers of a site share the keys of a Ring. A token is a bearer token: whoever has it can
-// take over the session.
+// the session, and because all balancers of the site have the keys of the Ring. A token is a bearer token: whoever
+// has it can take over the session.
 //
 // The package does no I/O and reads no clock; its callers pass the time and a source of random numbers.
 package token
@@ -15,8 +15,9 @@
 )
 
 const (
-	// MaxText is the maximum length in bytes of a sealed token that Ring.Open accepts. A token with names of MaxName
-	// bytes has at most 700 bytes, so that it fits into a request line of 4 KiB beside the client's other fields.
+	// MaxText is the maximum length in bytes of the text that Ring.Open accepts. The texts that Ring.Seal returns are
+	// shorter: with names of MaxName bytes they have at most 700 bytes, so that a token fits into a 4 KiB request
+	// line beside the client's other fields.
 	MaxText = 1024
 	// MaxName is the maximum length in bytes of the name of a site, a room or a room server.
 	MaxName = 128
@@ -30,7 +31,7 @@
 	ErrMalformed = errors.New("malformed")
 	// ErrUnsupportedVersion means that the token has a version or content that this balancer does not support.
 	ErrUnsupportedVersion = errors.New("version")
-	// ErrUnknownKey means that the token's key is not in the ring, or is retired.
+	// ErrUnknownKey means that the token's key is not in the ring, or is retired (see KeyRetired).
 	ErrUnknownKey = errors.New("unknown-key")
 	// ErrForged means that the token's key is in the ring, but that the key did not seal this text: the token was
 	// altered, truncated, or sealed with another key of the same ID.
