--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,7 +6,7 @@
 import "time"
 
 const (
-	// baseRetryAfter is the least retry-after of a rejected request, before the limit of the settings. A random delay
+	// baseRetryAfter is the minimum retry-after of a rejected request, before the limit of the settings. A random delay
 	// of up to the same length is added.
 	baseRetryAfter = 200 * time.Millisecond
 	// minQueueLength is the number of requests that may always wait for capacity.
@@ -48,8 +48,7 @@
 	return class.Idempotency == Idempotent || neverExecuted || deduplicated
 }
 
-// retryAfter returns the jittered retry-after of a rejection. It is longer while many requests wait, so that these are
-// placed before the client returns.
+// retryAfter returns a jittered retry-after. It is longer while many requests wait, so that these are placed first.
 func (b *Balancer) retryAfter() time.Duration {
 	delay := baseRetryAfter
 	if len(b.requests.waiting) > minQueueLength {
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -14,13 +14,11 @@
 	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone it is half
 	// of the zone's servers, rounded up.
 	maxPreferredServers = 3
-	// groupOpeningConnections is the extra load that is reserved for the first connection of a group at a server, in
-	// average connections. Serving a group costs a server the load of about three connections as long as it has any
-	// connection of the group.
+	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, in average
+	// connections. A group costs a server the load of about three connections while the server has any connection of it.
 	groupOpeningConnections = 5.0
-	// maxGroupOpeningLoad limits the load reserved for the first connection of a group. Just after its start, a
-	// balancer has few connections and estimates the load of one several times too high. Without the limit, its
-	// clients would wait although servers have capacity.
+	// maxGroupOpeningLoad limits the load reserved for a group. Just after its start, a balancer has few connections and
+	// estimates the load of one several times too high. Without the limit, clients would wait despite free capacity.
 	maxGroupOpeningLoad = 0.2
 )
 
@@ -45,8 +43,7 @@
 	return r.localPreferred, r.remotePreferred
 }
 
-// preferredInZone returns the preferred servers of a request's group in a zone, the most preferred first; nil for a
-// request without a group.
+// preferredInZone returns the preferred servers of a request's group in a zone, best first; nil without a group.
 func (b *Balancer) preferredInZone(r *request, z *zoneIndex) []*server {
 	if !b.hasGroup(r) {
 		return nil
@@ -54,10 +51,9 @@
 	return b.preferredForGroup(z, hashString(r.Group), min(maxPreferredServers, (len(z.ready)+1)/2))
 }
 
-// groupOpeningLoad returns the load that is reserved for a request if it is the first of its group at a server, as far
-// as this balancer knows. It is 0 otherwise, and if the load of a connection there is only a guess. The load is divided
-// by the number of balancers that share the zone: the more they are, the more likely it is that another one has
-// connections of the group there.
+// groupOpeningLoad returns the load reserved for a request if it is the first of its group at a server, as far as this
+// balancer knows; otherwise, or if the load of a connection there is a guess, it returns 0. The load is divided by the
+// number of the zone's balancers: the more there are, the likelier another one has connections of the group there.
 func (b *Balancer) groupOpeningLoad(r *request, s *server) float64 {
 	load, guess := b.connectionLoad(s)
 	sameGroup := func(x reservation) bool { return x.request.Group == r.Group }
@@ -67,8 +63,7 @@
 	return min((groupOpeningConnections+b.relativeLoad(r))*load, maxGroupOpeningLoad) / b.zoneBalancers()
 }
 
-// rendezvousDistance returns the sort key of a server for a group. The server with the least distance is the most
-// preferred one. All balancers compute the same distances.
+// rendezvousDistance returns a server's sort key for a group; the smallest is preferred. It is equal at all balancers.
 func rendezvousDistance(group uint64, s *server) float64 {
 	uniform := (float64(mix(group, uint64(s.ID))>>11) + 0.5) / (1 << 53)
 	return -math.Log(uniform) / cmp.Or(s.Weight, 1)
--- a/decide/api.go
+++ b/decide/api.go
@@ -192,7 +192,7 @@
 		Attempt int
 		Server  ServerID
 		Code    Code
-		Final   bool          // the request needs no final answer from the balancer any more
+		Final   bool          // the request needs no final answer from the balancer
 		Elapsed time.Duration // from StartAttempt
 		Report  LoadReport    // no decision depends on it
 	}
@@ -201,7 +201,7 @@
 	// because the process stops. An established connection is not affected.
 	RequestExpired struct{ ID RequestID }
 
-	// ClientDisconnected reports that the client has abandoned a request, which needs no final answer any more.
+	// ClientDisconnected reports that the client has abandoned a request, which then needs no final answer.
 	ClientDisconnected struct{ ID RequestID }
 
 	// ProbeCompleted reports the result of one Probe.
--- a/decide/bootstrap.go
+++ b/decide/bootstrap.go
@@ -1,7 +1,7 @@
 package decide
 
-// Bootstrap: when no server answers any more, for example because the endpoint list is out of date, the balancer
-// fetches a new list. This depends on the outcomes of the attempts and probes at all servers.
+// Bootstrap: when no server answers, for example because the endpoint list is out of date, the balancer fetches a new
+// list. This depends on the outcomes of the attempts and probes at all servers.
 
 import (
 	"fmt"
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -10,15 +10,13 @@
 
 // Timing of the polls.
 const (
-	// basePollInterval is the least time between two polls, before pollIntervalPerBalancer is added. The settings may
-	// have a longer one.
+	// basePollInterval is the minimum poll interval before pollIntervalPerBalancer is added. The settings may raise it.
 	basePollInterval = 10 * time.Second
 	// pollIntervalPerBalancer is added for each balancer, as the discovery service does not grow with the fleet.
 	pollIntervalPerBalancer = 100 * time.Millisecond
 	// maxFirstPollDelay limits the random delay of the first poll.
 	maxFirstPollDelay = time.Second
-	// pollRetryDelay is the delay after the first failed call. It doubles with each consecutive failure and is
-	// jittered.
+	// pollRetryDelay is the jittered delay after the first failed call. It doubles with each consecutive failure.
 	pollRetryDelay = time.Second
 	// maxPollRetryDoublings limits how often pollRetryDelay is doubled.
 	maxPollRetryDoublings = 5
@@ -40,15 +38,13 @@
 }
 
 // pollInterval returns the time between two polls. It grows with the fleet, so that one discovery service can answer
-// the calls of all balancers. Safety.MaxPollInterval is not a limit of it, despite its name: the interval is at least
-// that long, and the time for the fleet is added.
+// all balancers. Despite its name, Safety.MaxPollInterval is a minimum, to which the time for the fleet is added.
 func (b *Balancer) pollInterval() time.Duration {
 	perFleet := time.Duration(b.fleet.Fleet) * pollIntervalPerBalancer
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + perFleet
 }
 
-// poll requests the list and schedules the next poll. If the settings allow it, the request is a watch, which returns
-// only the changes.
+// poll requests the list, as a watch (only the changes) if the settings allow it, and schedules the next poll.
 func (b *Balancer) poll() {
 	b.discovery.pollAt = b.now + b.pollInterval()
 	if b.settings.WatchList {
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -14,8 +14,7 @@
 	maxEjectionDoublings = 4
 	// rejectionEjectionTime is the ejection time of a server that rejected an attempt.
 	rejectionEjectionTime = time.Second
-	// maxEjectedFraction is the largest fraction of the ready servers that may be ejected at the same time because of
-	// failures.
+	// maxEjectedFraction limits the fraction of the ready servers that are ejected at the same time because of failures.
 	maxEjectedFraction = 0.5
 )
 
@@ -25,8 +24,7 @@
 	return s != nil && b.now < s.ejectedUntil
 }
 
-// recordOutcome updates a server's record by the outcome of an attempt or a probe, and ejects the server if it failed
-// or rejected it.
+// recordOutcome records the outcome of an attempt or a probe, and ejects the server after a failure or a rejection.
 func (b *Balancer) recordOutcome(s *server, code Code) {
 	switch code {
 	case OK:
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -28,7 +28,7 @@
 	maxMeanLoadSample = 1.5
 	// minMeanLoadReports is the number of load reports after which the mean load depends little on initialMeanLoad.
 	minMeanLoadReports = 2 * meanLoadSamples
-	// minCapacityLoad is the least mean load by which a rate of connections is divided to estimate the rate at full
+	// minCapacityLoad is the minimum mean load by which a rate of connections is divided to estimate the rate at full
 	// load. If the mean load is lower, the rate is divided by minCapacityLoad.
 	minCapacityLoad = 0.5
 )
@@ -160,9 +160,9 @@
 // updateCapacity estimates this balancer's share of the connections per second that a warm server accepts. It divides
 // the balancer's own rate of established connections, scaled up to all zones, by the number of servers and by their
 // mean load. All balancers are assumed to have the same rate. Servers that were removed recently are included, as the
-// clients of a removed server reconnect to the others; warming servers are not. While less than half of these servers
-// are ready, the estimate does not change. It changes slowly, as the rate of a burst of reconnecting clients does not
-// show how many connections a server can accept.
+// clients of a removed server reconnect to other servers; warming servers are not. While less than half of these
+// servers are ready, the estimate does not change. It changes slowly, as the rate of a burst of reconnecting clients
+// does not show how many connections a server can accept.
 func (b *Balancer) updateCapacity() {
 	warming := b.warmingCount()
 	warm, fleet := len(b.ready)-warming, len(b.servers)-warming
--- a/decide/index.go
+++ b/decide/index.go
@@ -59,7 +59,7 @@
 	connected      orderedServers // ready servers with connections of this balancer
 	zones          [2]zoneIndex   // ready servers of the own zone, and of all other zones
 	localZone      *zoneIndex     // the own zone; if it has no ready server, the other zones
-	remoteZone     *zoneIndex     // the other of the two
+	remoteZone     *zoneIndex     // the other entry of zones
 	local          []*server      // ready servers of localZone
 	remote         []*server      // ready servers of remoteZone
 	ejectedCount   int            // number of ready servers that are ejected
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -13,8 +13,7 @@
 const (
 	// migrationLoad is the reported load above which connections are migrated off a server.
 	migrationLoad = 0.95
-	// migrationTargetLoad is the load to which migrations reduce a server's load. If its messages are slow, it is also
-	// the load above which connections are migrated.
+	// migrationTargetLoad is the target load of migrations. It replaces migrationLoad while a server's messages are slow.
 	migrationTargetLoad = 0.75
 	// migrationSettlePeriod is the time after a migration until load reports show its effect.
 	migrationSettlePeriod = 2500 * time.Millisecond
@@ -37,9 +36,8 @@
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
 
-// migrateExcess migrates the fraction of a server's connections by which its load exceeds migrationTargetLoad. The
-// number is rounded up or down at random. If each connection were drawn independently, often none of a small number
-// would be migrated before the next report.
+// migrateExcess migrates the fraction of a server's connections by which its load exceeds migrationTargetLoad, rounded
+// up or down at random. Independent draws would often migrate none of a small number before the next report.
 func (b *Balancer) migrateExcess(s *server) {
 	s.migratedAt = b.now
 	count := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
@@ -49,10 +47,9 @@
 	}
 }
 
-// migrationOrder returns the connections of a server in the order in which they are migrated: first those of the
-// groups with the fewest connections there, and among these first those of the groups that prefer the server least.
-// The second order is the same at all balancers, so they migrate the same groups, and the server no longer has the
-// cost of these groups.
+// migrationOrder returns a server's connections in the order in which they are migrated: by the number of connections
+// of their group there, fewest first, then by the group's preference for the server, lowest first. The preference is
+// the same at all balancers, so they migrate the same groups, and the server no longer has these groups' cost.
 func (b *Balancer) migrationOrder(s *server) []*request {
 	connections := slices.Clone(s.connections)
 	b.rng.Shuffle(len(connections), func(i, j int) {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,10 +1,9 @@
 package decide
 
-// Placement: the choice of the server for a request's next attempt. It depends on the servers' load reports, the
-// reservations made since, ejections, slow-start quotas and the request's idempotency. The candidates are considered
-// in this order: the server of an open connection whose packets now arrive here, the preferred servers of the
-// request's group, the least loaded server of the own zone that shows capacity, warming servers, servers of other
-// zones, and finally any server in the shuffled order.
+// Placement: the choice of the server for a request's next attempt, by load reports, the reservations made since,
+// ejections, slow-start quotas and the request's idempotency. The candidates, in this order: the server of an open
+// connection whose packets now arrive here, the preferred servers of the request's group, the least loaded server of
+// the own zone that shows capacity, warming servers, servers of other zones, any server in the shuffled order.
 
 import (
 	"cmp"
@@ -25,14 +24,13 @@
 )
 
 const (
-	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into a
-	// difference of loads. A server in another zone must have a load that is lower by the cost, plus a quarter of it
-	// for the error of the two load reports that are compared.
+	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into a load
+	// difference: a server there needs a load lower by the cost, plus a quarter for the errors of both load reports.
 	crossZoneCostFactor = 1.25
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
-	// minAttemptSetups is the least time-out of an attempt, as a multiple of the average set-up time. It also
-	// multiplies the duration of an attempt that timed out, to get the least set-up time that it suggests.
+	// minAttemptSetups is the minimum time-out of an attempt, as a multiple of the average set-up time. It also
+	// multiplies the duration of an attempt that timed out, to get the minimum set-up time that the time-out suggests.
 	minAttemptSetups = 2
 )
 
@@ -43,9 +41,8 @@
 	crossZoneGap float64 // a server of another zone must have a load lower by this than the best of the own zone
 }
 
-// updateThresholds computes the thresholds. Load reports show the placements of the other balancers of the zone up to
-// half a second late, so the margin grows with the fraction of placements that others make. The balancer's own
-// placements are reserved at once.
+// updateThresholds computes the thresholds. Load reports show placements by the zone's other balancers up to half a
+// second late, so the margin grows with their fraction of the placements. The balancer's own are reserved at once.
 func (b *Balancer) updateThresholds() {
 	margin := unreportedLoadMargin * (1 - 1/b.zoneBalancers())
 	b.thresholds = loadThresholds{
@@ -55,16 +52,14 @@
 	}
 }
 
-// spillingOver reports whether the own zone lacks capacity or lacked it recently, so that the loads in other zones
-// must be known too.
+// spillingOver reports whether the own zone lacks or recently lacked capacity, so that other zones' loads are needed.
 func (b *Balancer) spillingOver() bool {
 	spilled := b.zoneLoad.lastSpillAt > 0 && b.now-b.zoneLoad.lastSpillAt < spillOverPeriod
 	return spilled || b.zoneLoad.mean > b.thresholds.capacity
 }
 
-// place starts the next attempt of a request, puts the request into the waiting list, or gives it its final answer.
-// waitingBefore is the number of waiting requests before it, by which it decides whether the request can be placed
-// before its deadline.
+// place starts the next attempt of a request, appends the request to the waiting list, or gives the final answer.
+// waitingBefore is the number of requests that wait before it, by which place decides whether its deadline can be met.
 func (b *Balancer) place(r *request, waitingBefore int) {
 	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
 		b.finish(r)
@@ -101,9 +96,9 @@
 	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
-// attemptTimeout returns the time-out of a request's next attempt. It leaves time for the remaining attempts, unless
-// set-ups take long at all servers, as with a slow session store: another server would be no quicker then, and the
-// store would have to do the work twice.
+// attemptTimeout returns the time-out of a request's next attempt. It leaves time for further attempts, unless set-ups
+// take long at all servers, as with a slow session store: another server would be no quicker then, and the store would
+// do the work twice.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	left := r.deadline - b.now
 	perAttempt := left / time.Duration(b.settings.MaxAttempts-r.attempts)
@@ -171,15 +166,13 @@
 	return s, s != nil
 }
 
-// pickReported chooses a server by recent load reports. It reports whether the choice is final. A final choice of nil
-// means that the request waits for capacity.
+// pickReported chooses a server by recent load reports. Its results have the same meaning as pickPreferred's.
 func (p *placement) pickReported() (s *server, decided bool) {
 	p.localBest = leastLoaded(p.answers.ownZone, p.belowSaturation)
 	if p.localBest != nil && p.localBest.load < p.thresholds.capacity {
 		return p.localBest, true
 	}
-	// When capacity is short, a warming server is used within its quota even without a load report, as it has just
-	// started.
+	// When capacity is short, a warming server is used within its quota even without a report, as it has just started.
 	if s := p.nextInOrder(p.local, p.localZone.warming, p.eligibleWarming); s != nil {
 		return s, true
 	}
@@ -231,10 +224,8 @@
 	return p.hasCapacity(s) && (p.localBest == nil || s.load < p.localBest.load-p.thresholds.crossZoneGap)
 }
 
-// eligibleUnreported reports whether a server is eligible and has no recent report.
 func (p *placement) eligibleUnreported(s *server) bool { return p.eligible(s) && !p.hasRecentReport(s) }
 
-// eligibleWarming reports whether a server is warming up and eligible.
 func (p *placement) eligibleWarming(s *server) bool { return p.warming(s) && p.eligible(s) }
 
 // saturatedOrWarming reports whether a server is short of capacity. A warming server has only a part of its capacity.
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -1,9 +1,8 @@
 package decide
 
-// Probing: which servers are probed for a load report, and when. It depends on the age of the load reports, the rate
-// of requests, the cost of a probe, and clients' reports of slow messages. Steady probes visit the servers in turn and
-// keep their reports recent. On-demand probes go to the servers that an arriving request may be placed on, and to
-// servers that are short of capacity.
+// Probing: which servers are probed for a load report, and when, by the reports' age, the rate of requests, the cost
+// of a probe, and clients' reports of slow messages. Steady probes visit the servers in turn to keep their reports
+// recent. On-demand probes go to servers that a request may be placed on or that are short of capacity.
 
 import (
 	"cmp"
@@ -15,10 +14,9 @@
 // Limits of the on-demand probes that are made for requests.
 const (
 	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. It is
-	// also the least time between two probes of a server without a report.
+	// also the minimum time between two probes of a server without a report.
 	maxOnDemandProbeInterval = 2 * time.Second
-	// minOnDemandProbeInterval is the same age in a large fleet. A probe before this age would return a report that is
-	// hardly newer.
+	// minOnDemandProbeInterval is that age in a large fleet. A probe at a lower age would return a hardly newer report.
 	minOnDemandProbeInterval = 250 * time.Millisecond
 	// onDemandProbeIntervalOfFleet, divided by the number of balancers, is this age in a fleet of medium size: the
 	// more balancers place requests on a server, the sooner its report is out of date.
@@ -34,7 +32,7 @@
 const (
 	// probeCostFraction is the fraction of the value of the placed requests that may be spent on probes.
 	probeCostFraction = 0.01
-	// minProbeRate is the least number of steady probes per second.
+	// minProbeRate is the minimum number of steady probes per second.
 	minProbeRate = 0.5
 	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a larger
 	// fleet its rate is lower, so that all of these balancers together probe no more than fullRateProbers of them.
@@ -65,16 +63,14 @@
 	overloadCredit float64 // probes of servers short of capacity that may be made now
 }
 
-// onDemandProbeInterval returns the age above which a load report is renewed for a request. It is shorter in a larger
-// fleet, as more balancers place requests by the same report.
+// onDemandProbeInterval returns the age above which a request renews a load report. It is shorter in a larger fleet.
 func (b *Balancer) onDemandProbeInterval() time.Duration {
 	perBalancer := onDemandProbeIntervalOfFleet / time.Duration(b.fleet.Fleet)
 	return max(minOnDemandProbeInterval, min(maxOnDemandProbeInterval, perBalancer))
 }
 
 // probeForRequest probes servers for an arriving request if their reports are too old: its group's preferred servers,
-// or a few in the shuffled order if the request has no group and no report shows capacity. The request waits up to
-// onDemandProbeTimeout for the answers.
+// or a few in the shuffled order if it has no group and no report shows capacity. The request waits for the answers.
 func (b *Balancer) probeForRequest(r *request) {
 	capacityKnown := b.hasGroup(r) || b.anyReportedCapacity(r)
 	local, remote := b.preferredServers(r)
@@ -156,9 +152,8 @@
 	b.zoneLoad.add(s.load)
 }
 
-// messageDelayReported handles the message latency that a client reports. Messages that take over half of the message
-// latency objective show that the server is overloaded: it counts as slow, and is probed if its load report is too old.
-// A report of quicker messages ends this at once.
+// messageDelayReported handles a client's message latency. More than half of the objective shows overload: the server
+// counts as slow, and is probed if its load report is too old. A report of quicker messages ends this at once.
 func (b *Balancer) messageDelayReported(event MessageDelayReported) {
 	s, r := b.serverRecord(event.Server), b.requests.byID[event.ID]
 	if r == nil {
@@ -205,10 +200,9 @@
 	}
 }
 
-// probeRate returns the number of probes per second that are allowed by the rate of requests and the cost of a probe.
-// The rate of requests is that of established connections, or the open requests per defaultLifetime if that is
-// higher. Balancers without connections need few reports, so in a large fleet their least rate is lower: all of them
-// together probe as often as fullRateProbers balancers.
+// probeRate returns the probes per second that the rate of requests and the cost of a probe allow. The rate of
+// requests is that of established connections, or the open requests per defaultLifetime if that is higher. Balancers
+// without connections need few reports, so their minimum rate is lower in a large fleet (see fullRateProbers).
 func (b *Balancer) probeRate() float64 {
 	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
@@ -218,7 +212,6 @@
 	return max(least, requestRate*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
 }
 
-// probeTargets returns the lists of servers that the probes of a tick are chosen from.
 func (b *Balancer) probeTargets() probeTargets {
 	targets := probeTargets{
 		local:     b.local,
@@ -240,8 +233,7 @@
 	return targets
 }
 
-// probeNeverProbed probes the first server of the list that has no load report and no recent on-demand probe. It uses
-// no credit.
+// probeNeverProbed probes the first server that has no load report and no recent on-demand probe. It uses no credit.
 func (b *Balancer) probeNeverProbed(list []*server) {
 	s := firstMatching(list, func(s *server) bool {
 		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
--- a/decide/ranking.go
+++ b/decide/ranking.go
@@ -106,8 +106,8 @@
 	return len(z.rankingKeys)
 }
 
-// insert adds a server to the ranking. If the ranking is full, the server replaces the last one, provided that it
-// comes before that one. It returns the server's position, or rankingLength if the server was not added.
+// insert adds a server to the ranking. If the ranking is full, a server that ranks before the last server replaces it.
+// It returns the server's position, or rankingLength if the server was not added.
 func (g *groupRanking) insert(group uint64, s *server) int {
 	distance := rendezvousDistance(group, s)
 	before := func(i int) bool {
--- a/decide/reconnect.go
+++ b/decide/reconnect.go
@@ -17,7 +17,7 @@
 	maxReconnectDelay = 4500 * time.Millisecond
 	// dialInterval is the time between the starts of two dials. It is jittered by up to half of it in each direction.
 	dialInterval = time.Second
-	// minDialTimeout is the least time-out of a dial.
+	// minDialTimeout is the minimum time-out of a dial.
 	minDialTimeout = dialInterval / 4
 	// callSpreadPerBalancer is the time per balancer over which the calls of the fleet are spread.
 	callSpreadPerBalancer = pollIntervalPerBalancer
@@ -26,20 +26,18 @@
 // reconnectSeedStream is the second word of the seed of the schedule's random generator.
 const reconnectSeedStream = 0xbb67ae8584caa73b
 
-// ReconnectSchedule computes when a balancer dials discovery and when it sends a call after an earlier call failed. A
-// dial without a call checks whether discovery can be reached, without causing work there. After a successful dial,
-// the balancer sends one call; the calls of the fleet are spread over time. The delays don't grow with each failure, as
-// the balancer would then miss changes of which it counts as notified. Hosts that can't dial without calling use the
-// backoff of the polls instead.
+// ReconnectSchedule computes when a balancer dials discovery and when it sends a call, after a failed call. A dial
+// checks whether discovery can be reached, without causing work there. After a successful dial, the balancer sends one
+// call; the fleet's calls are spread over time. The delays don't grow with each failure, as the balancer would then
+// miss changes of which it counts as notified. Hosts that can't dial without calling use the polls' backoff.
 type ReconnectSchedule struct {
 	rng          *rand.Rand
 	dialInterval time.Duration
 	callSpread   time.Duration // 0: dials and calls are not spread
 }
 
-// NewReconnectSchedule returns the schedule for a fleet with this number of balancers. If fixedInterval is above 0, it
-// is the interval of the dials, and neither dials nor calls are spread. It is for hosts that must receive changes as
-// soon as discovery can be reached again.
+// NewReconnectSchedule returns the schedule for a fleet with this number of balancers. A fixedInterval above 0 sets
+// the time between dials, without any spread, for hosts that need changes as soon as discovery can be reached again.
 func NewReconnectSchedule(seed uint64, balancers int, fixedInterval time.Duration) ReconnectSchedule {
 	schedule := ReconnectSchedule{
 		rng:          rand.New(rand.NewPCG(seed, reconnectSeedStream)),
@@ -67,14 +65,12 @@
 	return max(now, began+r.dialInterval/2+r.jitter(r.dialInterval))
 }
 
-// CallAt returns when to send the call after a dial that has reached discovery at the time now. The latest failed
-// attempt began at the time began.
+// CallAt returns when to call after a successful dial at the time now. The latest failed attempt started at began.
 func (r *ReconnectSchedule) CallAt(began, now time.Duration) time.Duration {
 	return now + r.jitter(min(r.callSpread, began+maxReconnectDelay-now))
 }
 
-// DialTimeout returns the time-out of a dial. It is short because TCP retransmits the first packet of a connection late
-// if it is lost. A new dial reaches discovery sooner.
+// DialTimeout returns a dial's time-out. It is short: redialing is quicker than TCP's retransmission of a lost SYN.
 func (r *ReconnectSchedule) DialTimeout() time.Duration { return max(r.dialInterval, minDialTimeout) }
 
 // jitter returns a random duration below limit, or 0 if limit is not above 0.
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// pendingReservations deletes the reservations that are older than maxReportLag and returns the sum of the others,
+// pendingReservations deletes the reservations that are older than maxReportLag and returns the sum of the rest,
 // which a report received now may not include yet. Each reservation expires by its own age. If a new placement
 // prolonged the older reservations, a server that regularly gets a new client would look saturated all the time.
 func (s *server) pendingReservations(now time.Duration) (sum float64) {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,8 +1,7 @@
 package decide
 
-// Retries: whether a request may be sent again, and how many attempts the balancer may have in progress. The first
-// depends on the request's idempotency and on whether an earlier attempt may have been executed, the second on the
-// outcomes and durations of all attempts.
+// Retries: whether a request may be sent again, by its idempotency and whether an earlier attempt may have been
+// executed, and how many attempts the balancer may have in progress, by the outcomes and durations of all attempts.
 
 import (
 	"slices"
@@ -10,8 +9,7 @@
 )
 
 const (
-	// freeFailures is the number by which recent failed attempts may exceed the established ones before new attempts
-	// are held back.
+	// freeFailures is how many more attempts may have failed than succeeded recently before new attempts are held back.
 	freeFailures = 4.0
 	// maxDialWindow is the largest number of attempts that may be dialing at the same time.
 	maxDialWindow = 64.0
@@ -102,8 +100,7 @@
 	b.retryOrFinish(r, event)
 }
 
-// retryOrFinish handles the end of an attempt whose request still needs a final answer: it places the request again if
-// another attempt is safe, and otherwise gives the final answer.
+// retryOrFinish places a request again after an attempt if another one is safe, and otherwise gives the final answer.
 func (b *Balancer) retryOrFinish(r *request, event AttemptEnded) {
 	if !event.Code.NeverExecuted() && r.executedOn == nil {
 		r.executedOn = r.server
--- a/decide/server.go
+++ b/decide/server.go
@@ -11,7 +11,7 @@
 	// maxReportedLoad is the largest load that is accepted. With a larger one, the balancer would migrate nearly all
 	// connections off the server, or estimate the load of one connection so high that no server has capacity for it.
 	maxReportedLoad = 100
-	// minReportedConnections is the least number of connections in a report from which the load of one connection is
+	// minReportedConnections is the minimum number of connections in a report from which the load of one connection is
 	// computed.
 	minReportedConnections = 4
 	// maxReportedConnections is the largest number of connections in such a report. No process has more file
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// leastLoaded returns the matching server with the least load, or nil. It calls matches only for servers whose load is
+// leastLoaded returns the matching server with the lowest load, or nil. It calls matches only for servers whose load is
 // less than the best one's so far.
 func leastLoaded(list []*server, matches func(*server) bool) (best *server) {
 	lowest := math.Inf(1)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -67,7 +67,7 @@
 	} {
 		if check.invalid {
 			return invalidSetting(check.field,
-				"is out of range, must not be below 0 (Safety.SlowStartInitialCapacity: from 0 to 1)")
+				"is out of range, must not be below 0, and an initial capacity must not be above 1")
 		}
 	}
 	return nil
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,10 +1,9 @@
 package decide
 
 // Slow start: how many requests this balancer may send to a server that warms up after its start. The server's budget
-// is OverloadFactor times the number of connections that it accepts within an overload window at its present
-// capacity. This balancer's quota of it depends on the server's age and on three estimates: how many connections a
-// warm server accepts, how many of this balancer's requests have the server as a candidate, and how many balancers
-// share the zone.
+// is OverloadFactor times the number of connections that it accepts within an overload window at its present capacity.
+// This balancer's quota of the budget depends on the server's age and on three estimates: the connections that a warm
+// server accepts, this balancer's requests with the server as a candidate, and the balancers of the zone.
 
 import (
 	"math"
@@ -15,19 +14,18 @@
 	// slowStartSafetyFactor is the fraction of a warming server's budget that the quotas add up to if every balancer
 	// has requests for the server.
 	slowStartSafetyFactor = 0.5
-	// minSlowStartUse is the least fraction by which a quota is divided. A balancer that seldom has a request for the
-	// server leaves its quota unused in many windows, so its quota is divided by the fraction of windows in which it
-	// has one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse times the balancer's equal share.
+	// minSlowStartUse is the minimum fraction by which a quota is divided. A balancer that seldom has a request for the
+	// server leaves its quota unused in many windows, so its quota is divided by the fraction of windows in which it has
+	// one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse times the balancer's equal share.
 	minSlowStartUse = 0.4
-	// minSlowStartConnections is the least number of connections that a warming server is assumed to accept within a
+	// minSlowStartConnections is the minimum number of connections that a warming server is assumed to accept within a
 	// window, from all balancers together. It lets the balancers use the server before they have any estimate.
 	minSlowStartConnections = 0.2
 	// priorDemand is the weight, in requests, of the zone's mean demand in the demand estimate of one warming server.
 	// In a fleet of many balancers, each sees few requests. With a smaller weight, one request that has just arrived
 	// raises the estimate so much that the quotas shrink and the warming servers stay idle.
 	priorDemand = 5
-	// resetDemandWeight is the number of times that a broken connection is counted in the demand: once when it breaks
-	// and once when its client reconnects.
+	// resetDemandWeight is how often a broken connection counts as demand: when it breaks and when its client returns.
 	resetDemandWeight = 2
 )
 
@@ -35,9 +33,8 @@
 	return s.Started > 0 && b.now-s.Started < b.settings.Safety.SlowStartDuration
 }
 
-// withinSlowStartQuota reports whether this balancer's quota of a warming server allows a request. A warm server has
-// no quota and allows every request. The budget of a warming server is divided among the admitted balancers of its
-// zone, so balancers of other zones have no quota.
+// withinSlowStartQuota reports whether this balancer's quota for a server allows a request. A warm server allows every
+// request. A warming server's budget is divided among its zone's admitted balancers; other balancers have no quota.
 func (b *Balancer) withinSlowStartQuota(r *request, s *server) bool {
 	if !b.warming(s) {
 		return true
@@ -61,8 +58,7 @@
 	s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(mean+b.rng.Float64()), b.now+window
 }
 
-// slowStartQuota returns the mean number of placements that this balancer may make at a warming server within a
-// window.
+// slowStartQuota returns the mean number of placements that this balancer may make at a warming server in a window.
 func (b *Balancer) slowStartQuota(r *request, s *server, window time.Duration) float64 {
 	safety := b.settings.Safety
 	age := float64(b.now-s.Started) / float64(safety.SlowStartDuration)
@@ -74,10 +70,9 @@
 	quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 	if load := b.meanLoadPerConnection(); load > 0 {
 		// tolerated is the budget, computed from the load and lifetime of connections. If all balancers have the same
-		// demand, use*balancers of them have a request for the server within the window, and slowStartSafetyFactor of
-		// the budget is divided among these. The result raises the quota, but to no more than 1. With the quota above
-		// alone, some balancers would draw a quota and then have no request for the server, while others have
-		// requests and drew none.
+		// demand, use*balancers of them have a request for the server within the window, and slowStartSafetyFactor of the
+		// budget is divided among these. The result raises the quota to at most 1. With the quota above alone, some
+		// balancers would draw a quota but have no request for the server, while others would have requests but no quota.
 		tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (load * b.lifetime.meanSeconds())
 		quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 	}
@@ -112,8 +107,7 @@
 	return b.demand.recent / demandDecayTime.Seconds() * window.Seconds() / float64(max(servers, 1))
 }
 
-// recordGroupDemand counts a request with a group in the demand for a warming server, unless it was last counted for
-// the same server.
+// recordGroupDemand counts a request with a group in a warming server's demand, unless it was last counted there.
 func (b *Balancer) recordGroupDemand(r *request, s *server) {
 	if b.hasGroup(r) && r.demandCountedFor != s {
 		r.demandCountedFor = s
@@ -125,8 +119,7 @@
 // window. The estimate is at least the mean of the zone's servers. That mean is the prior, with the weight
 // priorDemand, and is corrected by the number of requests that recently had s as a candidate. When a server's
 // connections break, their groups reconnect to the same next preferred servers, so the mean says little about these
-// servers. The larger the fraction of broken connections in the demand, the more weight the number of requests for s
-// has.
+// servers. The larger the fraction of broken connections in the demand, the more weight the requests for s have.
 func (b *Balancer) expectedDemandFor(r *request, s *server, window time.Duration) float64 {
 	mean := b.expectedDemand(r, window)
 	if !b.hasGroup(r) || mean == 0 {
