--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -40,7 +40,7 @@
 	retainedBytes int
 
 	// newestFollower is the newest version that a follower reported while it was ahead of this replica. It is zero
-	// if no follower was.
+	// if none was ahead.
 	newestFollower Version
 
 	// nameByAddress maps the addresses of state's entries to their names. It is nil until changes are validated, and
@@ -117,7 +117,7 @@
 	return true
 }
 
-// ChangesSince returns the next changes for a follower at the given version, as many as fit into one message.
+// ChangesSince returns the next changes for a follower at the given version, limited to one message.
 // If those changes are not retained, it returns no changes and needsSnapshot is true. For a follower that is up
 // to date or ahead, it returns no changes and needsSnapshot is false.
 func (r *Replica) ChangesSince(version Version) (changes []Change, needsSnapshot bool) {
--- a/internal/controlplane/replica/server_selector.go
+++ b/internal/controlplane/replica/server_selector.go
@@ -33,8 +33,8 @@
 	// version than its follower, before the follower leaves it.
 	maxServerStaleness = 3 * time.Second
 
-	// isolatedServerTimeout is how long a follower stays connected to a server without contact to the leader if it
-	// has tried all servers and this is at least its second attempt at this one.
+	// isolatedServerTimeout is how long a follower stays connected to a server without contact to the leader if the
+	// follower has tried all servers and this is at least its second attempt at this server.
 	isolatedServerTimeout = 2 * time.Second
 
 	// maxInitialBackoff limits the backoff before an attempt while not all servers have been tried.
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Serve accepts followers until ctx ends. It then closes the listener and all connections, and returns when no
-// connection is being served any more.
+// Serve accepts followers until ctx ends. It then closes the listener and all connections, and returns when the
+// last connection has ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var connections sync.WaitGroup
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -253,7 +253,7 @@
 		return true
 	}
 	if _, inUse := e.calls.clientIDs[r.ID]; inUse {
-		// Servers identify requests by their IDs, so this request must not reach a server while the other one has the
+		// Servers identify requests by their IDs, so this request must not reach a server while another one has the
 		// same ID. Its ID is cleared, so that ClientClosed does not release the ID of the other request.
 		c.request.ID = ""
 		c.fail()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -117,7 +117,8 @@
 	ID string
 	// Class is an index into decide.Settings.Classes.
 	Class int
-	// Key is the idempotency key.
+	// Key identifies the client, so that the decision module recognizes a client that returns. It is the key of the
+	// request line, or the IP address of a QUIC client; empty if unknown.
 	Key string
 	// Group names the group of connections that share work on one server; empty if the request has none.
 	Group string
--- a/internal/core/departed.go
+++ b/internal/core/departed.go
@@ -18,7 +18,7 @@
 }
 
 // rememberDeparted keeps the address of a removed server for departedRetention. It does nothing if sessions cannot be
-// resumed, as nobody asks for the address then, or if maxDeparted servers are kept already.
+// resumed, as the address is not needed then, or if maxDeparted servers are kept already.
 func (e *Engine) rememberDeparted(s Upstream) {
 	departed := e.upstreams.departed
 	if e.cfg.StateTimeout == 0 || len(departed) >= maxDeparted {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -72,7 +72,7 @@
 // eventQueue holds the events that wait for the decision module.
 type eventQueue struct {
 	pending []decide.Event
-	// dispatching says that handle is running; events that are raised meanwhile are only queued.
+	// dispatching says that handle is running; events that are raised during it are only queued.
 	dispatching bool
 }
 
