--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -17,7 +17,7 @@
 // Limits are the time limits of the invariants.
 type Limits struct {
 	// DrainGrace is how long new attempts of a balancer may arrive at a room server after discovery has sent the
-	// balancer the room server's drain.
+	// balancer an entry by which the room server is draining or removed.
 	DrainGrace time.Duration
 	// Slack is the tolerance that is added to each time limit.
 	Slack time.Duration
@@ -30,17 +30,18 @@
 	// Collapses counts the room servers that crashed because they were overloaded while they warmed up. Violations has
 	// a text for each of them.
 	Collapses int
-	// DoubleAttachments counts the attachments of a session that was attached already, or at the same epoch as the
-	// highest one before.
+	// DoubleAttachments counts the attachments of a session that was attached already, and those at an epoch that equals
+	// the highest epoch of the session's earlier attachments.
 	DoubleAttachments int
-	// EpochRegressions counts the attachments at a lower epoch than an earlier attachment of the session.
+	// EpochRegressions counts the attachments at an epoch lower than the highest epoch of the session's earlier ones.
 	EpochRegressions int
-	// UnansweredRequests counts the requests that got no answer by their deadline, or whose connection was lost before
-	// an answer.
+	// UnansweredRequests counts the requests without any answer: the client left after the deadline and the slack, both
+	// had passed at the time of the report, or the connection was lost. A late answer is a violation that is not
+	// counted here.
 	UnansweredRequests int
-	// LostSessions counts the sessions that lost acknowledged moves or were stranded.
+	// LostSessions counts the sessions that lost acknowledged moves or were stranded, see SessionStranded.
 	LostSessions int
-	// StartedOver counts how often a client started over.
+	// StartedOver counts how often a client gave up its session and began a new one.
 	StartedOver int
 	// Resumed counts how often a client resumed its session.
 	Resumed int
@@ -50,7 +51,8 @@
 type Checker struct {
 	limits   Limits
 	requests map[string]*request
-	// drains holds the time at which discovery first sent a balancer the drain of a room server.
+	// drains holds the time at which discovery first sent a balancer an entry by which a room server is draining or
+	// removed. The time is deleted when the room server is ready again or a new process of the balancer starts.
 	drains   map[observation]time.Duration
 	sessions map[string]*session
 	// killed holds the balancers that were killed and have not been started again.
@@ -75,8 +77,8 @@
 	// attempts holds the number of active attempts by room server.
 	attempts map[string]int
 	// concurrentSince holds, by the room server of an active attempt, the time at which the first later attempt of the
-	// request started. An entry is kept until the room server's own attempts have ended, also if the later attempt ends
-	// before.
+	// request started. An entry is kept until the request's attempts at that room server have ended, also if the later
+	// attempt ends before.
 	concurrentSince map[string]time.Duration
 }
 
@@ -122,8 +124,8 @@
 	}
 }
 
-// Report returns what was found up to the given time. Unanswered requests whose deadline has passed by then are
-// violations in this report alone. Events may be added afterwards, but Report has a side effect: it evaluates
+// Report returns what was found up to the given time. Unanswered requests whose deadline and slack have passed by then
+// are violations in this report only. Events may be added afterwards, but Report has a side effect: it evaluates
 // concurrent attempts and forgets since when they are concurrent, so that they are not evaluated again when they end.
 func (c *Checker) Report(now time.Duration) Report {
 	for id, r := range c.requests {
@@ -184,7 +186,7 @@
 	}
 	r.answered = true
 	if c.overdue(r, e.At) {
-		c.violated("%v: request %s was answered %v after its client had given up", e.At, e.Request, e.At-r.deadline)
+		c.violated("%v: request %s was answered %v after its deadline", e.At, e.Request, e.At-r.deadline)
 	}
 }
 
@@ -203,7 +205,7 @@
 	if !r.awaitsAnswer() {
 		return
 	}
-	c.violated("%v: the connection of request %s was cut off without an answer from %s", e.At, e.Request, r.balancer)
+	c.violated("%v: the connection of request %s ended without an answer from %s", e.At, e.Request, r.balancer)
 	c.report.UnansweredRequests++
 	r.excused = true
 }
@@ -217,7 +219,8 @@
 	}
 }
 
-// balancerStarted deletes what the balancer's previous process has observed, which its new process does not know.
+// balancerStarted deletes the drains that discovery has sent to the balancer's previous process, since its new
+// process has not received them.
 func (c *Checker) balancerStarted(balancer string) {
 	delete(c.killed, balancer)
 	maps.DeleteFunc(c.drains, func(o observation, _ time.Duration) bool { return o.balancer == balancer })
@@ -242,7 +245,7 @@
 	r.attempts[e.Server]++
 	drain, ok := c.drains[observation{r.balancer, e.Server}]
 	if ok && e.At > drain+c.limits.DrainGrace+c.limits.Slack {
-		c.violated("%v: request %s was sent to %s %v after %s had observed its drain",
+		c.violated("%v: request %s was sent to %s %v after %s had observed the server's drain",
 			e.At, e.Request, e.Server, e.At-drain, r.balancer)
 	}
 }
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -119,10 +119,10 @@
 			events:    []Event{sent(deadline), answered(0), answered(0)},
 			violation: "second final",
 		},
-		"answered late":    {events: []Event{sent(deadline), answered(151 * ms)}, violation: "given up"},
+		"answered late":    {events: []Event{sent(deadline), answered(151 * ms)}, violation: "was answered 51ms after"},
 		"answered in time": {events: []Event{sent(deadline), answered(149 * ms)}},
 		"never answered":   {events: []Event{sent(deadline)}, violation: "never answered"},
-		"connection lost":  {events: []Event{sent(deadline), lost()}, violation: "cut off"},
+		"connection lost":  {events: []Event{sent(deadline), lost()}, violation: "ended without an answer"},
 		"client left":      {events: []Event{sent(deadline), left(0), lost()}},
 		"client left late": {events: []Event{sent(deadline), left(151 * ms)}, violation: "no answer"},
 		"balancer killed":  {events: []Event{sent(deadline), balancerEvent(BalancerKilled, "n1"), lost()}},
@@ -131,7 +131,7 @@
 			events: []Event{
 				balancerEvent(BalancerKilled, "n1"), balancerEvent(BalancerStarted, "n1"), sent(deadline), lost(),
 			},
-			violation: "cut off",
+			violation: "ended without an answer",
 		},
 	})
 }
@@ -147,7 +147,7 @@
 			events: []Event{
 				observed(DrainObserved, "n1"), sent(longDeadline), started(afterGrace, "a"), left(afterGrace),
 			},
-			violation: "observed its drain",
+			violation: "observed the server's drain",
 		},
 		"another balancer observed the drain": {
 			events: []Event{
--- a/internal/testbench/invariants/session.go
+++ b/internal/testbench/invariants/session.go
@@ -1,6 +1,7 @@
 package invariants
 
-// session is the state of one session, as the events of either its client or its room servers give it.
+// session is the state that belongs to one value of Event.Session. Clients and room servers use different values for
+// the same session: the events of room servers set server and epoch, those of a client set acknowledged and lost.
 type session struct {
 	// server is the room server at which the session is attached; empty if it is detached.
 	server string
