--- a/internal/codecheck/codecheck_test.go
+++ b/internal/codecheck/codecheck_test.go
@@ -7,6 +7,7 @@
 	"testing/fstest"
 )
 
+// The width is counted in characters, not in bytes, and a line of MaxLineWidth characters is not reported.
 func TestWideLinesFindsAPlantedFault(t *testing.T) {
 	source := strings.Repeat("x", MaxLineWidth) + "\n" + strings.Repeat("é", MaxLineWidth+1) + "\n"
 	findings := WideLines("a.go", source)
@@ -15,6 +16,7 @@
 	}
 }
 
+// Types, methods and constants without a comment are reported, but not String methods, unexported names and test files.
 func TestUndocumentedFindsPlantedFaults(t *testing.T) {
 	const source = `package a
 
@@ -50,6 +52,8 @@
 	}
 }
 
+// Each kind of reference is reported if its target does not exist, and not reported if it does or if it names something
+// outside the repository.
 func TestDeadReferencesFindsPlantedFaults(t *testing.T) {
 	tree := fstest.MapFS{
 		"docs/page.md":            {},
@@ -93,6 +97,7 @@
 	}
 }
 
+// A pattern that matches no page is an error. Otherwise the check would pass without having read a page.
 func TestCheckPagesWantsPages(t *testing.T) {
 	if _, err := CheckPages(fstest.MapFS{"a.txt": {}}, "docs/*.md"); !errors.Is(err, ErrNoPages) {
 		t.Errorf("error %v, want ErrNoPages", err)
--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -74,7 +74,8 @@
 }
 
 // addSource records the identifiers that a Go source declares: at package level, as fields, methods, parameters and
-// results, and as local variables. An external test package counts as the package that it tests.
+// results, and as local variables and constants, except the variables of range clauses. An external test package
+// counts as the package that it tests.
 func (r *Repository) addSource(name string, source []byte) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), name, source, parser.SkipObjectResolution)
 	if err != nil {
@@ -114,7 +115,8 @@
 	return nil
 }
 
-// topFolders matches the top-level folders of the repository whose paths are checked in pages.
+// topFolders matches the top-level folders whose contents pages may name: paths that begin with one of them are
+// checked.
 const topFolders = `(?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)`
 
 var (
@@ -205,9 +207,11 @@
 	return found && r.files[path.Join(path.Dir(name), folder)] && r.declares(folder+"."+member)
 }
 
-// declares reports whether the repository declares a name, if the name looks like one of its identifiers: it has a
-// capital after a small letter, or it is qualified by one of the repository's packages. For any other name declares
-// returns true, since pages also contain words of protocols, keys of files, commands and names of other packages.
+// declares reports whether the repository declares a name, as far as the name looks like an identifier. A name
+// without a dot looks so if it has a capital after a small letter. After the name of one of the repository's
+// packages, each element is checked that begins with a capital or has one after a small letter. Of any other name
+// with dots, only the first element is checked, as a name without a dot is. For all other names declares returns
+// true, since pages also contain words of protocols, keys of files, commands and names of other packages.
 func (r *Repository) declares(name string) bool {
 	if !identifier.MatchString(name) {
 		return true
--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -132,7 +132,8 @@
 }
 
 // serve answers a call of a balancer: a poll with a snapshot, a watch with all changes after its version until it
-// ends. A watch from version 0 starts with a snapshot, since its balancer has no list.
+// ends. A watch from version 0 starts with a snapshot, since its balancer has no list, and so does a watch without a
+// valid version or from a version newer than the current one.
 func (d *Discovery) serve(balancer string, w http.ResponseWriter, req *http.Request) {
 	d.calls.Add(1)
 	query := parseListQuery(req)
--- a/internal/testbench/emulator/endpoint_table.go
+++ b/internal/testbench/emulator/endpoint_table.go
@@ -30,7 +30,7 @@
 	lines [][]byte
 	// snapshots caches encoded snapshots by version.
 	snapshots map[int64][]byte
-	// cached holds the versions of snapshots, the one that was cached first at the start.
+	// cached holds the keys of snapshots in the order in which they were cached, the oldest first.
 	cached []int64
 }
 
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -32,7 +32,8 @@
 
 const (
 	// faultyListenAddress stands for a free port of an IP address that is not the source address of clients'
-	// connections. Otherwise one of these could occupy the port while the listener is closed.
+	// connections. Otherwise the kernel could choose the port as the source port of a client's connection while the
+	// listener is closed.
 	faultyListenAddress = "127.77.0.1:0"
 	// defaultBacklog is the listener's backlog after a NetworkCut.
 	defaultBacklog = 1024
--- a/internal/testbench/emulator/list_server.go
+++ b/internal/testbench/emulator/list_server.go
@@ -130,7 +130,8 @@
 }
 
 // serve answers a call: a poll with a snapshot, a watch with all changes after its version until it ends. A watch
-// whose version is unknown starts with a snapshot, and one that has the current version starts with an empty delta.
+// without a valid version starts with a snapshot, and so does one from version 0 or from a version newer than the
+// server's. A watch from the current version starts with an empty delta.
 func (s *ListServer) serve(observe func([]Entry), w http.ResponseWriter, req *http.Request) {
 	s.calls.Add(1)
 	call := &listCall{server: s, w: w, observe: observe}
--- a/internal/testbench/emulator/listing.go
+++ b/internal/testbench/emulator/listing.go
@@ -71,7 +71,8 @@
 	Instances []Entry `json:"instances"`
 }
 
-// mustMarshal returns a listing as JSON. Encoding fails only if a weight is infinite or not a number.
+// mustMarshal returns a listing as JSON. It panics if the encoding fails, which happens only if a weight is infinite
+// or not a number.
 func mustMarshal(l listing) []byte {
 	raw, err := json.Marshal(l)
 	if err != nil {
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -54,8 +54,8 @@
 }
 
 // Player emulates a client. It plays one session at a time and reconnects when it is told to move or its connection
-// breaks. It starts over when it is told to or, without session tokens, when it reconnects. Only Replay may be called
-// while Play runs.
+// breaks. It starts over, that is, it gives up its session and begins a new one, when a balancer answers ANEW or,
+// without session tokens, when it reconnects. Only Replay may be called while Play runs.
 type Player struct {
 	cfg  PlayerConfig
 	rng  *rand.Rand
@@ -67,9 +67,10 @@
 	token string
 	// acknowledged is the number of the last move that a room server has acknowledged.
 	acknowledged uint64
-	// detachedAt is when the player lost its room server; zero while it has one, and before it has had one.
+	// detachedAt is when the player lost its room server; zero while it has one, and before its first request is
+	// accepted.
 	detachedAt time.Time
-	// reconnecting says that the player has lost its room server and its requests say so.
+	// reconnecting says that the player has lost its room server. Its requests contain again=1 then.
 	reconnecting bool
 	// replay says that copies of the next token that the player presents are to be presented too; see Replay.
 	replay atomic.Bool
@@ -91,7 +92,8 @@
 	token string
 }
 
-// NewPlayer returns a player of a puzzle room. The seed determines the player's key and its random choices.
+// NewPlayer returns a player. The seed determines the player's key and its random choices. The room is the group in
+// its requests.
 func NewPlayer(cfg PlayerConfig, seed uint64, room string) *Player {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	return &Player{cfg: cfg, rng: rng, key: fmt.Sprintf("%016x", rng.Uint64()), room: room}
@@ -200,7 +202,8 @@
 	return line, true
 }
 
-// setReadDeadline sets a connection's read deadline. If ctx has ended, the connection stays interrupted instead.
+// setReadDeadline sets a connection's read deadline. If ctx has ended, it sets interrupted instead, so that it does
+// not undo the deadline that connect sets when ctx ends.
 func setReadDeadline(ctx context.Context, conn net.Conn, deadline time.Time) {
 	conn.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/testbench/emulator/player_replay.go
+++ b/internal/testbench/emulator/player_replay.go
@@ -16,7 +16,7 @@
 const replayGrace = time.Second
 
 // Replay makes copies of the next token that the player presents. Two balancers receive a copy at the same time as
-// the player's own request: one of the three requests may be accepted. After the player has attached its session with
+// the player's own request: at most one of the three may be accepted. After the player has attached its session with
 // the token, two balancers receive a copy again: neither may accept it.
 func (p *Player) Replay() {
 	p.replay.Store(true)
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -34,16 +34,17 @@
 	reader *bufio.Reader
 	// request is the ID of the request whose attempt is active on this connection; empty if there is no attempt.
 	request string
-	// established says that the connection is established: the request was answered UP. The server's mu guards it.
+	// established says that the connection is established: the request was answered UP. The connection's goroutine sets
+	// it with the server's mu held, and other goroutines read it with mu held.
 	established bool
 	// session holds the session parameters of the latest first line, or of the latest EXPORT; nil if there is no
-	// session.
+	// session. It does not change while playing is set. Then other goroutines also read it, with the server's mu held.
 	session *protocol.Open
 	// playing says that the attachment of session was recorded, and its detachment not yet. The server's mu guards it.
 	playing bool
-	// epoch is the epoch of the session's copy here. The server's mu guards it.
+	// epoch is the epoch of the copy of the session's state in this server.
 	epoch uint64
-	// position is the number of the session's last move. The server's mu guards it.
+	// position is the number of the session's last move.
 	position uint64
 	// writes is held during each write, so that messages of different goroutines are not interleaved.
 	writes sync.Mutex
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -32,7 +32,8 @@
 	Capacity int
 	// ResumesSessions says that the server supports sessions that can be resumed.
 	ResumesSessions bool
-	// StateBytes is the size of a session's state in bytes. The state has at least positionBytes.
+	// StateBytes is the size of a session's state in bytes. The state contains the session's position and has at least
+	// its size, positionBytes.
 	StateBytes int
 	// LoadMicros is the load that the server reports for each established connection, in microseconds of work a second;
 	// 0 if it reports none.
@@ -40,8 +41,9 @@
 	// Recorder receives what the server observes; it may be nil.
 	Recorder *invariants.Recorder
 
-	// SetupRate is the number of connections a second that the server can establish once it is warm. With 0 the
-	// server never collapses.
+	// SetupRate is the number of connections a second that the server can establish once it is warm. It limits the
+	// requests only while the server warms up: a server that is overloaded then collapses, that is, it crashes. With 0
+	// it never collapses.
 	SetupRate float64
 	// WarmupFraction is the fraction of SetupRate that the server has at its start. It rises to 1 during WarmupTime.
 	WarmupFraction float64
@@ -185,8 +187,8 @@
 // StalledCommits returns the number of commits that Faults.StallCommit has ignored.
 func (s *RoomServer) StalledCommits() int64 { return s.stalledCommits.Load() }
 
-// Drain tells all clients with established connections to move, and rejects new requests. Sessions can still be
-// exported.
+// Drain tells the clients of all established connections to move, closes the sending direction of these connections,
+// and rejects new requests. Sessions can still be exported.
 func (s *RoomServer) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -250,7 +252,7 @@
 }
 
 // admit decides on a request. It reports whether the server has the capacity for the connection and is not draining,
-// and whether the server has collapsed.
+// and whether the server has collapsed. The server collapses if this request overloads it while it warms up.
 func (s *RoomServer) admit() (admitted, collapsed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// maxDatagramBytes is the size of the receive buffer in bytes. No UDP datagram is larger.
 const maxDatagramBytes = 64 << 10
 
 // DatagramProxy forwards UDP datagrams from its address to a target. It has one direction: datagrams of the target
--- a/internal/testbench/faultproxy/link.go
+++ b/internal/testbench/faultproxy/link.go
@@ -36,7 +36,8 @@
 }
 
 // Throttle delays both directions and limits the bandwidth, in bytes a second, of each path. A value of 0 removes the
-// delay or the limit. All other conditions of the paths are removed.
+// delay or the limit. If both directions share one path, their bytes together have the limit. All other conditions of
+// the paths are removed.
 func (l *Link) Throttle(delay time.Duration, bytesPerSecond float64) {
 	for _, p := range []*Path{l.forward, l.back} {
 		p.Set(Conditions{Delay: delay})
--- a/internal/testbench/faultproxy/link_test.go
+++ b/internal/testbench/faultproxy/link_test.go
@@ -64,7 +64,7 @@
 }
 
 // A cut of one direction delays that direction's bytes until the cut ends, while the other direction works. A loss of
-// 1 on the path from the dialing side refuses new connections.
+// 1 on the path from the dialing side closes new connections.
 func TestCutOfOneDirection(t *testing.T) {
 	server := startEchoServer(t)
 	forward, back := NewPath(1), NewPath(2)
@@ -84,6 +84,6 @@
 	}
 	forward.Set(Conditions{Loss: 1})
 	if echoed(dial(t, port), "hello") {
-		t.Error("a connection was accepted at a loss of 1")
+		t.Error("an echo on a new connection at a loss of 1, want the connection closed")
 	}
 }
--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -14,8 +14,9 @@
 // reorderDelay is the additional delay of a datagram that is reordered, so that later ones arrive before it.
 const reorderDelay = 40 * time.Millisecond
 
-// burstsPerSecond sets the burst of a bandwidth limit: the limit allows as many bytes at once as in this fraction of
-// a second, at least bufferSize.
+// burstsPerSecond divides the bytes a second of a bandwidth limit into its burst, the number of bytes that the limit
+// allows at once. The burst is at least bufferSize, because rate.Limiter rejects a packet that is larger than the
+// burst.
 const burstsPerSecond = 10
 
 // Conditions are the faults of one direction between two places. The zero value injects none.
--- a/internal/testbench/faultproxy/port.go
+++ b/internal/testbench/faultproxy/port.go
@@ -63,7 +63,8 @@
 }
 
 // proxy connects a client to the link's target and copies both directions until one of them ends. It closes the
-// client's connection if the link refuses it or has no target.
+// client's connection if the path's loss applies to it, if the link is disconnected, or if there is no target or the
+// connection to it fails.
 func (p *Port) proxy(client net.Conn) {
 	defer client.Close()
 	p.accepted.Add(1)
@@ -86,7 +87,8 @@
 	}
 	defer p.link.remove(server)
 	ctx, cancel := context.WithCancel(context.Background())
-	// Half-closed connections are not proxied: the connections of balancers end when one direction ends.
+	// Half-closed connections are not proxied: links carry connections to discovery and between members, which are not
+	// used any more when one direction has ended.
 	end := func() {
 		cancel()
 		client.Close()
--- a/internal/testbench/hollow/convergence_test.go
+++ b/internal/testbench/hollow/convergence_test.go
@@ -105,7 +105,7 @@
 			},
 			latencies: []time.Duration{10 * ms, 50 * ms},
 		},
-		"slow": {
+		"high latency without a violation": {
 			events:    []Event{applied(110*ms, 2), applied(9000*ms, 3), good},
 			latencies: []time.Duration{10 * ms, 8800 * ms},
 		},
--- a/internal/testbench/hollow/digest.go
+++ b/internal/testbench/hollow/digest.go
@@ -85,7 +85,7 @@
 // change of an older version after a newer one.
 type nodeList struct {
 	version int64
-	// older holds the digests of these endpoints by their names.
+	// older holds, by name, the digests of the endpoints of which a change of an older version arrived last.
 	older  map[string]uint64
 	digest uint64
 }
--- a/internal/testbench/hollow/messages_test.go
+++ b/internal/testbench/hollow/messages_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The JSON keys of the messages between an experiment and its workers must not change.
+// The JSON keys of the messages between an experiment and its workers do not change when a Go field is renamed.
 func TestMessageEncoding(t *testing.T) {
 	event := Event{At: 1, Kind: VersionApplied, Node: 2, Version: 3, Snapshot: true, Digest: 5}
 	usage := &Usage{CPU: time.Second, Interval: 2 * time.Second, Running: 3, Connected: 4, ResidentMB: 1.5}
--- a/internal/testbench/hollow/node.go
+++ b/internal/testbench/hollow/node.go
@@ -47,8 +47,8 @@
 }
 
 // node is one hollow node: a follower of the endpoint list and an engine. Without fullEngine, the engine has an empty
-// list. It starts and renews watches all the same, and the node keeps its list as a nodeList, which needs little
-// memory.
+// list, but it starts and renews watches as a full one does. The node keeps its list as a nodeList, which needs
+// little memory.
 type node struct {
 	id int
 	// fullEngine says that the engine has the endpoint list.
@@ -78,7 +78,7 @@
 	engine core.Config
 	// address is the address of discovery.
 	address string
-	// known is the list with which the node starts.
+	// known is the list with which the engine starts. It is used only with a full engine, and only if version is not 0.
 	known []core.Endpoint
 	// version is the version of known; 0 if the node starts without a list.
 	version int64
@@ -127,8 +127,9 @@
 	n.engine.WatchAlive(watch)
 }
 
-// EndpointsUpdated applies an update of the endpoint list. It records the new version once the engine has applied the
-// update; a snapshot is recorded even if the version is the same.
+// EndpointsUpdated applies an update of the endpoint list and records the new version. With a full engine it records
+// the version once the engine has applied the update, and not at all if that takes longer than engineTimeout. A
+// snapshot is recorded even if the version is the same.
 func (n *node) EndpointsUpdated(update core.EndpointUpdate) {
 	if update.Kind == decide.ListFailed {
 		n.engine.EndpointsUpdated(update)
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -29,7 +29,8 @@
 }
 
 // The bytes and messages of an update do not grow with the size of the list, and the bytes of a snapshot grow in
-// proportion to it. The test fails if a cost doubles, which would make the results kb_per_s and control_mb_max worse.
+// proportion to it. The test fails if a cost doubles, which would raise the kb_per_s results of a scale experiment
+// and its control_mb_max.
 func TestUpdateCost(t *testing.T) {
 	const nodes = 10
 	sizes := []int{200, 400, 800}
@@ -64,8 +65,8 @@
 	bytesBefore, before := f.bytes(), f.server.Traffic()
 	f.publishAndWait(t, changes)
 	bytes, after := f.bytes()-bytesBefore, f.server.Traffic()
-	// An update is one message of about 170 bytes with its framing. Heartbeats, and a watch that starts after a node's
-	// first poll, may add to that.
+	// An update is one message of about 170 bytes with its framing. Heartbeats may add to that, and so may the watch
+	// that a node opens at its first poll, after a random delay, in place of the one that it opened at its start.
 	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
 		t.Errorf("%.0f bytes for each update, want 100 to 280", perChange)
 	} else {
@@ -92,7 +93,7 @@
 const memoryPerEndpoint = 800
 
 // The memory of an engine grows in proportion to the number of endpoints. The test fails if the memory for each
-// endpoint doubles, which would make the result control_mb_max worse.
+// endpoint doubles, which would raise the control_mb_max of a scale experiment.
 func TestEngineMemory(t *testing.T) {
 	const nodes = 4
 	var sizes []float64
