--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	_, s.State, _ = strings.Cut(pong[0], " ")
-	before, err := management.ParseMetrics(ctx, s.Address)
+	before, err := management.QueryMetrics(ctx, s.Address)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	after, err := management.ParseMetrics(ctx, s.Address)
+	after, err := management.QueryMetrics(ctx, s.Address)
 	if err != nil {
 		return err
 	}
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -108,7 +108,7 @@
 func (p *balancerProcess) waitListed(t testing.TB, servers int, within time.Duration) bool {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		metrics, err := management.ParseMetrics(t.Context(), p.management)
+		metrics, err := management.QueryMetrics(t.Context(), p.management)
 		if err == nil && metrics["registry_entries"] == uint64(servers) {
 			return true
 		}
--- a/cmd/cottonplank/process_test.go
+++ b/cmd/cottonplank/process_test.go
@@ -262,7 +262,7 @@
 
 // metrics returns the metrics of INFO. It returns an empty map if the process does not answer.
 func (p *process) metrics() map[string]uint64 {
-	metrics, err := management.ParseMetrics(p.t.Context(), p.management)
+	metrics, err := management.QueryMetrics(p.t.Context(), p.management)
 	if err != nil {
 		return map[string]uint64{}
 	}
--- a/internal/operations/management/client.go
+++ b/internal/operations/management/client.go
@@ -47,9 +47,10 @@
 	return lines, nil
 }
 
-// ParseMetrics sends INFO to the management address of an instance and returns the metrics of the response. Their names
-// are without the prefix "svc.".
-func ParseMetrics(ctx context.Context, address string) (map[string]uint64, error) {
+// QueryMetrics sends INFO to the management address of an instance with Query and returns the metrics of the response
+// by name, without the prefix "svc.". It returns an error if Query does, or if the response is not a complete INFO
+// response.
+func QueryMetrics(ctx context.Context, address string) (map[string]uint64, error) {
 	lines, err := Query(ctx, address, string(commandInfo))
 	if err != nil {
 		return nil, err
--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -283,7 +283,7 @@
 
 // addMetrics adds the balancer's metrics to a table by name.
 func (b *balancer) addMetrics(sums map[string]uint64) error {
-	metrics, err := management.ParseMetrics(context.Background(), b.management)
+	metrics, err := management.QueryMetrics(context.Background(), b.management)
 	if err != nil {
 		return fmt.Errorf("balancer %s: %w", b.name, err)
 	}
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -186,7 +186,7 @@
 	}
 	m.serving = true
 	for time.Since(start) < listTimeout {
-		metrics, err := management.ParseMetrics(ctx, m.balancer.management)
+		metrics, err := management.QueryMetrics(ctx, m.balancer.management)
 		if err != nil {
 			return err
 		}
--- a/internal/testbench/experiment/membership_observer.go
+++ b/internal/testbench/experiment/membership_observer.go
@@ -79,7 +79,7 @@
 func (m *membershipRun) pollInstance(i int, b *balancer) {
 	ctx, cancel := context.WithTimeout(context.Background(), pollInterval)
 	defer cancel()
-	metrics, err := management.ParseMetrics(ctx, b.management)
+	metrics, err := management.QueryMetrics(ctx, b.management)
 	if err != nil {
 		return
 	}
--- a/internal/testbench/experiment/membership_run.go
+++ b/internal/testbench/experiment/membership_run.go
@@ -179,7 +179,7 @@
 	for end := time.Now().Add(joinTimeout); ; time.Sleep(pollInterval) {
 		joined := 0
 		for _, b := range m.base.balancers {
-			metrics, err := management.ParseMetrics(ctx, b.management)
+			metrics, err := management.QueryMetrics(ctx, b.management)
 			if err == nil && metrics[aliveMetric] == uint64(m.e.Instances) {
 				joined++
 			}
