--- a/internal/discovery/endpoint/list.go
+++ b/internal/discovery/endpoint/list.go
@@ -44,7 +44,8 @@
 }
 
 // DecodeStrict decodes a single JSON value into target. For an unknown key or a wrong type it returns an error that
-// names the key. For data after the value it returns an error that contains the description, which names the kind of
+// names the key. If the top-level value has the wrong type, the key in the error is empty, and the text begins with
+// ": expected a". For data after the value it returns an error that contains the description, which names the kind of
 // value.
 func DecodeStrict(raw []byte, target any, description string) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -52,12 +53,12 @@
 	if err := decoder.Decode(target); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return fmt.Errorf("%s: a %s was expected, found %s", typeError.Field, typeError.Type, typeError.Value)
+			return fmt.Errorf("%s: expected a %s, found %s", typeError.Field, typeError.Type, typeError.Value)
 		}
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("more follows the %s", description)
+		return fmt.Errorf("unexpected data after the %s", description)
 	}
 	return nil
 }
--- a/internal/discovery/endpoint/list_test.go
+++ b/internal/discovery/endpoint/list_test.go
@@ -53,7 +53,7 @@
 		{"empty list", `{"rooms":[]}`, "rooms: 0"},
 		{"no list", `{}`, "rooms: 0"},
 		{"empty file", ``, "EOF"},
-		{"trailing data", `{"rooms":[` + entry + `]} {}`, "more follows"},
+		{"trailing data", `{"rooms":[` + entry + `]} {}`, "unexpected data after the list"},
 		{"unknown key", `{"rooms":[` + entry + `],"x":1}`, `"x"`},
 		{"same name", `{"rooms":[` + entry + `,` + entry + `]}`, `rooms[1].name: "s-1"`},
 		{"same address", `{"rooms":[` + entry + `,` + strings.Replace(entry, "s-1", "s-2", 1) + `]}`,
@@ -62,7 +62,7 @@
 		{"address", replaced("127.0.0.1:9000", "here"), `rooms[0].address: "here"`},
 		{"empty zone", replaced(`"a"`, `""`), "rooms[0].zone"},
 		{"negative weight", replaced(`"zone":"a"`, `"zone":"a","weight":-1`), "rooms[0].weight: -1"},
-		{"drain type", replaced(`"zone":"a"`, `"zone":"a","drain":"no"`), "drain: a bool"},
+		{"drain type", replaced(`"zone":"a"`, `"zone":"a","drain":"no"`), "drain: expected a bool"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := Parse([]byte(test.file)); err == nil || !strings.Contains(err.Error(), test.want) {
