--- a/decide/comparison_test.go
+++ b/decide/comparison_test.go
@@ -17,7 +17,7 @@
 	b           *Balancer
 	reference   *referenceBalancer
 	now         time.Duration
-	trace       string         // description of the first difference
+	difference  string         // description of the first difference
 	events      int            // events sent
 	actions     map[string]int // number of compared actions by type
 	listed      map[ServerID]Server
@@ -41,7 +41,7 @@
 	got, want := p.b.Handle(p.now, ev, nil), p.reference.Handle(p.now, ev, nil)
 	p.events++
 	if !slices.Equal(got, want) {
-		p.trace = fmt.Sprintf("event %d, %T at %v: %d actions, the reference has %d; first difference: %v",
+		p.difference = fmt.Sprintf("event %d, %T at %v: %d actions, the reference has %d; first difference: %v",
 			p.events, ev, p.now, len(got), len(want), firstDifference(got, want))
 		return false
 	}
@@ -336,7 +336,7 @@
 	p.reference.ImportLearned(learned)
 	for i := range steps {
 		if i == steps/2 && !slices.Equal(p.b.ExportLearned(), p.reference.ExportLearned()) {
-			p.trace = "the exported learned states differ"
+			p.difference = "the exported learned states differ"
 			return false
 		}
 		if !p.step(weights) {
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -23,7 +23,7 @@
 			seed := uint64(i*3 + j)
 			p := newComparison(t, seed, comparisonSettings(seed))
 			if !p.run(n, weights, steps/(1+n/300)) {
-				t.Fatalf("seed %d, %d servers: %s", seed, n, p.trace)
+				t.Fatalf("seed %d, %d servers: %s", seed, n, p.difference)
 			}
 			for k, v := range p.actions {
 				all[k] += v
