--- a/internal/frontend/platform/prober.go
+++ b/internal/frontend/platform/prober.go
@@ -26,8 +26,8 @@
 	maxConns int
 	// probeCount is the number of probes so far. It orders the connections by their latest use.
 	probeCount uint64
-	// actors waits for the goroutines of the connections.
-	actors sync.WaitGroup
+	// goroutines counts the running goroutines, all of which execute probeConn.run.
+	goroutines sync.WaitGroup
 }
 
 // NewProber returns a prober that keeps at most maxConns connections and whose goroutines end with ctx.
@@ -42,7 +42,7 @@
 }
 
 // Wait waits until all goroutines of the prober have ended.
-func (p *Prober) Wait() { p.actors.Wait() }
+func (p *Prober) Wait() { p.goroutines.Wait() }
 
 // Probe sends a probe to a room server. The result is reported to Engine.ProbeCompleted with seq. If ctx ends first,
 // the probe is interrupted, and the engine ignores its result. Nothing is reported if the probe is dropped
@@ -55,7 +55,7 @@
 		}
 		conn = &probeConn{prober: p, requests: make(chan probeRequest, probeBacklog)}
 		p.conns[server.ID] = conn
-		p.actors.Go(conn.run)
+		p.goroutines.Go(conn.run)
 	}
 	p.probeCount++
 	conn.lastUsed = p.probeCount
