--- a/cmd/cottonplank-lab/main.go
+++ b/cmd/cottonplank-lab/main.go
@@ -1,5 +1,5 @@
-// Command cottonplank-lab runs experiments with balancers against emulated clients, room servers and discovery on
-// loopback, and checks the invariants.
+// Command cottonplank-lab runs experiments with real balancers on loopback, with emulated clients, room servers and
+// discovery, and checks the invariants. It also measures the resources that balancers use.
 package main
 
 import (
@@ -19,18 +19,18 @@
 // Exit statuses.
 const (
 	statusPassed = 0
-	// statusFailed is that of a violated invariant, a lost change or answer, or a run that failed.
+	// statusFailed means a violated invariant, a lost change or answer, or a run that failed.
 	statusFailed = 1
-	// statusInvalid is that of an invalid file, invalid usage, or a run that the machine is too small for.
+	// statusInvalid means an invalid file, invalid usage, or a run that needs more resources than the machine allows.
 	statusInvalid = 2
-	// statusObjectiveMissed is that of a run in which only an objective was missed.
+	// statusObjectiveMissed means that a run missed an objective and nothing else.
 	statusObjectiveMissed = 3
 )
 
 // errInvariant is returned when an invariant was violated.
-var errInvariant = errors.New("a rule or an invariant broke")
+var errInvariant = errors.New("an invariant was violated")
 
-// exitError is an error with the exit status of the command.
+// exitError is an error that determines the exit status of the command.
 type exitError struct {
 	status int
 	err    error
@@ -48,9 +48,9 @@
 // invalid returns an error with statusInvalid.
 func invalid(err error) error { return &exitError{statusInvalid, err} }
 
-// lab is what the commands have in common.
+// lab holds what all commands use.
 type lab struct {
-	// balancer is the value of the flag of that name.
+	// balancer is the value of the flag --balancer; empty if it is not set.
 	balancer string
 	out      io.Writer
 	errs     io.Writer
@@ -67,7 +67,7 @@
 	l := &lab{out: out, errs: errs}
 	root := &cobra.Command{
 		Use:               "cottonplank-lab",
-		Short:             "Experiments with cottonplank on loopback",
+		Short:             "Run experiments with cottonplank on loopback",
 		SilenceErrors:     true,
 		SilenceUsage:      true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
@@ -76,7 +76,7 @@
 	root.SetErr(errs)
 	root.SetArgs(args)
 	root.PersistentFlags().StringVar(&l.balancer, "balancer", "",
-		"the balancer's `program`; default: cottonplank beside this one")
+		"the balancer's `program` (default: cottonplank in the directory of this program)")
 	root.AddCommand(l.runCommand(), l.demoCommand(), l.sizeCommand(), l.slopeCommand(), l.scaleCommand(),
 		l.scaleCompareCommand(), l.scaleWorkerCommand())
 	executed, err := root.ExecuteContextC(ctx)
@@ -109,12 +109,13 @@
 	return nil
 }
 
-// jsonFlag adds the flag for the output of a JSON object or list to a command.
+// jsonFlag adds the flag --json to a command; value says whether the output is an object or a list.
 func jsonFlag(c *cobra.Command, value string) *bool {
 	return c.Flags().Bool("json", false, "print one JSON "+value+" and nothing else on standard output")
 }
 
-// balancerProgram returns the balancer's program: the one of the flag, or the one beside this program.
+// balancerProgram returns the path of the balancer's program: the value of the flag, or cottonplank in the directory of
+// this program.
 func (l *lab) balancerProgram() (string, error) {
 	program := l.balancer
 	if program == "" {
--- a/cmd/cottonplank-lab/main_test.go
+++ b/cmd/cottonplank-lab/main_test.go
@@ -61,11 +61,11 @@
 		{[]string{"run", negative}, 2, "balancers: "},
 		{[]string{"run", missing}, 2, "no such file"},
 		{[]string{"run", valid, "--balancer", missing}, 2, "no such file"},
-		{[]string{"run", valid, "--balancer", "/bin/false", "--json"}, 1, "ended at once"},
+		{[]string{"run", valid, "--balancer", "/bin/false", "--json"}, 1, "ended before it served"},
 		{[]string{"scale"}, 2, "accepts 1 arg"},
 		{[]string{"scale", valid}, 2, "hollow"},
 		{[]string{"scale", large, "--seed", "x"}, 2, "seed"},
-		{[]string{"scale", large, "--balancer", "/bin/false"}, 2, "is the most"},
+		{[]string{"scale", large, "--balancer", "/bin/false"}, 2, "the limit is"},
 		{[]string{"scale-compare", "--servers", "9", "--balancer", "/bin/false"}, 1, "two sizes"},
 		{[]string{"slope", "list", "--changes", "0"}, 2, "changes: 0"},
 	} {
--- a/cmd/cottonplank-lab/run.go
+++ b/cmd/cottonplank-lab/run.go
@@ -10,25 +10,25 @@
 	"github.com/spf13/cobra"
 )
 
-const demoText = "Two balancers, three room servers and 60 players start on loopback. " +
-	`After 4 s one room server drains: its
-players are sent away, come back through either balancer with their tokens, and play on where they were. After 7 s one
-balancer is killed.`
+const demoText = "Two balancers, three room servers and 60 clients start on loopback. " +
+	`After 4 s a room server drains: its
+clients are told to move, reconnect through either balancer with their session tokens and continue their sessions. After
+7 s a balancer is killed.`
 
 const demoExperiment = `{"name":"demo","balancers":2,"rooms":3,"sessions":60,"fill_s":2,"seconds":9,"troubles":[
 {"at_s":4,"do":"drain","room":0},{"at_s":7,"do":"kill","balancer":0}]}`
 
-// runCommand returns the command that runs an experiment, the usual one or one of the membership.
+// runCommand returns the command that runs a general experiment or a membership experiment.
 func (l *lab) runCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play an experiment",
+		Short: "Run an experiment",
 		Args:  cobra.ExactArgs(1),
-		Long: "Play an experiment. The exit status is 0 if all rules and invariants were kept, " +
-			"1 if one broke or the run failed,\n" +
-			"and 2 for a bad file. Progress goes to standard error.",
+		Long: "Run the experiment of a file. The exit status is 0 if all invariants held, " +
+			"1 if one was violated or the run failed,\nand 2 for an invalid file. A membership experiment ends " +
+			"with 3 if it missed an objective or violated an invariant.\nProgress goes to standard error.",
 	}
-	seed := c.Flags().Uint64("seed", 0, "in place of the file's")
+	seed := c.Flags().Uint64("seed", 0, "seed that replaces that of the file")
 	asJSON := jsonFlag(c, "object")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		kind, err := experiment.FileKind(args[0])
@@ -53,11 +53,11 @@
 	return c
 }
 
-// demoCommand returns the command that runs a small experiment.
+// demoCommand returns the command that runs a small built-in experiment.
 func (l *lab) demoCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "demo",
-		Short: "Run a small fleet for some seconds and tell what happens",
+		Short: "Run a small built-in experiment that takes some seconds",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			l.progress(demoText)
@@ -70,7 +70,7 @@
 	}
 }
 
-// runExperiment runs an experiment, and once more without tokens if it asks for that, and prints the result.
+// runExperiment runs an experiment and prints the result. If the experiment asks for it, it runs again without tokens.
 func (l *lab) runExperiment(ctx context.Context, e experiment.Experiment, asJSON bool) error {
 	program, err := l.balancerProgram()
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	if e.CompareWithoutTokens {
 		e.ResumesSessions = false
-		l.progress("the same without tokens")
+		l.progress("second run, without session tokens")
 		without, err := experiment.Run(ctx, program, e, l.progress)
 		if err != nil {
 			return failed(err)
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// runMembership runs the membership experiment of a file and prints the result. A seed that is not nil replaces that of
-// the file.
+// runMembership runs the membership experiment of a file and prints the result. If seed is not nil, it replaces the
+// seed of the file.
 func (l *lab) runMembership(ctx context.Context, path string, seed *uint64, asJSON bool) error {
 	e, err := experiment.LoadMembership(path)
 	if err != nil {
@@ -127,5 +127,5 @@
 	if len(missed) == 0 {
 		return nil
 	}
-	return &exitError{statusObjectiveMissed, errors.New("aims missed: " + strings.Join(missed, "; "))}
+	return &exitError{statusObjectiveMissed, errors.New("objectives missed: " + strings.Join(missed, "; "))}
 }
--- a/cmd/cottonplank-lab/scale.go
+++ b/cmd/cottonplank-lab/scale.go
@@ -11,31 +11,33 @@
 	"github.com/spf13/cobra"
 )
 
-const scaleText = "Play a scale run. Hollow balancers, some hundred in a process, " +
-	`are the balancer's control code over loopback
-connections, without clients; real ones serve players beside them. Sources of the list are stand-ins, and "control"
-counts them: there are no control machines. The run says beforehand what it takes, and refuses what does not fit half of
-the machine's memory, 300 processes or the limit on descriptors.
+const scaleText = "Run a scale experiment. Hollow balancers, several hundred in a process, " +
+	`run the balancer's code for the
+endpoint list over loopback connections, without clients. A few real balancers serve clients. The list comes from
+emulated replicas of discovery; "control" in the result is their number, as there are no control-plane servers. Before
+it starts, the run prints the resources that it needs. It refuses to start if they exceed half of the machine's memory,
+300 processes or the limit on descriptors.
 
-Of the hollow balancers, "modules" have the whole list each: cpu_ms_per_s_p99_modules and control_mb_max are theirs. The
-others are the list's followers over one copy in each process; times, lost changes and KB/s are of both kinds.
+"modules" is the number of hollow balancers that hold the whole list each; cpu_ms_per_s_p99_modules and control_mb_max
+are theirs. The others in a process share one copy of the list. Times, lost changes and KB/s are those of both kinds.
 
-The exit status is 0 if all was kept, 1 if a change or an answer was lost, a version went back, a rule broke or the run
-failed, 2 for a bad file or a run that does not fit, and 3 if an aim was missed. Progress goes to standard error.`
+The exit status is 0 if nothing was lost or violated, 1 if a change or an answer was lost, a version went down, an
+invariant was violated or the run failed, 2 for an invalid file or a run that needs too many resources, and 3 if only an
+objective was missed. Progress goes to standard error.`
 
 // errScaleFailed is returned when a scale run has not passed.
-var errScaleFailed = errors.New("a change or an answer was lost, a version went back or a rule broke")
+var errScaleFailed = errors.New("a change or an answer was lost, a version went down or an invariant was violated")
 
 // scaleCommand returns the command that runs a scale experiment.
 func (l *lab) scaleCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "scale FILE",
-		Short: "Play a scale run: hollow balancers beside real ones",
+		Short: "Run a scale experiment with hollow and real balancers",
 		Args:  cobra.ExactArgs(1),
 		Long:  scaleText,
 	}
 	asJSON := jsonFlag(c, "object")
-	seed := c.Flags().Uint64("seed", 0, "in place of the file's: whom the faults befall, and which room servers change")
+	seed := c.Flags().Uint64("seed", 0, "seed of the faults and changes that replaces that of the file")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		e, err := experiment.LoadScale(args[0])
 		if err != nil {
@@ -49,7 +51,7 @@
 	return c
 }
 
-// scalePrograms returns the programs of a scale run; this one runs the hollow nodes.
+// scalePrograms returns the programs of a scale run. This program is the one that runs hollow nodes.
 func (l *lab) scalePrograms() (experiment.Programs, error) {
 	balancer, err := l.balancerProgram()
 	if err != nil {
@@ -89,17 +91,17 @@
 func (l *lab) scaleCompareCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "scale-compare",
-		Short: "Compare what hollow balancers cost with real ones",
+		Short: "Compare the costs of hollow and real balancers",
 		Args:  cobra.NoArgs,
-		Long: "Compare hollow balancers whose modules have the list with real ones without clients, " +
-			"before the same list and the same\n" +
-			"changes, at several sizes of the list. " +
-			"A slope is the cost of 1,000 room servers more, from the first size to the last.",
+		Long: "Compare hollow balancers that hold the whole list with real balancers without clients, " +
+			"with the same lists of several\n" +
+			"sizes and the same changes. " +
+			"A slope is the cost of 1,000 more room servers, calculated from the first and the last size.",
 	}
 	var options experiment.ComparisonOptions
-	c.Flags().IntSliceVar(&options.Servers, "servers", []int{1000, 2000, 4000}, "numbers of room servers, two at least")
-	c.Flags().IntVar(&options.Nodes, "each", 3, "real balancers, and as many hollow ones")
-	c.Flags().Float64Var(&options.Seconds, "seconds", 10, "measured at each size")
+	c.Flags().IntSliceVar(&options.Servers, "servers", []int{1000, 2000, 4000}, "numbers of room servers, at least two")
+	c.Flags().IntVar(&options.Nodes, "each", 3, "number of real balancers, and of hollow ones")
+	c.Flags().Float64Var(&options.Seconds, "seconds", 10, "duration of the measurement at each size")
 	asJSON := jsonFlag(c, "object")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		programs, err := l.scalePrograms()
@@ -115,11 +117,11 @@
 	return c
 }
 
-// scaleWorkerCommand returns the command that runs hollow nodes for the process of a scale run.
+// scaleWorkerCommand returns the command of the worker processes, which scale runs and comparisons start.
 func (l *lab) scaleWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "scale-worker",
-		Short:  "Run hollow balancers for scale",
+		Short:  "Run hollow balancers for the commands scale and scale-compare",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/cottonplank-lab/size.go
+++ b/cmd/cottonplank-lab/size.go
@@ -13,17 +13,17 @@
 func (l *lab) sizeCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "size",
-		Short: "Measure what fleets of several sizes cost",
+		Short: "Measure the costs of fleets of several sizes",
 		Args:  cobra.NoArgs,
-		Long: "Measure what fleets cost while nothing goes wrong: " +
-			"the largest balancer's memory and descriptors, the mean one's processor\n" +
-			"time, and probes, new and open connections at a room server in the mean.",
+		Long: "Measure the costs of fleets without faults: " +
+			"the largest memory and number of descriptors of a balancer, the mean processor\n" +
+			"time of a balancer, and the mean probes, new connections and open connections of a room server.",
 	}
 	var sizes experiment.FleetSizes
 	c.Flags().IntSliceVar(&sizes.Balancers, "balancers", []int{3, 30, 300}, "numbers of balancers")
 	c.Flags().IntSliceVar(&sizes.RoomServers, "rooms", []int{10, 90}, "numbers of room servers")
-	c.Flags().IntVar(&sizes.SessionsPerServer, "sessions", 10, "sessions for each room server")
-	c.Flags().Float64Var(&sizes.Seconds, "seconds", 20, "measured, once all sessions have come")
+	c.Flags().IntVar(&sizes.SessionsPerServer, "sessions", 10, "number of sessions for each room server")
+	c.Flags().Float64Var(&sizes.Seconds, "seconds", 20, "duration of the measurement, after all sessions have started")
 	asJSON := jsonFlag(c, "list")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		program, err := l.balancerProgram()
--- a/cmd/cottonplank-lab/slope.go
+++ b/cmd/cottonplank-lab/slope.go
@@ -19,11 +19,11 @@
 	asJSON  bool
 }
 
-// slopeCommand returns the command that measures what the cost of one balancer grows with.
+// slopeCommand returns the command that measures how the cost of one balancer grows with the list or with deliveries.
 func (l *lab) slopeCommand() *cobra.Command {
-	c := &cobra.Command{Use: "slope", Short: "Measure what one balancer's cost grows with"}
+	c := &cobra.Command{Use: "slope", Short: "Measure how the cost of one balancer grows"}
 	options := &slopeOptions{}
-	c.PersistentFlags().Float64Var(&options.seconds, "seconds", 10, "of each measurement")
+	c.PersistentFlags().Float64Var(&options.seconds, "seconds", 10, "duration of each measurement")
 	c.PersistentFlags().BoolVar(&options.asJSON, "json", false,
 		"print one JSON list and nothing else on standard output")
 	c.AddCommand(l.slopeListCommand(options), l.slopeDeliveriesCommand(options))
@@ -34,17 +34,17 @@
 func (l *lab) slopeListCommand(options *slopeOptions) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "By the length of the list of room servers",
+		Short: "Measure the cost by the number of room servers in the list",
 		Args:  cobra.NoArgs,
-		Long: "Measure one balancer without connections before lists of several lengths: " +
-			"the whole list, the rest, and changes of one entry.",
+		Long: "Measure the cost of one balancer without connections, with lists of several lengths: " +
+			"receiving the whole list,\nno changes, and changes of one entry.",
 	}
 	var list experiment.ListCostOptions
 	c.Flags().IntSliceVar(&list.Servers, "servers", []int{90, 600, 5000, 20000}, "numbers of room servers")
-	c.Flags().Float64Var(&list.ChangesPerSecond, "changes", 20, "of one entry, a second")
+	c.Flags().Float64Var(&list.ChangesPerSecond, "changes", 20, "changes of one entry per second")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if list.ChangesPerSecond <= 0 || list.ChangesPerSecond > maxChangesPerSecond {
-			return invalid(fmt.Errorf("changes: %v, above 0 and up to %d expected",
+			return invalid(fmt.Errorf("changes: %v, expected above 0 and at most %d",
 				list.ChangesPerSecond, maxChangesPerSecond))
 		}
 		program, err := l.balancerProgram()
@@ -63,18 +63,19 @@
 	return c
 }
 
-// slopeDeliveriesCommand returns the subcommand that measures the costs of connections and deliveries.
+// slopeDeliveriesCommand returns the subcommand that measures the costs of established connections and of lines that a
+// room server sends through them.
 func (l *lab) slopeDeliveriesCommand(options *slopeOptions) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "deliveries",
-		Short: "By what standing connections and deliveries cost",
+		Short: "Measure the cost of established connections and deliveries",
 		Args:  cobra.NoArgs,
-		Long: "Measure one balancer through which connections stand, " +
-			"while a room server sends lines of 200 bytes at several rates.",
+		Long: "Measure the cost of one balancer with established connections, " +
+			"while a room server sends lines of 200 bytes\nat several rates.",
 	}
 	var deliveries experiment.DeliveryOptions
-	c.Flags().IntVar(&deliveries.Connections, "connections", 2000, "that stand")
-	c.Flags().Float64SliceVar(&deliveries.Rates, "rates", []float64{1000, 4000, 16000, 28000}, "deliveries a second")
+	c.Flags().IntVar(&deliveries.Connections, "connections", 2000, "number of established connections")
+	c.Flags().Float64SliceVar(&deliveries.Rates, "rates", []float64{1000, 4000, 16000, 28000}, "lines per second")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		program, err := l.balancerProgram()
 		if err != nil {
--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -18,56 +18,56 @@
 )
 
 const (
-	// startTimeout is how long a balancer may take to serve.
+	// startTimeout is how long a balancer may take from its start until it serves.
 	startTimeout = 10 * time.Second
 	// startPollInterval is the time between two checks whether a balancer serves.
 	startPollInterval = 20 * time.Millisecond
-	// stopTimeout is how long a process may take to end, for balancers after SIGTERM.
+	// stopTimeout is how long a process may take to end: a balancer after SIGTERM, a worker after its input was closed.
 	stopTimeout = 6 * time.Second
-	// maxStartAttempts is the number of attempts to start a balancer at free ports.
+	// maxStartAttempts is the number of attempts to start a balancer, each at other ports.
 	maxStartAttempts = 3
-	// logTailBytes is how much of a process's log an error quotes.
+	// logTailBytes is the number of bytes that an error quotes from the end of a process's log.
 	logTailBytes = 600
 )
 
-// balancer is a balancer process.
+// balancer is a balancer and its current process.
 type balancer struct {
 	name string
-	// address is where clients connect.
+	// address is the address at which it listens for clients.
 	address string
 	// management is the address of the management protocol.
 	management string
-	// dir is the process's directory.
+	// dir is the directory of the balancer's files.
 	dir string
 	// program is the path of the executable.
 	program string
 	// frontsFile is the path of the fronts file; empty if there is none.
 	frontsFile string
-	// environment are environment variables that override the configuration.
+	// environment holds environment variables that override the configuration.
 	environment []string
 	process     *exec.Cmd
 	// ended is closed when the process has ended.
 	ended chan struct{}
 	log   *os.File
-	// maxDescriptors is the limit on the process's descriptors; 0 if it is that of this process.
+	// maxDescriptors is the resource limit on the process's descriptors; 0 if it inherits that of this process.
 	maxDescriptors int
 }
 
 // balancerSpec describes a balancer to be started.
 type balancerSpec struct {
 	program string
-	// dir is the run's directory.
+	// dir is the run's directory, in which the balancer gets a directory of its own.
 	dir        string
 	name       string
 	experiment Experiment
 	placement  placement
 	// discovery is the address of discovery.
 	discovery string
-	// known is the encoded list that the balancer starts with.
+	// known is the encoded endpoint list that the balancer starts with.
 	known json.RawMessage
 }
 
-// newBalancer writes the files of a balancer, which start starts.
+// newBalancer chooses free ports for a balancer and writes its files. It does not start the process.
 func newBalancer(spec balancerSpec) (*balancer, error) {
 	b := &balancer{
 		name:           spec.name,
@@ -100,8 +100,8 @@
 	return b, nil
 }
 
-// startBalancer writes the files of a balancer and starts it at free ports. Among many connections, one may take such a
-// port before the balancer does, which is then started at others.
+// startBalancer writes the files of a balancer and starts it. A free port may be used by another connection before the
+// balancer listens at it; the balancer is then started again at other ports.
 func startBalancer(ctx context.Context, spec balancerSpec) (b *balancer, err error) {
 	for range maxStartAttempts {
 		if b, err = newBalancer(spec); err != nil {
@@ -118,12 +118,12 @@
 	return nil, err
 }
 
-// addressInUse reports whether a balancer's log, which the error quotes, says that its port was in use.
+// addressInUse reports whether an error of start contains the message that an address is in use, quoted from the log.
 func addressInUse(err error) bool {
 	return strings.Contains(err.Error(), syscall.EADDRINUSE.Error())
 }
 
-// freeAddress returns an address on loopback at which nobody listens.
+// freeAddress returns an address on loopback whose TCP port is free at the moment.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -152,7 +152,7 @@
 		return fmt.Errorf("balancer %s: %w", b.name, err)
 	}
 	b.ended = make(chan struct{})
-	go func() { // ends with the process, whose end kill and stop wait for
+	go func() { // ends with the process; kill and stop wait for that
 		b.process.Wait()
 		close(b.ended)
 	}()
@@ -178,13 +178,13 @@
 		"TMPDIR="+filepath.Join(b.dir, "tmp"))
 	c.Env = append(c.Env, b.environment...)
 	c.Stdout, c.Stderr = b.log, b.log
-	// An interrupt is handled by this process, which stops the balancers in order. They do not outlive it if it is
-	// killed.
+	// A process group of its own keeps an interrupt at the terminal from the balancer, which this process stops
+	// itself. Pdeathsig kills the balancer if this process is killed.
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return c
 }
 
-// limitDescriptors sets the limit on the descriptors of the running process.
+// limitDescriptors sets the resource limit on the descriptors of the running process.
 func (b *balancer) limitDescriptors() error {
 	n := uint64(b.maxDescriptors)
 	if n == 0 {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// waitUntilServing waits until the balancer answers a ping positively.
+// waitUntilServing waits until the balancer answers PING of the management protocol with status 200.
 func (b *balancer) waitUntilServing(ctx context.Context) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(startPollInterval) {
 		lines, err := management.Query(ctx, b.management, "PING")
@@ -205,13 +205,13 @@
 		}
 		select {
 		case <-b.ended:
-			return fmt.Errorf("balancer %s ended at once: %s", b.name, b.logTail())
+			return fmt.Errorf("balancer %s ended before it served: %s", b.name, b.logTail())
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
 		}
 	}
-	return fmt.Errorf("balancer %s does not serve after %v: %s", b.name, startTimeout, b.logTail())
+	return fmt.Errorf("balancer %s does not serve %v after its start: %s", b.name, startTimeout, b.logTail())
 }
 
 // logTail returns the end of the process's log.
@@ -226,8 +226,8 @@
 	return strings.TrimSpace(string(raw[max(len(raw)-logTailBytes, 0):]))
 }
 
-// hotRestart starts a replacement process that takes over the sockets of the running one, and stops the latter once
-// the replacement serves. It returns the replacement; if stopping fails, together with the error.
+// hotRestart starts a replacement process that takes over the sockets of the running one, and stops the running one
+// once the replacement serves. If the running process does not stop in time, it returns the replacement and an error.
 func (b *balancer) hotRestart(ctx context.Context) (*balancer, error) {
 	replacement := &balancer{
 		name:           b.name,
@@ -253,21 +253,21 @@
 	b.process.Process.Signal(s)
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process by SIGKILL and waits for its end.
 func (b *balancer) kill() {
 	b.process.Process.Kill()
 	<-b.ended
 	b.log.Close()
 }
 
-// killIfStarted kills a process whose start has failed, if there is one.
+// killIfStarted kills the process of a balancer whose start failed, if the process was started.
 func (b *balancer) killIfStarted() {
 	if b.process != nil && b.process.Process != nil {
 		b.kill()
 	}
 }
 
-// stop stops the process gracefully. A process that does not end in time is killed, and that is an error.
+// stop stops the process gracefully. It kills a process that does not end within stopTimeout, and returns an error.
 func (b *balancer) stop() error {
 	defer b.log.Close()
 	b.signal(syscall.SIGTERM)
@@ -281,7 +281,7 @@
 	}
 }
 
-// addMetrics adds the balancer's metrics to a table by name.
+// addMetrics adds each of the balancer's metrics to the sum of its name.
 func (b *balancer) addMetrics(sums map[string]uint64) error {
 	metrics, err := management.ParseMetrics(context.Background(), b.management)
 	if err != nil {
--- a/internal/testbench/experiment/balancer_config.go
+++ b/internal/testbench/experiment/balancer_config.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// What a room server can bear while it warms up, as the balancers are configured.
+// The behaviour of room servers that warm up. Balancers are configured with it, and emulated room servers that have to
+// warm up follow it: the rate at which they can establish connections rises from warmupFraction to 1 within warmupTime,
+// and until then they collapse under more than collapseFactor times the current rate.
 const (
 	warmupFraction = 0.4
 	warmupTime     = 6 * time.Second
 	collapseFactor = 4
 )
 
-// drainGrace is how long balancers may send requests to a draining room server, as they are configured.
+// drainGrace is the configured time for which balancers may still send requests to a draining room server.
 const drainGrace = 500 * time.Millisecond
 
-// playerClass is the class of all requests.
+// playerClass is the name of the class of all requests.
 const playerClass = "solo-play"
 
-// The configured limit on a balancer's descriptors where the experiment sets none.
+// The configured limit on a balancer's descriptors if the experiment sets none: a base, and a number for each client.
 const (
 	baseDescriptors       = 4096
 	descriptorsPerSession = 4
 )
 
-// placement is where a balancer runs.
+// placement is the zone of a balancer, and other settings that the balancers of an experiment differ in.
 type placement struct {
 	zone string
-	// zones are all zones of the deployment.
+	// zones holds all zones of the deployment.
 	zones []string
 	// membershipMode is the balancer's setting of that name.
 	membershipMode string
-	// noProbes says that the balancer probes no room servers.
+	// noProbes says that the balancer does not probe room servers.
 	noProbes bool
 }
 
@@ -52,14 +54,14 @@
 	Settings   settingsFile    `json:"settings"`
 }
 
-// resourceLimits are the resources that a balancer may use.
+// resourceLimits limits the resources that a balancer may use.
 type resourceLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// settingsFile are the platform's settings.
+// settingsFile holds the platform's settings.
 type settingsFile struct {
 	Zone           string            `json:"zone"`
 	Zones          []string          `json:"areas"`
@@ -72,7 +74,7 @@
 	Specifics      specificsSettings `json:"specifics"`
 }
 
-// classSettings are those of a class of requests.
+// classSettings holds the settings of a class of requests.
 type classSettings struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim_s"`
@@ -80,7 +82,7 @@
 	Idempotency      string  `json:"repeat"`
 }
 
-// requestLimits bound what a balancer does for a request.
+// requestLimits limits what a balancer does for a request.
 type requestLimits struct {
 	ConnectTimeout float64 `json:"connect_timeout_s"`
 	RetryAfter     bool    `json:"retry_after"`
@@ -89,7 +91,7 @@
 	MaxAttempts    int     `json:"most_tries"`
 }
 
-// safetySettings are the platform's rules for draining and starting room servers.
+// safetySettings holds the platform's rules for polling discovery, and for draining and warming room servers.
 type safetySettings struct {
 	MaxPollInterval float64 `json:"must_ask_in_s"`
 	DrainGrace      float64 `json:"drain_grace_s"`
@@ -99,27 +101,27 @@
 	OverloadWindow  float64 `json:"fall_s"`
 }
 
-// penaltySettings are the costs that the decisions weigh.
+// penaltySettings holds the costs of probes, migrations and requests to other zones in decisions.
 type penaltySettings struct {
 	Probe     float64 `json:"probe"`
 	Migration float64 `json:"moves"`
 	CrossZone float64 `json:"cross_zone"`
 }
 
-// specificsSettings are the settings of the puzzle rooms' platform.
+// specificsSettings holds the settings that are specific to the puzzle rooms.
 type specificsSettings struct {
 	Groups                  bool      `json:"groups"`
 	MessageLatencyObjective []float64 `json:"message_aim_s"`
 }
 
-// addresses are those of a balancer's configuration.
+// addresses holds the addresses of a balancer's configuration.
 type addresses struct {
 	listen     string
 	management string
 	discovery  string
 }
 
-// config returns the configuration of a balancer; known is the encoded list that it starts with.
+// config returns the configuration of a balancer. It starts with known, an encoded endpoint list; nil for none.
 func (e Experiment) config(name string, at placement, a addresses, known json.RawMessage) configFile {
 	return configFile{
 		Name:       name,
--- a/internal/testbench/experiment/cost.go
+++ b/internal/testbench/experiment/cost.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Cost is what a fleet costs once all clients have connected: maxima over the balancers, or means over them or the room
-// servers.
+// Cost holds the resources that a fleet uses once all clients have connected, as maxima or means over the balancers or
+// the room servers. If a balancer was killed, stopped or replaced during the run, only MaxResidentMB and MaxDescriptors
+// are set.
 type Cost struct {
-	// MaxResidentMB is the largest resident memory of a balancer.
+	// MaxResidentMB is the largest resident memory of a balancer at the readings of the counters.
 	MaxResidentMB float64 `json:"rss_mb_most"`
-	// MaxDescriptors is the largest number of open descriptors of a balancer.
+	// MaxDescriptors is the largest number of open descriptors of a balancer at the readings.
 	MaxDescriptors int `json:"descriptors_most"`
-	// CPUMsPerSecond is the mean processor time of a balancer.
+	// CPUMsPerSecond is the mean processor time of a balancer between the readings.
 	CPUMsPerSecond float64 `json:"cpu_ms_a_second"`
 	// ProbesPerSecond is the mean number of probes that a room server receives.
 	ProbesPerSecond float64 `json:"probes_a_second_at_a_room_server"`
 	// AcceptedPerSecond is the mean number of connections that a room server accepts.
 	AcceptedPerSecond float64 `json:"connections_a_second_at_a_room_server"`
-	// MeanOpen is the mean number of connections of a room server at the end, including those of probes.
+	// MeanOpen is the mean number of open connections of a room server at the end, including those of probes.
 	MeanOpen float64 `json:"open_at_a_room_server"`
-	// MaxOpen is the largest number of connections of a room server at the end.
+	// MaxOpen is the largest number of open connections of a room server at the end, including those of probes.
 	MaxOpen int `json:"open_at_a_room_server_most"`
-	// DiscoveryCallsPerSecond is the number of calls that discovery receives.
+	// DiscoveryCallsPerSecond is the number of calls that discovery receives from all balancers.
 	DiscoveryCallsPerSecond float64 `json:"calls_a_second_at_discovery"`
 }
 
-// fleetUsage is one reading of the counters from which a Cost is calculated.
+// fleetUsage is one reading of the counters. A Cost is calculated from two of them.
 type fleetUsage struct {
 	at time.Time
-	// cpu is the processor time of all balancers since their starts.
+	// cpu is the processor time of all running balancers since their starts.
 	cpu time.Duration
 	// probes and accepted are sums over the room servers.
 	probes   uint64
 	accepted uint64
-	// calls counts the calls of discovery.
+	// calls counts the calls that discovery has received.
 	calls uint64
-	// open and maxOpen are the sum and the maximum of the room servers' connections.
+	// open and maxOpen are the sum and the maximum of the room servers' open connections.
 	open    int
 	maxOpen int
 }
 
-// readUsage reads all counters, and updates the maxima of the result's cost.
+// readUsage reads all counters and updates MaxResidentMB and MaxDescriptors of the result's cost.
 func (r *run) readUsage() (fleetUsage, error) {
 	u := fleetUsage{at: time.Now(), calls: r.discovery.Calls()}
 	cost := &r.result.Cost
@@ -64,7 +65,8 @@
 	return u, nil
 }
 
-// calculateCost calculates the result's cost from two readings between which no balancer was stopped.
+// calculateCost calculates the rest of the result's cost from two readings. No balancer may have been killed, stopped
+// or replaced between them.
 func (r *run) calculateCost(from, to fleetUsage) {
 	cost := &r.result.Cost
 	elapsed := to.at.Sub(from.at).Seconds()
--- a/internal/testbench/experiment/delivery_clients.go
+++ b/internal/testbench/experiment/delivery_clients.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// maxConcurrentConnects is the number of connections that are established at the same time.
+	// maxConcurrentConnects is the largest number of clients that connect at the same time.
 	maxConcurrentConnects = 64
-	// connectTimeout is how long it may take to establish a connection, with all retries.
+	// connectTimeout is how long a client may take to get an established connection, including all retries.
 	connectTimeout = 30 * time.Second
 	// connectRetryDelay is the time before a rejected client retries.
 	connectRetryDelay = 100 * time.Millisecond
-	// clientBufferBytes is the size of a client's read buffer.
+	// clientBufferBytes is the size of a client's read buffer in bytes.
 	clientBufferBytes = 512
 )
 
 // errRejected is returned for a request that was answered BUSY.
-var errRejected = errors.New("rejected until the time-out")
+var errRejected = errors.New("still rejected with BUSY at the time-out")
 
-// deliveryClients hold connections through a balancer and measure the latencies of the lines that they read.
+// deliveryClients hold connections through a balancer and measure the latencies of the lines that they receive.
 type deliveryClients struct {
 	// mu guards the other fields.
 	mu    sync.Mutex
 	conns []net.Conn
-	// latencies are in microseconds.
+	// latencies holds the times from when each line was due until it was read, in microseconds.
 	latencies *hdrhistogram.Histogram
 }
 
-// connectClients establishes n connections. The clients have to be closed also if it returns an error.
+// connectClients establishes n connections. The caller has to close the clients, also if there is an error.
 func connectClients(ctx context.Context, address string, n int) (*deliveryClients, error) {
 	c := &deliveryClients{latencies: newDeliveryHistogram()}
 	var connecting sync.WaitGroup
@@ -59,13 +59,13 @@
 	connecting.Wait()
 	select {
 	case err := <-errs:
-		return c, fmt.Errorf("one of %d connections was not established: %w", n, err)
+		return c, fmt.Errorf("at least one of %d connections was not established: %w", n, err)
 	default:
 		return c, nil
 	}
 }
 
-// connect establishes the connection of a client; a rejected client retries.
+// connect establishes the connection of a client. A rejected client retries until connectTimeout.
 func (c *deliveryClients) connect(ctx context.Context, address string, client int) error {
 	for end := time.Now().Add(connectTimeout); ; {
 		err := c.attempt(ctx, address, client, end)
@@ -78,7 +78,7 @@
 	}
 }
 
-// attempt makes one request. If it is established, another goroutine reads lines until the connection is closed.
+// attempt makes one request. If the answer is UP, another goroutine reads lines until the connection is closed.
 func (c *deliveryClients) attempt(ctx context.Context, address string, client int, end time.Time) error {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -97,10 +97,10 @@
 	return nil
 }
 
-// request sends the first line of a client and reads the answer. It returns an error if that is not UP.
+// request sends the first line of a client and reads the answer. It returns an error if the answer is not UP.
 func request(conn net.Conn, reader *bufio.Reader, client int, end time.Time) error {
 	conn.SetReadDeadline(end)
-	requestID := rand.Uint64() // has no effect on the measurement
+	requestID := rand.Uint64() // not from a seed: it has no effect on the measurement
 	_, err := fmt.Fprintf(conn, "OPEN %016x %016x c=%s,t=%s,d=4000\r\n", requestID, client+1, playerClass, tenantName)
 	if err != nil {
 		return err
@@ -112,13 +112,13 @@
 	case strings.HasPrefix(line, "BUSY"):
 		return errRejected
 	case !strings.HasPrefix(line, "UP "):
-		return errors.New("answered " + strconv.Quote(line))
+		return errors.New("unexpected answer " + strconv.Quote(line))
 	}
 	conn.SetReadDeadline(time.Time{})
 	return nil
 }
 
-// readLines measures the latency of each delivered line until the connection ends.
+// readLines records the latency of each delivered line until the connection ends.
 func (c *deliveryClients) readLines(reader *bufio.Reader) {
 	for {
 		line, err := reader.ReadString('\n')
@@ -141,14 +141,14 @@
 	}
 }
 
-// resetLatencies forgets the latencies measured so far.
+// resetLatencies discards the latencies that were recorded so far.
 func (c *deliveryClients) resetLatencies() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latencies = newDeliveryHistogram()
 }
 
-// readLatencies returns the latencies measured since the last reset.
+// readLatencies returns a copy of the latencies that were recorded since the last reset.
 func (c *deliveryClients) readLatencies() *hdrhistogram.Histogram {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbench/experiment/delivery_cost.go
+++ b/internal/testbench/experiment/delivery_cost.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	// deliveryGrace is how long after a measurement the last lines may arrive.
+	// deliveryGrace is how long after a measurement lines may still arrive without being counted as lost.
 	deliveryGrace = 500 * time.Millisecond
-	// maxDeliveryMicros is the longest latency that is distinguished, in microseconds.
+	// maxDeliveryMicros is the upper bound of the histograms of latencies and delays, in microseconds.
 	maxDeliveryMicros = 60_000_000
 )
 
-// DeliveryCost is what established connections, and lines from a room server to their clients, cost a balancer.
+// DeliveryCost holds what a balancer uses for established connections and for lines from a room server to clients.
 type DeliveryCost struct {
 	// Connections is the number of established connections.
 	Connections int `json:"connections"`
-	// Rate is the number of lines that the room server wrote in a second.
+	// Rate is the number of lines that the room server wrote per second.
 	Rate float64 `json:"deliveries_per_s"`
-	// Lost counts the lines that had not arrived 0.5 s after the end.
+	// Lost counts the lines that had not arrived 0.5 s after the end of the measurement.
 	Lost int `json:"lost"`
-	// CPUMsPerSecond is the balancer's processor time.
+	// CPUMsPerSecond is the balancer's processor time per second, including that of idle connections.
 	CPUMsPerSecond float64 `json:"cpu_ms_per_s"`
-	// CPUMicrosEach is the processor time for each line, without that of idle connections.
+	// CPUMicrosEach is the processor time for each line, without that of idle connections; 0 if there were no lines.
 	CPUMicrosEach float64 `json:"cpu_us_each"`
 	// LatencyMsP50 and LatencyMsP99 are quantiles of the time from when a line was due until its client has read it.
 	LatencyMsP50 float64 `json:"p50_ms"`
 	LatencyMsP99 float64 `json:"p99_ms"`
-	// WriteDelayMsP99 is the part of that by which the emulated room server wrote too late.
+	// WriteDelayMsP99 is the 99 % quantile of the time from when a line was due until the emulated room server wrote
+	// it. The latencies include this delay.
 	WriteDelayMsP99 float64 `json:"lab_late_p99_ms"`
 	// ResidentMB is the balancer's resident memory.
 	ResidentMB float64 `json:"rss_mb"`
 }
 
-// DeliveryOptions are the measurements of DeliveryCosts.
+// DeliveryOptions describes the measurements of DeliveryCosts.
 type DeliveryOptions struct {
 	// Connections is the number of established connections.
 	Connections int
-	// Rates are the numbers of lines in a second. A measurement without lines precedes them.
+	// Rates holds the numbers of lines per second. A measurement without lines precedes them.
 	Rates []float64
 	// Seconds is the duration of each measurement.
 	Seconds float64
 }
 
-// DeliveryCosts establishes connections through one balancer and measures the costs of lines at several rates, one
-// after the other.
+// DeliveryCosts establishes connections through one balancer. It measures the costs of lines that a room server sends
+// to the clients, at several rates one after the other.
 func DeliveryCosts(
 	ctx context.Context, program string, options DeliveryOptions, progress Progress,
 ) (costs []DeliveryCost, err error) {
@@ -73,7 +74,7 @@
 			return nil, err
 		}
 		cost.Connections = options.Connections
-		progress(fmt.Sprintf("%.0f deliveries a second: %.0f ms/s, %.1f us each, p99 %.2f ms, %d lost",
+		progress(fmt.Sprintf("%.0f deliveries/s: CPU %.0f ms/s, %.1f us each, latency p99 %.2f ms, %d lost",
 			cost.Rate, cost.CPUMsPerSecond, cost.CPUMicrosEach, cost.LatencyMsP99, cost.Lost))
 		costs = append(costs, cost)
 	}
@@ -87,10 +88,10 @@
 	server    *deliveryServer
 	discovery *emulator.Discovery
 	balancer  *balancer
-	// serving says that the balancer has to be stopped.
+	// serving says that the balancer was started and has to be stopped.
 	serving bool
 	clients *deliveryClients
-	// idleRate is what idle connections cost.
+	// idleRate is what the balancer uses per second with idle connections.
 	idleRate usageRate
 }
 
@@ -126,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	m.balancer.maxDescriptors = 0 // only the configuration has to limit them
+	m.balancer.maxDescriptors = 0 // the limit is only for the configuration, not for the process
 	if err := m.balancer.start(ctx); err != nil {
 		return err
 	}
@@ -185,7 +186,7 @@
 // WriteDeliveryCosts writes costs as a table for people.
 func WriteDeliveryCosts(out io.Writer, costs []DeliveryCost) error {
 	w := newTableWriter(out)
-	fmt.Fprintln(w, "connections\tdeliveries/s\tlost\tCPU ms/s\tus each\tp50 ms\tp99 ms\tlab late p99 ms\tMB\t")
+	fmt.Fprintln(w, "connections\tdeliveries/s\tlost\tCPU ms/s\tus each\tp50 ms\tp99 ms\twrite delay p99 ms\tMB\t")
 	for _, c := range costs {
 		fmt.Fprintf(w, "%d\t%.0f\t%d\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t\n",
 			c.Connections, c.Rate, c.Lost, c.CPUMsPerSecond, c.CPUMicrosEach, c.LatencyMsP50, c.LatencyMsP99,
--- a/internal/testbench/experiment/delivery_server.go
+++ b/internal/testbench/experiment/delivery_server.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// deliveryTick is the interval at which lines that are due are written together.
+	// deliveryTick is the interval at which the lines that are due are written.
 	deliveryTick = time.Millisecond
-	// deliveryLineBytes is the length of a line, with its end.
+	// deliveryLineBytes is the length of a delivered line in bytes, including CR LF.
 	deliveryLineBytes = 200
-	// deliveryCapacity is the number of connections that the server claims to have capacity for.
+	// deliveryCapacity is the number of connections at which the server's load reports show full utilization.
 	deliveryCapacity = 1 << 20
-	// maxRequestLineBytes is the longest line that the server reads.
+	// maxRequestLineBytes is the length of the longest line that the server reads, in bytes.
 	maxRequestLineBytes = 4096
 )
 
-// deliveryEpoch is the time from which the times in delivered lines are counted. One process writes and reads them.
+// deliveryEpoch is the time that the times in delivered lines are relative to. The same process writes and reads the
+// lines.
 var deliveryEpoch = time.Now()
 
-// deliveryServer emulates a room server that writes lines on its own initiative.
+// deliveryServer emulates a room server that sends lines to clients without being asked.
 type deliveryServer struct {
 	listener net.Listener
-	// goroutines counts those that end with the listener and the connections.
+	// goroutines counts the goroutines that end when the listener and the connections are closed.
 	goroutines sync.WaitGroup
 
 	// mu guards conns.
@@ -64,8 +65,8 @@
 	}
 }
 
-// serve answers probes, establishes each request, and answers further lines as room servers do, until the connection
-// ends.
+// serve answers the lines of a connection until it ends: it answers probes, establishes all requests and echoes other
+// lines.
 func (s *deliveryServer) serve(conn net.Conn) {
 	defer conn.Close()
 	lines := bufio.NewScanner(conn)
@@ -83,7 +84,7 @@
 	}
 }
 
-// answer returns the answer to a line that begins with a word.
+// answer returns the answer to a line whose first word is given.
 func (s *deliveryServer) answer(word, line string) string {
 	switch word {
 	case "PING":
@@ -100,8 +101,9 @@
 	return "RE " + line
 }
 
-// deliver writes lines at a rate per second, each on a random connection, until ctx ends or a connection fails. It
-// returns the number of lines, and a histogram of the microseconds by which they were written too late.
+// deliver writes a number of lines per second, each to a random connection, until ctx ends or a connection fails. It
+// returns the number of lines written, and a histogram of the delays from when lines were due until they were written,
+// in microseconds.
 func (s *deliveryServer) deliver(ctx context.Context, rate float64) (sent int, delays *hdrhistogram.Histogram) {
 	delays = newDeliveryHistogram()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -120,16 +122,16 @@
 			dueAt := start.Add(seconds(float64(sent) / rate))
 			delays.RecordValue(max(time.Since(dueAt).Microseconds(), 1))
 			if _, err := io.WriteString(conns[rng.IntN(len(conns))], deliveryLine(dueAt)); err != nil {
-				return sent, delays // the result shows that the others are missing
+				return sent, delays // DeliveryCost.Rate shows that lines are missing
 			}
 		}
 	}
 }
 
-// deliveryPadding fills a line up to its length.
+// deliveryPadding fills a line up to deliveryLineBytes.
 var deliveryPadding = strings.Repeat("x", deliveryLineBytes)
 
-// deliveryLine returns a line with the time at which it was due, in microseconds since deliveryEpoch.
+// deliveryLine returns a line that contains the time at which it is due, in microseconds since deliveryEpoch.
 func deliveryLine(dueAt time.Time) string {
 	line := fmt.Sprintf("AT %d %s", dueAt.Sub(deliveryEpoch).Microseconds(), deliveryPadding)
 	return line[:deliveryLineBytes-2] + "\r\n"
--- a/internal/testbench/experiment/experiment.go
+++ b/internal/testbench/experiment/experiment.go
@@ -1,9 +1,10 @@
-// Package experiment runs experiments: balancer processes on loopback that serve emulated clients, room servers and
-// discovery, with faults at given times, while the invariants are checked. It also measures what balancers cost.
+// Package experiment runs experiments with real balancer processes on loopback. Clients, room servers and discovery are
+// emulated. A run injects faults at given times and checks the invariants. The package also measures the resources that
+// balancers use.
 //
-// There are three kinds of experiments, each with a file format, a run and a result: the usual one (Experiment, Run,
-// Result), one of a cluster's membership (MembershipExperiment, RunMembership), and one of thousands of hollow nodes
-// (ScaleExperiment, RunScale).
+// There are three kinds of experiments, each with a file format, a run and a result: the general one (Experiment, Run,
+// Result), one of the membership of a cluster (MembershipExperiment, RunMembership, MembershipResult), and one with
+// thousands of hollow nodes (ScaleExperiment, RunScale, ScaleResult).
 package experiment
 
 import (
@@ -19,12 +20,12 @@
 //go:embed experiment.schema.json
 var schemaText []byte
 
-// Experiment is the contents of an experiment's file. Parse gives the defaults of absent keys.
+// Experiment is the contents of an experiment's file. Parse sets the defaults of absent keys.
 type Experiment struct {
 	Name string `json:"name"`
-	// About says what the experiment is for.
+	// About describes the purpose of the experiment.
 	About string `json:"about"`
-	// Seed determines the random choices.
+	// Seed determines the random choices of the players, the front layer and the balancers.
 	Seed uint64 `json:"seed"`
 	// Balancers is the number of balancer processes.
 	Balancers int `json:"balancers"`
@@ -40,11 +41,11 @@
 	FillSeconds float64 `json:"fill_s"`
 	// MeanGameSeconds is the mean duration of a game; 0 if games do not end.
 	MeanGameSeconds float64 `json:"life_s"`
-	// PlayIntervalMs is the time between two moves in a game.
+	// PlayIntervalMs is the time between two moves of a player, in milliseconds.
 	PlayIntervalMs int `json:"every_ms"`
-	// ClientTimeoutMs is how long a client waits for an answer.
+	// ClientTimeoutMs is how long a client waits for an answer, in milliseconds.
 	ClientTimeoutMs int `json:"patience_ms"`
-	// StateBytes is the size of a session's state.
+	// StateBytes is the size of a session's state, in bytes.
 	StateBytes int `json:"state_bytes"`
 	// Seconds is the duration of the run.
 	Seconds float64 `json:"seconds"`
@@ -52,45 +53,46 @@
 	ResumesSessions bool `json:"tokens"`
 	// CompareWithoutTokens asks for a second run without session tokens.
 	CompareWithoutTokens bool `json:"beside_without_tokens"`
-	// ListFile says that the balancers read the endpoint list from a file instead of from discovery.
+	// ListFile says that the balancers read the endpoint list from a file instead of discovery.
 	ListFile bool `json:"list_file"`
 	// ReloadIntervalSeconds is the time between two SIGHUPs to all balancers; 0 if there are none.
 	ReloadIntervalSeconds float64 `json:"reload_every_s"`
-	// NoticeMs is the time until the front layer notices that a balancer has stopped.
+	// NoticeMs is the time until the front layer notices that a balancer is down, in milliseconds.
 	NoticeMs int `json:"notice_ms"`
-	// DiscoveryLagMs is the time until discovery reports the change of a room server.
+	// DiscoveryLagMs is the time until discovery publishes a room server's new lifecycle, in milliseconds.
 	DiscoveryLagMs int `json:"roll_lag_ms"`
-	// MaxDescriptors is the limit on the descriptors of a balancer; 0 if it is ample.
+	// MaxDescriptors is the limit on the descriptors of a balancer, both as configured and of its process; 0 configures
+	// a limit by the number of clients and does not limit the process.
 	MaxDescriptors int `json:"sockets"`
 	// MemoryMB is the configured memory limit of a balancer.
 	MemoryMB int `json:"memory_mb"`
-	// Faults are the faults, the earliest first.
+	// Faults holds the faults, the earliest first.
 	Faults []Fault `json:"troubles"`
 }
 
-// The actions of Fault.Action.
+// Values of Fault.Action.
 const (
 	actionDrain     = "drain"   // a room server drains
 	actionEndDrain  = "return"  // a room server admits clients again
 	actionCrash     = "crash"   // a room server crashes
 	actionKill      = "kill"    // a balancer is killed by SIGKILL
-	actionRestart   = "restart" // a balancer is stopped gracefully, unless it was killed, and started again
+	actionRestart   = "restart" // a balancer is stopped gracefully, if it runs, and started again
 	actionHotUpdate = "renew"   // a new process of a balancer takes over the sockets of the running one
-	actionReplay    = "replay"  // clients present their tokens at two more balancers
-	actionRotate    = "rotate"  // the balancers get a new key of session tokens
+	actionReplay    = "replay"  // copies of clients' next tokens are presented to balancers
+	actionRotate    = "rotate"  // the balancers reload the key file with a new sealing key
 )
 
-// Fault is a fault, or another event, at a given time of a run.
+// Fault is a fault, or another action, at a given time of a run.
 type Fault struct {
 	// At is the time since the start of the run, in seconds.
 	At float64 `json:"at_s"`
-	// Action says what happens and which of the other fields are used.
+	// Action says what happens. It determines which of the other fields are used.
 	Action string `json:"do"`
 	// Room is the number of a room server.
 	Room int `json:"room"`
 	// Balancer is the number of a balancer.
 	Balancer int `json:"balancer"`
-	// Fraction is the fraction of the clients that are concerned.
+	// Fraction is the fraction of the clients whose tokens are replayed.
 	Fraction float64 `json:"share"`
 }
 
@@ -102,12 +104,12 @@
 	case actionKill, actionRestart, actionHotUpdate:
 		return fmt.Sprintf("%s balancer n%d", f.Action, f.Balancer)
 	case actionReplay:
-		return fmt.Sprintf("%.0f %% of the clients replay their tokens at two balancers", 100*f.Fraction)
+		return fmt.Sprintf("%.0f %% of the clients have their tokens replayed at two balancers", 100*f.Fraction)
 	}
-	return "rotate the keys of tokens"
+	return "rotate the sealing keys of session tokens"
 }
 
-// Progress receives lines about the progress of a run, for people.
+// Progress receives lines for people that report the progress of a run.
 type Progress func(line string)
 
 // Load reads an experiment's file. Errors name the file, the key and the value.
@@ -134,19 +136,20 @@
 	for i, f := range e.Faults {
 		switch {
 		case f.Room >= e.RoomServers:
-			return e, fmt.Errorf("troubles/%d/room: %d, there are %d room servers from 0 on", i, f.Room, e.RoomServers)
+			return e, fmt.Errorf("troubles/%d/room: %d, but there are only %d room servers, numbered from 0",
+				i, f.Room, e.RoomServers)
 		case f.Balancer >= e.Balancers:
-			return e, fmt.Errorf("troubles/%d/balancer: %d, there are %d balancers from 0 on",
+			return e, fmt.Errorf("troubles/%d/balancer: %d, but there are only %d balancers, numbered from 0",
 				i, f.Balancer, e.Balancers)
 		case f.At >= e.Seconds:
-			return e, fmt.Errorf("troubles/%d/at_s: %v is after the end, %v", i, f.At, e.Seconds)
+			return e, fmt.Errorf("troubles/%d/at_s: %v is not before the end, %v", i, f.At, e.Seconds)
 		}
 	}
 	slices.SortStableFunc(e.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return e, nil
 }
 
-// FileKind returns the kind of an experiment's file; empty for the usual one.
+// FileKind returns the value of the key "kind" of an experiment's file; empty if the file has none.
 func FileKind(path string) (string, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testbench/experiment/experiment_test.go
+++ b/internal/testbench/experiment/experiment_test.go
@@ -25,7 +25,7 @@
 		return `{"name":"x","balancers":1,"rooms":1,"sessions":1,"seconds":1,"troubles":[` + faults + `]}`
 	}
 	wantParseErrors(t, Parse, map[string]string{
-		`{`:  "no JSON",
+		`{`:  "invalid JSON",
 		`[]`: "the experiment: ",
 		`{"name":"x","balancers":1,"rooms":1,"sessions":1}`:                       "seconds",
 		`{"name":"x","balancers":0,"rooms":1,"sessions":1,"seconds":1}`:           "balancers: ",
--- a/internal/testbench/experiment/fleet_cost.go
+++ b/internal/testbench/experiment/fleet_cost.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// connectRate is the number of clients that connect in a second while a fleet is filled.
+	// connectRate is the number of clients that connect per second at the start of a run.
 	connectRate = 100.0
-	// fleetPlayIntervalMs is the time between two moves of a fleet's clients.
+	// fleetPlayIntervalMs is the time between two moves of a client, in milliseconds.
 	fleetPlayIntervalMs = 2000
-	// spareCapacity is the multiple of its share of the clients that each room server could serve.
+	// spareCapacity is the capacity of a room server as a multiple of SessionsPerServer.
 	spareCapacity = 4
 )
 
-// FleetCost is the cost of a fleet of one size.
+// FleetCost holds the cost of a fleet of one size.
 type FleetCost struct {
 	Balancers   int `json:"balancers"`
 	RoomServers int `json:"rooms"`
@@ -24,18 +24,18 @@
 	// Rejected counts the requests that were answered BUSY.
 	Rejected int  `json:"refused"`
 	Cost     Cost `json:"cost"`
-	// Passed says that all invariants held.
+	// Passed says whether all invariants held.
 	Passed bool `json:"sound"`
 }
 
-// FleetSizes are the fleets that FleetCosts measures.
+// FleetSizes describes the fleets that FleetCosts measures.
 type FleetSizes struct {
-	// Balancers and RoomServers are the numbers of both; each of the one is combined with each of the other.
+	// Balancers and RoomServers hold numbers of balancers and of room servers. Each pair of them is measured.
 	Balancers   []int
 	RoomServers []int
 	// SessionsPerServer is the number of clients for each room server.
 	SessionsPerServer int
-	// Seconds is the time that is measured once all clients have connected.
+	// Seconds is the duration of a measurement, which begins after all clients have connected.
 	Seconds float64
 }
 
@@ -56,7 +56,7 @@
 	return costs, nil
 }
 
-// fleetCost measures the cost of a fleet.
+// fleetCost measures the cost of a fleet in a run without faults and session tokens.
 func fleetCost(
 	ctx context.Context, program string, balancers, roomServers int, sizes FleetSizes,
 ) (FleetCost, error) {
@@ -86,7 +86,7 @@
 func WriteFleetCosts(out io.Writer, costs []FleetCost) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "balancers\troom servers\tsessions\tMB\tdescriptors\tCPU ms/s\tprobes/s\tnew/s\t"+
-		"open\topen, most\tdiscovery calls/s\t")
+		"open\topen, largest\tdiscovery calls/s\t")
 	for _, f := range costs {
 		c := f.Cost
 		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%d\t%.1f\t%.2f\t%.2f\t%.1f\t%d\t%.2f\t\n",
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -13,63 +13,65 @@
 )
 
 const (
-	// listRoomServers is the number of room servers that exist; all entries of a list share their addresses.
+	// listRoomServers is the number of emulated room servers. The entries of a list share their addresses.
 	listRoomServers = 8
-	// idleTime is the time before a measurement in which the balancer recovers from its start.
+	// idleTime is the time before a measurement in which the balancer finishes the work of its start.
 	idleTime = 3 * time.Second
 	// listTimeout is how long the balancer may take to apply the list.
 	listTimeout = 30 * time.Second
-	// listPollInterval is the time between two checks whether the list is applied.
+	// listPollInterval is the time between two checks whether the balancer has applied the list.
 	listPollInterval = 20 * time.Millisecond
-	// entryStride is the distance of two entries that change one after the other.
+	// entryStride is the distance in the list between two consecutively changed entries.
 	entryStride = 7919
 )
 
 // threeZones are the zones of the list's entries.
 var threeZones = []string{"a", "b", "c"}
 
-// emptyList is a known list without entries.
+// emptyList is the known list of the balancer, which has no entries.
 const emptyList = `{"generation":0,"reset":true,"instances":[]}`
 
-// ListCost is what an endpoint list of one length costs a balancer that serves no clients. The balancer starts without
-// a list and receives it from discovery.
+// ListCost holds what a balancer without clients uses for an endpoint list of one length. The balancer starts with an
+// empty list and receives the list from discovery.
 type ListCost struct {
 	// Servers is the length of the list.
 	Servers int `json:"servers"`
-	// AppliedSeconds is the time from the start of the process until it has applied the list; negative if it has not.
+	// AppliedSeconds is the time from the start of the process until it has applied the list; -1 if it has not.
 	AppliedSeconds float64 `json:"in_force_s"`
-	// IdleCPUMsPerSecond is the processor time without changes.
+	// IdleCPUMsPerSecond is the processor time per second without changes of the list.
 	IdleCPUMsPerSecond float64 `json:"rest_ms_per_s"`
-	// CPUMsPerChange is the additional processor time for the change of one entry.
+	// CPUMsPerChange is the additional processor time for each change of an entry.
 	CPUMsPerChange float64 `json:"change_ms"`
 	// ResidentMB is the resident memory at the end.
 	ResidentMB float64 `json:"rss_mb"`
-	// PeakResidentMB is the largest resident memory.
+	// PeakResidentMB is the largest resident memory since the start.
 	PeakResidentMB float64 `json:"peak_mb"`
-	// IdleKBPerSecond is what the process reads from its sockets, those of probes included, without changes.
+	// IdleKBPerSecond is what the process reads from files and sockets, including those of probes, per second without
+	// changes.
 	IdleKBPerSecond float64 `json:"rest_kb_per_s"`
-	// ChangeKBPerSecond is the same with changes.
+	// ChangeKBPerSecond is what the process reads per second with changes.
 	ChangeKBPerSecond float64 `json:"change_kb_per_s"`
-	// StartKB is what the process has read when it has applied the list.
+	// StartKB is what the process has read from its start until it has applied the list.
 	StartKB float64 `json:"start_kb"`
-	// StartCPUMs is the processor time until then.
+	// StartCPUMs is the processor time from the start until the list is applied.
 	StartCPUMs float64 `json:"start_cpu_ms"`
-	// DiscoveryCallsPerSecond is the number of calls of discovery without changes.
+	// DiscoveryCallsPerSecond is the number of calls that discovery receives per second without changes.
 	DiscoveryCallsPerSecond float64 `json:"discovery_calls_s"`
 }
 
-// ListCostOptions are the measurements of ListCosts.
+// ListCostOptions describes the measurements of ListCosts.
 type ListCostOptions struct {
-	// Servers are the lengths of the lists.
+	// Servers holds the lengths of the lists.
 	Servers []int
 	// Seconds is the duration of each measurement.
 	Seconds float64
-	// ChangesPerSecond is the rate of changes; the cost of one in a second is within the noise, 0.3 ms.
+	// ChangesPerSecond is the rate of changes. At one change per second, the cost of a change, 0.3 ms, is within the
+	// noise of the measurement.
 	ChangesPerSecond float64
 }
 
-// ListCosts measures the costs of lists of several lengths, one after the other, with the given balancer program: each
-// without changes and with changes of one entry.
+// ListCosts measures the costs of lists of several lengths, one after the other, with the given balancer program. Each
+// list is measured first without changes and then with changes of single entries.
 func ListCosts(
 	ctx context.Context, program string, options ListCostOptions, progress Progress,
 ) (costs []ListCost, err error) {
@@ -101,14 +103,14 @@
 	if err := m.start(ctx); err != nil {
 		return m.cost, err
 	}
-	progress(fmt.Sprintf("%d room servers: in force after %.2f s, %.0f KB", n, m.cost.AppliedSeconds, m.cost.StartKB))
+	progress(fmt.Sprintf("%d room servers: applied after %.2f s, %.0f KB", n, m.cost.AppliedSeconds, m.cost.StartKB))
 	if err := sleep(ctx, idleTime); err != nil {
 		return m.cost, err
 	}
 	if err := m.measure(ctx); err != nil {
 		return m.cost, err
 	}
-	progress(fmt.Sprintf("%d room servers: %.2f ms/s at rest, %.2f ms a change, %.1f MB",
+	progress(fmt.Sprintf("%d room servers: CPU %.2f ms/s idle, %.2f ms per change, %.1f MB",
 		n, m.cost.IdleCPUMsPerSecond, m.cost.CPUMsPerChange, m.cost.PeakResidentMB))
 	return m.cost, nil
 }
@@ -125,12 +127,12 @@
 	roomServers []*emulator.RoomServer
 	discovery   *emulator.Discovery
 	balancer    *balancer
-	// serving says that the balancer has to be stopped.
+	// serving says that the balancer was started and has to be stopped.
 	serving bool
 	cost    ListCost
 }
 
-// open starts the room servers and discovery with the list, and prepares the balancer.
+// open starts the room servers and discovery with the list, and writes the files of the balancer.
 func (m *listMeasurement) open() (err error) {
 	if m.dir, err = os.MkdirTemp("", "cottonplank-lab-"); err != nil {
 		return err
@@ -170,7 +172,7 @@
 	return err
 }
 
-// entry returns an entry of the list.
+// entry returns the i-th entry of the list with the given weight.
 func (m *listMeasurement) entry(i int, weight float64) emulator.Entry {
 	address := m.roomServers[i%listRoomServers].Address()
 	e := emulator.ActiveEntry(fmt.Sprintf("s-%08x", i), address, threeZones[i%len(threeZones)])
@@ -178,7 +180,8 @@
 	return e
 }
 
-// start starts the balancer, waits until it has applied the list and measures what that has cost.
+// start starts the balancer, waits until it has applied the list and measures the cost of that. If the balancer does
+// not apply the list within listTimeout, AppliedSeconds stays -1.
 func (m *listMeasurement) start(ctx context.Context) error {
 	start := time.Now()
 	if err := m.balancer.start(ctx); err != nil {
@@ -235,7 +238,7 @@
 	return err
 }
 
-// publishChanges changes one entry after the other until ctx ends. It returns the number of changes.
+// publishChanges publishes changes of the weights of single entries until ctx ends. It returns the number of changes.
 func (m *listMeasurement) publishChanges(ctx context.Context) (changes int) {
 	ticker := time.NewTicker(m.interval)
 	defer ticker.Stop()
@@ -267,8 +270,8 @@
 // WriteListCosts writes costs as a table for people.
 func WriteListCosts(out io.Writer, costs []ListCost) error {
 	w := newTableWriter(out)
-	fmt.Fprintln(w, "room servers\tin force, s\tstart KB\tstart CPU ms\trest ms/s\tchange ms\tMB\tMB, most\t"+
-		"rest KB/s\tchanges KB/s\tcalls/s\t")
+	fmt.Fprintln(w, "room servers\tapplied, s\tstart KB\tstart CPU ms\tidle CPU ms/s\tCPU ms/change\tMB\tMB, peak\t"+
+		"idle KB/s\tchanges KB/s\tdiscovery calls/s\t")
 	for _, c := range costs {
 		fmt.Fprintf(w, "%d\t%.2f\t%.0f\t%.0f\t%.2f\t%.3f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t\n",
 			c.Servers, c.AppliedSeconds, c.StartKB, c.StartCPUMs, c.IdleCPUMsPerSecond, c.CPUMsPerChange, c.ResidentMB,
--- a/internal/testbench/experiment/membership_checker.go
+++ b/internal/testbench/experiment/membership_checker.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxTolerablePause is how long an instance may be paused without being considered failed.
+	// maxTolerablePause is the longest pause after which a report that the instance has failed still counts as false.
 	maxTolerablePause = 8 * time.Second
-	// settledAfter is how long an instance must have been live and reachable so that reports of its failure are false.
+	// settledAfter is how long an instance must have been live and reachable before reports of its failure are false.
 	settledAfter = 10 * time.Second
-	// detectTimeout is how long the detection of a failure may take to count as a detection.
+	// detectTimeout is the time after a kill within which reports of the failure count.
 	detectTimeout = 20 * time.Second
-	// leaveTimeout is the same for a graceful shutdown.
+	// leaveTimeout is the time after the begin of a graceful shutdown within which reports of it count.
 	leaveTimeout = 5 * time.Second
-	// joinGrace is how long an instance may be live without being counted by others.
+	// joinGrace is how long an instance may be live before others have to count it.
 	joinGrace = 3 * time.Second
-	// disturbanceWindow is how long before an event an observer's disturbance may delay its report.
+	// disturbanceWindow is the time before an event in which a disturbance of an observer excuses it from a report.
 	disturbanceWindow = 1500 * time.Millisecond
-	// notDetectedMs is the time, in milliseconds, that counts for what was not detected.
+	// notDetectedMs is the time, in milliseconds, that stands for an event that was not detected.
 	notDetectedMs = 1e6
 )
 
@@ -29,40 +29,41 @@
 type membershipFindings struct {
 	// FalseFailed holds the reports that a live and reachable instance has failed.
 	FalseFailed []membershipEvent
-	// SizeBelowLive counts the polls of a fleet size below the number of live instances.
+	// SizeBelowLive counts the polls of a fleet size below the number of instances live for longer than joinGrace.
 	SizeBelowLive int
-	// ViewRegressions counts the polls of a lower view version than before.
+	// ViewRegressions counts the polls of a view version below that of the process's previous poll.
 	ViewRegressions int
-	// Detect holds, for each kill, the time until all undisturbed instances have reported the failure.
+	// Detect holds, for each kill, the time until all undisturbed instances have reported the failure. Instances that
+	// start again within detectTimeout are left out.
 	Detect []float64
-	// Suspect holds, for each kill, the time until they have reported the suspicion.
+	// Suspect holds, for the same kills, the time until all undisturbed instances have reported the suspicion.
 	Suspect []float64
-	// Leave holds, for each graceful shutdown, the time until they have reported it.
+	// Leave holds, for each graceful shutdown, the time until all undisturbed instances have reported it.
 	Leave []float64
-	// Agree is the time from the end of the last fault until all instances agreed on the live ones for good.
+	// Agree is the time from the end of the last fault until the last poll with a wrong number of live instances.
 	Agree float64
 }
 
-// membershipChecker checks the events of a run.
+// membershipChecker checks the events of a membership run.
 type membershipChecker struct {
 	events []membershipEvent
 	// now is the time of the current event.
 	now   time.Duration
 	state *clusterState
-	// unreachableAt is when each instance was last not reachable by most others.
+	// unreachableAt holds when each instance was last not reachable by most others.
 	unreachableAt []time.Duration
-	// versions holds the latest version of each instance's view.
+	// versions holds the view version of each instance's latest poll; 0 after a start.
 	versions []uint64
-	// faultsOver says that the last fault has ended.
+	// faultsOver says whether the last fault has ended.
 	faultsOver bool
-	// faultsOverAt is when it has.
+	// faultsOverAt is when the last fault ended.
 	faultsOverAt time.Duration
-	// disagreedAt is when an instance last reported another number of live instances after that.
+	// disagreedAt is the time of the last poll after faultsOverAt with a wrong number of live instances.
 	disagreedAt time.Duration
 	findings    membershipFindings
 }
 
-// checkMembership checks the events of a run, which it sorts by their times.
+// checkMembership checks the events of a membership run. It sorts the slice by the times of the events.
 func checkMembership(instances int, events []membershipEvent) membershipFindings {
 	slices.SortStableFunc(events, func(a, b membershipEvent) int { return cmp.Compare(a.At, b.At) })
 	c := &membershipChecker{
@@ -84,7 +85,7 @@
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// check checks the i-th event.
+// check applies and checks the i-th event.
 func (c *membershipChecker) check(i int, e membershipEvent) {
 	c.state.apply(e)
 	switch e.Kind {
@@ -107,7 +108,7 @@
 	}
 }
 
-// checkDetection measures how long the detection of a kill takes, unless the instance is soon started again.
+// checkDetection measures how long the detection of a kill takes, unless the instance starts within detectTimeout.
 func (c *membershipChecker) checkDetection(i int) {
 	if c.startsWithin(i, detectTimeout) {
 		return
@@ -119,7 +120,7 @@
 	c.findings.Detect = append(c.findings.Detect, detect)
 }
 
-// checkMetrics compares an instance's metrics with the true state.
+// checkMetrics compares the polled metrics of an instance with the true state. It ignores instances that are not live.
 func (c *membershipChecker) checkMetrics(e membershipEvent) {
 	if !c.state.live[e.Member] {
 		return
@@ -146,8 +147,8 @@
 	}
 }
 
-// falselyFailed reports whether a live instance has reported the failure of another that has been live, not paused for
-// long, and reachable by most others.
+// falselyFailed reports whether a live instance has reported the failure of another one although that has been live and
+// reachable by most others for settledAfter, and was not paused for too long.
 func (c *membershipChecker) falselyFailed(e membershipEvent) bool {
 	m := e.Other
 	if !c.state.live[e.Member] || !c.state.live[m] || c.state.pausedTooLong(m, c.now) {
@@ -156,7 +157,7 @@
 	return c.now-c.state.since[m] >= settledAfter && c.now-c.unreachableAt[m] > settledAfter
 }
 
-// updateReachability notes which instances are not reachable now.
+// updateReachability sets unreachableAt of the instances that are not reachable now.
 func (c *membershipChecker) updateReachability() {
 	for m := range c.unreachableAt {
 		if !c.state.reachable(m) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// startsWithin reports whether the instance of the i-th event starts again within a time.
+// startsWithin reports whether the instance of the i-th event starts again within a time span.
 func (c *membershipChecker) startsWithin(i int, span time.Duration) bool {
 	for _, e := range c.events[i+1:] {
 		if e.At > c.now+span {
@@ -179,8 +180,9 @@
 }
 
 // timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state of
-// its instance, or notDetectedMs if one does not within the timeout. An instance is no observer if it is disturbed
-// within the objective before it has reported.
+// its instance, or notDetectedMs if one of them does not within the timeout. Observers are the live instances, except
+// those that are disturbed before they have reported, at any time from disturbanceWindow before the event until the
+// objective after it.
 func (c *membershipChecker) timeUntilReported(
 	i int, state membership.State, objective, timeout time.Duration,
 ) float64 {
@@ -201,7 +203,8 @@
 	return inMilliseconds(last - c.now)
 }
 
-// firstReports returns when each instance first reported a state of the i-th event's instance, within a timeout.
+// firstReports returns the time at which each instance first reported a state of the i-th event's instance. It leaves
+// out instances that did not within the timeout.
 func (c *membershipChecker) firstReports(
 	i int, state membership.State, timeout time.Duration,
 ) map[int]time.Duration {
@@ -220,8 +223,9 @@
 	return reports
 }
 
-// disturbances returns since when each instance that is disturbed shortly before the i-th event, or after it up to a
-// time, has been so: by an event of its process, a pause, or because most others do not reach it.
+// disturbances returns the time of the first disturbance of each instance that is disturbed between disturbanceWindow
+// before the i-th event and the given time. A disturbance is a start, end, pause or resumption of the instance's
+// process, or that most others do not reach it.
 func (c *membershipChecker) disturbances(i int, until time.Duration) map[int]time.Duration {
 	disturbances := map[int]time.Duration{}
 	add := func(member int, at time.Duration) {
--- a/internal/testbench/experiment/membership_cluster.go
+++ b/internal/testbench/experiment/membership_cluster.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// notPaused is the time of the pause of an instance that is not paused.
+// notPaused is the value of clusterState.pausedAt for an instance that is not paused.
 const notPaused = -1
 
-// clusterState is the true state of the instances and of the paths between them.
+// clusterState is the true state of the instances and the network paths between them, as the run has caused it.
 type clusterState struct {
 	live []bool
-	// since is when the instance's process has started, or ended if it is not live.
+	// since holds when each instance last started, or ended if it is not live.
 	since []time.Duration
-	// pausedAt is when the instance was paused; notPaused if it is not.
+	// pausedAt holds when each instance was paused; notPaused if it is not paused.
 	pausedAt []time.Duration
-	// longPauseEnd is when the latest pause of the instance that was longer than maxTolerablePause has ended.
+	// longPauseEnd holds when the latest pause of each instance that was longer than maxTolerablePause ended; a time
+	// long before the run if there was none.
 	longPauseEnd []time.Duration
-	// cut says which paths are cut.
+	// cut says whether the path from one instance, the first index, to another is cut.
 	cut [][]bool
 }
 
@@ -51,7 +52,7 @@
 	return clone
 }
 
-// apply applies an event; those that instances have said make no difference.
+// apply applies an event. Reports and polls of instances do not change the state.
 func (s *clusterState) apply(e membershipEvent) {
 	m := e.Member
 	switch e.Kind {
@@ -76,12 +77,14 @@
 // paused reports whether an instance is paused.
 func (s *clusterState) paused(m int) bool { return s.pausedAt[m] >= 0 }
 
-// pausedTooLong reports whether an instance is or was paused for so long that it may be considered failed.
+// pausedTooLong reports whether an instance has been paused for longer than maxTolerablePause, or such a pause ended
+// less than settledAfter ago. Others may consider it failed then.
 func (s *clusterState) pausedTooLong(m int, now time.Duration) bool {
 	return s.paused(m) && now-s.pausedAt[m] > maxTolerablePause || now-s.longPauseEnd[m] < settledAfter
 }
 
-// reachable reports whether most of the other live instances reach an instance, in both directions.
+// reachable reports whether more than half of the other live instances are not paused and have uncut paths to and from
+// an instance.
 func (s *clusterState) reachable(m int) bool {
 	others, reaching := 0, 0
 	for i := range s.live {
--- a/internal/testbench/experiment/membership_event.go
+++ b/internal/testbench/experiment/membership_event.go
@@ -9,13 +9,13 @@
 // membershipEventKind says what happened in a membershipEvent.
 type membershipEventKind uint8
 
-// The kinds of events. Each comment lists the fields of membershipEvent that the kind uses besides At.
+// Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At.
 const (
-	// memberStarted reports that a process of an instance has started: Member.
+	// memberStarted reports that a process of an instance is about to be started: Member.
 	memberStarted membershipEventKind = iota
-	// memberKilled reports that an instance was killed by SIGKILL: Member.
+	// memberKilled reports that an instance is about to be killed by SIGKILL: Member.
 	memberKilled
-	// memberStopped reports that the graceful shutdown of an instance has begun: Member.
+	// memberStopped reports that the graceful shutdown of an instance begins: Member.
 	memberStopped
 	// memberPaused reports that an instance was stopped by SIGSTOP: Member.
 	memberPaused
@@ -33,26 +33,26 @@
 	memberPolled
 )
 
-// membershipEvent is one thing that happened during a run, or that an instance said.
+// membershipEvent is a change that a run caused, or something that an instance logged or returned as its metrics.
 type membershipEvent struct {
-	// At is the time since the start of the run.
+	// At is the time since the start of the membership run, before its instances start.
 	At   time.Duration
 	Kind membershipEventKind
-	// Member is the number of the instance.
+	// Member is the index of the instance.
 	Member int
-	// Other is the number of another instance.
+	// Other is the index of another instance.
 	Other int
-	// State is the state of Other.
+	// State is the state of Other, according to Member.
 	State membership.State
 	// Alive is the number of instances that Member considers alive.
 	Alive int
-	// Size is the fleet size that Member calculates with.
+	// Size is the fleet size that Member uses in its calculations.
 	Size int
 	// Version is the version of Member's view.
 	Version uint64
 }
 
-// disturbs reports whether an instance may be late after the event.
+// disturbs reports whether the event may delay later reports of its instance.
 func (e membershipEvent) disturbs() bool {
 	switch e.Kind {
 	case memberStarted, memberKilled, memberStopped, memberPaused, memberResumed:
--- a/internal/testbench/experiment/membership_experiment.go
+++ b/internal/testbench/experiment/membership_experiment.go
@@ -8,13 +8,13 @@
 // MembershipKind is the kind of the file of a MembershipExperiment.
 const MembershipKind = "membership-faults"
 
-// MembershipExperiment is an experiment with balancers that are members of one cluster and faults between them, which
-// are drawn from the seed.
+// MembershipExperiment is an experiment with balancers that are members of one cluster. Its faults, of the balancers
+// and of the network between them, are drawn from the seed.
 type MembershipExperiment struct {
 	Name string `json:"name"`
-	// Kind is MembershipKind.
+	// Kind is always MembershipKind.
 	Kind string `json:"kind"`
-	// About says what the experiment is for.
+	// About describes the purpose of the experiment.
 	About string `json:"about"`
 	// Seed determines the faults and the other random choices.
 	Seed uint64 `json:"seed"`
@@ -24,7 +24,7 @@
 	RoomServers int `json:"rooms"`
 	// Sessions is the number of clients.
 	Sessions int `json:"sessions"`
-	// PlayIntervalMs is the time between two moves in a game.
+	// PlayIntervalMs is the time between two moves of a player, in milliseconds.
 	PlayIntervalMs int `json:"every_ms"`
 	// Seconds is the duration of the run.
 	Seconds float64 `json:"seconds"`
@@ -40,7 +40,7 @@
 	return e, err
 }
 
-// experiment returns the settings of the run that the faults are added to.
+// experiment returns the general experiment, without faults, that the membership run plays.
 func (e MembershipExperiment) experiment() Experiment {
 	return Experiment{
 		Name:            e.Name,
--- a/internal/testbench/experiment/membership_faults.go
+++ b/internal/testbench/experiment/membership_faults.go
@@ -10,27 +10,27 @@
 	"cottonplank/internal/testbench/faultproxy"
 )
 
-// membershipFaultKind is the kind of a membershipFault. Its value is a part of lines of the progress.
+// membershipFaultKind is the kind of a membershipFault, in the word that lines of the progress show.
 type membershipFaultKind string
 
 const (
 	// faultKill kills Members[0] by SIGKILL.
 	faultKill membershipFaultKind = "kill"
-	// faultRestart kills Members[0] by SIGKILL and starts it again at once.
+	// faultRestart kills Members[0] by SIGKILL and immediately starts it again.
 	faultRestart membershipFaultKind = "restart"
 	// faultStop stops Members[0] gracefully.
 	faultStop membershipFaultKind = "stop"
-	// faultPause stops Members by SIGSTOP, and continues them by SIGCONT at its end.
+	// faultPause pauses Members by SIGSTOP, and continues them by SIGCONT at its end.
 	faultPause membershipFaultKind = "pause"
 	// faultOneWay cuts the path from Members[0] to Members[1].
 	faultOneWay membershipFaultKind = "one-way"
-	// faultPair cuts the paths between Members[0] and Members[1].
+	// faultPair cuts the paths between Members[0] and Members[1] in both directions.
 	faultPair membershipFaultKind = "pair"
 	// faultOutbound cuts all paths from Members[0].
 	faultOutbound membershipFaultKind = "mute"
 	// faultInbound cuts all paths to Members[0].
 	faultInbound membershipFaultKind = "deaf"
-	// faultPartition cuts all paths between Members and the others.
+	// faultPartition cuts all paths between Members and the other instances in both directions.
 	faultPartition membershipFaultKind = "partition"
 	// faultNoise loses, duplicates, delays and reorders datagrams on all paths.
 	faultNoise membershipFaultKind = "noise"
@@ -38,16 +38,16 @@
 	faultNewRoomServer membershipFaultKind = "cold"
 )
 
-// membershipFault is a fault of a schedule.
+// membershipFault is a fault of a membership run.
 type membershipFault struct {
-	// At is the time since the start of the run.
+	// At is the time since the players start, when all instances have joined.
 	At time.Duration
-	// For is the duration; 0 if the fault does not end.
+	// For is the duration; 0 if the fault has no end that the run has to cause.
 	For  time.Duration
 	Kind membershipFaultKind
-	// Members are the numbers of the instances concerned.
+	// Members holds the indexes of the instances that the fault concerns.
 	Members []int
-	// Noise is the fault of the paths, for faultNoise.
+	// Noise is what happens to datagrams, for faultNoise.
 	Noise faultproxy.Conditions
 }
 
@@ -55,7 +55,7 @@
 func (f membershipFault) String() string {
 	text := fmt.Sprintf("%s %v", f.Kind, f.Members)
 	if f.Kind == faultNoise {
-		text = fmt.Sprintf("%s: %.0f %% lost, %.0f %% doubled, %.0f %% reordered, %v and up to %v more", f.Kind,
+		text = fmt.Sprintf("%s: %.0f %% lost, %.0f %% duplicated, %.0f %% reordered, delay %v plus up to %v", f.Kind,
 			100*f.Noise.Loss, 100*f.Noise.Duplicate, 100*f.Noise.Reorder, f.Noise.Delay, f.Noise.Jitter)
 	}
 	if f.For > 0 {
@@ -81,16 +81,17 @@
 	return false
 }
 
-// Phases of a schedule, since the start of the run. Kills come while few other faults can hide them.
+// Phases of the faults, as times since the players start. Kills are early, when few other faults can delay their
+// detection.
 const (
 	// killsFrom and killsUntil bound the times of kills.
 	killsFrom  = 4 * time.Second
 	killsUntil = 7 * time.Second
-	// networkFaultsFrom is when a partition, noise and the pause of several instances may begin.
+	// networkFaultsFrom is the time of the pause of three instances, and the earliest one of the partition and noise.
 	networkFaultsFrom = 20 * time.Second
-	// faultsUntil is when all faults have ended.
+	// faultsUntil is the time by which all faults have ended.
 	faultsUntil = 36 * time.Second
-	// partitionDivisor is the number of instances for each in the smaller part of a partition.
+	// partitionDivisor divides the number of instances into the size of the smaller side of the partition.
 	partitionDivisor = 3
 )
 
@@ -98,14 +99,15 @@
 type membershipSchedule struct {
 	instances int
 	rng       *rand.Rand
-	// reserved says which instances have ended for good, or must not: the seed of the others.
+	// reserved holds the instances that no further kill or stop may draw: those that were drawn for one already, and
+	// the first instance.
 	reserved map[int]bool
 	faults   []membershipFault
 }
 
-// drawMembershipFaults draws the faults of a run from a seed and returns them in the order of their times. An instance
-// has one fault at a time, except for noise and cuts of single paths. The first instance, which is the seed of the
-// others, is never stopped for good.
+// drawMembershipFaults draws the faults of a run from a seed and returns them in the order of their times. Faults may
+// overlap; membershipRun skips pauses and restarts of instances that are paused or not running. The first instance,
+// which is the gossip seed of the others, may be paused or restarted, but is never killed or stopped without a restart.
 func drawMembershipFaults(instances int, seed uint64) []membershipFault {
 	s := &membershipSchedule{
 		instances: instances,
@@ -121,7 +123,7 @@
 	return s.faults
 }
 
-// drawEnds draws instances that are killed or stopped for good.
+// drawEnds draws kills and graceful stops of instances that are not started again.
 func (s *membershipSchedule) drawEnds() {
 	for range 3 {
 		s.add(membershipFault{
@@ -139,7 +141,7 @@
 	}
 }
 
-// drawPausesAndRestarts draws instances that are paused or restarted.
+// drawPausesAndRestarts draws pauses, one of several instances together, and restarts.
 func (s *membershipSchedule) drawPausesAndRestarts() {
 	s.add(membershipFault{
 		At:      networkFaultsFrom,
@@ -164,7 +166,7 @@
 	}
 }
 
-// drawCuts draws cuts of paths.
+// drawCuts draws cuts of single paths, of all paths from or to an instance, and a partition.
 func (s *membershipSchedule) drawCuts() {
 	for _, kind := range []membershipFaultKind{
 		faultOneWay, faultOneWay, faultOneWay, faultOneWay, faultOneWay, faultPair, faultPair, faultPair,
@@ -208,7 +210,7 @@
 	}
 }
 
-// drawNewRoomServers draws room servers that are added.
+// drawNewRoomServers draws the times at which room servers are added.
 func (s *membershipSchedule) drawNewRoomServers() {
 	for range 2 {
 		s.add(membershipFault{At: s.between(killsFrom, 30*time.Second), Kind: faultNewRoomServer})
@@ -219,12 +221,12 @@
 	s.faults = append(s.faults, f)
 }
 
-// between returns a random time of at least from and at most to, in milliseconds.
+// between returns a random time between from and to; its distance from from is rounded to milliseconds.
 func (s *membershipSchedule) between(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from))).Round(time.Millisecond)
 }
 
-// reserveMember draws an instance that ends for good.
+// reserveMember draws an instance to be killed or stopped, and reserves it.
 func (s *membershipSchedule) reserveMember() int {
 	for {
 		if i := s.rng.IntN(s.instances); !s.reserved[i] {
@@ -234,7 +236,7 @@
 	}
 }
 
-// someMembers draws instances that do not end for good.
+// someMembers draws instances that are not to be killed or stopped, and fewer than count if there are not enough.
 func (s *membershipSchedule) someMembers(count int) (members []int) {
 	for _, i := range s.rng.Perm(s.instances) {
 		if (i == 0 || !s.reserved[i]) && len(members) < count {
--- a/internal/testbench/experiment/membership_injection.go
+++ b/internal/testbench/experiment/membership_injection.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	// pauseNotice is how long before a pause the front layer stops to send clients to the instance.
+	// pauseNotice is how long before a pause the front layer stops sending clients to the instance.
 	pauseNotice = 150 * time.Millisecond
-	// warmSetupRate is the number of connections a second that a room server that was added can establish once it is
-	// warm.
+	// warmSetupRate is the number of connections per second that an added room server can establish when it is warm.
 	warmSetupRate = 30
 )
 
-// scheduleFaults adds the faults and their ends to the run's schedule.
+// scheduleFaults adds the faults, their ends and the event after the last fault to the base run's schedule.
 func (m *membershipRun) scheduleFaults() {
 	last := time.Duration(0)
 	for _, f := range m.faults {
@@ -30,19 +29,19 @@
 		}
 		last = max(last, f.At+f.For)
 	}
-	m.schedule(last+time.Millisecond, "the last fault is over", func(context.Context) error {
+	m.schedule(last+time.Millisecond, "the last fault has ended", func(context.Context) error {
 		m.record(membershipEvent{Kind: faultsEnded})
 		return nil
 	})
 	sortSchedule(m.base.schedule)
 }
 
-// schedule adds an entry to the run's schedule.
+// schedule adds an entry to the base run's schedule, which has to be sorted afterwards.
 func (m *membershipRun) schedule(at time.Duration, description string, inject func(context.Context) error) {
 	m.base.schedule = append(m.base.schedule, scheduledFault{at: at, description: description, inject: inject})
 }
 
-// begin begins a fault. A fault of a process that has another fault at the time is skipped.
+// begin begins a fault. Pauses and restarts of instances that are paused or not running are skipped.
 func (m *membershipRun) begin(ctx context.Context, f membershipFault) error {
 	switch f.Kind {
 	case faultKill:
@@ -74,13 +73,13 @@
 	}
 }
 
-// kill kills an instance.
+// kill records the kill of an instance and kills it by SIGKILL.
 func (m *membershipRun) kill(i int) {
 	m.record(membershipEvent{Kind: memberKilled, Member: i})
 	m.base.kill(i)
 }
 
-// restart kills an instance, if it runs, and starts it again at once.
+// restart kills an instance by SIGKILL and starts it again, unless it is paused or not running.
 func (m *membershipRun) restart(ctx context.Context, i int) error {
 	if !m.base.alive[i] || m.paused[i] {
 		return nil
@@ -89,7 +88,7 @@
 	return m.base.restart(ctx, i)
 }
 
-// stop begins to stop an instance gracefully.
+// stop begins the graceful shutdown of an instance and does not wait for its end.
 func (m *membershipRun) stop(i int) {
 	b := m.base.balancers[i]
 	m.base.frontLayer.Remove(b.name)
@@ -99,8 +98,8 @@
 	m.base.delayed.Go(func() { b.stop() })
 }
 
-// pause stops a running instance by SIGSTOP. The front layer sends it no clients meanwhile, and the requests that it
-// leaves without an answer are excused.
+// pause pauses a running instance by SIGSTOP. The front layer sends it no clients during the pause. The pause is
+// recorded as a kill for the invariants, so that the requests that it leaves without an answer are excused.
 func (m *membershipRun) pause(i int) {
 	if !m.base.alive[i] || m.paused[i] {
 		return
@@ -114,7 +113,7 @@
 	m.record(membershipEvent{Kind: memberPaused, Member: i})
 }
 
-// resume continues a paused instance.
+// resume continues a paused instance by SIGCONT.
 func (m *membershipRun) resume(i int) {
 	if !m.paused[i] {
 		return
@@ -127,7 +126,7 @@
 	m.base.frontLayer.Add(b.name, b.address)
 }
 
-// addRoomServer starts a room server that has to warm up.
+// addRoomServer starts a room server that has to warm up and publishes it.
 func (m *membershipRun) addRoomServer() error {
 	return m.base.startRoomServer(emulator.RoomServerConfig{
 		Name:           roomServerName(len(m.base.roomServers)),
--- a/internal/testbench/experiment/membership_network.go
+++ b/internal/testbench/experiment/membership_network.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// memberIP is the IP address of the members and proxies, whose ports the connections of others do not use.
+	// memberIP is the IP address of the members and proxies. It is not 127.0.0.1, because outgoing connections from
+	// there could use their ports before they listen.
 	memberIP = "127.79.0.1"
-	// maxAddressAttempts is the number of ports that are tried for an address.
+	// maxAddressAttempts is the number of ports that freeAddress tries.
 	maxAddressAttempts = 50
 )
 
 // errNoFreePort is returned when no port is free for both TCP and UDP.
 var errNoFreePort = errors.New("no port is free for both TCP and UDP")
 
-// membershipNetwork connects each ordered pair of instances by a proxy that injects faults.
+// membershipNetwork has a proxy for each ordered pair of instances, which injects faults into the traffic between them.
 type membershipNetwork struct {
 	addresses []netip.AddrPort
 	paths     [][]*faultproxy.Path
 	proxies   [][]*memberProxy
-	// cuts counts the faults that cut each path at the moment.
+	// cuts counts, for each path, the current faults that cut it.
 	cuts [][]int
-	// noises are the faults of all paths at the moment.
+	// noises holds the current noise faults, which concern all paths.
 	noises []faultproxy.Conditions
-	// reserved holds the addresses of instances and proxies, at which not all of them listen yet.
+	// reserved holds the addresses that freeAddress has returned. Their ports may still be free, because instances and
+	// proxies begin to listen later.
 	reserved map[netip.AddrPort]bool
 }
 
-// memberProxy leads from one instance to another.
+// memberProxy forwards datagrams and streams from one instance to another.
 type memberProxy struct {
 	address   netip.AddrPort
 	datagrams *faultproxy.DatagramProxy
 	streams   *faultproxy.Port
 }
 
-// newMembershipNetwork returns a network that open has to open; the seed determines the random choices of its paths.
+// newMembershipNetwork returns a network, which open has to open. The seed determines the random choices of its paths.
 func newMembershipNetwork(instances int, seed uint64) *membershipNetwork {
 	n := &membershipNetwork{reserved: map[netip.AddrPort]bool{}}
 	for i := range instances {
@@ -113,7 +115,8 @@
 	}
 }
 
-// freeAddress returns an address whose port is free for TCP and UDP and was not returned before.
+// freeAddress returns an address at memberIP that it has not returned before. Its port is free for UDP at memberIP, and
+// for TCP at 127.0.0.1.
 func (n *membershipNetwork) freeAddress() (netip.AddrPort, error) {
 	for range maxAddressAttempts {
 		text, err := freeAddress()
@@ -133,7 +136,7 @@
 	return netip.AddrPort{}, fmt.Errorf("%w after %d attempts", errNoFreePort, maxAddressAttempts)
 }
 
-// begin begins a fault of the network and records the paths that it cuts.
+// begin begins a fault of the network and records the paths that it cuts and that were not cut before.
 func (n *membershipNetwork) begin(f membershipFault, record func(membershipEvent)) {
 	if f.Kind == faultNoise {
 		n.noises = append(n.noises, f.Noise)
@@ -163,7 +166,7 @@
 	n.apply()
 }
 
-// forEachCut calls a function for each path that a fault cuts.
+// forEachCut calls a function for each path that a fault of the network cuts.
 func (n *membershipNetwork) forEachCut(f membershipFault, call func(from, to int)) {
 	for i := range n.paths {
 		for j := range n.paths {
@@ -174,8 +177,8 @@
 	}
 }
 
-// apply sets the conditions of all paths to the current faults. Of several noises the largest probabilities and the
-// sums of the delays count.
+// apply sets the conditions of all paths according to the current faults. If there are several noise faults, the paths
+// get the largest of their probabilities and the sums of their delays.
 func (n *membershipNetwork) apply() {
 	var noise faultproxy.Conditions
 	for _, c := range n.noises {
--- a/internal/testbench/experiment/membership_observer.go
+++ b/internal/testbench/experiment/membership_observer.go
@@ -22,13 +22,13 @@
 	gossipMetric      = "gossip_bytes_sent"
 )
 
-// gossipWindow is the least time over which the rate of gossip is measured.
+// gossipWindow is the shortest time over which the rate of gossip is measured.
 const gossipWindow = time.Second
 
-// stateChangePattern matches the line of a balancer's log that a member's state has changed.
+// stateChangePattern matches the line that a balancer logs when the state of a member changes in its view.
 var stateChangePattern = regexp.MustCompile(`a member's state changed".* member=n(\d+) state=(\w+)`)
 
-// statesByName holds the states of members by their names in the log.
+// statesByName maps the name of a state in the log to the state.
 var statesByName = map[string]membership.State{
 	"alive":   membership.Alive,
 	"suspect": membership.Suspect,
@@ -47,14 +47,14 @@
 func (m *membershipRun) readLog(i int, b *balancer) {
 	file, err := os.Open(b.logPath())
 	if err != nil {
-		return // the instance has not started yet
+		return // the instance has no log yet
 	}
 	defer file.Close()
 	file.Seek(m.logRead[i], io.SeekStart)
 	for lines := bufio.NewReader(file); ; {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			return // the rest of the line is not written yet
+			return // the last line, if it is incomplete, is read by the next call
 		}
 		m.logRead[i] += int64(len(line))
 		found := stateChangePattern.FindStringSubmatch(line)
@@ -66,7 +66,7 @@
 	}
 }
 
-// pollMetrics records the metrics of all instances that answer in time.
+// pollMetrics records the metrics of all instances that answer within pollInterval.
 func (m *membershipRun) pollMetrics() {
 	var polls sync.WaitGroup
 	for i, b := range m.base.balancers {
@@ -75,7 +75,7 @@
 	polls.Wait()
 }
 
-// pollInstance records the metrics of an instance, if it answers in time.
+// pollInstance records the metrics of an instance, if it answers within pollInterval.
 func (m *membershipRun) pollInstance(i int, b *balancer) {
 	ctx, cancel := context.WithTimeout(context.Background(), pollInterval)
 	defer cancel()
@@ -97,7 +97,7 @@
 	m.recordGossip(b.name, metrics[gossipMetric])
 }
 
-// recordGossip records the rate at which an instance has sent gossip, about once a second.
+// recordGossip records the rate of gossip that an instance has sent since the last reading, if gossipWindow has passed.
 func (m *membershipRun) recordGossip(name string, bytes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +107,7 @@
 		return
 	}
 	m.gossipSent[name] = gossipReading{now, bytes}
-	if known && bytes >= before.bytes { // fewer bytes are those of a new process
+	if known && bytes >= before.bytes { // a lower count is that of a new process
 		rate := float64(bytes-before.bytes) / now.Sub(before.at).Seconds()
 		m.gossipRates = append(m.gossipRates, rate)
 	}
--- a/internal/testbench/experiment/membership_result.go
+++ b/internal/testbench/experiment/membership_result.go
@@ -13,52 +13,54 @@
 	Seed uint64 `json:"seed"`
 	// Instances is the number of balancers.
 	Instances int `json:"instances"`
-	// Faults is the number of faults.
+	// Faults is the number of faults that were drawn.
 	Faults int `json:"faults"`
-	// Pauses counts the instances that were paused.
+	// Pauses counts the pauses that were drawn, those of several instances once for each.
 	Pauses int `json:"pauses"`
-	// OneWayCuts counts the faults that cut one direction.
+	// OneWayCuts counts the faults that cut paths in one direction only.
 	OneWayCuts int `json:"one_way_cuts"`
 	// Partitions counts the partitions.
 	Partitions int `json:"partitions"`
-	// LossPercent is the largest loss of datagrams on all paths.
+	// LossPercent is the largest probability of the noise faults that a datagram is lost, in percent.
 	LossPercent float64 `json:"loss_percent"`
 	// FalseFailed counts the reports that a live and reachable instance has failed.
 	FalseFailed int `json:"false_failed"`
-	// SuspectMsP99 is a quantile of the time from a kill until all have reported the suspicion.
+	// SuspectMsP99 is the 99 % quantile of the time from a kill until all undisturbed instances reported the suspicion.
 	SuspectMsP99 float64 `json:"suspect_ms_p99"`
-	// DetectMsP50 and DetectMsP99 are quantiles of the time from a kill until all have reported the failure.
+	// DetectMsP50 and DetectMsP99 are quantiles of the time until they reported the failure.
 	DetectMsP50 float64 `json:"detect_ms_p50"`
 	DetectMsP99 float64 `json:"detect_ms_p99"`
-	// LeaveMsMax is the longest time from a graceful shutdown until all have reported it.
+	// LeaveMsMax is the longest time from a graceful shutdown until all undisturbed instances reported it.
 	LeaveMsMax float64 `json:"left_ms_max"`
-	// AgreeMsMax is the time from the end of the last fault until all instances agreed.
+	// AgreeMsMax is the time from the end of the last fault until the last poll with a wrong number of live instances.
 	AgreeMsMax float64 `json:"agree_ms_max"`
-	// SizeBelowLive counts the polls of a fleet size below the number of live instances.
+	// SizeBelowLive counts the polls of a fleet size below the number of instances live for longer than joinGrace.
 	SizeBelowLive int `json:"size_below_live"`
-	// ViewRegressions counts the polls of a lower view version than before.
+	// ViewRegressions counts the polls of a view version below that of the process's previous poll.
 	ViewRegressions int `json:"views_back"`
 	// Collapses counts the room servers that were overloaded while they warmed up.
 	Collapses int `json:"cold_over_budget"`
-	// GossipBytesPerSecondP99 is a quantile of the bytes that an instance sends in a second.
+	// GossipBytesPerSecondP99 is the 99 % quantile of the bytes of gossip that an instance sends in a second.
 	GossipBytesPerSecondP99 float64 `json:"gossip_bytes_per_s_p99"`
-	// CPUMsPerSecond is the mean processor time of an instance, which bounds that of gossip.
+	// CPUMsPerSecond is the mean processor time of an instance for all its work, of which gossip is a fraction. Known
+	// fault: it is too low, because the processor time of processes that end during the run is not counted, and what
+	// they used before the run is subtracted.
 	CPUMsPerSecond float64 `json:"gossip_cpu_ms_per_s"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// UnansweredRequests counts the requests that got no answer although one was due.
+	// UnansweredRequests counts the requests that got no answer before their deadline, unless a fault excuses them.
 	UnansweredRequests int `json:"lost_answers"`
-	// Violations counts the violations of invariants other than Collapses.
+	// Violations counts the violations of invariants without Collapses.
 	Violations int `json:"rules_broken"`
-	// ViolationTexts describes each violation, Collapses included.
+	// ViolationTexts describes each violation, including Collapses.
 	ViolationTexts []string `json:"broken,omitempty"`
-	// FalseReports describes each report of FalseFailed.
+	// FalseReports describes each report that FalseFailed counts.
 	FalseReports []string `json:"false_reports,omitempty"`
 	// MissedObjectives describes each objective that was missed.
 	MissedObjectives []string `json:"missed,omitempty"`
 }
 
-// Objectives of a membership run; those of all other results are 0.
+// Objectives of a membership run: largest values, and the least number of faults. Other values must be 0.
 const (
 	maxDetectMs = 12_000
 	maxLeaveMs  = 1_500
@@ -66,8 +68,8 @@
 	minFaults   = 30
 )
 
-// result returns the result of a run that was played; cpu is the mean processor time of an instance, in milliseconds a
-// second.
+// result returns the result of a run that was played. The mean processor time of an instance, cpu, is in milliseconds
+// per second.
 func (m *membershipRun) result(cpu float64) MembershipResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +104,7 @@
 	return r
 }
 
-// countFaults counts the faults by their kinds.
+// countFaults sets the counts of faults by kind.
 func (r *MembershipResult) countFaults(faults []membershipFault) {
 	r.Faults = len(faults)
 	for _, f := range faults {
@@ -119,17 +121,18 @@
 	}
 }
 
-// quantile returns the smallest value that a part of all values, between 0 and 1, does not exceed; 0 if there are none.
-func quantile(values []float64, part float64) float64 {
+// quantile returns the value at the index fraction·n, rounded down, of the n sorted values, and the largest value for
+// fraction 1. It returns 0 if there are no values.
+func quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
 }
 
-// missedObjectives describes the objectives that were missed. A run without a kill, a graceful shutdown or an answer
-// misses the objectives of these.
+// missedObjectives describes the objectives that were missed. The objective for kills, graceful shutdowns or answers is
+// also missed if the run had none of them to measure.
 func (r MembershipResult) missedObjectives(kills, shutdowns int) (missed []string) {
 	for _, objective := range []struct {
 		key     string
@@ -172,20 +175,20 @@
 	count("one-way cuts", r.OneWayCuts)
 	count("partitions", r.Partitions)
 	measure("loss, percent", r.LossPercent)
-	count("failed falsely", r.FalseFailed)
-	measure("ms to suspect, 99 %", r.SuspectMsP99)
-	measure("ms to detect, median", r.DetectMsP50)
-	measure("ms to detect, 99 %", r.DetectMsP99)
-	measure("ms until a stop is told", r.LeaveMsMax)
-	measure("ms until all agree", r.AgreeMsMax)
-	count("sizes below the live ones", r.SizeBelowLive)
-	count("views that went back", r.ViewRegressions)
-	count("cold room servers pushed over", r.Collapses)
-	measure("bytes/s of gossip, 99 %", r.GossipBytesPerSecondP99)
-	measure("ms/s of processor time, at most", r.CPUMsPerSecond)
+	count("false reports of failure", r.FalseFailed)
+	measure("ms until suspected, 99 %", r.SuspectMsP99)
+	measure("ms until detected, median", r.DetectMsP50)
+	measure("ms until detected, 99 %", r.DetectMsP99)
+	measure("ms until a shutdown is known, longest", r.LeaveMsMax)
+	measure("ms until all agree after the last fault", r.AgreeMsMax)
+	count("polls of a fleet size below the live instances", r.SizeBelowLive)
+	count("polls of a view version that went down", r.ViewRegressions)
+	count("room servers overloaded while warming up", r.Collapses)
+	measure("gossip bytes/s of an instance, 99 %", r.GossipBytesPerSecondP99)
+	measure("mean CPU ms/s of an instance", r.CPUMsPerSecond)
 	count("answers", r.Answers)
 	count("lost", r.UnansweredRequests)
-	count("rules broken", r.Violations)
+	count("invariants violated", r.Violations)
 	if err := w.Flush(); err != nil {
 		return err
 	}
--- a/internal/testbench/experiment/membership_run.go
+++ b/internal/testbench/experiment/membership_run.go
@@ -23,30 +23,30 @@
 	regionName = "lab"
 )
 
-// membershipRun is a running MembershipExperiment: a run whose balancers are connected by a network with faults. The
-// goroutine of RunMembership owns its fields unless their comments say otherwise.
+// membershipRun is a MembershipExperiment in progress: a run whose balancers are connected by a network with faults.
+// Only the goroutine of RunMembership accesses its fields, unless their comments say otherwise.
 type membershipRun struct {
 	e       MembershipExperiment
 	base    *run
 	network *membershipNetwork
 	faults  []membershipFault
-	// paused says which instances are stopped by SIGSTOP.
+	// paused says, for each instance, whether it is paused by SIGSTOP.
 	paused []bool
-	// logRead is how much of each instance's log was read, in bytes. The goroutine that reads the logs owns it.
+	// logRead holds the number of bytes of each instance's log that were read. Only readLogs accesses it.
 	logRead []int64
-	// start is the time from which events are counted.
+	// start is the time that the times of events are relative to.
 	start time.Time
 
 	// mu guards the fields below.
 	mu     sync.Mutex
 	events []membershipEvent
-	// gossipRates holds the bytes of gossip that one instance has sent in one second.
+	// gossipRates holds the measured rates of gossip of all instances, in bytes per second.
 	gossipRates []float64
-	// gossipSent holds the latest reading of each instance by its name.
+	// gossipSent holds the latest reading of each instance, by its name.
 	gossipSent map[string]gossipReading
 }
 
-// gossipReading is the number of bytes that an instance had sent at a time.
+// gossipReading is the number of bytes of gossip that an instance had sent at a given time.
 type gossipReading struct {
 	at    time.Time
 	bytes uint64
@@ -78,7 +78,7 @@
 	return m.play(ctx)
 }
 
-// record adds an event that happens now.
+// record adds an event and sets its time to now.
 func (m *membershipRun) record(e membershipEvent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +86,7 @@
 	m.events = append(m.events, e)
 }
 
-// play opens the network and the run, plays it with the faults and returns the result.
+// play opens the network and the base run, waits until the instances have joined, and plays the run with the faults.
 func (m *membershipRun) play(ctx context.Context) (MembershipResult, error) {
 	m.start = time.Now()
 	if err := m.network.open(); err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// membershipFronts is the fronts file of a member.
+// membershipFronts is the contents of the fronts file of a member.
 type membershipFronts struct {
 	Membership membershipSection `json:"membership"`
 }
@@ -146,11 +146,11 @@
 	Region string   `json:"region"`
 	Seeds  []string `json:"seeds"`
 	Keys   string   `json:"keys"`
-	// Via holds the address of the proxy to each other member, by the member's address.
+	// Via maps the address of each other member to that of the proxy to it.
 	Via map[string]string `json:"via"`
 }
 
-// writeFronts writes the fronts file of a balancer.
+// writeFronts writes the fronts file of a balancer, with its membership and its proxies.
 func (m *membershipRun) writeFronts(i int, b *balancer) error {
 	via := map[string]string{}
 	for j, address := range m.network.addresses {
@@ -174,7 +174,7 @@
 	return os.WriteFile(b.frontsFile, raw, 0o600)
 }
 
-// waitUntilJoined waits until all instances see each other.
+// waitUntilJoined waits until each instance considers all instances alive.
 func (m *membershipRun) waitUntilJoined(ctx context.Context) error {
 	for end := time.Now().Add(joinTimeout); ; time.Sleep(pollInterval) {
 		joined := 0
@@ -188,12 +188,13 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d instances see all others within %v", joined, m.e.Instances, joinTimeout)
+			return fmt.Errorf("only %d of %d instances consider all others alive after %v",
+				joined, m.e.Instances, joinTimeout)
 		}
 	}
 }
 
-// totalCPU returns the processor time of all running instances.
+// totalCPU returns the sum of the processor time of all running instances since their starts.
 func (m *membershipRun) totalCPU() (sum time.Duration) {
 	for i, b := range m.base.balancers {
 		if !m.base.alive[i] {
--- a/internal/testbench/experiment/process_usage.go
+++ b/internal/testbench/experiment/process_usage.go
@@ -14,14 +14,14 @@
 const (
 	kbPerMB    = 1024.0
 	bytesPerKB = 1024.0
-	// clockTick is the unit of processor time in /proc/PID/stat.
+	// clockTick is the unit of processor time in /proc/PID/stat, 1/USER_HZ.
 	clockTick = 10 * time.Millisecond
 )
 
-// errNoField is returned when a file of /proc lacks a field.
+// errNoField is returned when a file of /proc has no line with the wanted name.
 var errNoField = errors.New("no such field")
 
-// processUsage is what a process uses.
+// processUsage holds the resources that a process uses, with the processor time in clock ticks.
 type processUsage struct {
 	// residentMB is the resident memory.
 	residentMB float64
@@ -31,7 +31,7 @@
 	cpu time.Duration
 }
 
-// usage returns what the balancer uses.
+// usage returns the resources that the balancer's process uses.
 func (b *balancer) usage() (processUsage, error) {
 	usage, err := readProcessUsage(b.pid())
 	if err != nil {
@@ -40,7 +40,7 @@
 	return usage, nil
 }
 
-// readProcessUsage reads what a process uses.
+// readProcessUsage reads the resources that a process uses from /proc.
 func readProcessUsage(pid int) (u processUsage, err error) {
 	dir := procDir(pid)
 	residentKB, err := procField(filepath.Join(dir, "status"), "VmRSS:")
@@ -59,14 +59,14 @@
 
 func procDir(pid int) string { return fmt.Sprintf("/proc/%d", pid) }
 
-// readCPUTicks returns the processor time in user and system mode of a stat file of /proc.
+// readCPUTicks returns the sum of the user and system time in a stat file of /proc.
 func readCPUTicks(path string) (cpu time.Duration, err error) {
 	stat, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
-	// The fields after the command's name, which is in parentheses and may contain spaces. See proc(5): utime and stime
-	// are fields 14 and 15 of the line, and the first one here is field 3.
+	// Only the fields after the command's name are split, because the name, in parentheses, may contain spaces. See
+	// proc(5): utime and stime are fields 14 and 15 of the line, and the first field here is field 3.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	const userTime, systemTime = 11, 12
 	for _, i := range []int{userTime, systemTime} {
@@ -79,7 +79,7 @@
 	return cpu, nil
 }
 
-// procField returns the number in the line of a file of /proc that begins with a name.
+// procField returns the number that follows a name at the beginning of a line in a file of /proc.
 func procField(path, name string) (float64, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -93,18 +93,18 @@
 	return 0, fmt.Errorf("%s: %s: %w", path, name, errNoField)
 }
 
-// preciseUsage is what a process has used since its start, with the processor time in nanoseconds.
+// preciseUsage holds the resources that a process has used since its start, with the processor time in nanoseconds.
 type preciseUsage struct {
 	cpu time.Duration
-	// readKB is what the process has read from files and sockets.
+	// readKB is the number of KiB that the process has read from files and sockets.
 	readKB float64
 	// residentMB is the resident memory.
 	residentMB float64
-	// peakMB is the largest resident memory so far.
+	// peakMB is the largest resident memory since the start.
 	peakMB float64
 }
 
-// preciseUsage returns what the balancer has used.
+// preciseUsage returns the resources that the balancer's process has used since its start.
 func (b *balancer) preciseUsage() (u preciseUsage, err error) {
 	usage, err := b.usage()
 	if err != nil {
@@ -125,7 +125,8 @@
 	return u, err
 }
 
-// readSchedulerTime returns the processor time of all threads of a process, as the scheduler counts it.
+// readSchedulerTime returns the sum of the processor times of the current threads of a process, as the scheduler counts
+// them. The time of threads that have ended is not included.
 func readSchedulerTime(dir string) (cpu time.Duration, err error) {
 	threads, err := os.ReadDir(filepath.Join(dir, "task"))
 	if err != nil {
@@ -149,15 +150,16 @@
 	return cpu, nil
 }
 
-// usageRate is what a process uses in a second.
+// usageRate holds what a process uses per second.
 type usageRate struct {
 	// cpuMs is the processor time in milliseconds.
 	cpuMs float64
-	// readKB is what the process reads from files and sockets.
+	// readKB is the number of KiB that the process reads from files and sockets.
 	readKB float64
 }
 
-// measureRate returns what the balancer uses while the workload runs, whose context ends after the given duration.
+// measureRate returns what the balancer uses per second while a workload runs. The workload's context ends after the
+// given duration, which is the length of the measurement also if the workload ends earlier.
 func (b *balancer) measureRate(
 	ctx context.Context, duration time.Duration, workload func(context.Context) error,
 ) (usageRate, error) {
@@ -187,7 +189,7 @@
 // idle is a workload that does nothing.
 func idle(context.Context) error { return nil }
 
-// sleep waits for a duration, or returns the error of ctx if that ends first.
+// sleep waits for a duration. If ctx ends first, it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -3,64 +3,68 @@
 // Result is the result of an experiment, as cottonplank-lab prints it in JSON.
 type Result struct {
 	Name string `json:"name"`
-	// Tokens says that sessions were resumed with session tokens.
+	// Tokens says that clients and balancers used session tokens.
 	Tokens bool `json:"tokens"`
 	// Sessions is the number of clients.
 	Sessions int `json:"sessions"`
 	// Migrated counts how often a client was told to move or its connection broke.
 	Migrated int `json:"moved"`
-	// Resumed counts how often a session continued where it was.
+	// Resumed counts how often a session continued at another connection without starting over.
 	Resumed int `json:"resumed"`
-	// ResumedWithin counts how often that took at most 500 ms, since the client was told to move or its connection
-	// broke.
+	// ResumedWithin counts how often a session continued at most 500 ms after its client was told to move or its
+	// connection broke.
 	ResumedWithin int `json:"resumed_within_500ms"`
 	// StartedOver counts how often a session started over.
 	StartedOver int `json:"started_over"`
-	// DoubleAttachments counts how often a session was attached twice, or at a lower epoch than before.
+	// DoubleAttachments counts the attachments of a session that was attached already, or at an epoch that is not above
+	// all earlier ones; an attachment that is both may count twice.
 	DoubleAttachments int `json:"attached_twice"`
-	// LostSessions counts the sessions that lost acknowledged moves or ended without a room server.
+	// LostSessions counts the sessions that lost acknowledged moves or had no room server at the end.
 	LostSessions int `json:"lost"`
 	// Violations counts the violations of the invariants of requests and room servers.
 	Violations int `json:"rules_broken"`
-	// ResumeMsP50 and ResumeMsP99 are quantiles of the time that it took to continue a session.
+	// ResumeMsP50 and ResumeMsP99 are quantiles of the time from the MOVE or the break of a connection until its
+	// session continued.
 	ResumeMsP50 float64 `json:"resume_ms_p50"`
 	ResumeMsP99 float64 `json:"resume_ms_p99"`
 	// Instances is the number of balancers.
 	Instances int `json:"instances"`
-	// Reloads counts the reloads of the balancers that ran at the end.
+	// Reloads counts the reloads of the processes that ran at the end, since the start of each.
 	Reloads uint64 `json:"reloads"`
-	// MinReloads is the least number of reloads of a balancer that ran throughout.
+	// MinReloads is the least number of reloads of a balancer whose process ran throughout. Known fault: a balancer
+	// without reloads is ignored if a later one has reloaded.
 	MinReloads uint64 `json:"reloads_least"`
-	// Killed counts the balancers that were killed.
+	// Killed counts the kills of balancers by SIGKILL.
 	Killed int `json:"killed"`
-	// Renewed counts the hot restarts.
+	// Renewed counts the hot restarts of balancers.
 	Renewed int `json:"renewed"`
 	// GamesEnded counts the games that were played to their end.
 	GamesEnded int `json:"games_over"`
-	// Answers counts the final answers.
+	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// UnansweredRequests counts the requests that got no answer although one was due.
+	// UnansweredRequests counts the requests that got no answer before their deadline, except those that a kill of
+	// their balancer excuses. Each is one of Violations too.
 	UnansweredRequests int `json:"lost_answers"`
-	// BrokenUnannounced counts the established connections that broke without MOVE, except by the kill of a balancer.
+	// BrokenUnannounced counts the established connections that broke without MOVE at balancers that were never killed.
 	BrokenUnannounced int `json:"broken_connections_not_moved"`
-	// MeanResidentMB is the mean resident memory of the balancers at the end.
+	// MeanResidentMB is the mean resident memory of the balancers that ran at the end.
 	MeanResidentMB float64 `json:"rss_mb_per_instance"`
 	Cost           Cost    `json:"cost"`
 	// Rejected counts the requests that were answered BUSY.
 	Rejected int `json:"refused"`
 	// Failed counts the requests that were answered ERR.
 	Failed int `json:"failed"`
-	// RacedTokens counts the copies of tokens that were presented at the same time as their owner's.
+	// RacedTokens counts the copies of tokens that were presented while the token's owner presented it.
 	RacedTokens int `json:"raced"`
-	// RacesWon counts those copies that were accepted before their owner's.
+	// RacesWon counts the copies of RacedTokens that were accepted instead of their owner's.
 	RacesWon int `json:"raced_up"`
-	// ReplayedTokens counts the tokens that were presented again after they had been used.
+	// ReplayedTokens counts the copies of tokens that were presented after the token had been used.
 	ReplayedTokens int `json:"replays"`
-	// ReplaysAccepted counts those that were accepted, which is a violation.
+	// ReplaysAccepted counts the copies of ReplayedTokens that were accepted, which is a violation.
 	ReplaysAccepted int `json:"replays_up"`
-	// Reasons counts the sessions that started over by the reason.
+	// Reasons counts the sessions that started over, by reason.
 	Reasons map[string]int `json:"started_over_by_reason"`
-	// Balancers holds the sums of the metrics of the balancers that ran at the end.
+	// Balancers holds the sum of each metric, by its name, over the balancers that ran at the end.
 	Balancers map[string]uint64 `json:"balancers"`
 	// ViolationTexts describes each violation.
 	ViolationTexts []string `json:"broken,omitempty"`
@@ -68,7 +72,8 @@
 	WithoutTokens *Result `json:"without_tokens,omitempty"`
 }
 
-// Passed reports whether all invariants held, also in the run without tokens.
+// Passed reports whether all invariants held, also in the run without tokens. Requests that were rejected or failed,
+// and sessions that started over, violate none.
 func (r Result) Passed() bool {
 	if r.WithoutTokens != nil && !r.WithoutTokens.Passed() {
 		return false
@@ -89,7 +94,7 @@
 	return nil
 }
 
-// generationMetric is the number of configurations that a balancer has loaded.
+// generationMetric is the name of the metric that counts the configurations of a process, the first one included.
 const generationMetric = "generation"
 
 // readBalancer adds the metrics and the memory of a balancer to the result.
@@ -109,7 +114,7 @@
 	if after <= before {
 		return nil
 	}
-	reloads := after - before - 1 // the first configuration is that of the start
+	reloads := after - before - 1 // without the configuration of the start
 	result.Reloads += reloads
 	if !r.interrupted[b.name] && (result.MinReloads == 0 || reloads < result.MinReloads) {
 		result.MinReloads = reloads
@@ -136,7 +141,7 @@
 	}
 }
 
-// collectStatistics copies what the players have counted.
+// collectStatistics copies the counts of the players' statistics to the result.
 func (r *run) collectStatistics() {
 	result, s := &r.result, &r.statistics
 	result.Migrated = int(s.Migrated.Load() + s.Broken.Load())
@@ -152,7 +157,7 @@
 	result.Answers = int(s.Answers.Load())
 }
 
-// collectInvariants copies what the check of the invariants has found.
+// collectInvariants copies the findings of the checker of the invariants to the result.
 func (r *run) collectInvariants() {
 	report := r.recorder.Report()
 	result := &r.result
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// invariantSlack is the tolerance of the invariants' time limits.
+	// invariantSlack is added to the time limits that the invariants check.
 	invariantSlack = 50 * time.Millisecond
-	// quickResume is the time within which a migrated session should continue.
+	// quickResume is the time limit for Result.ResumedWithin.
 	quickResume = 500 * time.Millisecond
-	// settleTime is how long a run waits for migrations to end, after its duration and after all clients have come.
+	// settleTime is how long a run waits for migrations to end: at the end of its duration, and after the fill time
+	// before the first reading of the counters for Cost.
 	settleTime = 2 * time.Second
-	// maxResumeMicros is the longest time to resume that is distinguished, in microseconds.
+	// maxResumeMicros is the upper bound of the histogram of resume times, in microseconds.
 	maxResumeMicros = 60_000_000
 	// histogramDigits is the number of significant digits of all histograms.
 	histogramDigits = 3
-	// minStateBytes is the least limit on a session's state that balancers are configured with.
+	// minStateBytes is the lower bound of the max_state_bytes that balancers are configured with.
 	minStateBytes = 8
 )
 
@@ -38,7 +39,8 @@
 	listFileName   = "rooms.json"
 )
 
-// Names that are sent with requests or configured, and have no effect on the decisions.
+// Fixed names. All requests have the same tenant, and all balancers of a run the same site for session tokens, so that
+// neither changes a result.
 const (
 	tenantName = "lab"
 	siteName   = "lab"
@@ -47,7 +49,7 @@
 // singleZoneName is the zone of runs without zones.
 const singleZoneName = "a"
 
-// run is a running experiment. The goroutine of Run owns its fields unless their comments say otherwise.
+// run is an experiment in progress. Only the goroutine of Run accesses its fields, unless their comments say otherwise.
 type run struct {
 	e           Experiment
 	program     string
@@ -58,32 +60,32 @@
 	discovery   *emulator.Discovery
 	roomServers []*emulator.RoomServer
 	balancers   []*balancer
-	// alive says which balancers run.
+	// alive says, for each balancer, whether its process runs.
 	alive      []bool
 	keys       sessionKeys
 	players    []*emulator.Player
 	statistics emulator.Statistics
-	// schedule holds the faults to come, the earliest first.
+	// schedule holds the faults that were not injected yet, the earliest first.
 	schedule []scheduledFault
-	// delayed counts the goroutines of consequences of faults that come later.
+	// delayed counts delayed actions of faults, such as an update of discovery, that have not ended.
 	delayed sync.WaitGroup
 	// killed holds the names of the balancers that were killed by SIGKILL.
 	killed map[string]bool
-	// interrupted holds the names of the balancers whose process has ended once at least.
+	// interrupted holds the names of the balancers whose process was killed, stopped or replaced at least once.
 	interrupted map[string]bool
-	// metricsRead counts the balancers whose metrics were read.
+	// metricsRead counts the balancers whose metrics were read for the result.
 	metricsRead int
-	// collapses counts the room servers that were overloaded while they warmed up.
+	// collapses counts the violations that are room servers overloaded while they warmed up.
 	collapses int
 
-	// beforeFirstStart is called before the first start of each balancer.
+	// beforeFirstStart is called before the first start of each balancer, after its files were written.
 	beforeFirstStart func(i int, b *balancer) error
-	// beforeStart is called before each start of a process.
+	// beforeStart is called before each start of a balancer's process, except hot restarts.
 	beforeStart func(i int)
 
-	// mu guards the fields below, which the functions of statistics write.
+	// mu guards the fields below, which the callbacks of statistics write.
 	mu sync.Mutex
-	// broken counts the connections that broke, by balancer.
+	// broken counts the established connections that broke, by the balancer's name.
 	broken      map[string]int
 	resumeTimes *hdrhistogram.Histogram
 	result      Result
@@ -110,7 +112,7 @@
 	return invariants.NewRecorder(invariants.Limits{DrainGrace: drainGrace, Slack: invariantSlack})
 }
 
-// newRun returns a run that open has to start. The directory has to exist.
+// newRun returns a run, which open has to start. The directory has to exist.
 func newRun(program, dir string, e Experiment, progress Progress) *run {
 	r := &run{
 		e:                e,
@@ -144,7 +146,7 @@
 	return r
 }
 
-// open starts the room servers, discovery and the balancers.
+// open starts discovery, the room servers and the balancers, and writes the files that the balancers share.
 func (r *run) open(ctx context.Context) error {
 	r.discovery = emulator.NewDiscovery(r.recorder)
 	for i := range r.e.RoomServers {
@@ -177,7 +179,7 @@
 
 func balancerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// startRoomServer starts a room server and publishes it.
+// startRoomServer starts a room server and publishes it in discovery as active.
 func (r *run) startRoomServer(cfg emulator.RoomServerConfig) error {
 	server, err := emulator.NewRoomServer(cfg)
 	if err != nil {
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// frontsSections are the sections of the fronts file that experiments use.
+// frontsSections are the sections of the balancers' fronts file that experiments use.
 type frontsSections struct {
 	Sessions *sessionsSection `json:"resume,omitempty"`
 	List     *listSection     `json:"rooms,omitempty"`
@@ -201,7 +203,7 @@
 	MaxStateBytes int    `json:"max_state_bytes"`
 }
 
-// listSection configures a list file in place of discovery.
+// listSection configures a list file, which balancers read instead of asking discovery.
 type listSection struct {
 	File string `json:"file"`
 }
@@ -229,12 +231,12 @@
 	return os.WriteFile(filepath.Join(r.dir, frontsFileName), raw, 0o600)
 }
 
-// listFile is the contents of a list file.
+// listFile is the endpoint list as a balancer reads it from a file.
 type listFile struct {
 	Rooms []listFileEntry `json:"rooms"`
 }
 
-// listFileEntry is a room server of a list file.
+// listFileEntry is a room server in a list file.
 type listFileEntry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -287,7 +289,7 @@
 	return nil
 }
 
-// reloadAll sends SIGHUP to all running balancers.
+// reloadAll makes all running balancers reload their files, by SIGHUP.
 func (r *run) reloadAll() {
 	for i, b := range r.balancers {
 		if r.alive[i] {
@@ -296,7 +298,8 @@
 	}
 }
 
-// close stops everything that open has started.
+// close stops the running balancers, the room servers and discovery. It does not stop a balancer whose start failed
+// after its process had started, which a cancelled start may cause; such a process ends with this one.
 func (r *run) close() {
 	var stopping sync.WaitGroup
 	for i, b := range r.balancers {
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -10,21 +10,21 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// scheduledFault is a fault, or another event, that a run injects at a given time.
+// scheduledFault is a fault, the end of one, or another action that a run executes at a given time.
 type scheduledFault struct {
 	// at is the time since the start of the run.
 	at time.Duration
-	// description is a part of a line of the progress.
+	// description follows the time in the line of the progress.
 	description string
 	inject      func(context.Context) error
 }
 
-// sortSchedule sorts faults by their times and keeps the order of those at the same time.
+// sortSchedule sorts faults by their times. Faults at the same time keep their order.
 func sortSchedule(faults []scheduledFault) {
 	slices.SortStableFunc(faults, func(a, b scheduledFault) int { return cmp.Compare(a.at, b.at) })
 }
 
-// inject injects a fault of the experiment's file.
+// inject injects a fault that the experiment's file lists.
 func (r *run) inject(ctx context.Context, f Fault) error {
 	switch f.Action {
 	case actionDrain:
@@ -57,18 +57,18 @@
 	return nil
 }
 
-// publishLater publishes the lifecycle of a room server after the lag of discovery.
+// publishLater publishes a new lifecycle of a room server in discovery after the experiment's DiscoveryLagMs.
 func (r *run) publishLater(room int, lifecycle string) {
 	server := r.roomServers[room]
 	r.after(r.e.DiscoveryLagMs, func() { r.discovery.SetLifecycle(server, singleZoneName, lifecycle) })
 }
 
-// removeLater removes a balancer from the front layer once that has noticed its end.
+// removeLater removes a balancer from the front layer after the experiment's NoticeMs.
 func (r *run) removeLater(b *balancer) {
 	r.after(r.e.NoticeMs, func() { r.frontLayer.Remove(b.name) })
 }
 
-// kill kills a balancer, if it runs.
+// kill kills a balancer by SIGKILL, if it runs.
 func (r *run) kill(i int) {
 	if !r.alive[i] {
 		return
@@ -89,7 +89,7 @@
 	r.interrupted[b.name] = true
 	if r.alive[i] {
 		r.alive[i] = false
-		// The front layer's health checks fail from now on.
+		// Health checks fail from the start of the shutdown, so the front layer removes the balancer during it.
 		r.removeLater(b)
 		if err := b.stop(); err != nil {
 			return err
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// hotRestart replaces the process of a balancer by a new one that takes over its sockets.
+// hotRestart replaces the process of a balancer by a new one, which takes over its sockets.
 func (r *run) hotRestart(ctx context.Context, i int) error {
 	replacement, err := r.balancers[i].hotRestart(ctx)
 	if replacement != nil {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// after calls a function after a number of milliseconds, also when the run ends before.
+// after calls a function after a number of milliseconds. The run waits for the call before it collects the result.
 func (r *run) after(ms int, call func()) {
 	r.delayed.Add(1)
 	time.AfterFunc(milliseconds(ms), func() {
--- a/internal/testbench/experiment/run_loop.go
+++ b/internal/testbench/experiment/run_loop.go
@@ -9,10 +9,11 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// seedStride separates the seeds of the players of two runs.
+// seedStride is the distance between the player seeds of consecutive experiment seeds. It exceeds the number of
+// players, so that two experiment seeds have no player seed in common.
 const seedStride = 1_000_003
 
-// play plays an experiment that was opened, until its duration is over or ctx ends.
+// play runs the players and the faults of a run that was opened, and completes its result. It ends early with ctx.
 func (r *run) play(ctx context.Context) error {
 	r.recordStatistics()
 	playing, stopPlayers := context.WithCancel(ctx)
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// recordStatistics sets the functions that record what the players observe.
+// recordStatistics sets the callbacks of statistics that record what the players observe.
 func (r *run) recordStatistics() {
 	r.statistics.OnResumed = func(d time.Duration) {
 		r.mu.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// startPlayers starts the players, spread over the fill time, until ctx ends.
+// startPlayers starts the players, distributed evenly over the fill time. They play until ctx ends.
 func (r *run) startPlayers(ctx context.Context, players *sync.WaitGroup) {
 	cfg := emulator.PlayerConfig{
 		FrontLayer:      r.frontLayer,
@@ -94,8 +95,8 @@
 	}
 }
 
-// loop injects the scheduled faults and reports the progress until the end of the run. It returns a reading of the
-// counters from after all clients have come; its time is zero if the run ended before.
+// loop injects the scheduled faults and reports the progress until the end of the run. It returns the reading of the
+// counters that was made settleTime after the fill time; its time is zero if there was none before the end.
 func (r *run) loop(ctx context.Context) (baseline fleetUsage, err error) {
 	start := time.Now()
 	second := time.NewTicker(time.Second)
@@ -130,7 +131,7 @@
 	}
 }
 
-// nextFault returns a channel that receives when the next scheduled fault is due; nil if there is none.
+// nextFault returns a channel that receives at the time of the next scheduled fault; nil if there is none.
 func (r *run) nextFault(start time.Time) <-chan time.Time {
 	if len(r.schedule) == 0 {
 		return nil
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// reportProgress reports how many clients play and what has happened to them.
+// reportProgress reports the number of established clients and the counts of migrated, resumed and new sessions.
 func (r *run) reportProgress(elapsed time.Duration) {
 	established := 0
 	for _, server := range r.roomServers {
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -7,10 +7,10 @@
 	"cottonplank/internal/testbench/hollow"
 )
 
-// drainInterval is the number of changes of which one is the drain of a room server that exists, or its end.
+// drainInterval is the interval, in changes, at which a change concerns a room server that exists.
 const drainInterval = 5
 
-// publishChange publishes the n-th change of the list: a room server starts or stops to drain.
+// publishChange makes the n-th change of the list and publishes it: one room server begins or ends its drain.
 func (s *scaleRun) publishChange(n int) {
 	existing := len(s.roomServers)
 	i := existing + s.changeRNG.IntN(max(len(s.entries)-existing, 1))
@@ -35,7 +35,7 @@
 	s.replicate()
 }
 
-// toggleDrain makes a room server start or stop to drain.
+// toggleDrain makes a room server that exists begin or end its drain.
 func (s *scaleRun) toggleDrain(i int) {
 	s.draining[i] = !s.draining[i]
 	if s.draining[i] {
@@ -45,7 +45,7 @@
 	}
 }
 
-// nextDrain returns the number of the room server that is draining, or of a random one if none is.
+// nextDrain returns the index of the room server that is draining, or a random one of those that exist if none is.
 func (s *scaleRun) nextDrain() int {
 	for i, draining := range s.draining {
 		if draining {
@@ -55,8 +55,9 @@
 	return s.changeRNG.IntN(len(s.roomServers))
 }
 
-// replicate makes the newest list available at the list servers: at once in the first region, where changes are
-// published, and after a delay in the others.
+// replicate makes the newest version of the list available at the list servers. Those of the first region, where
+// changes are published, get it immediately, those of other regions after RegionDelayMs, unless their region is cut by
+// then.
 func (s *scaleRun) replicate() {
 	version := s.table.Version()
 	for i, server := range s.listServers {
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// comparisonSettleTime is the time until the first polls of the engines are over.
+	// comparisonSettleTime is the time before a measurement in which the engines make their first polls.
 	comparisonSettleTime = 7 * time.Second
 	// comparisonChangeInterval is the time between two changes of the list.
 	comparisonChangeInterval = 200 * time.Millisecond
-	// minComparedSizes is the least number of sizes, from which a slope is calculated.
+	// minComparedSizes is the number of sizes that a slope needs.
 	minComparedSizes = 2
-	// serversPerSlope is the number of room servers that a slope is for.
+	// serversPerSlope is the number of additional room servers whose cost a slope gives.
 	serversPerSlope = 1000
 )
 
 // Errors of the options of CompareScale.
 var (
-	errComparisonOptions = errors.New("two sizes, one balancer and some seconds are the least")
-	errEqualSizes        = errors.New("the first size and the last are the same")
+	errComparisonOptions = errors.New("at least two sizes, one balancer and a duration above 0 s are expected")
+	errEqualSizes        = errors.New("the first and the last size must differ")
 )
 
 // NodeCost is the mean cost of a hollow node or a real balancer.
@@ -40,7 +40,8 @@
 	CPUMsPerSecond float64 `json:"cpu_ms_per_s"`
 	// KBPerSecond is the traffic with discovery in both directions.
 	KBPerSecond float64 `json:"kb_per_s"`
-	// ResidentMB is the resident memory; for hollow nodes the growth of the worker's since its start.
+	// ResidentMB is the resident memory of a real balancer. For hollow nodes it is the growth of the worker's resident
+	// memory since its first report, divided by the number of nodes.
 	ResidentMB float64 `json:"mb"`
 }
 
@@ -62,7 +63,7 @@
 	}
 }
 
-// SizeComparison is the costs with a list of one size.
+// SizeComparison holds the costs with a list of one size.
 type SizeComparison struct {
 	// Servers is the length of the list.
 	Servers int      `json:"servers"`
@@ -78,18 +79,18 @@
 	RealSlope   NodeCost `json:"real_slope"`
 }
 
-// ComparisonOptions are the measurements of CompareScale.
+// ComparisonOptions describes the measurements of CompareScale.
 type ComparisonOptions struct {
-	// Servers are the lengths of the lists; two at least.
+	// Servers holds the lengths of the lists. At least two are required, and the first and the last must differ.
 	Servers []int
-	// Nodes is the number of hollow nodes, and of real balancers.
+	// Nodes is the number of hollow nodes, and the same number of real balancers.
 	Nodes int
-	// Seconds is the duration of each measurement.
+	// Seconds is the duration of the measurement with each list.
 	Seconds float64
 }
 
-// CompareScale measures hollow nodes with full engines and as many real balancers, with lists of several sizes and the
-// same changes. Neither have clients or probe room servers.
+// CompareScale measures the costs of hollow nodes with full engines and of the same number of real balancers. Both
+// watch the same lists of several sizes, with the same changes. Neither have clients or probe room servers.
 func CompareScale(
 	ctx context.Context, p Programs, options ComparisonOptions, progress Progress,
 ) (c Comparison, err error) {
@@ -114,7 +115,7 @@
 	return c, nil
 }
 
-// compareSize compares the costs with a list of one size.
+// compareSize measures the costs with a list of one size.
 func compareSize(ctx context.Context, p Programs, servers int, options ComparisonOptions) (SizeComparison, error) {
 	m := &comparisonRun{programs: p, nodes: options.Nodes}
 	defer m.close()
@@ -147,24 +148,24 @@
 // comparisonRun runs hollow nodes and real balancers with the same list.
 type comparisonRun struct {
 	programs Programs
-	// nodes is the number of hollow nodes, and of real balancers.
+	// nodes is the number of hollow nodes, and the same number of real balancers.
 	nodes     int
 	dir       string
 	entries   []emulator.Entry
 	table     *emulator.EndpointTable
 	server    *emulator.ListServer
 	balancers []*balancer
-	// ports are those of the real balancers, followed by those of the hollow nodes.
+	// ports holds the ports of the proxy for the real balancers, followed by those for the hollow nodes.
 	ports  []*faultproxy.Port
 	worker *workerProcess
 }
 
-// experiment returns the settings that both are configured with.
+// experiment returns the settings of the hollow nodes and the real balancers.
 func (m *comparisonRun) experiment() Experiment {
 	return Experiment{Seed: 1, Balancers: 2 * m.nodes, Sessions: 1, ClientTimeoutMs: 2000, MemoryMB: 512}
 }
 
-// placement returns the placement of both.
+// placement returns the placement of the hollow nodes and the real balancers.
 func (m *comparisonRun) placement() placement {
 	at := singleZone
 	at.membershipMode = "automatic"
@@ -245,7 +246,8 @@
 	return m.worker.send(command)
 }
 
-// publishChanges changes one entry after the other, each time with another lifecycle, until the given time.
+// publishChanges publishes changes of single entries until the given time. It goes through the list in rounds, which
+// alternately set the lifecycles of the entries to leaving and to active.
 func (m *comparisonRun) publishChanges(ctx context.Context, until time.Time) error {
 	ticker := time.NewTicker(comparisonChangeInterval)
 	defer ticker.Stop()
@@ -265,8 +267,8 @@
 	return nil
 }
 
-// read returns the sums over the real balancers and over the hollow nodes: the processor time in milliseconds and the
-// traffic in KiB so far, and the memory now.
+// read returns the sums over the real balancers and over the hollow nodes. CPUMsPerSecond and KBPerSecond hold totals
+// since the start, in milliseconds and KiB; ResidentMB is the current value.
 func (m *comparisonRun) read() (realSum, hollowSum NodeCost, err error) {
 	for i, b := range m.balancers {
 		cost, err := readBalancerCost(b.pid())
@@ -284,7 +286,7 @@
 	return realSum, hollowSum, err
 }
 
-// readBalancerCost returns the processor time so far and the memory of a process.
+// readBalancerCost returns the total processor time of a process, in CPUMsPerSecond, and its resident memory.
 func readBalancerCost(pid int) (cost NodeCost, err error) {
 	if cost.CPUMsPerSecond, err = processCPU(pid); err != nil {
 		return cost, err
@@ -293,15 +295,15 @@
 	return cost, err
 }
 
-// portKBytes returns the traffic of a port so far in KiB.
+// portKBytes returns the total traffic of a port in KiB.
 func portKBytes(port *faultproxy.Port) float64 {
 	bytes, _ := port.Counts()
 	return float64(bytes) / bytesPerKB
 }
 
-// processCPU returns the processor time of a process so far in milliseconds.
+// processCPU returns the total processor time of a process in milliseconds.
 func processCPU(pid int) (float64, error) {
-	// The ID of the clock, as clock_getcpuclockid(3) calculates it.
+	// The ID of the process's CPU-time clock, calculated as clock_getcpuclockid(3) does.
 	const schedulerClock = 2
 	clock := int32(^pid<<3 | schedulerClock)
 	var t unix.Timespec
@@ -311,7 +313,7 @@
 	return float64(t.Nano()) / float64(time.Millisecond), nil
 }
 
-// meanCost returns the mean cost of a node from two readings.
+// meanCost returns the mean cost of a node, or of a real balancer, from two readings.
 func (m *comparisonRun) meanCost(before, after NodeCost, elapsed float64) NodeCost {
 	nodes := float64(m.nodes)
 	return NodeCost{
@@ -349,6 +351,6 @@
 	for _, size := range c.Sizes {
 		row(fmt.Sprint(size.Servers), size.Hollow, size.Real)
 	}
-	row("1,000 more", c.HollowSlope, c.RealSlope)
+	row("per 1,000 more", c.HollowSlope, c.RealSlope)
 	return w.Flush()
 }
--- a/internal/testbench/experiment/scale_experiment.go
+++ b/internal/testbench/experiment/scale_experiment.go
@@ -10,21 +10,21 @@
 //go:embed scale.schema.json
 var scaleSchema []byte
 
-// ScaleExperiment is an experiment with thousands of hollow nodes and a few real balancers that watch one endpoint
-// list, in several zones and regions. ParseScale gives the defaults of absent keys.
+// ScaleExperiment is an experiment with thousands of hollow nodes and a few real balancers that watch the same endpoint
+// list, in several zones and regions. ParseScale sets the defaults of absent keys.
 type ScaleExperiment struct {
 	Name string `json:"name"`
-	// About says what the experiment is for.
+	// About describes the purpose of the experiment.
 	About string `json:"about"`
-	// Seed determines the targets of faults and the changes of the list.
+	// Seed determines the targets of faults, the changes of the list and the random choices of clients.
 	Seed uint64 `json:"seed"`
 	// HollowNodes is the number of hollow nodes.
 	HollowNodes int `json:"hollow"`
-	// FullEngines is the number of hollow nodes whose engines have the list.
+	// FullEngines is the number of hollow nodes whose engines hold the whole list.
 	FullEngines int `json:"modules"`
 	// NoKnownList is the number of hollow nodes that start without a list.
 	NoKnownList int `json:"cold"`
-	// NodesPerWorker is the number of hollow nodes in a worker process.
+	// NodesPerWorker is the largest number of hollow nodes in a worker process.
 	NodesPerWorker int `json:"each"`
 	// RealBalancers is the number of balancer processes.
 	RealBalancers int `json:"real"`
@@ -34,7 +34,7 @@
 	RoomServersPerZone int `json:"rooms"`
 	// Servers is the length of the list, including room servers that do not exist.
 	Servers int `json:"servers"`
-	// Regions and Zones are the numbers of both; each region has a part of the zones.
+	// Regions and Zones are the numbers of regions and zones. Each zone is in one region.
 	Regions int `json:"regions"`
 	Zones   int `json:"zones"`
 	// ListServers is the number of replicas of discovery, distributed over the regions.
@@ -43,38 +43,39 @@
 	MembershipMode string `json:"mode"`
 	// ChangesPerDay is the rate of changes of the list.
 	ChangesPerDay float64 `json:"changes_a_day"`
-	// RegionDelayMs is the time until a change reaches the regions other than the first.
+	// RegionDelayMs is the time until a change reaches the regions other than the first, in milliseconds.
 	RegionDelayMs int `json:"region_ms"`
-	// NoticeMs is the time until the end of a real balancer or a list server is noticed.
+	// NoticeMs is the time, in milliseconds, until the front layer notices the end of a real balancer, and the links
+	// that of a list server.
 	NoticeMs int `json:"notice_ms"`
-	// Seconds is the duration of the changes.
+	// Seconds is the time during which the list changes.
 	Seconds float64 `json:"seconds"`
-	// Faults are the faults, the earliest first.
+	// Faults holds the faults, the earliest first.
 	Faults []ScaleFault `json:"faults"`
 }
 
-// The actions of ScaleFault.Action.
+// Values of ScaleFault.Action.
 const (
-	scaleKill          = "kill"   // hollow nodes and a real balancer are killed
+	scaleKill          = "kill"   // some hollow nodes and one real balancer are killed
 	scaleZoneOutage    = "zone"   // all balancers of a zone are killed and its link is disconnected
-	scaleRegionCut     = "cut"    // changes do not reach a region
-	scaleSlowLink      = "slow"   // the link of a zone is slow
+	scaleRegionCut     = "cut"    // changes are not replicated to a region other than the first
+	scaleSlowLink      = "slow"   // the link of a zone is slow in both directions
 	scaleServerFailure = "source" // a list server crashes
 )
 
-// ScaleFault is a fault for some time of a run.
+// ScaleFault is a fault that ends during the run.
 type ScaleFault struct {
 	// AtSeconds is the time since the start of the run.
 	AtSeconds float64 `json:"at_s"`
 	// Seconds is the duration of the fault.
 	Seconds float64 `json:"for_s"`
-	// Action says what happens and which of the other fields are used.
+	// Action says what happens. It determines which of the other fields are used.
 	Action string `json:"do"`
 	// Fraction is the fraction of the hollow nodes that are killed.
 	Fraction float64 `json:"share"`
-	// DelayMs is the additional latency of a link in each direction.
+	// DelayMs is the additional latency of a link in each direction, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// KBPerSecond is the bandwidth of a link in each direction; 0 if it is that of a local network.
+	// KBPerSecond is the bandwidth of a link in each direction; 0 for that of a local network.
 	KBPerSecond float64 `json:"kb_per_s"`
 }
 
@@ -106,22 +107,22 @@
 	return e, nil
 }
 
-// validate checks what the schema cannot express.
+// validate checks the rules between keys, which the schema cannot express.
 func (e ScaleExperiment) validate() error {
 	existing := min(e.RealBalancers, e.Zones) * e.RoomServersPerZone
 	switch {
 	case e.FullEngines > e.HollowNodes:
-		return fmt.Errorf("modules: %d, of %d hollow ones", e.FullEngines, e.HollowNodes)
+		return fmt.Errorf("modules: %d, more than the %d of hollow", e.FullEngines, e.HollowNodes)
 	case e.NoKnownList > e.HollowNodes:
-		return fmt.Errorf("cold: %d, of %d hollow ones", e.NoKnownList, e.HollowNodes)
+		return fmt.Errorf("cold: %d, more than the %d of hollow", e.NoKnownList, e.HollowNodes)
 	case e.Zones < e.Regions:
 		return fmt.Errorf("zones: %d, fewer than the %d regions", e.Zones, e.Regions)
 	case e.ListServers < e.Regions:
 		return fmt.Errorf("sources: %d, fewer than the %d regions", e.ListServers, e.Regions)
 	case e.Servers < existing:
-		return fmt.Errorf("servers: %d, %d of them exist", e.Servers, existing)
+		return fmt.Errorf("servers: %d, fewer than the %d room servers that exist", e.Servers, existing)
 	case e.Servers > existing && e.RealBalancers >= e.Zones:
-		return fmt.Errorf("real: %d leave none of %d zones to the room servers that do not exist",
+		return fmt.Errorf("real: %d, expected fewer than the %d zones, as servers that do not exist need one",
 			e.RealBalancers, e.Zones)
 	}
 	for i, f := range e.Faults {
@@ -136,12 +137,12 @@
 func (e ScaleExperiment) validateFault(i int, f ScaleFault) error {
 	switch {
 	case f.AtSeconds+f.Seconds > e.Seconds:
-		return fmt.Errorf("faults/%d: mended at %g s, after the end of the changes, %g",
+		return fmt.Errorf("faults/%d: ends at %g s, after the end of the changes at %g s",
 			i, f.AtSeconds+f.Seconds, e.Seconds)
 	case f.Action == scaleServerFailure && e.ListServers < 2:
-		return fmt.Errorf("faults/%d/do: source, and there is no other", i)
+		return fmt.Errorf("faults/%d/do: source requires at least two sources", i)
 	case f.Action == scaleRegionCut && e.Regions < 2:
-		return fmt.Errorf("faults/%d/do: cut, and there is no other region", i)
+		return fmt.Errorf("faults/%d/do: cut requires at least two regions", i)
 	}
 	return nil
 }
@@ -149,10 +150,11 @@
 // balancers returns the number of hollow nodes and real balancers.
 func (e ScaleExperiment) balancers() int { return e.HollowNodes + e.RealBalancers }
 
-// region returns the region of a zone.
+// region returns the region of a zone. Each region has consecutive zones.
 func (e ScaleExperiment) region(zone int) int { return zone * e.Regions / e.Zones }
 
-// realZone returns the zone of a real balancer. The first ones are in different regions.
+// realZone returns the zone of a real balancer. If all regions have equally many zones, consecutive balancers are in
+// different regions.
 func (e ScaleExperiment) realZone(i int) int {
 	zonesPerRegion := e.Zones / e.Regions
 	return (i%e.Regions*zonesPerRegion + i/e.Regions) % e.Zones
@@ -161,19 +163,19 @@
 // hollowZone returns the zone of a hollow node.
 func (e ScaleExperiment) hollowZone(i int) int { return i % e.Zones }
 
-// fullEngine reports whether the engine of a hollow node has the list.
+// fullEngine reports whether the engine of a hollow node holds the whole list.
 func (e ScaleExperiment) fullEngine(i int) bool { return i < e.FullEngines }
 
 // noKnownList reports whether a hollow node starts without a list.
 func (e ScaleExperiment) noKnownList(i int) bool { return i >= e.HollowNodes-e.NoKnownList }
 
-// workers returns the number of worker processes. Nodes with full engines have processes of their own.
+// workers returns the number of worker processes. Nodes with and without full engines are in different processes.
 func (e ScaleExperiment) workers() int {
 	processes := func(nodes int) int { return (nodes + e.NodesPerWorker - 1) / e.NodesPerWorker }
 	return processes(e.FullEngines) + processes(e.HollowNodes-e.FullEngines)
 }
 
-// balancerExperiment returns the settings that the real balancers and the hollow nodes are configured with.
+// balancerExperiment returns the settings of the real balancers and the hollow nodes, for a number of clients.
 func (e ScaleExperiment) balancerExperiment(sessions int) Experiment {
 	return Experiment{
 		Seed:            e.Seed,
--- a/internal/testbench/experiment/scale_experiment_test.go
+++ b/internal/testbench/experiment/scale_experiment_test.go
@@ -9,7 +9,7 @@
 func TestParseScale(t *testing.T) {
 	with := func(values string) string { return `{"name":"x","hollow":1,"real":1,` + values + `}` }
 	wantParseErrors(t, ParseScale, map[string]string{
-		`{`:                 "no JSON",
+		`{`:                 "invalid JSON",
 		with(`"servers":9`): "seconds",
 		`{"name":"x","hollow":0,"real":1,"servers":9,"seconds":1}`:                             "hollow: ",
 		with(`"servers":9,"seconds":1,"fast":true`):                                            "fast",
@@ -19,7 +19,7 @@
 		with(`"servers":9,"seconds":1,"zones":2`):                                              "zones: 2",
 		with(`"servers":9,"seconds":1,"sources":2`):                                            "sources: 2",
 		`{"name":"x","hollow":1,"real":9,"servers":99,"seconds":1}`:                            "real: 9",
-		with(`"servers":9,"seconds":1,"faults":[{"at_s":0,"for_s":2,"do":"cut"}]`):             "faults/0: mended at 2",
+		with(`"servers":9,"seconds":1,"faults":[{"at_s":0,"for_s":2,"do":"cut"}]`):             "faults/0: ends at 2",
 		with(`"servers":9,"seconds":3,"faults":[{"at_s":0,"for_s":2,"do":"kill"}]`):            "share",
 		with(`"servers":9,"seconds":3,"faults":[{"at_s":0,"for_s":2,"do":"rain"}]`):            "faults/0/do",
 		with(`"servers":9,"seconds":3,"regions":1,"faults":[{"at_s":0,"for_s":2,"do":"cut"}]`): "faults/0/do: cut",
--- a/internal/testbench/experiment/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// localNetworkKBPerSecond is the bandwidth of a slow link where the experiment gives none.
+// localNetworkKBPerSecond is the bandwidth of a slow link for which the experiment sets none.
 const localNetworkKBPerSecond = 1 << 20
 
 // inject injects a fault and schedules its end.
@@ -33,15 +33,15 @@
 	return nil
 }
 
-// reportFunc reports the description of a fault.
+// reportFunc reports the description of a fault as a line of the progress.
 type reportFunc func(format string, args ...any)
 
-// killBalancers kills a part of the hollow nodes and a real balancer, and starts them again later.
+// killBalancers kills a fraction of the hollow nodes and one real balancer, and starts them again later.
 func (s *scaleRun) killBalancers(ctx context.Context, f ScaleFault, report reportFunc) error {
 	count := max(1, int(f.Fraction*float64(s.e.HollowNodes)))
 	nodes := s.faultRNG.Perm(s.e.HollowNodes)[:count]
 	realBalancer := s.faultRNG.IntN(s.e.RealBalancers)
-	report("%d hollow balancers and %s are killed", len(nodes), balancerName(realBalancer))
+	report("%d hollow balancers and real balancer %s are killed", len(nodes), balancerName(realBalancer))
 	s.killBalancer(realBalancer)
 	s.after(ctx, seconds(f.Seconds), func() error {
 		if err := s.startNodes(nodes); err != nil {
@@ -80,7 +80,7 @@
 	return s.stopNodes(nodes)
 }
 
-// cutRegion holds changes back from a region other than the first, and replicates them later.
+// cutRegion stops the replication of changes to a region other than the first, and resumes it later.
 func (s *scaleRun) cutRegion(ctx context.Context, f ScaleFault, report reportFunc) {
 	region := 1 + s.faultRNG.IntN(s.e.Regions-1)
 	nodes := s.nodesIn(func(zone int) bool { return s.e.region(zone) == region })
@@ -90,7 +90,7 @@
 		s.regionCut[region] = cut
 		s.recordReachability(nodes)
 	}
-	report("region %d is cut from the others", region)
+	report("region %d gets no changes", region)
 	setCut(true)
 	s.after(ctx, seconds(f.Seconds), func() error {
 		setCut(false)
@@ -106,7 +106,7 @@
 	if bandwidth == 0 {
 		bandwidth = localNetworkKBPerSecond
 	}
-	report("the link of zone %s takes %d ms each way", zoneName(zone), f.DelayMs)
+	report("the link of zone %s has %d ms more latency in each direction", zoneName(zone), f.DelayMs)
 	s.links[zone].Throttle(milliseconds(f.DelayMs), bandwidth*bytesPerKB)
 	s.after(ctx, seconds(f.Seconds), func() error {
 		s.links[zone].Throttle(0, 0)
@@ -114,7 +114,7 @@
 	})
 }
 
-// crashListServer stops a list server and starts it later. Zones are led to others once the crash is noticed.
+// crashListServer stops a list server and starts it again later. Links connect to other list servers after NoticeMs.
 func (s *scaleRun) crashListServer(ctx context.Context, f ScaleFault, report reportFunc) {
 	i := s.faultRNG.IntN(s.e.ListServers)
 	setUp := func(up bool) {
@@ -122,7 +122,7 @@
 		defer s.mu.Unlock()
 		s.serverUp[i] = up
 	}
-	report("source %d is gone", i)
+	report("list server %d is stopped", i)
 	s.listServers[i].Stop()
 	s.after(ctx, milliseconds(s.e.NoticeMs), func() error {
 		setUp(false)
@@ -134,7 +134,7 @@
 	})
 }
 
-// after calls a function after a delay, unless ctx ends before. Its error ends the run.
+// after calls a function after a delay, unless ctx ends first. An error of the function ends the run.
 func (s *scaleRun) after(ctx context.Context, delay time.Duration, call func() error) {
 	s.background.Go(func() {
 		if sleep(ctx, delay) != nil {
@@ -148,7 +148,7 @@
 	})
 }
 
-// killBalancer kills a real balancer, if it runs.
+// killBalancer kills a real balancer, if it runs, and removes it from the front layer after NoticeMs.
 func (s *scaleRun) killBalancer(i int) {
 	s.mu.Lock()
 	b, alive := s.balancers[i], s.alive[i]
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// startNodes starts hollow nodes.
+// startNodes makes the workers of hollow nodes start them.
 func (s *scaleRun) startNodes(nodes []int) error {
 	specs := map[*workerProcess][]hollow.NodeSpec{}
 	for _, i := range nodes {
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// stopNodes stops hollow nodes without a graceful shutdown.
+// stopNodes makes the workers of hollow nodes stop them without a graceful shutdown.
 func (s *scaleRun) stopNodes(nodes []int) error {
 	nodesOf := map[*workerProcess][]int{}
 	for _, i := range nodes {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// setNodesDown records whether hollow nodes run.
+// setNodesDown records that hollow nodes were stopped or started.
 func (s *scaleRun) setNodesDown(nodes []int, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +232,8 @@
 	s.recordReachability(nodes)
 }
 
-// recordReachability records whether changes can reach hollow nodes now. The caller holds mu.
+// recordReachability records for hollow nodes whether changes reach them: whether they run and changes are replicated
+// to their region. The caller holds mu.
 func (s *scaleRun) recordReachability(nodes []int) {
 	now := hollow.Now()
 	for _, i := range nodes {
@@ -244,7 +245,7 @@
 	}
 }
 
-// nodesIn returns the hollow nodes in the zones that satisfy a condition.
+// nodesIn returns the hollow nodes whose zones satisfy a condition.
 func (s *scaleRun) nodesIn(condition func(zone int) bool) (nodes []int) {
 	for i := range s.e.HollowNodes {
 		if condition(s.e.hollowZone(i)) {
--- a/internal/testbench/experiment/scale_requirements.go
+++ b/internal/testbench/experiment/scale_requirements.go
@@ -6,34 +6,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Requirements are the resources that a scale run needs, as estimated before it starts.
+// Requirements are the resources that a scale run needs, as ScaleExperiment.Requirements estimates them.
 type Requirements struct {
 	// Processes is the number of processes.
 	Processes int `json:"processes"`
 	// MemoryMB is the memory of all processes.
 	MemoryMB int `json:"memory_mb"`
-	// Descriptors is the number of descriptors of the process that needs most.
+	// Descriptors is the number of descriptors of the process that needs the most.
 	Descriptors int `json:"descriptors"`
 }
 
 const (
 	// maxProcesses is the largest number of processes of a run.
 	maxProcesses = 300
-	// maxUsefulDescriptors replaces a limit on descriptors that is larger.
+	// maxUsefulDescriptors replaces larger limits on descriptors, such as RLIM_INFINITY, which is not a valid int.
 	maxUsefulDescriptors = 1 << 30
 )
 
-// Memory of the processes, as measured in the scale experiments with 2,000 and 20,000 room servers.
+// Estimates of the memory of the processes. They hold for 2,000 to 20,000 room servers.
 const (
-	// mainProcessMB is that of the process of the run alone.
+	// mainProcessMB is what the process of the run needs without balancers, room servers and clients.
 	mainProcessMB = 40.0
-	// portKB is what the process of the run needs for each balancer.
+	// portKB is what the process of the run needs for each hollow node and real balancer.
 	portKB = 90.0
 	// mainServerKB is what the process of the run needs for each room server of the list.
 	mainServerKB = 8.0
 	// sessionKB is what the process of the run needs for a client and its room server.
 	sessionKB = 120.0
-	// workerMB is that of a worker process alone.
+	// workerMB is what a worker process needs without nodes and a list.
 	workerMB = 22.0
 	// workerServerKB is what a worker needs for each room server in the copy of the list that its nodes share.
 	workerServerKB = 1.0
@@ -43,22 +43,22 @@
 	noKnownListServerKB = 0.25
 	// engineServerKB is what a worker needs for each room server and node with a full engine.
 	engineServerKB = 2.6
-	// balancerMB is that of a real balancer alone.
+	// balancerMB is what a real balancer needs without a list.
 	balancerMB = 16.0
 	// balancerServerKB is what a real balancer needs for each room server.
 	balancerServerKB = 2.2
 )
 
-// Descriptors of the processes.
+// Estimates of the descriptors of the processes.
 const (
-	// watchDescriptors is what the process of the run needs for each watch: a listener, both ends of the proxy, and
-	// the list server's end.
+	// watchDescriptors is what the process of the run needs for the watch of each hollow node and real balancer: the
+	// listener of its port, both connections of the proxy, and the list server's end.
 	watchDescriptors = 4
-	// renewalDescriptors is what it needs in addition while a watch is replaced by a new one.
+	// renewalDescriptors is what it needs in addition while a new watch replaces the previous one.
 	renewalDescriptors = 3
-	// sessionDescriptors is what it needs for each client.
+	// sessionDescriptors is what the process of the run needs for each client.
 	sessionDescriptors = 4
-	// nodeDescriptors is what a worker needs for each hollow node.
+	// nodeDescriptors is what a worker process needs for each hollow node.
 	nodeDescriptors = 2
 	// otherDescriptors is what any process needs for listeners, logs, pipes and the runtime.
 	otherDescriptors = 500
@@ -101,7 +101,7 @@
 type Limits struct {
 	// MemoryMB is half of the machine's memory.
 	MemoryMB int
-	// Processes is the number of processes.
+	// Processes is the largest number of processes.
 	Processes int
 	// Descriptors is the limit on the descriptors of a process.
 	Descriptors int
@@ -124,19 +124,19 @@
 	}, nil
 }
 
-// Check returns an error that names a resource of which the run needs more than the limits allow.
+// Check returns an error if the run needs more of a resource than the limits allow. The error names the first such one.
 func (r Requirements) Check(limits Limits) error {
 	for _, resource := range []struct {
 		name     string
 		required int
 		limit    int
 	}{
-		{"MB of memory, half of the machine's", r.MemoryMB, limits.MemoryMB},
+		{"MB of memory (limited to half of the machine's)", r.MemoryMB, limits.MemoryMB},
 		{"processes", r.Processes, limits.Processes},
 		{"descriptors of one process", r.Descriptors, limits.Descriptors},
 	} {
 		if resource.required > resource.limit {
-			return fmt.Errorf("it would take %d %s: %d is the most", resource.required, resource.name, resource.limit)
+			return fmt.Errorf("the run needs %d %s; the limit is %d", resource.required, resource.name, resource.limit)
 		}
 	}
 	return nil
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -20,55 +20,57 @@
 	Seed uint64 `json:"seed"`
 	// HollowNodes is the number of hollow nodes.
 	HollowNodes int `json:"hollow"`
-	// FullEngines is the number of hollow nodes whose engines have the list.
+	// FullEngines is the number of hollow nodes whose engines hold the whole list.
 	FullEngines int `json:"modules"`
 	// NoKnownList is the number of hollow nodes that start without a list.
 	NoKnownList int `json:"cold"`
 	// RealBalancers is the number of balancer processes.
 	RealBalancers int `json:"real"`
-	// ListServers is the number of emulated replicas of discovery; there are no control-plane servers.
+	// ListServers is the number of emulated replicas of discovery. The run has no control-plane servers.
 	ListServers int `json:"control"`
 	// Servers is the length of the list.
 	Servers int `json:"servers"`
 	// ListKB is the size of the encoded list.
 	ListKB float64 `json:"list_kb"`
-	// Changes is the number of changes of the list.
+	// Changes is the number of changes of the list that were published.
 	Changes int `json:"changes"`
-	// Faults is the number of faults.
+	// Faults is the number of faults that were injected.
 	Faults int `json:"faults"`
-	// StartSeconds is the time until all hollow nodes watched the list, or until the time-out.
+	// StartSeconds is the time until all hollow nodes watched the list, or until watchTimeout.
 	StartSeconds float64 `json:"start_s"`
-	// NotConnected is the number of hollow nodes that did not watch the list by then.
+	// NotConnected is the number of hollow nodes that did not watch the list at that time.
 	NotConnected int `json:"not_begun"`
-	// Seconds is the duration of the run since then.
+	// Seconds is the duration of the run without the start.
 	Seconds float64 `json:"seconds"`
-	// ApplyMsP50, ApplyMsP99 and ApplyMsMax are quantiles of the time until a node has applied a change.
+	// ApplyMsP50, ApplyMsP99 and ApplyMsMax are the median, the 99 % quantile and the maximum of the time until a node
+	// has applied a change, since its publication or since the node became reachable if that was later.
 	ApplyMsP50 float64 `json:"in_force_ms_p50"`
 	ApplyMsP99 float64 `json:"in_force_ms_p99"`
 	ApplyMsMax float64 `json:"in_force_ms_max"`
-	// Applied counts how often a node has applied a change.
+	// Applied counts the pairs of a node and a change that it has applied.
 	Applied int `json:"in_force"`
-	// CPUMsPerSecondP99 is the larger one of the next two.
+	// CPUMsPerSecondP99 is the larger one of EngineCPUMsPerSecondP99 and FollowerCPUMsPerSecondP99.
 	CPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99"`
-	// EngineCPUMsPerSecondP99 is a quantile of the processor time of a node with a full engine, over the seconds of
-	// each worker after the start.
+	// EngineCPUMsPerSecondP99 is the 99 % quantile of the processor time of a node with a full engine. Each report of a
+	// worker after the start counts as one value, the mean over its running nodes.
 	EngineCPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99_modules"`
-	// FollowerCPUMsPerSecondP99 is the same for the other nodes.
+	// FollowerCPUMsPerSecondP99 is the same quantile for the other nodes.
 	FollowerCPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99_followers"`
-	// StartCPUMsPerSecond is the largest processor time of a node with a full engine in a second of the start.
+	// StartCPUMsPerSecond is the largest such value of a node with a full engine during the start.
 	StartCPUMsPerSecond float64 `json:"cpu_ms_per_s_start"`
-	// KBPerSecondMean is the mean traffic of a hollow node in both directions, with its start.
+	// KBPerSecondMean is the mean traffic of a running hollow node in both directions, including its start.
 	KBPerSecondMean float64 `json:"kb_per_s_mean"`
-	// KBPerSecondP99 and KBPerSecondMax are quantiles of the same over all nodes and seconds.
+	// KBPerSecondP99 and KBPerSecondMax are the 99 % quantile and the maximum of that traffic over nodes and seconds.
 	KBPerSecondP99 float64 `json:"kb_per_s_p99"`
 	KBPerSecondMax float64 `json:"kb_per_s_max"`
 	// RealKBPerSecondMean is the mean traffic of a real balancer with discovery.
 	RealKBPerSecondMean float64 `json:"real_kb_per_s_mean"`
-	// EngineMBMax is the largest growth of a worker with full engines, for each of its nodes.
+	// EngineMBMax is the largest growth of the memory of a worker with full engines since its first report, divided by
+	// the number of its running nodes.
 	EngineMBMax float64 `json:"control_mb_max"`
 	// RealMBMax is the largest resident memory of a real balancer.
 	RealMBMax float64 `json:"real_mb_max"`
-	// TotalMB is the largest resident memory of all processes together.
+	// TotalMB is the largest sum of the resident memory of all processes.
 	TotalMB float64 `json:"lab_mb"`
 	// Calls and Messages count the calls that the list servers received and the messages that they sent.
 	Calls    uint64 `json:"source_calls"`
@@ -77,11 +79,11 @@
 	Encodings uint64 `json:"source_encodings"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// LostChanges counts the changes that a node skipped, and the nodes without the list at the end.
+	// LostChanges counts the changes that a node skipped, and the nodes that did not have the final list at the end.
 	LostChanges int `json:"lost_changes"`
 	// Regressions counts how often the version of a node went down.
 	Regressions int `json:"went_back"`
-	// UnansweredRequests counts the requests that got no answer although one was due.
+	// UnansweredRequests counts the requests that got no answer before their deadline, unless a kill excuses them.
 	UnansweredRequests int `json:"lost_answers"`
 	// Violations counts the violations of the invariants of requests and room servers.
 	Violations int `json:"rules_broken"`
@@ -91,7 +93,7 @@
 	ViolationTexts []string `json:"broken,omitempty"`
 }
 
-// Objectives of a scale run.
+// Objectives of a scale run: the largest values that do not miss them.
 const (
 	maxApplyMs        = 6000.0
 	maxApplyMsP99     = 1000.0
@@ -100,13 +102,14 @@
 	maxEngineMB       = 256.0
 )
 
-// Passed reports whether no change and no answer was lost, no version went down and all invariants held. Objectives
-// may have been missed all the same.
+// Passed reports whether no change and no answer was lost, no version went down and all invariants held. A missed
+// objective does not matter.
 func (r ScaleResult) Passed() bool {
 	return r.LostChanges == 0 && r.Regressions == 0 && r.UnansweredRequests == 0 && r.Violations == 0
 }
 
-// missedObjectives describes the objectives that were missed. That no change was applied is a miss too.
+// missedObjectives describes the objectives that were missed. A run with changes of which none was applied misses one
+// too.
 func (r ScaleResult) missedObjectives() []string {
 	missed := []string{}
 	for _, objective := range []struct {
@@ -122,23 +125,23 @@
 		{"control_mb_max", r.EngineMBMax, maxEngineMB},
 	} {
 		if objective.value > objective.maximum {
-			text := fmt.Sprintf("%s: %.3g is over %g", objective.key, objective.value, objective.maximum)
+			text := fmt.Sprintf("%s: %.3g is above %g", objective.key, objective.value, objective.maximum)
 			missed = append(missed, text)
 		}
 	}
 	if r.Changes > 0 && r.Applied == 0 {
-		missed = append(missed, "in_force: no change came into force")
+		missed = append(missed, "in_force: no change was applied")
 	}
 	return missed
 }
 
-// statesByLifecycle holds the states of room servers by the lifecycles of entries.
+// statesByLifecycle maps the lifecycle of an entry to the state of its room server.
 var statesByLifecycle = map[string]decide.State{
 	emulator.LifecycleActive:  decide.Ready,
 	emulator.LifecycleLeaving: decide.Draining,
 }
 
-// listDigest returns the digest of a list, as hollow nodes calculate it.
+// listDigest returns the digest of a list, calculated as hollow nodes do.
 func listDigest(entries []emulator.Entry) (digest uint64) {
 	for _, e := range entries {
 		digest ^= hollow.Digest(e.Instance, e.Address, e.Zone, statesByLifecycle[e.Lifecycle])
@@ -146,7 +149,7 @@
 	return digest
 }
 
-// collectResult completes the result once the final states were reported.
+// collectResult completes the result. The workers must have reported the final states of their nodes.
 func (s *scaleRun) collectResult() {
 	r := &s.result
 	r.Name = s.e.Name
@@ -168,8 +171,8 @@
 	r.MissedObjectives = r.missedObjectives()
 }
 
-// collectConvergence checks how the hollow nodes have applied the changes until the given time, and returns the
-// descriptions of lost changes and regressions.
+// collectConvergence checks whether and when the hollow nodes have applied the changes until the given time. It returns
+// descriptions of the lost changes and regressions.
 func (s *scaleRun) collectConvergence(end time.Duration) []string {
 	events := slices.Clone(s.events)
 	for _, w := range s.workers {
@@ -194,7 +197,7 @@
 	return findings.Violations
 }
 
-// collectCPU calculates the processor time of the hollow nodes.
+// collectCPU calculates the quantiles of the hollow nodes' processor time.
 func (s *scaleRun) collectCPU() {
 	r := &s.result
 	engines := hdrhistogram.New(1, int64(time.Minute), histogramDigits)
@@ -226,7 +229,7 @@
 	return float64(h.ValueAtQuantile(99)) / 1000 / 1000
 }
 
-// nodeCPU returns the processor time, in nanoseconds, that one hollow node uses in a second.
+// nodeCPU returns the mean processor time of a worker's running nodes in a second, in nanoseconds.
 func nodeCPU(u hollow.Usage) float64 {
 	return float64(u.CPU) / float64(u.Running) / u.Interval.Seconds()
 }
@@ -251,18 +254,18 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	row(r.Name, "seed %d", r.Seed)
-	row("hollow, of these with the list, cold", "%d, %d, %d", r.HollowNodes, r.FullEngines, r.NoKnownList)
-	row("real, stand-in sources, room servers", "%d, %d, %d", r.RealBalancers, r.ListServers, r.Servers)
-	row("s until all watched, without", "%.1f, %d", r.StartSeconds, r.NotConnected)
+	row("hollow nodes, full engines, no known list", "%d, %d, %d", r.HollowNodes, r.FullEngines, r.NoKnownList)
+	row("real balancers, list servers, room servers", "%d, %d, %d", r.RealBalancers, r.ListServers, r.Servers)
+	row("s until all watch the list, nodes that do not", "%.1f, %d", r.StartSeconds, r.NotConnected)
 	row("changes, faults", "%d, %d", r.Changes, r.Faults)
-	row("ms until in force: median, 99 %, most", "%.1f, %.1f, %.1f", r.ApplyMsP50, r.ApplyMsP99, r.ApplyMsMax)
-	row("CPU ms/s, 99 %: modules, followers", "%.2f, %.2f", r.EngineCPUMsPerSecondP99, r.FollowerCPUMsPerSecondP99)
-	row("CPU ms/s in the start's busiest second", "%.0f", r.StartCPUMsPerSecond)
-	row("KB/s: mean, 99 %, most", "%.2f, %.2f, %.2f", r.KBPerSecondMean, r.KBPerSecondP99, r.KBPerSecondMax)
-	row("MB: control part, a real one, the whole lab", "%.1f, %.1f, %.0f", r.EngineMBMax, r.RealMBMax, r.TotalMB)
-	row("answers, lost", "%d, %d", r.Answers, r.UnansweredRequests)
-	row("changes lost, went back", "%d, %d", r.LostChanges, r.Regressions)
-	row("rules broken", "%d", r.Violations)
+	row("ms to apply: median, 99 %, largest", "%.1f, %.1f, %.1f", r.ApplyMsP50, r.ApplyMsP99, r.ApplyMsMax)
+	row("CPU ms/s, 99 %: full engines, others", "%.2f, %.2f", r.EngineCPUMsPerSecondP99, r.FollowerCPUMsPerSecondP99)
+	row("CPU ms/s, largest during the start: full engines", "%.0f", r.StartCPUMsPerSecond)
+	row("KB/s: mean, 99 %, largest", "%.2f, %.2f, %.2f", r.KBPerSecondMean, r.KBPerSecondP99, r.KBPerSecondMax)
+	row("MB: full engine, real balancer, all", "%.1f, %.1f, %.0f", r.EngineMBMax, r.RealMBMax, r.TotalMB)
+	row("answers, missing", "%d, %d", r.Answers, r.UnansweredRequests)
+	row("changes lost, versions that went down", "%d, %d", r.LostChanges, r.Regressions)
+	row("invariants violated", "%d", r.Violations)
 	if err := w.Flush(); err != nil {
 		return err
 	}
--- a/internal/testbench/experiment/scale_run.go
+++ b/internal/testbench/experiment/scale_run.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// applyTimeout is how long a reachable node may take to apply a change.
+	// applyTimeout is how long a running and reachable hollow node may take to apply a change.
 	applyTimeout = 6 * time.Second
-	// finalStatesTimeout is how long the workers may take to report the final states of their nodes.
+	// finalStatesTimeout is how long each worker may take to report the final states of its nodes.
 	finalStatesTimeout = 30 * time.Second
-	// initialVersion is the version of the list that all nodes start with.
+	// initialVersion is the version of the list that is known to nodes and real balancers at their start.
 	initialVersion = 1
-	// maxBytesPerSecond is the largest traffic of a node that is distinguished.
+	// maxBytesPerSecond is the upper bound of the histograms of traffic.
 	maxBytesPerSecond = 1 << 40
-	// secondsPerDay converts the rate of changes.
+	// secondsPerDay converts ChangesPerDay to an interval.
 	secondsPerDay = 86_400
 )
 
 // errNoFinalStates is returned when a worker does not report the final states in time.
-var errNoFinalStates = errors.New("a process of hollow nodes has not reported their final states")
+var errNoFinalStates = errors.New("a worker process has not reported the final states of its hollow nodes in time")
 
 // Programs are the programs that a scale run starts.
 type Programs struct {
 	// Balancer is the balancer's program.
 	Balancer string
-	// Worker is the program that runs hollow nodes when it is called with the argument workerCommand.
+	// Worker is the program that runs hollow nodes when it is called with the argument "scale-worker".
 	Worker string
 }
 
-// TooLargeError is returned for a run that needs more resources than the machine allows.
+// TooLargeError is returned for a run that needs more of a resource than MachineLimits allows.
 type TooLargeError struct {
-	// Reason names the resource.
+	// Reason names the resource, what the run needs and the limit.
 	Reason error
 }
 
@@ -53,7 +53,8 @@
 // Unwrap returns the reason.
 func (e *TooLargeError) Unwrap() error { return e.Reason }
 
-// RunScale runs a ScaleExperiment. It returns a *TooLargeError, before it starts anything, if the machine is too small.
+// RunScale runs a ScaleExperiment. If the run needs more resources than MachineLimits allows, it returns a
+// *TooLargeError and starts nothing.
 func RunScale(ctx context.Context, programs Programs, e ScaleExperiment, progress Progress) (ScaleResult, error) {
 	limits, err := MachineLimits()
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	required := e.Requirements()
 	progress(fmt.Sprintf("%s: %d processes, about %d MB of memory, %d descriptors in one process "+
-		"(at most %d, %d and %d)",
+		"(the limits are %d, %d and %d)",
 		e.Name, required.Processes, required.MemoryMB, required.Descriptors,
 		limits.Processes, limits.MemoryMB, limits.Descriptors))
 	if err := required.Check(limits); err != nil {
@@ -87,13 +88,14 @@
 	return s.result, nil
 }
 
-// scaleRun is a running ScaleExperiment. The goroutine of RunScale owns its fields unless their comments say otherwise.
+// scaleRun is a ScaleExperiment in progress. Only the goroutine of RunScale accesses its fields, unless their comments
+// say otherwise.
 type scaleRun struct {
 	e        ScaleExperiment
 	programs Programs
 	dir      string
 	progress Progress
-	// faultRNG and changeRNG draw the targets of faults and of changes.
+	// faultRNG draws the targets of faults, and changeRNG the room servers that change.
 	faultRNG   *rand.Rand
 	changeRNG  *rand.Rand
 	recorder   *invariants.Recorder
@@ -101,48 +103,49 @@
 	statistics emulator.Statistics
 	result     ScaleResult
 
-	// roomServers are the room servers that exist; the list has them first.
+	// roomServers holds the room servers that exist. They are the first entries of the list, in the same order.
 	roomServers []*emulator.RoomServer
 	table       *emulator.EndpointTable
 	listServers []*emulator.ListServer
-	// links lead from each zone to the list servers.
+	// links holds, for each zone, the proxy through which its nodes and real balancers connect to list servers.
 	links []*faultproxy.Link
-	// ports are those of the hollow nodes, followed by those of the real balancers.
+	// ports holds the links' ports for the hollow nodes, followed by those for the real balancers.
 	ports   []*faultproxy.Port
 	workers []*workerProcess
 	// workerOf holds the worker of each hollow node.
 	workerOf []*workerProcess
-	// entries is the newest list.
+	// entries is the newest version of the list.
 	entries []emulator.Entry
-	// draining says which room servers that exist are draining.
+	// draining says, for each of roomServers, whether it is draining.
 	draining []bool
 	// startedAt is when the hollow nodes were started.
 	startedAt time.Time
-	// portBytes holds the traffic of each port at the last reading.
+	// portBytes holds the bytes that each port had forwarded at the last reading.
 	portBytes []uint64
-	// nodeTraffic and realTraffic hold the bytes that each hollow node and real balancer exchanges in a second.
+	// nodeTraffic and realTraffic hold the bytes that each hollow node and each real balancer has exchanged with list
+	// servers between two readings, about one second.
 	nodeTraffic *hdrhistogram.Histogram
 	realTraffic *hdrhistogram.Histogram
-	// background counts the goroutines of the ends and consequences of faults.
+	// background counts the goroutines that end faults, or execute their delayed effects.
 	background sync.WaitGroup
 
 	// mu guards the fields below.
 	mu        sync.Mutex
 	balancers []*balancer
-	// alive says which real balancers run.
+	// alive says, for each real balancer, whether its process runs.
 	alive []bool
-	// serverUp says which list servers zones are led to.
+	// serverUp says, for each list server, whether links may connect to it.
 	serverUp []bool
-	// regionCut says which regions changes do not reach.
+	// regionCut says, for each region, whether changes are not replicated to it.
 	regionCut []bool
-	// nodeDown says which hollow nodes do not run.
+	// nodeDown says, for each hollow node, whether it was stopped.
 	nodeDown []bool
 	events   []hollow.Event
-	// failure is the error of a background goroutine.
+	// failure is the latest error of a background goroutine.
 	failure error
 }
 
-// newScaleRun returns a run that open has to start. The directory has to exist.
+// newScaleRun returns a run, which open has to start. The directory has to exist.
 func newScaleRun(p Programs, dir string, e ScaleExperiment, progress Progress) *scaleRun {
 	s := &scaleRun{
 		e:           e,
@@ -165,7 +168,7 @@
 	return s
 }
 
-// play changes the list and injects the faults until the duration is over and all changes should be applied.
+// play runs the clients, the changes of the list and the faults until the time limit for the last change is over.
 func (s *scaleRun) play(ctx context.Context) error {
 	playing, stopPlayers := context.WithCancel(ctx)
 	var players sync.WaitGroup
@@ -183,7 +186,7 @@
 	return nil
 }
 
-// startPlayers starts the clients of the real balancers, until ctx ends.
+// startPlayers starts the clients of the real balancers. They play until ctx ends.
 func (s *scaleRun) startPlayers(ctx context.Context, players *sync.WaitGroup) {
 	cfg := emulator.PlayerConfig{
 		FrontLayer:    s.frontLayer,
@@ -258,8 +261,9 @@
 	return nil
 }
 
-// readCounters reads the memory of all processes and the traffic of all ports; it has to be called once a second. It
-// returns the number of hollow nodes that watch the list, and the error of a background goroutine if there is one.
+// readCounters records the memory of all processes and the traffic of all ports. It has to be called once a second,
+// because the traffic between two calls counts as that of one second. It returns the number of hollow nodes that watch
+// the list, and the error of a background goroutine if there is one.
 func (s *scaleRun) readCounters() (connected int, err error) {
 	totalMB, err := hollow.ResidentMemory(os.Getpid())
 	if err != nil {
@@ -284,7 +288,7 @@
 	return connected, s.failure
 }
 
-// readBalancerMemory returns the memory of all real balancers. The caller holds mu.
+// readBalancerMemory returns the sum of the resident memory of all real balancers. The caller holds mu.
 func (s *scaleRun) readBalancerMemory() (sumMB float64) {
 	for i, b := range s.balancers {
 		if !s.alive[i] {
@@ -300,7 +304,7 @@
 	return sumMB
 }
 
-// readTraffic records the traffic of all ports since the last reading. The caller holds mu.
+// readTraffic records the traffic of each port since the last call, except ports of stopped nodes. The caller holds mu.
 func (s *scaleRun) readTraffic() {
 	for i, port := range s.ports {
 		bytes, _ := port.Counts()
@@ -315,7 +319,7 @@
 	}
 }
 
-// awaitFinalStates asks all workers for the final states of their nodes and waits for them.
+// awaitFinalStates makes all workers report the final states of their nodes and waits for the reports.
 func (s *scaleRun) awaitFinalStates(ctx context.Context) error {
 	for _, w := range s.workers {
 		if err := w.send(hollow.Command{Finish: true}); err != nil {
@@ -334,7 +338,7 @@
 	return nil
 }
 
-// close stops everything that was started, once the background goroutines have ended.
+// close waits for the background goroutines and stops everything that was started.
 func (s *scaleRun) close() {
 	s.background.Wait()
 	var stopping sync.WaitGroup
