--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// watchTimeout is how long the hollow nodes may take to watch the list; the run continues without the others.
+	// watchTimeout is how long the hollow nodes may take to watch the list. The run continues also if some do not.
 	watchTimeout = 10 * time.Second
-	// capacityFactor is the number of connections for each client that a room server admits.
+	// capacityFactor times the number of all clients is the number of connections that a room server admits.
 	capacityFactor = 2
-	// knownListFileName is the file of the list that hollow nodes start with.
+	// knownListFileName is the name of the file with the list that hollow nodes start with.
 	knownListFileName = "known.json"
 )
 
@@ -33,7 +33,7 @@
 	return names
 }
 
-// placement returns the placement of balancers in a zone.
+// placement returns the placement of hollow nodes and real balancers in a zone.
 func (s *scaleRun) placement(zone string) placement {
 	return placement{zone: zone, zones: s.zoneNames(), membershipMode: s.e.MembershipMode}
 }
@@ -56,14 +56,14 @@
 	if err := s.startBalancers(ctx); err != nil {
 		return err
 	}
-	s.progress(fmt.Sprintf("%d real balancers serve, each knows %d room servers", s.e.RealBalancers, s.e.Servers))
+	s.progress(fmt.Sprintf("%d real balancers serve with a list of %d room servers", s.e.RealBalancers, s.e.Servers))
 	if err := s.startWorkers(list); err != nil {
 		return err
 	}
 	return s.startAllNodes(ctx)
 }
 
-// realZones returns the zones that have a real balancer.
+// realZones returns the set of zones that have a real balancer.
 func (s *scaleRun) realZones() map[int]bool {
 	zones := map[int]bool{}
 	for i := range s.e.RealBalancers {
@@ -72,7 +72,8 @@
 	return zones
 }
 
-// startRoomServers starts the room servers that exist, in the zones with real balancers.
+// startRoomServers starts the room servers that exist and adds them to the list. They are in the zones that have a real
+// balancer.
 func (s *scaleRun) startRoomServers() error {
 	started := map[int]bool{}
 	for i := range s.e.RealBalancers {
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// addMissingServers adds entries of room servers that do not exist up to the length of the list, in zones without real
-// balancers, which would send clients to them.
+// addMissingServers fills the list up to its length with entries of room servers that do not exist. Their zones have no
+// real balancers, because a real balancer sends clients to the room servers of its zone.
 func (s *scaleRun) addMissingServers() {
 	realZones := s.realZones()
 	var zones []int
@@ -119,19 +120,19 @@
 // missingServerName returns the name of a room server that does not exist.
 func missingServerName(i int) string { return fmt.Sprintf("h-%d", i) }
 
-// unusedAddress returns an address on loopback at which nobody listens, another for each number.
+// unusedAddress returns an address on loopback at which no process listens, a different one for each number.
 func unusedAddress(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:1", 1+i>>16&127, i>>8&255, i&255)
 }
 
-// Each list server listens at an address for all hollow nodes, and at one for each real balancer, so that what a real
-// balancer is told is recorded.
+// Indexes of the addresses of each list server. It listens at one address for all hollow nodes, and at one for each
+// real balancer, so that the entries that it sends to each real balancer can be recorded.
 const (
 	hollowListenAddress    = 0
 	firstRealListenAddress = 1
 )
 
-// startListServers starts the list servers.
+// startListServers starts the list servers, each with all its addresses.
 func (s *scaleRun) startListServers() error {
 	for i := range s.e.ListServers {
 		server := emulator.NewListServer(s.table)
@@ -148,7 +149,8 @@
 	return nil
 }
 
-// observer returns a function that records what a real balancer is told of the room servers that exist.
+// observer returns a function for the entries that list servers send to a real balancer. It records the lifecycles of
+// the room servers that exist.
 func (s *scaleRun) observer(balancer string) func([]emulator.Entry) {
 	existing := map[string]bool{}
 	for _, server := range s.roomServers {
@@ -168,7 +170,7 @@
 	}
 }
 
-// openPorts opens the links of all zones, and a port for each hollow node and real balancer.
+// openPorts creates the links of all zones, and opens a port of them for each hollow node and real balancer.
 func (s *scaleRun) openPorts() error {
 	for zone := range s.e.Zones {
 		link := faultproxy.NewLink(func(p *faultproxy.Port) string { return s.listAddress(zone, p.Balancer) })
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// zoneOfPort returns the zone of a hollow node or real balancer by the number of its port.
+// zoneOfPort returns the zone of the hollow node or real balancer that uses the i-th port.
 func (s *scaleRun) zoneOfPort(i int) int {
 	if i < s.e.HollowNodes {
 		return s.e.hollowZone(i)
@@ -193,8 +195,8 @@
 	return s.e.realZone(i - s.e.HollowNodes)
 }
 
-// listAddress returns the address of a list server for the port of a zone: one of the zone's region if one is up, or of
-// another region; empty if none is up.
+// listAddress returns the address of the list server that a port of a zone connects to. It prefers list servers of the
+// zone's region that are up to those of other regions. It returns an empty string if no list server is up.
 func (s *scaleRun) listAddress(zone, port int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +239,7 @@
 	return nil
 }
 
-// startBalancer starts a real balancer with the initial list.
+// startBalancer starts a real balancer that knows the initial version of the list.
 func (s *scaleRun) startBalancer(ctx context.Context, i int) (*balancer, error) {
 	return startBalancer(ctx, balancerSpec{
 		program:    s.programs.Balancer,
@@ -250,7 +252,7 @@
 	})
 }
 
-// startWorkers writes the files of the workers and starts them.
+// startWorkers writes the files of the workers and starts them. Nodes with and without full engines get separate ones.
 func (s *scaleRun) startWorkers(list []byte) error {
 	setup := hollow.Setup{
 		KnownListPath: filepath.Join(s.dir, knownListFileName),
@@ -283,10 +285,10 @@
 	return nil
 }
 
-// writeNodeConfig writes the configuration of hollow nodes, which probe no room servers.
+// writeNodeConfig writes the configuration of hollow nodes. They do not probe room servers.
 func writeNodeConfig(path string, e Experiment, at placement) error {
 	at.noProbes = true
-	a := addresses{listen: "127.0.0.1:1", discovery: "127.0.0.1:1"} // not used
+	a := addresses{listen: "127.0.0.1:1", discovery: "127.0.0.1:1"} // required by the format, not used by hollow nodes
 	raw, err := json.Marshal(e.config("hollow", at, a, nil))
 	if err != nil {
 		return err
@@ -294,7 +296,7 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// startAllNodes starts all hollow nodes and waits until they watch the list, or until the time-out.
+// startAllNodes starts all hollow nodes and waits until they watch the list, or until watchTimeout.
 func (s *scaleRun) startAllNodes(ctx context.Context) error {
 	nodes := make([]int, s.e.HollowNodes)
 	for i := range nodes {
@@ -313,7 +315,7 @@
 	return nil
 }
 
-// waitUntilWatching waits until all hollow nodes watch the list, or until the time-out.
+// waitUntilWatching waits until all hollow nodes watch the list, or until watchTimeout, which is not an error.
 func (s *scaleRun) waitUntilWatching(ctx context.Context) error {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
--- a/internal/testbench/experiment/schema.go
+++ b/internal/testbench/experiment/schema.go
@@ -11,7 +11,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// load reads an experiment's file with its parser. Errors name the file.
+// load reads an experiment's file and parses it. Errors name the file.
 func load[E any](path string, parse func([]byte) (E, error)) (e E, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -23,11 +23,11 @@
 	return e, nil
 }
 
-// decode validates JSON against a schema and decodes it into e. Fields whose keys are absent keep their values.
+// decode validates JSON against a schema and decodes it into e. Fields of absent keys keep their values.
 func decode(raw []byte, schemaName string, schemaText []byte, e any) error {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return fmt.Errorf("no JSON: %w", err)
+		return fmt.Errorf("invalid JSON: %w", err)
 	}
 	schema, err := compileSchema(schemaName, schemaText)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return compiler.Compile(name)
 }
 
-// describeViolations returns an error that names the keys that violate a schema, one a line.
+// describeViolations returns an error with a line for each violation of a schema: the key and what is wrong with it.
 func describeViolations(err error) error {
 	var violations *jsonschema.ValidationError
 	if !errors.As(err, &violations) {
--- a/internal/testbench/experiment/session_keys.go
+++ b/internal/testbench/experiment/session_keys.go
@@ -8,16 +8,16 @@
 	"cottonplank/internal/session/token"
 )
 
-// keyLifetime is how long a session key is valid, which is longer than any run.
+// keyLifetime is how long a sealing key is valid: longer than any run.
 const keyLifetime = time.Hour
 
-// sessionKeys is the file of session keys that all balancers of a run share.
+// sessionKeys is the keyring file for session tokens that all balancers of a run share.
 type sessionKeys struct {
 	path string
 	keys []token.Key
 }
 
-// rotate adds a new key, which seals tokens from now on.
+// rotate adds a new sealing key to the file. Earlier keys stay in it.
 func (k *sessionKeys) rotate() error {
 	now := time.Now()
 	key, err := token.NewKey(now.Add(-time.Second), now.Add(keyLifetime), rand.Reader)
--- a/internal/testbench/experiment/worker_process.go
+++ b/internal/testbench/experiment/worker_process.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// workerCommand is the argument with which Programs.Worker runs hollow.RunWorker.
+	// workerCommand is the argument that makes Programs.Worker call hollow.RunWorker.
 	workerCommand = "scale-worker"
-	// maxReportBytes is the longest line that is read from a worker.
+	// maxReportBytes is the length of the longest report that is read from a worker, in bytes.
 	maxReportBytes = 16 << 20
 )
 
 // workerProcess is a process that runs hollow nodes.
 type workerProcess struct {
-	// fullEngines says that the engines of the nodes have the list.
+	// fullEngines says whether the engines of the nodes hold the whole list.
 	fullEngines bool
 	process     *exec.Cmd
 	stdin       io.WriteCloser
@@ -35,7 +35,7 @@
 	finished chan struct{}
 	finish   sync.Once
 
-	// sending is held while a command is written.
+	// sending guards commands: several goroutines send commands.
 	sending  sync.Mutex
 	commands *json.Encoder
 
@@ -43,13 +43,13 @@
 	mu     sync.Mutex
 	events []hollow.Event
 	usages []hollow.Usage
-	// startUsages is the number of usages from before the start has ended.
+	// startUsages is the number of usages that were reported during the start of the nodes.
 	startUsages int
-	// invalid is the error of a report that could not be decoded.
+	// invalid is the error of the latest report that could not be decoded.
 	invalid error
 }
 
-// startWorker starts a worker that logs to a file in a directory, and sends it the setup.
+// startWorker starts a worker, which logs to a file in the given directory, and sends it the setup.
 func startWorker(program, dir, name string, setup hollow.Setup) (*workerProcess, error) {
 	w := &workerProcess{
 		fullEngines: setup.FullEngine,
@@ -63,7 +63,8 @@
 		return nil, err
 	}
 	w.process.Stderr = w.log
-	// An interrupt is handled by this process, with whose end the worker's standard input ends.
+	// A process group of its own keeps an interrupt at the terminal from the worker, which this process stops by
+	// closing its standard input. Pdeathsig kills the worker if this process is killed.
 	w.process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if w.stdin, err = w.process.StdinPipe(); err != nil {
 		return nil, err
@@ -76,7 +77,7 @@
 		return nil, fmt.Errorf("hollow nodes: %w", err)
 	}
 	w.commands = json.NewEncoder(w.stdin)
-	go w.readReports(reports) // ends with the process, whose end stop waits for
+	go w.readReports(reports) // ends with the process; stop waits for that
 	if err := w.write(setup); err != nil {
 		w.stop()
 		return nil, err
@@ -84,10 +85,10 @@
 	return w, nil
 }
 
-// send sends a command.
+// send sends a command to the worker.
 func (w *workerProcess) send(c hollow.Command) error { return w.write(c) }
 
-// write writes a message as a line.
+// write writes a message to the worker's standard input, as a line of JSON.
 func (w *workerProcess) write(message any) error {
 	w.sending.Lock()
 	defer w.sending.Unlock()
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// readReports collects the worker's reports until the process ends.
+// readReports adds the worker's reports until its standard output ends, and waits for the end of the process.
 func (w *workerProcess) readReports(reports io.Reader) {
 	defer close(w.ended)
 	lines := bufio.NewScanner(reports)
@@ -113,7 +114,7 @@
 	w.process.Wait()
 }
 
-// add adds a report, and the error with which it was decoded.
+// add adds the events and the usage of a report. If decoding the report has failed, it records the error.
 func (w *workerProcess) add(report hollow.Report, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,15 +127,15 @@
 	}
 }
 
-// endStart ends the part of the usages that belongs to the start.
+// endStart records that the start of the nodes has ended: later usages do not belong to it.
 func (w *workerProcess) endStart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.startUsages = len(w.usages)
 }
 
-// latestUsage returns the latest usage, and by how much the memory has grown since the first one, in MiB. It returns an
-// error if the process has ended or has sent an invalid report.
+// latestUsage returns the latest usage, and the growth of the resident memory since the first usage in MiB. It returns
+// an error if the process has ended or has sent an invalid report.
 func (w *workerProcess) latestUsage() (usage hollow.Usage, growthMB float64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,13 +145,13 @@
 	}
 	select {
 	case <-w.ended:
-		return usage, growthMB, fmt.Errorf("a process of hollow nodes ended: %s", fileTail(w.log.Name()))
+		return usage, growthMB, fmt.Errorf("a worker process of hollow nodes has ended: %s", fileTail(w.log.Name()))
 	default:
 		return usage, growthMB, w.invalid
 	}
 }
 
-// stop ends the process; it is killed if it does not end in time.
+// stop closes the standard input of the process, which ends it, and kills it if it does not end within stopTimeout.
 func (w *workerProcess) stop() {
 	w.stdin.Close()
 	select {
