--- a/cmd/cottonplank-lab/main_test.go
+++ b/cmd/cottonplank-lab/main_test.go
@@ -41,8 +41,8 @@
 	return path
 }
 
-// Invalid usage and invalid files have the status 2, runs that fail have 1, and both are explained on standard error
-// alone.
+// Invalid usage and invalid files end with status 2, and runs that fail with status 1. The reason is written to
+// standard error, and nothing to standard output.
 func TestStatus(t *testing.T) {
 	dir := t.TempDir()
 	valid := writeFile(t, dir, "valid.json", `{"name":"x","balancers":1,"rooms":1,"sessions":1,"seconds":1}`)
@@ -78,7 +78,7 @@
 	}
 }
 
-// The experiment of the demo is valid.
+// The built-in experiment of the command demo is valid.
 func TestDemoExperiment(t *testing.T) {
 	if _, err := experiment.Parse([]byte(demoExperiment)); err != nil {
 		t.Error(err)
@@ -96,14 +96,14 @@
 		t.Errorf("status %d\n%s\n%s", status, out, errs)
 	}
 	if !strings.HasPrefix(out, `{"name":"x","tokens":true,"sessions":3,`) {
-		t.Errorf("result %s", out)
+		t.Errorf("unexpected begin of the result: %s", out)
 	}
 	if !strings.Contains(out, `"without_tokens":{`) {
-		t.Errorf("no result without tokens: %s", out)
+		t.Errorf("no result without tokens in %s", out)
 	}
 }
 
-// The flags of one command do not change the defaults of another.
+// The commands size and scale-compare, which both have the flag --seconds, show their own defaults.
 func TestDefaults(t *testing.T) {
 	for _, v := range []struct {
 		command string
@@ -124,7 +124,7 @@
 }
 
 // With --json, a scale run prints one object and nothing else on standard output. Its status is 3 if the result names a
-// missed objective, which a busy machine may cause, and 0 if not. It needs no more resources than it announces.
+// missed objective, which a busy machine may cause, and 0 otherwise. The run uses no more resources than it announces.
 func TestScaleJSON(t *testing.T) {
 	dir := t.TempDir()
 	build(t, dir, "cottonplank", "../cottonplank")
@@ -144,15 +144,15 @@
 		t.Errorf("status %d, want %d\n%s\n%s", status, want, out.String(), errs.String())
 	}
 	if !strings.HasPrefix(out.String(), `{"name":"x","seed":9,"hollow":6,"modules":3,`) {
-		t.Errorf("result %s", out.String())
+		t.Errorf("unexpected begin of the result: %s", out.String())
 	}
 	if !strings.Contains(errs.String(), "of 6 hollow balancers watch") {
-		t.Errorf("progress %s", errs.String())
+		t.Errorf("the progress does not show the hollow nodes that watch: %s", errs.String())
 	}
 }
 
-// checkAnnouncement checks that a scale run has announced its four processes, and at least the memory that its result
-// reports.
+// checkAnnouncement checks that the progress of a scale run announces four processes, and at least as much memory as
+// its result reports.
 func checkAnnouncement(t *testing.T, progress string, out []byte) {
 	t.Helper()
 	var result struct {
@@ -166,6 +166,7 @@
 		t.Errorf("%v: %s", err, progress)
 	}
 	if processes != 4 || result.TotalMB <= 0 || result.TotalMB > announcedMB {
-		t.Errorf("%g processes with %g MB, announced %g MB", processes, result.TotalMB, announcedMB)
+		t.Errorf("announced %g processes, want 4; the run used %g MB of %g MB announced",
+			processes, result.TotalMB, announcedMB)
 	}
 }
--- a/internal/testbench/experiment/balancer_config_test.go
+++ b/internal/testbench/experiment/balancer_config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The configuration of a balancer has the keys and values of the platform's file.
+// The configuration file of a balancer has the keys and values of the platform's file format.
 func TestBalancerConfig(t *testing.T) {
 	e, err := Parse([]byte(`{"name":"x","balancers":2,"rooms":1,"sessions":10,"seconds":1}`))
 	if err != nil {
--- a/internal/testbench/experiment/cost_test.go
+++ b/internal/testbench/experiment/cost_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// wantTableLines checks the number of lines of a table.
+// wantTableLines checks the number of lines that a function writes.
 func wantTableLines(t *testing.T, lines int, write func(io.Writer) error) {
 	t.Helper()
 	var table bytes.Buffer
@@ -16,7 +16,8 @@
 	}
 }
 
-// A balancer applies a list and its changes, and has read at least as many bytes as these.
+// A balancer applies a list and its changes, and the measured costs are plausible: it has read at least as many bytes
+// as the entries need, and reads more with changes than without.
 func TestListCosts(t *testing.T) {
 	t.Parallel()
 	options := ListCostOptions{Servers: []int{400}, Seconds: 1.5, ChangesPerSecond: 4}
@@ -27,19 +28,19 @@
 	for _, c := range costs {
 		const minEntryKB = 0.1
 		if c.AppliedSeconds <= 0 || c.StartKB < float64(c.Servers)*minEntryKB || c.StartCPUMs <= 0 {
-			t.Errorf("start: %+v", c)
+			t.Errorf("costs of the start: %+v", c)
 		}
 		if c.IdleCPUMsPerSecond <= 0 || c.ResidentMB <= 1 || c.PeakResidentMB < c.ResidentMB {
-			t.Errorf("%+v", c)
+			t.Errorf("processor time or memory: %+v", c)
 		}
 		if c.ChangeKBPerSecond <= c.IdleKBPerSecond {
-			t.Errorf("%v KB/s with changes, %v without", c.ChangeKBPerSecond, c.IdleKBPerSecond)
+			t.Errorf("%v KB/s with changes, want more than the %v without", c.ChangeKBPerSecond, c.IdleKBPerSecond)
 		}
 	}
 	wantTableLines(t, 2, func(out io.Writer) error { return WriteListCosts(out, costs) })
 }
 
-// Every line that was written arrives, and its latency is measured from when it was due.
+// Every line that the room server writes arrives, and latencies are measured.
 func TestDeliveryCosts(t *testing.T) {
 	t.Parallel()
 	options := DeliveryOptions{Connections: 20, Rates: []float64{200}, Seconds: 1}
@@ -63,7 +64,8 @@
 	wantTableLines(t, 3, func(out io.Writer) error { return WriteDeliveryCosts(out, costs) })
 }
 
-// Each size is measured with a fleet of its own while its connections are established.
+// Each size is measured with a new fleet while its connections are established. The error for a fleet that is too large
+// names the key.
 func TestFleetCosts(t *testing.T) {
 	sizes := FleetSizes{Balancers: []int{1, 2}, RoomServers: []int{2}, SessionsPerServer: 4, Seconds: 0.5}
 	costs, err := FleetCosts(t.Context(), buildBalancer(t), sizes, noProgress)
@@ -82,6 +84,6 @@
 	sizes = FleetSizes{Balancers: []int{1000}, RoomServers: []int{2}, SessionsPerServer: 4, Seconds: 1}
 	if _, err := FleetCosts(t.Context(), "nothing", sizes, noProgress); err == nil ||
 		!strings.Contains(err.Error(), "balancers") {
-		t.Errorf("1000 balancers: %v", err)
+		t.Errorf("1000 balancers: %v, want an error with \"balancers\"", err)
 	}
 }
--- a/internal/testbench/experiment/experiment_test.go
+++ b/internal/testbench/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// wantParseErrors checks the errors of a parser, by text.
+// wantParseErrors checks that a parser rejects each text with an error that contains the given words.
 func wantParseErrors[E any](t *testing.T, parse func([]byte) (E, error), errors map[string]string) {
 	t.Helper()
 	for text, want := range errors {
@@ -19,7 +19,7 @@
 	}
 }
 
-// An invalid file is refused with the key and the reason.
+// An invalid file is rejected with an error that names the key.
 func TestParse(t *testing.T) {
 	with := func(faults string) string {
 		return `{"name":"x","balancers":1,"rooms":1,"sessions":1,"seconds":1,"troubles":[` + faults + `]}`
@@ -38,7 +38,8 @@
 	})
 }
 
-// Each of the repository's files is an experiment of one kind; the parsers of the other kinds refuse it by its name.
+// Each file in the repository's folder of experiments is valid for the parser of its kind, which its name shows. The
+// parsers of the other kinds reject it with an error that names the file.
 func TestExperimentFiles(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.json")
 	if err != nil || len(files) < 8 {
@@ -70,6 +71,6 @@
 		t.Errorf("%d scale experiments, %d membership experiments", scales, memberships)
 	}
 	if _, err := Load("nowhere.json"); !os.IsNotExist(err) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("a file that does not exist: %v", err)
 	}
 }
--- a/internal/testbench/experiment/membership_checker_test.go
+++ b/internal/testbench/experiment/membership_checker_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// memberEvent returns an event of an instance's process.
+// memberEvent returns an event that concerns only an instance's process.
 func memberEvent(at time.Duration, kind membershipEventKind, member int) membershipEvent {
 	return membershipEvent{At: at, Kind: kind, Member: member}
 }
@@ -20,18 +20,18 @@
 	return membershipEvent{At: at, Kind: kind, Member: from, Other: to}
 }
 
-// reported returns the event of an instance's report.
+// reported returns the event that an instance has reported a state of another.
 func reported(at time.Duration, member, other int, state membership.State) membershipEvent {
 	return membershipEvent{At: at, Kind: memberReported, Member: member, Other: other, State: state}
 }
 
-// polled returns the event of an instance's metrics.
+// polled returns the event of a poll of an instance's metrics.
 func polled(at time.Duration, member, alive, size int, version uint64) membershipEvent {
 	return membershipEvent{At: at, Kind: memberPolled, Member: member, Alive: alive, Size: size, Version: version}
 }
 
-// faultlessRun returns the events of a run of five instances. The last one is killed at 20 s, which is detected at
-// 27 s, and the fourth is stopped gracefully at 40 s, which is detected at 41 s.
+// faultlessRun returns the events of a run of five instances without findings. Instance 4 is killed at 20 s, which is
+// detected at 27 s. Instance 3 is stopped gracefully at 40 s, which is detected at 41 s.
 func faultlessRun() (events []membershipEvent) {
 	for i := range 5 {
 		events = append(events, memberEvent(0, memberStarted, i))
@@ -49,21 +49,21 @@
 	return events
 }
 
-// falseReport is the report that an instance has failed, which is false unless other events make it true.
+// falseReport is the report of instance 0 that instance 1 has failed, which is false unless other events excuse it.
 var falseReport = reported(35*second, 0, 1, membership.Failed)
 
-// A run without mistakes has no findings but the times of detection.
+// The only findings of a run without mistakes are the times until the kill and the shutdown are detected.
 func TestMembershipCheckerOnFaultlessRun(t *testing.T) {
 	f := checkMembership(5, faultlessRun())
 	if len(f.FalseFailed) > 0 || f.SizeBelowLive > 0 || f.ViewRegressions > 0 || f.Agree > 0 {
 		t.Errorf("%+v", f)
 	}
 	if !slices.Equal(f.Detect, []float64{7000}) || !slices.Equal(f.Leave, []float64{1000}) {
-		t.Errorf("detected after %v ms, left after %v ms", f.Detect, f.Leave)
+		t.Errorf("kill detected after %v ms, want 7000; shutdown after %v ms, want 1000", f.Detect, f.Leave)
 	}
 }
 
-// The checker finds each mistake that is added to a run without mistakes.
+// The checker finds each mistake that is added to the events of a run without mistakes.
 func TestMembershipCheckerFindsFaults(t *testing.T) {
 	falseFailed := func(f membershipFindings) bool { return len(f.FalseFailed) == 1 }
 	notDetected := func(f membershipFindings) bool { return len(f.Detect) == 2 && f.Detect[1] == notDetectedMs }
@@ -82,19 +82,19 @@
 			[]membershipEvent{pathEvent(5*second, pathCut, 0, 1), falseReport},
 			falseFailed,
 		},
-		"a size below the live instances": {
+		"a fleet size below the number of live instances": {
 			[]membershipEvent{polled(30*second, 1, 4, 3, 1)},
 			func(f membershipFindings) bool { return f.SizeBelowLive == 1 },
 		},
-		"a view that goes back": {
+		"a view version that goes down": {
 			[]membershipEvent{polled(51*second, 1, 3, 5, 8)},
 			func(f membershipFindings) bool { return f.ViewRegressions == 1 },
 		},
-		"an instance that agrees late": {
+		"an instance with a wrong number of live instances after the last fault": {
 			[]membershipEvent{polled(60*second, 1, 4, 5, 10)},
 			func(f membershipFindings) bool { return f.Agree == 15000 },
 		},
-		"a kill that an instance does not detect, which is cut off only after the objective": {
+		"a kill not detected by an instance that is cut off only after the objective": {
 			[]membershipEvent{
 				memberEvent(21*second, memberKilled, 2),
 				reported(28*second, 0, 2, membership.Failed),
@@ -114,33 +114,33 @@
 	}
 }
 
-// Reports that are true, or excused by a disturbance, are no findings.
+// True reports of a failure, and missing reports of disturbed instances, are not findings.
 func TestMembershipCheckerAllowsTrueReports(t *testing.T) {
 	for name, events := range map[string][]membershipEvent{
-		"paused for 9 s": {
+		"an instance paused for 9 s is reported failed": {
 			memberEvent(25*second, memberPaused, 1), memberEvent(34*second, memberResumed, 1), falseReport,
 		},
-		"cut off from all": {
+		"an instance cut off from all others is reported failed": {
 			pathEvent(20*second, pathCut, 0, 1),
 			pathEvent(20*second, pathCut, 2, 1),
 			pathEvent(20*second, pathCut, 3, 1),
 			falseReport,
 		},
-		"a kill that an instance does not detect, which is cut off before the objective": {
+		"a kill not detected by an instance that is cut off before the objective": {
 			memberEvent(21*second, memberKilled, 2),
 			reported(28*second, 0, 2, membership.Failed),
 			reported(28*second, 1, 2, membership.Failed),
 			pathEvent(30*second, pathCut, 0, 3),
 			pathEvent(30*second, pathCut, 1, 3),
 		},
-		"just started": {
+		"an instance that has just started is reported failed": {
 			memberEvent(28*second, memberKilled, 1), memberEvent(30*second, memberStarted, 1), falseReport,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := checkMembership(5, append(faultlessRun(), events...))
 			if len(f.FalseFailed) > 0 || slices.Contains(f.Detect, notDetectedMs) {
-				t.Errorf("%+v, %v", f.FalseFailed, f.Detect)
+				t.Errorf("false reports of failure %+v, detection times %v", f.FalseFailed, f.Detect)
 			}
 		})
 	}
--- a/internal/testbench/experiment/membership_faults.go
+++ b/internal/testbench/experiment/membership_faults.go
@@ -221,7 +221,7 @@
 	s.faults = append(s.faults, f)
 }
 
-// between returns a random time between from and to; its distance from from is rounded to milliseconds.
+// between returns from plus a random number of whole milliseconds, at most to.
 func (s *membershipSchedule) between(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from))).Round(time.Millisecond)
 }
--- a/internal/testbench/experiment/membership_faults_test.go
+++ b/internal/testbench/experiment/membership_faults_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// A schedule has the faults that the objectives ask for, is the same for the same seed, and never stops the first
-// instance for good.
+// The drawn faults include those that the objectives require, and end in time. They are the same for the same seed. The
+// first instance, which is the gossip seed of the others, is never killed or stopped without a restart.
 func TestMembershipFaults(t *testing.T) {
 	for seed := range uint64(50) {
 		faults := drawMembershipFaults(20, seed)
 		if !reflect.DeepEqual(faults, drawMembershipFaults(20, seed)) {
-			t.Fatalf("seed %d: two different schedules", seed)
+			t.Fatalf("seed %d: two draws differ", seed)
 		}
 		if len(faults) < minFaults {
-			t.Errorf("seed %d: %d faults", seed, len(faults))
+			t.Errorf("seed %d: only %d faults", seed, len(faults))
 		}
 		maxPaused, maxLoss := 0, 0.0
 		ended := map[int]bool{}
@@ -31,18 +31,19 @@
 				maxLoss = max(maxLoss, f.Noise.Loss)
 			case faultKill, faultStop:
 				if f.Members[0] == 0 || ended[f.Members[0]] {
-					t.Errorf("seed %d: %v", seed, f)
+					t.Errorf("seed %d: %v concerns the first instance, or one that has ended", seed, f)
 				}
 				ended[f.Members[0]] = true
 			}
 		}
 		if maxPaused < 3 || maxLoss != 0.4 || len(ended) != 5 {
-			t.Errorf("seed %d: %d paused at once, loss %v, %d ended for good", seed, maxPaused, maxLoss, len(ended))
+			t.Errorf("seed %d: at most %d paused together, loss %v, %d killed or stopped without a restart",
+				seed, maxPaused, maxLoss, len(ended))
 		}
 	}
 }
 
-// The repository's file is valid and short enough, and invalid ones are refused.
+// The experiment of the repository is valid and takes at most 58 s. A file with too few instances is rejected.
 func TestParseMembership(t *testing.T) {
 	const path = "../../../experiments/membership-faults.json"
 	e, err := LoadMembership(path)
@@ -55,6 +56,6 @@
 	const threeInstances = `{"name":"x","kind":"membership-faults","instances":3,"rooms":1,"sessions":1,"seconds":50}`
 	_, err = ParseMembership([]byte(threeInstances))
 	if err == nil || !strings.Contains(err.Error(), "instances") {
-		t.Errorf("three instances: %v", err)
+		t.Errorf("three instances: %v, want an error with \"instances\"", err)
 	}
 }
--- a/internal/testbench/experiment/membership_result.go
+++ b/internal/testbench/experiment/membership_result.go
@@ -48,7 +48,7 @@
 	CPUMsPerSecond float64 `json:"gossip_cpu_ms_per_s"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// UnansweredRequests counts the requests that got no answer before their deadline, unless a fault excuses them.
+	// UnansweredRequests counts the requests without an answer, except those that a kill or a pause excuses.
 	UnansweredRequests int `json:"lost_answers"`
 	// Violations counts the violations of invariants without Collapses.
 	Violations int `json:"rules_broken"`
--- a/internal/testbench/experiment/programs_test.go
+++ b/internal/testbench/experiment/programs_test.go
@@ -27,7 +27,7 @@
 	return Programs{Balancer: buildBalancer(t), Worker: buildWorker(t)}
 }
 
-// buildProgram builds a command of this module.
+// buildProgram builds a command of this module and returns the path of the program.
 func buildProgram(t *testing.T, name string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -53,7 +53,7 @@
 	return commandLines
 }
 
-// waitUntilEnded waits until no process of the programs runs.
+// waitUntilEnded waits until no process of the programs runs, and fails the test after 10 s for a program.
 func waitUntilEnded(t *testing.T, programs ...string) {
 	t.Helper()
 	for _, p := range programs {
@@ -65,7 +65,7 @@
 	}
 }
 
-// parseExperiment parses an experiment.
+// parseExperiment parses an experiment and fails the test if it is invalid.
 func parseExperiment(t *testing.T, text string) Experiment {
 	t.Helper()
 	e, err := Parse([]byte(text))
@@ -75,7 +75,7 @@
 	return e
 }
 
-// parseScale parses a scale experiment.
+// parseScale parses a scale experiment and fails the test if it is invalid.
 func parseScale(t *testing.T, text string) ScaleExperiment {
 	t.Helper()
 	e, err := ParseScale([]byte(text))
@@ -85,5 +85,5 @@
 	return e
 }
 
-// noProgress ignores the progress of a run.
+// noProgress discards the progress of a run.
 func noProgress(string) {}
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -9,7 +9,7 @@
 	Sessions int `json:"sessions"`
 	// Migrated counts how often a client was told to move or its connection broke.
 	Migrated int `json:"moved"`
-	// Resumed counts how often a session continued at another connection without starting over.
+	// Resumed counts how often a session continued over a new connection without starting over.
 	Resumed int `json:"resumed"`
 	// ResumedWithin counts how often a session continued at most 500 ms after its client was told to move or its
 	// connection broke.
@@ -42,8 +42,8 @@
 	GamesEnded int `json:"games_over"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// UnansweredRequests counts the requests that got no answer before their deadline, except those that a kill of
-	// their balancer excuses. Each is one of Violations too.
+	// UnansweredRequests counts the requests whose connection broke or whose deadline passed without an answer, except
+	// those that a kill of their balancer excuses. Violations counts them too.
 	UnansweredRequests int `json:"lost_answers"`
 	// BrokenUnannounced counts the established connections that broke without MOVE at balancers that were never killed.
 	BrokenUnannounced int `json:"broken_connections_not_moved"`
@@ -52,7 +52,7 @@
 	Cost           Cost    `json:"cost"`
 	// Rejected counts the requests that were answered BUSY.
 	Rejected int `json:"refused"`
-	// Failed counts the requests that were answered ERR.
+	// Failed counts the requests whose answer was not UP, BUSY or ANEW, such as ERR.
 	Failed int `json:"failed"`
 	// RacedTokens counts the copies of tokens that were presented while the token's owner presented it.
 	RacedTokens int `json:"raced"`
--- a/internal/testbench/experiment/run_test.go
+++ b/internal/testbench/experiment/run_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// All sessions continue and all invariants hold in a small run with rotated keys, drains, a restarted and a killed
-// balancer, and raced and replayed tokens. This covers the files of keys, SIGHUP, discovery and the metrics.
+// All sessions continue and all invariants hold in a small run with rotated sealing keys, drains, a restarted and a
+// killed balancer, and raced and replayed tokens. The test covers the key file, SIGHUP, discovery and the metrics.
 func TestRun(t *testing.T) {
 	e := parseExperiment(t, `{"name":"small","balancers":2,"rooms":3,"sessions":40,"fill_s":1,"every_ms":100,
 "seconds":9,"troubles":[
@@ -25,7 +25,7 @@
 		t.Errorf("%+v\n%s", r, strings.Join(progress, "\n"))
 	}
 	if r.ResumedWithin < r.Resumed/2 || r.ResumeMsP50 <= 0 || r.ResumeMsP99 < r.ResumeMsP50 {
-		t.Errorf("%d of %d resumed in time, median %v, 99 %% %v",
+		t.Errorf("%d of %d resumed within 500 ms; median %v ms, 99 %% quantile %v ms",
 			r.ResumedWithin, r.Resumed, r.ResumeMsP50, r.ResumeMsP99)
 	}
 	var table bytes.Buffer
@@ -34,7 +34,8 @@
 	}
 }
 
-// The balancers' metrics agree with what the clients observe, if no balancer is stopped.
+// In a run that stops no balancer, the balancers' metrics of sessions that resumed or started over equal the clients'
+// counts.
 func TestCountsAgree(t *testing.T) {
 	e := parseExperiment(t, `{"name":"counts","balancers":2,"rooms":3,"sessions":30,"fill_s":1,"seconds":4,"troubles":[
 {"at_s":2,"do":"drain","room":0},{"at_s":2.5,"do":"crash","room":1}]}`)
@@ -46,32 +47,34 @@
 	for reason, n := range r.Reasons {
 		startedOver += n
 		if uint64(n) != r.Balancers["started_over."+reason] {
-			t.Errorf("%s: clients count %d, balancers %d", reason, n, r.Balancers["started_over."+reason])
+			t.Errorf("sessions that started over, %s: clients count %d, balancers %d",
+				reason, n, r.Balancers["started_over."+reason])
 		}
 	}
 	if !r.Passed() || uint64(r.Resumed) != r.Balancers["resumed"] || r.Balancers["tokens_given"] < 30 {
 		t.Errorf("%+v", r)
 	}
 	if startedOver != r.StartedOver || startedOver == 0 {
-		t.Errorf("%d sessions started over, reasons of %d", r.StartedOver, startedOver)
+		t.Errorf("%d sessions started over, the reasons add up to %d", r.StartedOver, startedOver)
 	}
 }
 
-// A cancelled run ends with an error and stops all processes that it has started.
+// A cancelled run returns an error, and none of the processes that it has started runs afterwards.
 func TestRunCancelled(t *testing.T) {
 	e := parseExperiment(t, `{"name":"stopped","balancers":2,"rooms":1,"sessions":5,"seconds":300}`)
 	program := buildBalancer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Second, cancel)
 	if _, err := Run(ctx, program, e, noProgress); err == nil {
-		t.Error("no error")
+		t.Error("no error of a cancelled run")
 	}
 	for _, commandLine := range processesOf(t, program) {
 		t.Errorf("still running: %s", commandLine)
 	}
 }
 
-// Each failure makes a result fail, also in the run without tokens; rejections and sessions that start over do not.
+// Each kind of violation makes a result fail, also one in the run without tokens. Rejections and sessions that start
+// over do not.
 func TestResultPassed(t *testing.T) {
 	for name, v := range map[string]struct {
 		result Result
@@ -92,9 +95,9 @@
 	}
 }
 
-// With the smallest limits, a long list and more clients than descriptors, every request is answered, those beyond the
-// limit are rejected at once, and the limits are kept. Clients must not wait unanswered in the backlog of a balancer
-// without free descriptors, and probes must not use up the clients' descriptors.
+// With the smallest limits, a long list and more clients than descriptors, every request is answered, requests beyond
+// the limit are rejected, and the limits are kept. The test guards against clients that wait unanswered in the backlog
+// of a balancer without free descriptors, and against probes that use up the clients' descriptors.
 func TestSmallLimits(t *testing.T) {
 	e, err := Load("../../../experiments/small-limits.json")
 	if err != nil {
@@ -106,16 +109,16 @@
 	}
 	established := int(r.Balancers["open_requests"])
 	if established < 40 || established > 56 {
-		t.Errorf("%d established connections", established)
+		t.Errorf("%d established connections, want 40 to 56", established)
 	}
 	if !r.Passed() || r.UnansweredRequests > 0 || r.Failed > 0 || r.Rejected < 120 {
 		t.Errorf("%+v", r)
 	}
 	c := r.Cost
 	if c.MaxDescriptors > 128 || c.MaxResidentMB > 32 || c.MaxResidentMB == 0 {
-		t.Errorf("limits: %+v", c)
+		t.Errorf("limits are exceeded: %+v", c)
 	}
 	if c.ProbesPerSecond == 0 || c.MeanOpen == 0 || c.CPUMsPerSecond == 0 {
-		t.Errorf("costs: %+v", c)
+		t.Errorf("costs that are 0: %+v", c)
 	}
 }
--- a/internal/testbench/experiment/scale_comparison_test.go
+++ b/internal/testbench/experiment/scale_comparison_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Hollow nodes and real balancers exchange the same bytes for the same changes, and both have costs of their own.
+// Hollow nodes and real balancers exchange about the same number of bytes for the same changes, and the other costs of
+// both are measured.
 func TestCompareScale(t *testing.T) {
 	options := ComparisonOptions{Servers: []int{50, 500}, Nodes: 2, Seconds: 3}
 	c, err := CompareScale(t.Context(), buildPrograms(t), options, noProgress)
@@ -30,7 +31,7 @@
 	}
 }
 
-// A slope needs two sizes.
+// Options with fewer than two sizes are rejected, as a slope needs two.
 func TestCompareScaleOptions(t *testing.T) {
 	for _, servers := range [][]int{nil, {50}} {
 		options := ComparisonOptions{Servers: servers, Nodes: 1, Seconds: 1}
--- a/internal/testbench/experiment/scale_experiment_test.go
+++ b/internal/testbench/experiment/scale_experiment_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An invalid file is refused with the key and the value.
+// An invalid file is rejected with an error that names the key.
 func TestParseScale(t *testing.T) {
 	with := func(values string) string { return `{"name":"x","hollow":1,"real":1,` + values + `}` }
 	wantParseErrors(t, ParseScale, map[string]string{
@@ -32,7 +32,7 @@
 	}
 }
 
-// A run that needs more than a limit allows is refused with the name of the resource.
+// A run that needs more of a resource than the limit is rejected with an error that names the resource.
 func TestRequirements(t *testing.T) {
 	large := parseScale(t, `{"name":"x","hollow":2300,"modules":2300,"real":3,"servers":20000,"seconds":1}`)
 	r := large.Requirements()
@@ -56,7 +56,7 @@
 	half := large
 	half.Servers /= 2
 	if got := half.Requirements(); got.MemoryMB >= r.MemoryMB || got.MemoryMB < r.MemoryMB/3 {
-		t.Errorf("half of the room servers need %d MB, all %d", got.MemoryMB, r.MemoryMB)
+		t.Errorf("half of the room servers need %d MB, all of them %d MB", got.MemoryMB, r.MemoryMB)
 	}
 	limits, err := MachineLimits()
 	if err != nil || limits.MemoryMB < 100 || limits.Processes != 300 || limits.Descriptors < 100 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Each missed objective is described by its key, and each failure makes the result fail.
+// Each missed objective is described with its key. Each kind of loss or violation makes the result fail.
 func TestScaleObjectives(t *testing.T) {
 	good := ScaleResult{
 		Changes:           9,
@@ -98,7 +98,7 @@
 	}
 	for _, r := range []ScaleResult{{LostChanges: 1}, {Regressions: 1}, {UnansweredRequests: 1}, {Violations: 1}} {
 		if r.Passed() {
-			t.Errorf("passed: %+v", r)
+			t.Errorf("passed in spite of a failure: %+v", r)
 		}
 	}
 }
--- a/internal/testbench/experiment/scale_requirements.go
+++ b/internal/testbench/experiment/scale_requirements.go
@@ -23,7 +23,7 @@
 	maxUsefulDescriptors = 1 << 30
 )
 
-// Estimates of the memory of the processes. They hold for 2,000 to 20,000 room servers.
+// Estimates of the memory of the processes. They fit scale experiments with 2,000 and with 20,000 room servers.
 const (
 	// mainProcessMB is what the process of the run needs without balancers, room servers and clients.
 	mainProcessMB = 40.0
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -83,7 +83,7 @@
 	LostChanges int `json:"lost_changes"`
 	// Regressions counts how often the version of a node went down.
 	Regressions int `json:"went_back"`
-	// UnansweredRequests counts the requests that got no answer before their deadline, unless a kill excuses them.
+	// UnansweredRequests counts the requests without an answer, except those that a kill of their balancer excuses.
 	UnansweredRequests int `json:"lost_answers"`
 	// Violations counts the violations of the invariants of requests and room servers.
 	Violations int `json:"rules_broken"`
--- a/internal/testbench/experiment/scale_run_test.go
+++ b/internal/testbench/experiment/scale_run_test.go
@@ -16,10 +16,10 @@
 {"at_s":0.5,"for_s":1,"do":"kill","share":0.1},{"at_s":1,"for_s":1,"do":"slow","delay_ms":50,"kb_per_s":500},
 {"at_s":2,"for_s":1,"do":"cut"},{"at_s":3,"for_s":1.5,"do":"source"},{"at_s":5,"for_s":1.5,"do":"zone"}]}`
 
-// longScaleText is the same run, which does not end by itself during a test.
+// longScaleText is the same experiment with a duration that exceeds that of a test, which has to stop the run.
 var longScaleText = strings.Replace(smallScaleText, `"seconds":8`, `"seconds":300`, 1)
 
-// All nodes apply all changes, and all invariants hold, in a small run with all faults.
+// All nodes apply all changes, and all invariants hold, in a small run with a fault of each kind.
 func TestRunScale(t *testing.T) {
 	e := parseScale(t, smallScaleText)
 	programs := buildPrograms(t)
@@ -34,7 +34,7 @@
 	if r.HollowNodes != 30 || r.RealBalancers != 2 || r.ListServers != 6 {
 		t.Errorf("%+v", r)
 	}
-	// Each node applies each change once, also those from while it was unreachable or stopped.
+	// Each node applies each change once, including those published while it was unreachable or stopped.
 	if r.Applied != r.Changes*r.HollowNodes || r.ApplyMsMax <= 0 || r.ApplyMsP50 <= 0 {
 		t.Errorf("changes: %+v", r)
 	}
@@ -45,7 +45,7 @@
 		t.Errorf("memory: %+v", r)
 	}
 	if uint64(r.Changes) > r.Encodings || r.Encodings > uint64(2*r.Changes+10) {
-		t.Errorf("%d encodings for %d changes", r.Encodings, r.Changes)
+		t.Errorf("%d encodings for %d changes, want one or two for each and at most 10 more", r.Encodings, r.Changes)
 	}
 	var table bytes.Buffer
 	if err := r.WriteTable(&table); err != nil || !strings.Contains(table.String(), "changes lost") {
@@ -54,14 +54,14 @@
 	waitUntilEnded(t, programs.Balancer, programs.Worker)
 }
 
-// A cancelled run stops all its processes, also those that are being started again.
+// A cancelled run stops all its processes, including real balancers that are being started again after a fault.
 func TestScaleCancelled(t *testing.T) {
 	programs := buildPrograms(t)
 	e := parseScale(t, longScaleText)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	_, err := RunScale(ctx, programs, e, func(line string) {
-		if strings.Contains(line, "is gone with") { // a real balancer may be starting again then
+		if strings.Contains(line, "is gone with") { // cancels about when real balancers of the zone are started again
 			time.AfterFunc(1510*time.Millisecond, cancel)
 		}
 	})
@@ -71,7 +71,7 @@
 	waitUntilEnded(t, programs.Balancer, programs.Worker)
 }
 
-// All processes of a run end when the process of the run is killed.
+// All processes that a run has started end when the process of the run is killed.
 func TestScaleKilled(t *testing.T) {
 	programs := buildPrograms(t)
 	file := filepath.Join(t.TempDir(), "scale.json")
@@ -94,7 +94,7 @@
 	c.Process.Kill()
 	c.Wait()
 	if len(processes) < 6 {
-		t.Errorf("only these processes: %q\n%s", processes, progress.String())
+		t.Errorf("fewer than 6 processes: %q\n%s", processes, progress.String())
 	}
 	waitUntilEnded(t, programs.Balancer, programs.Worker)
 }
