--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -2,14 +2,15 @@
 
 import "cottonplank/decide"
 
-// idempotencies maps the values of the setting repeat to those of the decision module.
+// idempotencies maps the values of the setting repeat to the constants of the decision module.
 var idempotencies = map[string]decide.Idempotency{
 	"idempotent":   decide.Idempotent,
 	"deduplicated": decide.IdempotentByKey,
 	"at_most_once": decide.NotIdempotent,
 }
 
-// keyScopes maps the values of the setting key_scope to those of the decision module. The setting may be missing.
+// keyScopes maps the values of the setting key_scope to the constants of the decision module. The setting may be
+// missing.
 var keyScopes = map[string]decide.KeyScope{
 	"":     decide.ScopeAll,
 	"all":  decide.ScopeAll,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,7 +16,8 @@
 	"cottonplank/internal/discovery/httpsource"
 )
 
-// Environment variables. All but PROXY_CONFIG override the setting of the same meaning in the configuration file.
+// Environment variables. Each variable except PROXY_CONFIG overrides the corresponding setting in the configuration
+// file.
 const (
 	variableConfig     = "PROXY_CONFIG" // path of the configuration file
 	variableName       = "PROXY_NAME"
@@ -45,9 +46,9 @@
 	Management string // management address; empty: off
 	Discovery  string // address of the discovery service
 	Settings   decide.Settings
-	// ListPushed is set in membership mode automatic, in which discovery pushes its endpoint lists. A change of the list
-	// then counts as observed by the balancer, and is binding, as soon as discovery has it: even if the balancer has
-	// not received it yet.
+	// ListPushed is set in membership mode automatic, in which discovery pushes its endpoint lists. A change of the
+	// list then counts as observed by the balancer, and is binding, as soon as discovery has it, even before the
+	// balancer receives it.
 	ListPushed bool
 	Tenants    []string // tenants that requests may name; empty: any
 
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -14,7 +14,7 @@
 type FieldError struct {
 	Key    string // path of the setting as the file spells it, e.g. settings.profiles[0].aim_s
 	Value  any    // the rejected value; nil if it is missing, a secret that must not be printed, or part of Reason
-	Reason string // what is wrong with the value, and usually what is accepted
+	Reason string // why the value is rejected, and usually the accepted values
 	Err    error  // the cause if another package rejected the setting; Value and Reason are then unused
 }
 
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,9 +10,9 @@
 	"cottonplank/internal/session/token"
 )
 
-// peerKeyGrace is how long a key is accepted after its not_after, for keys that cluster members share and for those
-// that control-plane servers and their followers share. token.Ring adds twice token.Leeway,
-// because the clocks of two processes may differ.
+// peerKeyGrace is the grace period after a key's not_after, for keys that cluster members share, and for keys that
+// control-plane servers and their followers share. token.Ring retires a key at the end of this grace period plus twice
+// token.Leeway.
 const peerKeyGrace = time.Minute
 
 // groupAndOtherAccess are the permission bits of a file for everybody but its owner.
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// There is no management address unless the file or PROXY_MANAGEMENT sets one; the variable overrides the file. With a
-// management address, the descriptors reserved for it are subtracted from those for client connections.
+// The management address is unset unless the file or PROXY_MANAGEMENT sets it; the variable overrides the file. With a
+// management address, the descriptors reserved for it are subtracted from the descriptors for client connections.
 func TestManagementAddress(t *testing.T) {
 	without, _ := Parse([]byte(validConfig), emptyEnvironment)
 	text := strings.Replace(validConfig, `"seed"`, `"management":"127.0.0.4:15000","seed"`, 1)
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			alone, shared := c.ProcessLimits(false), c.ProcessLimits(true)
-			each := c.DescriptorLimit - shared.ReservedDescriptors // all descriptors that one process may hold
+			each := c.DescriptorLimit - shared.ReservedDescriptors // maximum number of descriptors per process
 			if alone.ReservedDescriptors != 0 || alone.MaxClients != c.MaxClients || 2*each > c.DescriptorLimit ||
 				shared.MemoryBytes*2 > alone.MemoryBytes ||
 				2*shared.MaxClients > c.ConnDescriptors-shared.ReservedDescriptors ||
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -12,7 +12,7 @@
 // Membership configures the instance as a member of the balancers' cluster. An empty Name switches membership off.
 type Membership struct {
 	Name     string         // unique in the cluster
-	Listen   netip.AddrPort // gossip address, at which the other members reach this one
+	Listen   netip.AddrPort // gossip address, at which the other members reach this instance
 	Zone     string
 	Region   string
 	Seeds    []netip.AddrPort // members through which the instance joins
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,7 +37,7 @@
 type attemptLimits struct {
 	ConnectTimeout float64 `json:"connect_timeout_s"`
 	MaxRetryAfter  float64 `json:"max_retry_after_s"`
-	RetryAfter     bool    `json:"retry_after"` // whether a rejection may tell the client when to retry
+	RetryAfter     bool    `json:"retry_after"` // whether a rejection may include a retry-after time
 	MayProbe       bool    `json:"may_probe"`
 	MaxAttempts    int     `json:"most_tries"`
 }
@@ -118,7 +118,7 @@
 }
 
 // convert converts the section, except for the classes, which decode converts, and membership_mode and the tenants,
-// which are no settings of the decision module.
+// which are not settings of the decision module.
 func (s *settingsFile) convert() decide.Settings {
 	settings := decide.Settings{
 		Zone:           s.Zone,
