--- a/internal/session/arbiter/arbiter.go
+++ b/internal/session/arbiter/arbiter.go
@@ -60,7 +60,7 @@
 
 // Answer is the answer to a Reattach or an Export: the verdict and its details.
 type Answer struct {
-	// Verdict says which of the other fields are set.
+	// Verdict determines which other fields are set.
 	Verdict Verdict
 	// Position is the number of the client's moves in the state. It is set for Granted and StateTooLarge.
 	Position uint64
@@ -81,18 +81,18 @@
 
 // Config is the configuration of an arbiter.
 type Config struct {
-	// Retention is the minimum time for which a session that has no connection is retained, and likewise the
-	// tombstones of a session that was migrated and the record of one that has ended.
+	// Retention is the minimum time for which the arbiter retains a session without a connection, the tombstones of a
+	// migrated session, and the record of an ended session.
 	Retention time.Duration
-	// Limit is the maximum number of sessions, including those that were migrated or have ended and are still
-	// retained. Further sessions are rejected.
+	// Limit is the maximum number of sessions, including migrated and ended sessions that are retained. Further
+	// sessions are rejected.
 	Limit int
 }
 
 // Arbiter holds the sessions of one room server. It is not safe for concurrent use.
 type Arbiter struct {
 	cfg Config
-	// records holds the sessions, including those that were migrated or have ended.
+	// records holds the sessions, including migrated and ended sessions.
 	records map[token.SessionID]*record
 	// lastSweep is when sweep last removed expired records.
 	lastSweep time.Time
@@ -118,8 +118,8 @@
 	return true
 }
 
-// Sessions returns the number of copies of session states that the arbiter holds, including those that are only
-// prepared, and how many of them are attached.
+// Sessions returns the number of copies of session states that the arbiter holds, including prepared copies, and the
+// number of attached copies.
 func (a *Arbiter) Sessions() (held, attached int) {
 	for _, r := range a.records {
 		for _, c := range r.copies {
--- a/internal/session/arbiter/arbiter_test.go
+++ b/internal/session/arbiter/arbiter_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// A session must never be attached twice. An export detaches it from its connection, and moves on that connection are
-// no longer saved. After the commit, the tombstone at the old room server redirects to the new one. Only the
+// A session must never be attached twice. An export detaches it from its connection, and later moves on that
+// connection are not saved. After the commit, the tombstone at the old room server redirects to the new one. Only the
 // connection that has prepared the copy there can activate it, and a redirected request does not displace that
 // connection.
 func TestMigration(t *testing.T) {
--- a/internal/session/arbiter/attach.go
+++ b/internal/session/arbiter/attach.go
@@ -7,9 +7,9 @@
 )
 
 // Reattach attaches a session that the room server holds to conn. The attachment gets the next epoch and the fencing
-// token fence. A claim that has not expired prevents this, unless the claim's number is fence: the claim then belongs
-// to the same request. viaRedirect says that the client has no token of ref: the balancer got ref from another room
-// server's tombstone, or from a migration for the same request.
+// token fence. An unexpired claim prevents this, unless the claim's number is fence: the claim then belongs to the
+// same request. viaRedirect says that the client has no token of ref: the balancer got ref from another room server's
+// tombstone, or from a migration for the same request.
 func (a *Arbiter) Reattach(now time.Time, ref token.Ref, fence uint64, viaRedirect bool, conn Conn) Answer {
 	r, c, answer := a.find(now, ref, fence, viaRedirect, conn)
 	if c == nil {
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -10,7 +10,7 @@
 // enforces it. So a session that was migrated since can have more.
 const maxTombstones = 16
 
-// record is what the arbiter of a room server knows about one session.
+// record holds the data that a room server's arbiter keeps about one session.
 type record struct {
 	// copies holds the copies of the session's state at this room server. There are several only while migrations
 	// have prepared copies; at most one copy is attached.
@@ -72,7 +72,7 @@
 // attached reports whether the copy is attached to a connection.
 func (c *stateCopy) attached() bool { return c.conn != 0 && !c.prepared }
 
-// claimedAt reports whether there is a claim on the copy that has not expired.
+// claimedAt reports whether the copy has an unexpired claim.
 func (c *stateCopy) claimedAt(now time.Time) bool { return c.claim != 0 && now.Before(c.claimExpires) }
 
 // confirm records that the client has the token of the current attachment. The tokens of earlier attachments become
@@ -131,7 +131,7 @@
 	return false
 }
 
-// inUse reports whether any copy has a connection or a claim that has not expired.
+// inUse reports whether any copy has a connection or an unexpired claim.
 func (r *record) inUse(now time.Time) bool {
 	for _, c := range r.copies {
 		if c.conn != 0 || c.claimedAt(now) {
@@ -142,9 +142,9 @@
 }
 
 // removeOtherCopies makes c, which is being attached, the only copy of the session, and marks the session as not
-// ended. The other copies were prepared by migrations that cannot be committed any more. The newest maxTombstones
-// tombstones are kept, because a client that was disconnected before it received the token of the new attachment
-// presents an older one. Redirects cannot form a loop, because each one leads to a higher epoch.
+// ended. The other copies were prepared by migrations that cannot be committed. The newest maxTombstones tombstones
+// are kept, because a client that was disconnected before it received the token of the new attachment presents an
+// older one. Redirects cannot form a loop, because each one leads to a higher epoch.
 func (r *record) removeOtherCopies(c *stateCopy) {
 	r.copies, r.ended = []*stateCopy{c}, false
 	excess := max(len(r.tombstones)-maxTombstones, 0)
@@ -153,8 +153,8 @@
 
 // replaceByTombstones removes all copies and leaves tombstones that redirect to the given room server: first one for
 // the last attachment of c, which has the claim, then one for each earlier attachment whose token is still valid. The
-// other copies were prepared by migrations that cannot be committed any more. The reference in the tombstones has to
-// be the one under which the balancer has prepared the copy at that room server (migration.Flow.Next).
+// other copies were prepared by migrations that cannot be committed. The reference in the tombstones has to be the one
+// under which the balancer has prepared the copy at that room server (migration.Flow.Next).
 func (r *record) replaceByTombstones(c *stateCopy, server string) {
 	next := token.Ref{Session: c.ref.Session, Epoch: c.ref.Epoch + 1, Fence: c.claim}
 	r.tombstones = append(r.tombstones, tombstone{attachment{c.ref, c.confirmed}, server, next})
--- a/internal/session/migration/flow.go
+++ b/internal/session/migration/flow.go
@@ -57,7 +57,7 @@
 	reattaching bool
 	// exported says that State is set. An exported state can be empty.
 	exported bool
-	// commitPending says that the step Commit was returned and that Holder has not answered it.
+	// commitPending says that the step Commit was returned and that Holder's answer is pending.
 	commitPending bool
 	// commitInterrupted says that the connection to Holder has failed once while commitPending was set.
 	commitInterrupted bool
@@ -142,7 +142,7 @@
 // followRedirect makes the room server to which a tombstone redirects the new Holder.
 func (f *Flow) followRedirect(answer arbiter.Answer) Step {
 	f.redirects++
-	// Each redirect leads to a higher epoch. One that does not is a fault of the room server, and following it could
+	// A redirect must lead to a higher epoch. Any other redirect is a fault of the room server, and following it could
 	// lead into a loop.
 	if f.redirects > maxRedirects || answer.Ref.Epoch <= f.Ref.Epoch {
 		return f.startOver(StateTimeout)
--- a/internal/session/migration/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -160,7 +160,7 @@
 }
 
 // crashServer closes all connections of a room server and removes its sessions. Nine of ten draws skip it, because
-// after a crash several invariants are no longer checked.
+// several invariants are not checked after a crash.
 func (s *simulation) crashServer(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "one in ten") != 0 {
 		t.Skip("no crash in nine of ten draws")
--- a/internal/session/migration/simulation_test.go
+++ b/internal/session/migration/simulation_test.go
@@ -36,7 +36,7 @@
 	// serverCrashed says that a room server has crashed and lost its sessions. The client may have to start over
 	// after that, and acknowledged moves may be lost.
 	serverCrashed bool
-	// startedOver says that the client was told to start over.
+	// startedOver says that the client has received the answer to start over.
 	startedOver bool
 	// maxConfirmedEpoch is the highest epoch whose token the client has confirmed, or for which a room server has
 	// granted the session to the client without a redirect.
@@ -55,7 +55,7 @@
 type request struct {
 	balancer int
 	flow     *Flow
-	// step is what the balancer does next.
+	// step is the balancer's next step.
 	step Step
 	// server is the room server of the attempt.
 	server string
--- a/internal/session/migration/step.go
+++ b/internal/session/migration/step.go
@@ -1,6 +1,6 @@
 package migration
 
-// Step is what the frontend, the part of the balancer that does the I/O, has to do next for a Flow.
+// Step is the next action that the frontend, the part of the balancer that does the I/O, takes for a Flow.
 type Step uint8
 
 // The steps.
--- a/internal/session/protocol/fields.go
+++ b/internal/session/protocol/fields.go
@@ -18,7 +18,7 @@
 // fields parses the fields of a line one by one and keeps the first error. It accepts only one form of each value, so
 // that formatting a parsed line gives the same line.
 type fields struct {
-	// remaining holds the fields that have not been parsed.
+	// remaining holds the unparsed fields.
 	remaining []string
 	// err is the first error; nil if there is none.
 	err error
@@ -45,7 +45,7 @@
 	}
 }
 
-// end returns the first error. It is an error if there are fields that have not been parsed.
+// end returns the first error. Unparsed fields are an error.
 func (f *fields) end() error {
 	if len(f.remaining) > 0 {
 		f.fail(errFieldCount)
--- a/internal/session/protocol/open.go
+++ b/internal/session/protocol/open.go
@@ -21,12 +21,12 @@
 	ModeMigrate Mode = "move"
 )
 
-// Open is the value of the field FieldName in a request line. It tells a room server which session to open, and how.
+// Open is the value of the field FieldName in a request line. It specifies which session a room server opens, and how.
 type Open struct {
-	// Mode says how to open the session, and which of the other fields are used.
+	// Mode determines how the session is opened, and which other fields are used.
 	Mode Mode
-	// Ref identifies the copy of the session's state: with ModeReattach the one that the room server holds, with the
-	// other modes the one that it is to hold.
+	// Ref identifies the copy of the session's state: with ModeReattach the copy that the room server holds, with the
+	// other modes the copy that it is to hold.
 	Ref token.Ref
 	// Next is the fencing token of the new attachment. It is used with ModeReattach.
 	Next uint64
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -63,9 +63,9 @@
 // PositionLine returns the line with which a room server acknowledges the client's moves; position is their number.
 func PositionLine(position uint64) string { return fmt.Sprintf("%s %d", wordPosition, position) }
 
-// ParseNumbers parses a line that consists of a word and decimal numbers, such as those of SessionReadyLine,
-// SessionRetainedLine and PositionLine. It returns false if the line does not have that form; the values of the
-// numbers are undefined then.
+// ParseNumbers parses a line that consists of a word and decimal numbers, such as a result of SessionReadyLine,
+// SessionRetainedLine or PositionLine. It returns false if the line does not have that form; the values of the numbers
+// are undefined then.
 func ParseNumbers(line, word string, numbers ...*uint64) bool {
 	f, err := parametersOf(line, word)
 	if err != nil {
@@ -80,7 +80,7 @@
 // TokenLine returns the line that gives a client its session token.
 func TokenLine(text string) string { return wordToken + " " + text }
 
-// StartOverLine returns the line that tells a client that its session cannot be resumed. reason is the word of a
+// StartOverLine returns the line that notifies a client that its session cannot be resumed. reason is the word of a
 // migration.Reason.
 func StartOverLine(reason string) string { return wordStartOver + " " + reason }
 
--- a/internal/session/protocol/transfer.go
+++ b/internal/session/protocol/transfer.go
@@ -54,7 +54,7 @@
 	Session token.SessionID
 	// Claim is the number of the claim on the session.
 	Claim uint64
-	// To is the instance ID of the other room server.
+	// To is the instance ID of the room server with the prepared copy.
 	To string
 }
 
--- a/internal/session/token/keyfile_test.go
+++ b/internal/session/token/keyfile_test.go
@@ -10,7 +10,7 @@
 	"cottonplank/internal/testbench/fuzzcorpus"
 )
 
-// An error for an invalid keys file says what is wrong, but does not contain the secret, which would be written to
+// An error for an invalid keys file describes the fault, but does not contain the secret, which would be written to
 // logs. If a key is rejected, the error names the key's index and field.
 func TestInvalidKeys(t *testing.T) {
 	const secret = "8f95f09245765f80256934e50c66207f8f95f09245765f80256934e50c66207f"
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -124,7 +124,7 @@
 	return keys
 }
 
-// KeyUse is what a key of a ring is used for at a given time.
+// KeyUse is the use of a key of a ring at a given time.
 type KeyUse string
 
 // The uses of a key. Operators see these words in the list of keys.
@@ -142,7 +142,7 @@
 	KeyRetired KeyUse = "retired"
 )
 
-// KeyUse returns what the key with the given ID is used for at now.
+// KeyUse returns the use of the key with the given ID at now.
 func (r *Ring) KeyUse(keyID string, now time.Time) KeyUse {
 	key := r.openingKey(keyID, now)
 	switch {
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -38,8 +38,8 @@
 // payloadDecoder rejects payloads with duplicate or unknown keys.
 var payloadDecoder = newPayloadDecoder()
 
-// newPayloadDecoder returns the decoder with the lowest limits that the library allows. They exceed what a payload
-// needs.
+// newPayloadDecoder returns the decoder with the lowest limits that the library allows. They exceed the needs of any
+// valid payload.
 func newPayloadDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
