--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -17,7 +17,7 @@
 
 // PreviousProcess is the running process from which this process has received its sockets.
 type PreviousProcess struct {
-	// Learned holds what the previous process has learned about the room servers, as lines that this package does not
+	// Learned holds the previous process's learned state of the room servers, as lines that this package does not
 	// interpret.
 	Learned []string
 	// Exited is closed when the connection to the previous process ends. That process has then exited, or is about to
@@ -27,9 +27,9 @@
 	conn *net.UnixConn
 }
 
-// ReceiveSockets requests the sockets of the process that listens at path. If there is no such process, or if it does
-// not pass them on, the returned PreviousProcess is nil and the caller has to open the sockets itself. A process that
-// does not respond delays the result by up to exchangeTimeout for each exchange.
+// ReceiveSockets requests the sockets of the process that listens at path. If no process listens there, or if the
+// process does not pass its sockets on, the returned PreviousProcess is nil and the caller has to open the sockets
+// itself. A process that does not respond delays the result by up to exchangeTimeout for each exchange.
 func ReceiveSockets(path string, log *logrus.Logger) (*Sockets, *PreviousProcess) {
 	sockets := &Sockets{inherited: map[string]*os.File{}}
 	conn, err := dialPrevious(path)
@@ -136,7 +136,7 @@
 	return nil, ErrTooManyLines
 }
 
-// watch closes Exited when the connection ends. Until then it discards what the previous process sends.
+// watch closes Exited when the connection ends. Until then it discards all data from the previous process.
 func (p *PreviousProcess) watch() {
 	defer close(p.Exited)
 	defer p.conn.Close()
--- a/internal/operations/hotrestart/hotrestart.go
+++ b/internal/operations/hotrestart/hotrestart.go
@@ -1,8 +1,8 @@
 // Package hotrestart passes the TCP listeners and UDP sockets of a running process, the previous process, to a
 // replacement process that is started beside it, often of another version. The accept queues thus outlive the previous
-// process. The previous process also sends its learned state: what it has learned about the room servers. The package
-// depends neither on the protocols that are spoken over the sockets nor on the form of that state. The two processes
-// exchange lines of text over a Unix socket, with the descriptors as ancillary data.
+// process. The previous process also sends its learned state of the room servers. The package depends neither on the
+// protocols that are spoken over the sockets nor on the form of that state. The two processes exchange lines of text
+// over a Unix socket, with the descriptors as ancillary data.
 package hotrestart
 
 import (
--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// At its exit a process removes its own Unix socket, but not that of another process at the same path: otherwise no
-// replacement process could connect to the other process.
+// At its exit a process removes its own Unix socket, but not the socket of another process at the same path. Otherwise
+// no replacement process could connect to that other process.
 func TestOwnSocketFileIsRemoved(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
--- a/internal/operations/hotrestart/protocol.go
+++ b/internal/operations/hotrestart/protocol.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// exchangeTimeout is the timeout of each exchange with the other process.
+	// exchangeTimeout is the timeout of each exchange with the peer process.
 	exchangeTimeout = time.Second
 	// maxSockets is the maximum number of sockets in one message.
 	maxSockets = 8
@@ -43,7 +43,7 @@
 	lineEnd = "\r\n"
 )
 
-// Errors of an exchange with the other process.
+// Errors of an exchange with the peer process.
 var (
 	// ErrMalformedLine reports a line that the protocol does not allow at this point.
 	ErrMalformedLine = errors.New("malformed line")
@@ -51,7 +51,7 @@
 	ErrDescriptorCount = errors.New("names and descriptors differ in number")
 	// ErrTooManyLines reports that the learned state has more than maxLearnedLines lines.
 	ErrTooManyLines = errors.New("too many lines of learned state")
-	// ErrOtherUser reports that the other process has another user ID than this one.
+	// ErrOtherUser reports that the peer process does not have this process's effective user ID.
 	ErrOtherUser = errors.New("the other process belongs to another user")
 )
 
@@ -91,7 +91,7 @@
 	return files, nil
 }
 
-// checkPeerUser returns an error that wraps ErrOtherUser unless the other process has this process's effective user ID.
+// checkPeerUser returns an error that wraps ErrOtherUser unless the peer process has this process's effective user ID.
 // The Unix socket may be in a directory that everybody may write to, where another user's process could listen at the
 // same path.
 func checkPeerUser(conn *net.UnixConn) error {
--- a/internal/operations/hotrestart/server.go
+++ b/internal/operations/hotrestart/server.go
@@ -21,9 +21,9 @@
 
 // Replacements counts the replacement processes.
 type Replacements struct {
-	// Connected counts the processes that have received the sockets and have not exited.
+	// Connected counts the running processes that have received the sockets.
 	Connected int
-	// Serving counts those of the connected processes that accept connections.
+	// Serving counts the connected processes that accept connections.
 	Serving int
 }
 
@@ -228,7 +228,8 @@
 	return text.PrintfLine(endOfLearned)
 }
 
-// passSockets sends the names and descriptors of the open sockets, unless the other process belongs to another user.
+// passSockets sends the names and descriptors of the open sockets, unless the replacement process belongs to another
+// user.
 func (s *Server) passSockets(conn *net.UnixConn) error {
 	if err := checkPeerUser(conn); err != nil {
 		return err
@@ -237,9 +238,9 @@
 }
 
 // sendSockets appends the remaining sockets to names and descriptors, and then sends both. It calls itself within
-// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from the method File of a socket are
-// not used, because their method Fd sets them to blocking mode. A duplicate shares this mode with the original, also in
-// the other process.
+// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from the method File of a socket
+// are not used, because their method Fd sets them to blocking mode. A duplicate shares this mode with the original,
+// also in the replacement process.
 func sendSockets(conn *net.UnixConn, remaining []socket, names []string, descriptors []int) error {
 	if len(remaining) == 0 {
 		line := socketsPrefix + " " + strings.Join(names, " ") + lineEnd
--- a/internal/operations/hotrestart/wire_test.go
+++ b/internal/operations/hotrestart/wire_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// expect reads as many bytes as want has and compares them with want.
+// expect reads len(want) bytes and compares them with want.
 func expect(t *testing.T, from io.Reader, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
--- a/internal/operations/management/management.go
+++ b/internal/operations/management/management.go
@@ -1,6 +1,6 @@
 // Package management serves the management address, which operators and their tools use. A connection carries one
-// command and its response. All responses but that to INFO are one line. The number of management connections is
-// limited and separate from that of client connections, so neither can use up the file descriptors of the other.
+// command and its response. All responses but that to INFO are one line. Management connections and client connections
+// have separate limits, so neither can use up the file descriptors of the other.
 package management
 
 import (
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -84,7 +84,7 @@
 	return string(response)
 }
 
-// The commands are sent one after the other to the same instance, so each depends on the service state that the
+// The commands are sent sequentially to the same instance, so each command depends on the service state that the
 // previous command left.
 func TestCommands(t *testing.T) {
 	t.Parallel()
--- a/internal/operations/sdnotify/notifier.go
+++ b/internal/operations/sdnotify/notifier.go
@@ -42,7 +42,7 @@
 }
 
 // NewNotifier returns a notifier for the supervisor that the environment names (NOTIFY_SOCKET, WATCHDOG_USEC and
-// WATCHDOG_PID). If there is no supervisor, its messages are discarded. status returns the text that the supervisor
+// WATCHDOG_PID). Without a supervisor, the notifier discards its messages. status returns the text that the supervisor
 // shows as the status of the service. The error reports a malformed environment.
 func NewNotifier(monitor *Monitor, status func() string, log *logrus.Logger) (*Notifier, error) {
 	timeout, err := daemon.SdWatchdogEnabled(false)
--- a/internal/operations/snmp/objects_test.go
+++ b/internal/operations/snmp/objects_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// The numbers of the service states are those of the enumeration in the MIB.
+// The numbers of the service states must match the enumeration in the MIB.
 func TestServiceStateNumbers(t *testing.T) {
 	for state, want := range map[core.ServiceState]int{
 		core.Starting: 1,
@@ -119,7 +119,7 @@
 	}
 }
 
-// The numbers of the server states are those of the enumeration in the MIB. The load of a server without a load report
+// The numbers of the server states must match the enumeration in the MIB. The load of a server without a load report
 // is -1.
 func TestServerStateNumbers(t *testing.T) {
 	for state, want := range map[decide.State]int{decide.Ready: 1, decide.Draining: 2, decide.Removed: 3} {
--- a/internal/operations/snmp/view.go
+++ b/internal/operations/snmp/view.go
@@ -14,7 +14,7 @@
 // mibView provides the instances of all objects to one request. It creates the instances of the table of room servers,
 // which may be large, only when they are read, and holds all other instances from the beginning.
 type mibView struct {
-	// instances holds all instances except those of the table of room servers, sorted by object identifier.
+	// instances holds all instances outside the table of room servers, sorted by object identifier.
 	instances []instance
 	// detailed returns a snapshot with the room servers.
 	detailed func() *core.Snapshot
