--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -120,8 +120,8 @@
 	return true
 }
 
-// readUpstream reads the server's answer and, once the connection is established, relays what the server sends. A
-// server that resumes a session sends several lines before its acceptance. readUpstream runs in its own goroutine.
+// readUpstream reads the server's answer and, once the connection is established, relays the server's data. A server
+// that resumes a session sends several lines before its acceptance. readUpstream runs in its own goroutine.
 func (c *clientConn) readUpstream(up *upstreamConn, resuming bool) {
 	for {
 		line, err := textline.Read(up.text.R)
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -17,10 +17,10 @@
 // server and, while the state of a session is transferred, to the room server that holds the state.
 //
 // The goroutine of run owns all fields whose comments name no other owner. The engine sends commands to it; the
-// goroutines that dial or read, and those that wait for an answer of a state holder (callHolder), send events to it.
-// Only readClient reads from the client. One goroutine at a time writes to the client: readClient, which answers
-// health checks, until the request line is read; relayToClient while the connection is established; run's goroutine
-// between these two and after the relay.
+// goroutines that dial, read, or wait for an answer of a state holder (callHolder) send events to it. Only readClient
+// reads from the client. One goroutine at a time writes to the client: readClient, which answers health checks, until
+// the request line is read; relayToClient while the connection is established; run's goroutine between these two and
+// after the relay.
 type clientConn struct {
 	frontend *Frontend
 	// call is the engine's record of this connection.
@@ -31,7 +31,7 @@
 
 	// commands is the mailbox for the engine's commands, which are executed in order.
 	commands chan command
-	// events receives what the other goroutines of the connection report.
+	// events receives the events of the connection's other goroutines.
 	events chan event
 	// done is closed when run stops handling commands and events, before it closes the connections.
 	done chan struct{}
--- a/internal/frontend/platform/client_reader.go
+++ b/internal/frontend/platform/client_reader.go
@@ -106,8 +106,8 @@
 	return errors.Is(err, textline.ErrTooLong) || errors.Is(err, textline.ErrMissingCR)
 }
 
-// discard reads and discards what the client sends after a final answer, up to maxDiscardedBytes. If the client does
-// not close the connection, the engine aborts it.
+// discard reads and discards the client's data after a final answer, up to maxDiscardedBytes. If the client does not
+// close the connection, the engine aborts it.
 func (c *clientConn) discard() {
 	if _, err := io.CopyN(io.Discard, c.conn, maxDiscardedBytes); err != nil {
 		c.notify(clientClosedEvent{err})
--- a/internal/frontend/platform/dial_race_test.go
+++ b/internal/frontend/platform/dial_race_test.go
@@ -8,9 +8,9 @@
 	"cottonplank/internal/core"
 )
 
-// A dial succeeds at the moment when its timeout expires. Whichever the actor handles first, only one request line is
-// sent. If the line was written, the server may execute the request, so the attempt continues. If it was not, it must
-// not be written any more.
+// A dial succeeds at the moment when its timeout expires. Whichever event the actor handles first, only one request
+// line is sent. If the line was written, the server may execute the request, so the attempt continues. If the line was
+// not written before the timeout, it must not be written later.
 func TestDialCrossesTimeout(t *testing.T) {
 	t.Parallel()
 	shortTimeout := func(settings *decide.Settings) {
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -92,9 +92,9 @@
 	again.wantLine("UP receipt-1\r\n")
 }
 
-// Descriptors that are reserved for another process are not used for clients, and can be taken back. While the
-// listener is paused, the frontend serves the connections that it has accepted before but accepts no others. It
-// answers health checks with PONG, because the other process accepts clients.
+// Descriptors that are reserved for another process are not used for clients, and can be reclaimed. While the listener
+// is paused, the frontend serves the accepted connections but accepts no new ones. It answers health checks with PONG,
+// because the other process accepts clients.
 func TestServeBesideAnotherProcess(t *testing.T) {
 	t.Parallel()
 	budget := DescriptorBudget{Total: 16, DialReserve: 4}
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,5 @@
 // Package platform implements the frontend for the platform's line protocol, in which clients and room servers
-// exchange lines of text over TCP. It parses request lines, relays data, and reports what it observes to package core.
+// exchange lines of text over TCP. It parses request lines, relays data, and reports its observations to package core.
 // Package core makes all decisions. It also measures all timeouts except lineRemainderTimeout and migrateWriteTimeout
 // (relay.go).
 package platform
@@ -28,7 +28,7 @@
 )
 
 // Frontend accepts client connections and runs a clientConn for each. Its methods may be called concurrently, except
-// those that must be called before Serve.
+// the methods that must be called before Serve.
 type Frontend struct {
 	engine *core.Engine
 	// sessions is nil if the resumption of sessions is disabled.
@@ -84,9 +84,9 @@
 // EnableSessions enables the resumption of sessions. It must be called before Serve.
 func (f *Frontend) EnableSessions(sessions *SessionResumer) { f.sessions = sessions }
 
-// SetReplaced sets whether another process accepts clients at the same address. While one does, ClientsWaiting
-// returns false, and health checks are answered with PONG even if this process is stopping, because new clients reach
-// the other process.
+// SetReplaced sets whether another process accepts clients at the same address. While it does, ClientsWaiting returns
+// false, and health checks are answered with PONG even if this process is stopping, because new clients reach the
+// other process.
 func (f *Frontend) SetReplaced(replaced bool) { f.replaced.Store(replaced) }
 
 // ClientsWaiting reports whether the listener's backlog holds clients that only this process can accept. It returns
--- a/internal/frontend/platform/probe_conn.go
+++ b/internal/frontend/platform/probe_conn.go
@@ -27,7 +27,7 @@
 	requests chan probeRequest
 	// lastUsed is the value of Prober.probeCount at the latest probe. The engine's goroutine owns it.
 	lastUsed uint64
-	// conn is nil while there is no connection.
+	// conn is nil while no connection is open.
 	conn net.Conn
 	// text reads and writes conn line by line.
 	text *textproto.Conn
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// relayToClient forwards what the server sends line by line, so that a migration can write MOVE between two lines. A
-// line that is longer than the read buffer is forwarded in parts. relayToClient runs in its own goroutine and sends
-// an upstreamClosedEvent when reading from the server has ended.
+// relayToClient forwards the server's data line by line, so that a migration can write MOVE between two lines. A line
+// that is longer than the read buffer is forwarded in parts. relayToClient runs in its own goroutine and sends an
+// upstreamClosedEvent when reading from the server has ended.
 func (c *clientConn) relayToClient(up *upstreamConn) {
 	var tokens *tokenIssuer
 	if c.session != nil {
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A close of one side is relayed to the other as a close, a reset as a reset.
+// A close of one side is relayed to the other side as a close, and a reset as a reset.
 func TestCloseIsRelayed(t *testing.T) {
 	t.Parallel()
 	t.Run("server's FIN", func(t *testing.T) {
--- a/internal/frontend/platform/request_line.go
+++ b/internal/frontend/platform/request_line.go
@@ -32,7 +32,8 @@
 type requestLine struct {
 	// id identifies the request. It has 16 hexadecimal digits.
 	id string
-	// key is the idempotency key. It has 16 hexadecimal digits.
+	// key identifies the client (core.Request.Key); the balancer uses it for nothing else. It has 16 hexadecimal
+	// digits.
 	key string
 	// group is the name of the connection's group, or empty if the line has no group field.
 	group string
@@ -67,7 +68,7 @@
 }
 
 // withSession returns the line to forward to a room server for a request with a session. The field with the client's
-// token is replaced by the session field, which tells the room server how to open the session.
+// token is replaced by the session field, which specifies how the room server opens the session.
 func (r *requestLine) withSession(timeout time.Duration, open protocol.Open) string {
 	line := r.withTimeout(timeout)
 	fieldsStart := strings.LastIndexByte(line, ' ') + 1
--- a/internal/frontend/platform/request_test.go
+++ b/internal/frontend/platform/request_test.go
@@ -224,7 +224,7 @@
 	b.engine.EndpointsUpdated(s.deltaWithState(decide.Draining))
 	c.submit(strings.TrimRight(newRequestLine(), "\r\n") + ",at=s-1")
 	b.waitForEngine()
-	if cmd, ok := c.pendingCommand(); ok { // The grace period has not ended yet.
+	if cmd, ok := c.pendingCommand(); ok { // The grace period is active.
 		c.execute(t.Context(), cmd)
 		dialed := (<-c.events).(dialedEvent)
 		c.execute(t.Context(), <-c.commands) // The cancellation at the end of the grace period.
--- a/internal/frontend/platform/retry_test.go
+++ b/internal/frontend/platform/retry_test.go
@@ -125,7 +125,8 @@
 		} {
 			t.Run(idempotency+"/"+fault, func(t *testing.T) {
 				t.Parallel()
-				// The own zone is preferred, so the first attempt fails, and a retry is sent to the other zone.
+				// The balancer prefers its own zone, so the first attempt fails, and a retry is sent to the other
+				// zone.
 				bad, good := newFakeServer(t, "s-1", first.handler), newFakeServer(t, "s-2", serveEcho)
 				if first.handler == nil {
 					bad.listener.Close()
--- a/internal/frontend/platform/session_fixture_test.go
+++ b/internal/frontend/platform/session_fixture_test.go
@@ -199,7 +199,7 @@
 	return token
 }
 
-// startedOverCount returns how many clients a balancer has told to start over for a reason.
+// startedOverCount returns a balancer's counter StartedOver for a reason.
 func (s *sessionFixture) startedOverCount(b *testBalancer, reason core.Reason) uint64 {
 	return b.engine.CurrentSnapshot(5 * time.Second).StartedOver[reason]
 }
--- a/internal/frontend/platform/session_migration_test.go
+++ b/internal/frontend/platform/session_migration_test.go
@@ -243,7 +243,7 @@
 	s.presentToken(s.balancers[0], s.drainAndMove(c, 0, 1)).wantSession(3, 1)
 }
 
-// If the limit on state bytes in flight is reached, a client is told to retry, and its state stays at its room
+// If the limit on state bytes in flight is reached, a client is asked to retry, and its state stays at its room
 // server.
 func TestStateBytesLimit(t *testing.T) {
 	t.Parallel()
--- a/internal/frontend/platform/session_resumer.go
+++ b/internal/frontend/platform/session_resumer.go
@@ -18,7 +18,7 @@
 	// MaxState is the maximum size of one session's state in bytes.
 	MaxState int
 	// MaxBytes is the maximum total size in bytes of all states that are being transferred. A client whose state would
-	// exceed it is told to retry later.
+	// exceed it is asked to retry later.
 	MaxBytes int64
 	// MaxMigrations is the maximum number of sessions that are migrated at a time. Further migrations wait.
 	MaxMigrations int
--- a/internal/frontend/platform/session_token_test.go
+++ b/internal/frontend/platform/session_token_test.go
@@ -32,8 +32,8 @@
 	s.wantFinalAnswer(s.balancers[1], secondToken, "ANEW over", time.Second)
 }
 
-// If one token is presented many times concurrently at two balancers, one client is attached. The others are told to
-// retry, or that the token was used.
+// If one token is presented many times concurrently at two balancers, one client is attached. The other clients are
+// asked to retry, or notified that the token was used.
 func TestConcurrentReplayAttachesOnce(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 2, sessionServer, sessionServer)
--- a/internal/frontend/platform/state_export.go
+++ b/internal/frontend/platform/state_export.go
@@ -137,8 +137,8 @@
 	if answer.Verdict != arbiter.Granted {
 		return answer, nil
 	}
-	// If the state exceeds what is left of MaxBytes, the client is told to retry later. The state stays with its holder,
-	// and the claim on it ends with the connection.
+	// If the state exceeds the remaining budget of MaxBytes, the client is asked to retry later. The state stays with
+	// its holder, and the claim on it ends with the connection.
 	if !c.frontend.sessions.stateBytes.TryAcquire(int64(size)) {
 		return arbiter.Answer{Verdict: arbiter.InUse}, nil
 	}
--- a/internal/frontend/platform/test_balancer_test.go
+++ b/internal/frontend/platform/test_balancer_test.go
@@ -148,8 +148,8 @@
 	return c
 }
 
-// newWaitingClient dials a client and sends a request. It returns when the engine has the request and has not answered
-// it. The caller ensures that no room server answers the request.
+// newWaitingClient dials a client and sends a request. It returns when the request is pending in the engine. The
+// caller ensures that no room server answers the request.
 func (b *testBalancer) newWaitingClient(t *testing.T) *testClient {
 	t.Helper()
 	c := b.newClient(t)
--- a/internal/frontend/platform/test_client_test.go
+++ b/internal/frontend/platform/test_client_test.go
@@ -69,7 +69,7 @@
 var clientCloses = map[string]func(*testClient){
 	"fin":        closeWithFIN,
 	"rst":        closeWithReset,
-	"half close": func(c *testClient) { c.conn.CloseWrite() }, // The balancer closes the other side.
+	"half close": func(c *testClient) { c.conn.CloseWrite() }, // The balancer closes the other direction.
 }
 
 // fullCloses are the ways of clientCloses that close both directions.
--- a/internal/frontend/quic/close_frame.go
+++ b/internal/frontend/quic/close_frame.go
@@ -23,7 +23,7 @@
 	frameApplicationClose = 0x1d
 )
 
-// closeFrame is a CONNECTION_CLOSE frame.
+// closeFrame holds the fields of a CONNECTION_CLOSE frame.
 type closeFrame struct {
 	// code is the error code.
 	code uint64
--- a/internal/frontend/quic/connection_id.go
+++ b/internal/frontend/quic/connection_id.go
@@ -21,7 +21,7 @@
 	maxConfigID = 6
 )
 
-// errOtherFormat means that a connection ID is not in the format of those that room servers issue.
+// errOtherFormat means that a connection ID is not in the room servers' format (IDFormat).
 var errOtherFormat = errors.New("connection ID is not in the room servers' format")
 
 // IDFormat is the format of the connection IDs that room servers issue, according to QUIC-LB
--- a/internal/frontend/quic/connection_id_test.go
+++ b/internal/frontend/quic/connection_id_test.go
@@ -19,8 +19,8 @@
 	return b
 }
 
-// The test vectors are those of the QUIC-LB draft. Each plaintext is a server ID followed by a nonce. The plaintext of
-// 16 octets is encrypted as a single AES block, the others with the Feistel network.
+// The test vectors are from the QUIC-LB draft. Each plaintext is a server ID followed by a nonce. The plaintext of 16
+// octets is encrypted as a single AES block, the other plaintexts with the Feistel network.
 func TestFeistelVectors(t *testing.T) {
 	block, err := aes.NewCipher(unhex(t, "8f95f09245765f80256934e50c66207f"))
 	if err != nil {
--- a/internal/frontend/quic/fake_client_test.go
+++ b/internal/frontend/quic/fake_client_test.go
@@ -114,7 +114,7 @@
 	return findClose(payload)
 }
 
-// mustOpen opens the connection. The test fails if the connection is rejected or there is no response.
+// mustOpen opens the connection. The test fails if the connection is rejected or no response arrives.
 func (c *fakeClient) mustOpen() {
 	c.t.Helper()
 	if closed, err := c.open(5 * time.Second); err != nil || closed != nil {
--- a/internal/frontend/quic/fake_server_test.go
+++ b/internal/frontend/quic/fake_server_test.go
@@ -42,7 +42,7 @@
 	byIssuedID map[string]*fakeServerConn
 	// accepted is the number of accepted connections.
 	accepted int
-	// unknown is the number of packets with a short header whose connection ID the server has not issued.
+	// unknown is the number of short-header packets whose connection ID the server has not issued.
 	unknown int
 }
 
--- a/internal/frontend/quic/flow_attempt.go
+++ b/internal/frontend/quic/flow_attempt.go
@@ -52,8 +52,8 @@
 	fl.frontend.goroutines.Go(func() { fl.readServer(up) })
 	engine.AttemptSent(fl.call, attempt.Number)
 	if fl.restored {
-		// The room server already has the connection, so there is no handshake to wait for. establish sends it the
-		// client's retained datagrams.
+		// The room server already has the connection, so no handshake is pending. establish sends it the client's
+		// retained datagrams.
 		fl.accepted = true
 		engine.AttemptAccepted(fl.call, attempt.Number)
 		return
--- a/internal/frontend/quic/initial_test.go
+++ b/internal/frontend/quic/initial_test.go
@@ -18,7 +18,7 @@
 		"22f8ef4cdd93795d77d06edbb7aaf2f58891850abbdca3d20398c276456cbc42158407dd074ee"
 )
 
-// The IVs of both sides are those of RFC 9001, appendix A.1. With other labels or secrets, Initial packets could not be
+// The IVs of both sides must match RFC 9001, appendix A.1. With other labels or secrets, Initial packets could not be
 // decrypted.
 func TestInitialKeysVectors(t *testing.T) {
 	for _, v := range []struct{ label, iv string }{
--- a/internal/frontend/quic/packet_reader.go
+++ b/internal/frontend/quic/packet_reader.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// packetReader reads the fields of a packet, or of the frames in its payload, one after the other. After a truncated
-// field, truncated is set, and the values of this field and all further fields must not be used.
+// packetReader reads the fields of a packet, or of the frames in its payload, in order. After a truncated field,
+// truncated is set, and the values of this field and all further fields must not be used.
 type packetReader struct {
 	// data is the datagram that begins with the packet, or the packet's decrypted payload.
 	data []byte
