--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Leave announces a planned stop to the other members and waits until the membership has ended, at most LeaveTimeout.
-// After AbandonMembership, or if another process has this instance's name, it does nothing.
+// Leave announces a planned stop to the other members and waits for the end of the membership, for at most
+// LeaveTimeout. After AbandonMembership, or if another process has this instance's name, it does nothing.
 func (c *Cluster) Leave() {
 	if c.leaveSilently.Load() {
 		return
--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -41,8 +41,8 @@
 	return ring
 }
 
-// gossipHost is a loopback address that no other package's tests use. These tests bind so many ports that they could
-// otherwise take a port that a test of another package has found free and is about to bind.
+// gossipHost is a loopback address that no other package's tests use. These tests bind many ports. On a shared
+// address, they could bind a port that a test of another package has found free but not bound yet.
 const gossipHost = "127.81.0.1:0"
 
 // allocated holds the addresses that freeAddress has returned, as keys. A caller may bind its address much later, so
@@ -204,8 +204,8 @@
 	})
 }
 
-// If two live processes are configured with the same name, the one that started later must end its membership. The
-// other must stay a member.
+// If two live processes are configured with the same name, the process that started later must end its membership, and
+// the first process must stay a member.
 func TestSecondProcessOfOneNameIsRejected(t *testing.T) {
 	t.Parallel()
 	ring := newRing(t, newKey(t))
@@ -240,8 +240,8 @@
 	}
 }
 
-// Two clusters with different keys must not merge, even if an instance of one has a seed in the other. Their frames
-// must be rejected and counted.
+// Two clusters with different keys must not merge, even if an instance of one cluster has a seed in the other cluster.
+// Their frames must be rejected and counted.
 func TestClustersWithOtherKeysDoNotMerge(t *testing.T) {
 	t.Parallel()
 	ours := startAll(t, 2, newRing(t, newKey(t)))
--- a/internal/cluster/gossip/conflict.go
+++ b/internal/cluster/gossip/conflict.go
@@ -11,9 +11,9 @@
 const conflictProbes = 3
 
 // resolveNameConflict handles the case that another process uses this instance's name at another address. The process
-// with the lower incarnation, which is usually the one that started first, keeps the name. The other process ends its
-// membership if the first one answers a probe. With equal incarnations, each process ends its membership if the other
-// one answers. resolveNameConflict may be called from any goroutine.
+// with the lower incarnation, usually the process that started first, keeps the name. The process with the higher
+// incarnation ends its membership if the other process answers a probe. With equal incarnations, each process ends its
+// membership if the other process answers. resolveNameConflict may be called from any goroutine.
 func (s *session) resolveNameConflict(other *memberlist.Node) {
 	metadata, err := decodeMetadata(other.Meta)
 	if err != nil || metadata.Incarnation > s.metadata.Load().Incarnation {
--- a/internal/cluster/gossip/cost_bench_test.go
+++ b/internal/cluster/gossip/cost_bench_test.go
@@ -125,10 +125,10 @@
 }
 
 // BenchmarkMembers measures the cost of one member in clusters of several sizes: during the start (one minute for
-// 2,000 members), at rest, and after 1/9 of the members is lost at once, as with the loss of one zone. Frames and
-// bytes are those that were sent. Processor time is that of the whole process divided by the number of its members.
+// 2,000 members), at rest, and after 1/9 of the members is lost at once, as with the loss of one zone. Only sent
+// frames and bytes are counted. Processor time is the time of the whole process divided by the number of its members.
 // together-s is the time from the last start until all members see each other. ninth-told-s is the time from the loss
-// until no remaining member sees a lost one as alive; it is at least the 40 s during which the traffic is measured.
+// until no remaining member sees a lost member as alive; it is at least the 40 s during which the traffic is measured.
 // Known fault: if the members do not converge within 2 minutes, together-s is -1e-9, and ninth-told-s is 40 as if they
 // had converged within 40 s.
 //
--- a/internal/cluster/gossip/keys.go
+++ b/internal/cluster/gossip/keys.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// validSecrets returns the secrets of all keys that are not retired. primary is the one that encrypts, or nil if none
-// may encrypt at this time.
+// validSecrets returns the secrets of all keys that are not retired. primary is the secret that encrypts, or nil if no
+// key may encrypt at this time.
 func validSecrets(ring *token.Ring, now time.Time) (primary []byte, secrets [][]byte) {
 	for _, key := range ring.Keys() {
 		switch ring.KeyUse(key.ID, now) {
--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// leaveFanout is the number of members to which a leave message is sent directly. The others receive it by gossip.
+	// leaveFanout is the number of members to which a leave message is sent directly. The other members receive it by
+	// gossip.
 	leaveFanout = 32
 	// maxForwardedLeaves is the maximum number of forwarded messages that are remembered. It bounds the memory.
 	maxForwardedLeaves = 4096
@@ -108,7 +109,7 @@
 
 // refuteLeave refutes a false leave message about this instance by raising the instance's incarnation. It ignores a
 // message about an earlier incarnation. It also ignores an incarnation so far in the future that the other members
-// would not accept a higher one. It may be called from any goroutine.
+// would not accept a higher incarnation. It may be called from any goroutine.
 func (s *session) refuteLeave(incarnation uint64) {
 	metadata := *s.metadata.Load()
 	latest := time.Duration(time.Now().Add(maxClockSkew).UnixNano())
--- a/internal/cluster/gossip/metadata.go
+++ b/internal/cluster/gossip/metadata.go
@@ -26,7 +26,7 @@
 	// Incarnation is the start time of the member's current session in milliseconds since the Unix epoch. A member raises
 	// it to refute a false leave message.
 	Incarnation uint64 `cbor:"4,keyasint"`
-	// Divisor is the divisor of the budget of the member's zone; 0 while the member's view has not converged.
+	// Divisor is the budget divisor of the member's zone; 0 while the member's view has not converged.
 	Divisor int `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/cluster/gossip/metadata_test.go
+++ b/internal/cluster/gossip/metadata_test.go
@@ -39,7 +39,7 @@
 }
 
 // During an update of the cluster, members receive metadata with fields that only later versions know. They must
-// ignore these fields and decode the others.
+// ignore these fields and decode the known fields.
 func TestMetadataOfLaterVersion(t *testing.T) {
 	raw := []byte{0xa3, 0x01, 0x61, 'a', 0x04, 0x07, 0x18, 0x63, 0x01} // 1: "a", 4: 7, 99: 1
 	if d, err := decodeMetadata(raw); err != nil || d.Zone != "a" || d.Incarnation != 7 {
--- a/internal/cluster/gossip/probe.go
+++ b/internal/cluster/gossip/probe.go
@@ -84,8 +84,8 @@
 	return rand.IntN(max(1, s.cluster.aliveCount())) < sampledInstances
 }
 
-// sampleMembers draws at most limit of the other members in the given state, each with the same probability
-// (reservoir sampling).
+// sampleMembers draws up to limit members in the given state, except self, with equal probability (reservoir
+// sampling).
 func sampleMembers(members []membership.Member, self string, state membership.State, limit int) []membership.Member {
 	var sample []membership.Member
 	seen := 0
--- a/internal/cluster/gossip/replay_filter.go
+++ b/internal/cluster/gossip/replay_filter.go
@@ -11,9 +11,9 @@
 
 type nonce [nonceLength]byte
 
-// replayFilter remembers the nonces of the latest datagrams in two generations. When the recent generation is full,
-// it replaces the older one. So the filter remembers at least the last nonceGenerationSize nonces and at most twice
-// as many. The zero value is ready to use. It is not safe for concurrent use.
+// replayFilter remembers the nonces of the latest datagrams in two generations. When the recent generation is full, it
+// replaces the older one. So the filter remembers at least the last nonceGenerationSize nonces, and at most twice
+// that number. The zero value is ready to use. It is not safe for concurrent use.
 type replayFilter struct {
 	recent map[nonce]struct{}
 	older  map[nonce]struct{}
--- a/internal/cluster/membership/cluster_model_test.go
+++ b/internal/cluster/membership/cluster_model_test.go
@@ -30,7 +30,8 @@
 	partitionedAt time.Duration
 	// healedAt is when the latest partition ended.
 	healedAt time.Duration
-	// observations holds, for each pair of instances, the state that one's failure detector keeps about the other.
+	// observations holds, for each observer and subject, the state that the observer's failure detector keeps about
+	// the subject.
 	observations map[observationKey]*observation
 }
 
@@ -141,7 +142,8 @@
 	return time.Duration(m.rng.Int64N(int64(limit)))
 }
 
-// announcedDivisor returns the divisor that an instance announces to the others, or 0 if its view has not converged.
+// announcedDivisor returns the divisor that an instance announces to the other instances, or 0 if its view has not
+// converged.
 func announcedDivisor(instance *modelInstance) int {
 	divisors := instance.machine.View().Divisors
 	if divisors.Converged {
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -42,8 +42,8 @@
 
 // Defaults of Config.
 const (
-	// DefaultSuspicionTimeout gives a member time to refute a false report. The report takes two or three gossip rounds
-	// of 0.2 s to reach the member, and the refutation takes as many to come back.
+	// DefaultSuspicionTimeout gives a member time to refute a false report. The report takes two or three gossip
+	// rounds of 0.2 s to reach the member, and the refutation takes the same number of rounds to return.
 	DefaultSuspicionTimeout = 3 * time.Second
 	// DefaultPauseThreshold is four ticks.
 	DefaultPauseThreshold = time.Second
@@ -73,7 +73,7 @@
 	// Key is the name of the setting in the section "membership" of the operator's file. The key "partition_part" of
 	// PartitionFraction is not a setting of that file.
 	Key string
-	// Problem says what is wrong with the value.
+	// Problem describes why the value is invalid.
 	Problem string
 }
 
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,8 +1,8 @@
-// Package membership decides what one instance concludes from the reports of its failure detector: who is a member of
-// the cluster, whether the instance itself is isolated, and by how many instances a shared budget is divided. It is a
-// pure state machine: no I/O, no clock, no goroutine. Package gossip connects it to the network. A shared budget is a
-// limit on what several instances do together, for example on their polls of service discovery; each instance may use
-// the budget divided by the number of instances.
+// Package membership derives one instance's view of the cluster from the reports of its failure detector: which
+// instances are members, whether the instance itself is isolated, and by how many instances a shared budget is
+// divided. It is a pure state machine: no I/O, no clock, no goroutine. Package gossip connects it to the network. A
+// shared budget is a limit on what several instances do together, for example on their polls of service discovery;
+// each instance may use the budget divided by the number of instances.
 //
 // A failure detector alone can't distinguish the failure of a member from a pause of the observing process, a network
 // partition or a false report. The state machine therefore treats each reported failure as a suspicion. It declares
--- a/internal/cluster/membership/partition.go
+++ b/internal/cluster/membership/partition.go
@@ -18,8 +18,8 @@
 	// startedAt is Config.DetectionTime before the detection of the partition. Members whose failure was reported
 	// earlier do not belong to it.
 	startedAt time.Duration
-	// deadline is the time at which the partition counts as over, even if it has not healed. The lost members may then
-	// be declared failed.
+	// deadline is when the partition is treated as ended, even if it has not healed. The lost members may then be
+	// declared failed.
 	deadline time.Duration
 }
 
--- a/internal/cluster/membership/quota.go
+++ b/internal/cluster/membership/quota.go
@@ -38,7 +38,7 @@
 	announced := peers.maxAnnouncedDivisor()
 	expectedSize := q.configuredSize
 	if now >= q.cfg.MaxPartitionDuration {
-		expectedSize = 0 // configured instances that have not appeared by now are assumed not to exist
+		expectedSize = 0 // configured instances that are still missing are assumed not to exist
 	}
 	if !q.converged && q.isKnownToPeers(now, peers) {
 		q.converged = peers.countAlive() >= max(announced, expectedSize)
--- a/internal/cluster/membership/quota_test.go
+++ b/internal/cluster/membership/quota_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// A member that repeatedly fails and recovers must stay counted. Otherwise the shares of the other instances would
-// change each time.
+// A member that repeatedly fails and recovers must stay counted. Otherwise each failure and each recovery would change
+// the shares of the other instances.
 func TestFlappingMemberDoesNotChangeDivisor(t *testing.T) {
 	h := newConvergedHarness(t, 19)
 	for range 30 {
--- a/internal/cluster/membership/state_machine.go
+++ b/internal/cluster/membership/state_machine.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// removeExpired removes the peers that no divisor counts any more.
+// removeExpired removes the expired peers, which no divisor counts.
 func (m *StateMachine) removeExpired() {
 	for name, p := range m.peers {
 		if p.expired(m.now, &m.cfg) {
@@ -204,7 +204,7 @@
 	}
 }
 
-// countPeers counts the other members that are in one of the given states.
+// countPeers counts the peers in the given states.
 func (m *StateMachine) countPeers(states ...State) int {
 	count := 0
 	for _, p := range m.peers {
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -22,7 +22,7 @@
 type suspicion struct {
 	startedAt    time.Duration
 	responders   map[string]struct{} // live peers that have answered probes from this instance
-	failedProbes int                 // probes from this instance that the suspect has not answered
+	failedProbes int                 // unanswered probes of the suspect by this instance
 }
 
 func newSuspicion(now time.Duration) suspicion {
