--- a/cmd/cottonplank/cluster_test.go
+++ b/cmd/cottonplank/cluster_test.go
@@ -66,8 +66,8 @@
 
 // Guards cluster membership between real processes. They discover each other through gossip. A process that is paused
 // for 5 s neither declares another member failed nor is declared failed. A lame duck, a rejoin and a shutdown are
-// announced, so that the others need no failure detection. A hot restart keeps the instance a member. A killed process
-// is detected as failed.
+// announced, so that the other members need no failure detection. A hot restart keeps the instance a member. A killed
+// process is detected as failed.
 func TestClusterOfProcesses(t *testing.T) {
 	t.Parallel()
 	const n = 5
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -46,8 +46,8 @@
 	return r, nil
 }
 
-// applySaved applies the saved document, if there is one, to the configuration that the balancer starts with. What the
-// document omits keeps its configured value.
+// applySaved applies the saved document, if there is one, to the configuration that the balancer starts with. Settings
+// that the document omits keep their configured values.
 func (r *configReplica) applySaved() {
 	if r.saved.Version == (replica.Version{}) {
 		return
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -13,7 +13,7 @@
 )
 
 // loadConfig reads the configuration and the fronts file, and subtracts the file descriptors of the QUIC flows from
-// those of the client connections. An empty frontsFile means that there is none.
+// the descriptors for client connections. An empty frontsFile means no fronts file.
 func loadConfig(frontsFile string) (*config.Config, config.Fronts, error) {
 	cfg, err := config.Load()
 	if err != nil {
--- a/cmd/cottonplank/controlplane_test.go
+++ b/cmd/cottonplank/controlplane_test.go
@@ -139,7 +139,7 @@
 	f.startBalancer(0).waitListed(5)
 }
 
-// Without configured control-plane servers there is no replica.
+// Without configured control-plane servers, newConfigReplica returns nil.
 func TestNoReplicaWithoutControlPlane(t *testing.T) {
 	if replica, err := newConfigReplica(nil, config.ControlPlane{}, nil); replica != nil || err != nil {
 		t.Errorf("%+v, %v", replica, err)
--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -198,8 +198,8 @@
 }
 
 // Guards against a slow start of thirty processes on one machine that crash and restart at the same time, each with a
-// list of 20,000 room servers. A restarted process finds the Unix socket for hot restarts of the crashed one, where no
-// process listens, or one that never answers or exits in the middle of its answer.
+// list of 20,000 room servers. A restarted process finds the crashed process's Unix socket for hot restarts. Either no
+// process listens on it, or the listening process never answers or exits in the middle of its answer.
 func TestCrashRestarts(t *testing.T) {
 	// The program is built without the race detector, which would add to the start times and the memory.
 	program := filepath.Join(t.TempDir(), "cottonplank")
--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Guards against balancers that notice the end of a discovery outage only when their next call is due, whose delay has
-// grown with each failed call. Twelve processes of a fleet of 300 watch discovery, which then resets all connections
+// Guards against balancers that notice the end of a discovery outage only at their next scheduled call, whose delay
+// grows with each failed call. Twelve processes of a fleet of 300 watch discovery, which then resets all connections
 // for 12 s. A change made in this time must reach each of them within maxListDelay of the end of the outage.
 func TestListAfterDiscoveryOutage(t *testing.T) {
 	t.Parallel()
--- a/cmd/cottonplank/engine.go
+++ b/cmd/cottonplank/engine.go
@@ -48,7 +48,7 @@
 }
 
 // decodeLearned decodes the previous process's learned state of the room servers. It skips malformed lines. It returns
-// nil if there is no previous process, or if a line belongs to another deployment, which has other zones or classes.
+// nil if previous is nil, or if a line belongs to a deployment with other zones or classes.
 func decodeLearned(previous *hotrestart.PreviousProcess, deployment string, log *logrus.Logger) []decide.LearnedState {
 	if previous == nil {
 		return nil
--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -9,8 +9,8 @@
 	"cottonplank/internal/operations/management"
 )
 
-// instanceStatus is what the status command reports about one instance. The rates are averages over the interval
-// between two INFO responses.
+// instanceStatus is the status command's report on one instance. The rates are averages over the interval between two
+// INFO responses.
 type instanceStatus struct {
 	Address    string         `json:"address"`
 	State      string         `json:"state"` // response to PING without its status code; empty if there was none
--- a/cmd/cottonplank/listcost_test.go
+++ b/cmd/cottonplank/listcost_test.go
@@ -162,9 +162,9 @@
 	}
 }
 
-// Measures what a list of each size costs a process without clients: the processor time while the list does not change
-// and with one change per second, the time from the first call until the list is received, and the peak memory until
-// then. With -benchtime=1x each size takes 45 s.
+// Measures the cost of an endpoint list of each size for a process without clients: the processor time while the list
+// does not change and with one change per second, the time from the first call until the list is received, and the
+// peak memory until then. With -benchtime=1x each size takes 45 s.
 func BenchmarkListedServer(b *testing.B) {
 	for _, n := range []int{600, 5000, 8000, 20_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -18,9 +18,9 @@
 	snmpSocket   = "snmp"
 )
 
-// inheritSockets requests the sockets of a running process and adds those that a service supervisor has passed. Of two
-// sockets with one name, it keeps that of the running process. It also applies the memory limit: while two processes
-// run, each gets half of it.
+// inheritSockets requests the sockets of a running process and adds the sockets that a service supervisor has passed.
+// Of two sockets with the same name, it keeps the running process's socket. It also applies the memory limit: while
+// two processes run, each gets half of it.
 func (d *daemon) inheritSockets() {
 	d.restartPath = hotrestart.SocketPath(os.TempDir(), d.cfg.Listen)
 	d.sockets, d.previous = hotrestart.ReceiveSockets(d.restartPath, d.log)
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -30,7 +30,7 @@
 	log                 *logrus.Logger
 }
 
-// reloadedFiles is the validated content of the files that one reload has read.
+// reloadedFiles holds the validated contents of the files that one reload has read.
 type reloadedFiles struct {
 	discovery   string        // address
 	sessionKeys *token.Ring   // nil if session resumption is not configured
--- a/cmd/cottonplank/reload_test.go
+++ b/cmd/cottonplank/reload_test.go
@@ -27,7 +27,7 @@
 func (r updateRecorder) EndpointsUpdated(update core.EndpointUpdate) { r <- update }
 func (updateRecorder) WatchAlive(uint64)                             {}
 
-// reloadTest is a reloader with its files and channels that record what it applies.
+// reloadTest is a reloader with its files, and with channels that record the values that it applies.
 type reloadTest struct {
 	*testing.T
 	reloader     *reloader
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -28,7 +28,7 @@
 	updates   chan func()   // functions that change the state below; run calls them
 	done      chan struct{} // closed when run returns
 
-	previousAlive     bool // there is a previous process and it has not exited
+	previousAlive     bool // a previous process is running
 	awaitingReadiness bool // this process is not ready yet; the previous process serves
 	replacements      hotrestart.Replacements
 	stopping          bool // graceful shutdown has begun
@@ -160,8 +160,8 @@
 	}
 }
 
-// applyMembership abandons the cluster membership to a replacement process that serves, and rejoins the cluster when
-// no replacement process serves any more, unless this process is stopping.
+// applyMembership abandons the cluster membership to a serving replacement process, and rejoins the cluster when no
+// replacement process serves, unless this process is stopping.
 func (c *restartCoordinator) applyMembership(replaced bool) {
 	if c.cluster == nil || replaced == c.abandonedCluster {
 		return
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -18,8 +18,8 @@
 
 // shutdown stops the balancer gracefully, in this order:
 //  1. It waits until the engine has drained. The engine answers the accepted requests and migrates the established
-//     connections, except those that clients can resume at the next process. The engine limits this to ShutdownBudget;
-//     shutdown has no timeout of its own for it.
+//     connections that clients cannot resume at the next process. The engine limits this to ShutdownBudget; shutdown
+//     has no timeout of its own for it.
 //  2. It waits until the instance has left the cluster. This runs from the start of the drain, for at most
 //     gossip.LeaveTimeout, which is shorter than ShutdownBudget.
 //  3. It cancels the context of all subsystems.
--- a/cmd/cottonplank/slowstart_test.go
+++ b/cmd/cottonplank/slowstart_test.go
@@ -163,15 +163,15 @@
 	}
 }
 
-// slowStartFleet is a fleet of balancer processes with a discovery service. Discovery lists warm servers, and another
-// server after it has joined.
+// slowStartFleet is a fleet of balancer processes with a discovery service. Discovery lists warm servers and, after
+// join, the joining server.
 type slowStartFleet struct {
 	t         *testing.T
 	fleetSize int    // in the configuration of the processes
 	known     string // listing of the warm servers
 	discovery string
-	delta     string        // lists the other server; written before joined is closed
-	joined    chan struct{} // closed when the other server joins
+	delta     string        // lists the joining server; written before joined is closed
+	joined    chan struct{} // closed by join
 	addresses []string      // client addresses of the processes
 }
 
--- a/cmd/cottonplank/supervisor.go
+++ b/cmd/cottonplank/supervisor.go
@@ -9,8 +9,8 @@
 	"cottonplank/internal/operations/sdnotify"
 )
 
-// notifyReady notifies the service supervisor as soon as this process serves for the first time. If the process
-// replaces another one, it first declares itself the service's main process, because the other process is about to be
+// notifyReady notifies the service supervisor as soon as this process serves for the first time. If it replaces
+// another process, it first declares itself the service's main process, because the previous process is about to be
 // stopped.
 func notifyReady(ctx context.Context, engine *core.Engine, notifier *sdnotify.Notifier, replacesAnother bool) {
 	select {
--- a/cmd/cottonplank/supervisor_test.go
+++ b/cmd/cottonplank/supervisor_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// listenSocket opens a listener and returns it with its file, which is what a service supervisor passes to a process.
+// listenSocket opens a listener and returns it with its file. A service supervisor passes such files to a process.
 func listenSocket(t *testing.T) (net.Listener, *os.File) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
