--- a/internal/cluster/membership/quota.go
+++ b/internal/cluster/membership/quota.go
@@ -7,11 +7,12 @@
 // than Config.MaxPartitionDuration and each side of a partition keeps at least one converged instance:
 //
 //   - The divisor counts every name that was alive within MaxPartitionDuration. A member that left is counted for
-//     another Config.DetectionTime only. The divisor increases as soon as a new name appears. A member that failed,
-//     flaps or is on the other side of a partition stays counted.
+//     another Config.DetectionTime only. The divisor increases as soon as a new name appears. Failed and flapping
+//     members, and members on the other side of a partition, stay counted.
 //   - A new process is admitted once it has been in contact with the cluster for DetectionTime and its view has
-//     converged: it sees at least as many members alive as any converged member counts and as are configured. By then
-//     every live instance counts the new process. For exceptions see update.
+//     converged: the number of members that it sees alive is at least the largest divisor that a live member announces,
+//     and at least the configured number of instances. By then every live instance counts the new process. For
+//     exceptions see update.
 //
 // So every admitted instance is counted by all others, and each of them divides the budget by at least the number of
 // admitted instances.
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// A room server that closes a connection after its client did, with a FIN or a RST, has not failed. If this counted
-// as a failure, servers would be ejected because their clients disconnect, and clients that all disconnect at once
-// would find no server when they reconnect.
+// A room server that closes a connection with a FIN or a RST after the client has closed it has not failed. If this
+// counted as a failure, servers would be ejected because their clients disconnect, and clients that all disconnect at
+// once would find no server when they reconnect.
 func TestClientCloseIsNoServerFault(t *testing.T) {
 	t.Parallel()
 	reset := func(conn net.Conn, r *bufio.Reader) {
--- a/internal/frontend/quic/flow_close.go
+++ b/internal/frontend/quic/flow_close.go
@@ -34,8 +34,8 @@
 }
 
 // resetClient makes the client end the connection: with a stateless reset if the client uses a connection ID in the
-// room servers' format, else with a CONNECTION_CLOSE frame in an Initial packet. It sends nothing if the flow is
-// restored and has not handled a client datagram yet.
+// room servers' format, else with a CONNECTION_CLOSE frame in an Initial packet. It sends nothing for a
+// restored flow before the flow's first client datagram.
 func (fl *flow) resetClient() {
 	if fl.lastDestinationID != nil {
 		fl.frontend.sendReset(fl.lastDestinationID, fl.clientDatagramSize, fl.clientAddress)
--- a/internal/operations/snmp/objects.go
+++ b/internal/operations/snmp/objects.go
@@ -92,7 +92,7 @@
 	{object{"", systemOID + ".5", gosnmp.OctetString}, func(balancer string, _ *core.Snapshot) any { return balancer }},
 }
 
-// mibScalars are the scalars of the MIB.
+// mibScalars are the scalar objects of the MIB, each with the function that returns its value.
 var mibScalars = []scalar{
 	counter("cpServed", ".1", func(s *core.Snapshot) uint64 { return s.Served }),
 	counter("cpRefused", ".2", func(s *core.Snapshot) uint64 { return s.Rejected }),
--- a/internal/operations/snmp/response.go
+++ b/internal/operations/snmp/response.go
@@ -47,8 +47,8 @@
 	return encoded
 }
 
-// respondToBulk returns the response to a GetBulkRequest, with as many repetitions as fit into it (RFC 3416, section
-// 4.2.3).
+// respondToBulk returns the response to a GetBulkRequest, with as many of the requested repetitions as fit into it (RFC
+// 3416, section 4.2.3).
 func (a *Agent) respondToBulk(view *mibView, request, response *gosnmp.SnmpPacket) []byte {
 	nonRepeaters := min(int(request.NonRepeaters), len(request.Variables))
 	for _, v := range request.Variables[:nonRepeaters] {
