--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -50,8 +50,8 @@
 // frame returns a batch with the given body. n is the batch's number and its clock in seconds.
 func frame(n, body string) string { return "FRAME\tt_s=" + n + "\tn=" + n + "\n" + body + "COMMIT\n" }
 
-// A request whose connection fails at one server is attempted at the other one, and each batch gets one reply. The test
-// does not know which server is first, so the last batch reports a failure at both.
+// A request whose connection fails at one server is attempted at the other server, and each batch gets one reply. The
+// test does not know which server is first, so the last batch reports a failure at both.
 func TestConversation(t *testing.T) {
 	in := frame("1", "") +
 		frame("2", create("3")+listing+"TARGETS\twho=3\tgeneration=1\tpage=0\thow=restored\n") +
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -74,7 +74,7 @@
 }
 
 // When too many requests wait, the latest are rejected, as the number of requests before a request decides. If the
-// total number decided, those that have waited longest would be rejected first, as their deadlines are nearest.
+// total number decided, the longest-waiting requests would be rejected first, as their deadlines are nearest.
 func TestLatestRequestsAreRejectedFirst(t *testing.T) {
 	const waiting = 15
 	h := newHarness(t, settings())
--- a/decide/affinity_fleet_test.go
+++ b/decide/affinity_fleet_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A group has 600 connections, while the other groups have about four each. The preferred servers of the large group,
-// up to three in each of the two zones, do not have the capacity for all of its connections. The test checks that the
-// group stays on its preferred servers, that these are not overloaded, and that the remaining requests are rejected,
+// One group has 600 connections; each other group has about four. The preferred servers of the large group, up to
+// three in each of the two zones, do not have the capacity for all of its connections. The test checks that the group
+// stays on its preferred servers, that these are not overloaded, and that the remaining requests are rejected,
 // although the rest of the fleet has capacity. This follows from the limit of three preferred servers;
 // docs/CAPACITY.md describes its effect in a fleet of full size.
 func TestLargestGroupStaysOnPreferredServers(t *testing.T) {
--- a/decide/answers.go
+++ b/decide/answers.go
@@ -16,8 +16,8 @@
 	maxPlacementsPerReport = 2
 )
 
-// answerPools hold the servers that placements choose from by load: those that answered a probe most recently, the
-// oldest load report first.
+// answerPools hold the servers that placements choose from by load: the servers with the latest probe answers, oldest
+// load report first.
 type answerPools struct {
 	ownZone    []*server // servers of the local list
 	otherZones []*server // servers of the remote list
--- a/decide/api.go
+++ b/decide/api.go
@@ -62,9 +62,9 @@
 
 // Costs are expressed as fractions of the value of a request that is served at the first attempt; 0 means free.
 type Costs struct {
-	Probe     float64 // one probe
-	Migration float64 // one migrated connection
-	CrossZone float64 // one attempt in another zone
+	Probe     float64 // cost of a probe
+	Migration float64 // cost of a migrated connection
+	CrossZone float64 // cost of an attempt in another zone
 }
 
 // Settings configure a Balancer. They don't change during its lifetime.
@@ -91,7 +91,7 @@
 const (
 	Ready    State = iota // accepts new connections
 	Draining              // finishes its connections and accepts no new ones
-	Removed               // is no longer in the endpoint list
+	Removed               // is not in the endpoint list
 )
 
 // Server is one entry of the endpoint list.
@@ -131,8 +131,8 @@
 // NeverExecuted reports whether the code proves that the attempt's request was not executed.
 func (c Code) NeverExecuted() bool { return c == Rejected || c == ConnectFailed || c == NotSent }
 
-// Event is something that the host reports. The host reports events in the order in which they happen, also those
-// that have the same time.
+// Event is something that the host reports. The host reports events in order of occurrence, even if their times are
+// equal.
 type Event interface{ event() }
 
 type (
@@ -224,7 +224,7 @@
 	TimerFired struct{ Token uint64 }
 )
 
-// ListKind says what a ListReceived contains.
+// ListKind defines which entries a ListReceived contains.
 type ListKind uint8
 
 // The kinds of list.
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -37,8 +37,9 @@
 	b.discovery.pollAt = b.now + b.jitter(limit)
 }
 
-// pollInterval returns the time between two polls. It grows with the fleet, so that one discovery service can answer
-// all balancers. Despite its name, Safety.MaxPollInterval is a minimum, to which the time for the fleet is added.
+// pollInterval returns the time between two polls. It grows with the number of balancers, so that one discovery
+// service can answer all of them. Despite its name, Safety.MaxPollInterval is a minimum, to which the time for the
+// fleet is added.
 func (b *Balancer) pollInterval() time.Duration {
 	perFleet := time.Duration(b.fleet.Fleet) * pollIntervalPerBalancer
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + perFleet
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -23,8 +23,8 @@
 	initialMeanLoad = 0.5
 	// meanLoadSamples is the number of load reports over which the mean load is averaged.
 	meanLoadSamples = maxAnswers
-	// maxMeanLoadSample is the largest load that one report adds to the mean, so that a single overloaded server does
-	// not dominate it.
+	// maxMeanLoadSample limits the load of each report in the mean, so that a single overloaded server does not
+	// dominate the mean.
 	maxMeanLoadSample = 1.5
 	// minMeanLoadReports is the number of load reports after which the mean load depends little on initialMeanLoad.
 	minMeanLoadReports = 2 * meanLoadSamples
--- a/decide/fleet_simulation_test.go
+++ b/decide/fleet_simulation_test.go
@@ -215,8 +215,8 @@
 }
 
 // reject records a rejection. If connections have a limited lifetime, the client should reconnect up to twice. Known
-// fault: a client that is rejected at once when it reconnects does not reconnect again, because run is then removing
-// entries from f.reconnects and loses the entry that is added meanwhile.
+// fault: a client whose reconnect is rejected immediately does not reconnect again, because run then overwrites
+// f.reconnects and loses the entry that is added here.
 func (f *fleetSimulation) reject(a Reject) {
 	f.finish(a.ID, Cancelled) // ends the set-up that may still be in progress
 	f.rejected++
@@ -302,10 +302,10 @@
 	}
 }
 
-// startWarming adds n servers that start now, with consecutive IDs from id, to the list and sends it to all balancers.
-// It returns the number of connections that one of them tolerates within an overload window for the default lifetime,
-// at the age of 4 s, when the tests end. Until then, its capacity fraction rises by 0.28, because the rise from 0.3 to
-// 1 takes 10 s.
+// startWarming adds n servers that start now, with consecutive IDs from id, to the list and sends it to all
+// balancers. It returns the number of connections of the default lifetime that each added server tolerates within an
+// overload window at the age of 4 s, when the tests end. Until then, its capacity fraction rises by 0.28, because the
+// rise from 0.3 to 1 takes 10 s.
 func (f *fleetSimulation) startWarming(id ServerID, n int, capacity float64) (limit float64) {
 	for end := id + ServerID(n); id < end; id++ {
 		f.list = append(f.list, Server{ID: id, Zone: "a", Started: f.now})
@@ -361,7 +361,7 @@
 }
 
 // addIdleServer adds an idle, warm server to the list and returns its ID, without sending the list. Of a hundred IDs,
-// it is the one that is the first choice of the most groups.
+// it chooses the ID that is preferred by the most groups.
 func (f *fleetSimulation) addIdleServer(groups []string) (best ServerID) {
 	firsts := map[ServerID]int{}
 	for _, g := range groups {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -87,11 +87,11 @@
 
 // After a release doubles the number of servers, a large fleet uses the warming servers. The quota of each of many
 // balancers can be far below one request; it is rounded up or down at random. If too few quotas are rounded up, or
-// mostly those of balancers without a request, the new servers stay nearly idle while the old servers are overloaded
+// mostly quotas of balancers without a request, the new servers stay nearly idle while the old servers are overloaded
 // and clients wait.
 func TestWarmingServersAreUsedByLargeFleet(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // as many servers start as are warm
+	for _, c := range []struct{ n, old int }{{3, 6}, {80, 20}, {300, 45}} { // old: servers before the release
 		t.Run(fmt.Sprintf("%d balancers", c.n), func(t *testing.T) {
 			set := fleetSettings()
 			f := newFleetSimulation(t, set, c.n, servers(c.old, 0), 26)
@@ -151,9 +151,9 @@
 }
 
 // establishedFleet returns a fleet of n balancers and the given number of old servers, and the names of the
-// connections' groups, of which there are as many as servers. The fleet has received requests for 20 s. If all of them
-// were placed, the connections alone would cause the given mean load. The groups add to it, and some requests may be
-// rejected.
+// connections' groups. The numbers of groups and servers are equal. The fleet has received requests for 20 s. If all
+// of them were placed, the connections alone would cause the given mean load. The groups add to it, and some requests
+// may be rejected.
 func establishedFleet(t *testing.T, n, old int, load float64) (f *fleetSimulation, groups []string) {
 	t.Helper()
 	for i := range old {
@@ -258,11 +258,11 @@
 // attempts. The total number of attempts at that server stays small.
 func TestLargeFleetEjectsFailingServer(t *testing.T) {
 	t.Parallel()
-	// The largest number of attempts at the failing server in 10 s, by number of balancers. The limit of 12 allows four
-	// attempts for each of 3 balancers, which get about 20 requests each. A balancer ejects the server for 4 s after the
-	// first failed attempt and for 8 s or longer after the next one, but may place several requests there before the
-	// first of them fails. Most of 300 balancers get one or two requests each. The ejection by one balancer does not
-	// prevent attempts by the others, because balancers share no state.
+	// The largest number of attempts at the failing server in 10 s, by number of balancers. The limit of 12 allows
+	// four attempts for each of 3 balancers, which get about 20 requests each. A balancer ejects the server for 4 s
+	// after the first failed attempt and for 8 s or longer after the next one, but may place several requests there
+	// before the first of them fails. Most of 300 balancers get one or two requests each. One balancer's ejection
+	// does not prevent attempts by other balancers, because balancers share no state.
 	limit := map[int]int{3: 12, 80: 48, 300: 60}
 	for _, c := range fleetSizes {
 		t.Run(fmt.Sprintf("%d balancers", c.n), func(t *testing.T) {
@@ -282,11 +282,11 @@
 	}
 }
 
-// A fleet recovers from an overload. Half of the servers, all those of zone a, fail for 12 s, while there are more
-// clients than all servers have capacity for. Rejected clients reconnect (see the fault described at reject), and
+// A fleet recovers from an overload. All servers of zone a, half of the fleet, fail for 12 s, while the number of
+// clients exceeds the capacity of all servers. Rejected clients reconnect (see the fault described at reject), and
 // attempts at an overloaded server time out. In one case, the servers also share a store that limits the rate of
-// set-ups. Such a fleet stays overloaded after the failure if its groups were spread over many servers in the meantime,
-// because every server with a connection of a group bears the group's load.
+// set-ups. Such a fleet stays overloaded after the failure if its groups were spread over many servers in the
+// meantime, because every server with a connection of a group bears the group's load.
 func TestFleetRecoversFromOverload(t *testing.T) {
 	t.Parallel()
 	var zipf []string // the n-th of eight groups has 1/n times the clients of the first
--- a/decide/index.go
+++ b/decide/index.go
@@ -58,8 +58,8 @@
 	ready          orderedServers // all ready servers
 	connected      orderedServers // ready servers with connections of this balancer
 	zones          [2]zoneIndex   // ready servers of the own zone, and of all other zones
-	localZone      *zoneIndex     // the own zone; if it has no ready server, the other zones
-	remoteZone     *zoneIndex     // the other entry of zones
+	localZone      *zoneIndex     // own zone, or the other zones if the own zone has no ready server
+	remoteZone     *zoneIndex     // entry of zones that is not localZone
 	local          []*server      // ready servers of localZone
 	remote         []*server      // ready servers of remoteZone
 	ejectedCount   int            // number of ready servers that are ejected
@@ -291,8 +291,8 @@
 	}
 }
 
-// applyChangedServers reindexes the servers that a list update has changed, and drops records of removed servers that
-// are no longer needed.
+// applyChangedServers reindexes the servers that a list update has changed, and drops expired records of removed
+// servers.
 func (b *Balancer) applyChangedServers(changed []*server) {
 	b.reindexAll(changed)
 	for next, ok := b.dropQueue.Min(); ok && next.at < b.now; next, ok = b.dropQueue.Min() {
@@ -302,7 +302,7 @@
 	}
 	b.localZone, b.remoteZone = &b.zones[0], &b.zones[1]
 	if len(b.localZone.ready) == 0 {
-		// If the own zone has no ready server, the other zones are used in its place. Otherwise connections of each
+		// If the own zone has no ready server, the other zones become the local zone. Otherwise connections of each
 		// group would be spread over many of their servers, without probing them first.
 		b.localZone, b.remoteZone = b.remoteZone, b.localZone
 	}
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -6,8 +6,8 @@
 // load would use the whole capacity of a server, and a server has more than one connection.
 const maxImportedLoadPerConnection = 1
 
-// LearnedState is a balancer's learned state of one server: what it has measured, beyond the data of the endpoint list.
-// It is passed to the replacement process on the same machine.
+// LearnedState is a balancer's learned state of one server: measurements that the endpoint list does not contain. It
+// is passed to the replacement process on the same machine.
 type LearnedState struct {
 	Server              ServerID      `json:"server"`
 	Load                float64       `json:"load"`   // latest reported load, as a fraction of capacity
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// overloaded reports whether connections must be migrated off a server. It ignores reservations: the report includes
-// most of them already, and the other connections may never be established.
+// overloaded reports whether connections must be migrated off a server. It ignores reservations: the report already
+// includes most reserved connections, and the rest may never be established.
 func (b *Balancer) overloaded(s *server) bool {
 	return s.reportedLoad > migrationLoad || b.now < s.slowUntil && s.reportedLoad > migrationTargetLoad
 }
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// All balancers migrate the same groups off an overloaded server: those that prefer it least. Otherwise every group
-// would lose a few connections there, and the server would still have the cost of all groups.
+// All balancers migrate the same groups off an overloaded server: the groups that prefer it least. Otherwise every
+// group would lose a few connections there, and the server would still have the cost of all groups.
 func TestMigrationTakesSameGroupsAtAllBalancers(t *testing.T) {
 	const groupCount, each = 6, 2
 	migrated := map[string]int{}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -187,8 +187,8 @@
 	return s, s != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 }
 
-// pickAny returns the next eligible server in the shuffled order. If no server is eligible, it returns one that is
-// ejected or avoided by the client, but never a saturated one.
+// pickAny returns the next eligible server in the shuffled order. If no server is eligible, it returns an ejected
+// server or the server that the client avoids, but never a saturated server.
 func (p *placement) pickAny() *server {
 	for _, acceptable := range [2]func(*server) bool{p.eligible, p.lastResort} {
 		local := p.nextInOrder(p.local, p.local, acceptable)
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -34,8 +34,9 @@
 	probeCostFraction = 0.01
 	// minProbeRate is the minimum number of steady probes per second.
 	minProbeRate = 0.5
-	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a larger
-	// fleet its rate is lower, so that all of these balancers together probe no more than fullRateProbers of them.
+	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a
+	// larger fleet its rate is lower, so that the total rate of these balancers is at most
+	// fullRateProbers*minProbeRate.
 	fullRateProbers = 4.0
 	// probesPerAnyServer is used while the steady probes are limited to the servers with connections of this balancer:
 	// one in probesPerAnyServer goes to the next server of the whole local list instead.
@@ -176,7 +177,7 @@
 type probeTargets struct {
 	local     []*server         // servers for steady probes
 	remote    []*server         // servers for every second steady probe; may be empty
-	unprobed  []*server         // servers to search for one that was never probed
+	unprobed  []*server         // servers to search for a never-probed server
 	overloads [2]orderedServers // servers to search for those short of capacity
 }
 
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -39,8 +39,8 @@
 	return x
 }
 
-// outageSimulation simulates, in virtual time, a fleet whose watches are all interrupted at time 0. Discovery fails for
-// the time downFor. Then it handles calls one after the other, capacity per second, and rejects a call that would wait
+// outageSimulation simulates, in virtual time, a fleet whose watches are all interrupted at time 0. Discovery fails
+// for the time downFor. Then it handles calls sequentially, capacity per second, and rejects a call that would wait
 // longer than a second.
 type outageSimulation struct {
 	downFor        time.Duration
@@ -116,9 +116,9 @@
 	return n
 }
 
-// After an outage, the reconnects of a whole fleet do not overload a discovery service that handles one call after the
-// other, and all balancers receive the list within 6 s, before they count as notified of a change. Discovery handles
-// 100 calls per second for 300 balancers, and 600 for 2300.
+// After an outage, the reconnects of a whole fleet do not overload a discovery service that handles calls
+// sequentially, and all balancers receive the list within 6 s, before they count as notified of a change. Discovery
+// handles 100 calls per second for 300 balancers, and 600 for 2300.
 func TestFleetReconnectsToDiscovery(t *testing.T) {
 	for _, fleet := range []struct{ balancers, capacity, dials, calls int }{ // dials, calls: limits per second
 		{300, 100, 360, 160}, {2300, 600, 2700, 1100},
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -1,9 +1,9 @@
 package decide
 
-// A reference implementation of Balancer. It has no index: it rebuilds its lists of servers whenever the endpoint list
-// changes, and scans a whole list for each choice, so it is slow but simple. comparison_test.go checks that the
-// Balancer's actions equal those of the reference. A change to a decision must be made in both implementations. The
-// reference ignores FleetSize events, and the comparison sends none.
+// A reference implementation of Balancer. It has no index: it rebuilds its lists of servers whenever the endpoint
+// list changes, and scans a whole list for each choice, so it is slow but simple. comparison_test.go checks that the
+// Balancer and the reference return the same actions. A change to a decision must be made in both implementations.
+// The reference ignores FleetSize events, and the comparison sends none.
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// referenceServer is the record of a server. Its fields have the same meaning as those of server.
+// referenceServer is the record of a server. Its fields have the same meaning as in server.
 type referenceServer struct {
 	Server
 	shuffledOrder       uint64
@@ -36,7 +36,7 @@
 	connectionsByGroup  map[string]int
 }
 
-// referenceRequest is the record of a request. Its fields have the same meaning as those of request.
+// referenceRequest is the record of a request. Its fields have the same meaning as in request.
 type referenceRequest struct {
 	RequestArrived
 	timerToken           uint64
@@ -56,7 +56,7 @@
 	firstSentAt          time.Duration
 }
 
-// referenceClient is the record of a client. Its fields have the same meaning as those of clientRecord.
+// referenceClient is the record of a client. Its fields have the same meaning as in clientRecord.
 type referenceClient struct {
 	server  ServerID
 	endedAt time.Duration
--- a/decide/request.go
+++ b/decide/request.go
@@ -11,7 +11,7 @@
 	attempts         int           // number of attempts started
 	attemptedServers []ServerID    // servers of these attempts
 	server           *server       // server of the latest attempt
-	inFlight         bool          // the latest attempt, or the connection that it established, has not ended
+	inFlight         bool          // the latest attempt is in progress or its connection is open
 	established      bool          // the latest attempt has established its connection
 	migrated         bool          // the connection was migrated off an overloaded server
 	demandCountedFor *server       // warming server in whose groupDemand the request was last counted
@@ -23,7 +23,7 @@
 	preferredListVersion uint64    // list version for which the preferred servers were computed
 }
 
-// requestTable holds all requests that have not ended.
+// requestTable holds all active requests, including requests with an established connection.
 type requestTable struct {
 	byID      map[RequestID]*request
 	byToken   map[uint64]*request // requests without an established connection, by the token of their timer
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -68,9 +68,10 @@
 	}
 }
 
-// connectionLoad estimates the load that an average connection adds to a server. If no report of the server shows it,
-// it is the mean load of the zone divided by the mean number of connections per server, assuming that all balancers
-// have as many requests as this one. This estimate is a guess if it is based on too few connections or load reports.
+// connectionLoad estimates the load that an average connection adds to a server. If no report of the server shows
+// this load, it is the mean load of the zone divided by the mean number of connections per server, assuming the same
+// number of requests at all balancers. This estimate is a guess if it is based on too few connections or load
+// reports.
 func (b *Balancer) connectionLoad(s *server) (load float64, guess bool) {
 	if s.loadPerConnection > 0 {
 		return s.loadPerConnection, false
--- a/decide/safety_test.go
+++ b/decide/safety_test.go
@@ -11,7 +11,7 @@
 type randomHost struct {
 	*harness
 	rng           *rand.Rand
-	live          map[RequestID]*trackedRequest // requests that prune has not removed
+	live          map[RequestID]*trackedRequest // all requests until prune removes them
 	ids           []RequestID                   // IDs of the live requests, in order of arrival
 	timers        []timerDue
 	everListed    map[ServerID]bool          // servers that were listed at any time
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -83,7 +83,7 @@
 	return x
 }
 
-// simulatedBalancer is a balancer with its connections. A stopped balancer receives no more events.
+// simulatedBalancer is a balancer with its connections. A stopped balancer receives no events.
 type simulatedBalancer struct {
 	*Balancer
 	zone          string
@@ -273,7 +273,7 @@
 	f.handle(m, RequestArrived{ID: id, Key: string(id), Group: group, Remaining: 2 * time.Second, Returning: true})
 }
 
-// anyGroup returns a random group. The first group has several times as many clients as the last.
+// anyGroup returns a random group. The first group has several times the clients of the last group.
 func (f *slowStartSimulation) anyGroup() string {
 	if f.groups == 0 {
 		return ""
@@ -315,7 +315,7 @@
 	}
 }
 
-// sendList sends the list to the balancers that observe the start late, or to the others.
+// sendList sends the list to the balancers with the given value of late.
 func (f *slowStartSimulation) sendList(late bool) {
 	for _, m := range f.balancers {
 		if m.late == late {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// Only the balancers of its own zone share a warming server's budget, so those of other zones send it no requests.
+// Only the balancers of its own zone share a warming server's budget, so balancers of other zones send it no requests.
 func TestWarmingServersOfOtherZonesGetNothing(t *testing.T) {
 	h := warmingHarness(t, settings(), 4)
 	list := servers(4, 0)
