--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -47,8 +47,8 @@
 	c.releaseRequest(c.answeredAttemptCode())
 }
 
-// startOver answers that the session cannot be resumed. The active attempt ends as cancelled, because this is no
-// failure of its server.
+// startOver answers that the session cannot be resumed. The active attempt ends with code Cancelled, because its
+// server has not failed.
 func (c *Call) startOver(why Reason) {
 	if !c.claimFinalAnswer() {
 		return
@@ -67,8 +67,8 @@
 	delete(c.engine.calls.byID, c.id)
 }
 
-// answeredAttemptCode returns the code with which the active attempt ends when the final answer is given: TimedOut if
-// the attempt's time is over as well, although its timer has not run yet, otherwise Cancelled.
+// answeredAttemptCode returns the code with which the final answer ends the active attempt: TimedOut if the attempt's
+// timer has expired but its callback has not run yet, otherwise Cancelled.
 func (c *Call) answeredAttemptCode() decide.Code {
 	if t := c.attempt.timer; t != nil && t.at <= c.engine.now {
 		return decide.TimedOut
@@ -100,7 +100,7 @@
 		if c.phase == phasePending {
 			id := c.id
 			c.fail()
-			// The decision module has not given this answer and may still have the request.
+			// This answer is not from the decision module, which may still hold the request.
 			e.handle(decide.ClientDisconnected{ID: id})
 		}
 	})
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -24,7 +24,7 @@
 	timeout  time.Duration
 	// connectTimer expires when connecting to the server takes too long.
 	connectTimer *timer
-	// timer expires when the attempt has not been accepted within timeout.
+	// timer expires if the attempt is not accepted within timeout.
 	timer *timer
 }
 
@@ -72,7 +72,7 @@
 	return connect
 }
 
-// isActiveAttempt reports whether n is the latest attempt and has not ended.
+// isActiveAttempt reports whether attempt n is active. Only the latest attempt can be active.
 func (c *Call) isActiveAttempt(n int) bool {
 	return c.attempt.active && c.attempt.number == n
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// AttemptDialed reports that attempt n has connected to the server but has not sent its request yet.
+// AttemptDialed reports that attempt n has connected to the server. Its request is not sent yet.
 func (e *Engine) AttemptDialed(c *Call, n int) {
 	e.post(func() { c.stopConnectTimer(n) })
 }
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -21,8 +21,8 @@
 	// requestIDRetention is how long the ID of a request stays reserved after its connection was closed. Other
 	// connections that were opened before with a copy of the same request may still wait to be accepted.
 	requestIDRetention = 10 * time.Second
-	// overloadRetryAfter is the retry-after of requests that are rejected without the decision module: those beyond
-	// Config.MaxClients, and those that arrive in the last part of a drain.
+	// overloadRetryAfter is the retry-after of requests that are rejected without the decision module: requests
+	// beyond Config.MaxClients, and requests that arrive in the last part of a drain.
 	overloadRetryAfter = time.Second
 	// unknownClass is the class of a request before its first line was read, or if that line names no class.
 	unknownClass = -1
@@ -64,7 +64,7 @@
 	migrating bool
 	// closeTimer aborts the client connection. During a restore it starts the next attempt instead.
 	closeTimer *timer
-	// responseTimer expires when the server has not responded on an established connection within responseTimeout.
+	// responseTimer expires if the server of an established connection does not respond within responseTimeout.
 	responseTimer *timer
 	// stateTimer expires when the transfer of a session's state takes too long.
 	stateTimer *timer
@@ -92,8 +92,8 @@
 	// byID holds the calls whose request the decision module knows.
 	byID   map[decide.RequestID]*Call
 	lastID uint64
-	// clientIDs holds the reserved values of Request.ID: those of open client connections, and of connections that
-	// were closed within requestIDRetention.
+	// clientIDs holds the reserved values of Request.ID: the IDs of open client connections, and of connections
+	// closed within the last requestIDRetention.
 	clientIDs map[string]struct{}
 	// attempting holds the calls that have an active attempt and are not established.
 	attempting map[*Call]struct{}
@@ -157,10 +157,9 @@
 	})
 }
 
-// HealthCheckReceived reports a health check on a client connection that has not sent a request. A connection that
-// keeps sending health checks stays open. A health check less than minHealthCheckInterval after the last activity
-// does not restart the timeout, so a connection that only sends a burst of them is closed like one that has sent
-// nothing.
+// HealthCheckReceived reports a health check on a client connection without a request. A connection that keeps sending
+// health checks stays open. A health check less than minHealthCheckInterval after the last activity does not restart
+// the timeout, so a connection that sends only a burst of health checks is closed like a connection that sends nothing.
 func (e *Engine) HealthCheckReceived(c *Call) {
 	e.post(func() {
 		// The part of a line that had arrived was this health check. It may also be the unread data for which the
@@ -254,7 +253,7 @@
 	}
 	if _, inUse := e.calls.clientIDs[r.ID]; inUse {
 		// Servers identify requests by their IDs, so this request must not reach a server while another one has the
-		// same ID. Its ID is cleared, so that ClientClosed does not release the ID of the other request.
+		// same ID. Its ID is cleared, so that ClientClosed does not release the other request's ID.
 		c.request.ID = ""
 		c.fail()
 		return false
@@ -280,7 +279,7 @@
 	return clockStart + c.request.Deadline.Sub(c.engine.epoch) - c.engine.now
 }
 
-// abortAt replaces the close timer with one that aborts the client connection at the given time.
+// abortAt resets the close timer to abort the client connection at the given time.
 func (c *Call) abortAt(at time.Duration) {
 	c.engine.timers.stop(c.closeTimer)
 	c.closeTimer = c.engine.timers.set(at, c.conn.Abort)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,8 +24,8 @@
 	// StartAttempt starts an attempt at an upstream server. An earlier attempt of the request has ended or was
 	// cancelled; the implementation closes the earlier attempt's transport before it sends anything for the new one.
 	StartAttempt(Attempt)
-	// CancelAttempt requests the cancellation of attempt n, which the server has not answered as far as the engine
-	// knows. Only the implementation knows what it has written to the server, so it determines the outcome:
+	// CancelAttempt requests the cancellation of attempt n, for which the engine has received no answer. Only the
+	// implementation knows whether the request was sent or answered, so it determines the outcome:
 	//
 	//   - The server has already answered: the attempt continues, and nothing is reported.
 	//   - The request was not sent: the attempt ends with a code for which decide.Code.NeverExecuted is true.
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -168,8 +168,8 @@
 	e.discoveryCalls.listUpdated = e.now
 }
 
-// discoveryFailed handles a failed call and starts a reconnect. The decision module is notified too, but the calls
-// that it requests are not made until the reconnect has ended.
+// discoveryFailed handles a failed call and starts a reconnect. It also notifies the decision module, whose calls to
+// discovery are suppressed during the reconnect.
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
@@ -180,7 +180,7 @@
 	e.handle(decide.ListReceived{Kind: update.Kind})
 }
 
-// callStart returns when a failed call was started. For a call that is no longer pending, such as a watch that had
+// callStart returns the start time of a failed call that was pending. For other calls, such as a watch that had
 // answered, it returns the current time.
 func (e *Engine) callStart(watch uint64) time.Duration {
 	switch {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -39,7 +39,7 @@
 	closed bool
 	// recheckTimer starts the next check whether the drain is complete.
 	recheckTimer *timer
-	// clientsQueued reports whether clients wait to be accepted; nil stands for a function that reports false.
+	// clientsQueued reports whether clients wait to be accepted; nil means never.
 	clientsQueued func() bool
 	// timers are the scheduled steps.
 	timers []*timer
@@ -47,7 +47,7 @@
 
 // Drain starts a planned stop, which takes at most the given budget, and returns a channel that is closed when the
 // stop is complete. While clientsQueued reports that clients wait to be accepted, the stop is not complete until the
-// budget is over; nil stands for a function that reports false.
+// budget is over. A nil clientsQueued means that no clients wait.
 //
 // Known fault: if a planned stop is already in progress, Drain changes nothing and returns a channel that is never
 // closed.
@@ -89,8 +89,8 @@
 	e.drain = nil
 }
 
-// migrateBetween migrates the established connections one after the other between two times, which are counted from
-// now. At the second time it migrates all that remain.
+// migrateBetween migrates the established connections one at a time between two times, which are relative to now. At
+// the second time it migrates all that remain.
 func (e *Engine) migrateBetween(first, last time.Duration) {
 	e.scheduleDrainStep(first, func() {
 		interval := (last - first) / time.Duration(max(len(e.calls.open), 1))
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -9,8 +9,8 @@
 )
 
 // A planned stop migrates no established connection in the first half of its budget. After that it migrates them one
-// after the other. If all were migrated immediately in a rolling restart, their clients might find no balancer, because
-// the one that was stopped before may not be serving again yet.
+// at a time. If a rolling restart migrated all connections immediately, their clients might find no balancer, because
+// the balancer stopped before may not be serving again yet.
 func TestDrainMigratesLate(t *testing.T) {
 	t.Parallel()
 	const clients, budget = 8, 3 * time.Second
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -17,8 +17,8 @@
 	clockStart = 24 * time.Hour
 	// inboxSize is how many functions the inbox holds before senders block.
 	inboxSize = 1024
-	// startTimeout is the maximum time in state Starting. If discovery has not answered by then, the engine serves
-	// with the endpoint list that it has.
+	// startTimeout is the maximum time in state Starting. After that, the engine serves with its current endpoint
+	// list, even without an answer from discovery.
 	startTimeout = 3 * time.Second
 )
 
@@ -216,8 +216,8 @@
 	e.events = eventQueue{}
 }
 
-// execute executes one action of the decision module. It ignores actions for requests that are no longer in
-// callTable.byID, such as those that have a final answer.
+// execute executes one action of the decision module. It ignores actions for requests that are not in callTable.byID,
+// such as requests with a final answer.
 func (e *Engine) execute(action decide.Action) {
 	switch action := action.(type) {
 	case decide.StartAttempt:
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -30,8 +30,8 @@
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
-// ResponseAwaited reports that the client of an established connection has sent data to which the server has not
-// responded yet. The connection is migrated if no response is reported within responseTimeout.
+// ResponseAwaited reports that the client of an established connection has sent data and the server's response is
+// pending. The connection is migrated if no response is reported within responseTimeout.
 func (e *Engine) ResponseAwaited(c *Call) {
 	e.post(func() {
 		if c.phase == phaseEstablished && !c.migrating {
@@ -83,8 +83,8 @@
 	})
 }
 
-// HalfClosed reports that one side of an established connection has closed. The other side is aborted if it does not
-// close within ConnTraits.Linger.
+// HalfClosed reports that the client or the server has closed its side of an established connection. The connection
+// is aborted if the other side does not close within ConnTraits.Linger.
 func (e *Engine) HalfClosed(c *Call) {
 	e.post(func() { c.abortAt(e.now + c.traits.Linger) })
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -56,7 +56,7 @@
 	mu sync.Mutex
 	// requests are the calls of Watch and SetAddress.
 	requests []string
-	// watchContexts are the contexts of the watches.
+	// watchContexts are the contexts passed to Watch, in call order.
 	watchContexts []context.Context
 }
 
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -21,13 +21,13 @@
 	Dial(ctx context.Context, done func(reachable bool))
 }
 
-// reconnectStep says what a reconnect to discovery waits for.
+// reconnectStep is the current step of a reconnect to discovery.
 type reconnectStep uint8
 
 const (
 	reconnectIdle    reconnectStep = iota // no reconnect is in progress
-	reconnectWaiting                      // for the time of a dial, the result of a dial, or the time of the call
-	reconnectCalling                      // for the answer to the call
+	reconnectWaiting                      // waits for the time of a dial, the result of a dial, or the time of the call
+	reconnectCalling                      // waits for the answer to the call
 )
 
 // reconnect is the state of the reconnect to discovery after a failed call. The event loop owns it.
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -6,10 +6,9 @@
 // first line of a connection that was accepted more recently is probably still in transit.
 const minShedAge = 10 * time.Millisecond
 
-// ShedIdle reports that a frontend is short of file descriptors. The engine aborts the client connection that has
-// been inactive for the longest time, out of those that have not sent a request and those that are still open although
-// their call has finished. This keeps clients that open many connections and send nothing from using the descriptors
-// that regular clients, upstream connections and probes need.
+// ShedIdle reports that a frontend is short of file descriptors. The engine aborts the longest-inactive client
+// connection that has not sent a request or whose call has finished. This keeps clients that open many connections
+// and send nothing from using the descriptors that regular clients, upstream connections and probes need.
 func (e *Engine) ShedIdle() {
 	e.post(func() {
 		var victim *Call
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -110,8 +110,7 @@
 	}
 }
 
-// countEjected counts the ready servers that are ejected now, and deletes those from the table whose ejection has
-// ended.
+// countEjected counts the ready servers that are ejected now, and deletes ended ejections from the table.
 func (e *Engine) countEjected() (n int) {
 	for id := range e.upstreams.ejected {
 		if !e.balancer.Ejected(id) {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,7 +6,7 @@
 	"github.com/google/btree"
 )
 
-// timerTreeDegree is the degree of the B-tree that holds the timers.
+// timerTreeDegree is the degree of timerQueue.tree.
 const timerTreeDegree = 16
 
 // timer is one pending callback.
@@ -40,16 +40,16 @@
 	return t
 }
 
-// stop removes a timer that has not expired. It does nothing if t is nil or has expired.
+// stop cancels a pending timer. It does nothing if t is nil or has expired.
 func (q *timerQueue) stop(t *timer) {
 	if t != nil {
 		q.tree.Delete(t)
 	}
 }
 
-// runExpired runs the callbacks of the timers that have expired by now, in order. It returns at the first expired timer
-// that one of these callbacks has set, so that a callback that always sets another expired timer cannot block the event
-// loop. That timer and the expired timers after it run in the next call.
+// runExpired runs the callbacks of the timers that have expired by now, in order. It returns at the first expired
+// timer that was set by one of these callbacks, so that callbacks that keep setting expired timers cannot block the
+// event loop. That timer and the expired timers after it run in the next call.
 func (q *timerQueue) runExpired(now time.Duration) {
 	last := q.seq
 	for {
--- a/internal/core/upstreams.go
+++ b/internal/core/upstreams.go
@@ -12,8 +12,8 @@
 	zone    string
 	started time.Time
 	state   decide.State
-	// drainNotifiedAt is when this process received the list update after which the server was no longer ready. It is
-	// 0 for a ready server, and for one that already was not ready in the list that was restored at the start.
+	// drainNotifiedAt is when this process received the list update that made the server draining or removed. It is 0
+	// for a ready server, and for a server that was draining or removed in the list restored at the start.
 	drainNotifiedAt time.Duration
 	// connections counts the established connections.
 	connections int
@@ -136,8 +136,8 @@
 	}
 }
 
-// setUpstreamState sets a server's state, and records the current time in drainNotifiedAt if the server is no longer
-// ready.
+// setUpstreamState sets a server's state. When a ready server becomes draining or removed, it records the current
+// time in drainNotifiedAt.
 func (e *Engine) setUpstreamState(u *upstreamState, state decide.State, kind decide.ListKind) {
 	switch {
 	case state == decide.Ready:
