--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -24,7 +24,7 @@
 )
 
 // ReadDocument reads and validates the file that contains the operators' document. Errors name the file, the key and
-// the value at fault.
+// the invalid value.
 func ReadDocument(path string) (replica.Document, error) {
 	raw, err := filesource.ReadLimited(path, replica.MaxFileBytes)
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Run publishes the document until ctx ends. When it receives a signal from reloads, it reads the file again even if
-// it has not changed. If the file then contains the list that is pending, the signal confirms the list.
+// Run publishes the document until ctx ends. On a signal from reloads, it rereads the file even if the file is
+// unchanged. If the file then contains the list that is pending, the signal confirms the list.
 func (l *Leader) Run(ctx context.Context, reloads <-chan os.Signal) {
 	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/leader_test.go
+++ b/internal/controlplane/leader_test.go
@@ -33,8 +33,8 @@
 	return `{"rooms":[` + strings.Join(entries, ",") + `]}`
 }
 
-// The leader saves and publishes the document of a changed file. It does so neither for a file that is invalid or too
-// long, nor for one that leaves no endpoint or removes most of them. It logs each reason once.
+// The leader saves and publishes the document of a changed file. It rejects a file that is invalid or too long, and a
+// file that removes all or most endpoints. It logs each rejection once.
 func TestLeaderPublishesValidChanges(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/controlplane/message.go
+++ b/internal/controlplane/message.go
@@ -35,8 +35,8 @@
 	// Changes are sent by a server that has retained the changes since the follower's version.
 	Changes []replica.Change `cbor:"3,keyasint,omitempty"`
 
-	// Chunk is sent by a server that has not retained the changes since the follower's version. It is one of the
-	// chunks of a full snapshot.
+	// Chunk is one chunk of a full snapshot. A server sends a snapshot if it has not retained the changes since the
+	// follower's version.
 	Chunk *replica.SnapshotChunk `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/controlplane/persister.go
+++ b/internal/controlplane/persister.go
@@ -22,8 +22,8 @@
 	return &Persister{store: store, latest: make(chan replica.State, 1)}
 }
 
-// Enqueue schedules a state to be saved. It replaces an earlier state that has not been saved yet. It does not
-// block. It must not be called concurrently.
+// Enqueue schedules a state to be saved. It replaces a state that is still pending. It does not block. It must not be
+// called concurrently.
 func (p *Persister) Enqueue(state replica.State) {
 	select {
 	case <-p.latest: // superseded
@@ -32,8 +32,7 @@
 	p.latest <- state
 }
 
-// Run saves states until ctx ends. Before it returns, it saves the state that has not been saved yet, if there is
-// one.
+// Run saves states until ctx ends. Before it returns, it saves the pending state, if any.
 func (p *Persister) Run(ctx context.Context) {
 	for {
 		select {
@@ -50,7 +49,7 @@
 	}
 }
 
-// flush saves the state that has not been saved yet, if there is one.
+// flush saves the pending state, if any.
 func (p *Persister) flush() {
 	select {
 	case state := <-p.latest:
--- a/internal/controlplane/replica/document.go
+++ b/internal/controlplane/replica/document.go
@@ -25,9 +25,9 @@
 	maxFieldBytes = 128
 )
 
-// Version identifies a published document. The operators set the term in the leader's configuration, and raise it
-// if the leader's state was lost. The leader numbers the documents that it publishes in a term, starting at 1, so
-// that no two documents share a version. The zero Version means that there is no document.
+// Version identifies a published document. The operators set the term in the leader's configuration, and raise it if
+// the leader's state was lost. The leader numbers the documents that it publishes in a term, starting at 1, so that
+// no two documents share a version. The zero Version means no document.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
 	Term   uint64
@@ -61,8 +61,8 @@
 	Document Document `cbor:"Document"`
 }
 
-// Parse decodes and validates the file that contains the operators' document. Errors name the key and the value
-// at fault.
+// Parse decodes and validates the file that contains the operators' document. Errors name the key and the invalid
+// value.
 func Parse(raw []byte) (Document, error) {
 	if len(raw) > MaxFileBytes {
 		return Document{}, fmt.Errorf("document: the file is longer than %d bytes", MaxFileBytes)
@@ -86,8 +86,8 @@
 	return State{state.Version, document}, err
 }
 
-// validate checks the document and returns it. It sorts the entries by name, in place. Errors name the key and
-// the value at fault.
+// validate checks the document and returns it. It sorts the entries by name, in place. Errors name the key and the
+// invalid value.
 func (d Document) validate() (Document, error) {
 	if len(d.Endpoints) == 0 && d.Discovery == "" {
 		return d, errors.New("rooms: is missing, and discovery is not set: one of the two is required")
--- a/internal/controlplane/replica/document_test.go
+++ b/internal/controlplane/replica/document_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An error names the key and the value at fault, so that the operators can find them in the file.
+// An error names the key and the invalid value, so that the operators can find them in the file.
 func TestParseErrors(t *testing.T) {
 	longName := strings.Repeat("a", 129)
 	for _, test := range []struct{ name, file, want string }{
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -198,8 +198,8 @@
 	r.retainedBytes = 0
 }
 
-// validateChanges validates the document that results from changes, and updates nameByAddress. It checks only
-// the entries that the changes touch, because the list may be long and the other entries were valid before.
+// validateChanges validates the document that results from changes, and updates nameByAddress. It checks only the
+// changed entries, because the list may be long and the unchanged entries are already validated.
 func (r *Replica) validateChanges(document Document, changes []Change) error {
 	previous := r.state.Document
 	// The first entry represents the list, because validate requires an entry or a discovery address.
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -86,8 +86,8 @@
 // serverCount is the number of replicas in a cluster that retain changes, including the leader's.
 const serverCount = 3
 
-// cluster contains the replicas of a control plane: the leader's, those of serverCount-1 other servers, and those of
-// followers that serve no others.
+// cluster contains the replicas of a control plane: the leader's replica, and the replicas of serverCount-1 other
+// servers and of followers that are not servers.
 type cluster struct {
 	replicas  []*Replica // the first one is the leader's
 	term      uint64
@@ -106,8 +106,8 @@
 
 func (c *cluster) leader() *Replica { return c.replicas[0] }
 
-// checkInvariants fails the test if a replica has an older version than at the last check, or if its document is not
-// the one that was committed under its version.
+// checkInvariants fails the test if a replica has an older version than at the last check, or if its document differs
+// from the document committed under its version.
 func (c *cluster) checkInvariants(t *rapid.T) {
 	for i, replica := range c.replicas {
 		state := replica.State()
@@ -144,7 +144,7 @@
 	}
 }
 
-// restart replaces a random replica by one that has only its state, without retained changes and received chunks.
+// restart replaces a random replica by a new replica with the same state, without retained changes and received chunks.
 func (c *cluster) restart(t *rapid.T) {
 	i := rapid.IntRange(0, len(c.replicas)-1).Draw(t, "replica")
 	c.replicas[i] = New(c.replicas[i].State(), i < serverCount)
--- a/internal/controlplane/replica/server_selector.go
+++ b/internal/controlplane/replica/server_selector.go
@@ -75,9 +75,8 @@
 	reportedStale bool
 }
 
-// NewServerSelector returns a selector for a follower in the given region. It puts the servers of the region
-// first and those of other regions after them, both in random order. Different seeds spread the followers over the
-// servers.
+// NewServerSelector returns a selector for a follower in the given region. It orders the servers of the region before
+// the servers of other regions, both in random order. Different seeds spread the followers over the servers.
 func NewServerSelector(servers []Server, region string, seed uint64, now time.Time) *ServerSelector {
 	selector := &ServerSelector{random: rand.New(rand.NewPCG(seed, 0)), startedAt: now}
 	var local, remote []Server
--- a/internal/controlplane/replica/server_selector_test.go
+++ b/internal/controlplane/replica/server_selector_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// Three of six control-plane servers are down, among them both of the followers' own region. Each follower connects
-// to another one within LeaderTimeout, after trying those of its own region. When that one fails and the server of
-// the other region is up again, the follower connects to a further one, also within LeaderTimeout. No follower may
-// report the leader as stale because of failed servers.
+// Three of six control-plane servers are down, among them both servers of the followers' region. After trying these
+// two, each follower connects to a server of another region within LeaderTimeout. When this server fails and the
+// third down server is up again, the follower connects to a different server, also within LeaderTimeout. No follower
+// may report the leader as stale because of failed servers.
 func TestThreeOfSixServersFail(t *testing.T) {
 	firstServers := map[string]int{}
 	for seed := range uint64(300) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// A follower leaves a server that keeps an older version than its own for maxServerStaleness, and one that has no
+// A follower leaves a server that keeps an older version than its own for maxServerStaleness, and a server without
 // contact to the leader.
 func TestLaggingServerIsLeft(t *testing.T) {
 	selector := NewServerSelector(sixServers(), "r1", 1, testStart)
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -94,8 +94,8 @@
 	r.chunkedEntries = 0
 }
 
-// installSnapshot validates a state and makes it the current one. It drops the retained changes, because there is
-// no change that leads from the last of them to this state.
+// installSnapshot validates a state and makes it the current one. It drops the retained changes, because the changes
+// between them and this state are missing.
 func (r *Replica) installSnapshot(state State) error {
 	document, err := state.Document.validate()
 	if err == nil {
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// SetFallbackAddress applies the discovery address of the balancer's own configuration after a reload. It ignores
-// the address if the document sets one. It also ignores it while the leader is stale, because a newer document,
-// which this follower has not received, may set another address.
+// SetFallbackAddress applies the discovery address of the balancer's own configuration after a reload. It ignores the
+// address if the document sets one. It also ignores the address while the leader is stale, because a newer document
+// that this follower has not received may set another address.
 func (s *Source) SetFallbackAddress(address string) {
 	switch {
 	case s.broadcaster.State().Document.Discovery != "":
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -60,9 +60,9 @@
 	return &Store{path: path, site: site, log: log}
 }
 
-// Load returns the saved state. It returns the zero State if there is no file, if the file is locked by another
-// process, or if the file is unusable: corrupt, of another site or file version, or with an invalid state. It
-// renames an unusable file, and logs why it does not load a file that exists.
+// Load returns the saved state. It returns the zero State if the file is missing, locked by another process, or
+// unusable: corrupt, of another site or file version, or with an invalid state. It renames an unusable file, and logs
+// why it does not load a file that exists.
 func (s *Store) Load() replica.State {
 	state, err := s.read()
 	switch {
@@ -101,8 +101,8 @@
 	return access()
 }
 
-// read returns the saved state. The error wraps fs.ErrNotExist if there is no file, and bbolterrors.ErrTimeout if
-// the file is locked by another process.
+// read returns the saved state. The error wraps fs.ErrNotExist if the file is missing, and bbolterrors.ErrTimeout if
+// another process has locked it.
 func (s *Store) read() (replica.State, error) {
 	if _, err := os.Stat(s.path); err != nil {
 		return replica.State{}, err
--- a/internal/discovery/endpoint/guard.go
+++ b/internal/discovery/endpoint/guard.go
@@ -11,9 +11,9 @@
 	// Apply means that the proposed list has become the current one.
 	Apply
 
-	// NeedsConfirmation means that the proposed list removes or drains over half of the active endpoints, which are
-	// those of the current list that are not draining. It is pending until the operator confirms it by requesting a
-	// reload of the same list.
+	// NeedsConfirmation means that the proposed list removes or drains over half of the active (not draining)
+	// endpoints of the current list. It is pending until the operator confirms it by requesting a reload of the same
+	// list.
 	NeedsConfirmation
 )
 
@@ -29,9 +29,9 @@
 // Current returns the current list.
 func (g *ChangeGuard) Current() List { return g.current }
 
-// Propose decides whether a list that was read becomes the current one, and returns what it changes. requested says
-// that the operator requested a reload. A list that removes or drains over half of the active endpoints is applied
-// only if it is requested and equals the pending list.
+// Propose decides whether a proposed list replaces the current list, and returns the change between the two.
+// requested says that the operator requested a reload. A list that removes or drains over half of the active
+// endpoints is applied only if it is requested and equals the pending list.
 func (g *ChangeGuard) Propose(proposed List, requested bool) (Decision, Change) {
 	change := Diff(g.current, proposed)
 	if change.Empty() {
--- a/internal/discovery/endpoint/list.go
+++ b/internal/discovery/endpoint/list.go
@@ -84,8 +84,8 @@
 // isUnprintable reports whether a character is a space or not printable ASCII.
 func isUnprintable(char rune) bool { return char <= ' ' || char > '~' }
 
-// NewList validates entries and returns them as a list. It sorts them in place unless they are already sorted. Its
-// errors are the same as those of Parse for a decoded list.
+// NewList validates entries and returns them as a list. It sorts them in place unless they are already sorted. It
+// returns the same errors as Parse for a decoded list.
 func NewList(entries []Entry) (List, error) {
 	if len(entries) == 0 || len(entries) > MaxEntries {
 		return List{}, fmt.Errorf("rooms: %d entries, expected 1 to %d", len(entries), MaxEntries)
--- a/internal/discovery/filesource/file.go
+++ b/internal/discovery/filesource/file.go
@@ -32,7 +32,7 @@
 	return &FileTracker{path: path, minAge: minAge}
 }
 
-// Unchanged reports whether the file is known to be the one that was read last.
+// Unchanged reports whether the file is known to be unchanged since the last read.
 func (t *FileTracker) Unchanged() bool {
 	if t.lastRead == nil {
 		return false
@@ -42,8 +42,8 @@
 		current.ModTime().Equal(t.lastRead.ModTime())
 }
 
-// BeginRead records the file's present state as the one that is read. It must be called before the file is read, so
-// that writes during the read are detected as changes.
+// BeginRead records the file's current state for comparison by Unchanged. It must be called before the file is read,
+// so that writes during the read are detected as changes.
 func (t *FileTracker) BeginRead() {
 	t.lastRead = nil
 	if info, err := os.Stat(t.path); err == nil && time.Since(info.ModTime()) > t.minAge {
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -123,7 +123,7 @@
 	return err
 }
 
-// decodeInstances decodes the entries of a list; null stands for an empty list. Two different names with the same
+// decodeInstances decodes the entries of a list; null counts as an empty list. Two different names with the same
 // server ID are an error.
 func decodeInstances(decoder *json.Decoder, onConsumed func()) ([]core.Endpoint, error) {
 	first, err := decoder.Token()
--- a/internal/discovery/httpsource/decode_test.go
+++ b/internal/discovery/httpsource/decode_test.go
@@ -21,8 +21,7 @@
 // testList is a snapshot of generation 41 with one entry.
 const testList = `{"generation":41,"reset":true,"instances":[` + testEntry + `]}`
 
-// longList returns a snapshot of generation 41 with as many entries as length says. The server IDs of their names are
-// all different.
+// longList returns a snapshot of generation 41 with length entries. The server IDs of their names are all different.
 func longList(length int) string {
 	var b strings.Builder
 	b.WriteString(`{"generation":41,"reset":true,"instances":[`)
@@ -201,8 +200,7 @@
 	}
 }
 
-// repeatingReader provides text and then repetitions of another text, until it has provided about as many bytes as
-// remaining says.
+// repeatingReader returns text and then copies of repeated. It ends after about remaining bytes.
 type repeatingReader struct {
 	text      string
 	repeated  string
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -102,7 +102,7 @@
 }
 
 // newFaultyListener returns a listener for the service that can simulate outages. If callTime is above 0, the service
-// handles one call after the other and takes callTime for each.
+// handles calls sequentially and takes callTime for each.
 func newFaultyListener(t *testing.T, service *emulator.Discovery, callTime time.Duration) *emulator.FaultyListener {
 	t.Helper()
 	handler := service.Handler("any")
@@ -120,8 +120,8 @@
 // After an outage, all balancers observe within the time limit a change that the discovery service got during the
 // outage. A balancer would be late if it waited too long before it reconnects, or if the reconnects of all balancers
 // overloaded the service. The service runs on real sockets. In the outages, connections are refused or reset, calls
-// are answered with 503 or not at all, or the host is unreachable. In one case, the service handles one call after
-// the other and rejects calls that wait too long.
+// are answered with 503 or not at all, or the host is unreachable. In one case, the service handles calls
+// sequentially and rejects calls that wait too long.
 func TestDiscoveryReturns(t *testing.T) {
 	t.Parallel()
 	const downtime = 9 * time.Second
--- a/internal/discovery/httpsource/source_test.go
+++ b/internal/discovery/httpsource/source_test.go
@@ -338,9 +338,9 @@
 	}
 }
 
-// A second watch is opened while the first one continues. The second watch then delivers a generation that is older
-// than one that the first watch has delivered, as a delta or as a snapshot. It must not replace the newer list, for
-// example make a draining endpoint ready again. Changes that are newer than the list are applied.
+// A second watch is opened while the first one continues. The second watch then delivers, as a delta or as a
+// snapshot, an older generation than the first watch has delivered. It must not replace the newer list, for example
+// make a draining endpoint ready again. Changes that are newer than the list are applied.
 func TestOvertakenWatch(t *testing.T) {
 	for name, overtaken := range map[string]string{"delta": deltaWithGeneration(41), "snapshot": testList} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -49,7 +49,7 @@
 	received bool // whether a MANIFEST has set this list
 }
 
-// schema holds the names that one instance's settings define for its messages.
+// schema holds the classes and report columns that an instance's settings define for its messages.
 type schema struct {
 	classes       map[string]int // index of a class by its name
 	reportColumns []string       // names of the columns of a load report
--- a/internal/textline/fuzz_test.go
+++ b/internal/textline/fuzz_test.go
@@ -12,8 +12,8 @@
 // maxLine is the reader's buffer size, which is the limit of a line's length.
 const maxLine = 4096
 
-// Whatever the input, Read returns a single line that is no longer than the limit, and the input begins with that
-// line and its terminator. An input that has a line terminator within the limit is not rejected as too long.
+// For any input, Read returns a single line of at most maxLine bytes, and the input begins with that line and its
+// terminator. An input that has a line terminator within the limit is not rejected as too long.
 func FuzzRead(f *testing.F) {
 	fuzzcorpus.Add(f, []byte("PING\r\n"), []byte("LAMEDUCK\n"), bytes.Repeat([]byte("x"), 5000))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/textline/textline.go
+++ b/internal/textline/textline.go
@@ -19,8 +19,8 @@
 // reader of a textproto.Conn has 4 KiB. textproto.Reader.ReadLine has no such limit.
 //
 // Read returns ErrTooLong for a line that does not fit into the buffer. Together with ErrMissingCR it returns the
-// line, because some protocols accept a bare LF. Other errors are those of r, such as io.EOF if the input ends before
-// the line does.
+// line, because some protocols accept a bare LF. It returns other errors of r unchanged, such as io.EOF if the input
+// ends before the end of the line.
 func Read(r *bufio.Reader) (string, error) {
 	raw, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
