--- a/cmd/cottonplank-lab/main.go
+++ b/cmd/cottonplank-lab/main.go
@@ -19,15 +19,18 @@
 // Exit statuses.
 const (
 	statusPassed = 0
-	// statusFailed means a violated invariant, a lost change or answer, or a run that failed.
+	// statusFailed means a violated invariant, a lost change or answer, or a run that failed. Membership runs count
+	// violated invariants and lost answers as missed objectives.
 	statusFailed = 1
 	// statusInvalid means an invalid file, invalid usage, or a run that needs more resources than the machine allows.
 	statusInvalid = 2
-	// statusObjectiveMissed means that a run missed an objective and nothing else.
+	// statusObjectiveMissed means that a membership run missed an objective, or that a scale run did and statusFailed
+	// does not apply.
 	statusObjectiveMissed = 3
 )
 
-// errInvariant is returned when an invariant was violated.
+// errInvariant is returned by the commands run, demo and size when an invariant was violated. Membership runs return an
+// exitError with the missed objectives instead.
 var errInvariant = errors.New("an invariant was violated")
 
 // exitError is an error that determines the exit status of the command.
@@ -109,13 +112,13 @@
 	return nil
 }
 
-// jsonFlag adds the flag --json to a command; value says whether the output is an object or a list.
-func jsonFlag(c *cobra.Command, value string) *bool {
-	return c.Flags().Bool("json", false, "print one JSON "+value+" and nothing else on standard output")
+// jsonFlag adds the flag --json to a command. Its help text names the type of the output, "object" or "list".
+func jsonFlag(c *cobra.Command, outputType string) *bool {
+	return c.Flags().Bool("json", false, "print one JSON "+outputType+" and nothing else on standard output")
 }
 
-// balancerProgram returns the path of the balancer's program: the value of the flag, or cottonplank in the directory of
-// this program.
+// balancerProgram returns the path of the balancer's program: the value of the flag --balancer, or cottonplank in the
+// directory of this program.
 func (l *lab) balancerProgram() (string, error) {
 	program := l.balancer
 	if program == "" {
@@ -126,7 +129,7 @@
 		program = filepath.Join(filepath.Dir(own), "cottonplank")
 	}
 	if _, err := os.Stat(program); err != nil {
-		return "", invalid(fmt.Errorf("balancer: %w", err))
+		return "", invalid(fmt.Errorf("balancer program: %w", err))
 	}
 	return program, nil
 }
--- a/cmd/cottonplank-lab/main_test.go
+++ b/cmd/cottonplank-lab/main_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// The commands size and scale-compare, which both have the flag --seconds, show their own defaults.
+// The commands size and scale-compare both have a flag --seconds, and the help of each shows its own default. The test
+// guards against flags of one command that set the defaults of another.
 func TestDefaults(t *testing.T) {
 	for _, v := range []struct {
 		command string
@@ -124,7 +125,7 @@
 }
 
 // With --json, a scale run prints one object and nothing else on standard output. Its status is 3 if the result names a
-// missed objective, which a busy machine may cause, and 0 otherwise. The run uses no more resources than it announces.
+// missed objective, which a busy machine may cause, and 0 otherwise. The run uses at most the memory that it announces.
 func TestScaleJSON(t *testing.T) {
 	dir := t.TempDir()
 	build(t, dir, "cottonplank", "../cottonplank")
@@ -151,8 +152,8 @@
 	}
 }
 
-// checkAnnouncement checks that the progress of a scale run announces four processes, and at least as much memory as
-// its result reports.
+// checkAnnouncement checks that the progress of a scale run announces four processes (the lab, two workers and a real
+// balancer), and at least as much memory as its result reports.
 func checkAnnouncement(t *testing.T, progress string, out []byte) {
 	t.Helper()
 	var result struct {
--- a/cmd/cottonplank-lab/run.go
+++ b/cmd/cottonplank-lab/run.go
@@ -26,9 +26,9 @@
 		Args:  cobra.ExactArgs(1),
 		Long: "Run the experiment of a file. The exit status is 0 if all invariants held, " +
 			"1 if one was violated or the run failed,\nand 2 for an invalid file. A membership experiment ends " +
-			"with 3 if it missed an objective or violated an invariant.\nProgress goes to standard error.",
+			"with 3, not 1, if it violated an invariant or missed\nanother objective. Progress goes to standard error.",
 	}
-	seed := c.Flags().Uint64("seed", 0, "seed that replaces that of the file")
+	seed := c.Flags().Uint64("seed", 0, "seed to use instead of the one in the file")
 	asJSON := jsonFlag(c, "object")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		kind, err := experiment.FileKind(args[0])
--- a/cmd/cottonplank-lab/scale.go
+++ b/cmd/cottonplank-lab/scale.go
@@ -14,19 +14,20 @@
 const scaleText = "Run a scale experiment. Hollow balancers, several hundred in a process, " +
 	`run the balancer's code for the
 endpoint list over loopback connections, without clients. A few real balancers serve clients. The list comes from
-emulated replicas of discovery; "control" in the result is their number, as there are no control-plane servers. Before
-it starts, the run prints the resources that it needs. It refuses to start if they exceed half of the machine's memory,
-300 processes or the limit on descriptors.
+emulated replicas of discovery; "control" in the result is the number of these replicas. The run has no control-plane
+servers. Before it starts, it prints the resources that it needs. It refuses to start if they exceed half of the
+machine's memory, 300 processes or the limit on descriptors.
 
 "modules" is the number of hollow balancers that hold the whole list each; cpu_ms_per_s_p99_modules and control_mb_max
-are theirs. The others in a process share one copy of the list. Times, lost changes and KB/s are those of both kinds.
+are the processor time and the memory of one of them. The others in a process share one copy of the list. The times to
+apply a change, the lost changes and KB/s include both kinds of hollow balancers.
 
-The exit status is 0 if nothing was lost or violated, 1 if a change or an answer was lost, a version went down, an
-invariant was violated or the run failed, 2 for an invalid file or a run that needs too many resources, and 3 if only an
-objective was missed. Progress goes to standard error.`
+The exit status is 0 if nothing was lost or violated, 1 if a change or an answer was lost, the list version of a hollow
+balancer went down, an invariant was violated or the run failed, 2 for an invalid file or a run that needs too many
+resources, and 3 if only an objective was missed. Progress goes to standard error.`
 
 // errScaleFailed is returned when a scale run has not passed.
-var errScaleFailed = errors.New("a change or an answer was lost, a version went down or an invariant was violated")
+var errScaleFailed = errors.New("a change or an answer was lost, a list version went down or an invariant was violated")
 
 // scaleCommand returns the command that runs a scale experiment.
 func (l *lab) scaleCommand() *cobra.Command {
@@ -37,7 +38,7 @@
 		Long:  scaleText,
 	}
 	asJSON := jsonFlag(c, "object")
-	seed := c.Flags().Uint64("seed", 0, "seed of the faults and changes that replaces that of the file")
+	seed := c.Flags().Uint64("seed", 0, "seed of the faults and changes to use instead of the one in the file")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		e, err := experiment.LoadScale(args[0])
 		if err != nil {
--- a/cmd/cottonplank-lab/slope.go
+++ b/cmd/cottonplank-lab/slope.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// maxChangesPerSecond is the largest rate of changes that can be measured.
+// maxChangesPerSecond is the largest accepted value of the flag --changes.
 const maxChangesPerSecond = 1000
 
 // slopeOptions are the flags of both subcommands of slope.
@@ -23,7 +23,8 @@
 func (l *lab) slopeCommand() *cobra.Command {
 	c := &cobra.Command{Use: "slope", Short: "Measure how the cost of one balancer grows"}
 	options := &slopeOptions{}
-	c.PersistentFlags().Float64Var(&options.seconds, "seconds", 10, "duration of each measurement")
+	c.PersistentFlags().Float64Var(&options.seconds, "seconds", 10,
+		"duration of each measurement, without the start of the balancer")
 	c.PersistentFlags().BoolVar(&options.asJSON, "json", false,
 		"print one JSON list and nothing else on standard output")
 	c.AddCommand(l.slopeListCommand(options), l.slopeDeliveriesCommand(options))
@@ -37,7 +38,7 @@
 		Short: "Measure the cost by the number of room servers in the list",
 		Args:  cobra.NoArgs,
 		Long: "Measure the cost of one balancer without connections, with lists of several lengths: " +
-			"receiving the whole list,\nno changes, and changes of one entry.",
+			"of receiving the whole list\nat the start, of a period without changes, and of each change of one entry.",
 	}
 	var list experiment.ListCostOptions
 	c.Flags().IntSliceVar(&list.Servers, "servers", []int{90, 600, 5000, 20000}, "numbers of room servers")
