--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -22,7 +22,8 @@
 	startTimeout = 10 * time.Second
 	// startPollInterval is the time between two checks whether a balancer serves.
 	startPollInterval = 20 * time.Millisecond
-	// stopTimeout is how long a process may take to end: a balancer after SIGTERM, a worker after its input was closed.
+	// stopTimeout is how long a process may take to end: a balancer after SIGTERM, a worker of a scale run after its
+	// standard input was closed.
 	stopTimeout = 6 * time.Second
 	// maxStartAttempts is the number of attempts to start a balancer, each at other ports.
 	maxStartAttempts = 3
@@ -63,7 +64,7 @@
 	placement  placement
 	// discovery is the address of discovery.
 	discovery string
-	// known is the encoded endpoint list that the balancer starts with.
+	// known is the endpoint list in JSON that the balancer starts with.
 	known json.RawMessage
 }
 
@@ -100,8 +101,8 @@
 	return b, nil
 }
 
-// startBalancer writes the files of a balancer and starts it. A free port may be used by another connection before the
-// balancer listens at it; the balancer is then started again at other ports.
+// startBalancer writes the files of a balancer and starts it. Another socket, such as an outgoing connection, may
+// take a free port before the balancer listens at it; the balancer is then started again at other ports.
 func startBalancer(ctx context.Context, spec balancerSpec) (b *balancer, err error) {
 	for range maxStartAttempts {
 		if b, err = newBalancer(spec); err != nil {
@@ -162,7 +163,8 @@
 	return b.waitUntilServing(ctx)
 }
 
-// command returns the command of the process.
+// command returns the command of the process. Empty variables override those that this process has inherited, so that
+// the configuration file applies.
 func (b *balancer) command() *exec.Cmd {
 	args := []string{"serve"}
 	if b.frontsFile != "" {
@@ -281,7 +283,7 @@
 	}
 }
 
-// addMetrics adds each of the balancer's metrics to the sum of its name.
+// addMetrics adds the value of each metric of the balancer to the sum with the metric's name.
 func (b *balancer) addMetrics(sums map[string]uint64) error {
 	metrics, err := management.ParseMetrics(context.Background(), b.management)
 	if err != nil {
--- a/internal/testbench/experiment/balancer_config.go
+++ b/internal/testbench/experiment/balancer_config.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// The behaviour of room servers that warm up. Balancers are configured with it, and emulated room servers that have to
-// warm up follow it: the rate at which they can establish connections rises from warmupFraction to 1 within warmupTime,
-// and until then they collapse under more than collapseFactor times the current rate.
+// The behaviour of room servers that warm up. Balancers are configured with it, and emulated room servers that have
+// to warm up follow it. The rate at which they can establish connections rises within warmupTime from warmupFraction
+// of the full rate to the full rate. Until then they collapse if clients establish connections at more than
+// collapseFactor times the current rate.
 const (
 	warmupFraction = 0.4
 	warmupTime     = 6 * time.Second
@@ -121,7 +122,8 @@
 	discovery  string
 }
 
-// config returns the configuration of a balancer. It starts with known, an encoded endpoint list; nil for none.
+// config returns the configuration of a balancer, which starts with known, an endpoint list in JSON; nil for none.
+// Balancers whose names have the same length get the same seed.
 func (e Experiment) config(name string, at placement, a addresses, known json.RawMessage) configFile {
 	return configFile{
 		Name:       name,
--- a/internal/testbench/experiment/balancer_config_test.go
+++ b/internal/testbench/experiment/balancer_config_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The configuration file of a balancer has the keys and values of the platform's file format.
+// The configuration file of a balancer has the keys and values of the platform's file format. The test guards against
+// struct tags and values that change unnoticed.
 func TestBalancerConfig(t *testing.T) {
 	e, err := Parse([]byte(`{"name":"x","balancers":2,"rooms":1,"sessions":10,"seconds":1}`))
 	if err != nil {
--- a/internal/testbench/experiment/cost.go
+++ b/internal/testbench/experiment/cost.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Cost holds the resources that a fleet uses once all clients have connected, as maxima or means over the balancers or
-// the room servers. If a balancer was killed, stopped or replaced during the run, only MaxResidentMB and MaxDescriptors
-// are set.
+// Cost holds the resources that a fleet uses once all clients have connected. Rates are those between two readings of
+// the counters: one settleTime after the fill time, and one at the end. If a balancer was killed, stopped or replaced
+// during the run, or the run ended before the first reading, only MaxResidentMB and MaxDescriptors are set.
 type Cost struct {
 	// MaxResidentMB is the largest resident memory of a balancer at the readings of the counters.
 	MaxResidentMB float64 `json:"rss_mb_most"`
 	// MaxDescriptors is the largest number of open descriptors of a balancer at the readings.
 	MaxDescriptors int `json:"descriptors_most"`
-	// CPUMsPerSecond is the mean processor time of a balancer between the readings.
+	// CPUMsPerSecond is the mean processor time per second of a balancer.
 	CPUMsPerSecond float64 `json:"cpu_ms_a_second"`
-	// ProbesPerSecond is the mean number of probes that a room server receives.
+	// ProbesPerSecond is the mean number of probes per second that a room server receives.
 	ProbesPerSecond float64 `json:"probes_a_second_at_a_room_server"`
-	// AcceptedPerSecond is the mean number of connections that a room server accepts.
+	// AcceptedPerSecond is the mean number of connections per second that a room server accepts.
 	AcceptedPerSecond float64 `json:"connections_a_second_at_a_room_server"`
 	// MeanOpen is the mean number of open connections of a room server at the end, including those of probes.
 	MeanOpen float64 `json:"open_at_a_room_server"`
 	// MaxOpen is the largest number of open connections of a room server at the end, including those of probes.
 	MaxOpen int `json:"open_at_a_room_server_most"`
-	// DiscoveryCallsPerSecond is the number of calls that discovery receives from all balancers.
+	// DiscoveryCallsPerSecond is the number of calls per second that discovery receives from all balancers together.
 	DiscoveryCallsPerSecond float64 `json:"calls_a_second_at_discovery"`
 }
 
--- a/internal/testbench/experiment/experiment.go
+++ b/internal/testbench/experiment/experiment.go
@@ -25,7 +25,8 @@
 	Name string `json:"name"`
 	// About describes the purpose of the experiment.
 	About string `json:"about"`
-	// Seed determines the random choices of the players, the front layer and the balancers.
+	// Seed determines the random choices of the players, the front layer and the balancers. Balancers whose names have
+	// the same length get the same seed.
 	Seed uint64 `json:"seed"`
 	// Balancers is the number of balancer processes.
 	Balancers int `json:"balancers"`
@@ -47,7 +48,7 @@
 	ClientTimeoutMs int `json:"patience_ms"`
 	// StateBytes is the size of a session's state, in bytes.
 	StateBytes int `json:"state_bytes"`
-	// Seconds is the duration of the run.
+	// Seconds is the duration of the run without settleTime, which follows it.
 	Seconds float64 `json:"seconds"`
 	// ResumesSessions says that clients and balancers use session tokens.
 	ResumesSessions bool `json:"tokens"`
@@ -78,7 +79,7 @@
 	actionKill      = "kill"    // a balancer is killed by SIGKILL
 	actionRestart   = "restart" // a balancer is stopped gracefully, if it runs, and started again
 	actionHotUpdate = "renew"   // a new process of a balancer takes over the sockets of the running one
-	actionReplay    = "replay"  // copies of clients' next tokens are presented to balancers
+	actionReplay    = "replay"  // copies of clients' next tokens are presented while the clients present them and later
 	actionRotate    = "rotate"  // the balancers reload the key file with a new sealing key
 )
 
@@ -112,7 +113,7 @@
 // Progress receives lines for people that report the progress of a run.
 type Progress func(line string)
 
-// Load reads an experiment's file. Errors name the file, the key and the value.
+// Load reads an experiment's file. Errors name the file; the error of a key also names the key and what is wrong.
 func Load(path string) (Experiment, error) { return load(path, Parse) }
 
 // Parse decodes an experiment, validates it and fills in the defaults of absent keys.
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -7,11 +7,11 @@
 	Tokens bool `json:"tokens"`
 	// Sessions is the number of clients.
 	Sessions int `json:"sessions"`
-	// Migrated counts how often a client was told to move or its connection broke.
+	// Migrated counts how often a client received MOVE or its connection broke.
 	Migrated int `json:"moved"`
 	// Resumed counts how often a session continued over a new connection without starting over.
 	Resumed int `json:"resumed"`
-	// ResumedWithin counts how often a session continued at most 500 ms after its client was told to move or its
+	// ResumedWithin counts how often a session continued at most 500 ms after its client received MOVE or its
 	// connection broke.
 	ResumedWithin int `json:"resumed_within_500ms"`
 	// StartedOver counts how often a session started over.
@@ -19,7 +19,7 @@
 	// DoubleAttachments counts the attachments of a session that was attached already, or at an epoch that is not above
 	// all earlier ones; an attachment that is both may count twice.
 	DoubleAttachments int `json:"attached_twice"`
-	// LostSessions counts the sessions that lost acknowledged moves or had no room server at the end.
+	// LostSessions counts the sessions that lost acknowledged moves of their game, or had no room server at the end.
 	LostSessions int `json:"lost"`
 	// Violations counts the violations of the invariants of requests and room servers.
 	Violations int `json:"rules_broken"`
@@ -97,7 +97,7 @@
 // generationMetric is the name of the metric that counts the configurations of a process, the first one included.
 const generationMetric = "generation"
 
-// readBalancer adds the metrics and the memory of a balancer to the result.
+// readBalancer adds the metrics, the memory and the reloads of a balancer to the result.
 func (r *run) readBalancer(b *balancer) error {
 	result := &r.result
 	before := result.Balancers[generationMetric]
--- a/internal/testbench/experiment/result_table.go
+++ b/internal/testbench/experiment/result_table.go
@@ -103,7 +103,7 @@
 	t.count("token copies raced", func(r Result) int { return r.RacedTokens })
 	t.count("raced copies accepted", func(r Result) int { return r.RacesWon })
 	t.count("token copies replayed", func(r Result) int { return r.ReplayedTokens })
-	t.count("double attachments", func(r Result) int { return r.DoubleAttachments + r.ReplaysAccepted })
+	t.count("double attachments, accepted replays", func(r Result) int { return r.DoubleAttachments + r.ReplaysAccepted })
 	t.count("lost", func(r Result) int { return r.LostSessions })
 	t.count("invariants violated", func(r Result) int { return r.Violations })
 }
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -49,7 +49,7 @@
 // singleZoneName is the zone of runs without zones.
 const singleZoneName = "a"
 
-// run is an experiment in progress. Only the goroutine of Run accesses its fields, unless their comments say otherwise.
+// run is an experiment in progress. Only the goroutine of Run writes its fields, unless their comments say otherwise.
 type run struct {
 	e           Experiment
 	program     string
@@ -64,7 +64,7 @@
 	alive      []bool
 	keys       sessionKeys
 	players    []*emulator.Player
-	statistics emulator.Statistics
+	statistics emulator.Statistics // the players update its counts
 	// schedule holds the faults that were not injected yet, the earliest first.
 	schedule []scheduledFault
 	// delayed counts delayed actions of faults, such as an update of discovery, that have not ended.
@@ -75,7 +75,7 @@
 	interrupted map[string]bool
 	// metricsRead counts the balancers whose metrics were read for the result.
 	metricsRead int
-	// collapses counts the violations that are room servers overloaded while they warmed up.
+	// collapses counts the violations of one kind: a room server was overloaded while it warmed up.
 	collapses int
 
 	// beforeFirstStart is called before the first start of each balancer, after its files were written.
@@ -83,9 +83,10 @@
 	// beforeStart is called before each start of a balancer's process, except hot restarts.
 	beforeStart func(i int)
 
-	// mu guards the fields below, which the callbacks of statistics write.
+	// mu guards broken, resumeTimes and two fields of result, ResumedWithin and Reasons, which the callbacks of
+	// statistics write. Only the goroutine of Run accesses the other fields of result.
 	mu sync.Mutex
-	// broken counts the established connections that broke, by the balancer's name.
+	// broken counts the established connections that broke without MOVE, by the balancer's name.
 	broken      map[string]int
 	resumeTimes *hdrhistogram.Histogram
 	result      Result
@@ -107,7 +108,7 @@
 	return r.result, err
 }
 
-// newRecorder returns a recorder with the time limits that balancers are configured with.
+// newRecorder returns a recorder with the drain grace that balancers are configured with.
 func newRecorder() *invariants.Recorder {
 	return invariants.NewRecorder(invariants.Limits{DrainGrace: drainGrace, Slack: invariantSlack})
 }
@@ -257,7 +258,8 @@
 	return replaceFile(filepath.Join(r.dir, listFileName), raw)
 }
 
-// startBalancer starts a balancer for the first time and adds it to the front layer.
+// startBalancer starts a balancer for the first time and adds it to the front layer. Unlike the function
+// startBalancer, it does not try again at other ports.
 func (r *run) startBalancer(ctx context.Context, i int) error {
 	name := balancerName(i)
 	discovery, err := r.discovery.ListenFor(name)
@@ -299,7 +301,7 @@
 }
 
 // close stops the running balancers, the room servers and discovery. It does not stop a balancer whose start failed
-// after its process had started, which a cancelled start may cause; such a process ends with this one.
+// or was cancelled after its process had started. Pdeathsig kills such a process when this one ends.
 func (r *run) close() {
 	var stopping sync.WaitGroup
 	for i, b := range r.balancers {
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -89,7 +89,8 @@
 	r.interrupted[b.name] = true
 	if r.alive[i] {
 		r.alive[i] = false
-		// Health checks fail from the start of the shutdown, so the front layer removes the balancer during it.
+		// Health checks fail from the start of the shutdown, and the front layer notices that NoticeMs later. If the
+		// balancer was started again by then, the front layer removes the older one of its two entries.
 		r.removeLater(b)
 		if err := b.stop(); err != nil {
 			return err
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// after calls a function after a number of milliseconds. The run waits for the call before it collects the result.
+// after calls a function after a number of milliseconds. The run waits for the call before it collects the result; a
+// run that fails does not wait.
 func (r *run) after(ms int, call func()) {
 	r.delayed.Add(1)
 	time.AfterFunc(milliseconds(ms), func() {
--- a/internal/testbench/experiment/run_loop.go
+++ b/internal/testbench/experiment/run_loop.go
@@ -9,11 +9,12 @@
 	"cottonplank/internal/testbench/emulator"
 )
 
-// seedStride is the distance between the player seeds of consecutive experiment seeds. It exceeds the number of
-// players, so that two experiment seeds have no player seed in common.
+// seedStride is the distance between the first player seeds of consecutive experiment seeds. It exceeds the number of
+// players, so that two experiment seeds have no player seed in common. The seeds of network paths use it alike.
 const seedStride = 1_000_003
 
-// play runs the players and the faults of a run that was opened, and completes its result. It ends early with ctx.
+// play runs the players and the faults of a run that was opened, and completes its result. If ctx ends first, it
+// returns the error of ctx.
 func (r *run) play(ctx context.Context) error {
 	r.recordStatistics()
 	playing, stopPlayers := context.WithCancel(ctx)
@@ -95,8 +96,9 @@
 	}
 }
 
-// loop injects the scheduled faults and reports the progress until the end of the run. It returns the reading of the
-// counters that was made settleTime after the fill time; its time is zero if there was none before the end.
+// loop injects the scheduled faults and reports the progress until settleTime after the duration of the run. It
+// returns the reading of the counters that it made settleTime after the fill time; the time of the reading is zero if
+// the run ended before that.
 func (r *run) loop(ctx context.Context) (baseline fleetUsage, err error) {
 	start := time.Now()
 	second := time.NewTicker(time.Second)
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// reportProgress reports the number of established clients and the counts of migrated, resumed and new sessions.
+// reportProgress reports the number of established clients, the sum of migrations and broken connections, and the
+// counts of sessions that resumed and that started over.
 func (r *run) reportProgress(elapsed time.Duration) {
 	established := 0
 	for _, server := range r.roomServers {
--- a/internal/testbench/experiment/run_test.go
+++ b/internal/testbench/experiment/run_test.go
@@ -95,9 +95,10 @@
 	}
 }
 
-// With the smallest limits, a long list and more clients than descriptors, every request is answered, requests beyond
-// the limit are rejected, and the limits are kept. The test guards against clients that wait unanswered in the backlog
-// of a balancer without free descriptors, and against probes that use up the clients' descriptors.
+// With the smallest limits, a long list and more clients than the balancers have descriptors for, every request is
+// answered, requests beyond the limit are rejected, and the limits are kept. The test guards against clients that
+// wait unanswered in the backlog of a balancer without free descriptors, and against probes that use up the clients'
+// descriptors.
 func TestSmallLimits(t *testing.T) {
 	e, err := Load("../../../experiments/small-limits.json")
 	if err != nil {
