--- a/internal/testbench/experiment/membership_checker.go
+++ b/internal/testbench/experiment/membership_checker.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxTolerablePause is the longest pause after which a report that the instance has failed still counts as false.
+	// maxTolerablePause is the longest pause that does not excuse a report that the instance has failed.
 	maxTolerablePause = 8 * time.Second
 	// settledAfter is how long an instance must have been live and reachable before reports of its failure are false.
 	settledAfter = 10 * time.Second
@@ -21,7 +21,8 @@
 	joinGrace = 3 * time.Second
 	// disturbanceWindow is the time before an event in which a disturbance of an observer excuses it from a report.
 	disturbanceWindow = 1500 * time.Millisecond
-	// notDetectedMs is the time, in milliseconds, that stands for an event that was not detected.
+	// notDetectedMs is the detection time, in milliseconds, that is recorded for an event that was not detected. It
+	// exceeds all objectives.
 	notDetectedMs = 1e6
 )
 
@@ -179,10 +180,10 @@
 	return false
 }
 
-// timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state of
-// its instance, or notDetectedMs if one of them does not within the timeout. Observers are the live instances, except
-// those that are disturbed before they have reported, at any time from disturbanceWindow before the event until the
-// objective after it.
+// timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state
+// of its instance, or notDetectedMs if one of them does not within the timeout. Observers are the instances that are
+// live at the event. An instance is left out if it is disturbed before it has reported the state, and the disturbance
+// is between disturbanceWindow before the event and the objective after it.
 func (c *membershipChecker) timeUntilReported(
 	i int, state membership.State, objective, timeout time.Duration,
 ) float64 {
@@ -225,7 +226,7 @@
 
 // disturbances returns the time of the first disturbance of each instance that is disturbed between disturbanceWindow
 // before the i-th event and the given time. A disturbance is a start, end, pause or resumption of the instance's
-// process, or that most others do not reach it.
+// process. From the i-th event on, it is also one that the instance is paused, or not reachable by most others.
 func (c *membershipChecker) disturbances(i int, until time.Duration) map[int]time.Duration {
 	disturbances := map[int]time.Duration{}
 	add := func(member int, at time.Duration) {
--- a/internal/testbench/experiment/membership_event.go
+++ b/internal/testbench/experiment/membership_event.go
@@ -9,7 +9,8 @@
 // membershipEventKind says what happened in a membershipEvent.
 type membershipEventKind uint8
 
-// Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At.
+// Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At. The run itself
+// records all kinds but the last two, which are what the instances log and return.
 const (
 	// memberStarted reports that a process of an instance is about to be started: Member.
 	memberStarted membershipEventKind = iota
@@ -27,15 +28,15 @@
 	pathHealed
 	// faultsEnded reports that the last fault has ended.
 	faultsEnded
-	// memberReported reports that Member has logged that Other is in State: Member, Other, State.
+	// memberReported says that Member has logged that Other is in State: Member, Other, State.
 	memberReported
-	// memberPolled reports the metrics of an instance: Member, Alive, Size, Version.
+	// memberPolled contains the polled metrics of an instance: Member, Alive, Size, Version.
 	memberPolled
 )
 
 // membershipEvent is a change that a run caused, or something that an instance logged or returned as its metrics.
 type membershipEvent struct {
-	// At is the time since the start of the membership run, before its instances start.
+	// At is the time since the start of the membership run, which is before its instances start.
 	At   time.Duration
 	Kind membershipEventKind
 	// Member is the index of the instance.
--- a/internal/testbench/experiment/membership_experiment.go
+++ b/internal/testbench/experiment/membership_experiment.go
@@ -26,11 +26,12 @@
 	Sessions int `json:"sessions"`
 	// PlayIntervalMs is the time between two moves of a player, in milliseconds.
 	PlayIntervalMs int `json:"every_ms"`
-	// Seconds is the duration of the run.
+	// Seconds is the duration of the run from the start of the players, without settleTime, which follows it.
 	Seconds float64 `json:"seconds"`
 }
 
-// LoadMembership reads the file of a MembershipExperiment. Errors name the file, the key and the value.
+// LoadMembership reads the file of a MembershipExperiment. Errors name the file; the error of a key also names the key
+// and what is wrong.
 func LoadMembership(path string) (MembershipExperiment, error) { return load(path, ParseMembership) }
 
 // ParseMembership decodes a MembershipExperiment, validates it and fills in the defaults of absent keys.
--- a/internal/testbench/experiment/membership_faults.go
+++ b/internal/testbench/experiment/membership_faults.go
@@ -42,7 +42,8 @@
 type membershipFault struct {
 	// At is the time since the players start, when all instances have joined.
 	At time.Duration
-	// For is the duration; 0 if the fault has no end that the run has to cause.
+	// For is the duration; 0 for kills, restarts, stops and new room servers, whose end the run does not have to
+	// cause.
 	For  time.Duration
 	Kind membershipFaultKind
 	// Members holds the indexes of the instances that the fault concerns.
@@ -87,7 +88,8 @@
 	// killsFrom and killsUntil bound the times of kills.
 	killsFrom  = 4 * time.Second
 	killsUntil = 7 * time.Second
-	// networkFaultsFrom is the time of the pause of three instances, and the earliest one of the partition and noise.
+	// networkFaultsFrom is the time of the pause of three instances, and the earliest time of the partition and of
+	// noise. Cuts of paths begin earlier.
 	networkFaultsFrom = 20 * time.Second
 	// faultsUntil is the time by which all faults have ended.
 	faultsUntil = 36 * time.Second
--- a/internal/testbench/experiment/membership_faults_test.go
+++ b/internal/testbench/experiment/membership_faults_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The drawn faults include those that the objectives require, and end in time. They are the same for the same seed. The
-// first instance, which is the gossip seed of the others, is never killed or stopped without a restart.
+// At least minFaults faults are drawn, among them a pause of three instances, a loss of 40 % and five kills and stops.
+// All end by faultsUntil. They are the same for the same seed. The first instance, which is the gossip seed of the
+// others, is never killed or stopped without a restart.
 func TestMembershipFaults(t *testing.T) {
 	for seed := range uint64(50) {
 		faults := drawMembershipFaults(20, seed)
@@ -43,7 +44,8 @@
 	}
 }
 
-// The experiment of the repository is valid and takes at most 58 s. A file with too few instances is rejected.
+// The membership experiment of the repository is valid, and the duration in its file is at most 58 s. A file with too
+// few instances is rejected.
 func TestParseMembership(t *testing.T) {
 	const path = "../../../experiments/membership-faults.json"
 	e, err := LoadMembership(path)
--- a/internal/testbench/experiment/membership_injection.go
+++ b/internal/testbench/experiment/membership_injection.go
@@ -16,7 +16,8 @@
 	warmSetupRate = 30
 )
 
-// scheduleFaults adds the faults, their ends and the event after the last fault to the base run's schedule.
+// scheduleFaults adds the faults, their ends, and the event faultsEnded after the last fault to the base run's
+// schedule.
 func (m *membershipRun) scheduleFaults() {
 	last := time.Duration(0)
 	for _, f := range m.faults {
--- a/internal/testbench/experiment/membership_network.go
+++ b/internal/testbench/experiment/membership_network.go
@@ -13,13 +13,13 @@
 
 const (
 	// memberIP is the IP address of the members and proxies. It is not 127.0.0.1, because outgoing connections from
-	// there could use their ports before they listen.
+	// 127.0.0.1 could take the chosen ports before the members and proxies listen.
 	memberIP = "127.79.0.1"
 	// maxAddressAttempts is the number of ports that freeAddress tries.
 	maxAddressAttempts = 50
 )
 
-// errNoFreePort is returned when no port is free for both TCP and UDP.
+// errNoFreePort is returned when freeAddress has found no port that is free for both TCP and UDP.
 var errNoFreePort = errors.New("no port is free for both TCP and UDP")
 
 // membershipNetwork has a proxy for each ordered pair of instances, which injects faults into the traffic between them.
@@ -177,8 +177,8 @@
 	}
 }
 
-// apply sets the conditions of all paths according to the current faults. If there are several noise faults, the paths
-// get the largest of their probabilities and the sums of their delays.
+// apply sets the conditions of all paths according to the current faults. If there are several noise faults, each
+// probability is the largest one of the faults, and Delay and Jitter are the sums over the faults.
 func (n *membershipNetwork) apply() {
 	var noise faultproxy.Conditions
 	for _, c := range n.noises {
--- a/internal/testbench/experiment/membership_result.go
+++ b/internal/testbench/experiment/membership_result.go
@@ -68,8 +68,8 @@
 	minFaults   = 30
 )
 
-// result returns the result of a run that was played. The mean processor time of an instance, cpu, is in milliseconds
-// per second.
+// result returns the result of a run whose play has returned. The mean processor time of an instance, cpu, is in
+// milliseconds per second.
 func (m *membershipRun) result(cpu float64) MembershipResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,12 +151,13 @@
 		{"rules_broken", float64(r.Violations), 0, false},
 	} {
 		if objective.value > objective.maximum || objective.absent {
-			text := fmt.Sprintf("%s %.0f of %.0f", objective.key, objective.value, objective.maximum)
+			text := fmt.Sprintf("%s: %.0f, expected a measurement of at most %.0f",
+				objective.key, objective.value, objective.maximum)
 			missed = append(missed, text)
 		}
 	}
 	if r.Faults < minFaults {
-		missed = append(missed, fmt.Sprintf("faults %d of %d", r.Faults, minFaults))
+		missed = append(missed, fmt.Sprintf("faults: %d, expected at least %d", r.Faults, minFaults))
 	}
 	return missed
 }
@@ -179,7 +180,7 @@
 	measure("ms until suspected, 99 %", r.SuspectMsP99)
 	measure("ms until detected, median", r.DetectMsP50)
 	measure("ms until detected, 99 %", r.DetectMsP99)
-	measure("ms until a shutdown is known, longest", r.LeaveMsMax)
+	measure("ms until all report a shutdown, longest", r.LeaveMsMax)
 	measure("ms until all agree after the last fault", r.AgreeMsMax)
 	count("polls of a fleet size below the live instances", r.SizeBelowLive)
 	count("polls of a view version that went down", r.ViewRegressions)
--- a/internal/testbench/experiment/membership_run.go
+++ b/internal/testbench/experiment/membership_run.go
@@ -24,7 +24,8 @@
 )
 
 // membershipRun is a MembershipExperiment in progress: a run whose balancers are connected by a network with faults.
-// Only the goroutine of RunMembership accesses its fields, unless their comments say otherwise.
+// Only the goroutine of RunMembership writes its fields, unless their comments say otherwise. The goroutines that read
+// logs and poll metrics read base and start.
 type membershipRun struct {
 	e       MembershipExperiment
 	base    *run
--- a/internal/testbench/experiment/session_keys.go
+++ b/internal/testbench/experiment/session_keys.go
@@ -11,7 +11,8 @@
 // keyLifetime is how long a sealing key is valid: longer than any run.
 const keyLifetime = time.Hour
 
-// sessionKeys is the keyring file for session tokens that all balancers of a run share.
+// sessionKeys is the keyring file that all balancers of a run share: for session tokens, or for gossip in membership
+// runs.
 type sessionKeys struct {
 	path string
 	keys []token.Key
