--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -30,13 +30,13 @@
 
 // Errors of the options of CompareScale.
 var (
-	errComparisonOptions = errors.New("at least two sizes, one balancer and a duration above 0 s are expected")
+	errComparisonOptions = errors.New("expected at least two sizes, at least one balancer and a duration above 0 s")
 	errEqualSizes        = errors.New("the first and the last size must differ")
 )
 
 // NodeCost is the mean cost of a hollow node or a real balancer.
 type NodeCost struct {
-	// CPUMsPerSecond is the processor time.
+	// CPUMsPerSecond is the processor time per second.
 	CPUMsPerSecond float64 `json:"cpu_ms_per_s"`
 	// KBPerSecond is the traffic with discovery in both directions.
 	KBPerSecond float64 `json:"kb_per_s"`
@@ -45,7 +45,7 @@
 	ResidentMB float64 `json:"mb"`
 }
 
-// plus returns the sum of two costs.
+// plus returns the sums of the fields of two costs.
 func (c NodeCost) plus(other NodeCost) NodeCost {
 	return NodeCost{
 		CPUMsPerSecond: c.CPUMsPerSecond + other.CPUMsPerSecond,
--- a/internal/testbench/experiment/scale_experiment.go
+++ b/internal/testbench/experiment/scale_experiment.go
@@ -20,7 +20,8 @@
 	Seed uint64 `json:"seed"`
 	// HollowNodes is the number of hollow nodes.
 	HollowNodes int `json:"hollow"`
-	// FullEngines is the number of hollow nodes whose engines hold the whole list.
+	// FullEngines is the number of hollow nodes whose engines hold the whole list, each a copy of its own. The other
+	// nodes share one copy in each worker process.
 	FullEngines int `json:"modules"`
 	// NoKnownList is the number of hollow nodes that start without a list.
 	NoKnownList int `json:"cold"`
@@ -63,9 +64,9 @@
 	scaleServerFailure = "source" // a list server crashes
 )
 
-// ScaleFault is a fault that ends during the run.
+// ScaleFault is a fault. It ends no later than the changes of the list.
 type ScaleFault struct {
-	// AtSeconds is the time since the start of the run.
+	// AtSeconds is the time since the clients start.
 	AtSeconds float64 `json:"at_s"`
 	// Seconds is the duration of the fault.
 	Seconds float64 `json:"for_s"`
@@ -75,11 +76,12 @@
 	Fraction float64 `json:"share"`
 	// DelayMs is the additional latency of a link in each direction, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// KBPerSecond is the bandwidth of a link in each direction; 0 for that of a local network.
+	// KBPerSecond is the bandwidth of a link in each direction; 0 for localNetworkKBPerSecond.
 	KBPerSecond float64 `json:"kb_per_s"`
 }
 
-// LoadScale reads the file of a ScaleExperiment. Errors name the file, the key and the value.
+// LoadScale reads the file of a ScaleExperiment. Errors name the file; the error of a key also names the key and what
+// is wrong.
 func LoadScale(path string) (ScaleExperiment, error) { return load(path, ParseScale) }
 
 // ParseScale decodes a ScaleExperiment, validates it and fills in the defaults of absent keys.
@@ -112,17 +114,17 @@
 	existing := min(e.RealBalancers, e.Zones) * e.RoomServersPerZone
 	switch {
 	case e.FullEngines > e.HollowNodes:
-		return fmt.Errorf("modules: %d, more than the %d of hollow", e.FullEngines, e.HollowNodes)
+		return fmt.Errorf("modules: %d, expected at most the value of hollow, %d", e.FullEngines, e.HollowNodes)
 	case e.NoKnownList > e.HollowNodes:
-		return fmt.Errorf("cold: %d, more than the %d of hollow", e.NoKnownList, e.HollowNodes)
+		return fmt.Errorf("cold: %d, expected at most the value of hollow, %d", e.NoKnownList, e.HollowNodes)
 	case e.Zones < e.Regions:
-		return fmt.Errorf("zones: %d, fewer than the %d regions", e.Zones, e.Regions)
+		return fmt.Errorf("zones: %d, expected at least the number of regions, %d", e.Zones, e.Regions)
 	case e.ListServers < e.Regions:
-		return fmt.Errorf("sources: %d, fewer than the %d regions", e.ListServers, e.Regions)
+		return fmt.Errorf("sources: %d, expected at least the number of regions, %d", e.ListServers, e.Regions)
 	case e.Servers < existing:
-		return fmt.Errorf("servers: %d, fewer than the %d room servers that exist", e.Servers, existing)
+		return fmt.Errorf("servers: %d, expected at least the %d room servers that exist", e.Servers, existing)
 	case e.Servers > existing && e.RealBalancers >= e.Zones:
-		return fmt.Errorf("real: %d, expected fewer than the %d zones, as servers that do not exist need one",
+		return fmt.Errorf("real: %d, expected fewer than the %d zones, as servers that do not exist need a free zone",
 			e.RealBalancers, e.Zones)
 	}
 	for i, f := range e.Faults {
@@ -140,9 +142,9 @@
 		return fmt.Errorf("faults/%d: ends at %g s, after the end of the changes at %g s",
 			i, f.AtSeconds+f.Seconds, e.Seconds)
 	case f.Action == scaleServerFailure && e.ListServers < 2:
-		return fmt.Errorf("faults/%d/do: source requires at least two sources", i)
+		return fmt.Errorf("faults/%d/do: source requires that sources is at least 2", i)
 	case f.Action == scaleRegionCut && e.Regions < 2:
-		return fmt.Errorf("faults/%d/do: cut requires at least two regions", i)
+		return fmt.Errorf("faults/%d/do: cut requires that regions is at least 2", i)
 	}
 	return nil
 }
--- a/internal/testbench/experiment/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// localNetworkKBPerSecond is the bandwidth of a slow link for which the experiment sets none.
+// localNetworkKBPerSecond is the bandwidth of a slow link for which the experiment sets none, that of a local network.
 const localNetworkKBPerSecond = 1 << 20
 
 // inject injects a fault and schedules its end.
@@ -90,7 +90,7 @@
 		s.regionCut[region] = cut
 		s.recordReachability(nodes)
 	}
-	report("region %d gets no changes", region)
+	report("changes of the list are not replicated to region %d", region)
 	setCut(true)
 	s.after(ctx, seconds(f.Seconds), func() error {
 		setCut(false)
@@ -134,7 +134,8 @@
 	})
 }
 
-// after calls a function after a delay, unless ctx ends first. An error of the function ends the run.
+// after calls a function after a delay, unless ctx ends first. If the function fails, the next call of readCounters
+// returns its error, which ends the run.
 func (s *scaleRun) after(ctx context.Context, delay time.Duration, call func() error) {
 	s.background.Go(func() {
 		if sleep(ctx, delay) != nil {
--- a/internal/testbench/experiment/scale_requirements.go
+++ b/internal/testbench/experiment/scale_requirements.go
@@ -39,9 +39,9 @@
 	workerServerKB = 1.0
 	// nodeKB is what a worker needs for each hollow node.
 	nodeKB = 75.0
-	// noKnownListServerKB is what a worker needs for each room server and node that starts without a list.
+	// noKnownListServerKB is what a worker needs for each pair of a room server and a node that starts without a list.
 	noKnownListServerKB = 0.25
-	// engineServerKB is what a worker needs for each room server and node with a full engine.
+	// engineServerKB is what a worker needs for each pair of a room server and a node with a full engine.
 	engineServerKB = 2.6
 	// balancerMB is what a real balancer needs without a list.
 	balancerMB = 16.0
@@ -103,7 +103,7 @@
 	MemoryMB int
 	// Processes is the largest number of processes.
 	Processes int
-	// Descriptors is the limit on the descriptors of a process.
+	// Descriptors is the soft limit on the descriptors of a process, at most maxUsefulDescriptors.
 	Descriptors int
 }
 
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -79,7 +79,8 @@
 	Encodings uint64 `json:"source_encodings"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// LostChanges counts the changes that a node skipped, and the nodes that did not have the final list at the end.
+	// LostChanges is the sum of the changes that nodes skipped and the nodes that did not have the final list at the
+	// end, although they had been reachable for applyTimeout.
 	LostChanges int `json:"lost_changes"`
 	// Regressions counts how often the version of a node went down.
 	Regressions int `json:"went_back"`
--- a/internal/testbench/experiment/scale_run.go
+++ b/internal/testbench/experiment/scale_run.go
@@ -88,8 +88,8 @@
 	return s.result, nil
 }
 
-// scaleRun is a ScaleExperiment in progress. Only the goroutine of RunScale accesses its fields, unless their comments
-// say otherwise.
+// scaleRun is a ScaleExperiment in progress. Only the goroutine of RunScale writes its fields, unless their comments
+// say otherwise. The goroutines that background counts read some of them.
 type scaleRun struct {
 	e        ScaleExperiment
 	programs Programs
@@ -141,7 +141,7 @@
 	// nodeDown says, for each hollow node, whether it was stopped.
 	nodeDown []bool
 	events   []hollow.Event
-	// failure is the latest error of a background goroutine.
+	// failure is the latest error of a goroutine that background counts.
 	failure error
 }
 
--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// watchTimeout is how long the hollow nodes may take to watch the list. The run continues also if some do not.
+	// watchTimeout is how long the run waits at its start until all hollow nodes watch the list. It continues also if
+	// some do not.
 	watchTimeout = 10 * time.Second
 	// capacityFactor times the number of all clients is the number of connections that a room server admits.
 	capacityFactor = 2
@@ -195,8 +196,9 @@
 	return s.e.realZone(i - s.e.HollowNodes)
 }
 
-// listAddress returns the address of the list server that a port of a zone connects to. It prefers list servers of the
-// zone's region that are up to those of other regions. It returns an empty string if no list server is up.
+// listAddress returns the address of the list server that a port of a zone connects to. It chooses among the list
+// servers whose serverUp is set: one of the zone's region if there is one, otherwise one of another region. It returns
+// an empty string if serverUp is set for none.
 func (s *scaleRun) listAddress(zone, port int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
