--- a/internal/testbench/experiment/cost_test.go
+++ b/internal/testbench/experiment/cost_test.go
@@ -64,8 +64,8 @@
 	wantTableLines(t, 3, func(out io.Writer) error { return WriteDeliveryCosts(out, costs) })
 }
 
-// Each size is measured with a new fleet while its connections are established. The error for a fleet that is too large
-// names the key.
+// Each size is measured with a new fleet, while the connections of all its clients are established. The error for a
+// fleet with more balancers than an experiment's file allows names the key.
 func TestFleetCosts(t *testing.T) {
 	sizes := FleetSizes{Balancers: []int{1, 2}, RoomServers: []int{2}, SessionsPerServer: 4, Seconds: 0.5}
 	costs, err := FleetCosts(t.Context(), buildBalancer(t), sizes, noProgress)
--- a/internal/testbench/experiment/delivery_clients.go
+++ b/internal/testbench/experiment/delivery_clients.go
@@ -26,7 +26,8 @@
 	clientBufferBytes = 512
 )
 
-// errRejected is returned for a request that was answered BUSY.
+// errRejected is returned for a request that was answered BUSY. Callers see it only if the retries end at
+// connectTimeout, as its text says.
 var errRejected = errors.New("still rejected with BUSY at the time-out")
 
 // deliveryClients hold connections through a balancer and measure the latencies of the lines that they receive.
@@ -65,7 +66,8 @@
 	}
 }
 
-// connect establishes the connection of a client. A rejected client retries until connectTimeout.
+// connect establishes the connection of a client. A client that is rejected with BUSY retries until connectTimeout;
+// other errors are returned immediately.
 func (c *deliveryClients) connect(ctx context.Context, address string, client int) error {
 	for end := time.Now().Add(connectTimeout); ; {
 		err := c.attempt(ctx, address, client, end)
--- a/internal/testbench/experiment/delivery_server.go
+++ b/internal/testbench/experiment/delivery_server.go
@@ -32,7 +32,8 @@
 // deliveryServer emulates a room server that sends lines to clients without being asked.
 type deliveryServer struct {
 	listener net.Listener
-	// goroutines counts the goroutines that end when the listener and the connections are closed.
+	// goroutines counts the goroutines that accept and serve connections. They end when the listener and their
+	// connections are closed; nothing waits for that.
 	goroutines sync.WaitGroup
 
 	// mu guards conns.
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -21,7 +21,8 @@
 	listTimeout = 30 * time.Second
 	// listPollInterval is the time between two checks whether the balancer has applied the list.
 	listPollInterval = 20 * time.Millisecond
-	// entryStride is the distance in the list between two consecutively changed entries.
+	// entryStride is the distance in the list between two consecutively changed entries. It is a prime number, so the
+	// changes visit all entries unless the length of the list is a multiple of it.
 	entryStride = 7919
 )
 
@@ -159,7 +160,7 @@
 		dir:     m.dir,
 		name:    balancerName(0),
 		experiment: Experiment{
-			Balancers:       2300,
+			Balancers:       2300, // the size of the fleet that the measured costs are for
 			Seed:            1,
 			MemoryMB:        256,
 			ClientTimeoutMs: 2000,
