--- a/internal/testbench/experiment/membership_event.go
+++ b/internal/testbench/experiment/membership_event.go
@@ -10,7 +10,7 @@
 type membershipEventKind uint8
 
 // Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At. The run itself
-// records all kinds but the last two, which are what the instances log and return.
+// causes all kinds but the last two, which hold what an instance has logged and the metrics that it has returned.
 const (
 	// memberStarted reports that a process of an instance is about to be started: Member.
 	memberStarted membershipEventKind = iota
