--- a/cmd/cottonplank/process_test.go
+++ b/cmd/cottonplank/process_test.go
@@ -12,6 +12,7 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -57,14 +58,35 @@
 	return freeAddressOn(t, "127.78.0.1")
 }
 
+// drawnAddresses holds the addresses that freeAddressOn has returned.
+var drawnAddresses sync.Map
+
+// freeAddressOn returns an address of the host with a port that is not in use. It returns no address twice.
 func freeAddressOn(t testing.TB, host string) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", host+":0")
-	if err != nil {
-		t.Fatal(err)
+	for {
+		listener, err := net.Listen("tcp", host+":0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		address := listener.Addr().String()
+		listener.Close()
+		if _, drawn := drawnAddresses.LoadOrStore(address, true); !drawn {
+			return address
+		}
+	}
+}
+
+// Guards against two listeners with one address: the kernel may choose a port again as soon as its listener is closed.
+func TestFreeAddressesAreDistinct(t *testing.T) {
+	const draws = 2000
+	drawn := map[string]bool{}
+	for range draws {
+		drawn[freeAddressOn(t, "127.79.0.1")] = true
+	}
+	if len(drawn) != draws {
+		t.Errorf("%d different addresses in %d draws, want %d", len(drawn), draws, draws)
 	}
-	defer listener.Close()
-	return listener.Addr().String()
 }
 
 // replaceFile writes a file atomically, so that no process reads an incomplete one.
