--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -183,7 +183,7 @@
 	}
 	e.handle(decide.AttemptEnded{
 		ID:      c.id,
-		Attempt: n - c.restore.firstAttempt,
+		Attempt: n - c.restore.successfulAttempt,
 		Server:  c.attempt.upstream.ID,
 		Code:    code,
 		Final:   final,
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// firstLineTimeout is how long after its accept a client connection that has sent nothing is closed. Each health
-	// check restarts the timeout.
+	// firstLineTimeout is how long a client connection may stay open after its accept without sending anything. Health
+	// checks restart the timeout, but not more often than once per minHealthCheckInterval.
 	firstLineTimeout = 2 * time.Second
 	// startedLineTimeout replaces firstLineTimeout once a part of the first line has arrived: firstLineTimeout is too
 	// short for clients that write their request slowly.
@@ -162,8 +162,8 @@
 // the timeout, so a connection that sends only a burst of health checks is closed like a connection that sends nothing.
 func (e *Engine) HealthCheckReceived(c *Call) {
 	e.post(func() {
-		// The part of a line that had arrived was this health check. It may also be the unread data for which the
-		// implementation of ClientConn ignored an Abort.
+		// This health check completes the line of which a part was reported. It may also be the unread data because of
+		// which the implementation of ClientConn ignored an Abort.
 		c.lineStarted, c.shed = false, false
 		if c.phase == phaseAccepted && e.now-c.lastActivity >= minHealthCheckInterval {
 			c.lastActivity = e.now
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,8 +21,8 @@
 // ClientConn is the client's side of one request, implemented by a frontend. The engine calls it from its event loop,
 // so no method may block on a peer: an implementation queues the command for its own goroutine and returns.
 type ClientConn interface {
-	// StartAttempt starts an attempt at an upstream server. An earlier attempt of the request has ended or was
-	// cancelled; the implementation closes the earlier attempt's transport before it sends anything for the new one.
+	// StartAttempt starts an attempt at an upstream server. The end of an earlier attempt of the request was reported
+	// with Engine.AttemptEnded, so the earlier attempt's transport is closed already.
 	StartAttempt(Attempt)
 	// CancelAttempt requests the cancellation of attempt n, for which the engine has received no answer. Only the
 	// implementation knows whether the request was sent or answered, so it determines the outcome:
@@ -124,7 +124,7 @@
 	Group string
 	// Deadline is when the client stops waiting for the answer.
 	Deadline time.Time
-	// Load is the expected work in seconds per second; 0 means unknown.
+	// Load is the expected load in seconds of work per second; 0 means unknown.
 	Load float64
 	// Returning says that the client reconnects after a broken or migrated connection.
 	Returning bool
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -44,8 +44,8 @@
 	watchTimer *timer
 	// fetch is the latest request for a snapshot, until a snapshot arrives; otherwise nil.
 	fetch *discoveryCall
-	// listUpdated is when the last snapshot or delta arrived. A delta without entries counts, too: it confirms the
-	// list.
+	// listUpdated is when the last snapshot or delta arrived; initially the start. A delta without entries counts, too:
+	// it confirms the list.
 	listUpdated time.Duration
 }
 
@@ -97,10 +97,10 @@
 	}
 }
 
-// requestSnapshot fetches a snapshot, unless a reconnect is in progress: the call at its end delivers all changes.
-// Otherwise, while discovery is down, each balancer would call it for the decision module's polls in addition to the
-// reconnects.
-func (e *Engine) requestSnapshot() {
+// fetchUnlessReconnecting fetches a snapshot, unless a reconnect is in progress: the call at its end delivers all
+// changes. If this did not wait for the reconnect, each balancer would call a discovery that is down for the decision
+// module's polls, in addition to the reconnects.
+func (e *Engine) fetchUnlessReconnecting() {
 	if e.reconnect.step == reconnectIdle {
 		e.fetchSnapshot()
 	}
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// If a watch sends no heartbeats, a second one is opened beside it. A change counts as observed by all balancers 6 s
-// after discovery has it, so the second watch must be opened well before a change that the first one may have missed
-// is that old. A heartbeat of the old watch does not count as an answer of the new one, whose call times out.
+// If a watch sends no heartbeats, a second one is opened beside it. That must happen well within 6 s, because by the
+// operators' rules a balancer counts as notified of a change 6 s after discovery has it. A heartbeat of the old watch
+// does not count as an answer of the new one, whose call times out.
 func TestStaleWatchIsReplaced(t *testing.T) {
 	t.Parallel()
 	engine, f := startEngineWith(t, Config{})
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -4,8 +4,8 @@
 
 // Times of a planned stop, measured from the call of Drain.
 const (
-	// drainAcceptWindow is the earliest time at which all remaining clients are migrated: the platform continues to
-	// send new connections for 0.2 to 0.4 s after it has sent SIGTERM.
+	// drainAcceptWindow is how long new clients are expected to arrive: the platform continues to send them for 0.2 to
+	// 0.4 s after it has sent SIGTERM. Clients that remain connected are not migrated all at once before then.
 	drainAcceptWindow = 450 * time.Millisecond
 	// drainAnswerReserve is how long before the end of the budget all pending requests are answered.
 	drainAnswerReserve = 300 * time.Millisecond
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -239,7 +239,7 @@
 	case decide.WatchList:
 		e.ensureWatch()
 	case decide.FetchList:
-		e.requestSnapshot()
+		e.fetchUnlessReconnecting()
 	case decide.SetTimer:
 		e.timers.set(e.now+action.Delay, func() { e.handle(decide.TimerFired{Token: action.Token}) })
 	case decide.Log:
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -10,8 +10,8 @@
 	// responseTimeout is how long the server of an established connection may take to respond before the connection
 	// is migrated.
 	responseTimeout = 3 * time.Second
-	// migrationTimeout is how long after the request to migrate a client connection is aborted if it is still open,
-	// for example because the client no longer reads. A longer ConnTraits.Linger replaces it.
+	// migrationTimeout is how long a client connection may stay open after the client was asked to migrate. It is then
+	// aborted, because its client may no longer read. A longer ConnTraits.Linger replaces it.
 	migrationTimeout = 900 * time.Millisecond
 )
 
--- a/internal/core/lameduck.go
+++ b/internal/core/lameduck.go
@@ -4,8 +4,8 @@
 
 // Times of a lame duck, measured from the call of EnterLameDuck.
 const (
-	// lameDuckMigrationStart is when the migrations start. They do not start immediately, because the load balancer
-	// before the balancers still sends new clients for a while after the first health check that has failed.
+	// lameDuckMigrationStart is when the migrations start. They do not start immediately, because the load balancer in
+	// front of the fleet still sends new clients for a while after the first failed health check.
 	lameDuckMigrationStart = 500 * time.Millisecond
 	// lameDuckMigrationEnd is when the last clients are migrated. Clients that no longer read are disconnected later,
 	// after migrationTimeout or ConnTraits.Linger, whichever is longer.
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -26,7 +26,7 @@
 
 const (
 	reconnectIdle    reconnectStep = iota // no reconnect is in progress
-	reconnectWaiting                      // waits for the time of a dial, the result of a dial, or the time of the call
+	reconnectWaiting                      // a dial or the call is scheduled, or a dial is in progress
 	reconnectCalling                      // waits for the answer to the call
 )
 
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -16,14 +16,14 @@
 	// deadline is the latest time at which an attempt is started. An attempt may run until the deadline, but at least
 	// for restoreRetryInterval. The request fails if no attempt has succeeded then.
 	deadline time.Duration
-	// firstAttempt is the number of the attempt that restored the connection. The decision module counts that attempt
-	// as attempt 0.
-	firstAttempt int
+	// successfulAttempt is the number of the attempt that restored the connection. The decision module counts that
+	// attempt as attempt 0.
+	successfulAttempt int
 }
 
-// RestoreConnection connects a client to its server again if this process does not know the connection that they had,
-// usually because that connection was established before the process started. It tries only the given server, and
-// retries until the time of patience is over, also while the server is not listed. Then the request fails.
+// RestoreConnection reconnects a client to the server of a connection that is unknown to this process, usually because
+// an earlier process established it. It tries only the given server, also while that server is not listed, and the
+// request fails if no attempt has succeeded when patience is over.
 func (e *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	e.post(func() {
 		if c.phase != phaseAccepted || !c.bindRequest(r) {
@@ -63,7 +63,7 @@
 func (c *Call) connectionRestored() {
 	e := c.engine
 	e.statistics.counters.Restored++
-	c.restore.firstAttempt = c.attempt.number
+	c.restore.successfulAttempt = c.attempt.number
 	c.register()
 	e.handle(decide.ConnectionRestored{Request: c.requestArrived(), Server: c.attempt.upstream.ID})
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -55,7 +55,7 @@
 func (e *Engine) AwaitingFirstList() bool { return e.cfg.ListPushed && e.ServiceState() == Starting }
 
 // SkipListWait ends state Starting before an endpoint list has arrived. It is called if the previous process has
-// ended, so that no process would serve clients.
+// ended, because then no process serves clients until this one does.
 func (e *Engine) SkipListWait() { e.post(e.finishStarting) }
 
 // finishStarting changes the state from Starting to Serving.
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -27,7 +27,8 @@
 	At time.Time
 	// Started is when the engine was created.
 	Started time.Time
-	// ListUpdated is when the last snapshot or delta of the endpoint list arrived, even if it changed nothing.
+	// ListUpdated is when the last snapshot or delta of the endpoint list arrived, even if it changed nothing; the
+	// start if none has arrived.
 	ListUpdated time.Time
 	// Clients counts open client connections.
 	Clients int
