--- a/internal/discovery/endpoint/list.go
+++ b/internal/discovery/endpoint/list.go
@@ -43,10 +43,9 @@
 	return NewList(file.Rooms)
 }
 
-// DecodeStrict decodes a single JSON value into target. For an unknown key or a wrong type it returns an error that
-// names the key. If the top-level value has the wrong type, the key in the error is empty, and the text begins with
-// ": expected a". For data after the value it returns an error that contains the description, which names the kind of
-// value.
+// DecodeStrict decodes a single JSON value into target. The error for an unknown key or a wrong type names the key. If
+// the top-level value has the wrong type, there is no key, and the error begins with ": expected a". The error for data
+// after the value contains description, the kind of the value, such as "list".
 func DecodeStrict(raw []byte, target any, description string) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// reload reads the file and proposes its list. An invalid file changes nothing, and the same error is logged only
-// once in succession.
+// reload reads the file and proposes its list. An invalid file changes nothing, and an error that repeats is logged
+// only once.
 func (s *Source) reload() {
 	s.file.BeginRead()
 	list, err := Read(s.path)
--- a/internal/discovery/httpsource/bounded_reader.go
+++ b/internal/discovery/httpsource/bounded_reader.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// scan counts bytes that were read from the source. Up to the beginning of a value, it reports each empty line in
-// them and resets the counts there. The counts then do not include the bytes of raw after that line either.
+// scan counts bytes that were read from the source. Before a value has started, it also reports each empty line among
+// them. An empty line resets the counts, which then leave out the rest of raw, too.
 func (r *boundedReader) scan(raw []byte) {
 	r.valueBytes += int64(len(raw))
 	r.partBytes += int64(len(raw))
--- a/internal/discovery/httpsource/decode.go
+++ b/internal/discovery/httpsource/decode.go
@@ -76,7 +76,7 @@
 			return Listing{}, unexpectedEOF(err)
 		}
 		name, _ := key.(string)
-		switch { // like in encoding/json, upper and lower case letters match
+		switch { // as in encoding/json, keys are case-insensitive
 		case strings.EqualFold(name, "generation"):
 			err = decoder.Decode(&generation)
 		case strings.EqualFold(name, "reset"):
--- a/internal/discovery/httpsource/outage_test.go
+++ b/internal/discovery/httpsource/outage_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// observedWithin is the maximum time in which a balancer has to observe a change. It starts when the discovery
-	// service has the change and can be reached.
+	// observedWithin is how long a balancer may take to observe a change. The time starts when the discovery service
+	// has the change and can be reached.
 	observedWithin = 6 * time.Second
 
 	// drainGrace is how long after the start of its drain an endpoint may still get new requests.
@@ -117,11 +117,9 @@
 	return listener
 }
 
-// After an outage, all balancers observe within the time limit a change that the discovery service got during the
-// outage. A balancer would be late if it waited too long before it reconnects, or if the reconnects of all balancers
-// overloaded the service. The service runs on real sockets. In the outages, connections are refused or reset, calls
-// are answered with 503 or not at all, or the host is unreachable. In one case, the service handles calls
-// sequentially and rejects calls that wait too long.
+// After an outage of any kind, all balancers observe in time a change that the discovery service got during the outage.
+// A balancer would be late if it waited too long before it reconnects, or if the reconnects of all balancers overloaded
+// the service.
 func TestDiscoveryReturns(t *testing.T) {
 	t.Parallel()
 	const downtime = 9 * time.Second
@@ -189,6 +187,6 @@
 		t.Errorf("the last balancer observed the changes %v after the outage, want at most %v", last, observedWithin)
 	}
 	if calls := oldListener.Calls.Load(); calls > 3*balancers {
-		t.Errorf("the previous address got %d calls, want at most three of each balancer", calls)
+		t.Errorf("the previous address got %d calls, want at most three from each balancer", calls)
 	}
 }
