--- a/internal/controlplane/connection_test.go
+++ b/internal/controlplane/connection_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// sealFrame returns a frame with the first chunk of a state's snapshot and a valid tag.
-func sealFrame(t *testing.T, peer *secureConn, state replica.State) []byte {
+// encodeFrame returns a frame with the first chunk of a state's snapshot and a valid tag.
+func encodeFrame(t *testing.T, peer *secureConn, state replica.State) []byte {
 	t.Helper()
 	body, err := cbor.Marshal(message{Chunk: &state.Chunks()[0]})
 	if err != nil {
@@ -86,17 +86,17 @@
 		invalidFrame func(t *testing.T, peer *secureConn) []byte
 	}{
 		{"truncated", func(t *testing.T, peer *secureConn) []byte {
-			frame := sealFrame(t, peer, newer)
+			frame := encodeFrame(t, peer, newer)
 			return frame[:len(frame)-1]
 		}},
 		{"modified", func(t *testing.T, peer *secureConn) []byte {
-			frame := sealFrame(t, peer, newer)
+			frame := encodeFrame(t, peer, newer)
 			frame[len(frame)/2] ^= 1
 			return frame
 		}},
 		{"out of sequence", func(t *testing.T, peer *secureConn) []byte {
 			peer.sendSequence += 3
-			return sealFrame(t, peer, newer)
+			return encodeFrame(t, peer, newer)
 		}},
 		{"too long", func(*testing.T, *secureConn) []byte {
 			return binary.BigEndian.AppendUint32(nil, replica.MaxMessageBytes+1)
--- a/internal/controlplane/follower_test.go
+++ b/internal/controlplane/follower_test.go
@@ -75,9 +75,8 @@
 	if took := time.Since(start); took > replica.LeaderTimeout {
 		t.Errorf("the newer state arrived after %v", took)
 	}
-	stopNewer() // only the older one is left
-	// The follower connects to the older server.
-	time.Sleep(3 * time.Second)
+	stopNewer()                 // only the older one is left
+	time.Sleep(3 * time.Second) // time for the follower to connect to the older server
 	for len(follower.states) > 0 {
 		if state := <-follower.states; state.Version.Compare(oldState.Version) <= 0 {
 			t.Errorf("the follower went back to version %s", state.Version)
--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -159,7 +159,7 @@
 }
 
 // Save writes a state unless the file contains the same version or a newer one. It overwrites a value that decode
-// rejects. If the write fails for another reason than the lock, Save renames the file and creates a new one.
+// rejects. If the write fails for any reason other than the lock, Save renames the file and creates a new one.
 func (s *Store) Save(state replica.State) error {
 	body, err := cbor.Marshal(savedState{FileVersion: stateFileVersion, Site: s.site, State: state})
 	if err != nil {
