--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -24,7 +24,7 @@
 	// overloadRetryAfter is the retry-after of requests that are rejected without the decision module: requests
 	// beyond Config.MaxClients, and requests that arrive in the last part of a drain.
 	overloadRetryAfter = time.Second
-	// unknownClass is the class of a request before its first line was read, or if that line names no class.
+	// unknownClass is the class of a call that has received no valid request.
 	unknownClass = -1
 )
 
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -13,7 +13,8 @@
 	// Known is the endpoint list that the process is started with. It may be out of date.
 	Known []Endpoint
 	// MaxClients limits the sum of pending requests and established connections, because each of them holds a
-	// transport to the client and one to the server. A request beyond the limit is rejected immediately.
+	// transport to the client and one to the server. A request beyond the limit is rejected immediately. Requests of
+	// RestoreConnection count, but are not rejected.
 	MaxClients int
 	// AwaitFirstList is set in a process that replaces a running one. The engine then stays in state Starting until
 	// discovery has delivered a list, for 3 s at most.
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -14,7 +14,7 @@
 
 // Counters count events since the start.
 type Counters struct {
-	// Malformed counts first lines that name no class. They are answered as failed.
+	// Malformed counts first lines that are not a valid request. They are answered as failed.
 	Malformed uint64
 	// Restored counts connections that were established by RestoreConnection.
 	Restored uint64
@@ -58,7 +58,7 @@
 	return s
 }
 
-// classCounters returns the counters of the request's class, or nil if its first line has named no class.
+// classCounters returns the counters of the request's class, or nil if no valid request was received.
 func (c *Call) classCounters() *ClassCounters {
 	classes := c.engine.statistics.classes
 	if c.request.Class < 0 || c.request.Class >= len(classes) {
--- a/internal/core/statistics_test.go
+++ b/internal/core/statistics_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Requests are counted by class; a first line that names no class is counted as malformed.
+// Requests are counted by class; a first line that is not a valid request is counted as malformed.
 func TestCountsByClass(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 1, readyEndpoint("s-1"))
