--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -164,7 +164,7 @@
 		// The request line was written before this command was handled, so the request may be executed, and code does
 		// not apply: the attempt continues.
 	case !up.requestLineSent && !code.NeverExecuted():
-		// Nothing was written, so the request was not executed, which code does not say.
+		// Nothing was written, so the request was not executed, although code would mean that it may have been.
 		c.endAttempt(decide.ConnectFailed, decide.NoLoadReport)
 	default:
 		c.endAttempt(code, decide.NoLoadReport)
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -71,8 +71,7 @@
 // connect timeout, the attempt's timeout, and a server that became unavailable).
 const mailboxSize = 32
 
-// restoreTimeout limits the time in which a connection that was open before a restart of the balancer is established
-// again at its room server.
+// restoreTimeout is how long the balancer tries to restore a connection that was open before the balancer's restart.
 const restoreTimeout = 40 * time.Second
 
 // expiredDeadline is a deadline in the past: setting it interrupts pending reads and writes of a connection.
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -8,8 +8,7 @@
 	"cottonplank/internal/core"
 )
 
-// In a planned stop, established clients are migrated and new clients are served during the grace period. Then the
-// drain ends.
+// A planned stop still serves new clients at first. It ends after all clients are migrated.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	b := newTestBalancer(t, newFakeServer(t, "s-1", serveEcho))
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,7 +1,6 @@
 // Package platform implements the frontend for the platform's line protocol, in which clients and room servers
-// exchange lines of text over TCP. It parses request lines, relays data, and reports its observations to package core.
-// Package core makes all decisions. It also measures all timeouts except lineRemainderTimeout and migrateWriteTimeout
-// (relay.go).
+// exchange lines of text over TCP. It parses request lines, relays data, and reports its observations to package core,
+// which makes all decisions and measures all timeouts except lineRemainderTimeout and migrateWriteTimeout (relay.go).
 package platform
 
 import (
--- a/internal/frontend/platform/idle_test.go
+++ b/internal/frontend/platform/idle_test.go
@@ -8,7 +8,7 @@
 // maxTimeToServe is much shorter than the time in which 60 idle connections time out: 12 at a time, each after 2 s.
 const maxTimeToServe = 6 * time.Second
 
-// A connection that sends nothing, half a line, or one PING is closed well within 3 s. A connection that continues to
+// A connection that sends nothing, half a line, or one PING is closed within 3.6 s. A connection that continues to
 // send health checks stays open.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	t.Parallel()
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -96,7 +96,7 @@
 }
 
 // The engine's command to migrate a client is executed after the room server has closed the connection. The client
-// sees one end of the connection, and no MOVE after it.
+// gets a regular close, and no MOVE after it.
 func TestMigrateCrossesServerClose(t *testing.T) {
 	b := newTestBalancer(t)
 	frontend := New(b.engine, testNames, largeBudget, logrus.New()) // Serve is not called.
--- a/internal/frontend/platform/session_bench_test.go
+++ b/internal/frontend/platform/session_bench_test.go
@@ -86,8 +86,8 @@
 	c.conn.Close()
 }
 
-// warmUp establishes some connections at each room server. From these the balancer estimates the load of a
-// connection, so that it does not delay later requests.
+// warmUp establishes some connections at each room server, from which the balancer estimates the load of a connection.
+// Without the estimate it would delay later requests.
 func warmUp(b *testing.B, s *sessionFixture) {
 	for server := range s.servers {
 		s.setOnlyReady(server)
--- a/internal/frontend/platform/session_migration_test.go
+++ b/internal/frontend/platform/session_migration_test.go
@@ -182,7 +182,7 @@
 		c, _ := s.startSession(s.balancers[i%2], 0, 1)
 		clients = append(clients, c)
 	}
-	// From clients of other groups the balancers estimate the load of a connection.
+	// The balancers estimate the load of a connection from clients of other groups.
 	for i := range players {
 		s.setOnlyReady(1 + i%2)
 		c := s.balancers[i/2%2].newClient(t)
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -56,8 +56,8 @@
 }
 
 // parsePacket parses the first packet of a datagram. idLength is the length of the connection ID in short headers. It
-// returns errMalformedPacket if the packet is truncated. For short headers and version 1 it also does so if the fixed
-// bit is not set, and for version 1 if a connection ID is longer than maxIDLength.
+// returns errMalformedPacket if the packet is truncated, if the fixed bit of a short header or of a version 1 header is
+// not set, or if a version 1 connection ID is longer than maxIDLength.
 func parsePacket(raw []byte, idLength int) (packet, error) {
 	if len(raw) == 0 {
 		return packet{}, errMalformedPacket
