--- a/internal/discovery/endpoint/guard.go
+++ b/internal/discovery/endpoint/guard.go
@@ -8,8 +8,8 @@
 	// Unchanged means that the proposed list equals the current one.
 	Unchanged Decision = iota
 
-	// Apply means that the proposed list has become the current one.
-	Apply
+	// Applied means that the proposed list has become the current one.
+	Applied
 
 	// NeedsConfirmation means that the proposed list removes or drains over half of the active (not draining)
 	// endpoints of the current list. It is pending until the operator confirms it by requesting a reload of the same
@@ -45,7 +45,7 @@
 	}
 	g.current = proposed
 	g.pending = nil
-	return Apply, change
+	return Applied, change
 }
 
 // losesMajority reports whether a change removes or drains over half of the current list's active endpoints.
--- a/internal/discovery/endpoint/guard_test.go
+++ b/internal/discovery/endpoint/guard_test.go
@@ -14,16 +14,16 @@
 		change    string
 	}{
 		{listOf("a", "b", "c", "d"), false, Unchanged, "nothing"},
-		{listOf("a", "b", "c!", "d", "e"), false, Apply, "added e; drained c"}, // leaves four active endpoints
-		{listOf("a", "b", "c", "d", "e"), false, Apply, "returned c"},
+		{listOf("a", "b", "c!", "d", "e"), false, Applied, "added e; drained c"}, // leaves four active endpoints
+		{listOf("a", "b", "c", "d", "e"), false, Applied, "returned c"},
 		{listOf("a", "b"), false, NeedsConfirmation, "removed c d e"},
 		{listOf("a", "b"), false, NeedsConfirmation, "removed c d e"},
 		{listOf("a", "b!"), true, NeedsConfirmation, "drained b; removed c d e"}, // differs from the pending list
 		{listOf("a", "b", "c", "d", "e"), false, Unchanged, "nothing"},           // discards the pending list
 		{listOf("a", "b!"), true, NeedsConfirmation, "drained b; removed c d e"},
-		{listOf("a", "b!"), true, Apply, "drained b; removed c d e"},
+		{listOf("a", "b!"), true, Applied, "drained b; removed c d e"},
 		{listOf("b!"), true, NeedsConfirmation, "changed b; removed a"},
-		{listOf("a"), false, Apply, "removed b"},
+		{listOf("a"), false, Applied, "removed b"},
 	} {
 		decision, change := guard.Propose(step.proposed, step.requested)
 		if decision != step.decision || change.String() != step.change {
@@ -43,7 +43,7 @@
 	if decision, _ := guard.Propose(List{list.Entries[:9_999]}, false); decision != NeedsConfirmation {
 		t.Errorf("removing over half of the endpoints: got decision %d, want NeedsConfirmation", decision)
 	}
-	if decision, _ := guard.Propose(List{list.Entries[:10_000]}, false); decision != Apply {
-		t.Errorf("removing half of the endpoints: got decision %d, want Apply", decision)
+	if decision, _ := guard.Propose(List{list.Entries[:10_000]}, false); decision != Applied {
+		t.Errorf("removing half of the endpoints: got decision %d, want Applied", decision)
 	}
 }
--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -248,7 +248,7 @@
 				Error("rooms: list pending: removes or drains over half of the active endpoints; send SIGHUP to confirm")
 		}
 		s.lastFailure = failure
-	case endpoint.Apply:
+	case endpoint.Applied:
 		s.lastFailure = ""
 		s.log.WithField("change", change.String()).Info("rooms: list applied")
 		s.sendSnapshot()
