--- a/internal/discovery/filesource/source.go
+++ b/internal/discovery/filesource/source.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// reload reads the file and proposes its list. An invalid file changes nothing, and the same error is logged only
-// once in succession.
+// reload reads the file and proposes its list. An invalid file changes nothing, and an error that repeats is logged
+// only once.
 func (s *Source) reload() {
 	s.file.BeginRead()
 	list, err := Read(s.path)
@@ -248,7 +248,7 @@
 				Error("rooms: list pending: removes or drains over half of the active endpoints; send SIGHUP to confirm")
 		}
 		s.lastFailure = failure
-	case endpoint.Apply:
+	case endpoint.Applied:
 		s.lastFailure = ""
 		s.log.WithField("change", change.String()).Info("rooms: list applied")
 		s.sendSnapshot()
