--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
 // Command adapter runs balancers for the simulator. It reads batches of events from standard input and writes one reply
-// to each batch to standard output. If the input is invalid, it prints one line to standard error and exits with
-// status 1.
+// to each batch to standard output. If the input is invalid or a write fails, it prints one line to standard error and
+// exits with status 1.
 package main
 
 import (
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A new instance with the number of a halted one does not know its requests: it ignores the end of such an attempt.
+// A new instance with the number of a halted one ignores the end of an attempt that the halted instance started.
 func TestHaltDiscardsInstance(t *testing.T) {
 	in := frame("1", create("3")) +
 		frame("2", "DEMAND\twho=3\tid=u-1\tservice=feed\tremaining_s=1\nHALT\twho=3\n"+create("3")) +
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -26,8 +26,7 @@
 	maxLists = 16
 	// readBufferSize is the size of the input buffer in bytes. Longer lines are copied to a buffer of their own.
 	readBufferSize = 1 << 16
-	// firstMessageLine is the number, within a batch, of the line after the FRAME line, which is line 1. It begins the
-	// first message.
+	// firstMessageLine is the line of a batch at which its first message begins. The FRAME line is line 1.
 	firstMessageLine = 2
 )
 
--- a/internal/simwire/decode_test.go
+++ b/internal/simwire/decode_test.go
@@ -27,8 +27,8 @@
 	settings  []decide.Settings // of the created instances
 	events    []decide.Event
 	halted    []int           // halted instances
-	instances []int           // of the created instances and the events
-	clocks    []time.Duration // of the created instances and the events
+	instances []int           // instance of each Create and Event call
+	clocks    []time.Duration // clock of each Create and Event call
 }
 
 func (r *recorder) Create(instance int, now time.Duration, s decide.Settings) error {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -53,7 +53,7 @@
 	return e.writeLine()
 }
 
-// singleLine replaces line breaks and tabs, which would end the line or the field, in a log text.
+// singleLine replaces the line breaks and tabs of a log text, which would end the line or the field.
 var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 // End ends the reply to a batch and flushes it.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -17,8 +17,8 @@
 
 // Values of the what field of a HEARTBEAT message, with the units of its amount field.
 const (
-	noteLoad         = 1 // microseconds of work per second
-	noteMessageDelay = 2 // milliseconds
+	heartbeatLoad         = 1 // microseconds of work per second
+	heartbeatMessageDelay = 2 // milliseconds
 )
 
 // outcomeCodes are the outcome codes for the values 10, 20, ... 80 of the rc field, in this order.
@@ -38,7 +38,7 @@
 	case "FIRST_BYTE":
 		return established(l)
 	case "HEARTBEAT":
-		return note(l)
+		return heartbeat(l)
 	case "DONE":
 		return attemptEnded(l, schema)
 	case "ABORTED":
@@ -128,9 +128,9 @@
 	return event, err
 }
 
-// note reads a HEARTBEAT message, which reports the load or the message delay of a connection. Other kinds are
+// heartbeat reads a HEARTBEAT message, which reports the load or the message delay of a connection. Other kinds are
 // ignored.
-func note(l *line) (decide.Event, error) {
+func heartbeat(l *line) (decide.Event, error) {
 	ref, err := attempt(l)
 	if err != nil {
 		return nil, err
@@ -144,9 +144,9 @@
 		return nil, err
 	}
 	switch kind {
-	case noteLoad:
+	case heartbeatLoad:
 		return decide.LoadChanged{ID: ref.id, Load: amount / 1e6}, nil
-	case noteMessageDelay:
+	case heartbeatMessageDelay:
 		delay := secondsToDuration(amount / 1e3)
 		return decide.MessageDelayReported{ID: ref.id, Server: ref.server, Delay: delay}, nil
 	}
