--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// When too many requests wait, the latest are rejected, as the number of requests before a request decides. If the
-// total number decided, the longest-waiting requests would be rejected first, as their deadlines are nearest.
+// When too many requests wait, the latest are rejected: a request is rejected if too many wait before it. If the total
+// number decided, the longest-waiting requests would be rejected first, as their deadlines are nearest.
 func TestLatestRequestsAreRejectedFirst(t *testing.T) {
 	const waiting = 15
 	h := newHarness(t, settings())
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -14,8 +14,8 @@
 	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone it is half
 	// of the zone's servers, rounded up.
 	maxPreferredServers = 3
-	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, in average
-	// connections. A group costs a server the load of about three connections while the server has any connection of it.
+	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, as a number of
+	// average connections. A group costs a server the load of about three while it has any connection there.
 	groupOpeningConnections = 5.0
 	// maxGroupOpeningLoad limits the load reserved for a group. Just after its start, a balancer has few connections and
 	// estimates the load of one several times too high. Without the limit, clients would wait despite free capacity.
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,9 +1,8 @@
 // Package decide makes the decisions of a balancer for long-lived connections.
 //
-// This file declares the settings, events and actions: the settings that a Balancer is created with, the events that
-// its host reports and the actions that it requests from the host. The host owns the clock, sockets and timers. A
-// Balancer does no I/O, reads no clock and starts no goroutine, so equal settings and events always give equal
-// actions.
+// A Balancer is created with Settings. Its host reports events to it and carries out the actions that it requests. The
+// host owns the clock, sockets and timers. A Balancer does no I/O, reads no clock and starts no goroutine, so equal
+// settings and events always give equal actions. This file declares the settings, events and actions.
 //
 // Each decision has its own file: discovery.go, probing.go, placement.go, affinity.go, ejection.go, slowstart.go,
 // admission.go, retry.go, migration.go, bootstrap.go and reconnect.go. The records that the decisions share are in
@@ -42,7 +41,7 @@
 // Class describes one class of requests.
 type Class struct {
 	Name                    string        // for the host's use; no decision depends on it
-	LatencyObjective        time.Duration // time to establish a connection in; above 0; no decision depends on it
+	LatencyObjective        time.Duration // target time to establish a connection; above 0; no decision depends on it
 	MessageLatencyObjective time.Duration // time within which a message should be served; 0: unknown
 	ClientTimeout           time.Duration // total time that a client waits; decisions use RequestArrived.Remaining
 	Idempotency             Idempotency
@@ -50,10 +49,10 @@
 	DedupWindow             time.Duration // for IdempotentByKey: how long repeats are dropped, from the first send
 }
 
-// SafetyLimits are limits that the decisions must not exceed.
+// SafetyLimits are the limits for draining, polling and slow start.
 type SafetyLimits struct {
 	DrainGrace               time.Duration // nothing may be sent to a server that has been draining for longer
-	MaxPollInterval          time.Duration // longest intended time between two polls, which pollInterval exceeds; 0: none
+	MaxPollInterval          time.Duration // minimum time between two polls, despite its name; 0: none
 	SlowStartInitialCapacity float64       // fraction of its full capacity that a server has at its start, from 0 to 1
 	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
 	OverloadFactor           float64       // a load above this multiple of present capacity overloads a warming server
@@ -63,7 +62,7 @@
 // Costs are expressed as fractions of the value of a request that is served at the first attempt; 0 means free.
 type Costs struct {
 	Probe     float64 // cost of a probe
-	Migration float64 // cost of a migrated connection
+	Migration float64 // cost of a migrated connection; no decision depends on it
 	CrossZone float64 // cost of an attempt in another zone
 }
 
@@ -151,7 +150,7 @@
 		Class     int           // index in Settings.Classes
 		Key       string        // identifies the client; empty: unknown
 		Group     string        // connections of one group share work on their server; empty: no group
-		Remaining time.Duration // time until the client's time-out
+		Remaining time.Duration // time until the client's timeout
 		Load      float64       // expected load, in seconds of work per second; 0: unknown
 		MidFlow   bool          // the client's connection is open already; its packets now arrive at this balancer
 		Returning bool          // the client reconnects after its connection broke or was migrated; no decision depends on it
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -109,7 +109,7 @@
 }
 
 func (b *Balancer) start() {
-	b.liveness.lastAnswerAt = b.now
+	b.liveness.noAnswerSince = b.now
 	b.emit(SetTimer{Token: tickToken, Delay: 1 + b.jitter(tickInterval)})
 	b.scheduleFirstPoll()
 }
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -16,7 +16,7 @@
 	pollIntervalPerBalancer = 100 * time.Millisecond
 	// maxFirstPollDelay limits the random delay of the first poll.
 	maxFirstPollDelay = time.Second
-	// pollRetryDelay is the jittered delay after the first failed call. It doubles with each consecutive failure.
+	// pollRetryDelay is the mean delay after the first failed call. It doubles with each consecutive failure.
 	pollRetryDelay = time.Second
 	// maxPollRetryDoublings limits how often pollRetryDelay is doubled.
 	maxPollRetryDoublings = 5
@@ -30,8 +30,8 @@
 }
 
 // scheduleFirstPoll schedules the first poll after a random delay, as balancers may start together. The delay is
-// short: a restored list may be out of date, and by the rule described at maxReconnectDelay the balancer soon counts
-// as notified of the changes since then, whether it has polled or not.
+// short: a restored list may be out of date, and soon after its start the balancer counts as notified of the changes
+// since then, even if it has not polled (see maxReconnectDelay).
 func (b *Balancer) scheduleFirstPoll() {
 	limit := min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval))
 	b.discovery.pollAt = b.now + b.jitter(limit)
--- a/decide/discovery_test.go
+++ b/decide/discovery_test.go
@@ -49,7 +49,7 @@
 			if n := len(actionsOf[WatchList](h.tick(tickInterval))); n > 0 {
 				if calls == 0 {
 					firsts[h.now-start] = true
-					// a restored list may be out of date, and soon the balancer counts as notified of the changes
+					// a restored list may be out of date, and the balancer soon counts as notified (see maxReconnectDelay)
 					if h.now-start > maxFirstPollDelay+tickInterval {
 						t.Fatalf("first poll after %v, want at most maxFirstPollDelay and a tick", h.now-start)
 					}
--- a/decide/fleet_simulation_test.go
+++ b/decide/fleet_simulation_test.go
@@ -35,7 +35,7 @@
 	meanLifetime    time.Duration     // mean lifetime of a connection; 0: until it is migrated or drained
 	failing         map[ServerID]bool // servers that refuse all connections
 	sharedStoreRate float64           // connections per second that the servers' shared store can set up; 0: unlimited
-	storeBusyUntil  time.Duration     // when the store completes the set-ups that have started
+	storeBusyUntil  time.Duration     // when the store completes the setups that have started
 
 	attempts map[ServerID][]time.Duration // times of the attempts at each server
 	// migratedOff holds the times at which connections were migrated off or drained from each server.
@@ -218,7 +218,7 @@
 // fault: a client whose reconnect is rejected immediately does not reconnect again, because run then overwrites
 // f.reconnects and loses the entry that is added here.
 func (f *fleetSimulation) reject(a Reject) {
-	f.finish(a.ID, Cancelled) // ends the set-up that may still be in progress
+	f.finish(a.ID, Cancelled) // ends the setup that may still be in progress
 	f.rejected++
 	f.rejectionDelays = append(f.rejectionDelays, f.now-f.arrivedAt[a.ID])
 	if returns := f.reconnectCount[a.ID]; returns < 2 && f.meanLifetime > 0 {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// If a burst is larger than the capacity of the fleet, at least 80% of the rejections follow within twice the time-out
+// If a burst is larger than the capacity of the fleet, at least 80% of the rejections follow within twice the timeout
 // of an on-demand probe. Otherwise the requests would wait until their deadlines and their clients would then
 // reconnect.
 func TestBurstBeyondCapacityIsRejectedAtOnce(t *testing.T) {
@@ -285,7 +285,7 @@
 // A fleet recovers from an overload. All servers of zone a, half of the fleet, fail for 12 s, while the number of
 // clients exceeds the capacity of all servers. Rejected clients reconnect (see the fault described at reject), and
 // attempts at an overloaded server time out. In one case, the servers also share a store that limits the rate of
-// set-ups. Such a fleet stays overloaded after the failure if its groups were spread over many servers in the
+// setups. Such a fleet stays overloaded after the failure if its groups were spread over many servers in the
 // meantime, because every server with a connection of a group bears the group's load.
 func TestFleetRecoversFromOverload(t *testing.T) {
 	t.Parallel()
@@ -314,11 +314,10 @@
 			back := []float64{f.averageServed(5*time.Second, 0.2, zipf), f.averageServed(5*time.Second, 0.2, zipf),
 				f.averageServed(5*time.Second, 0.2, zipf)}
 			t.Logf("store %v: %.0f connections at servers within capacity before the failure, %.0f during it, "+
-				"%.0f in each 5 s after it; %d and %d group placements; %d set-ups timed out, %d requests rejected",
+				"%.0f in each 5 s after it; %d and %d group placements; %d setups timed out, %d requests rejected",
 				store, before, during, back, placements, f.groupPlacements(), f.setupTimeouts, f.rejected)
-			// If no extra load were reserved for the first connection of a group at a server, there would be 143
-			// connections at servers within capacity before the failure, 130 in the third 5 s after it and 34 group
-			// placements before it with the store, and 150, 137 and 36 without it.
+			// If no extra load were reserved for the first connection of a group at a server, before would be 143,
+			// back[2] would be 130 and placements 34 with the store, and 150, 137 and 36 without it.
 			if back[2] < 0.85*before || before < 155 || placements > 30 {
 				t.Errorf("store %v: %.0f connections at servers within capacity 10 to 15 s after the failure, "+
 					"%.0f before it, %d group placements before it", store,
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,8 +1,8 @@
 package decide
 
 // The index of servers: lists of servers in the shuffled order, which are updated whenever a server is added, removed
-// or changed. So no tick, change or request has to scan all servers, except for a request of a group that is not
-// cached. Each list contains exactly the servers that a scan of all servers would find. No decisions are made here.
+// or changed. So ticks, changes of a few servers and requests scan all servers only if none is eligible or a group is
+// not cached. Each list contains exactly the servers that a scan of all servers would find. No decisions are made here.
 
 import (
 	"cmp"
@@ -81,7 +81,7 @@
 	changes           uint64         // number of changes of ready
 	changeLog         [changeLogLength]membershipChange
 	recentGroups      map[uint64]*groupRanking // rankings by the hash of the group
-	olderGroups       map[uint64]*groupRanking // rankings to drop when recentGroups is full, unless used before
+	olderGroups       map[uint64]*groupRanking // rankings to drop when recentGroups is full, unless used by then
 	connectionUnits   uint64                   // sum of the reported connections, in connection units
 	connectionReports int                      // number of servers in that sum
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,9 +1,9 @@
 package decide
 
-// Placement: the choice of the server for a request's next attempt, by load reports, the reservations made since,
-// ejections, slow-start quotas and the request's idempotency. The candidates, in this order: the server of an open
-// connection whose packets now arrive here, the preferred servers of the request's group, the least loaded server of
-// the own zone that shows capacity, warming servers, servers of other zones, any server in the shuffled order.
+// Placement: the choice of the server for a request's next attempt. It depends on load reports, the reservations made
+// since, ejections, slow-start quotas and the request's idempotency. The candidates, in this order: the server of an
+// open connection whose packets now arrive here, the preferred servers of the request's group, the least loaded server
+// of the own zone with reported capacity, warming servers, servers of other zones, any server in the shuffled order.
 
 import (
 	"cmp"
@@ -25,13 +25,13 @@
 
 const (
 	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into a load
-	// difference: a server there needs a load lower by the cost, plus a quarter for the errors of both load reports.
+	// difference: a server there needs a load lower by the cost, plus a quarter of it for the errors of both reports.
 	crossZoneCostFactor = 1.25
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
-	// minAttemptSetups is the minimum time-out of an attempt, as a multiple of the average set-up time. It also
-	// multiplies the duration of an attempt that timed out, to get the minimum set-up time that the time-out suggests.
-	minAttemptSetups = 2
+	// setupTimeFactor times the average setup time is the minimum timeout of an attempt. An attempt that timed out
+	// counts as a setup of setupTimeFactor times its duration, unless the average setup time is longer.
+	setupTimeFactor = 2
 )
 
 // loadThresholds are the load limits for placements. They depend on the fleet size.
@@ -59,7 +59,7 @@
 }
 
 // place starts the next attempt of a request, appends the request to the waiting list, or gives the final answer.
-// waitingBefore is the number of requests that wait before it, by which place decides whether its deadline can be met.
+// waitingBefore is the number of waiting requests before it, which decides whether its deadline can be met.
 func (b *Balancer) place(r *request, waitingBefore int) {
 	if r.attempts >= b.settings.MaxAttempts || b.now >= r.deadline {
 		b.finish(r)
@@ -74,8 +74,8 @@
 		b.startAttempt(r, s)
 		return
 	}
-	mustNotRepeat := r.executedOn != nil && b.classOf(r).Idempotency != Idempotent
-	if mustNotRepeat || mayStart && b.wouldExpireWaiting(r, waitingBefore) {
+	mustNotWait := r.executedOn != nil && b.classOf(r).Idempotency != Idempotent
+	if mustNotWait || mayStart && b.wouldExpireWaiting(r, waitingBefore) {
 		b.finish(r)
 		return
 	}
@@ -96,13 +96,13 @@
 	b.emit(StartAttempt{ID: r.ID, Server: s.ID, Timeout: timeout})
 }
 
-// attemptTimeout returns the time-out of a request's next attempt. It leaves time for further attempts, unless set-ups
+// attemptTimeout returns the timeout of a request's next attempt. It leaves time for further attempts, unless setups
 // take long at all servers, as with a slow session store: another server would be no quicker then, and the store would
 // do the work twice.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	left := r.deadline - b.now
 	perAttempt := left / time.Duration(b.settings.MaxAttempts-r.attempts)
-	return min(left, max(perAttempt, minAttemptSetups*b.throttle.setupTime))
+	return min(left, max(perAttempt, setupTimeFactor*b.throttle.setupTime))
 }
 
 // placement holds the state of choosing a server for one request.
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -1,8 +1,8 @@
 package decide
 
-// Probing: which servers are probed for a load report, and when, by the reports' age, the rate of requests, the cost
-// of a probe, and clients' reports of slow messages. Steady probes visit the servers in turn to keep their reports
-// recent. On-demand probes go to servers that a request may be placed on or that are short of capacity.
+// Probing: which servers are probed for a load report, and when. This depends on the reports' age, the rate of
+// requests, the cost of a probe, and clients' reports of slow messages. Steady probes visit the servers in turn to keep
+// their reports recent. On-demand probes go to servers that a request may be placed on or that are short of capacity.
 
 import (
 	"cmp"
@@ -38,9 +38,9 @@
 	// larger fleet its rate is lower, so that the total rate of these balancers is at most
 	// fullRateProbers*minProbeRate.
 	fullRateProbers = 4.0
-	// probesPerAnyServer is used while the steady probes are limited to the servers with connections of this balancer:
-	// one in probesPerAnyServer goes to the next server of the whole local list instead.
-	probesPerAnyServer = 4
+	// wholeListProbePeriod applies while steady probes are limited to servers with connections of this balancer: one in
+	// wholeListProbePeriod goes to the next server of the whole local list instead.
+	wholeListProbePeriod = 4
 	// maxProbeDebt limits the probes of servers with slow messages that are made ahead of the steady probes' rate, and
 	// the saved credit for probes of servers short of capacity.
 	maxProbeDebt = 4
@@ -73,9 +73,9 @@
 // probeForRequest probes servers for an arriving request if their reports are too old: its group's preferred servers,
 // or a few in the shuffled order if it has no group and no report shows capacity. The request waits for the answers.
 func (b *Balancer) probeForRequest(r *request) {
-	capacityKnown := b.hasGroup(r) || b.anyReportedCapacity(r)
+	capacityKnown := b.hasGroup(r) || b.anyReportsCapacity(r)
 	local, remote := b.preferredServers(r)
-	if !b.settings.ProbingAllowed || b.firstReportedCapacity(local) {
+	if !b.settings.ProbingAllowed || b.firstReportsCapacity(local) {
 		return
 	}
 	b.probeOnDemand(r, local, b.local, capacityKnown)
@@ -84,16 +84,16 @@
 	}
 }
 
-// anyReportedCapacity reports whether a recent report of the own zone shows capacity for a request.
-func (b *Balancer) anyReportedCapacity(r *request) bool {
+// anyReportsCapacity reports whether a recent report of the own zone shows capacity for a request.
+func (b *Balancer) anyReportsCapacity(r *request) bool {
 	return slices.ContainsFunc(b.answers.ownZone, func(s *server) bool {
 		return b.hasRecentReport(s) && s.load < b.thresholds.capacity && b.withinSlowStartQuota(r, s)
 	})
 }
 
-// firstReportedCapacity reports whether the first preferred server has capacity by a report that need not be renewed.
+// firstReportsCapacity reports whether the first preferred server has capacity by a report that need not be renewed.
 // No other server has to be probed then.
-func (b *Balancer) firstReportedCapacity(preferred []*server) bool {
+func (b *Balancer) firstReportsCapacity(preferred []*server) bool {
 	return len(preferred) > 0 && preferred[0].load < b.thresholds.capacity &&
 		b.now-preferred[0].reportedAt < b.onDemandProbeInterval()
 }
@@ -269,7 +269,7 @@
 		return
 	}
 	list := targets.local
-	if b.probes.count%probesPerAnyServer == 0 {
+	if b.probes.count%wholeListProbePeriod == 0 {
 		list = b.local
 	}
 	b.probes.cursor++
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -26,7 +26,7 @@
 	}
 	cheap, expensive := rate(0.002), rate(0.02)
 	if expensive < 8 || cheap < 3*expensive {
-		t.Fatalf("%d probes at a low cost, %d at ten times the cost, want a third, and 8 or more", cheap, expensive)
+		t.Fatalf("%d probes at a low cost, %d at ten times the cost, want at most a third, and at least 8", cheap, expensive)
 	}
 	set := settings()
 	set.ProbingAllowed = false
--- a/decide/reconnect.go
+++ b/decide/reconnect.go
@@ -10,14 +10,14 @@
 
 // Timing of the reconnects.
 const (
-	// maxReconnectDelay limits the time from the start of the failed attempt to the next call. By the operators' rules,
-	// a balancer counts as notified of a change 6 s after discovery had the change and could be reached, whether it has
-	// received the change or not. Discovery may have become reachable just after the failed attempt began, so the next
-	// call starts early enough to be answered within 6 s.
+	// maxReconnectDelay limits the time from the start of the failed attempt to the next call. The operators'
+	// safety rules count a balancer as notified of a change 6 s after discovery has the change and can be reached, even
+	// if the balancer has not received it. Discovery may have become reachable just after the failed attempt began, so
+	// the next call starts early enough to be answered within 6 s.
 	maxReconnectDelay = 4500 * time.Millisecond
-	// dialInterval is the time between the starts of two dials. It is jittered by up to half of it in each direction.
+	// dialInterval is the time between the starts of two dials. It is jittered by up to half in each direction.
 	dialInterval = time.Second
-	// minDialTimeout is the minimum time-out of a dial.
+	// minDialTimeout is the minimum timeout of a dial.
 	minDialTimeout = dialInterval / 4
 	// callSpreadPerBalancer is the time per balancer over which the calls of the fleet are spread.
 	callSpreadPerBalancer = pollIntervalPerBalancer
@@ -70,7 +70,7 @@
 	return now + r.jitter(min(r.callSpread, began+maxReconnectDelay-now))
 }
 
-// DialTimeout returns a dial's time-out. It is short: redialing is quicker than TCP's retransmission of a lost SYN.
+// DialTimeout returns a dial's timeout. It is short: redialing is quicker than TCP's retransmission of a lost SYN.
 func (r *ReconnectSchedule) DialTimeout() time.Duration { return max(r.dialInterval, minDialTimeout) }
 
 // jitter returns a random duration below limit, or 0 if limit is not above 0.
--- a/decide/reconnect_test.go
+++ b/decide/reconnect_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// responseTimeout is the time-out of the simulated host for a call.
+// responseTimeout is the timeout of the simulated host for a call.
 const responseTimeout = 4 * time.Second
 
 // outageKind says how discovery fails.
@@ -15,7 +15,7 @@
 
 const (
 	connectionsRefused  outageKind = iota // dials fail at once
-	unreachable                           // dials fail after their time-out
+	unreachable                           // dials fail after their timeout
 	respondsUnavailable                   // dials succeed, calls fail at once
 	responseHangs                         // dials succeed, calls fail after responseTimeout
 )
--- a/decide/reference_outcomes_test.go
+++ b/decide/reference_outcomes_test.go
@@ -51,7 +51,7 @@
 		r.executedOn = s
 	}
 	if ev.Code == TimedOut {
-		b.setupTime += (max(minAttemptSetups*ev.Elapsed, b.setupTime) - b.setupTime) / setupTimeSamples
+		b.setupTime += (max(setupTimeFactor*ev.Elapsed, b.setupTime) - b.setupTime) / setupTimeSamples
 		if b.now-b.dialWindowHalvedAt > tickInterval {
 			b.dialWindow, b.dialWindowHalvedAt = max(b.dialWindow/2, 1), b.now
 		}
@@ -72,8 +72,8 @@
 		s.ejectedUntil = max(s.ejectedUntil, b.now+rejectionEjectionTime)
 	case ServerError, TimedOut, ConnectFailed, Reset:
 		if code == ServerError || !b.failing {
-			b.lastAnswerAt, b.failing = b.now, code != ServerError
-		} else if b.now-b.lastAnswerAt > bootstrapTimeout {
+			b.noAnswerSince, b.failing = b.now, code != ServerError
+		} else if b.now-b.noAnswerSince > bootstrapTimeout {
 			b.bootstrap()
 		}
 		s.consecutiveFailures++
@@ -220,14 +220,14 @@
 		minRate *= min(1, fullRateProbers/float64(b.settings.Balancers))
 	}
 	rate := max(minRate, requestRate*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
-	remotePreferred, overloads := b.remote, append(referenceConnected(b.remote), b.local...)
+	remote, overloads := b.remote, append(referenceConnected(b.remote), b.local...)
 	if !b.spillingOver() {
-		remotePreferred = referenceConnected(b.remote)
+		remote = referenceConnected(b.remote)
 	}
 	if len(own) > 0 && len(own) < len(b.local) {
-		near, remotePreferred, overloads = own, nil, own
+		near, remote, overloads = own, nil, own
 	}
-	if s := referenceFirstMatching(remotePreferred, func(s *referenceServer) bool {
+	if s := referenceFirstMatching(remote, func(s *referenceServer) bool {
 		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
 	}); s != nil {
 		s.probedOnDemandAt = b.now
@@ -244,12 +244,12 @@
 	}
 	b.probeCredit = min(b.probeCredit+min(rate, float64(len(b.local)))*tickInterval.Seconds(), maxAnswers)
 	for ; b.probeCredit >= 1; b.probeCredit-- {
-		if b.probeCount++; b.probeCount%2 == 0 && len(remotePreferred) > 0 {
-			b.emit(Probe{Server: remotePreferred[b.probeCount/2%len(remotePreferred)].ID})
+		if b.probeCount++; b.probeCount%2 == 0 && len(remote) > 0 {
+			b.emit(Probe{Server: remote[b.probeCount/2%len(remote)].ID})
 			continue
 		}
 		from := near
-		if b.probeCount%probesPerAnyServer == 0 {
+		if b.probeCount%wholeListProbePeriod == 0 {
 			from = b.local
 		}
 		b.probeCursor++
--- a/decide/reference_placement_test.go
+++ b/decide/reference_placement_test.go
@@ -11,7 +11,7 @@
 )
 
 func (b *referenceBalancer) start() {
-	b.lastAnswerAt = b.now
+	b.noAnswerSince = b.now
 	b.emit(SetTimer{Token: tickToken, Delay: 1 + b.jitter(tickInterval)})
 	b.pollAt = b.now + b.jitter(min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval)))
 }
@@ -32,9 +32,9 @@
 
 func (b *referenceBalancer) applyList(ev ListReceived) {
 	if ev.Kind == ListFailed {
-		timeout := min(pollRetryDelay<<min(b.pollFailures, 5), b.pollInterval())
+		delay := min(pollRetryDelay<<min(b.pollFailures, 5), b.pollInterval())
 		b.pollFailures++
-		b.pollAt = b.now + timeout/2 + b.jitter(timeout)
+		b.pollAt = b.now + delay/2 + b.jitter(delay)
 		return
 	}
 	b.pollFailures = 0
@@ -92,8 +92,8 @@
 }
 
 func (b *referenceBalancer) bootstrap() {
-	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.lastAnswerAt)})
-	b.lastAnswerAt, b.failing, b.localAnswers = b.now, false, b.localAnswers[:0]
+	b.emit(Log{fmt.Sprintf("bootstrap: no server answered for %v", b.now-b.noAnswerSince)})
+	b.noAnswerSince, b.failing, b.localAnswers = b.now, false, b.localAnswers[:0]
 	for _, s := range b.ready {
 		s.consecutiveFailures, s.ejectedUntil, s.slowUntil, s.reportedAt = 0, 0, 0, 0
 	}
@@ -131,7 +131,7 @@
 	}
 	b.reservePlacement(r, s)
 	left := r.deadline - b.now
-	timeout := min(left, max(left/time.Duration(b.settings.MaxAttempts-r.attempts), minAttemptSetups*b.setupTime))
+	timeout := min(left, max(left/time.Duration(b.settings.MaxAttempts-r.attempts), setupTimeFactor*b.setupTime))
 	r.server, r.inFlight = s, true
 	b.dialing++
 	r.attempts++
@@ -333,13 +333,13 @@
 		capacityFraction := safety.SlowStartInitialCapacity + (1-safety.SlowStartInitialCapacity)*age
 		window := max(safety.OverloadWindow, tickInterval)
 		demand, balancers := b.expectedDemandFor(r, s, window), b.estimatedZoneBalancers()
-		work := max(capacityFraction*b.serverCapacity()*window.Seconds(),
+		accepted := max(capacityFraction*b.serverCapacity()*window.Seconds(),
 			minSlowStartConnections/max(float64(b.settings.Balancers), balancers))
 		use := demand / (1 + demand)
-		quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * work
+		quota := slowStartSafetyFactor / max(use, minSlowStartUse) * safety.OverloadFactor * accepted
 		if each := b.meanLoadPerConnection(); each > 0 {
-			accepted := safety.OverloadFactor * capacityFraction * window.Seconds() / (each * b.meanLifetime())
-			quota = max(quota, min(slowStartSafetyFactor*accepted/(use*balancers), 1))
+			tolerated := safety.OverloadFactor * capacityFraction * window.Seconds() / (each * b.meanLifetime())
+			quota = max(quota, min(slowStartSafetyFactor*tolerated/(use*balancers), 1))
 		}
 		s.slowStartQuota, s.slowStartQuotaUntil = math.Floor(quota+b.rng.Float64()), b.now+window
 	}
@@ -354,9 +354,9 @@
 }
 
 func (b *referenceBalancer) updateLifetime() {
-	fade := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
-	b.connectionSeconds, b.connectionsEnded = b.connectionSeconds*fade+float64(len(b.requests))*tickInterval.Seconds(),
-		b.connectionsEnded*fade
+	decay := 1 - tickInterval.Seconds()/lifetimeDecayTime.Seconds()
+	b.connectionSeconds, b.connectionsEnded = b.connectionSeconds*decay+float64(len(b.requests))*tickInterval.Seconds(),
+		b.connectionsEnded*decay
 }
 
 func (b *referenceBalancer) serverCapacity() float64 {
--- a/decide/reference_test.go
+++ b/decide/reference_test.go
@@ -77,10 +77,10 @@
 	listVersion uint64
 	cursor      int
 
-	pollAt       time.Duration
-	pollFailures int
-	lastAnswerAt time.Duration
-	failing      bool
+	pollAt        time.Duration
+	pollFailures  int
+	noAnswerSince time.Duration
+	failing       bool
 
 	localAnswers        []*referenceServer
 	remoteAnswers       []*referenceServer
@@ -213,8 +213,8 @@
 	if s.loadPerConnection > 0 {
 		return s.loadPerConnection, false
 	}
-	reported := float64(len(b.requests)) * b.zoneBalancers() / float64(max(len(b.local), 1))
-	return b.meanLoad / max(reported, minReportedConnections), reported < minReportedConnections ||
+	perServer := float64(len(b.requests)) * b.zoneBalancers() / float64(max(len(b.local), 1))
+	return b.meanLoad / max(perServer, minReportedConnections), perServer < minReportedConnections ||
 		b.meanLoadReports < minMeanLoadReports
 }
 
@@ -286,7 +286,7 @@
 	return sum
 }
 
-func (b *referenceBalancer) recordAnswer() { b.lastAnswerAt, b.failing = b.now, false }
+func (b *referenceBalancer) recordAnswer() { b.noAnswerSince, b.failing = b.now, false }
 
 func (b *referenceBalancer) Ejected(id ServerID) bool {
 	s := b.servers[id]
@@ -452,8 +452,8 @@
 	step := tickInterval.Seconds()
 	b.establishRateSpan = min(b.establishRateSpan+step, establishRateWindow.Seconds())
 	b.establishRate += (b.establishedThisTick/step - b.establishRate) * step / b.establishRateSpan
-	fade := 1 - step/attemptDecayTime.Seconds()
-	b.establishedThisTick, b.recentFailures, b.recentEstablished = 0, b.recentFailures*fade, b.recentEstablished*fade
+	decay := 1 - step/attemptDecayTime.Seconds()
+	b.establishedThisTick, b.recentFailures, b.recentEstablished = 0, b.recentFailures*decay, b.recentEstablished*decay
 	b.recentDemand *= 1 - step/demandDecayTime.Seconds()
 	b.recentResets *= 1 - step/demandDecayTime.Seconds()
 	b.updateLifetime()
@@ -470,9 +470,9 @@
 		}
 	}
 	if 2*warm >= fleet && warm > 0 {
-		now := b.establishRate * float64(max(len(b.settings.Zones), 1)) / (float64(fleet) * max(b.meanLoad, 0.5))
+		current := b.establishRate * float64(max(len(b.settings.Zones), 1)) / (float64(fleet) * max(b.meanLoad, 0.5))
 		b.capacitySpan = min(b.capacitySpan+tickInterval.Seconds(), capacityWindow.Seconds())
-		b.capacity += (now - b.capacity) * tickInterval.Seconds() / b.capacitySpan
+		b.capacity += (current - b.capacity) * tickInterval.Seconds() / b.capacitySpan
 	}
 }
 
--- a/decide/request.go
+++ b/decide/request.go
@@ -6,7 +6,7 @@
 type request struct {
 	RequestArrived
 	timerToken       uint64        // token of the timer for its deadline
-	deadline         time.Duration // when the client's time-out ends
+	deadline         time.Duration // when the client's timeout ends
 	notBefore        time.Duration // no attempt starts before this time: the request waits for answers to its probes
 	attempts         int           // number of attempts started
 	attemptedServers []ServerID    // servers of these attempts
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxReportLag is the longest time from a placement until a load report that is received includes it. Reports are up to
-// half a second old when they are received.
+// maxReportLag is the time after a placement from which on received load reports include it. Reports are up to half a
+// second old when they are received.
 const maxReportLag = 600 * time.Millisecond
 
 // Limits of a request's load relative to that of an average connection.
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,7 +1,7 @@
 package decide
 
-// Retries: whether a request may be sent again, by its idempotency and whether an earlier attempt may have been
-// executed, and how many attempts the balancer may have in progress, by the outcomes and durations of all attempts.
+// Retries: whether a request may be sent again, and when new attempts are held back. The first depends on the request's
+// idempotency and whether an earlier attempt may have been executed, the second on the outcomes of all attempts.
 
 import (
 	"slices"
@@ -13,14 +13,14 @@
 	freeFailures = 4.0
 	// maxDialWindow is the largest number of attempts that may be dialing at the same time.
 	maxDialWindow = 64.0
-	// setupTimeSamples is the number of set-ups over which the set-up time is averaged.
+	// setupTimeSamples is the number of setups over which the setup time is averaged.
 	setupTimeSamples = 8
 )
 
 // retryThrottle protects resources that all servers share, such as a session store, against retry storms. It limits
 // new attempts in two ways. Adaptive throttling holds back attempts while recent failures exceed recent successes by
 // more than freeFailures. A window limits the number of attempts that are dialing: each established connection widens
-// it, and time-outs, after which the work of the attempt is wasted, halve it.
+// it, and timeouts, after which the work of the attempt is wasted, halve it.
 type retryThrottle struct {
 	recentFailures    float64       // attempts that established no connection but may have been executed; decaying
 	recentEstablished float64       // attempts that established a connection; decaying
@@ -57,10 +57,10 @@
 	}
 }
 
-// recordTimeout raises the average set-up time and halves the window after an attempt that timed out. Several
+// recordTimeout raises the average setup time and halves the window after an attempt that timed out. Several
 // attempts often time out together, so the window is halved at most once per tick.
 func (t *retryThrottle) recordTimeout(now, elapsed time.Duration) {
-	t.setupTime += (max(minAttemptSetups*elapsed, t.setupTime) - t.setupTime) / setupTimeSamples
+	t.setupTime += (max(setupTimeFactor*elapsed, t.setupTime) - t.setupTime) / setupTimeSamples
 	if now-t.windowHalvedAt > tickInterval {
 		t.window, t.windowHalvedAt = max(t.window/2, 1), now
 	}
@@ -108,7 +108,7 @@
 	if event.Code == TimedOut {
 		b.throttle.recordTimeout(b.now, event.Elapsed)
 	}
-	// After a time-out, only Idempotent requests are retried, as the attempt may still be executing.
+	// After a timeout, only Idempotent requests are retried, as the attempt may still be executing.
 	if r.established || event.Code == TimedOut && b.classOf(r).Idempotency != Idempotent {
 		b.finish(r)
 		return
@@ -136,7 +136,7 @@
 	return class.KeyScope.contains(&r.executedOn.Server, &s.Server)
 }
 
-// contains reports whether two servers are in the same set of this scope, whose servers drop each other's repeats.
+// contains reports whether the scope includes both servers, so that each drops repeats of requests sent to the other.
 func (scope KeyScope) contains(first, second *Server) bool {
 	switch scope {
 	case ScopeAll:
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -102,7 +102,7 @@
 	for attempt := range 3 {
 		p := actionsOf[StartAttempt](actions)[0]
 		if p.Timeout <= 0 || p.Timeout > left/time.Duration(3-attempt) {
-			t.Fatalf("attempt %d: time-out %v leaves too little of %v for the retries", attempt, p.Timeout, left)
+			t.Fatalf("attempt %d: timeout %v leaves too little of %v for the retries", attempt, p.Timeout, left)
 		}
 		h.now += p.Timeout
 		left -= p.Timeout
@@ -110,7 +110,7 @@
 	}
 }
 
-// When set-ups are slow at all servers, as with a slow session store, attempts get longer time-outs, as another server
+// When setups are slow at all servers, as with a slow session store, attempts get longer timeouts, as another server
 // would be no quicker.
 func TestAttemptTimeoutFollowsSetupTime(t *testing.T) {
 	h := newHarness(t, settings())
@@ -122,7 +122,7 @@
 	}
 	if p := actionsOf[StartAttempt](h.request("r", idempotentClass)); len(p) != 1 ||
 		p[0].Timeout < 900*time.Millisecond || p[0].Timeout > 2*time.Second {
-		t.Fatalf("got %v, want a time-out of 900ms to 2s when set-ups take 500ms", p)
+		t.Fatalf("got %v, want a timeout of 900ms to 2s when setups take 500ms", p)
 	}
 }
 
@@ -149,14 +149,14 @@
 	h.wantAttempt(h.request("later", idempotentClass)) // attempts start again when the failure count has decayed
 }
 
-// Each time-out halves the limit of the attempts that are dialing, to protect the resources that all servers share.
+// Each timeout halves the limit of the attempts that are dialing, to protect the resources that all servers share.
 func TestTimeoutsHalveDialWindow(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(60, 0))
 	for i := range 60 {
 		h.establish(name("r", i), idempotentClass)
 	}
-	open := h.b.throttle.window
+	before := h.b.throttle.window
 	for i := range 6 {
 		id := name("t", i)
 		s := h.wantAttempt(h.request(id, idempotentClass))
@@ -164,15 +164,15 @@
 		h.endAttempt(id, 0, s, TimedOut, false)
 		h.send(ClientDisconnected{ID: RequestID(id)})
 	}
-	if h.b.throttle.window > open/16 || h.b.throttle.dialing != 0 {
-		t.Fatalf("window %.1f after six time-outs, %.1f before; %d attempts dialing, want 0", h.b.throttle.window, open,
+	if h.b.throttle.window > before/16 || h.b.throttle.dialing != 0 {
+		t.Fatalf("window %.1f after six timeouts, %.1f before; %d attempts dialing, want 0", h.b.throttle.window, before,
 			h.b.throttle.dialing)
 	}
 	out := 0
 	for i := range 20 {
 		out += len(actionsOf[StartAttempt](h.request(name("q", i), idempotentClass)))
 	}
-	if out == 0 || out > int(open/16)+1 {
+	if out == 0 || out > int(before/16)+1 {
 		t.Fatalf("%d attempts dialing at the same time, want at least 1 and no more than the window", out)
 	}
 }
--- a/decide/safety_test.go
+++ b/decide/safety_test.go
@@ -342,7 +342,7 @@
 		h.sendChecked(Started{})
 		for range 4000 {
 			h.step()
-			// Advance often, so that timers and time-outs are not reported much later than they expire.
+			// Advance often, so that timers and timeouts are not reported much later than they expire.
 			if h.rng.IntN(3) == 0 {
 				h.advance(5 * time.Millisecond)
 			}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -67,7 +67,7 @@
 	} {
 		if check.invalid {
 			return invalidSetting(check.field,
-				"is out of range, must not be below 0, and an initial capacity must not be above 1")
+				"is out of range, must be at least 0 (SlowStartInitialCapacity: from 0 to 1)")
 		}
 	}
 	return nil
@@ -76,7 +76,7 @@
 // isFraction reports whether a value is from 0 to 1. It is false for NaN.
 func isFraction(value float64) bool { return value >= 0 && value <= 1 }
 
-// validate returns an error for the first invalid field of a class. The error names the field with the prefix.
+// validate returns an error for the first invalid field of a class. The error names the field after the prefix.
 func (c *Class) validate(prefix string) error {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -28,7 +28,7 @@
 			set := settings()
 			invalidate(&set)
 			if _, err := New(set); err == nil || !strings.Contains(err.Error(), "settings: "+message) {
-				t.Errorf("got error %v, want one that contains the message above", err)
+				t.Errorf("got error %v, want one that contains the text in the subtest's name", err)
 			}
 		})
 	}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -80,7 +80,7 @@
 }
 
 // serverCapacity returns this balancer's share of the connections per second that a warm server accepts. It is at
-// most the rate that keeps up the established connections at full load. The recent rate is too high where all clients
+// most the rate that replaces ending connections at full load, because the recent rate is too high where all clients
 // have connected within seconds, as after an outage.
 func (b *Balancer) serverCapacity() float64 {
 	connections, warm := 0, len(b.local)-len(b.localZone.warming)
@@ -92,8 +92,8 @@
 	if warm == 0 {
 		return b.capacity.perSecond
 	}
-	fullLoadFactor := max(b.zoneLoad.mean, minCapacityLoad)
-	return min(b.capacity.perSecond, float64(connections)/(b.lifetime.meanSeconds()*float64(warm)*fullLoadFactor))
+	meanLoad := max(b.zoneLoad.mean, minCapacityLoad)
+	return min(b.capacity.perSecond, float64(connections)/(b.lifetime.meanSeconds()*float64(warm)*meanLoad))
 }
 
 // expectedDemand estimates the mean number of this balancer's requests for one warming server within a window.
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -116,8 +116,8 @@
 			t.Parallel()
 			r := c.play(t, slowStartSettings())
 			t.Log(r)
-			if r.broken > 0 {
-				t.Errorf("balancers that had observed the start overloaded %d of %d warming servers", r.broken, r.servers)
+			if r.violations > 0 {
+				t.Errorf("balancers that had observed the start overloaded %d of %d warming servers", r.violations, r.servers)
 			}
 			if r.all < 2*r.servers || r.least == 0 && r.servers < 3 { // one of several may be preferred by too few groups
 				t.Errorf("only %d requests at %d warming servers during their warm-up", r.all, r.servers)
@@ -138,8 +138,8 @@
 			demandFactor: 1, droppingServers: 3, seed: seed}
 		r := c.play(t, slowStartSettings())
 		t.Logf("seed %d: %v", seed, r)
-		if r.broken > 0 {
-			t.Errorf("seed %d: balancers that had observed the start overloaded %d of %d warming servers", seed, r.broken,
+		if r.violations > 0 {
+			t.Errorf("seed %d: balancers that had observed the start overloaded %d of %d warming servers", seed, r.violations,
 				r.servers)
 		}
 	}
--- a/decide/slowstart_result_test.go
+++ b/decide/slowstart_result_test.go
@@ -9,20 +9,20 @@
 
 // slowStartResult summarizes the requests at the warming servers during their warm-up.
 type slowStartResult struct {
-	servers   int
-	overloads int     // servers that were overloaded
-	broken    int     // servers that were overloaded mainly by balancers that had observed their start
-	most      float64 // largest number of requests within an overload window, as a fraction of the allowed number
-	use       float64 // requests at a server divided by its budget, mean over the servers
-	least     int     // requests at the server with the fewest requests
-	all       int     // requests at all warming servers
-	rejected  int     // rejected and failed requests at all balancers
+	servers    int
+	overloads  int     // servers that were overloaded
+	violations int     // servers that were overloaded mainly by balancers that had observed their start
+	most       float64 // largest number of requests within an overload window, as a fraction of the allowed number
+	use        float64 // requests at a server divided by its budget, mean over the servers
+	least      int     // requests at the server with the fewest requests
+	all        int     // requests at all warming servers
+	rejected   int     // rejected and failed requests at all balancers
 }
 
 func (r slowStartResult) String() string {
-	return fmt.Sprintf("%d overloads (%d broken) of %d, largest window %.2f of its allowance, budget used %.2f, "+
+	return fmt.Sprintf("%d overloads (%d violations) of %d, largest window %.2f of its allowance, budget used %.2f, "+
 		"least %d requests, all %d, %d rejected",
-		r.overloads, r.broken, r.servers, r.most, r.use, r.least, r.all, r.rejected)
+		r.overloads, r.violations, r.servers, r.most, r.use, r.least, r.all, r.rejected)
 }
 
 // result evaluates the attempts at the watched servers since their start.
@@ -37,13 +37,13 @@
 		result.all += len(s.attempts)
 		result.least = min(result.least, len(s.attempts))
 		result.use += float64(len(s.attempts)) / f.budget(s, started)
-		most, overloaded, atFault := f.worstWindow(s)
+		most, overloaded, violation := f.worstWindow(s)
 		result.most = max(result.most, most)
 		if overloaded {
 			result.overloads++
 		}
-		if atFault {
-			result.broken++
+		if violation {
+			result.violations++
 		}
 	}
 	result.use /= float64(result.servers)
@@ -66,7 +66,7 @@
 // number of attempts as a fraction of the allowed number; whether that fraction exceeds 1, so that the server was
 // overloaded; and whether over two thirds of the attempts in the first window that exceeds it came from balancers that
 // had observed the server's start.
-func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, overloaded, atFault bool) {
+func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, overloaded, violation bool) {
 	safety := f.settings.Safety
 	for i, first := range s.attempts {
 		perSecond := safety.OverloadFactor * s.capacity / f.meanLifetime.Seconds()
@@ -84,10 +84,10 @@
 		fraction := all / (n + 2*math.Sqrt(n) + 2)
 		most = max(most, fraction)
 		if fraction > 1 && !overloaded {
-			overloaded, atFault = true, observed > all*2/3
+			overloaded, violation = true, observed > all*2/3
 		}
 	}
-	return most, overloaded, atFault
+	return most, overloaded, violation
 }
 
 // sortedIDs returns the servers' IDs in ascending order.
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -367,7 +367,7 @@
 func (c slowStartCase) play(t *testing.T, set Settings) slowStartResult {
 	f := newSlowStartSimulation(t, c, set)
 	// The rate keeps the load of the warm servers constant. In the first 4 s, a higher rate sends requests for 0.9
-	// of these connections.
+	// of the connections at that load.
 	rate := c.load * c.serverCapacity * 2 * float64(c.warmServers) / c.meanLifetime.Seconds()
 	fill := 4 * time.Second
 	f.run(fill, rate*(c.meanLifetime.Seconds()/fill.Seconds())*0.9, false)
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -7,7 +7,7 @@
 )
 
 // newReportingHarness returns a harness with ten servers, each of which reports half load and perServer connections.
-// The balancer has own established connections.
+// The parameter own is the number of connections of the balancer.
 func newReportingHarness(t *testing.T, configured, perServer, own int) *harness {
 	t.Helper()
 	set := settings()
