--- a/decide/admission.go
+++ b/decide/admission.go
@@ -9,7 +9,7 @@
 	// baseRetryAfter is the minimum retry-after of a rejected request, before the limit of the settings. A random delay
 	// of up to the same length is added.
 	baseRetryAfter = 200 * time.Millisecond
-	// minQueueLength is the number of waiting requests behind which another one may always wait.
+	// minQueueLength is the number of waiting requests behind which another may always wait.
 	minQueueLength = 4
 )
 
--- a/decide/answers.go
+++ b/decide/answers.go
@@ -19,8 +19,8 @@
 // answerPools hold the servers that placements choose from by load: the servers with the latest probe answers, oldest
 // load report first.
 type answerPools struct {
-	ownZone    []*server // servers of the local list
-	otherZones []*server // servers of the remote list
+	ownZone    []*server // in the local list when they answered
+	otherZones []*server // in the remote list when they answered
 }
 
 // addAnswer puts a server at the end of a pool. If the pool exceeds maxAnswers, the server with the oldest
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -12,8 +12,8 @@
 	avoid   bool // the connection broke or was migrated off this server, so the client must avoid it
 }
 
-// clientMemory holds the records of clients whose connections broke or were cancelled, by client key. They are kept
-// for recordRetention.
+// clientMemory holds the records of clients whose connections broke or were cancelled, by client key. They expire
+// after recordRetention or later.
 type clientMemory struct {
 	records map[string]clientRecord
 	order   []string // keys in the order in which they were added
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -30,7 +30,7 @@
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
 	// setupTimeFactor times the average setup time is the minimum timeout of an attempt. An attempt that timed out
-	// counts as a setup of setupTimeFactor times its duration, unless the average setup time is longer.
+	// counts as a setup of setupTimeFactor times its duration, unless the average is longer.
 	setupTimeFactor = 2
 )
 
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -39,7 +39,7 @@
 	// fullRateProbers*minProbeRate.
 	fullRateProbers = 4.0
 	// wholeListProbePeriod applies while steady probes are limited to servers with connections of this balancer: one in
-	// wholeListProbePeriod goes to the next server of the whole local list instead.
+	// wholeListProbePeriod goes to the next server of the whole local list.
 	wholeListProbePeriod = 4
 	// maxProbeDebt limits the probes of servers with slow messages that are made ahead of the steady probes' rate, and
 	// the saved credit for probes of servers short of capacity.
