--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -13,7 +13,7 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// Discovery emulates the discovery service. It serves each balancer at an address of its own and records which
+// Discovery emulates the discovery service. Each balancer has its own address, so that Discovery can record which
 // entries of room servers it sends to which balancer. It is safe for concurrent use.
 type Discovery struct {
 	recorder *invariants.Recorder
@@ -35,10 +35,10 @@
 	return &Discovery{recorder: recorder, changed: make(chan struct{})}
 }
 
-// Calls returns the number of calls of all balancers so far.
+// Calls returns the number of calls that all balancers together have made so far.
 func (d *Discovery) Calls() uint64 { return d.calls.Load() }
 
-// ListenFor starts serving a balancer at a free port on loopback, until Stop.
+// ListenFor starts serving a balancer on a free loopback port. Stop ends it.
 func (d *Discovery) ListenFor(balancer string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +76,8 @@
 	d.Put(e)
 }
 
-// PutServer publishes a room server with the given lifecycle by its name and address. No RoomServer has to exist.
+// PutServer publishes an entry with the given name, address, zone and lifecycle. Unlike SetLifecycle, it does not need
+// a RoomServer.
 func (d *Discovery) PutServer(name, address, zone, lifecycle string) {
 	e := ActiveEntry(name, address, zone)
 	e.Lifecycle = lifecycle
@@ -131,9 +132,10 @@
 	return slices.Clone(d.deltas[version:]), d.changed
 }
 
-// serve answers a call of a balancer: a poll with a snapshot, a watch with all changes after its version until it
-// ends. A watch from version 0 starts with a snapshot, since its balancer has no list, and so does a watch without a
-// valid version or from a version newer than the current one.
+// serve handles a call of a balancer. It answers a poll with a snapshot. On a watch it sends all changes after the
+// version in the query, until the client closes the connection or the server stops. A watch starts with a snapshot if
+// its version is 0, which a balancer without a list sends, if the version is absent or invalid, or if it is newer than
+// the current one.
 func (d *Discovery) serve(balancer string, w http.ResponseWriter, req *http.Request) {
 	d.calls.Add(1)
 	query := parseListQuery(req)
--- a/internal/testbench/emulator/endpoint_table.go
+++ b/internal/testbench/emulator/endpoint_table.go
@@ -60,8 +60,8 @@
 	return int64(len(t.changes)) + 1
 }
 
-// Publish changes or adds an entry and returns the new version. Two known faults: an entry that is not in version 1
-// is listed once more at each further change of it, and an entry with LifecycleLeft stays in the list.
+// Publish changes or adds an entry and returns the new version. Two known faults: for an entry that is not in version
+// 1, each later change adds a duplicate to the list, and an entry with LifecycleLeft stays in the list.
 func (t *EndpointTable) Publish(e Entry) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,8 +119,8 @@
 	return raw
 }
 
-// changesBetween returns the changes after one version up to and including another, encoded and as entries. Callers
-// must not modify them.
+// changesBetween returns the changes after one version up to and including another: the encoded messages, and the
+// entries that they contain in the same order. Callers must not modify them.
 func (t *EndpointTable) changesBetween(after, upTo int64) ([][]byte, []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -31,13 +31,13 @@
 )
 
 const (
-	// faultyListenAddress stands for a free port of an IP address that is not the source address of clients'
-	// connections. Otherwise the kernel could choose the port as the source port of a client's connection while the
-	// listener is closed.
+	// faultyListenAddress selects a free port on an IP address that clients do not connect from. On their source
+	// address, the kernel could choose the port as the source port of a client's connection while the listener is
+	// closed.
 	faultyListenAddress = "127.77.0.1:0"
 	// defaultBacklog is the listener's backlog after a NetworkCut.
 	defaultBacklog = 1024
-	// maxBacklogConns is the number of connections after which a backlog of 0 has to be full.
+	// maxBacklogConns is the largest number of connections with which cutOff tries to fill a backlog of 0.
 	maxBacklogConns = 8
 	// backlogTimeout is how long a connection may take to be established before the backlog counts as full.
 	backlogTimeout = 200 * time.Millisecond
@@ -100,7 +100,7 @@
 	})
 }
 
-// unresponsive reports whether the outage leaves open connections without any answer, also after its end.
+// unresponsive reports whether open connections stay without any answer, even after the outage has ended.
 func (o Outage) unresponsive() bool {
 	return o == NoResponse || o == NetworkCut
 }
--- a/internal/testbench/emulator/list_server.go
+++ b/internal/testbench/emulator/list_server.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Listen starts serving at a free port on loopback. If observe is not nil, it is called with all entries before they
-// are sent there.
+// Listen starts serving on a free loopback port. If observe is not nil, it is called with the entries of each message
+// before the message is sent to a client of this port.
 func (s *ListServer) Listen(observe func([]Entry)) (address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,9 +129,9 @@
 	return s.version, s.changed
 }
 
-// serve answers a call: a poll with a snapshot, a watch with all changes after its version until it ends. A watch
-// without a valid version starts with a snapshot, and so does one from version 0 or from a version newer than the
-// server's. A watch from the current version starts with an empty delta.
+// serve handles a call. It answers a poll with a snapshot. On a watch it sends all changes after the version in the
+// query, until the client closes the connection or the server stops. A watch starts with a snapshot if its version is
+// 0, absent, invalid or newer than the server's, and with an empty delta if its version is the server's.
 func (s *ListServer) serve(observe func([]Entry), w http.ResponseWriter, req *http.Request) {
 	s.calls.Add(1)
 	call := &listCall{server: s, w: w, observe: observe}
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -72,7 +72,8 @@
 	detachedAt time.Time
 	// reconnecting says that the player has lost its room server. Its requests contain again=1 then.
 	reconnecting bool
-	// replay says that copies of the next token that the player presents are to be presented too; see Replay.
+	// replay is set by Replay. While it is set, copies of each token that the player presents are presented too. It is
+	// cleared when the player has attached its session with a token.
 	replay atomic.Bool
 }
 
--- a/internal/testbench/emulator/player_session.go
+++ b/internal/testbench/emulator/player_session.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// readLines returns a channel of the lines that it reads until the connection ends or done is closed. It closes the
-// channel then.
+// readLines reads lines until the connection ends or done is closed, and sends them on the returned channel, which it
+// closes at the end.
 func readLines(r *bufio.Reader, done <-chan struct{}) <-chan string {
 	lines := make(chan string)
 	go func() {
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -35,15 +35,15 @@
 	// StateBytes is the size of a session's state in bytes. The state contains the session's position and has at least
 	// its size, positionBytes.
 	StateBytes int
-	// LoadMicros is the load that the server reports for each established connection, in microseconds of work a second;
-	// 0 if it reports none.
+	// LoadMicros is the load that the server reports for each established connection, in microseconds of work per
+	// second; 0 if it reports none.
 	LoadMicros int
 	// Recorder receives what the server observes; it may be nil.
 	Recorder *invariants.Recorder
 
-	// SetupRate is the number of connections a second that the server can establish once it is warm. It limits the
-	// requests only while the server warms up: a server that is overloaded then collapses, that is, it crashes. With 0
-	// it never collapses.
+	// SetupRate is the number of connections per second that the server can establish once it is warm. It matters only
+	// during the warm-up: a server that is overloaded while it warms up collapses, that is, it crashes. A warm server
+	// never collapses, and neither does one with a rate of 0.
 	SetupRate float64
 	// WarmupFraction is the fraction of SetupRate that the server has at its start. It rises to 1 during WarmupTime.
 	WarmupFraction float64
@@ -113,7 +113,7 @@
 	Open int
 }
 
-// NewRoomServer starts a room server at a free port on loopback.
+// NewRoomServer starts a room server on a free loopback port.
 func NewRoomServer(cfg RoomServerConfig) (*RoomServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -45,9 +45,9 @@
 	return c.establish(protocol.SessionRetainedLine(session.Ref.Epoch, 0))
 }
 
-// reattachSession lets the arbiter attach a session that the server holds to this connection, and reports the epoch
-// and the position to the balancer, which may then send GO. If the arbiter does not grant the session, the balancer
-// may send another first line on this connection.
+// reattachSession requests from the arbiter that a session that this server retains is attached to this connection,
+// and reports its epoch and position to the balancer, which may then send GO. If the arbiter does not grant the
+// session, the balancer may send another first line on this connection.
 func (c *roomConn) reattachSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	s.mu.Lock()
@@ -146,8 +146,8 @@
 	return c.writeLine(protocol.PositionLine(position))
 }
 
-// play executes a move of the game if it is the next one, and answers with the session's position whether it is or
-// not. It reports false if the connection has lost its session, without an answer then, or if the write fails.
+// play executes a move of the game if it is the next one. In either case it answers with the session's position. It
+// reports false if the connection has lost its session, in which case it sends no answer, or if the write fails.
 func (c *roomConn) play(text string) bool {
 	move, err := strconv.ParseUint(text, 10, 64)
 	position, ok := c.savePosition(move, err == nil)
--- a/internal/testbench/emulator/statistics.go
+++ b/internal/testbench/emulator/statistics.go
@@ -10,8 +10,9 @@
 type Statistics struct {
 	// OnBroken is called with the balancer's name when an established connection breaks; it may be nil.
 	OnBroken func(balancer string)
-	// OnResumed is called when a session is resumed, with the time since its client lost its room server: it was told
-	// to move, its connection broke, or it got no token or position after UP. It may be nil.
+	// OnResumed is called when a session is resumed, with the time since its client lost its room server. A client loses
+	// its room server when it is told to move, when its connection breaks, or when no token or position follows UP. It
+	// may be nil.
 	OnResumed func(time.Duration)
 	// OnStartedOver is called with the reason when a session starts over; it may be nil.
 	OnStartedOver func(reason string)
