--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -35,9 +35,9 @@
 	DoubleAttachments int
 	// EpochRegressions counts the attachments at an epoch lower than the highest epoch of the session's earlier ones.
 	EpochRegressions int
-	// UnansweredRequests counts the requests without any answer: the client left after the deadline and the slack, both
-	// had passed at the time of the report, or the connection was lost. A late answer is a violation that is not
-	// counted here.
+	// UnansweredRequests counts the requests without any answer: the client left after the deadline and the slack had
+	// passed, they passed before the report while the client was still waiting, or the connection was lost. A late
+	// answer is a violation that is not counted here.
 	UnansweredRequests int
 	// LostSessions counts the sessions that lost acknowledged moves or were stranded, see SessionStranded.
 	LostSessions int
@@ -77,8 +77,8 @@
 	// attempts holds the number of active attempts by room server.
 	attempts map[string]int
 	// concurrentSince holds, by the room server of an active attempt, the time at which the first later attempt of the
-	// request started. An entry is kept until the request's attempts at that room server have ended, also if the later
-	// attempt ends before.
+	// request started. An entry is kept until the request's attempts at that room server have ended, even if the later
+	// attempt ends first.
 	concurrentSince map[string]time.Duration
 }
 
@@ -125,8 +125,9 @@
 }
 
 // Report returns what was found up to the given time. Unanswered requests whose deadline and slack have passed by then
-// are violations in this report only. Events may be added afterwards, but Report has a side effect: it evaluates
-// concurrent attempts and forgets since when they are concurrent, so that they are not evaluated again when they end.
+// are violations in this report only. Events may be added afterwards, but Report has a side effect: it evaluates the
+// attempts that are concurrent at that time and deletes their entries in concurrentSince, so that they are not
+// evaluated again when they end.
 func (c *Checker) Report(now time.Duration) Report {
 	for id, r := range c.requests {
 		for server := range r.concurrentSince {
@@ -259,11 +260,11 @@
 	}
 }
 
-// endConcurrency checks the time from the start of a later attempt of the same request until at, where at is the end
-// of the attempt at the given room server or the time of the report. This is not exactly the time during which both
-// attempts were active: if the later attempt ends first, the measured time still runs until at. A time within the
-// slack is no violation, because a room server observes the end of a connection a little after the balancer has
-// closed it.
+// endConcurrency checks for how long the attempt at the given room server has stayed active after a later attempt of
+// the same request started. The parameter at is the end of the attempt, or the time of the report if it is still
+// active. The later attempt may have ended earlier, so that the measured time can exceed the time during which both
+// were active. A time within the slack is no violation, because a room server observes the end of a connection a
+// little after the balancer has closed it.
 func (c *Checker) endConcurrency(r *request, id, server string, at time.Duration) {
 	since, ok := r.concurrentSince[server]
 	if ok && at-since > c.limits.Slack {
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -58,7 +58,7 @@
 	return Event{Kind: SessionDetached, Session: "s", Server: server}
 }
 
-// positioned returns an event of the session's client with a position.
+// positioned returns an event by which the session's client reports a position, acknowledged or resumed.
 func positioned(kind Kind, position uint64) Event {
 	return Event{Kind: kind, Session: "s", Position: position}
 }
--- a/internal/testbench/invariants/event.go
+++ b/internal/testbench/invariants/event.go
@@ -50,8 +50,8 @@
 	// SessionStartedOver reports that a client starts over, because a balancer answered ANEW or because the client
 	// reconnects without using session tokens: Session.
 	SessionStartedOver
-	// SessionStranded reports that a client had no room server at the end of the run, and had had none for longer than
-	// a limit of the client: Session.
+	// SessionStranded reports that, at the end of the run, a client had been without a room server for longer than the
+	// emulated client tolerates: Session.
 	SessionStranded
 )
 
