--- a/internal/testbench/hollow/convergence.go
+++ b/internal/testbench/hollow/convergence.go
@@ -40,7 +40,7 @@
 	findings  Findings
 }
 
-// nodeHistory is the state of one node as its events give it.
+// nodeHistory is the state of one node according to the events that were processed so far.
 type nodeHistory struct {
 	reachable bool
 	// reachableSince is when the node last became reachable.
@@ -53,8 +53,9 @@
 	final *Event
 }
 
-// Check checks that the nodes of a run applied all published versions in order. Nodes that have been reachable for at
-// least the grace period at end, the end of the run, must have the final list.
+// Check checks that the nodes of a run applied all published versions in order, and that they have the wanted list at
+// the end of the run. Nodes that are unreachable at the end, or have been reachable for less than the grace period, do
+// not need to have it.
 func Check(events []Event, want FinalList, end, grace time.Duration) Findings {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
--- a/internal/testbench/hollow/digest_test.go
+++ b/internal/testbench/hollow/digest_test.go
@@ -34,8 +34,8 @@
 	return nodeList{version: 1, digest: shared.initialDigest}
 }
 
-// The digest of a node's list equals that of the endpoints as the node received them last, also if deltas are
-// repeated or arrive in another order than that of their versions.
+// The digest of a node's list equals that of the endpoints as the node received them last, even if deltas are repeated
+// or do not arrive in the order of their versions.
 func TestNodeListDigest(t *testing.T) {
 	final, regressed := []core.Endpoint{deltaA4, deltaB3}, []core.Endpoint{deltaA2, deltaB3}
 	for name, v := range map[string]struct {
--- a/internal/testbench/hollow/fleet_test.go
+++ b/internal/testbench/hollow/fleet_test.go
@@ -65,7 +65,7 @@
 	known bool
 }
 
-// startFleet starts a fleet and waits until the watches of all nodes have received something.
+// startFleet starts a fleet and waits until the watch of each node has received a message or a heartbeat.
 func startFleet(t *testing.T, options fleetOptions) *fleet {
 	t.Helper()
 	f := &fleet{table: emulator.NewEndpointTable(testEntries(options.endpoints))}
--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -51,9 +51,9 @@
 	events []Event
 }
 
-// RunWorker reads a Setup and then Commands from in, runs hollow nodes as they demand, and writes Reports to out. It
-// returns nil when in ends after the setup, and an error if a line is invalid, a command cannot be executed, a report
-// cannot be written or ctx ends.
+// RunWorker reads a Setup and then Commands from the input, executes the commands on hollow nodes, and writes Reports
+// to the output. It returns nil at the end of the input, and an error if the input has no setup or an invalid line, a
+// command cannot be executed, a report cannot be written, or ctx ends.
 func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
