--- a/internal/testbench/faultproxy/datagram.go
+++ b/internal/testbench/faultproxy/datagram.go
@@ -46,13 +46,13 @@
 		if err != nil {
 			return
 		}
-		d.disturb(buffer[:n])
+		d.applyConditions(buffer[:n])
 	}
 }
 
-// disturb applies the path's conditions to a datagram: it drops the datagram, or sends it once or twice after a
+// applyConditions applies the path's conditions to a datagram: it drops the datagram, or sends it once or twice after a
 // delay.
-func (d *DatagramProxy) disturb(datagram []byte) {
+func (d *DatagramProxy) applyConditions(datagram []byte) {
 	conditions, _, _ := d.path.current()
 	if conditions.Cut || d.path.chance(conditions.Loss) {
 		return
--- a/internal/testbench/faultproxy/link.go
+++ b/internal/testbench/faultproxy/link.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Link emulates the network between two places for the TCP connections of any number of ports. It is safe for
-// concurrent use.
+// Link emulates a network link that the TCP connections of any number of ports share. It is safe for concurrent use.
 type Link struct {
 	// forward carries the bytes from the dialing side to the target.
 	forward *Path
@@ -35,9 +34,9 @@
 	return &Link{forward: forward, back: back, target: target, conns: map[net.Conn]*Port{}}
 }
 
-// Throttle delays both directions and limits the bandwidth, in bytes a second, of each path. A value of 0 removes the
-// delay or the limit. If both directions share one path, their bytes together have the limit. All other conditions of
-// the paths are removed.
+// Throttle delays both directions and limits the bandwidth, in bytes per second, of each path. A value of 0 removes the
+// delay or the limit. If both directions share one path, the limit applies to the sum of their bytes. All other
+// conditions of the paths are removed.
 func (l *Link) Throttle(delay time.Duration, bytesPerSecond float64) {
 	for _, p := range []*Path{l.forward, l.back} {
 		p.Set(Conditions{Delay: delay})
--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -14,12 +14,12 @@
 // reorderDelay is the additional delay of a datagram that is reordered, so that later ones arrive before it.
 const reorderDelay = 40 * time.Millisecond
 
-// burstsPerSecond divides the bytes a second of a bandwidth limit into its burst, the number of bytes that the limit
-// allows at once. The burst is at least bufferSize, because rate.Limiter rejects a packet that is larger than the
+// burstsPerSecond sets the burst of a bandwidth limit, the number of bytes that it allows at once, to a fraction of the
+// bytes per second. The burst is at least bufferSize, because rate.Limiter rejects a packet that is larger than the
 // burst.
 const burstsPerSecond = 10
 
-// Conditions are the faults of one direction between two places. The zero value injects none.
+// Conditions are the faults of one direction of a network path. The zero value injects none.
 type Conditions struct {
 	// Cut drops all datagrams, and delays the bytes of streams until it ends.
 	Cut bool
@@ -36,8 +36,8 @@
 	Jitter time.Duration
 }
 
-// Path holds the conditions and the bandwidth limit of one direction between two places. It is safe for concurrent
-// use.
+// Path holds the conditions and the bandwidth limit of one direction between two hosts, or of both if they share it. It
+// is safe for concurrent use.
 type Path struct {
 	// mu guards all other fields.
 	mu         sync.Mutex
@@ -64,7 +64,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Limit limits the bandwidth of streams, in bytes a second. 0 removes the limit.
+// Limit limits the bandwidth of streams, in bytes per second. 0 removes the limit.
 func (p *Path) Limit(bytesPerSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbench/faultproxy/port.go
+++ b/internal/testbench/faultproxy/port.go
@@ -23,7 +23,7 @@
 	accepted   atomic.Uint64
 }
 
-// Port opens a port for a balancer at a free port on loopback.
+// Port opens a port for a balancer on a free loopback port.
 func (l *Link) Port(balancer int) (*Port, error) {
 	return l.PortAt(balancer, "127.0.0.1:0")
 }
--- a/internal/testbench/faultproxy/stream.go
+++ b/internal/testbench/faultproxy/stream.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// readPackets reads a stream and sends its bytes as packets until the stream or ctx ends. It closes the channel then.
+// readPackets reads a stream and sends its bytes as packets until the stream or ctx ends, and then closes the channel.
 func readPackets(ctx context.Context, from io.Reader, path *Path, packets chan<- packet) {
 	defer close(packets)
 	buffer := make([]byte, bufferSize)
