--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -25,7 +25,7 @@
 	// stopTimeout is how long a process may take to end: a balancer after SIGTERM, a worker of a scale run after its
 	// standard input was closed.
 	stopTimeout = 6 * time.Second
-	// maxStartAttempts is the number of attempts to start a balancer, each at other ports.
+	// maxStartAttempts is the number of attempts to start a balancer, each on other ports.
 	maxStartAttempts = 3
 	// logTailBytes is the number of bytes that an error quotes from the end of a process's log.
 	logTailBytes = 600
@@ -101,8 +101,8 @@
 	return b, nil
 }
 
-// startBalancer writes the files of a balancer and starts it. Another socket, such as an outgoing connection, may
-// take a free port before the balancer listens at it; the balancer is then started again at other ports.
+// startBalancer writes the files of a balancer and starts it. Another socket, such as that of an outgoing connection,
+// may take a free port before the balancer listens on it. In that case the balancer is started again on other ports.
 func startBalancer(ctx context.Context, spec balancerSpec) (b *balancer, err error) {
 	for range maxStartAttempts {
 		if b, err = newBalancer(spec); err != nil {
@@ -180,8 +180,8 @@
 		"TMPDIR="+filepath.Join(b.dir, "tmp"))
 	c.Env = append(c.Env, b.environment...)
 	c.Stdout, c.Stderr = b.log, b.log
-	// A process group of its own keeps an interrupt at the terminal from the balancer, which this process stops
-	// itself. Pdeathsig kills the balancer if this process is killed.
+	// The balancer has its own process group, because an interrupt from the terminal must not reach it: this process
+	// stops it gracefully. Pdeathsig kills the balancer if this process is killed.
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return c
 }
--- a/internal/testbench/experiment/balancer_config.go
+++ b/internal/testbench/experiment/balancer_config.go
@@ -122,8 +122,8 @@
 	discovery  string
 }
 
-// config returns the configuration of a balancer, which starts with known, an endpoint list in JSON; nil for none.
-// Balancers whose names have the same length get the same seed.
+// config returns the configuration of a balancer. The parameter known is the endpoint list with which the balancer
+// starts, in JSON; nil if it has none. Balancers whose names have the same length get the same seed.
 func (e Experiment) config(name string, at placement, a addresses, known json.RawMessage) configFile {
 	return configFile{
 		Name:       name,
--- a/internal/testbench/experiment/delivery_clients.go
+++ b/internal/testbench/experiment/delivery_clients.go
@@ -39,7 +39,7 @@
 	latencies *hdrhistogram.Histogram
 }
 
-// connectClients establishes n connections. The caller has to close the clients, also if there is an error.
+// connectClients establishes n connections. The caller has to close the clients, even if there is an error.
 func connectClients(ctx context.Context, address string, n int) (*deliveryClients, error) {
 	c := &deliveryClients{latencies: newDeliveryHistogram()}
 	var connecting sync.WaitGroup
--- a/internal/testbench/experiment/delivery_cost.go
+++ b/internal/testbench/experiment/delivery_cost.go
@@ -19,7 +19,8 @@
 	maxDeliveryMicros = 60_000_000
 )
 
-// DeliveryCost holds what a balancer uses for established connections and for lines from a room server to clients.
+// DeliveryCost holds the resources that a balancer uses for established connections and for lines that a room server
+// sends to clients, and the latencies of these lines.
 type DeliveryCost struct {
 	// Connections is the number of established connections.
 	Connections int `json:"connections"`
@@ -91,7 +92,7 @@
 	// serving says that the balancer was started and has to be stopped.
 	serving bool
 	clients *deliveryClients
-	// idleRate is what the balancer uses per second with idle connections.
+	// idleRate is the balancer's resource usage per second while its connections are idle.
 	idleRate usageRate
 }
 
@@ -183,7 +184,7 @@
 	os.RemoveAll(m.dir)
 }
 
-// WriteDeliveryCosts writes costs as a table for people.
+// WriteDeliveryCosts writes costs as a human-readable table.
 func WriteDeliveryCosts(out io.Writer, costs []DeliveryCost) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "connections\tdeliveries/s\tlost\tCPU ms/s\tus each\tp50 ms\tp99 ms\twrite delay p99 ms\tMB\t")
--- a/internal/testbench/experiment/delivery_server.go
+++ b/internal/testbench/experiment/delivery_server.go
@@ -29,7 +29,7 @@
 // lines.
 var deliveryEpoch = time.Now()
 
-// deliveryServer emulates a room server that sends lines to clients without being asked.
+// deliveryServer emulates a room server that sends unsolicited lines to clients.
 type deliveryServer struct {
 	listener net.Listener
 	// goroutines counts the goroutines that accept and serve connections. They end when the listener and their
@@ -42,7 +42,7 @@
 	conns []net.Conn
 }
 
-// newDeliveryServer starts a server at a free address on loopback.
+// newDeliveryServer starts a server on a free loopback port.
 func newDeliveryServer() (*deliveryServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbench/experiment/experiment.go
+++ b/internal/testbench/experiment/experiment.go
@@ -62,8 +62,9 @@
 	NoticeMs int `json:"notice_ms"`
 	// DiscoveryLagMs is the time until discovery publishes a room server's new lifecycle, in milliseconds.
 	DiscoveryLagMs int `json:"roll_lag_ms"`
-	// MaxDescriptors is the limit on the descriptors of a balancer, both as configured and of its process; 0 configures
-	// a limit by the number of clients and does not limit the process.
+	// MaxDescriptors is the limit on the descriptors of a balancer, both in its configuration and as the resource limit
+	// of its process. With 0, the configured limit depends on the number of clients, and the process inherits its
+	// resource limit.
 	MaxDescriptors int `json:"sockets"`
 	// MemoryMB is the configured memory limit of a balancer.
 	MemoryMB int `json:"memory_mb"`
@@ -79,7 +80,7 @@
 	actionKill      = "kill"    // a balancer is killed by SIGKILL
 	actionRestart   = "restart" // a balancer is stopped gracefully, if it runs, and started again
 	actionHotUpdate = "renew"   // a new process of a balancer takes over the sockets of the running one
-	actionReplay    = "replay"  // copies of clients' next tokens are presented while the clients present them and later
+	actionReplay    = "replay"  // copies of clients' next tokens are presented along with the originals and again later
 	actionRotate    = "rotate"  // the balancers reload the key file with a new sealing key
 )
 
@@ -97,7 +98,7 @@
 	Fraction float64 `json:"share"`
 }
 
-// String describes the fault in a line of the progress.
+// String describes the fault for a progress line.
 func (f Fault) String() string {
 	switch f.Action {
 	case actionDrain, actionEndDrain, actionCrash:
@@ -110,7 +111,7 @@
 	return "rotate the sealing keys of session tokens"
 }
 
-// Progress receives lines for people that report the progress of a run.
+// Progress receives human-readable lines about the progress of a run.
 type Progress func(line string)
 
 // Load reads an experiment's file. Errors name the file; the error of a key also names the key and what is wrong.
--- a/internal/testbench/experiment/fleet_cost.go
+++ b/internal/testbench/experiment/fleet_cost.go
@@ -11,8 +11,8 @@
 	connectRate = 100.0
 	// fleetPlayIntervalMs is the time between two moves of a client, in milliseconds.
 	fleetPlayIntervalMs = 2000
-	// spareCapacity is the capacity of a room server as a multiple of SessionsPerServer.
-	spareCapacity = 4
+	// fleetCapacityFactor is the capacity of a room server as a multiple of SessionsPerServer.
+	fleetCapacityFactor = 4
 )
 
 // FleetCost holds the cost of a fleet of one size.
@@ -56,7 +56,7 @@
 	return costs, nil
 }
 
-// fleetCost measures the cost of a fleet in a run without faults and session tokens.
+// fleetCost measures the cost of a fleet in a run that has neither faults nor session tokens.
 func fleetCost(
 	ctx context.Context, program string, balancers, roomServers int, sizes FleetSizes,
 ) (FleetCost, error) {
@@ -64,7 +64,7 @@
 	fill := float64(sessions) / connectRate
 	e, err := Parse(fmt.Appendf(nil, `{"name":"size","balancers":%d,"rooms":%d,"sessions":%d,"fill_s":%g,"every_ms":%d,
 "tokens":false,"capacity":%d,"seconds":%g}`, balancers, roomServers, sessions, fill, fleetPlayIntervalMs,
-		spareCapacity*sizes.SessionsPerServer, fill+settleTime.Seconds()+sizes.Seconds))
+		fleetCapacityFactor*sizes.SessionsPerServer, fill+settleTime.Seconds()+sizes.Seconds))
 	if err != nil {
 		return FleetCost{}, err
 	}
@@ -82,7 +82,7 @@
 	}, nil
 }
 
-// WriteFleetCosts writes costs as a table for people.
+// WriteFleetCosts writes costs as a human-readable table.
 func WriteFleetCosts(out io.Writer, costs []FleetCost) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "balancers\troom servers\tsessions\tMB\tdescriptors\tCPU ms/s\tprobes/s\tnew/s\t"+
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -15,7 +15,7 @@
 const (
 	// listRoomServers is the number of emulated room servers. The entries of a list share their addresses.
 	listRoomServers = 8
-	// idleTime is the time before a measurement in which the balancer finishes the work of its start.
+	// idleTime is the time before a measurement in which the balancer completes its startup work.
 	idleTime = 3 * time.Second
 	// listTimeout is how long the balancer may take to apply the list.
 	listTimeout = 30 * time.Second
@@ -32,8 +32,8 @@
 // emptyList is the known list of the balancer, which has no entries.
 const emptyList = `{"generation":0,"reset":true,"instances":[]}`
 
-// ListCost holds what a balancer without clients uses for an endpoint list of one length. The balancer starts with an
-// empty list and receives the list from discovery.
+// ListCost holds the resources that a balancer without clients uses for an endpoint list of one length. The balancer
+// starts with an empty list and receives the list from discovery.
 type ListCost struct {
 	// Servers is the length of the list.
 	Servers int `json:"servers"`
@@ -268,7 +268,7 @@
 	os.RemoveAll(m.dir)
 }
 
-// WriteListCosts writes costs as a table for people.
+// WriteListCosts writes costs as a human-readable table.
 func WriteListCosts(out io.Writer, costs []ListCost) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "room servers\tapplied, s\tstart KB\tstart CPU ms\tidle CPU ms/s\tCPU ms/change\tMB\tMB, peak\t"+
--- a/internal/testbench/experiment/membership_checker.go
+++ b/internal/testbench/experiment/membership_checker.go
@@ -15,11 +15,11 @@
 	settledAfter = 10 * time.Second
 	// detectTimeout is the time after a kill within which reports of the failure count.
 	detectTimeout = 20 * time.Second
-	// leaveTimeout is the time after the begin of a graceful shutdown within which reports of it count.
+	// leaveTimeout is the time after the start of a graceful shutdown within which reports of it count.
 	leaveTimeout = 5 * time.Second
 	// joinGrace is how long an instance may be live before others have to count it.
 	joinGrace = 3 * time.Second
-	// disturbanceWindow is the time before an event in which a disturbance of an observer excuses it from a report.
+	// disturbanceWindow is the time before an event in which a disturbance excuses an observer from reporting the event.
 	disturbanceWindow = 1500 * time.Millisecond
 	// notDetectedMs is the detection time, in milliseconds, that is recorded for an event that was not detected. It
 	// exceeds all objectives.
@@ -30,9 +30,10 @@
 type membershipFindings struct {
 	// FalseFailed holds the reports that a live and reachable instance has failed.
 	FalseFailed []membershipEvent
-	// SizeBelowLive counts the polls of a fleet size below the number of instances live for longer than joinGrace.
+	// SizeBelowLive counts the polls in which an instance's fleet size was below the number of instances that had been
+	// live for longer than joinGrace.
 	SizeBelowLive int
-	// ViewRegressions counts the polls of a view version below that of the process's previous poll.
+	// ViewRegressions counts the polls in which the view version was lower than in the previous poll of the process.
 	ViewRegressions int
 	// Detect holds, for each kill, the time until all undisturbed instances have reported the failure. Instances that
 	// start again within detectTimeout are left out.
@@ -182,8 +183,8 @@
 
 // timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state
 // of its instance, or notDetectedMs if one of them does not within the timeout. Observers are the instances that are
-// live at the event. An instance is left out if it is disturbed before it has reported the state, and the disturbance
-// is between disturbanceWindow before the event and the objective after it.
+// live at the event. An observer is excused if it is disturbed before it has reported the state. Disturbances count
+// from disturbanceWindow before the event until the objective after it.
 func (c *membershipChecker) timeUntilReported(
 	i int, state membership.State, objective, timeout time.Duration,
 ) float64 {
@@ -226,7 +227,7 @@
 
 // disturbances returns the time of the first disturbance of each instance that is disturbed between disturbanceWindow
 // before the i-th event and the given time. A disturbance is a start, end, pause or resumption of the instance's
-// process. From the i-th event on, it is also one that the instance is paused, or not reachable by most others.
+// process. From the i-th event on, an instance is also disturbed while it is paused or not reachable by most others.
 func (c *membershipChecker) disturbances(i int, until time.Duration) map[int]time.Duration {
 	disturbances := map[int]time.Duration{}
 	add := func(member int, at time.Duration) {
--- a/internal/testbench/experiment/membership_checker_test.go
+++ b/internal/testbench/experiment/membership_checker_test.go
@@ -30,9 +30,9 @@
 	return membershipEvent{At: at, Kind: memberPolled, Member: member, Alive: alive, Size: size, Version: version}
 }
 
-// faultlessRun returns the events of a run of five instances without findings. Instance 4 is killed at 20 s, which is
-// detected at 27 s. Instance 3 is stopped gracefully at 40 s, which is detected at 41 s.
-func faultlessRun() (events []membershipEvent) {
+// correctRun returns the events of a run of five instances that behave correctly. Instance 4 is killed at 20 s, which
+// is detected at 27 s. Instance 3 is stopped gracefully at 40 s, which is detected at 41 s.
+func correctRun() (events []membershipEvent) {
 	for i := range 5 {
 		events = append(events, memberEvent(0, memberStarted, i))
 	}
@@ -52,9 +52,9 @@
 // falseReport is the report of instance 0 that instance 1 has failed, which is false unless other events excuse it.
 var falseReport = reported(35*second, 0, 1, membership.Failed)
 
-// The only findings of a run without mistakes are the times until the kill and the shutdown are detected.
-func TestMembershipCheckerOnFaultlessRun(t *testing.T) {
-	f := checkMembership(5, faultlessRun())
+// The only findings of a correct run are the times until the kill and the shutdown are detected.
+func TestMembershipCheckerOnCorrectRun(t *testing.T) {
+	f := checkMembership(5, correctRun())
 	if len(f.FalseFailed) > 0 || f.SizeBelowLive > 0 || f.ViewRegressions > 0 || f.Agree > 0 {
 		t.Errorf("%+v", f)
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// The checker finds each mistake that is added to the events of a run without mistakes.
-func TestMembershipCheckerFindsFaults(t *testing.T) {
+// The checker finds each violation that is added to the events of a correct run.
+func TestMembershipCheckerFindsViolations(t *testing.T) {
 	falseFailed := func(f membershipFindings) bool { return len(f.FalseFailed) == 1 }
 	notDetected := func(f membershipFindings) bool { return len(f.Detect) == 2 && f.Detect[1] == notDetectedMs }
 	for name, v := range map[string]struct {
@@ -107,7 +107,7 @@
 		"a kill that no instance detects": {[]membershipEvent{memberEvent(21*second, memberKilled, 2)}, notDetected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if f := checkMembership(5, append(faultlessRun(), v.events...)); !v.found(f) {
+			if f := checkMembership(5, append(correctRun(), v.events...)); !v.found(f) {
 				t.Errorf("%+v", f)
 			}
 		})
@@ -138,7 +138,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := checkMembership(5, append(faultlessRun(), events...))
+			f := checkMembership(5, append(correctRun(), events...))
 			if len(f.FalseFailed) > 0 || slices.Contains(f.Detect, notDetectedMs) {
 				t.Errorf("false reports of failure %+v, detection times %v", f.FalseFailed, f.Detect)
 			}
--- a/internal/testbench/experiment/membership_event.go
+++ b/internal/testbench/experiment/membership_event.go
@@ -6,7 +6,7 @@
 	"cottonplank/internal/cluster/membership"
 )
 
-// membershipEventKind says what happened in a membershipEvent.
+// membershipEventKind is the kind of a membershipEvent.
 type membershipEventKind uint8
 
 // Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At. The run itself
@@ -34,7 +34,7 @@
 	memberPolled
 )
 
-// membershipEvent is a change that a run caused, or something that an instance logged or returned as its metrics.
+// membershipEvent is a change that a run caused, a state change that an instance logged, or a poll of its metrics.
 type membershipEvent struct {
 	// At is the time since the start of the membership run, which is before its instances start.
 	At   time.Duration
--- a/internal/testbench/experiment/membership_faults.go
+++ b/internal/testbench/experiment/membership_faults.go
@@ -10,7 +10,7 @@
 	"cottonplank/internal/testbench/faultproxy"
 )
 
-// membershipFaultKind is the kind of a membershipFault, in the word that lines of the progress show.
+// membershipFaultKind is the kind of a membershipFault, as progress lines show it.
 type membershipFaultKind string
 
 const (
@@ -42,8 +42,7 @@
 type membershipFault struct {
 	// At is the time since the players start, when all instances have joined.
 	At time.Duration
-	// For is the duration; 0 for kills, restarts, stops and new room servers, whose end the run does not have to
-	// cause.
+	// For is the duration; 0 for kills, restarts, stops and new room servers, which the run does not revert.
 	For  time.Duration
 	Kind membershipFaultKind
 	// Members holds the indexes of the instances that the fault concerns.
@@ -52,7 +51,7 @@
 	Noise faultproxy.Conditions
 }
 
-// String describes the fault in a line of the progress.
+// String describes the fault for a progress line.
 func (f membershipFault) String() string {
 	text := fmt.Sprintf("%s %v", f.Kind, f.Members)
 	if f.Kind == faultNoise {
@@ -88,9 +87,9 @@
 	// killsFrom and killsUntil bound the times of kills.
 	killsFrom  = 4 * time.Second
 	killsUntil = 7 * time.Second
-	// networkFaultsFrom is the time of the pause of three instances, and the earliest time of the partition and of
-	// noise. Cuts of paths begin earlier.
-	networkFaultsFrom = 20 * time.Second
+	// wideFaultsFrom is the earliest time of the faults that concern several instances at once: the pause of three
+	// instances, the partition and the noise. Stops, and cuts of all paths from or to one instance, begin earlier.
+	wideFaultsFrom = 20 * time.Second
 	// faultsUntil is the time by which all faults have ended.
 	faultsUntil = 36 * time.Second
 	// partitionDivisor divides the number of instances into the size of the smaller side of the partition.
@@ -116,7 +115,7 @@
 		rng:       rand.New(rand.NewPCG(seed, 5)),
 		reserved:  map[int]bool{0: true},
 	}
-	s.drawEnds()
+	s.drawKillsAndStops()
 	s.drawPausesAndRestarts()
 	s.drawCuts()
 	s.drawNoise()
@@ -125,8 +124,8 @@
 	return s.faults
 }
 
-// drawEnds draws kills and graceful stops of instances that are not started again.
-func (s *membershipSchedule) drawEnds() {
+// drawKillsAndStops draws kills and graceful stops of instances that are not started again.
+func (s *membershipSchedule) drawKillsAndStops() {
 	for range 3 {
 		s.add(membershipFault{
 			At:      s.between(killsFrom, killsUntil),
@@ -136,7 +135,7 @@
 	}
 	for range 2 {
 		s.add(membershipFault{
-			At:      s.between(killsUntil, networkFaultsFrom),
+			At:      s.between(killsUntil, wideFaultsFrom),
 			Kind:    faultStop,
 			Members: []int{s.reserveMember()},
 		})
@@ -146,7 +145,7 @@
 // drawPausesAndRestarts draws pauses, one of several instances together, and restarts.
 func (s *membershipSchedule) drawPausesAndRestarts() {
 	s.add(membershipFault{
-		At:      networkFaultsFrom,
+		At:      wideFaultsFrom,
 		For:     s.between(5*time.Second, 7*time.Second),
 		Kind:    faultPause,
 		Members: s.someMembers(3),
@@ -182,14 +181,14 @@
 	}
 	for _, kind := range []membershipFaultKind{faultOutbound, faultInbound} {
 		s.add(membershipFault{
-			At:      s.between(14*time.Second, networkFaultsFrom),
+			At:      s.between(14*time.Second, wideFaultsFrom),
 			For:     s.between(6*time.Second, 12*time.Second),
 			Kind:    kind,
 			Members: s.someMembers(1),
 		})
 	}
 	s.add(membershipFault{
-		At:      s.between(networkFaultsFrom, 24*time.Second),
+		At:      s.between(wideFaultsFrom, 24*time.Second),
 		For:     s.between(6*time.Second, 10*time.Second),
 		Kind:    faultPartition,
 		Members: s.someMembers(s.instances / partitionDivisor),
@@ -204,7 +203,7 @@
 		{Delay: 60 * time.Millisecond, Jitter: 40 * time.Millisecond},
 	} {
 		s.add(membershipFault{
-			At:    s.between(networkFaultsFrom, 26*time.Second),
+			At:    s.between(wideFaultsFrom, 26*time.Second),
 			For:   s.between(3*time.Second, 8*time.Second),
 			Kind:  faultNoise,
 			Noise: noise,
@@ -238,7 +237,8 @@
 	}
 }
 
-// someMembers draws instances that are not to be killed or stopped, and fewer than count if there are not enough.
+// someMembers draws the given number of instances among those that are not to be killed or stopped. It returns all of
+// these if there are fewer.
 func (s *membershipSchedule) someMembers(count int) (members []int) {
 	for _, i := range s.rng.Perm(s.instances) {
 		if (i == 0 || !s.reserved[i]) && len(members) < count {
--- a/internal/testbench/experiment/membership_network.go
+++ b/internal/testbench/experiment/membership_network.go
@@ -43,7 +43,8 @@
 	streams   *faultproxy.Port
 }
 
-// newMembershipNetwork returns a network, which open has to open. The seed determines the random choices of its paths.
+// newMembershipNetwork returns a network without proxies; open opens them. The seed determines the random choices of
+// its paths.
 func newMembershipNetwork(instances int, seed uint64) *membershipNetwork {
 	n := &membershipNetwork{reserved: map[netip.AddrPort]bool{}}
 	for i := range instances {
--- a/internal/testbench/experiment/membership_result.go
+++ b/internal/testbench/experiment/membership_result.go
@@ -15,13 +15,13 @@
 	Instances int `json:"instances"`
 	// Faults is the number of faults that were drawn.
 	Faults int `json:"faults"`
-	// Pauses counts the pauses that were drawn, those of several instances once for each.
+	// Pauses counts the pauses that were drawn. A pause of several instances counts once for each of them.
 	Pauses int `json:"pauses"`
 	// OneWayCuts counts the faults that cut paths in one direction only.
 	OneWayCuts int `json:"one_way_cuts"`
 	// Partitions counts the partitions.
 	Partitions int `json:"partitions"`
-	// LossPercent is the largest probability of the noise faults that a datagram is lost, in percent.
+	// LossPercent is the largest probability, in percent, with which a noise fault drops a datagram.
 	LossPercent float64 `json:"loss_percent"`
 	// FalseFailed counts the reports that a live and reachable instance has failed.
 	FalseFailed int `json:"false_failed"`
@@ -34,13 +34,14 @@
 	LeaveMsMax float64 `json:"left_ms_max"`
 	// AgreeMsMax is the time from the end of the last fault until the last poll with a wrong number of live instances.
 	AgreeMsMax float64 `json:"agree_ms_max"`
-	// SizeBelowLive counts the polls of a fleet size below the number of instances live for longer than joinGrace.
+	// SizeBelowLive counts the polls in which an instance's fleet size was below the number of instances that had been
+	// live for longer than joinGrace.
 	SizeBelowLive int `json:"size_below_live"`
-	// ViewRegressions counts the polls of a view version below that of the process's previous poll.
+	// ViewRegressions counts the polls in which the view version was lower than in the previous poll of the process.
 	ViewRegressions int `json:"views_back"`
 	// Collapses counts the room servers that were overloaded while they warmed up.
 	Collapses int `json:"cold_over_budget"`
-	// GossipBytesPerSecondP99 is the 99 % quantile of the bytes of gossip that an instance sends in a second.
+	// GossipBytesPerSecondP99 is the 99 % quantile of the bytes of gossip that an instance sends per second.
 	GossipBytesPerSecondP99 float64 `json:"gossip_bytes_per_s_p99"`
 	// CPUMsPerSecond is the mean processor time of an instance for all its work, of which gossip is a fraction. Known
 	// fault: it is too low, because the processor time of processes that end during the run is not counted, and what
@@ -60,7 +61,8 @@
 	MissedObjectives []string `json:"missed,omitempty"`
 }
 
-// Objectives of a membership run: largest values, and the least number of faults. Other values must be 0.
+// Objectives of a membership run: the largest allowed values, and the least number of faults. For the other values that
+// missedObjectives checks, the objective is 0.
 const (
 	maxDetectMs = 12_000
 	maxLeaveMs  = 1_500
@@ -165,7 +167,7 @@
 // Passed reports whether no objective was missed.
 func (r MembershipResult) Passed() bool { return len(r.MissedObjectives) == 0 }
 
-// WriteTable writes the result as a table for people, with the violations below it.
+// WriteTable writes the result as a human-readable table, with the violations below it.
 func (r MembershipResult) WriteTable(out io.Writer) error {
 	w := newTableWriter(out)
 	count := func(name string, value int) { fmt.Fprintf(w, "%s\t%d\t\n", name, value) }
--- a/internal/testbench/experiment/process_usage.go
+++ b/internal/testbench/experiment/process_usage.go
@@ -150,7 +150,7 @@
 	return cpu, nil
 }
 
-// usageRate holds what a process uses per second.
+// usageRate holds the resources that a process uses per second.
 type usageRate struct {
 	// cpuMs is the processor time in milliseconds.
 	cpuMs float64
@@ -158,8 +158,8 @@
 	readKB float64
 }
 
-// measureRate returns what the balancer uses per second while a workload runs. The workload's context ends after the
-// given duration, which is the length of the measurement also if the workload ends earlier.
+// measureRate returns the resources that the balancer uses per second while a workload runs. The workload's context
+// ends after the given duration. The measurement takes the whole duration even if the workload ends earlier.
 func (b *balancer) measureRate(
 	ctx context.Context, duration time.Duration, workload func(context.Context) error,
 ) (usageRate, error) {
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -72,8 +72,8 @@
 	WithoutTokens *Result `json:"without_tokens,omitempty"`
 }
 
-// Passed reports whether all invariants held, also in the run without tokens. Requests that were rejected or failed,
-// and sessions that started over, violate none.
+// Passed reports whether all invariants held, including those of the run without tokens. Requests that were rejected or
+// failed, and sessions that started over, violate none.
 func (r Result) Passed() bool {
 	if r.WithoutTokens != nil && !r.WithoutTokens.Passed() {
 		return false
--- a/internal/testbench/experiment/result_table.go
+++ b/internal/testbench/experiment/result_table.go
@@ -31,7 +31,7 @@
 	t.row(name, func(r Result) string { return fmt.Sprint(value(r)) })
 }
 
-// WriteTable writes the result as a table for people, with the violations below it.
+// WriteTable writes the result as a human-readable table, with the violations below it.
 func (r Result) WriteTable(out io.Writer) error {
 	columns := []Result{r}
 	if r.WithoutTokens != nil {
--- a/internal/testbench/experiment/run.go
+++ b/internal/testbench/experiment/run.go
@@ -113,7 +113,7 @@
 	return invariants.NewRecorder(invariants.Limits{DrainGrace: drainGrace, Slack: invariantSlack})
 }
 
-// newRun returns a run, which open has to start. The directory has to exist.
+// newRun returns a run that is not started yet; open starts it. The directory must exist.
 func newRun(program, dir string, e Experiment, progress Progress) *run {
 	r := &run{
 		e:                e,
@@ -259,7 +259,7 @@
 }
 
 // startBalancer starts a balancer for the first time and adds it to the front layer. Unlike the function
-// startBalancer, it does not try again at other ports.
+// startBalancer, it does not try again on other ports.
 func (r *run) startBalancer(ctx context.Context, i int) error {
 	name := balancerName(i)
 	discovery, err := r.discovery.ListenFor(name)
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -14,7 +14,7 @@
 type scheduledFault struct {
 	// at is the time since the start of the run.
 	at time.Duration
-	// description follows the time in the line of the progress.
+	// description follows the time in the progress line.
 	description string
 	inject      func(context.Context) error
 }
--- a/internal/testbench/experiment/run_loop.go
+++ b/internal/testbench/experiment/run_loop.go
@@ -10,7 +10,7 @@
 )
 
 // seedStride is the distance between the first player seeds of consecutive experiment seeds. It exceeds the number of
-// players, so that two experiment seeds have no player seed in common. The seeds of network paths use it alike.
+// players, so that two experiment seeds have no player seed in common. Seeds of network paths have the same stride.
 const seedStride = 1_000_003
 
 // play runs the players and the faults of a run that was opened, and completes its result. If ctx ends first, it
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -7,7 +7,7 @@
 	"cottonplank/internal/testbench/hollow"
 )
 
-// drainInterval is the number of changes from one change that concerns a room server that exists to the next.
+// drainInterval is the interval, in changes, at which a change concerns a room server that exists.
 const drainInterval = 5
 
 // publishChange makes the n-th change of the list and publishes it: one room server begins or ends its drain.
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -83,7 +83,7 @@
 type ComparisonOptions struct {
 	// Servers holds the lengths of the lists. At least two are required, and the first and the last must differ.
 	Servers []int
-	// Nodes is the number of hollow nodes, and the same number of real balancers.
+	// Nodes is the number of hollow nodes, which is also the number of real balancers.
 	Nodes int
 	// Seconds is the duration of the measurement with each list.
 	Seconds float64
@@ -148,7 +148,7 @@
 // comparisonRun runs hollow nodes and real balancers with the same list.
 type comparisonRun struct {
 	programs Programs
-	// nodes is the number of hollow nodes, and the same number of real balancers.
+	// nodes is the number of hollow nodes, which is also the number of real balancers.
 	nodes     int
 	dir       string
 	entries   []emulator.Entry
@@ -340,7 +340,7 @@
 	os.RemoveAll(m.dir)
 }
 
-// WriteTable writes the comparison as a table for people.
+// WriteTable writes the comparison as a human-readable table.
 func (c Comparison) WriteTable(out io.Writer) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "room servers\thollow CPU ms/s\treal\thollow KB/s\treal\thollow MB\treal\t")
--- a/internal/testbench/experiment/scale_experiment.go
+++ b/internal/testbench/experiment/scale_experiment.go
@@ -76,7 +76,7 @@
 	Fraction float64 `json:"share"`
 	// DelayMs is the additional latency of a link in each direction, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// KBPerSecond is the bandwidth of a link in each direction; 0 for localNetworkKBPerSecond.
+	// KBPerSecond is the bandwidth of a link, which both directions share; 0 for localNetworkKBPerSecond.
 	KBPerSecond float64 `json:"kb_per_s"`
 }
 
--- a/internal/testbench/experiment/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// reportFunc reports the description of a fault as a line of the progress.
+// reportFunc reports the description of a fault as a progress line.
 type reportFunc func(format string, args ...any)
 
 // killBalancers kills a fraction of the hollow nodes and one real balancer, and starts them again later.
@@ -47,7 +47,7 @@
 		if err := s.startNodes(nodes); err != nil {
 			return err
 		}
-		return s.reviveBalancer(ctx, realBalancer)
+		return s.restartBalancer(ctx, realBalancer)
 	})
 	return s.stopNodes(nodes)
 }
@@ -63,7 +63,7 @@
 		}
 	}
 	nodes := s.nodesIn(func(z int) bool { return z == zone })
-	report("zone %s is gone with %d hollow balancers and %d real ones", zoneName(zone), len(nodes), len(realBalancers))
+	report("outage of zone %s with %d hollow balancers and %d real ones", zoneName(zone), len(nodes), len(realBalancers))
 	s.links[zone].Disconnect()
 	s.after(ctx, seconds(f.Seconds), func() error {
 		s.links[zone].Reconnect()
@@ -71,7 +71,7 @@
 			return err
 		}
 		for _, i := range realBalancers {
-			if err := s.reviveBalancer(ctx, i); err != nil {
+			if err := s.restartBalancer(ctx, i); err != nil {
 				return err
 			}
 		}
@@ -166,8 +166,8 @@
 	})
 }
 
-// reviveBalancer starts a real balancer again, unless it runs.
-func (s *scaleRun) reviveBalancer(ctx context.Context, i int) error {
+// restartBalancer starts a real balancer again after a kill, unless it runs.
+func (s *scaleRun) restartBalancer(ctx context.Context, i int) error {
 	s.mu.Lock()
 	alive := s.alive[i]
 	s.mu.Unlock()
--- a/internal/testbench/experiment/scale_requirements.go
+++ b/internal/testbench/experiment/scale_requirements.go
@@ -124,7 +124,8 @@
 	}, nil
 }
 
-// Check returns an error if the run needs more of a resource than the limits allow. The error names the first such one.
+// Check returns an error if the run needs more of a resource than the limits allow. The error names the first of these
+// resources.
 func (r Requirements) Check(limits Limits) error {
 	for _, resource := range []struct {
 		name     string
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -26,7 +26,8 @@
 	NoKnownList int `json:"cold"`
 	// RealBalancers is the number of balancer processes.
 	RealBalancers int `json:"real"`
-	// ListServers is the number of emulated replicas of discovery. The run has no control-plane servers.
+	// ListServers is the number of emulated replicas of discovery. They are not control-plane servers, in spite of the
+	// key.
 	ListServers int `json:"control"`
 	// Servers is the length of the list.
 	Servers int `json:"servers"`
@@ -220,17 +221,17 @@
 		}
 		w.mu.Unlock()
 	}
-	r.EngineCPUMsPerSecondP99 = quantileMs(engines)
-	r.FollowerCPUMsPerSecondP99 = quantileMs(followers)
+	r.EngineCPUMsPerSecondP99 = p99Ms(engines)
+	r.FollowerCPUMsPerSecondP99 = p99Ms(followers)
 	r.CPUMsPerSecondP99 = max(r.EngineCPUMsPerSecondP99, r.FollowerCPUMsPerSecondP99)
 }
 
-// quantileMs returns the 99 % quantile of a histogram of nanoseconds in milliseconds.
-func quantileMs(h *hdrhistogram.Histogram) float64 {
+// p99Ms returns the 99 % quantile of a histogram of nanoseconds, in milliseconds.
+func p99Ms(h *hdrhistogram.Histogram) float64 {
 	return float64(h.ValueAtQuantile(99)) / 1000 / 1000
 }
 
-// nodeCPU returns the mean processor time of a worker's running nodes in a second, in nanoseconds.
+// nodeCPU returns the mean processor time per second of a worker's running nodes, in nanoseconds.
 func nodeCPU(u hollow.Usage) float64 {
 	return float64(u.CPU) / float64(u.Running) / u.Interval.Seconds()
 }
@@ -250,7 +251,7 @@
 	r.Encodings = s.table.Encodings()
 }
 
-// WriteTable writes the result as a table for people, with the violations and the missed objectives below it.
+// WriteTable writes the result as a human-readable table, with the violations and the missed objectives below it.
 func (r ScaleResult) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
--- a/internal/testbench/experiment/scale_run.go
+++ b/internal/testbench/experiment/scale_run.go
@@ -145,7 +145,7 @@
 	failure error
 }
 
-// newScaleRun returns a run, which open has to start. The directory has to exist.
+// newScaleRun returns a run that is not started yet; open starts it. The directory must exist.
 func newScaleRun(p Programs, dir string, e ScaleExperiment, progress Progress) *scaleRun {
 	s := &scaleRun{
 		e:           e,
@@ -288,7 +288,8 @@
 	return connected, s.failure
 }
 
-// readBalancerMemory returns the sum of the resident memory of all real balancers. The caller holds mu.
+// readBalancerMemory returns the sum of the resident memory of all running real balancers and updates the RealMBMax of
+// the result. The caller holds mu.
 func (s *scaleRun) readBalancerMemory() (sumMB float64) {
 	for i, b := range s.balancers {
 		if !s.alive[i] {
--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// watchTimeout is how long the run waits at its start until all hollow nodes watch the list. It continues also if
+	// watchTimeout is how long the run waits at its start until all hollow nodes watch the list. It continues even if
 	// some do not.
 	watchTimeout = 10 * time.Second
-	// capacityFactor times the number of all clients is the number of connections that a room server admits.
+	// capacityFactor is the number of connections that a room server admits, as a multiple of the number of all clients.
 	capacityFactor = 2
 	// knownListFileName is the name of the file with the list that hollow nodes start with.
 	knownListFileName = "known.json"
@@ -139,11 +139,11 @@
 		server := emulator.NewListServer(s.table)
 		s.listServers = append(s.listServers, server)
 		if _, err := server.Listen(nil); err != nil {
-			return fmt.Errorf("source %d: %w", i, err)
+			return fmt.Errorf("replica %d: %w", i, err)
 		}
 		for n := range s.e.RealBalancers {
 			if _, err := server.Listen(s.observer(balancerName(n))); err != nil {
-				return fmt.Errorf("source %d: %w", i, err)
+				return fmt.Errorf("replica %d: %w", i, err)
 			}
 		}
 	}
@@ -312,7 +312,7 @@
 		return err
 	}
 	for _, w := range s.workers {
-		w.endStart()
+		w.endStartPhase()
 	}
 	return nil
 }
--- a/internal/testbench/experiment/worker_process.go
+++ b/internal/testbench/experiment/worker_process.go
@@ -63,8 +63,8 @@
 		return nil, err
 	}
 	w.process.Stderr = w.log
-	// A process group of its own keeps an interrupt at the terminal from the worker, which this process stops by
-	// closing its standard input. Pdeathsig kills the worker if this process is killed.
+	// The worker has its own process group, because an interrupt from the terminal must not reach it: this process
+	// stops it by closing its standard input. Pdeathsig kills the worker if this process is killed.
 	w.process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if w.stdin, err = w.process.StdinPipe(); err != nil {
 		return nil, err
@@ -127,8 +127,8 @@
 	}
 }
 
-// endStart records that the start of the nodes has ended: later usages do not belong to it.
-func (w *workerProcess) endStart() {
+// endStartPhase records that the start phase of the nodes has ended: later usages do not belong to it.
+func (w *workerProcess) endStartPhase() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.startUsages = len(w.usages)
