--- a/cmd/cottonplank-lab/main_test.go
+++ b/cmd/cottonplank-lab/main_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("status %d\n%s\n%s", status, out, errs)
 	}
 	if !strings.HasPrefix(out, `{"name":"x","tokens":true,"sessions":3,`) {
-		t.Errorf("unexpected begin of the result: %s", out)
+		t.Errorf("unexpected start of the result: %s", out)
 	}
 	if !strings.Contains(out, `"without_tokens":{`) {
 		t.Errorf("no result without tokens in %s", out)
@@ -145,7 +145,7 @@
 		t.Errorf("status %d, want %d\n%s\n%s", status, want, out.String(), errs.String())
 	}
 	if !strings.HasPrefix(out.String(), `{"name":"x","seed":9,"hollow":6,"modules":3,`) {
-		t.Errorf("unexpected begin of the result: %s", out.String())
+		t.Errorf("unexpected start of the result: %s", out.String())
 	}
 	if !strings.Contains(errs.String(), "of 6 hollow balancers watch") {
 		t.Errorf("the progress does not show the hollow nodes that watch: %s", errs.String())
--- a/cmd/cottonplank-lab/scale.go
+++ b/cmd/cottonplank-lab/scale.go
@@ -18,7 +18,7 @@
 servers. Before it starts, it prints the resources that it needs. It refuses to start if they exceed half of the
 machine's memory, 300 processes or the limit on descriptors.
 
-"modules" is the number of hollow balancers that hold the whole list each; cpu_ms_per_s_p99_modules and control_mb_max
+"modules" is the number of hollow balancers that each hold the whole list; cpu_ms_per_s_p99_modules and control_mb_max
 are the processor time and the memory of one of them. The others in a process share one copy of the list. The times to
 apply a change, the lost changes and KB/s include both kinds of hollow balancers.
 
--- a/cmd/cottonplank-lab/size.go
+++ b/cmd/cottonplank-lab/size.go
@@ -18,7 +18,7 @@
 		Long: "Measure the costs of fleets without faults: " +
 			"the largest memory and number of descriptors of a balancer, the mean processor\n" +
 			`time of a balancer, and for a room server the mean probes and new connections per second and the mean and
-largest number of open connections at the end. Calls of discovery per second are those of the whole fleet.`,
+largest number of open connections at the end. Discovery calls per second are those of the whole fleet.`,
 	}
 	var sizes experiment.FleetSizes
 	c.Flags().IntSliceVar(&sizes.Balancers, "balancers", []int{3, 30, 300}, "numbers of balancers")
--- a/cmd/cottonplank-lab/slope.go
+++ b/cmd/cottonplank-lab/slope.go
@@ -42,7 +42,7 @@
 	}
 	var list experiment.ListCostOptions
 	c.Flags().IntSliceVar(&list.Servers, "servers", []int{90, 600, 5000, 20000}, "numbers of room servers")
-	c.Flags().Float64Var(&list.ChangesPerSecond, "changes", 20, "changes of one entry per second")
+	c.Flags().Float64Var(&list.ChangesPerSecond, "changes", 20, "changes per second, each of one entry")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if list.ChangesPerSecond <= 0 || list.ChangesPerSecond > maxChangesPerSecond {
 			return invalid(fmt.Errorf("changes: %v, expected above 0 and at most %d",
