--- a/internal/testbench/experiment/experiment.go
+++ b/internal/testbench/experiment/experiment.go
@@ -74,14 +74,14 @@
 
 // Values of Fault.Action.
 const (
-	actionDrain     = "drain"   // a room server drains
-	actionEndDrain  = "return"  // a room server admits clients again
-	actionCrash     = "crash"   // a room server crashes
-	actionKill      = "kill"    // a balancer is killed by SIGKILL
-	actionRestart   = "restart" // a balancer is stopped gracefully, if it runs, and started again
-	actionHotUpdate = "renew"   // a new process of a balancer takes over the sockets of the running one
-	actionReplay    = "replay"  // copies of clients' next tokens are presented along with the originals and again later
-	actionRotate    = "rotate"  // the balancers reload the key file with a new sealing key
+	actionDrain      = "drain"   // a room server drains
+	actionEndDrain   = "return"  // a room server admits clients again
+	actionCrash      = "crash"   // a room server crashes
+	actionKill       = "kill"    // a balancer is killed by SIGKILL
+	actionRestart    = "restart" // a balancer is stopped gracefully, if it runs, and started again
+	actionHotRestart = "renew"   // a new process of a balancer takes over the sockets of the running one
+	actionReplay     = "replay"  // copies of clients' next tokens are presented along with the originals and again later
+	actionRotate     = "rotate"  // the balancers reload the key file with a new sealing key
 )
 
 // Fault is a fault, or another action, at a given time of a run.
@@ -103,7 +103,7 @@
 	switch f.Action {
 	case actionDrain, actionEndDrain, actionCrash:
 		return fmt.Sprintf("%s room server s-%d", f.Action, f.Room)
-	case actionKill, actionRestart, actionHotUpdate:
+	case actionKill, actionRestart, actionHotRestart:
 		return fmt.Sprintf("%s balancer n%d", f.Action, f.Balancer)
 	case actionReplay:
 		return fmt.Sprintf("%.0f %% of the clients have their tokens replayed at two balancers", 100*f.Fraction)
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -36,8 +36,8 @@
 	MinReloads uint64 `json:"reloads_least"`
 	// Killed counts the kills of balancers by SIGKILL.
 	Killed int `json:"killed"`
-	// Renewed counts the hot restarts of balancers.
-	Renewed int `json:"renewed"`
+	// HotRestarts counts the hot restarts of balancers.
+	HotRestarts int `json:"renewed"`
 	// GamesEnded counts the games that were played to their end.
 	GamesEnded int `json:"games_over"`
 	// Answers counts the final answers that clients have read.
--- a/internal/testbench/experiment/result_table.go
+++ b/internal/testbench/experiment/result_table.go
@@ -85,7 +85,7 @@
 // writeFleet writes the counts of balancers, games and answers, and the resources that the balancers use.
 func (t resultTable) writeFleet() {
 	t.count("balancers", func(r Result) int { return r.Instances })
-	t.row("killed, hot restarts", func(r Result) string { return fmt.Sprintf("%d, %d", r.Killed, r.Renewed) })
+	t.row("killed, hot restarts", func(r Result) string { return fmt.Sprintf("%d, %d", r.Killed, r.HotRestarts) })
 	t.row("reloads: sum, minimum", func(r Result) string { return fmt.Sprintf("%d, %d", r.Reloads, r.MinReloads) })
 	t.count("games ended", func(r Result) int { return r.GamesEnded })
 	t.row("answers, missing", func(r Result) string { return fmt.Sprintf("%d, %d", r.Answers, r.UnansweredRequests) })
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -42,7 +42,7 @@
 		r.kill(f.Balancer)
 	case actionRestart:
 		return r.restart(ctx, f.Balancer)
-	case actionHotUpdate:
+	case actionHotRestart:
 		return r.hotRestart(ctx, f.Balancer)
 	case actionReplay:
 		for _, p := range r.players[:int(f.Fraction*float64(len(r.players)))] {
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	r.result.Renewed++
+	r.result.HotRestarts++
 	r.interrupted[replacement.name] = true
 	return nil
 }
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -90,7 +90,7 @@
 }
 
 // CompareScale measures the costs of hollow nodes with full engines and of the same number of real balancers. Both
-// watch the same lists of several sizes, with the same changes. Neither have clients or probe room servers.
+// watch the same lists of several sizes, with the same changes. Neither has clients or probes room servers.
 func CompareScale(
 	ctx context.Context, p Programs, options ComparisonOptions, progress Progress,
 ) (c Comparison, err error) {
