--- a/internal/testbench/experiment/result_table.go
+++ b/internal/testbench/experiment/result_table.go
@@ -31,7 +31,7 @@
 	t.row(name, func(r Result) string { return fmt.Sprint(value(r)) })
 }
 
-// WriteTable writes the result as a table for people, with the violations below it.
+// WriteTable writes the result as a human-readable table, with the violations below it.
 func (r Result) WriteTable(out io.Writer) error {
 	columns := []Result{r}
 	if r.WithoutTokens != nil {
@@ -85,7 +85,7 @@
 // writeFleet writes the counts of balancers, games and answers, and the resources that the balancers use.
 func (t resultTable) writeFleet() {
 	t.count("balancers", func(r Result) int { return r.Instances })
-	t.row("killed, hot restarts", func(r Result) string { return fmt.Sprintf("%d, %d", r.Killed, r.Renewed) })
+	t.row("killed, hot restarts", func(r Result) string { return fmt.Sprintf("%d, %d", r.Killed, r.HotRestarts) })
 	t.row("reloads: sum, minimum", func(r Result) string { return fmt.Sprintf("%d, %d", r.Reloads, r.MinReloads) })
 	t.count("games ended", func(r Result) int { return r.GamesEnded })
 	t.row("answers, missing", func(r Result) string { return fmt.Sprintf("%d, %d", r.Answers, r.UnansweredRequests) })
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -83,14 +83,14 @@
 type ComparisonOptions struct {
 	// Servers holds the lengths of the lists. At least two are required, and the first and the last must differ.
 	Servers []int
-	// Nodes is the number of hollow nodes, and the same number of real balancers.
+	// Nodes is the number of hollow nodes, which is also the number of real balancers.
 	Nodes int
 	// Seconds is the duration of the measurement with each list.
 	Seconds float64
 }
 
 // CompareScale measures the costs of hollow nodes with full engines and of the same number of real balancers. Both
-// watch the same lists of several sizes, with the same changes. Neither have clients or probe room servers.
+// watch the same lists of several sizes, with the same changes. Neither has clients or probes room servers.
 func CompareScale(
 	ctx context.Context, p Programs, options ComparisonOptions, progress Progress,
 ) (c Comparison, err error) {
@@ -148,7 +148,7 @@
 // comparisonRun runs hollow nodes and real balancers with the same list.
 type comparisonRun struct {
 	programs Programs
-	// nodes is the number of hollow nodes, and the same number of real balancers.
+	// nodes is the number of hollow nodes, which is also the number of real balancers.
 	nodes     int
 	dir       string
 	entries   []emulator.Entry
@@ -340,7 +340,7 @@
 	os.RemoveAll(m.dir)
 }
 
-// WriteTable writes the comparison as a table for people.
+// WriteTable writes the comparison as a human-readable table.
 func (c Comparison) WriteTable(out io.Writer) error {
 	w := newTableWriter(out)
 	fmt.Fprintln(w, "room servers\thollow CPU ms/s\treal\thollow KB/s\treal\thollow MB\treal\t")
