--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -9,8 +9,8 @@
 	"at_most_once": decide.NotIdempotent,
 }
 
-// keyScopes maps the values of the setting key_scope to the constants of the decision module. The setting may be
-// missing.
+// keyScopes maps the values of the setting key_scope to the constants of the decision module. A missing setting means
+// "all".
 var keyScopes = map[string]decide.KeyScope{
 	"":     decide.ScopeAll,
 	"all":  decide.ScopeAll,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and validates the configuration and sets its defaults; no other package does. The sources are
-// the PROXY_* variables, the JSON file that PROXY_CONFIG names, the fronts file and the configuration file of a
+// Package config reads and validates the configuration and sets its defaults. No other package reads its sources: the
+// PROXY_* variables, the JSON file that PROXY_CONFIG names, the fronts file and the configuration file of a
 // control-plane server. An invalid setting is reported as a FieldError with its key and, unless it is a secret, its
 // value.
 package config
@@ -28,15 +28,15 @@
 
 // Values of membership_mode.
 const (
-	modeAutomatic = "automatic" // discovery pushes its endpoint lists; see Config.ListPushed
+	modeAutomatic = "automatic" // discovery pushes its endpoint lists, over HTTP in a watch; see Config.ListPushed
 	modeSubscribe = "subscribe" // the balancer asks discovery for its endpoint lists
 )
 
 // After SIGTERM the platform waits for the longest client timeout plus killDelay, and then sends SIGKILL.
 const (
-	maxShutdownTimeout = 3 * time.Second        // a longer client timeout counts as this
-	killDelay          = 700 * time.Millisecond // from the longest client timeout to SIGKILL
-	exitMargin         = 300 * time.Millisecond // reserved within killDelay for the exit of the process
+	clientTimeoutCap = 3 * time.Second        // a longer client timeout counts as this
+	killDelay        = 700 * time.Millisecond // from the longest client timeout to SIGKILL
+	exitMargin       = 300 * time.Millisecond // reserved within killDelay for the exit of the process
 )
 
 // Config is the balancer's configuration.
@@ -46,9 +46,9 @@
 	Management string // management address; empty: off
 	Discovery  string // address of the discovery service
 	Settings   decide.Settings
-	// ListPushed is set in membership mode automatic, in which discovery pushes its endpoint lists. A change of the
-	// list then counts as observed by the balancer, and is binding, as soon as discovery has it, even before the
-	// balancer receives it.
+	// ListPushed is set in membership mode automatic, in which discovery pushes its endpoint lists. By the operators'
+	// rules, the balancer then counts as notified of a change, and is bound by it, as soon as discovery has it, even
+	// before the balancer receives it.
 	ListPushed bool
 	Tenants    []string // tenants that requests may name; empty: any
 
@@ -198,5 +198,5 @@
 	for _, class := range classes {
 		longest = max(longest, class.ClientTimeout)
 	}
-	return min(longest, maxShutdownTimeout) + killDelay - exitMargin
+	return min(longest, clientTimeoutCap) + killDelay - exitMargin
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -13,17 +13,18 @@
 	"cottonplank/internal/session/token"
 )
 
-// ControlPlane configures a follower of control-plane servers. Without Servers it is off.
+// ControlPlane configures a follower of control-plane servers. Fronts.ControlPlane is off if Servers is empty.
 type ControlPlane struct {
 	Servers   []replica.Server // control-plane servers to follow
 	Region    string           // own region; its control-plane servers are preferred
 	Site      string           // name of the site; all processes that share the keys have the same
 	KeysFile  string
-	StateFile string // stores the latest version of the document, to which a restarted process adds only the changes
+	StateFile string // holds the latest document; a restarted follower requests only the changes since
 }
 
 // ControlServer is the configuration of a control-plane server. The server is either the leader, which publishes
-// DocumentFile, or a follower of the control-plane servers in Servers.
+// DocumentFile, or a follower of the control-plane servers in Servers. A leader has no Servers, but uses the other
+// fields of ControlPlane.
 type ControlServer struct {
 	Listen       string
 	DocumentFile string // empty for a follower
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,9 +10,8 @@
 	"cottonplank/internal/session/token"
 )
 
-// peerKeyGrace is the grace period after a key's not_after, for keys that cluster members share, and for keys that
-// control-plane servers and their followers share. token.Ring retires a key at the end of this grace period plus twice
-// token.Leeway.
+// A key that cluster members share, or control-plane servers and their followers, is accepted for peerKeyGrace plus
+// twice token.Leeway after its not_after.
 const peerKeyGrace = time.Minute
 
 // groupAndOtherAccess are the permission bits of a file for everybody but its owner.
@@ -22,7 +21,7 @@
 var errNoSealingKey = errors.New("no key can seal now: check not_before and not_after")
 
 // LoadKeys reads a keys file. It rejects a file that anybody but its owner may access, because whoever has a key can
-// create valid tokens.
+// create valid session tokens or impersonate a peer.
 func LoadKeys(path string) ([]token.Key, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -43,8 +42,8 @@
 	return keys, nil
 }
 
-// loadRing reads a keys file. One of its keys has to be able to seal now. Each key is accepted for grace after its
-// not_after.
+// loadRing reads a keys file. One of its keys has to be able to seal now. Each key is accepted for grace plus twice
+// token.Leeway after its not_after.
 func loadRing(path string, grace time.Duration) (*token.Ring, error) {
 	keys, err := LoadKeys(path)
 	if err != nil {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -89,7 +89,8 @@
 }
 
 // maxClients returns the maximum number of pending requests and established connections together. Each of them uses two
-// descriptors, one for the client and one for the dial, and some descriptors are left to reject further clients.
+// descriptors, one for the client and one for the dial. The reserve for dials and the descriptors for rejecting further
+// clients are not counted.
 func maxClients(descriptors int) int {
 	forRejects := max(minRejectDescriptors, descriptors/rejectDivisor)
 	return (descriptors - descriptors/dialDivisor - forRejects) / 2
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -96,7 +96,7 @@
 }
 
 // LoadRing reads the session keys, or returns nil if resuming sessions is switched off. A key is accepted for
-// TokenLifetime after its not_after, until the last token that it has sealed expires.
+// TokenLifetime plus twice token.Leeway after its not_after. The last token that it has sealed has expired by then.
 func (s Sessions) LoadRing() (*token.Ring, error) {
 	if s.KeysFile == "" {
 		return nil, nil
