--- a/internal/operations/hotrestart/hotrestart_test.go
+++ b/internal/operations/hotrestart/hotrestart_test.go
@@ -135,23 +135,23 @@
 func TestOwnSocketFileIsRemoved(t *testing.T) {
 	t.Parallel()
 	path := SocketPath(t.TempDir(), "x")
-	_, _, first := startServer(t, path, "127.0.0.1:0")
+	_, _, stopFirst := startServer(t, path, "127.0.0.1:0")
 	receiveSockets(t, path)
-	left, err := os.Lstat(path)
+	firstSocket, err := os.Lstat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _, second := startServer(t, path, "127.0.0.1:0")
+	_, _, stopSecond := startServer(t, path, "127.0.0.1:0")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if now, err := os.Lstat(path); err == nil && !os.SameFile(now, left) {
+		if current, err := os.Lstat(path); err == nil && !os.SameFile(current, firstSocket) {
 			break
 		}
 	}
-	first()
+	stopFirst()
 	if _, err := os.Lstat(path); err != nil {
 		t.Errorf("the Unix socket of another process is gone: %v", err)
 	}
-	second()
+	stopSecond()
 	if _, err := os.Lstat(path); err == nil {
 		t.Error("the Unix socket of the process itself was not removed")
 	}
--- a/internal/operations/hotrestart/server.go
+++ b/internal/operations/hotrestart/server.go
@@ -40,8 +40,8 @@
 	connections sync.WaitGroup
 }
 
-// NewServer returns a server whose Unix socket is at path. The server calls changed from Serve's goroutine whenever the
-// number of replacement processes in a state may have changed. It calls learned for the lines of learned state that a
+// NewServer returns a server whose Unix socket is at path. The server calls changed from Serve's goroutine whenever a
+// replacement process has connected, begun to serve or exited. It calls learned for the lines of learned state that a
 // replacement process requests. learned may be called from several goroutines, and its lines must not be empty.
 func NewServer(
 	path string, sockets *Sockets, learned func() []string, changed func(Replacements), log *logrus.Logger,
@@ -238,9 +238,9 @@
 }
 
 // sendSockets appends the remaining sockets to names and descriptors, and then sends both. It calls itself within
-// RawConn.Control, which keeps each descriptor open until all are sent. Duplicates from the method File of a socket
-// are not used, because their method Fd sets them to blocking mode. A duplicate shares this mode with the original,
-// also in the replacement process.
+// RawConn.Control, which keeps each descriptor open until all are sent. The duplicate that a socket's File method
+// returns is not sent, because os.File.Fd sets it to blocking mode, which it shares with the original and with the
+// descriptor in the replacement process.
 func sendSockets(conn *net.UnixConn, remaining []socket, names []string, descriptors []int) error {
 	if len(remaining) == 0 {
 		line := socketsPrefix + " " + strings.Join(names, " ") + lineEnd
--- a/internal/operations/management/management.go
+++ b/internal/operations/management/management.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	requestTimeout   = 2 * time.Second        // for the peer to send its request line; also for all of Query
+	requestTimeout   = 2 * time.Second        // for the peer to send its request line; Query as a whole has the same limit
 	engineTimeout    = 400 * time.Millisecond // for the engine to answer; the whole response must take less than 1 s
 	writeTimeout     = 500 * time.Millisecond // for the response to be written, beyond engineTimeout
 	closeTimeout     = 500 * time.Millisecond // for the peer to close the connection after the response
--- a/internal/operations/management/management_test.go
+++ b/internal/operations/management/management_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// INFO has the counters of session tokens if sessions are resumed, and does not have them otherwise.
+// INFO has the counters of session tokens only if resuming sessions is enabled.
 func TestSessionMetrics(t *testing.T) {
 	snapshot := &core.Snapshot{SessionsEnabled: true, Generation: 4}
 	snapshot.TokensIssued, snapshot.Resumed = 3, 2
@@ -131,7 +131,7 @@
 	}
 	snapshot.SessionsEnabled = false
 	if strings.Contains(server.formatMetrics(snapshot), "token") {
-		t.Error("token metrics are reported though sessions are not resumed")
+		t.Error("token metrics are reported though resuming sessions is disabled")
 	}
 }
 
--- a/internal/operations/sdnotify/notifier_test.go
+++ b/internal/operations/sdnotify/notifier_test.go
@@ -125,7 +125,7 @@
 }
 
 // A task is stuck if one iteration of its event loop has lasted longer than the limit. Tasks of the same name are
-// reported once, and the methods of a nil Monitor and a nil Task do nothing.
+// reported once. A nil Monitor adds nil Tasks, whose methods do nothing.
 func TestStuckTasks(t *testing.T) {
 	monitor := &Monitor{}
 	a, b, c := monitor.AddTask("a"), monitor.AddTask("b"), monitor.AddTask("b")
--- a/internal/operations/snmp/agent.go
+++ b/internal/operations/snmp/agent.go
@@ -1,7 +1,7 @@
 // Package snmp implements a read-only SNMPv2c agent for the objects of mibs/COTTONPLANK-MIB.txt and for some objects
-// of the system group. It answers from the snapshots that package core publishes, so requests put no load on the
-// balancer's event loop. Only a request that may read the table of room servers needs a detailed snapshot, which is
-// made on demand.
+// of the system group. It answers most requests from the snapshots that package core publishes, which puts no load on
+// the balancer's event loop. Only a request that may read the table of room servers needs a detailed snapshot, which
+// the event loop takes on demand.
 package snmp
 
 import (
--- a/internal/operations/snmp/objects.go
+++ b/internal/operations/snmp/objects.go
@@ -191,7 +191,7 @@
 func loadValue(load float64) int {
 	const (
 		unknown       = -1
-		maxLoad       = 1e6
+		maxLoad       = 1e6 // the MIB limits cpSubchannelLoad to 1000000000 thousandths
 		perUnitOfLoad = 1000
 	)
 	if load < 0 {
--- a/internal/operations/snmp/response.go
+++ b/internal/operations/snmp/response.go
@@ -3,14 +3,15 @@
 import "github.com/gosnmp/gosnmp"
 
 const (
-	// maxResponseBytes is the maximum size of a response. On most paths such a datagram is not fragmented.
+	// maxResponseBytes is the maximum size of a response; respondToBulk has an exception. On most paths such a datagram
+	// is not fragmented.
 	maxResponseBytes = 1400
 	// maxBulkBindings is the maximum number of variable bindings in the response to a GetBulkRequest.
 	maxBulkBindings = 64
 )
 
 // respond returns the response to a request. It returns nil if there must be no response: the request is malformed, has
-// another version, community or an unsupported type, or the response cannot be encoded.
+// another version or community, or an unsupported type, or the response cannot be encoded.
 func (a *Agent) respond(raw []byte) []byte {
 	request := a.decode(raw)
 	if request == nil || request.Version != gosnmp.Version2c || request.Community != a.community {
@@ -49,6 +50,9 @@
 
 // respondToBulk returns the response to a GetBulkRequest, with as many of the requested repetitions as fit into it (RFC
 // 3416, section 4.2.3).
+//
+// Known fault: the variable bindings of the non-repeaters are not limited. With many of them, the response exceeds
+// maxResponseBytes.
 func (a *Agent) respondToBulk(view *mibView, request, response *gosnmp.SnmpPacket) []byte {
 	nonRepeaters := min(int(request.NonRepeaters), len(request.Variables))
 	for _, v := range request.Variables[:nonRepeaters] {
--- a/internal/operations/snmp/response_fuzz_test.go
+++ b/internal/operations/snmp/response_fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// respond does not panic and its response is never larger than maxResponseBytes, whatever bytes the request consists
-// of.
+// respond does not panic and its response is not larger than maxResponseBytes, whatever bytes the request consists of.
+// This does not hold for a GetBulkRequest with many non-repeaters; see the known fault of respondToBulk.
 func FuzzRespond(f *testing.F) {
 	agent := New(nil, testCommunity, "n3", testClasses, testSnapshot, testSnapshot, discardLogger())
 	var valid [][]byte
