--- a/internal/operations/snmp/response.go
+++ b/internal/operations/snmp/response.go
@@ -3,8 +3,8 @@
 import "github.com/gosnmp/gosnmp"
 
 const (
-	// maxResponseBytes is the maximum size of a response; respondToBulk has an exception. On most paths such a datagram
-	// is not fragmented.
+	// maxResponseBytes is the maximum size of a response, except for the known fault of respondToBulk. On most paths
+	// such a datagram is not fragmented.
 	maxResponseBytes = 1400
 	// maxBulkBindings is the maximum number of variable bindings in the response to a GetBulkRequest.
 	maxBulkBindings = 64
@@ -52,7 +52,7 @@
 // 3416, section 4.2.3).
 //
 // Known fault: the variable bindings of the non-repeaters are not limited. With many of them, the response exceeds
-// maxResponseBytes.
+// maxResponseBytes and maxBulkBindings.
 func (a *Agent) respondToBulk(view *mibView, request, response *gosnmp.SnmpPacket) []byte {
 	nonRepeaters := min(int(request.NonRepeaters), len(request.Variables))
 	for _, v := range request.Variables[:nonRepeaters] {
