--- a/internal/session/arbiter/arbiter.go
+++ b/internal/session/arbiter/arbiter.go
@@ -40,8 +40,8 @@
 	Migrated
 	// StateTooLarge means that the state is larger than the caller accepts.
 	StateTooLarge
-	// Unknown means that the room server has no record of the session, or that it has no tombstones of the session
-	// and holds a copy that a migration has prepared and that is not attached.
+	// Unknown means that the room server has no record of the session, or no tombstones of it but a copy that a
+	// migration has prepared and that was not attached since.
 	Unknown
 )
 
@@ -152,9 +152,8 @@
 // sweepsPerRetention is the maximum number of sweeps within Config.Retention.
 const sweepsPerRetention = 8
 
-// sweep removes records that have expired and are not in use. Most methods call it, so it does nothing if the last
-// sweep is more recent than a fraction 1/sweepsPerRetention of Config.Retention. An expired record stays valid until
-// a sweep removes it.
+// sweep removes records that have expired and are not in use. Because most methods call it, it does so at most once per
+// Config.Retention/sweepsPerRetention. An expired record stays valid until a sweep removes it.
 func (a *Arbiter) sweep(now time.Time) {
 	if now.Sub(a.lastSweep) < a.cfg.Retention/sweepsPerRetention {
 		return
--- a/internal/session/arbiter/attach.go
+++ b/internal/session/arbiter/attach.go
@@ -78,7 +78,7 @@
 // itself as its connection: a balancer whose commit was interrupted reattaches on the connection that has prepared
 // the copy.
 //
-// If the client presents a token itself, find invalidates older tokens; see stateCopy.present.
+// If the client presents a token itself, find invalidates older tokens; see stateCopy.matchToken.
 func (a *Arbiter) find(now time.Time, ref token.Ref, claim uint64, viaRedirect bool, conn Conn) (
 	*record, *stateCopy, Answer,
 ) {
@@ -88,7 +88,7 @@
 		return nil, nil, Answer{Verdict: Unknown}
 	}
 	for _, c := range r.copies {
-		match := c.present(ref, viaRedirect)
+		match := c.matchToken(ref, viaRedirect)
 		if match == noMatch {
 			continue
 		}
--- a/internal/session/arbiter/record.go
+++ b/internal/session/arbiter/record.go
@@ -15,8 +15,9 @@
 	// copies holds the copies of the session's state at this room server. There are several only while migrations
 	// have prepared copies; at most one copy is attached.
 	copies []*stateCopy
-	// tombstones redirects tokens of copies that were migrated to another room server. They are in the order of the
-	// migrations, the oldest first. Of one migration, the tombstone of the last attachment is first.
+	// tombstones redirect tokens of copies that were migrated to another room server. They are in the order of the
+	// migrations, the oldest first. Within a migration, the tombstone of the last attachment comes before those of the
+	// earlier ones.
 	tombstones []tombstone
 	// ended says that the room server has ended the session with End.
 	ended bool
@@ -99,10 +100,10 @@
 	previousMatch            // the client has an older token, valid until it confirms or presents a newer one
 )
 
-// present checks a token against the copy. viaRedirect says that the client has no token of ref, but an older one
+// matchToken checks a token against the copy. viaRedirect says that the client has no token of ref, but an older one
 // from which the balancer was redirected to ref. A token that is presented without a redirect invalidates older
 // tokens.
-func (c *stateCopy) present(ref token.Ref, viaRedirect bool) tokenMatch {
+func (c *stateCopy) matchToken(ref token.Ref, viaRedirect bool) tokenMatch {
 	if c.ref == ref && !viaRedirect && !c.prepared {
 		c.confirm()
 		return currentMatch
@@ -110,14 +111,14 @@
 	if c.ref == ref && viaRedirect && !c.confirmed {
 		return previousMatch
 	}
-	if c.presentPrevious(ref, viaRedirect) {
+	if c.matchPrevious(ref, viaRedirect) {
 		return previousMatch
 	}
 	return noMatch
 }
 
-// presentPrevious is present for the earlier attachments of the copy. It reports whether the token is valid.
-func (c *stateCopy) presentPrevious(ref token.Ref, viaRedirect bool) bool {
+// matchPrevious is matchToken for the earlier attachments of the copy. It reports whether the token is valid.
+func (c *stateCopy) matchPrevious(ref token.Ref, viaRedirect bool) bool {
 	for i, earlier := range c.previous {
 		if earlier.ref != ref || viaRedirect && earlier.confirmed {
 			continue
--- a/internal/session/token/ring.go
+++ b/internal/session/token/ring.go
@@ -77,8 +77,8 @@
 	return len(text) == keyIDDigits && strings.Trim(text, "0123456789abcdef") == ""
 }
 
-// Ring is a keyring: the keys that the balancers of a site share. It is immutable; a reload of the keys file creates
-// a new Ring.
+// Ring is a keyring: the keys that a group of processes shares, such as the balancers of a site. It is immutable; a
+// reload of the keys file creates a new Ring.
 type Ring struct {
 	// keys is sorted by NotBefore, then by ID.
 	keys []*Key
--- a/internal/session/token/seal.go
+++ b/internal/session/token/seal.go
@@ -60,7 +60,7 @@
 // bits, so that balancers that share a key do not use the same nonce twice.
 //
 // Seal returns an error that wraps ErrNoSealingKey if no key seals at now. It also returns an error if a name in the
-// token is longer than MaxName, or if random returns one.
+// token is longer than MaxName, or if reading from random fails.
 func (r *Ring) Seal(t Token, now time.Time, random io.Reader) (string, error) {
 	for _, name := range []string{t.Site, t.Room, t.Server} {
 		if len(name) > MaxName {
--- a/internal/session/token/seal_test.go
+++ b/internal/session/token/seal_test.go
@@ -33,7 +33,7 @@
 }
 
 // A token that is truncated or changed at any byte is rejected. If it is truncated, the error is ErrMalformed or
-// ErrForged, never the error of a token that is complete.
+// ErrForged, and not one such as ErrExpired that only a complete token can cause.
 func TestOpenRejectsAlteredTokens(t *testing.T) {
 	ring := newTestRing(t, newTestKey(t, -time.Hour, time.Hour))
 	text := mustSeal(t, ring, newTestToken(), noon)
