--- a/internal/codecheck/pages.go
+++ b/internal/codecheck/pages.go
@@ -22,7 +22,8 @@
 	packages    map[string]map[string]bool // names that each package declares, by the package's name
 }
 
-// ReadRepository reads a source tree. Of .git and journal it only records that they exist, and skips their contents.
+// ReadRepository reads a source tree. It records the folders .git and journal, but skips their contents.
+//
 // Known fault: in a git worktree .git is a file, and fs.SkipDir on a file skips the rest of the root folder. Most
 // files are missing from the result then, so that pages that name them are reported.
 func ReadRepository(root fs.FS) (*Repository, error) {
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// topFolders matches the top-level folders whose contents pages may name: paths that begin with one of them are
-// checked.
+// topFolders matches the top-level folders below which paths are checked. Other paths in pages may be outside the
+// repository.
 const topFolders = `(?:internal|cmd|decide|docs|deploy|experiments|mibs|tools)`
 
 var (
@@ -207,11 +208,13 @@
 	return found && r.files[path.Join(path.Dir(name), folder)] && r.declares(folder+"."+member)
 }
 
-// declares reports whether the repository declares a name, as far as the name looks like an identifier. A name
-// without a dot looks so if it has a capital after a small letter. After the name of one of the repository's
-// packages, each element is checked that begins with a capital or has one after a small letter. Of any other name
-// with dots, only the first element is checked, as a name without a dot is. For all other names declares returns
-// true, since pages also contain words of protocols, keys of files, commands and names of other packages.
+// declares reports whether the repository declares a name that looks like an identifier. It returns true for any other
+// name, since pages also contain words of protocols, keys of files, commands and names of other packages. What is
+// checked depends on the form of the name:
+//   - A name without a dot is checked if it has a capital after a small letter.
+//   - After the name of one of the repository's packages, each element is checked that begins with a capital or has
+//     one after a small letter.
+//   - Of any other name with dots, only the first element is checked, like a name without a dot.
 func (r *Repository) declares(name string) bool {
 	if !identifier.MatchString(name) {
 		return true
