--- a/internal/operations/hotrestart/protocol.go
+++ b/internal/operations/hotrestart/protocol.go
@@ -17,7 +17,7 @@
 	exchangeTimeout = time.Second
 	// maxSockets is the maximum number of sockets in one message.
 	maxSockets = 8
-	// maxLearnedLines is the maximum number of lines of learned state.
+	// maxLearnedLines is the maximum number of lines of learned state. A process that receives more uses none of them.
 	maxLearnedLines = 4096
 	// messageBufferSize is the size in bytes of the buffer for the line that names the sockets.
 	messageBufferSize = 4096
