--- a/internal/cluster/gossip/cluster_test.go
+++ b/internal/cluster/gossip/cluster_test.go
@@ -83,12 +83,12 @@
 	return startVia(t, name, listen, ring, nil, seeds...)
 }
 
-func startVia(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring,
-	via map[netip.AddrPort]netip.AddrPort, seeds ...netip.AddrPort) *runningCluster {
-	t.Helper()
+// testConfig returns the configuration of an instance that discards its log.
+func testConfig(name string, listen netip.AddrPort, ring *token.Ring,
+	via map[netip.AddrPort]netip.AddrPort, seeds []netip.AddrPort) Config {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := New(Config{
+	return Config{
 		Settings: config.Membership{
 			Name:                 name,
 			Listen:               listen,
@@ -102,7 +102,13 @@
 		ConfiguredSize: decide.FleetSize{Fleet: 5, Zone: 5},
 		Version:        "test",
 		Log:            log,
-	})
+	}
+}
+
+func startVia(t *testing.T, name string, listen netip.AddrPort, ring *token.Ring,
+	via map[netip.AddrPort]netip.AddrPort, seeds ...netip.AddrPort) *runningCluster {
+	t.Helper()
+	c := New(testConfig(name, listen, ring, via, seeds))
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { c.Run(ctx) })
--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -13,10 +13,11 @@
 type delegate struct {
 	session *session
 	leaves  *leaveBroadcaster
+	nodes   *liveNodes
 }
 
 func newDelegate(s *session) *delegate {
-	return &delegate{session: s, leaves: newLeaveBroadcaster(s.cluster.aliveCount)}
+	return &delegate{session: s, leaves: newLeaveBroadcaster(s.cluster.aliveCount), nodes: newLiveNodes()}
 }
 
 // NodeMeta implements memberlist.Delegate. It returns the encoded metadata of this instance, or nil if the encoding
@@ -51,7 +52,7 @@
 		Name:        d.session.cluster.cfg.Settings.Name,
 		Incarnation: d.session.metadata.Load().Incarnation,
 	}
-	d.leaves.announce(message, d.session.list)
+	d.leaves.announce(message, d.nodes.all(), d.session.list)
 }
 
 // GetBroadcasts implements memberlist.Delegate. It returns the leave messages to gossip next.
@@ -75,10 +76,16 @@
 }
 
 // NotifyJoin implements memberlist.EventDelegate: a member was discovered, or is alive again after a failure.
-func (d *delegate) NotifyJoin(node *memberlist.Node) { d.pushAlive(node) }
+func (d *delegate) NotifyJoin(node *memberlist.Node) {
+	d.nodes.set(node)
+	d.pushAlive(node)
+}
 
 // NotifyUpdate implements memberlist.EventDelegate: a member has new metadata.
-func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.pushAlive(node) }
+func (d *delegate) NotifyUpdate(node *memberlist.Node) {
+	d.nodes.set(node)
+	d.pushAlive(node)
+}
 
 func (d *delegate) pushAlive(node *memberlist.Node) {
 	metadata, err := decodeMetadata(node.Meta)
@@ -93,6 +100,7 @@
 // calls it for a planned stop. The state machine ignores the failure report if the leave message arrived first, and the
 // leave message ends the suspicion if it arrives later.
 func (d *delegate) NotifyLeave(node *memberlist.Node) {
+	d.nodes.remove(node.Name)
 	metadata, err := decodeMetadata(node.Meta)
 	if err != nil {
 		return
--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -89,17 +89,16 @@
 	return true
 }
 
-// announce sends a message of this instance to leaveFanout random members directly, and gossips it.
+// announce sends a message of this instance to leaveFanout random members directly, and gossips it. members holds
+// copies of the live nodes, because SendBestEffort reads a node without the library's lock. announce reorders members.
 //
-// Known data race: list.Members returns pointers to the library's own nodes, and SendBestEffort reads their fields
-// without the library's lock. At the same time the library may write these fields, for example in the goroutine that
-// session.announce starts.
-func (b *leaveBroadcaster) announce(message leaveMessage, list *memberlist.Memberlist) {
+// Known fault: members includes this instance. So the instance may receive its own message and refute it. Other members
+// may then take the planned stop for a failure.
+func (b *leaveBroadcaster) announce(message leaveMessage, members []*memberlist.Node, list *memberlist.Memberlist) {
 	raw, err := message.encode()
 	if err != nil {
 		return
 	}
-	members := list.Members()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	for _, member := range members[:min(leaveFanout, len(members))] {
 		list.SendBestEffort(member, raw)
--- a/internal/cluster/gossip/session.go
+++ b/internal/cluster/gossip/session.go
@@ -202,8 +202,8 @@
 
 // announce replaces the metadata of this instance and gossips it. It may be called from any goroutine.
 //
-// Known data race: UpdateNode writes to this instance's memberlist.Node, which is shared with the library.
-// leaveBroadcaster.announce may read that node at the same time without the library's lock.
+// Known data race in the library: UpdateNode reads the address of this instance's node without the lock under which it
+// writes the same address back. Two updates at the same time, for example of announceDivisor and refuteLeave, race.
 func (s *session) announce(metadata nodeMetadata) {
 	s.metadata.Store(&metadata)
 	go s.list.UpdateNode(updateTimeout) // the timeout ends only the wait for the first transmission, not the gossip
