--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -9,7 +9,8 @@
 )
 
 // delegate implements the library's callbacks. The library holds a lock during most of them, so they must not block.
-// They push events into the session's queue, queue messages for the gossip and start goroutines for what takes longer.
+// They push events into the session's queue, copy live nodes, queue messages for the gossip and start goroutines for
+// what takes longer.
 type delegate struct {
 	session *session
 	leaves  *leaveBroadcaster
@@ -75,7 +76,8 @@
 	d.session.events.push(membership.ProbeSucceeded{Name: node.Name})
 }
 
-// NotifyJoin implements memberlist.EventDelegate: a member was discovered, or is alive again after a failure.
+// NotifyJoin implements memberlist.EventDelegate: a member was discovered, or is alive again after a failure or a
+// planned stop.
 func (d *delegate) NotifyJoin(node *memberlist.Node) {
 	d.nodes.set(node)
 	d.pushAlive(node)
--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -92,8 +92,8 @@
 // announce sends a message of this instance to leaveFanout random members directly, and gossips it. members holds
 // copies of the live nodes, because SendBestEffort reads a node without the library's lock. announce reorders members.
 //
-// Known fault: members includes this instance. So the instance may receive its own message and refute it. Other members
-// may then take the planned stop for a failure.
+// Known fault: the instance may receive its own message, because members includes it and because peers gossip the
+// message. It then refutes the message, and other members may take the planned stop for a failure.
 func (b *leaveBroadcaster) announce(message leaveMessage, members []*memberlist.Node, list *memberlist.Memberlist) {
 	raw, err := message.encode()
 	if err != nil {
