--- a/cmd/cottonplank/check.go
+++ b/cmd/cottonplank/check.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// checkEndpointFile reads the endpoint file, which replaces discovery, and prints its size. An empty path means that
-// there is none.
+// checkEndpointFile reads the endpoint file, which replaces discovery, and prints how many room servers it lists. An
+// empty path means that there is none.
 func checkEndpointFile(out io.Writer, path string) error {
 	if path == "" {
 		return nil
@@ -108,8 +108,8 @@
 	return err
 }
 
-// checkControlServer validates a control-plane server's configuration file with the keys and, on a leader, the
-// document that it names.
+// checkControlServer validates the configuration file of a control-plane server, and the files that it names: the keys
+// and, for a leader, the document.
 func checkControlServer(out io.Writer, path string) error {
 	server, err := config.LoadControlServer(path)
 	if err != nil {
--- a/cmd/cottonplank/cluster.go
+++ b/cmd/cottonplank/cluster.go
@@ -38,8 +38,8 @@
 	}), nil
 }
 
-// fleetSize returns the fleet size that the view reports. A nil view, while the instance is not a member, gives the
-// configured fleet size.
+// fleetSize returns the fleet size that the view reports. If view is nil, because the instance is not a member, it
+// returns the configured fleet size.
 func fleetSize(view *membership.View, settings decide.Settings) decide.FleetSize {
 	if view == nil {
 		return decide.ConfiguredFleetSize(settings)
@@ -51,8 +51,7 @@
 	}
 }
 
-// startCluster starts the goroutines of the cluster membership, if one is configured. The first, cluster.Run, joins the
-// cluster.
+// startCluster starts the goroutines of the cluster membership, if it is configured. Cluster.Run joins the cluster.
 func (d *daemon) startCluster(ctx context.Context) {
 	if d.cluster == nil {
 		return
--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -98,7 +98,7 @@
 func newServeCommand(out io.Writer) *cobra.Command {
 	var frontsFile string
 	command := newCommand(out, "serve",
-		"Run the balancer with the file that PROXY_CONFIG names; SIGHUP reloads discovery address, endpoint file and keys",
+		"Run the balancer with configuration file $PROXY_CONFIG; SIGHUP reloads discovery address, endpoint file and keys",
 		func(io.Writer) error { return serve(frontsFile) })
 	addFrontsFlag(command, &frontsFile)
 	return command
--- a/cmd/cottonplank/configreplica.go
+++ b/cmd/cottonplank/configreplica.go
@@ -13,8 +13,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// configReplica is the balancer's replica of the control plane's document. It holds the settings for following the
-// control-plane servers and the state that an earlier process saved.
+// configReplica holds what the balancer needs to replicate the control plane's document: the settings for following the
+// control-plane servers, and the state that an earlier process saved. The replica itself is in the source that
+// newSource returns.
 type configReplica struct {
 	cfg      *config.Config
 	settings config.ControlPlane
--- a/cmd/cottonplank/configuration.go
+++ b/cmd/cottonplank/configuration.go
@@ -26,8 +26,8 @@
 	return cfg, fronts, err
 }
 
-// loadConfig reads all files that the balancer needs to start, applies the limit on processor cores and creates the
-// logger.
+// loadConfig reads the files that the balancer needs to start, except for the cluster keys, which newCluster reads. It
+// also applies the limit on processor cores and creates the logger.
 func (d *daemon) loadConfig() error {
 	var err error
 	if d.cfg, d.fronts, err = loadConfig(d.frontsFile); err != nil {
--- a/cmd/cottonplank/controlserver.go
+++ b/cmd/cottonplank/controlserver.go
@@ -28,8 +28,8 @@
 }
 
 // runControlServer runs a control-plane server until SIGTERM or SIGINT. The server is the leader if its configuration
-// names a document file, otherwise a follower of other control-plane servers. The leader reads the document again at
-// SIGHUP.
+// names a document file, otherwise a follower of other control-plane servers. The leader rereads the document whenever
+// its file changes, and at SIGHUP, which also confirms a pending list. A follower ignores SIGHUP.
 func runControlServer(file string) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -51,7 +51,7 @@
 	}
 	store := controlplane.NewStore(settings.StateFile, settings.Site, log)
 	saved := store.Load()
-	broadcaster := controlplane.NewBroadcaster(saved, true) // retains changes, which it sends to followers
+	broadcaster := controlplane.NewBroadcaster(saved, true) // retains changes, which the server sends to followers
 	var running sync.WaitGroup
 	if settings.DocumentFile != "" {
 		leader := controlplane.NewLeader(settings.DocumentFile, settings.Term, broadcaster, store, log)
--- a/cmd/cottonplank/daemon.go
+++ b/cmd/cottonplank/daemon.go
@@ -111,7 +111,8 @@
 	return d, nil
 }
 
-// build creates the remaining subsystems. The prober keeps ctx for the goroutines that it starts later.
+// build creates the notifier, the prober, the endpoint source and the frontend. The prober keeps ctx for the goroutines
+// that it starts later.
 func (d *daemon) build(ctx context.Context) error {
 	var err error
 	d.notifier, err = sdnotify.NewNotifier(d.monitor, func() string { return statusLine(d.engine.Snapshot()) }, d.log)
--- a/cmd/cottonplank/frontends.go
+++ b/cmd/cottonplank/frontends.go
@@ -16,7 +16,7 @@
 )
 
 // detailedSnapshotTimeout bounds the SNMP agent's wait for the engine's detailed snapshot. After the timeout the agent
-// reports the previous detailed snapshot.
+// reports the previous detailed snapshot, or no room servers if the engine has none: it keeps one for 10 s.
 const detailedSnapshotTimeout = 200 * time.Millisecond
 
 // newFrontend creates the frontend of the platform's line protocol. It enables session resumption if session keys are
@@ -68,7 +68,7 @@
 	d.running.Go(func() { server.Serve(ctx, d.managementListener) })
 }
 
-// startDatagramServers starts the QUIC frontend and the SNMP agent, as far as they are configured.
+// startDatagramServers starts the QUIC frontend and the SNMP agent, each if it is configured.
 func (d *daemon) startDatagramServers(ctx context.Context) {
 	if d.quicFrontend != nil {
 		d.running.Go(func() { d.quicFrontend.Serve(ctx, d.quicPauser) })
--- a/cmd/cottonplank/instancestatus.go
+++ b/cmd/cottonplank/instancestatus.go
@@ -93,8 +93,9 @@
 	s.Resumed = after.rate(before, "resumed", elapsed)
 }
 
-// rate returns the increase per second of the metric with this name plus those whose names begin with name and a dot.
-// It can be negative: a restart of the instance in between resets the counters.
+// rate returns the increase per second of the counter with this name, summed over the request classes if INFO reports
+// one counter for each of them (name.CLASS). It can be negative: a restart of the instance in between resets the
+// counters.
 func (m instanceMetrics) rate(before instanceMetrics, name string, elapsed time.Duration) float64 {
 	sum := 0.0
 	for key, value := range m {
--- a/cmd/cottonplank/listeners.go
+++ b/cmd/cottonplank/listeners.go
@@ -91,7 +91,7 @@
 	return hotrestart.NewPauser(conn.SetReadDeadline)
 }
 
-// datagramPausers returns the pausers of the UDP sockets of QUIC and SNMP, as far as they are open.
+// datagramPausers returns the pausers of the UDP sockets of QUIC and SNMP that are open.
 func (d *daemon) datagramPausers() []*hotrestart.Pauser {
 	var pausers []*hotrestart.Pauser
 	if d.quicPauser != nil {
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -17,8 +17,7 @@
 )
 
 // reloader applies the settings that SIGHUP reloads: the discovery address, the session and cluster keys, and the
-// endpoint file. A reload is atomic: if any of the files cannot be read or is invalid, the whole previous configuration
-// stays in force.
+// endpoint file. If any of the files cannot be read or is invalid, the whole previous configuration stays in force.
 type reloader struct {
 	fronts              config.Fronts
 	cluster             *gossip.Cluster // nil if no cluster membership is configured
@@ -113,7 +112,10 @@
 	return files, nil
 }
 
-// apply applies the files' contents. It ignores the discovery address if an endpoint file replaces discovery.
+// apply applies the files' contents. It ignores the discovery address if an endpoint file replaces discovery. Two of
+// the settings may not take effect although the reload succeeds: an endpoint list that loses over half of the active
+// endpoints, until the operator confirms it (endpoint.ChangeGuard), and a discovery address that the control plane
+// overrides.
 func (r *reloader) apply(ctx context.Context, files reloadedFiles) {
 	if files.clusterKeys != nil {
 		r.cluster.SetKeys(files.clusterKeys)
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -16,8 +16,8 @@
 const exportLearnedTimeout = 400 * time.Millisecond
 
 // restartCoordinator decides, during a hot restart, whether this process accepts connections from the shared listener
-// and reads datagrams from the shared UDP sockets, and which fraction of the limits it may use. The goroutine of run
-// owns all state.
+// and reads datagrams from the shared UDP sockets, which fraction of the limits it may use, and whether it stays a
+// member of the cluster. The goroutine of run owns all state.
 type restartCoordinator struct {
 	cfg       *config.Config
 	engine    *core.Engine
@@ -139,7 +139,7 @@
 	c.post(func() { c.stopping = true })
 }
 
-// apply sets the limits, the pausing of the sockets and the cluster membership according to the state.
+// apply applies the state: it sets the limits, pauses or resumes the sockets, and updates the cluster membership.
 func (c *restartCoordinator) apply() {
 	replaced := c.replacements.Serving > 0
 	limits := c.cfg.ProcessLimits(c.previousAlive || c.replacements.Connected > 0)
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -40,8 +40,8 @@
 	d.waitForGoroutines()
 }
 
-// leaveCluster starts to leave the cluster and returns. The returned channel is closed when the departure is announced,
-// at the latest after gossip.LeaveTimeout. It is closed at once if the instance is not a member, or if a replacement
+// leaveCluster starts to leave the cluster and returns. The returned channel is closed when the instance has left, at
+// the latest after gossip.LeaveTimeout. It is closed at once if the instance is not a member, or if a replacement
 // process has taken over its membership.
 func (d *daemon) leaveCluster() <-chan struct{} {
 	done := make(chan struct{})
