--- a/cmd/cottonplank/crashrestart_test.go
+++ b/cmd/cottonplank/crashrestart_test.go
@@ -78,8 +78,8 @@
 	readyAfter [manyProcesses]time.Duration
 }
 
-// start starts all processes at once. It waits until each answers the health check at its client address, as the load
-// balancer in front of them sends it.
+// start starts all processes at once. It waits until each of them answers a health check at its client address, where
+// the load balancer in front of the fleet also sends its health checks.
 func (f *processFleet) start(discovery string) *fleetRun {
 	f.t.Helper()
 	run := &fleetRun{processFleet: f}
@@ -197,9 +197,10 @@
 	return false
 }
 
-// Guards against a slow start of thirty processes on one machine that crash and restart at the same time, each with a
-// list of 20,000 room servers. A restarted process finds the crashed process's Unix socket for hot restarts. Either no
-// process listens on it, or the listening process never answers or exits in the middle of its answer.
+// Guards against processes that take long to become ready: thirty on one machine crash and restart at the same time,
+// each with a list of 20,000 room servers. At the path of its Unix socket for hot restarts, a restarted process finds
+// the crashed process's socket, the socket of a process that never answers, or that of a process that exits in the
+// middle of its answer.
 func TestCrashRestarts(t *testing.T) {
 	// The program is built without the race detector, which would add to the start times and the memory.
 	program := filepath.Join(t.TempDir(), "cottonplank")
@@ -280,8 +281,8 @@
 	}
 }
 
-// checkInvalidList checks that the process rejects an invalid endpoint list in the configuration, with an error that
-// names the key. The process runs with the directory of the crashed processes.
+// checkInvalidList checks that a process does not start with an invalid endpoint list in its configuration, and that
+// the error names the key. The process has the same TMPDIR as the crashed ones.
 func (f *processFleet) checkInvalidList() {
 	f.t.Helper()
 	replaceFile(f.t, f.config, `{"name":"n3","listen":"127.0.0.1:0","seed":"8c",
--- a/cmd/cottonplank/firstpoll_test.go
+++ b/cmd/cottonplank/firstpoll_test.go
@@ -9,9 +9,11 @@
 
 // Guards against a first poll that comes too late. The known list of the configuration may be out of date: here its
 // room server has started to drain while no process ran. A balancer has to apply a change within 6 s, some of which
-// have passed before the process starts. It therefore polls soon after the start, independent of its seed.
+// have passed before the process starts. It therefore polls soon after the start, whatever its seed.
 func TestPollAfterStart(t *testing.T) {
-	const maxDelay = 2500 * time.Millisecond // random delay of up to 1 s, a tick, and a margin for a busy machine
+	// The random delay is at most 1 s, and polls start at the decision module's ticks, every 250 ms. The rest is a
+	// margin for a busy machine.
+	const maxDelay = 2500 * time.Millisecond
 	polls := make(chan time.Time, 100)
 	discovery := startHTTPServer(t, func(w http.ResponseWriter, req *http.Request) {
 		select {
--- a/cmd/cottonplank/hotrestart_test.go
+++ b/cmd/cottonplank/hotrestart_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// Guards against a process that cannot start because the previous one hangs or was killed: it then opens the client
-// address itself and serves.
-func TestPreviousProcessHangsOrWasKilled(t *testing.T) {
+// Guards against a process that cannot start because the previous one hangs: it then opens the client address itself
+// and serves. After the previous process is killed, all clients reach the new one.
+func TestPreviousProcessHangsAndIsKilled(t *testing.T) {
 	d := newDeployment(t)
 	discovery := d.startDiscovery(false)
 	previous := d.start(discovery).waitReady()
--- a/cmd/cottonplank/shutdown_test.go
+++ b/cmd/cottonplank/shutdown_test.go
@@ -40,7 +40,7 @@
 	}
 	<-requests // a request has reached the room server
 	p.signal(syscall.SIGTERM)
-	for range 3 { // clients that connect after the signal, before they notice the shutdown
+	for range 3 { // the platform still sends new clients for up to 0.4 s after the signal
 		client := d.dial()
 		io.WriteString(client, d.openLine()+"\r\n")
 		clients = append(clients, client)
--- a/cmd/cottonplank/slowstart_test.go
+++ b/cmd/cottonplank/slowstart_test.go
@@ -97,9 +97,10 @@
 }
 
 // loadDuringSlowStart returns the largest load of the server in any overload window of its slow start: the number of
-// requests divided by N + 2 sqrt(N) + 2, where N is the server's request budget at the start of the window. A load
-// above 1 overloads the server. It also returns the fraction of the whole slow start's budget that was used, and the
-// number of requests.
+// requests divided by N + 2 sqrt(N) + 2. N is the number of requests that the server tolerates within the window at its
+// capacity at the window's start; 2 sqrt(N) + 2 covers the random variation of arrivals. A load above 1 overloads the
+// server. loadDuringSlowStart also returns the number of requests during the whole slow start, as a fraction of the
+// number that the server tolerates, and as a count.
 func (s *warmingServer) loadDuringSlowStart() (maxLoad, budgetUsed float64, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/cottonplank/status_test.go
+++ b/cmd/cottonplank/status_test.go
@@ -41,8 +41,8 @@
 	return listener.Addr().String()
 }
 
-// Each instance has a row in the table. An instance that does not answer has a row with the error and makes the exit
-// status 1.
+// Each instance has a row in the table, or an element in the JSON array. If an instance does not answer, its element
+// contains the error, and the exit status is 1.
 func TestStatus(t *testing.T) {
 	serving := startManagementEmulator(t, "200 serving")
 	lameDuck := startManagementEmulator(t, "400 lame duck")
