--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -26,8 +26,8 @@
 const (
 	// clientGiveUp is the client's timeout, in the processes' settings and in the requests.
 	clientGiveUp = 2 * time.Second
-	// minShedAge is how long a connection that has sent nothing stays open at least, also while idle clients fill the
-	// descriptors.
+	// minShedAge is the minimum time for which the process keeps a connection open that has sent nothing, even while
+	// idle clients use up its file descriptors.
 	minShedAge = 10 * time.Millisecond
 )
 
@@ -151,7 +151,7 @@
 }
 
 // Guards against idle clients that leave no file descriptor for anything else while discovery is down. The process
-// must still dial discovery and serve the management address and another client, most times on the client's first
+// must still dial discovery and serve the management address and one more client, usually on the client's first
 // connection. After the outage, it must list the change within maxListDelay.
 func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	t.Parallel()
@@ -179,17 +179,18 @@
 		shutUnread += d.checkServed(p)
 		checks++
 	}
-	t.Logf("%d connections were shut unread in %d checks", shutUnread, checks)
+	t.Logf("%d connections were closed with their request unread in %d checks", shutUnread, checks)
 	if shutUnread > checks/2 {
-		t.Errorf("%d connections were shut unread in %d checks, want at most one in two checks", shutUnread, checks)
+		t.Errorf("%d connections were closed with their request unread in %d checks, want at most one per two checks",
+			shutUnread, checks)
 	}
 	dials := listener.Dials.Load()
 	if dials < 5 {
-		t.Errorf("discovery received only %d connections during the outage, want at least 5", dials)
+		t.Errorf("discovery received only %d connections before the outage ended, want at least 5", dials)
 	}
 	setOutage(t, listener, emulator.NoOutage)
 	delay := p.waitListed(2)
-	t.Logf("at most %d of %d descriptors open, %d connections to discovery during the outage, listed after %v",
+	t.Logf("at most %d of %d descriptors open, %d connections to discovery before the outage ended, listed after %v",
 		maxOpen, descriptors, dials, delay)
 	if delay > maxListDelay {
 		t.Errorf("the change was listed %v after the outage, want at most %v", delay, maxListDelay)
@@ -204,8 +205,8 @@
 	}
 }
 
-// checkServed checks that the management address and a new client are answered. It returns how many connections of the
-// client were shut unread before.
+// checkServed checks that the management address answers PING and that a new client is served. It returns how many
+// connections of the client the process closed, without reading the request on them, before it served the client.
 func (d *deployment) checkServed(p *process) (shutUnread int) {
 	d.t.Helper()
 	if response := p.call("PING"); response != "200 serving\r\n" {
@@ -216,15 +217,16 @@
 	d.exchange(client, "x", "x")
 	client.Close()
 	if waited := time.Since(start); waited > 3*time.Second {
-		d.t.Errorf("another client waited %v, want at most 3s", waited)
+		d.t.Errorf("the new client was served after %v, want at most 3s", waited)
 	}
 	return shutUnread
 }
 
-// openBesideIdleClients returns a client connection that is established with the room server, and how many connections
-// of the client were shut unread before: while idle clients fill the descriptors, the process may close a connection
-// that has sent nothing for minShedAge. Only after that the client repeats its request, for at most clientGiveUp, with
-// the same ID: a process that has admitted the request before answers ERR. Anything else fails the test as in open.
+// openBesideIdleClients returns a client connection that is established with the room server, and how many earlier
+// connections of the client the process closed without reading the request. It may do so while idle clients use up the
+// descriptors, if the connection has sent nothing for minShedAge. Only in that case does the client repeat its request
+// on a new connection. It retries for at most clientGiveUp and keeps the request's ID, so that a process that has
+// admitted the request answers ERR. As in open, any other outcome fails the test.
 func (d *deployment) openBesideIdleClients() (client testClient, shutUnread int) {
 	d.t.Helper()
 	request := d.openLine()
@@ -241,16 +243,17 @@
 		}
 		unread := line == "" && err == io.EOF && d.arrivedAfterClose(client)
 		if !unread || sent < minShedAge || time.Since(start) > clientGiveUp {
-			d.t.Fatalf("response to %q, sent in %v after %d connections that were shut unread: %q, %v, unread: %t, "+
-				"want UP receipt", request, sent, shutUnread, line, err, unread)
+			d.t.Fatalf("response to %q, sent within %v of the dial, after %d connections that were closed unread: %q, %v, "+
+				"unread: %t, want UP receipt", request, sent, shutUnread, line, err, unread)
 		}
 		client.Close()
 	}
 }
 
 // arrivedAfterClose reports whether the request on a connection that the process has closed arrived only after the
-// close, so that the process cannot have read it. The client's kernel knows: it received a reset for such a request. It
-// received an acknowledgment for any other, because the segment that tells the close acknowledges what came before it.
+// close, so that the process cannot have read it. The state of the client's socket tells: such a request is answered
+// with a RST. Any other request is acknowledged, at the latest by the FIN, whose ACK covers everything that arrived
+// before the close. If neither is seen within clientGiveUp, the result is false.
 func (d *deployment) arrivedAfterClose(client testClient) bool {
 	d.t.Helper()
 	const acknowledgedSYN = 1 // the kernel counts the SYN as one acknowledged byte
