--- a/internal/controlplane/keyring.go
+++ b/internal/controlplane/keyring.go
@@ -36,8 +36,8 @@
 	return k.last
 }
 
-// sealingKey returns the ID and the secret of the key that a follower uses for new connections: the key that
-// currently seals new session tokens. If there is none, the error names the key "".
+// sealingKey returns the ID and the secret of the key that a follower uses for new connections: the ring's current
+// sealing key (token.Ring.SealingKeyID). If there is none, the error names the key "".
 func (k *Keyring) sealingKey() (id string, secret []byte, err error) {
 	ring, now := k.reload(), time.Now()
 	id = ring.SealingKeyID(now)
