--- a/cmd/cottonplank/cluster.go
+++ b/cmd/cottonplank/cluster.go
@@ -18,7 +18,7 @@
 const serviceStateInterval = 100 * time.Millisecond
 
 // newCluster returns nil if the fronts file configures no membership. The cluster calls setFleetSize with the fleet
-// size of each new view.
+// size of each new view, and with the configured fleet size when the membership ends.
 func newCluster(m config.Membership, settings decide.Settings, setFleetSize func(decide.FleetSize),
 	log *logrus.Logger) (*gossip.Cluster, error) {
 	if m.Name == "" {
--- a/cmd/cottonplank/command.go
+++ b/cmd/cottonplank/command.go
@@ -12,12 +12,12 @@
 // Exit statuses of the program.
 const (
 	exitOK      = 0
-	exitFailure = 1 // valid command line, but the command failed
-	exitUsage   = 2 // invalid command line, such as an unknown command, flag or argument
+	exitFailure = 1 // valid command line, but the command failed; also for an --after or --for that keys new rejects
+	exitUsage   = 2 // any other invalid command line, such as an unknown command, flag or argument
 )
 
-// commandError is the failure of a command whose command line was valid (exitFailure). Any other error of a command
-// is a usage error (exitUsage).
+// commandError is an error for which the program exits with exitFailure. Any other error of a command is a usage error
+// (exitUsage).
 type commandError struct{ err error }
 
 // Error returns the text of the wrapped error.
--- a/cmd/cottonplank/controlserver.go
+++ b/cmd/cottonplank/controlserver.go
@@ -71,7 +71,7 @@
 }
 
 // startFollower starts the goroutines that replicate the document from other control-plane servers and save the
-// versions that they receive.
+// latest version that they have received.
 func startFollower(ctx context.Context, running *sync.WaitGroup, settings config.ControlServer,
 	keys *controlplane.Keyring, store *controlplane.Store, broadcaster *controlplane.Broadcaster, log *logrus.Logger) {
 	persister := controlplane.NewPersister(store)
--- a/cmd/cottonplank/discoveryoutage_test.go
+++ b/cmd/cottonplank/discoveryoutage_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// waitForCalls waits until discovery has received n calls. A process delays its first poll by up to 1 s, and repeats a
-// failed one after a delay that grows with each failure.
+// waitForCalls waits until discovery has received n calls. A process may delay its first call by up to 1 s. After a
+// failed call it dials discovery until a connection is accepted, and only then calls again.
 func waitForCalls(t *testing.T, discovery *emulator.FaultyListener, n uint64) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); discovery.Calls.Load() < n; time.Sleep(20 * time.Millisecond) {
--- a/cmd/cottonplank/frontends.go
+++ b/cmd/cottonplank/frontends.go
@@ -16,7 +16,8 @@
 )
 
 // detailedSnapshotTimeout bounds the SNMP agent's wait for the engine's detailed snapshot. After the timeout the agent
-// reports the previous detailed snapshot, or no room servers if the engine has none: it keeps one for 10 s.
+// reports the previous detailed snapshot, or no room servers if the engine has none: its event loop deletes one that
+// is older than 10 s, but a stuck loop deletes none.
 const detailedSnapshotTimeout = 200 * time.Millisecond
 
 // newFrontend creates the frontend of the platform's line protocol. It enables session resumption if session keys are
--- a/cmd/cottonplank/keys.go
+++ b/cmd/cottonplank/keys.go
@@ -51,7 +51,7 @@
 }
 
 // createKey adds a key to the file, which it creates if it does not exist. The key starts to seal after delay and
-// seals for lifetime.
+// seals for lifetime, except while another key with a later not_before seals.
 func createKey(out io.Writer, file string, delay, lifetime time.Duration) error {
 	if delay < 0 || lifetime < minKeyLifetime {
 		return fmt.Errorf("invalid --after %v or --for %v: expected --after of at least 0s and --for of at least 1m", delay,
@@ -82,7 +82,9 @@
 	return err
 }
 
-// listKeys prints the IDs, the current use and the validity of the file's keys.
+// listKeys prints the IDs, the current use and the validity of the file's keys. It assumes token.MaxLifetime, because
+// the file contains no lifetime. A process with a shorter one may already treat a key as retired that is listed with
+// "opens".
 func listKeys(out io.Writer, file string) error {
 	keys, err := config.LoadKeys(file)
 	if err != nil {
--- a/cmd/cottonplank/keys_test.go
+++ b/cmd/cottonplank/keys_test.go
@@ -21,9 +21,9 @@
 	return output
 }
 
-// Guards the secrets of the keys: no command prints them, a new keys file is accessible to its owner only, and a file
-// that other users may access is rejected with an error that names its mode. The example of a fronts file with session
-// resumption in deploy/ is valid with these keys.
+// Guards the secrets of the keys: keys list does not print them, a new keys file is accessible to its owner only, and a
+// file that other users may access is rejected with an error that names its mode. The example of a fronts file with
+// session resumption in deploy/ is valid with these keys.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "resume-keys.json")
--- a/cmd/cottonplank/reload.go
+++ b/cmd/cottonplank/reload.go
@@ -17,7 +17,8 @@
 )
 
 // reloader applies the settings that SIGHUP reloads: the discovery address, the session and cluster keys, and the
-// endpoint file. If any of the files cannot be read or is invalid, the whole previous configuration stays in force.
+// endpoint file. If any of the files cannot be read or is invalid, the reload changes nothing. The endpoint file also
+// takes effect without a reload, whenever it changes (filesource.Source).
 type reloader struct {
 	fronts              config.Fronts
 	cluster             *gossip.Cluster // nil if no cluster membership is configured
@@ -114,8 +115,8 @@
 
 // apply applies the files' contents. It ignores the discovery address if an endpoint file replaces discovery. Two of
 // the settings may not take effect although the reload succeeds: an endpoint list that loses over half of the active
-// endpoints, until the operator confirms it (endpoint.ChangeGuard), and a discovery address that the control plane
-// overrides.
+// endpoints, until the operator confirms it (endpoint.ChangeGuard), and a discovery address, if the control plane
+// overrides it or has no contact to its leader (controlplane.Source.SetFallbackAddress).
 func (r *reloader) apply(ctx context.Context, files reloadedFiles) {
 	if files.clusterKeys != nil {
 		r.cluster.SetKeys(files.clusterKeys)
--- a/cmd/cottonplank/restart.go
+++ b/cmd/cottonplank/restart.go
@@ -38,7 +38,7 @@
 }
 
 // newRestartCoordinator returns the coordinator of d. If there is a previous process, it pauses the sockets until this
-// process is ready.
+// process is ready or the previous one has exited.
 func newRestartCoordinator(d *daemon) *restartCoordinator {
 	c := &restartCoordinator{
 		cfg:       d.cfg,
@@ -64,8 +64,8 @@
 	return c
 }
 
-// startHotRestart starts the coordinator. Once this process serves, it passes its sockets to replacement processes on
-// request.
+// startHotRestart starts the coordinator. On request, this process passes its sockets to replacement processes: from
+// now on if there is no previous process, otherwise once it accepts connections.
 func (d *daemon) startHotRestart(ctx context.Context) {
 	d.restart = newRestartCoordinator(d)
 	exportLearned := func() []string { return d.engine.ExportLearned(exportLearnedTimeout) }
@@ -152,8 +152,8 @@
 		c.accepting = accepting
 		setRunning(accepting, c.clients)
 	}
-	// Only one process reads datagrams. If two processes read from the shared UDP socket, the packets of a QUIC
-	// connection would be distributed between them.
+	// Only one process reads datagrams, except for a moment when a replacement process begins to serve. If two
+	// processes read from the shared UDP socket, the packets of a QUIC connection are distributed between them.
 	if reading := !c.awaitingReadiness && !replaced; reading != c.reading {
 		c.reading = reading
 		setRunning(reading, c.datagrams...)
--- a/cmd/cottonplank/shutdown.go
+++ b/cmd/cottonplank/shutdown.go
@@ -21,7 +21,7 @@
 //     connections that clients cannot resume at the next process. The engine limits this to ShutdownBudget; shutdown
 //     has no timeout of its own for it.
 //  2. It waits until the instance has left the cluster. This runs from the start of the drain, for at most
-//     gossip.LeaveTimeout, which is shorter than ShutdownBudget.
+//     gossip.LeaveTimeout, which is not longer than ShutdownBudget.
 //  3. It cancels the context of all subsystems.
 //  4. It waits for the notifier, for at most notifierTimeout.
 //  5. It waits for the other goroutines, for at most exitTimeout after step 4.
