--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -6,8 +6,8 @@
 	"cottonplank/decide"
 )
 
-// claimFinalAnswer finishes a pending request. It reports true once for each request: that caller has to give the
-// final answer. The client connection is aborted if it is still open after ConnTraits.Linger.
+// claimFinalAnswer finishes a pending request. It reports true at most once for each request: that caller has to give
+// the final answer. The client connection is aborted if it is still open after ConnTraits.Linger.
 func (c *Call) claimFinalAnswer() bool {
 	if c.phase != phasePending {
 		return false
@@ -68,7 +68,7 @@
 }
 
 // answeredAttemptCode returns the code with which the final answer ends the active attempt: TimedOut if the attempt's
-// timer has expired but its callback has not run yet, otherwise Cancelled.
+// timer has expired, even if its callback has not run yet, otherwise Cancelled.
 func (c *Call) answeredAttemptCode() decide.Code {
 	if t := c.attempt.timer; t != nil && t.at <= c.engine.now {
 		return decide.TimedOut
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -77,7 +77,7 @@
 	return c.attempt.active && c.attempt.number == n
 }
 
-// isPendingAttempt reports whether n is the active attempt of a request that has no final answer.
+// isPendingAttempt reports whether n is the active attempt of a pending request.
 func (c *Call) isPendingAttempt(n int) bool {
 	return c.isActiveAttempt(n) && c.phase == phasePending
 }
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// firstLineTimeout is how long a client connection may stay open after its accept without sending anything. Health
-	// checks restart the timeout, but not more often than once per minHealthCheckInterval.
+	// firstLineTimeout is how long a client connection may stay open after its accept without sending anything. A
+	// health check restarts the timeout if it arrives at least minHealthCheckInterval after Call.lastActivity.
 	firstLineTimeout = 2 * time.Second
 	// startedLineTimeout replaces firstLineTimeout once a part of the first line has arrived: firstLineTimeout is too
 	// short for clients that write their request slowly.
 	startedLineTimeout = 2800 * time.Millisecond
-	// minHealthCheckInterval is the minimum time between two health checks that restart firstLineTimeout.
+	// minHealthCheckInterval is the minimum time from Call.lastActivity to a health check that restarts
+	// firstLineTimeout.
 	minHealthCheckInterval = time.Second
 	// defaultLinger replaces a ConnTraits.Linger of 0.
 	defaultLinger = 500 * time.Millisecond
@@ -50,11 +51,10 @@
 	request Request
 	attempt attemptState
 	restore restoreState
-	// retryAfter replaces the decision module's retry-after if it is above 0. It is set if another request holds the
-	// session.
+	// retryAfter replaces the decision module's retry-after if it is above 0. It is set by Engine.RetryLater.
 	retryAfter time.Duration
-	// lastActivity is the time of the accept, of the latest health check or of the latest part of the first line;
-	// after the call has finished, it is the time of the finish.
+	// lastActivity is the time of the accept, of the latest health check that restarted the timeout, or of the latest
+	// reported part of a line; after the call has finished, it is the time of the finish.
 	lastActivity time.Duration
 	// lineStarted says that a part of the first line has arrived.
 	lineStarted bool
@@ -72,8 +72,8 @@
 
 // ConnTraits are the properties of a frontend's client connections.
 type ConnTraits struct {
-	// Linger is how long a finished client connection may stay open for the client to read the answer; 0
-	// means 500 ms.
+	// Linger is how long a client connection may stay open after its final answer, for the client to read it, or after
+	// one side has closed; 0 means 500 ms. If it is above migrationTimeout, it replaces it.
 	Linger time.Duration
 	// Idle is how long an established connection may stay without traffic before it is closed; 0 disables the
 	// time-out. It is meant for transports that do not show the end of a connection.
@@ -118,7 +118,8 @@
 	return decide.RequestID(strconv.FormatUint(t.lastID, 10))
 }
 
-// Accept registers a new client connection. It is aborted if no first line arrives within firstLineTimeout.
+// Accept registers a new client connection. It is aborted if no first line arrives within firstLineTimeout, which
+// FirstLineStarted and HealthCheckReceived extend.
 func (e *Engine) Accept(conn ClientConn, traits ConnTraits) *Call {
 	if traits.Linger == 0 {
 		traits.Linger = defaultLinger
@@ -149,8 +150,8 @@
 		}
 		if !c.lineStarted {
 			c.lineStarted = true
-			// lastActivity is the time of the accept or of the latest health check. The timeout counts from there, so
-			// that a connection that sends its request after a long series of health checks gets the whole timeout.
+			// The timeout counts from lastActivity, so that a connection that sends its request after a long series of
+			// health checks gets the whole timeout.
 			c.abortAt(c.lastActivity + startedLineTimeout)
 		}
 		c.lastActivity = e.now
@@ -220,7 +221,7 @@
 }
 
 // admit makes the request pending, assigns its ID and reports whether it did so. Beyond Config.MaxClients, and in the
-// last part of a drain, it rejects the request instead.
+// last part of a drain, it rejects the request instead. A request whose Request.ID is in use fails.
 func (c *Call) admit(r Request) bool {
 	e := c.engine
 	if c.phase != phaseAccepted || !c.bindRequest(r) {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -17,12 +17,12 @@
 	// RestoreConnection count, but are not rejected.
 	MaxClients int
 	// AwaitFirstList is set in a process that replaces a running one. The engine then stays in state Starting until
-	// discovery has delivered a list, for 3 s at most.
+	// discovery has delivered a list or SkipListWait is called, for 3 s at most.
 	AwaitFirstList bool
 	// ListPushed is set if discovery pushes its lists. By the operators' rules, this balancer then counts as notified of
 	// a change as soon as discovery has it, even before the balancer receives it: a server's drain grace, for example,
-	// starts at that time. The engine therefore stays in state Starting until discovery has delivered the first list,
-	// for 3 s at most, and reopens a broken watch after a short fixed delay.
+	// starts at that time. The engine therefore stays in state Starting as with AwaitFirstList, and reopens a broken
+	// watch after a short fixed delay.
 	ListPushed bool
 	// Learned is the learned state that the previous process has exported.
 	Learned []decide.LearnedState
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -45,8 +45,8 @@
 	// Migrate asks the client of an established connection to open a new connection, and closes the transports to the
 	// client and to the server.
 	Migrate()
-	// Abort closes immediately whatever is still open. An implementation may keep a client connection open whose
-	// request has arrived but is not reported to the engine yet.
+	// Abort closes immediately whatever is still open. An implementation may keep a client connection open if a
+	// request may have arrived that is not reported to the engine yet.
 	Abort()
 }
 
@@ -71,7 +71,8 @@
 	Number int
 	// Upstream is the server to connect to.
 	Upstream Upstream
-	// Timeout is how long the engine waits for the server's answer that establishes the connection.
+	// Timeout is how long the engine waits for the server's answer that establishes the connection. For a session whose
+	// state is transferred, this time starts again with Engine.StateFetched.
 	Timeout time.Duration
 }
 
@@ -84,8 +85,8 @@
 
 // Prober sends probes to servers. Its methods must not block.
 type Prober interface {
-	// Probe requests a load report. The implementation passes the result to Engine.ProbeCompleted with the same seq,
-	// unless ctx ends first.
+	// Probe requests a load report. The implementation passes the result to Engine.ProbeCompleted with the same seq. It
+	// may drop the probe, which then times out in the engine. It need not report the result after the end of ctx.
 	Probe(ctx context.Context, seq uint64, server Upstream)
 	// Remove releases the resources of a server that was removed from the endpoint list, such as its probe
 	// connection.
@@ -103,7 +104,8 @@
 	Started time.Time
 }
 
-// EndpointUpdate is the result of a discovery call: a snapshot of the endpoint list, changed entries, or a failure.
+// EndpointUpdate is the result of a discovery call (a snapshot of the endpoint list, changed entries, or a failure) or
+// the list that is restored at the start.
 type EndpointUpdate struct {
 	Kind      decide.ListKind
 	Endpoints []Endpoint
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -10,12 +10,12 @@
 const (
 	// discoveryTimeout is how long a discovery call may take until its first answer before it counts as failed.
 	discoveryTimeout = 4 * time.Second
-	// watchTimeout is how long after its last heartbeat a watch counts as stale. Discovery sends one every 2 s.
+	// watchTimeout is the time without a heartbeat after which a watch counts as stale. Discovery sends one every 2 s.
 	watchTimeout = 3 * time.Second
 )
 
 // Discovery is the source of the endpoint list. Its methods must not block. It passes the results of a call to an
-// UpdateHandler until the call's ctx ends.
+// UpdateHandler until the call's ctx ends, and may report that end as a failure of the call.
 type Discovery interface {
 	// SetAddress makes later calls use discovery at another address. The first watch there starts with a snapshot.
 	SetAddress(address string)
@@ -168,8 +168,9 @@
 	e.discoveryCalls.listUpdated = e.now
 }
 
-// discoveryFailed handles a failed call and starts a reconnect. It also notifies the decision module, whose calls to
-// discovery are suppressed during the reconnect.
+// discoveryFailed handles a failed call. It starts a reconnect, unless one is waiting for its next step or a watch was
+// opened after the failed one. It also notifies the decision module, whose calls to discovery are suppressed during the
+// reconnect.
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -11,7 +11,8 @@
 	drainAnswerReserve = 300 * time.Millisecond
 	// drainRecheckInterval is the interval between checks whether the drain is complete.
 	drainRecheckInterval = 10 * time.Millisecond
-	// drainMinDuration is the minimum duration of a planned stop, so that clients that arrive late are served.
+	// drainMinDuration is the minimum duration of a planned stop, so that clients that arrive late are served. A smaller
+	// budget takes precedence.
 	drainMinDuration = 900 * time.Millisecond
 )
 
@@ -61,7 +62,8 @@
 		e.drain = &drain{final: true, done: done, clientsQueued: clientsQueued}
 		e.setServiceState(Stopping)
 		// The last migrations start migrationTimeout before the end of the budget, so that clients that no longer
-		// read are disconnected within the budget. This does not hold for a ConnTraits.Linger above migrationTimeout.
+		// read are disconnected within the budget. This does not hold for a ConnTraits.Linger above migrationTimeout,
+		// nor for a budget below migrationTimeout plus drainAcceptWindow.
 		last := max(budget-migrationTimeout, drainAcceptWindow)
 		e.migrateBetween(min(budget/2, last), last)
 		e.scheduleDrainStep(drainMinDuration, func() {
@@ -129,7 +131,7 @@
 
 // finishDrainIfIdle ends a planned stop after drainMinDuration, before its budget is over, if no client waits to be
 // accepted, no request is pending, and all open client connections are resumable and have sent their request. It
-// closes connections that have sent nothing, so that they do not delay the end.
+// closes connections that have sent nothing but health checks, so that they do not delay the end.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
@@ -163,10 +165,10 @@
 	}
 }
 
-// closeUnusedForDrain closes an accepted client connection that has sent nothing. It reports true if the connection
-// was active too recently to be closed, as its first line may have arrived without being read. A connection whose
-// first line has started to arrive stays open. So does one with unread data, for which the implementation of
-// ClientConn ignores the Abort.
+// closeUnusedForDrain closes an accepted client connection that has sent nothing but health checks. It reports true if
+// the connection was active too recently to be closed, as its first line may have arrived without being read. A
+// connection whose first line has started to arrive stays open. So does one with unread data, for which the
+// implementation of ClientConn ignores the Abort.
 func (c *Call) closeUnusedForDrain() (tooYoung bool) {
 	switch {
 	case c.lineStarted || c.shed:
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -25,8 +25,8 @@
 	e.statistics.counters.Migrations++
 	e.timers.stop(c.responseTimer)
 	c.conn.Migrate()
-	// A client that no longer reads must not delay the migration. Known fault: a running idle timer is not stopped.
-	// It continues beside this timer, because closeTimer no longer refers to it.
+	// A client that no longer reads must not delay the migration. Known fault: a running timer of TrafficSeen or
+	// HalfClosed is not stopped. It continues beside this timer, because closeTimer no longer refers to it.
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -34,7 +34,7 @@
 type reconnect struct {
 	schedule decide.ReconnectSchedule
 	step     reconnectStep
-	// failedStart is when the latest failed call or dial was started.
+	// failedStart is when the latest failed call or dial was started; for a watch that had answered, when it failed.
 	failedStart time.Duration
 	// dialStart is when the current dial was started.
 	dialStart time.Duration
@@ -62,8 +62,7 @@
 	}
 }
 
-// startReconnect starts or restarts a reconnect after the failure of a call or dial that was started at the given
-// time.
+// startReconnect starts or restarts a reconnect after the failure of a call or dial; see reconnect.failedStart.
 func (e *Engine) startReconnect(failedStart time.Duration) {
 	e.reconnect.failedStart = failedStart
 	e.scheduleReconnect(e.reconnect.schedule.DialAt(failedStart, e.now), e.dialDiscovery)
--- a/internal/core/reconnect_test.go
+++ b/internal/core/reconnect_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// startDialingEngine runs an engine with a Dialer and a short poll interval, so that it opens its first watch early.
+// startDialingEngine runs an engine with a Dialer. Its MaxPollInterval is short, so that the first watch opens within
+// 100 ms.
 func startDialingEngine(t *testing.T) (*Engine, *fakeDialer) {
 	t.Helper()
 	f := &fakeDialer{dials: make(chan dialRequest, 10)}
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -22,7 +22,7 @@
 }
 
 // RestoreConnection reconnects a client to the server of a connection that is unknown to this process, usually because
-// an earlier process established it. It tries only the given server, also while that server is not listed, and the
+// an earlier process established it. It tries only the given server and waits while that server is not listed. The
 // request fails if no attempt has succeeded when patience is over.
 func (e *Engine) RestoreConnection(c *Call, r Request, server decide.ServerID, patience time.Duration) {
 	e.post(func() {
--- a/internal/core/restore_test.go
+++ b/internal/core/restore_test.go
@@ -8,7 +8,7 @@
 )
 
 // The restore of a connection waits until its server is listed, and is retried after an attempt has failed. The
-// decision module counts the successful attempt as attempt 0.
+// connection is counted as established, and its end as well.
 func TestRestoreConnectionRetries(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10)
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -27,7 +27,8 @@
 	})
 }
 
-// locate returns the server with the given instance name, also if it was removed within departedRetention.
+// locate returns the server with the given instance name, also if it was removed but still has connections or is kept
+// by rememberDeparted.
 func (e *Engine) locate(instance string) (Upstream, bool) {
 	if u := e.upstreams.byID[ServerID(instance)]; u != nil && u.Name == instance {
 		return u.Upstream, true
@@ -60,8 +61,8 @@
 	})
 }
 
-// RetryLater reports that another request holds the session of attempt n. The request is answered immediately; if it
-// is rejected, the answer contains the given time as its retry-after.
+// RetryLater reports that the session of attempt n cannot be resumed yet, for example because another request holds it.
+// The request is answered immediately; if it is rejected, the answer contains the given time as its retry-after.
 func (e *Engine) RetryLater(c *Call, n int, after time.Duration) {
 	e.post(func() {
 		if c.isActiveAttempt(n) {
@@ -81,8 +82,8 @@
 	})
 }
 
-// TokenIssued counts a session token that was sent to a client. If sealed is false, it counts a client that got no
-// token because no key was available to seal one.
+// TokenIssued counts a session token for a client. If sealed is false, it counts a token that could not be sealed,
+// usually because no key was available, and was not sent.
 func (e *Engine) TokenIssued(sealed bool) {
 	e.post(func() {
 		if sealed {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -51,9 +51,9 @@
 	State decide.State
 	// Connections counts the established connections.
 	Connections int
-	// Attempts counts the attempts since the engine was created.
+	// Attempts counts the attempts since the server was added to the table.
 	Attempts uint64
-	// Load is the latest reported load as a fraction of the capacity; below 0 if there was no report.
+	// Load is the load in the latest probe result that has one, as a fraction of the capacity; below 0 if there was none.
 	Load float64
 }
 
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -22,7 +22,7 @@
 	ClientsLeft uint64
 	// Migrations counts clients of established connections that were asked to open a new connection.
 	Migrations uint64
-	// Probes counts probes that were sent to servers.
+	// Probes counts probes that were requested from the Prober, which may drop some.
 	Probes uint64
 	// Shed counts client connections that were aborted to free their file descriptor.
 	Shed uint64
@@ -37,7 +37,7 @@
 type SessionCounters struct {
 	// TokensIssued counts tokens that were given to clients.
 	TokensIssued uint64
-	// TokensUnsealed counts clients that got no token because there was no key to seal it with.
+	// TokensUnsealed counts tokens that clients did not get because they could not be sealed, usually for lack of a key.
 	TokensUnsealed uint64
 	// Resumed counts requests that resumed their session.
 	Resumed uint64
--- a/internal/core/upstreams.go
+++ b/internal/core/upstreams.go
@@ -17,9 +17,9 @@
 	drainNotifiedAt time.Duration
 	// connections counts the established connections.
 	connections int
-	// attempts counts the attempts since the engine was created.
+	// attempts counts the attempts since the server was added to the table.
 	attempts uint64
-	// load is the latest reported load as a fraction of the capacity; below 0 if there was no report.
+	// load is the load in the latest probe result that has one, as a fraction of the capacity; below 0 if there was none.
 	load float64
 }
 
@@ -30,7 +30,7 @@
 	// ejected holds the servers that the decision module has ejected. It may also hold servers whose ejection has
 	// ended, until countEjected deletes them.
 	ejected map[decide.ServerID]struct{}
-	// departed holds servers that were removed within departedRetention, by name.
+	// departed holds the removed servers that rememberDeparted keeps, by name.
 	departed map[string]departedUpstream
 	// listed counts the servers of byID that are not removed.
 	listed int
@@ -137,7 +137,7 @@
 }
 
 // setUpstreamState sets a server's state. When a ready server becomes draining or removed, it records the current
-// time in drainNotifiedAt.
+// time in drainNotifiedAt, except for the list restored at the start.
 func (e *Engine) setUpstreamState(u *upstreamState, state decide.State, kind decide.ListKind) {
 	switch {
 	case state == decide.Ready:
