--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -28,7 +28,8 @@
 	acceptLine string
 	// accepted reports whether the acceptance by the server was reported to the engine.
 	accepted bool
-	// timeout is the engine's time limit for the attempt, from its start to the server's acceptance.
+	// timeout is the engine's time limit for the attempt, from its start to the server's acceptance. It starts again with
+	// Engine.StateFetched.
 	timeout time.Duration
 	// requestLineSent reports whether the request line was written, after which the server may have executed the
 	// request.
--- a/internal/frontend/platform/client_close_test.go
+++ b/internal/frontend/platform/client_close_test.go
@@ -246,7 +246,7 @@
 }
 
 // A client closes while the state of its session is located or transferred. Whichever step the migration has reached,
-// nothing further is sent to any room server.
+// no room server is dialed after that, and the actor ends within two further steps.
 func TestNoSessionCallAfterClientCloses(t *testing.T) {
 	t.Parallel()
 	const minimumSteps = 5
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -67,8 +67,9 @@
 }
 
 // mailboxSize is the capacity of a connection's mailbox. It is enough under any settings: the engine starts an
-// attempt only after the previous one was reported as ended, and cancels each attempt for at most three reasons (the
-// connect timeout, the attempt's timeout, and a server that became unavailable).
+// attempt only after the previous one was reported as ended, and cancels each attempt at the connect timeout, at the
+// attempt's timeout, and at each update of the endpoint list in which the server is unavailable. Only many such updates
+// while the actor is blocked would fill the mailbox.
 const mailboxSize = 32
 
 // restoreTimeout is how long the balancer tries to restore a connection that was open before the balancer's restart.
@@ -112,11 +113,12 @@
 		line     string
 		err      error
 	}
-	// upstreamClosedEvent reports that nothing more can be read from the room server of an established connection.
+	// upstreamClosedEvent reports that relayToClient has stopped reading from the room server.
 	upstreamClosedEvent struct {
 		// code is the outcome of the attempt to report to the engine.
 		code decide.Code
-		// err is io.EOF after a regular close, or os.ErrDeadlineExceeded if a migration interrupted the reader.
+		// err is the error that ended the read: io.EOF after a regular close, or os.ErrDeadlineExceeded if a migration
+		// interrupted the reader.
 		err error
 	}
 )
--- a/internal/frontend/platform/commands.go
+++ b/internal/frontend/platform/commands.go
@@ -68,7 +68,8 @@
 // Migrate implements core.ClientConn: it sends MOVE to the client of an established connection, and closes.
 func (c *clientConn) Migrate() { c.enqueue(migrateCommand{}) }
 
-// Abort implements core.ClientConn: it closes all connections that are still open.
+// Abort implements core.ClientConn: it closes all connections that are still open, unless a request may have arrived
+// that was not submitted yet.
 func (c *clientConn) Abort() { c.enqueue(abortCommand{}) }
 
 // HolderLocated implements core.Resumer: it delivers the result of Engine.LocateHolder.
@@ -129,7 +130,7 @@
 
 func (abortCommand) execute(_ context.Context, c *clientConn) bool {
 	// On a busy machine, readClient may read a request only after the engine's timeout for the first line has expired.
-	// A request that has arrived must still be served. Therefore a connection is not aborted while its request line is
-	// read but not submitted, or while the kernel holds unread data, which may be a request.
+	// A request that has arrived must still be served. Therefore a connection without a submitted request is not aborted
+	// while its request line is read, or while the kernel holds unread data, which may be a request.
 	return !c.requestSubmitted && (c.requestLineRead.Load() || hasUnreadData(c.conn))
 }
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -117,7 +117,8 @@
 
 // readLineOrChunk reads a line, or as much of it as the read buffer holds. If a migration interrupts the read within
 // a line, it waits up to lineRemainderTimeout for the rest, so that the client gets either the complete line or none
-// of it. It returns os.ErrDeadlineExceeded if it is interrupted between two lines, or if the rest does not arrive.
+// of it; this does not hold for a line that was forwarded in parts. It returns os.ErrDeadlineExceeded if it is
+// interrupted between two lines, or if the rest does not arrive or exceeds the read buffer.
 func readLineOrChunk(up *upstreamConn) ([]byte, error) {
 	raw, err := up.text.R.ReadSlice('\n')
 	if len(raw) == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/platform/state_export.go
+++ b/internal/frontend/platform/state_export.go
@@ -13,7 +13,11 @@
 	"cottonplank/internal/textline"
 )
 
-// claimMargin is how long an attempt's claim on a session's state stays valid after the attempt's timeout.
+// claimMargin is the time by which the lifetime of a claim on a session's state, which starts with the export, exceeds
+// the attempt's timeout.
+//
+// Known fault: the attempt's timeout starts again with Engine.StateFetched. After a transfer of more than claimMargin,
+// which needs a core.Config.StateTimeout above it, the claim may therefore end before the attempt.
 const claimMargin = time.Second
 
 // stateHolder is the connection to the room server that holds a session's state. The claim on the state ends when the
@@ -109,8 +113,8 @@
 }
 
 // exportState connects to the holder and fetches the session's state. It runs in the goroutine of callHolder. An
-// answer that does not grant the state is not an error. An error means that the holder was not reached or has
-// disconnected, or that ctx has ended.
+// answer that does not grant the state is not an error. An error means that the holder was not reached, has
+// disconnected or has sent a malformed line, that the client no longer waits, or that ctx has ended.
 func (c *clientConn) exportState(ctx context.Context, holder *stateHolder, address string, export protocol.Export) (
 	arbiter.Answer, error,
 ) {
--- a/internal/frontend/platform/token_issuer.go
+++ b/internal/frontend/platform/token_issuer.go
@@ -47,7 +47,8 @@
 }
 
 // newTokenLine returns a line with a new token, including its CRLF. It returns an empty string if the session cannot
-// be resumed or if no key can seal a token. Without a token the client has to start over if it connects again.
+// be resumed or the token cannot be sealed, usually for lack of a key. A client that has no earlier token then has to
+// start over if it connects again.
 func (t *tokenIssuer) newTokenLine() string {
 	if !t.enabled {
 		return ""
--- a/internal/frontend/platform/wire.go
+++ b/internal/frontend/platform/wire.go
@@ -11,7 +11,7 @@
 	wordBusy = "BUSY"
 	// wordErr reports a failed request, which may have been executed.
 	wordErr = "ERR"
-	// wordMove asks a client to reconnect, so that it is placed at another server.
+	// wordMove asks a client to reconnect, so that it is placed again.
 	wordMove = "MOVE"
 	// wordBye announces a regular close of the connection by the room server.
 	wordBye = "BYE"
