--- a/internal/discovery/httpsource/bounded_reader.go
+++ b/internal/discovery/httpsource/bounded_reader.go
@@ -6,7 +6,7 @@
 )
 
 // boundedReader reads a stream of JSON values for a json.Decoder. It limits the size of each value and of each of its
-// parts, so that an endless value does not exhaust the memory, and it reports the empty lines between two values. A
+// parts, so that an endless value does not exhaust the memory, and it reports the empty lines outside of values. A
 // part is the data that the decoder reads between two calls of markConsumed, for example one entry of a list.
 type boundedReader struct {
 	source      io.Reader
--- a/internal/discovery/httpsource/call.go
+++ b/internal/discovery/httpsource/call.go
@@ -88,7 +88,7 @@
 }
 
 // readListings makes an HTTP call and calls onListing for each listing in its response, up to limit listings; 0 means
-// no limit. An empty line between two listings is a heartbeat, for which it calls onListing with nil.
+// no limit. An empty line outside a listing is a heartbeat, for which it calls onListing with nil.
 //
 // An invalid listing ends the call with an error. The listings that follow must not be used, because their
 // generations would include the change that could not be read.
--- a/internal/discovery/httpsource/source.go
+++ b/internal/discovery/httpsource/source.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// Watch requests all changes since the current generation and all future ones.
+// Watch requests all changes since the current generation and all future ones. After a change of the address, it
+// requests a snapshot first.
 func (s *Source) Watch(ctx context.Context, watch uint64) {
 	s.enqueue(call{ctx: ctx, watch: true, watchID: watch})
 }
