--- a/internal/controlplane/store.go
+++ b/internal/controlplane/store.go
@@ -61,8 +61,8 @@
 }
 
 // Load returns the saved state. It returns the zero State if the file is missing, locked by another process, or
-// unusable: corrupt, of another site or file version, or with an invalid state. It renames an unusable file, and logs
-// why it does not load a file that exists.
+// unusable: unreadable, corrupt, of another site or file version, or with an invalid state. It renames an unusable
+// file, and logs why it does not load a file that exists.
 func (s *Store) Load() replica.State {
 	state, err := s.read()
 	switch {
