--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -77,7 +77,7 @@
 	established bool
 	// finalAnswer is the packet that has rejected or failed the request; nil if there is none.
 	finalAnswer []byte
-	// migrated says that the client was made to reconnect, so that it gets another room server.
+	// migrated says that the client was made to reconnect, so that it is placed again.
 	migrated bool
 	// ended makes run end.
 	ended bool
--- a/internal/frontend/quic/flow_close.go
+++ b/internal/frontend/quic/flow_close.go
@@ -2,9 +2,8 @@
 
 import "cottonplank/decide"
 
-// migrate makes the client of an established connection reconnect, so that it gets another room server. The flow
-// remains for flowLinger. Without the flow, the client's next packet would restore the connection at the previous
-// server.
+// migrate makes the client of an established connection reconnect, so that it is placed again. The flow remains for
+// flowLinger. Without the flow, the client's next packet would restore the connection at the previous server.
 func (fl *flow) migrate() {
 	if fl.established && fl.upstream != nil {
 		fl.resetClient()
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -26,8 +26,9 @@
 	// routerBacklog is the capacity of the queue of client datagrams to the router. While it is full, no further
 	// datagrams are read from the socket.
 	routerBacklog = 256
-	// maxRepliesPerSecond limits stateless resets and other replies to datagrams whose source address may be spoofed,
-	// so that an attacker cannot make the balancer send a large number of datagrams to others.
+	// maxRepliesPerSecond limits the replies of sendReset and sendReply to datagrams whose source address may be
+	// spoofed, so that an attacker cannot make the balancer send a large number of datagrams to others. The first final
+	// answer of a flow and the CONNECTION_CLOSE of resetClient are not limited.
 	maxRepliesPerSecond = 100
 	// readBufferBytes is the size of the receive buffer of the socket for client datagrams.
 	readBufferBytes = 1 << 20
@@ -47,7 +48,8 @@
 	// time is rejected, or fails if a room server may have executed it.
 	Timeout time.Duration
 	// Idle is the time without traffic in either direction after which the flow of an established connection ends.
-	// Nothing is sent to the client or to the room server.
+	// Nothing is sent to the client or to the room server. As traffic is reported at intervals, the flow may end earlier
+	// by Idle/trafficReportsPerIdle.
 	Idle time.Duration
 	// MaxFlows is the maximum number of flows. When it is reached, further requests are rejected, and datagrams of
 	// established connections that have no flow are dropped.
--- a/internal/frontend/quic/router.go
+++ b/internal/frontend/quic/router.go
@@ -10,7 +10,8 @@
 
 const (
 	// flowLinger is how long a flow remains after the final answer to its request, or after its client was made to
-	// migrate. Packets that the client sends in this time are answered in the same way and start no new flow.
+	// migrate. Packets that the client sends in this time are answered in the same way and start no new flow. A restored
+	// flow ends with its final answer, a stateless reset.
 	flowLinger = 3 * time.Second
 	// overloadRetryAfter is the time after which a client that is rejected because of Config.MaxFlows may retry. It is
 	// sent to the client.
