--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -73,7 +73,7 @@
 // ConnTraits are the properties of a frontend's client connections.
 type ConnTraits struct {
 	// Linger is how long a client connection may stay open after its final answer, for the client to read it, or after
-	// one side has closed; 0 means 500 ms. If it is above migrationTimeout, it replaces it.
+	// one side has closed; 0 means 500 ms. A value above migrationTimeout applies to migrated connections, too.
 	Linger time.Duration
 	// Idle is how long an established connection may stay without traffic before it is closed; 0 disables the
 	// time-out. It is meant for transports that do not show the end of a connection.
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -30,7 +30,7 @@
 type UpdateHandler interface {
 	// EndpointsUpdated delivers a snapshot, changed entries, or the failure of a call.
 	EndpointsUpdated(EndpointUpdate)
-	// WatchAlive reports a heartbeat of a watch.
+	// WatchAlive reports a heartbeat of a watch. A list that a watch delivers counts as a heartbeat, too.
 	WatchAlive(watch uint64)
 }
 
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -34,7 +34,7 @@
 }
 
 // ExportLearned returns the decision module's learned state for the replacement process, encoded as one line for each
-// server. It returns nil if the event loop does not answer within the given time.
+// ready server. It returns nil if the event loop does not answer within the given time.
 func (e *Engine) ExportLearned(within time.Duration) (lines []string) {
 	exported := make(chan []decide.LearnedState, 1)
 	if e.await(within, func() { exported <- e.balancer.ExportLearned() }) != nil {
--- a/internal/core/shed.go
+++ b/internal/core/shed.go
@@ -8,7 +8,7 @@
 
 // ShedIdle reports that a frontend is short of file descriptors. The engine aborts the longest-inactive client
 // connection that has not sent a request or whose call has finished. This keeps clients that open many connections
-// and send nothing from using the descriptors that regular clients, upstream connections and probes need.
+// and send nothing from using the descriptors that regular clients and connections to servers need.
 func (e *Engine) ShedIdle() {
 	e.post(func() {
 		var victim *Call
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -66,10 +66,10 @@
 	awaitingResponse bool
 }
 
-// mailboxSize is the capacity of a connection's mailbox. It is enough under any settings: the engine starts an
-// attempt only after the previous one was reported as ended, and cancels each attempt at the connect timeout, at the
-// attempt's timeout, and at each update of the endpoint list in which the server is unavailable. Only many such updates
-// while the actor is blocked would fill the mailbox.
+// mailboxSize is the capacity of a connection's mailbox. No setting requires a larger one: the engine starts an attempt
+// only after the previous one was reported as ended, and cancels each attempt at the connect timeout, at the attempt's
+// timeout, and at each update of the endpoint list in which the server is unavailable. Only many such updates while the
+// actor is blocked would fill the mailbox.
 const mailboxSize = 32
 
 // restoreTimeout is how long the balancer tries to restore a connection that was open before the balancer's restart.
