--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -30,7 +30,8 @@
 	// migrateAll says that migrateForDrain was called for all established connections, and that it is called for
 	// further ones as soon as they are established.
 	migrateAll bool
-	// rejectNew says that new requests are rejected immediately.
+	// rejectNew says that new requests are rejected immediately. Known fault: those of RestoreConnection are not, and
+	// a planned stop may end before they are answered.
 	rejectNew bool
 	// minimumElapsed says that drainMinDuration is over.
 	minimumElapsed bool
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -11,8 +11,8 @@
 	// is migrated.
 	responseTimeout = 3 * time.Second
 	// migrationTimeout is how long a client connection may stay open after the client was asked to migrate. It is then
-	// aborted, because its client may no longer read. A longer ConnTraits.Linger replaces it, and so does the call of
-	// HalfClosed with which a frontend may report that it has sent the migration.
+	// aborted, because its client may no longer read. A longer ConnTraits.Linger replaces it. If the frontend calls
+	// HalfClosed after it has asked the client, ConnTraits.Linger applies from that call on instead.
 	migrationTimeout = 900 * time.Millisecond
 )
 
