--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -11,7 +11,8 @@
 	// is migrated.
 	responseTimeout = 3 * time.Second
 	// migrationTimeout is how long a client connection may stay open after the client was asked to migrate. It is then
-	// aborted, because its client may no longer read. A longer ConnTraits.Linger replaces it.
+	// aborted, because its client may no longer read. A longer ConnTraits.Linger replaces it. If the frontend calls
+	// HalfClosed after it has asked the client, ConnTraits.Linger applies from that call on instead.
 	migrationTimeout = 900 * time.Millisecond
 )
 
@@ -25,8 +26,8 @@
 	e.statistics.counters.Migrations++
 	e.timers.stop(c.responseTimer)
 	c.conn.Migrate()
-	// A client that no longer reads must not delay the migration. Known fault: a running idle timer is not stopped.
-	// It continues beside this timer, because closeTimer no longer refers to it.
+	// A client that no longer reads must not delay the migration. Known fault: a running timer of TrafficSeen or
+	// HalfClosed is not stopped. It continues beside this timer, because closeTimer no longer refers to it.
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
