--- a/internal/testbench/emulator/faulty_listener.go
+++ b/internal/testbench/emulator/faulty_listener.go
@@ -31,9 +31,8 @@
 )
 
 const (
-	// faultyListenAddress selects a free port on an IP address that clients do not connect from. On their source
-	// address, the kernel could choose the port as the source port of a client's connection while the listener is
-	// closed.
+	// faultyListenAddress selects a free port on an IP address that clients do not connect from. If they did, the kernel
+	// could choose the port as the source port of a client's connection while the listener is closed.
 	faultyListenAddress = "127.77.0.1:0"
 	// defaultBacklog is the listener's backlog after a NetworkCut.
 	defaultBacklog = 1024
@@ -53,7 +52,8 @@
 // FaultyListener serves an HTTP handler for discovery at one address, for any number of balancers, and injects
 // outages. All methods but Address have to be called from one goroutine.
 type FaultyListener struct {
-	// Dials counts the connections that were accepted.
+	// Dials counts the connections that were accepted. After a NetworkCut these include the connections with which
+	// cutOff has filled the backlog.
 	Dials atomic.Uint64
 	// Calls counts the calls that were received.
 	Calls atomic.Uint64
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// A watch receives each change once and no version beyond that of AdvanceTo. A change is encoded once for all
-// watches.
+// A watch receives the changes up to the version of AdvanceTo in order, and snapshots have that version. A change is
+// encoded once for all watches.
 func TestListServerWatch(t *testing.T) {
 	table := NewEndpointTable(testEntries(3))
 	server, address := startListServer(t, table)
--- a/internal/testbench/emulator/listing.go
+++ b/internal/testbench/emulator/listing.go
@@ -44,7 +44,8 @@
 	Lifecycle string `json:"lifecycle"`
 	// Weight is its capacity relative to other room servers.
 	Weight float64 `json:"weight"`
-	// Started is when it started, in milliseconds since 1970; 0 if it needs no warm-up.
+	// Started is when it started, in milliseconds since 1970; 0 if it needs no warm-up. An EndpointTable replaces it by a
+	// version, see StartedAt.
 	Started int64 `json:"startedAtMs"`
 }
 
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -41,7 +41,7 @@
 	// Class and Tenant are the traffic class and the tenant in each request.
 	Class  string
 	Tenant string
-	// ClientTimeout is how long a client waits for the answer to a request.
+	// ClientTimeout is the time limit for the answer to a request. A client waits for answerGrace longer.
 	ClientTimeout time.Duration
 	// PlayInterval is the time between two moves in the game.
 	PlayInterval time.Duration
@@ -67,8 +67,8 @@
 	token string
 	// acknowledged is the number of the last move that a room server has acknowledged.
 	acknowledged uint64
-	// detachedAt is when the player lost its room server; zero while it has one, and before its first request is
-	// accepted.
+	// detachedAt is when the player lost its room server; zero while it has one, between two games, and before its first
+	// request is accepted.
 	detachedAt time.Time
 	// reconnecting says that the player has lost its room server. Its requests contain again=1 then.
 	reconnecting bool
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -147,7 +147,8 @@
 }
 
 // play executes a move of the game if it is the next one. In either case it answers with the session's position. It
-// reports false if the connection has lost its session, in which case it sends no answer, or if the write fails.
+// reports false if it cannot save the next move because the connection has lost its session, in which case it sends no
+// answer, or if the write fails.
 func (c *roomConn) play(text string) bool {
 	move, err := strconv.ParseUint(text, 10, 64)
 	position, ok := c.savePosition(move, err == nil)
@@ -155,7 +156,8 @@
 }
 
 // savePosition saves a move if it is valid and the next one, and returns the resulting position. It reports false if
-// the connection has lost its session. A saved move also confirms the session's token.
+// it cannot save such a move because the connection has lost its session. A saved move also confirms the session's
+// token.
 func (c *roomConn) savePosition(move uint64, valid bool) (position uint64, ok bool) {
 	s := c.server
 	s.mu.Lock()
--- a/internal/testbench/emulator/statistics.go
+++ b/internal/testbench/emulator/statistics.go
@@ -8,7 +8,7 @@
 // Statistics counts what the players of a run observe. The functions are called concurrently, from the players'
 // goroutines.
 type Statistics struct {
-	// OnBroken is called with the balancer's name when an established connection breaks; it may be nil.
+	// OnBroken is called with the balancer's name for each connection that Broken counts; it may be nil.
 	OnBroken func(balancer string)
 	// OnResumed is called when a session is resumed, with the time since its client lost its room server. A client loses
 	// its room server when it is told to move, when its connection breaks, or when no token or position follows UP. It
@@ -27,7 +27,8 @@
 	Failed atomic.Int64
 	// Migrated counts how often a client was told to move.
 	Migrated atomic.Int64
-	// Broken counts the established connections that broke.
+	// Broken counts the established connections that broke after the client had read the token and the position, if it
+	// uses session tokens.
 	Broken atomic.Int64
 	// Resumed counts how often a session was resumed.
 	Resumed atomic.Int64
--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -36,8 +36,8 @@
 	// EpochRegressions counts the attachments at an epoch lower than the highest epoch of the session's earlier ones.
 	EpochRegressions int
 	// UnansweredRequests counts the requests without any answer: the client left after the deadline and the slack had
-	// passed, they passed before the report while the client was still waiting, or the connection was lost. A late
-	// answer is a violation that is not counted here.
+	// passed, they passed before the report while the client was still waiting, or the connection was lost. Requests
+	// that a kill of their balancer excuses are not counted, and neither are late answers, which are violations.
 	UnansweredRequests int
 	// LostSessions counts the sessions that lost acknowledged moves or were stranded, see SessionStranded.
 	LostSessions int
@@ -52,10 +52,10 @@
 	limits   Limits
 	requests map[string]*request
 	// drains holds the time at which discovery first sent a balancer an entry by which a room server is draining or
-	// removed. The time is deleted when the room server is ready again or a new process of the balancer starts.
+	// removed. The time is deleted by a ReadyObserved or BalancerStarted event.
 	drains   map[observation]time.Duration
 	sessions map[string]*session
-	// killed holds the balancers that were killed and have not been started again.
+	// killed holds the balancers with a BalancerKilled event and no later BalancerStarted event.
 	killed map[string]bool
 	report Report
 }
@@ -78,7 +78,7 @@
 	attempts map[string]int
 	// concurrentSince holds, by the room server of an active attempt, the time at which the first later attempt of the
 	// request started. An entry is kept until the request's attempts at that room server have ended, even if the later
-	// attempt ends first.
+	// attempt ends first, or until Report evaluates it.
 	concurrentSince map[string]time.Duration
 }
 
@@ -125,9 +125,8 @@
 }
 
 // Report returns what was found up to the given time. Unanswered requests whose deadline and slack have passed by then
-// are violations in this report only. Events may be added afterwards, but Report has a side effect: it evaluates the
-// attempts that are concurrent at that time and deletes their entries in concurrentSince, so that they are not
-// evaluated again when they end.
+// are violations in this report only. Events may be added afterwards, but Report has a side effect: it evaluates and
+// deletes all entries of concurrentSince, so that they are not evaluated again when their attempts end.
 func (c *Checker) Report(now time.Duration) Report {
 	for id, r := range c.requests {
 		for server := range r.concurrentSince {
@@ -220,8 +219,8 @@
 	}
 }
 
-// balancerStarted deletes the drains that discovery has sent to the balancer's previous process, since its new
-// process has not received them.
+// balancerStarted deletes the drains that discovery has sent to the balancer before, since a new process has not
+// received them.
 func (c *Checker) balancerStarted(balancer string) {
 	delete(c.killed, balancer)
 	maps.DeleteFunc(c.drains, func(o observation, _ time.Duration) bool { return o.balancer == balancer })
--- a/internal/testbench/invariants/checker_test.go
+++ b/internal/testbench/invariants/checker_test.go
@@ -38,7 +38,7 @@
 	return Event{At: at, Kind: AttemptEnded, Request: "r", Server: server}
 }
 
-// balancerEvent returns an event of a balancer that has no other fields.
+// balancerEvent returns an event that consists of a kind and a balancer.
 func balancerEvent(kind Kind, balancer string) Event {
 	return Event{Kind: kind, Balancer: balancer}
 }
@@ -111,7 +111,8 @@
 	}
 }
 
-// Each request has to get one answer before its deadline, unless its client leaves or its balancer is killed.
+// Each request has to get one answer before its deadline, unless its client leaves before that or its balancer is
+// killed.
 func TestRequests(t *testing.T) {
 	runCheckerCases(t, map[string]checkerCase{
 		"served": {events: []Event{sent(deadline), started(0, "a"), answered(9 * ms)}},
--- a/internal/testbench/invariants/event.go
+++ b/internal/testbench/invariants/event.go
@@ -15,18 +15,19 @@
 	// ClientLeft reports that a client has stopped waiting for an answer, or that it could not write its first line:
 	// Request.
 	ClientLeft
-	// ConnectionLost reports that a client's connection ended before an answer although the client was waiting for one:
-	// Request.
+	// ConnectionLost reports that a client's connection ended before an answer although the client was waiting for one,
+	// or that a request with a copied token timed out: Request.
 	ConnectionLost
-	// BalancerKilled reports that a balancer was killed, so that it owes its requests no more answers: Balancer.
+	// BalancerKilled reports that a balancer is about to be killed or paused, so that it owes its requests no more
+	// answers: Balancer.
 	BalancerKilled
 	// AttemptStarted reports that a room server has received the first line of an attempt: Request, Server.
 	AttemptStarted
 	// AttemptEnded reports that a room server has rejected an attempt or that the attempt's connection has ended:
 	// Request, Server.
 	AttemptEnded
-	// BalancerStarted reports that a new process runs under the balancer's name. It has received nothing from discovery
-	// yet: Balancer.
+	// BalancerStarted reports that a new process is about to run under the balancer's name, which has received nothing
+	// from discovery yet, or that a paused balancer continues. First starts and hot restarts are not recorded: Balancer.
 	BalancerStarted
 	// DrainObserved reports that discovery is sending a balancer an entry by which a room server is draining or removed:
 	// Balancer, Server.
