--- a/internal/testbench/hollow/worker.go
+++ b/internal/testbench/hollow/worker.go
@@ -34,7 +34,7 @@
 	setup Setup
 	// knownRaw is the known list as JSON.
 	knownRaw []byte
-	// known is the known list, which the nodes without full engines share. version is its version.
+	// known is the known list, from which shared is built. version is its version.
 	known   []core.Endpoint
 	version int64
 	shared  *sharedList
@@ -53,7 +53,7 @@
 
 // RunWorker reads a Setup and then Commands from the input, executes the commands on hollow nodes, and writes Reports
 // to the output. It returns nil at the end of the input, and an error if the input has no setup or an invalid line, a
-// command cannot be executed, a report cannot be written, or ctx ends.
+// file of the setup cannot be read, a command cannot be executed, a report cannot be written, or ctx ends.
 func RunWorker(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
