--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -53,7 +53,9 @@
 	forwarded map[leaveMessage]struct{}
 }
 
-// newLeaveBroadcaster returns a broadcaster. clusterSize returns the current number of members.
+// newLeaveBroadcaster returns a broadcaster. clusterSize returns the current number of members, from which the library
+// derives how often a message is sent. Known fault: when this instance leaves, its view has ended, so that clusterSize
+// returns 1 and its own message is sent less often in a large cluster.
 func newLeaveBroadcaster(clusterSize func() int) *leaveBroadcaster {
 	return &leaveBroadcaster{
 		queue: &memberlist.TransmitLimitedQueue{
--- a/internal/cluster/gossip/stats.go
+++ b/internal/cluster/gossip/stats.go
@@ -4,7 +4,8 @@
 
 // Stats counts gossip frames since the start of the process. A frame is a UDP datagram or a TCP stream.
 type Stats struct {
-	// BytesSent counts the bytes sent in datagrams and streams.
+	// BytesSent counts the bytes sent in datagrams and in the streams that this instance has opened. Known fault: the
+	// answers in streams that other members have opened are not counted.
 	BytesSent uint64
 	// FramesSent counts the datagrams that were sent and the streams that were opened.
 	FramesSent uint64
--- a/internal/cluster/membership/harness_test.go
+++ b/internal/cluster/membership/harness_test.go
@@ -38,8 +38,8 @@
 	return &harness{t: t, machine: machine, unresponsive: map[string]bool{}}
 }
 
-// newConvergedHarness returns a harness for an instance whose view has converged. It has the given number of peers,
-// named "m00", "m01" and so on.
+// newConvergedHarness returns a harness for an instance that has known the given number of peers, named "m00", "m01"
+// and so on, for long enough. Its view has converged if there are at least 19 of them.
 func newConvergedHarness(t *testing.T, peers int) *harness {
 	t.Helper()
 	h := newHarness(t, testConfig())
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -15,7 +15,7 @@
 	Key    string // path of the setting as the file spells it, e.g. settings.profiles[0].aim_s
 	Value  any    // the rejected value; nil if it is missing, a secret that must not be printed, or part of Reason
 	Reason string // why the value is rejected, and usually the accepted values
-	Err    error  // the cause if another package rejected the setting; Value and Reason are then unused
+	Err    error  // the cause, usually an error of another package; if it is set, Value and Reason are unused
 }
 
 // Reasons that several settings share.
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s: %s %s", e.Key, value, e.Reason)
 }
 
-// Unwrap returns the cause if another package rejected the setting, or nil.
+// Unwrap returns the cause, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // InSection prefixes the key of a FieldError with the name of the section that contains the key. The text of any other
--- a/internal/config/fronts_test.go
+++ b/internal/config/fronts_test.go
@@ -13,8 +13,8 @@
 "snmp":{"listen":"127.0.0.1:1161","community":"x"},
 "resume":{"keys":"k.json","site":"armor","max_moves":7},"rooms":{"file":"r.json"}}`
 
-// A fronts file configures the features whose sections it has, with defaults and with paths relative to its folder. An
-// empty file switches nothing on.
+// A fronts file configures the features whose sections it has, with defaults and with paths relative to its folder. A
+// file without sections switches nothing on.
 func TestParseFronts(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	f, err := ParseFronts([]byte(validFronts), classes, "/etc")
@@ -37,7 +37,7 @@
 	}
 }
 
-// An error names the key and the value that it rejects.
+// An error names the key and, unless it is a secret, the value that it rejects.
 func TestParseFrontsReportsInvalidKeys(t *testing.T) {
 	classes := []decide.Class{{Name: "solo-play"}}
 	for _, test := range []struct{ old, new, want string }{
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -114,7 +114,9 @@
 // ProcessLimits are the limits of one process. During a hot restart the previous process and its replacement share the
 // limits of the configuration.
 type ProcessLimits struct {
-	ReservedDescriptors int // number of Config.ConnDescriptors that are reserved for the other process
+	// ReservedDescriptors is the number of Config.ConnDescriptors that are reserved for the other process. It is negative
+	// if ConnDescriptors is below minConnDescriptors.
+	ReservedDescriptors int
 	MaxClients          int
 	MemoryBytes         int64 // memory limit of the Go runtime
 }
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -20,8 +20,8 @@
 
 	// DialAddresses maps the gossip address of a peer to the address to dial for it, if the two differ.
 	DialAddresses map[netip.AddrPort]netip.AddrPort
-	// MaxPartitionDuration is how long members that a partition has cut off still count in the fleet size. It has to be
-	// longer than any partition.
+	// MaxPartitionDuration is how long members that have failed, or that a partition has cut off, still count in the
+	// fleet size. It has to be longer than any partition.
 	MaxPartitionDuration time.Duration
 }
 
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -9,7 +9,8 @@
 	"cottonplank/internal/session/token"
 )
 
-// Sessions configures how sessions resume at another room server, by session tokens. An empty KeysFile switches it off.
+// Sessions configures how sessions resume by session tokens, at the same or another room server. An empty KeysFile
+// switches it off.
 type Sessions struct {
 	KeysFile         string
 	Site             string
--- a/internal/operations/hotrestart/client.go
+++ b/internal/operations/hotrestart/client.go
@@ -21,7 +21,8 @@
 	// interpret.
 	Learned []string
 	// Exited is closed when the connection to the previous process ends. That process has then exited, or is about to
-	// exit at the end of its graceful shutdown.
+	// exit at the end of its graceful shutdown. It goes on only if it closed the connection because it could not send its
+	// learned state in time.
 	Exited chan struct{}
 
 	conn *net.UnixConn
--- a/internal/operations/hotrestart/server.go
+++ b/internal/operations/hotrestart/server.go
@@ -65,9 +65,9 @@
 	state replacementState
 }
 
-// Serve passes the sockets to replacement processes until ctx ends. A replacement process creates its own Unix socket
-// at the same path, in place of that of this process. When a replacement process exits, Serve creates the Unix socket
-// again, so that the next one can connect.
+// Serve passes the sockets to replacement processes until ctx ends. First it closes the inherited sockets that are not
+// in use. A replacement process creates its own Unix socket at the same path, in place of that of this process. When a
+// replacement process exits, Serve creates the Unix socket again, so that the next one can connect.
 func (s *Server) Serve(ctx context.Context) {
 	defer s.connections.Wait()
 	s.sockets.closeInherited()
--- a/internal/session/migration/model_test.go
+++ b/internal/session/migration/model_test.go
@@ -12,8 +12,8 @@
 
 // The model checks the order of export, commit and activate. It runs random sequences of requests, interrupted
 // exchanges, replayed tokens and killed processes against the real Flow and Arbiter. A session must never be attached
-// twice, its epochs must not decrease, and no acknowledged move may be lost unless a room server has crashed. Once
-// the faults have ended, the client's newest token must resume the session.
+// twice. Unless a room server has crashed, its epochs must not decrease, no acknowledged move may be lost, and the
+// client's newest token must resume the session once the faults have ended, if the client was not told to start over.
 func TestModel(t *testing.T) {
 	if *longModel {
 		flag.Set("rapid.checks", "300000")
