--- a/decide/admission.go
+++ b/decide/admission.go
@@ -40,7 +40,7 @@
 	b.forget(r)
 }
 
-// safeToRepeat reports whether the client may safely repeat a request, whichever balancer and server then handle it.
+// safeToRepeat reports whether the client may safely repeat a request at any balancer and server, within DedupWindow.
 func (b *Balancer) safeToRepeat(r *request) bool {
 	class := b.classOf(r)
 	neverExecuted := r.executedOn == nil && !r.inFlight
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -1,8 +1,8 @@
 package decide
 
-// Affinity: connections of one group share work on their server, so they are kept together on few servers. The
-// preferred servers of a group in a zone are the first ones by rendezvous hashing of the group's name, weighted by the
-// servers' sizes. They are the same at all balancers.
+// Affinity: connections of one group share work on their server, so they are kept together on few servers. A group's
+// preferred servers in the own zone, and in all other zones together, are the first ones by rendezvous hashing of its
+// name, weighted by the servers' sizes. They are the same at all balancers of a zone.
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone it is half
 	// of the zone's servers, rounded up.
 	maxPreferredServers = 3
-	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, as a number of
-	// average connections. A group costs a server the load of about three while it has any connection there.
+	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, in average
+	// connections. The group costs the server about three of them, but often for longer than that connection lasts.
 	groupOpeningConnections = 5.0
 	// maxGroupOpeningLoad limits the load reserved for a group. Just after its start, a balancer has few connections and
 	// estimates the load of one several times too high. Without the limit, clients would wait despite free capacity.
--- a/decide/api.go
+++ b/decide/api.go
@@ -52,18 +52,18 @@
 // SafetyLimits are the limits for draining, polling and slow start.
 type SafetyLimits struct {
 	DrainGrace               time.Duration // nothing may be sent to a server that has been draining for longer
-	MaxPollInterval          time.Duration // minimum time between two polls, despite its name; 0: none
+	MaxPollInterval          time.Duration // minimum poll interval while calls succeed, despite its name; 0: 10 s
 	SlowStartInitialCapacity float64       // fraction of its full capacity that a server has at its start, from 0 to 1
 	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
 	OverloadFactor           float64       // a load above this multiple of present capacity overloads a warming server
 	OverloadWindow           time.Duration // how long that load must last to overload the server
 }
 
-// Costs are expressed as fractions of the value of a request that is served at the first attempt; 0 means free.
+// Costs are expressed as fractions of the value of a request that is served at the first attempt.
 type Costs struct {
-	Probe     float64 // cost of a probe
+	Probe     float64 // cost of a probe; 0: unknown, so the rate of periodic probes stays at its minimum
 	Migration float64 // cost of a migrated connection; no decision depends on it
-	CrossZone float64 // cost of an attempt in another zone
+	CrossZone float64 // cost of an attempt in another zone; 0: free
 }
 
 // Settings configure a Balancer. They don't change during its lifetime.
@@ -121,9 +121,9 @@
 	ServerError               // the server answered with an error; may have been executed
 	Rejected                  // the server rejected it; not executed
 	TimedOut                  // no answer in time; may have been executed
-	ConnectFailed             // no connection in time; not executed
+	ConnectFailed             // no connection was established; not executed
 	Reset                     // the connection broke; may have been executed
-	Cancelled                 // cancelled by the host; may have been executed
+	Cancelled                 // ended by the host or the client; may have been executed
 	NotSent                   // not sent; not executed
 )
 
@@ -144,7 +144,8 @@
 		Servers []Server // not retained; the host may reuse the slice
 	}
 
-	// RequestArrived reports a client's request, which must get exactly one final answer.
+	// RequestArrived reports a client's request. The balancer gives it exactly one final answer, Reject or Fail, unless
+	// an AttemptEnded with Final or a ClientDisconnected comes first.
 	RequestArrived struct {
 		ID        RequestID
 		Class     int           // index in Settings.Classes
@@ -211,7 +212,7 @@
 		Report  LoadReport
 	}
 
-	// FleetSize sets the number of balancers, as counted by the cluster's membership. Slow-start budgets, probe rates,
+	// FleetSize sets the number of balancers, as counted by the cluster's membership. Slow-start quotas, probe rates,
 	// the poll interval and load thresholds depend on it. Settings.Balancers is used until the first FleetSize.
 	FleetSize struct {
 		Fleet    int  // all balancers, at least 1
@@ -246,7 +247,8 @@
 		Timeout time.Duration // time within which the connection must be established
 	}
 
-	// Reject is a final answer after which the client may safely repeat the request.
+	// Reject is a final answer after which the client may safely repeat the request. If the request is IdempotentByKey
+	// and may have been executed, that holds within its DedupWindow only.
 	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration // 0: the answer has no retry-after
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tickInterval is the period of the background work: estimates, polls, migrations and probes.
+// tickInterval is the period of the background work: estimates, polls, retries, migrations and probes.
 const tickInterval = 250 * time.Millisecond
 
 // Timer tokens. The tokens above retryWaitingToken are for the deadlines of requests.
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -5,11 +5,11 @@
 // maxClientRecords is the maximum number of client records.
 const maxClientRecords = 1024
 
-// clientRecord says at which server a client's latest connection was, and how it ended.
+// clientRecord says at which server a client's latest broken or cancelled connection was, and how it ended.
 type clientRecord struct {
 	server  ServerID
 	endedAt time.Duration
-	avoid   bool // the connection broke or was migrated off this server, so the client must avoid it
+	avoid   bool // the connection broke or was migrated off this server, so the client avoids it
 }
 
 // clientMemory holds the records of clients whose connections broke or were cancelled, by client key. They expire
@@ -42,7 +42,7 @@
 }
 
 // connectionEnded updates the estimates at the end of an established connection. If it ended with Reset or Cancelled,
-// the client is recorded. A client whose connection broke or was migrated avoids that server when it reconnects. Any
+// the client is recorded. Recorded clients of broken or migrated connections avoid the server when they reconnect. Any
 // other recorded client gets the same server if its next request is MidFlow: its packets arrived at another balancer
 // for a while and now arrive here again.
 func (b *Balancer) connectionEnded(r *request, code Code) {
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -37,8 +37,8 @@
 	b.discovery.pollAt = b.now + b.jitter(limit)
 }
 
-// pollInterval returns the time between two polls. It grows with the number of balancers, so that one discovery
-// service can answer all of them. Despite its name, Safety.MaxPollInterval is a minimum, to which the time for the
+// pollInterval returns the time between two polls while calls succeed. It grows with the fleet, so that one discovery
+// service can answer all balancers. Despite its name, Safety.MaxPollInterval is a minimum, to which the time for the
 // fleet is added.
 func (b *Balancer) pollInterval() time.Duration {
 	perFleet := time.Duration(b.fleet.Fleet) * pollIntervalPerBalancer
@@ -92,8 +92,8 @@
 	b.applyChangedServers(changed)
 }
 
-// applyListed updates the record of one listed server. If the server has restarted, its load reports, failures and
-// quotas are discarded, as they don't apply to the new process.
+// applyListed updates the record of one listed server. If the server has restarted, its load reports, failures,
+// ejection and quotas are discarded, as they don't apply to the new process.
 func (b *Balancer) applyListed(listed Server) *server {
 	s := b.unindexedRecord(listed.ID)
 	if listed.Started != s.Started {
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -1,7 +1,7 @@
 package decide
 
 // Outlier ejection: a server that fails, times out, rejects attempts or breaks connections gets no new connections
-// for a while. This depends on the outcomes of attempts and probes.
+// for a while, unless no other server can take them. This depends on the outcomes of attempts and probes.
 
 import "time"
 
@@ -24,7 +24,7 @@
 	return s != nil && b.now < s.ejectedUntil
 }
 
-// recordOutcome records the outcome of an attempt or a probe, and ejects the server after a failure or a rejection.
+// recordOutcome records the outcome of an attempt or a failed probe, and ejects the server if it failed or rejected.
 func (b *Balancer) recordOutcome(s *server, code Code) {
 	switch code {
 	case OK:
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,8 +1,9 @@
 package decide
 
 // The index of servers: lists of servers in the shuffled order, which are updated whenever a server is added, removed
-// or changed. So ticks, changes of a few servers and requests scan all servers only if none is eligible or a group is
-// not cached. Each list contains exactly the servers that a scan of all servers would find. No decisions are made here.
+// or changed. So ticks, deltas of a few servers and requests scan only short lists, such as that of the servers with
+// connections, unless no server is eligible or a group must be ranked. Each list contains exactly the servers that a
+// scan of all servers would find. No decisions are made here.
 
 import (
 	"cmp"
@@ -363,8 +364,9 @@
 	return float64(b.loadUnitsSum) / loadUnitsPerOne / float64(max(b.loadUnitsCount, 1))
 }
 
-// nextInOrder returns the next matching server of a list, or nil. The search starts where the previous one ended and
-// wraps around. It examines only the candidates, which must be servers of the list in the same order.
+// nextInOrder returns the next matching server of a list, or nil. The search starts at b.cursor, which all lists share,
+// wraps around, and moves the cursor past the server that it returns. It examines only the candidates, which must be
+// servers of the list in the same order.
 func (b *Balancer) nextInOrder(list []*server, candidates orderedServers, matches func(*server) bool) *server {
 	if len(candidates) == 0 {
 		return nil
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -13,7 +13,7 @@
 	Load                float64       `json:"load"`   // latest reported load, as a fraction of capacity
 	Age                 time.Duration `json:"age"`    // age of that report; below 0: no report
 	LoadPerConnection   float64       `json:"each"`   // load of one connection; 0: unknown
-	ConsecutiveFailures int           `json:"streak"` // failures since the last success
+	ConsecutiveFailures int           `json:"streak"` // failed attempts and probes since the last successful attempt
 	EjectedFor          time.Duration `json:"out"`    // remaining ejection time; 0: not ejected
 }
 
@@ -37,8 +37,9 @@
 }
 
 // ImportLearned applies the learned state of the previous process. The host calls it after ListRestored, as servers
-// that are not in the list yet are ignored, and so are invalid values. Without it, all clients that reconnect to this
-// process would be sent to a failing server again, as that server looks idle.
+// that are not in the list yet are ignored. So are negative values, old reports, too high loads of one connection and
+// ejections without failures (after a rejection). Without it, all clients that reconnect to this process would be sent
+// to a failing server again, as that server looks idle.
 func (b *Balancer) ImportLearned(states []LearnedState) {
 	for _, state := range states {
 		if s := b.servers[state.Server]; s != nil {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -2,8 +2,8 @@
 
 // Placement: the choice of the server for a request's next attempt. It depends on load reports, the reservations made
 // since, ejections, slow-start quotas and the request's idempotency. The candidates, in this order: the server of an
-// open connection whose packets now arrive here, the preferred servers of the request's group, the least loaded server
-// of the own zone with reported capacity, warming servers, servers of other zones, any server in the shuffled order.
+// open connection whose packets now arrive here; the group's preferred servers; the own zone's least loaded server with
+// capacity; warming servers; if the own zone is full, other zones' servers, then its own; any in the shuffled order.
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 // Loads are fractions of a server's capacity, as servers report them.
 const (
 	// maxLoadWithCapacity is the load below which a server has capacity for new connections. Other zones are
-	// considered when no server of the own zone has capacity.
+	// considered only if no candidate of the own zone (for a group: no preferred server) is known to have capacity.
 	maxLoadWithCapacity = 0.7
 	// saturationLoad is the load above which a server gets no new connections.
 	saturationLoad = 0.8
@@ -24,13 +24,13 @@
 )
 
 const (
-	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into a load
-	// difference: a server there needs a load lower by the cost, plus a quarter of it for the errors of both reports.
+	// crossZoneCostFactor converts the cost of an attempt in another zone, a fraction of a request's value, into
+	// crossZoneGap: the load there must be lower by the cost, plus a quarter of it for the errors of both reports.
 	crossZoneCostFactor = 1.25
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
-	// setupTimeFactor times the average setup time is the minimum timeout of an attempt. An attempt that timed out
-	// counts as a setup of setupTimeFactor times its duration, unless the average is longer.
+	// setupTimeFactor times the average setup time is the minimum timeout of an attempt before the limit of the
+	// deadline. An attempt that timed out counts as a setup of that many times its duration, if above the average.
 	setupTimeFactor = 2
 )
 
@@ -38,7 +38,7 @@
 type loadThresholds struct {
 	capacity     float64 // a server with a lower load has capacity
 	saturation   float64 // a server with a higher load is saturated
-	crossZoneGap float64 // a server of another zone must have a load lower by this than the best of the own zone
+	crossZoneGap float64 // how much less load than the own zone's best a server elsewhere must have, unless preferred
 }
 
 // updateThresholds computes the thresholds. Load reports show placements by the zone's other balancers up to half a
@@ -129,7 +129,7 @@
 }
 
 // midFlowServer returns the server of an open connection whose packets now arrive at this balancer, or nil. No other
-// server can continue the connection, so this one is chosen even while it drains, until the end of the grace period.
+// server can continue the connection, so this one is chosen even if draining or removed, until the grace period ends.
 func (p *placement) midFlowServer() *server {
 	s := p.servers[p.client.server]
 	if !p.request.MidFlow || p.request.attempts > 0 || s == nil || p.client.endedAt <= 0 || p.client.avoid {
@@ -157,7 +157,7 @@
 	}
 	// Each group costs a server work, however few connections of the group it has. If a burst of clients were spread
 	// over other servers while capacity is short, the groups would use up the remaining capacity and the fleet would
-	// not recover. So the requests wait instead.
+	// not recover. So the requests wait instead, unless a server that was probed on demand has no recent report.
 	if slices.ContainsFunc(local, p.saturatedOrWarming) || slices.ContainsFunc(remote, p.saturatedOrWarming) {
 		local, remote = local[:min(onDemandProbes, len(local))], remote[:min(onDemandProbes, len(remote))]
 		return cmp.Or(firstMatching(local, p.eligibleUnreported), firstMatching(remote, p.eligibleUnreported)), true
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -14,7 +14,7 @@
 // Limits of the on-demand probes that are made for requests.
 const (
 	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. It is
-	// also the minimum time between two probes of a server without a report.
+	// also how long after its latest on-demand probe a server without a report is probed at a tick.
 	maxOnDemandProbeInterval = 2 * time.Second
 	// minOnDemandProbeInterval is that age in a large fleet. A probe at a lower age would return a hardly newer report.
 	minOnDemandProbeInterval = 250 * time.Millisecond
@@ -30,13 +30,13 @@
 
 // Limits of the steady probes.
 const (
-	// probeCostFraction is the fraction of the value of the placed requests that may be spent on probes.
+	// probeCostFraction is the fraction of placed requests' value that may be spent on each of the two kinds of
+	// probes with a limited rate: steady probes, and probes of servers short of capacity.
 	probeCostFraction = 0.01
 	// minProbeRate is the minimum number of steady probes per second.
 	minProbeRate = 0.5
-	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a
-	// larger fleet its rate is lower, so that the total rate of these balancers is at most
-	// fullRateProbers*minProbeRate.
+	// fullRateProbers is the fleet size up to which a balancer without connections probes at minProbeRate. In a larger
+	// fleet its rate is lower, so that the total rate of these balancers is at most fullRateProbers*minProbeRate.
 	fullRateProbers = 4.0
 	// wholeListProbePeriod applies while steady probes are limited to servers with connections of this balancer: one in
 	// wholeListProbePeriod goes to the next server of the whole local list.
@@ -116,7 +116,7 @@
 	}
 }
 
-// probeCompleted updates a server's record by the result of a probe, and places waiting requests if it has capacity.
+// probeCompleted updates a server's record by the result of a probe. If not saturated, waiting requests are retried.
 func (b *Balancer) probeCompleted(event ProbeCompleted) {
 	s := b.servers[event.Server]
 	if s == nil {
@@ -154,7 +154,7 @@
 }
 
 // messageDelayReported handles a client's message latency. More than half of the objective shows overload: the server
-// counts as slow, and is probed if its load report is too old. A report of quicker messages ends this at once.
+// counts as slow, and is probed if its load report is too old. Any other report for the server ends this at once.
 func (b *Balancer) messageDelayReported(event MessageDelayReported) {
 	s, r := b.serverRecord(event.Server), b.requests.byID[event.ID]
 	if r == nil {
@@ -177,19 +177,19 @@
 type probeTargets struct {
 	local     []*server         // servers for steady probes
 	remote    []*server         // servers for every second steady probe; may be empty
-	unprobed  []*server         // servers to search for a never-probed server
+	unprobed  []*server         // servers to search for one without a load report
 	overloads [2]orderedServers // servers to search for those short of capacity
 }
 
 // probePeriodically makes the probes of a tick. Steady probes and probes of servers short of capacity are each
-// limited to the rate of probeRate, and steady probes also to one per second for each local server. At most one probe
-// goes to a server without a load report, whatever the rate.
+// limited to the rate of probeRate, and steady probes also to one per second for each local server. One more probe may
+// go to a server without a load report, whatever the rate.
 func (b *Balancer) probePeriodically() {
 	if !b.settings.ProbingAllowed || len(b.local) == 0 {
 		return
 	}
 	targets, rate := b.probeTargets(), b.probeRate()
-	b.probeNeverProbed(targets.unprobed)
+	b.probeWithoutReport(targets.unprobed)
 	b.probes.overloadCredit = min(b.probes.overloadCredit+rate*tickInterval.Seconds(), maxProbeDebt)
 	for _, list := range targets.overloads {
 		b.probeOverloaded(list)
@@ -201,9 +201,9 @@
 	}
 }
 
-// probeRate returns the probes per second that the rate of requests and the cost of a probe allow. The rate of
-// requests is that of established connections, or the open requests per defaultLifetime if that is higher. Balancers
-// without connections need few reports, so their minimum rate is lower in a large fleet (see fullRateProbers).
+// probeRate returns the probes per second that the rate of requests and the cost of a probe allow, or the minimum at a
+// cost of 0. The rate of requests is that of established connections, or the open requests per defaultLifetime if
+// higher. Balancers without connections need few reports, so their minimum is lower in a large fleet (fullRateProbers).
 func (b *Balancer) probeRate() float64 {
 	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
@@ -234,8 +234,8 @@
 	return targets
 }
 
-// probeNeverProbed probes the first server that has no load report and no recent on-demand probe. It uses no credit.
-func (b *Balancer) probeNeverProbed(list []*server) {
+// probeWithoutReport probes the first server that has no load report and no recent on-demand probe. It uses no credit.
+func (b *Balancer) probeWithoutReport(list []*server) {
 	s := firstMatching(list, func(s *server) bool {
 		return s.reportedAt == 0 && b.now-s.probedOnDemandAt > maxOnDemandProbeInterval
 	})
--- a/decide/request.go
+++ b/decide/request.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// request is the record of a client request, from its arrival until its connection has ended.
+// request is the record of a client request, from its arrival until its final answer, the end of its connection or the
+// client's disconnect.
 type request struct {
 	RequestArrived
 	timerToken       uint64        // token of the timer for its deadline
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -31,8 +31,8 @@
 }
 
 // releaseReservation subtracts the reserved load of a request that has ended. Otherwise clients that have left would
-// make the server look saturated. It would then get no requests, and without requests no on-demand probes that could
-// correct its load.
+// make the server look saturated. It would then get no requests until a probe corrects its load, which can take long:
+// without requests there are few on-demand probes, and few steady probes of servers without connections.
 func (s *server) releaseReservation(r *request) {
 	s.reservations = slices.DeleteFunc(s.reservations, func(x reservation) bool {
 		if x.request == r {
@@ -88,7 +88,7 @@
 }
 
 // relativeLoad returns a request's load as a multiple of an average connection's. It uses the load that the request
-// states, or else the average of its class; it is 1 if neither is known.
+// states, or else the average of its class; it is 1 if neither is known or there is no average of all connections.
 func (b *Balancer) relativeLoad(r *request) float64 {
 	load, average := cmp.Or(r.Load, b.classLoads.classes[r.Class]), b.classLoads.all
 	if load <= 0 || average <= 0 {
--- a/decide/server.go
+++ b/decide/server.go
@@ -8,18 +8,20 @@
 
 // Bounds of the values of load reports.
 const (
-	// maxReportedLoad is the largest load that is accepted. With a larger one, the balancer would migrate nearly all
-	// connections off the server, or estimate the load of one connection so high that no server has capacity for it.
+	// maxReportedLoad is the largest load that is accepted. With a larger, invalid one, the balancer would migrate nearly
+	// all connections off the server, or estimate the load of one connection there so high that the server never has
+	// capacity for it.
 	maxReportedLoad = 100
-	// minReportedConnections is the minimum number of connections in a report from which the load of one connection is
-	// computed.
+	// minReportedConnections is the minimum number of connections at a server, reported or estimated, from which the
+	// load of one connection is computed.
 	minReportedConnections = 4
-	// maxReportedConnections is the largest number of connections in such a report. No process has more file
-	// descriptors.
+	// maxReportedConnections is the largest number of connections in such a report. By default, Linux allows a process
+	// no more file descriptors.
 	maxReportedConnections = 1 << 20
 )
 
-// recordRetention is how long the records of removed servers and of clients are kept.
+// recordRetention is the age above which the record of a removed server or of a client may be dropped. The age counts
+// from the time at which the server stopped being ready, or at which the client's connection ended.
 const recordRetention = 60 * time.Second
 
 // server is the record of one server.
@@ -27,17 +29,17 @@
 	Server
 	shuffledOrder       uint64          // sort key of the shuffled order, which differs between balancers
 	entry               indexEntry      // the server's data in the server index
-	notReadySince       time.Duration   // when discovery reported it as draining or removed
+	notReadySince       time.Duration   // when it last stopped being ready (was draining or removed); 0: never
 	load                float64         // reportedLoad plus the reservations that the report may not include
 	reportedLoad        float64         // load in the latest report
-	reportedAt          time.Duration   // time of the latest report; 0: none that is still used
+	reportedAt          time.Duration   // time of the latest report; 0: none, or it was discarded
 	loadPerConnection   float64         // load of one connection, by the latest report that shows it; 0: unknown
 	placementsOnReport  int             // placements made since the latest report
 	probedOnDemandAt    time.Duration   // latest probe for a request, or because it had no report or no capacity
-	consecutiveFailures int             // failures since the last success
+	consecutiveFailures int             // failed attempts and probes since the last successful attempt or bootstrap
 	ejectedUntil        time.Duration   // end of its ejection
 	slowUntil           time.Duration   // until when it counts as slow because a client reported slow messages
-	slowStartQuota      float64         // placements that this balancer may still make in the current overload window
+	slowStartQuota      float64         // placements of average load still allowed in the current overload window
 	slowStartQuotaUntil time.Duration   // end of that window, from which on the next quota may be drawn
 	groupDemand         decayingCounter // requests with a group that had it as a candidate while it warmed up
 	reservations        []reservation   // placements that a report may not include yet, oldest first
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -14,7 +14,7 @@
 
 // SettingError reports a field of the settings whose value is invalid.
 type SettingError struct {
-	Field   string // Go name of the field, such as Safety.DrainGrace
+	Field   string // the field, such as Safety.DrainGrace or Classes[0]: KeyScope
 	Problem string // predicate of the message, such as "is -1s, must not be below 0"
 }
 
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -2,8 +2,8 @@
 
 // Slow start: how many requests this balancer may send to a server that warms up after its start. The server's budget
 // is OverloadFactor times the number of connections that it accepts within an overload window at its present capacity.
-// This balancer's quota of the budget depends on the server's age and on three estimates: the connections that a warm
-// server accepts, this balancer's requests with the server as a candidate, and the balancers of the zone.
+// This balancer's quota depends on the server's age and on estimates: the connections that a warm server accepts, their
+// load and lifetime, this balancer's requests with the server as a candidate, and the balancers of the zone.
 
 import (
 	"math"
@@ -16,7 +16,7 @@
 	slowStartSafetyFactor = 0.5
 	// minSlowStartUse is the minimum fraction by which a quota is divided. A balancer that seldom has a request for the
 	// server leaves its quota unused in many windows, so its quota is divided by the fraction of windows in which it has
-	// one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse times the balancer's equal share.
+	// one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse equal shares, unless it is raised to at most 1.
 	minSlowStartUse = 0.4
 	// minSlowStartConnections is the minimum number of connections that a warming server is assumed to accept within a
 	// window, from all balancers together. It lets the balancers use the server before they have any estimate.
