--- a/decide/affinity_test.go
+++ b/decide/affinity_test.go
@@ -143,7 +143,7 @@
 			Server: preferred[1].ID})
 	}
 	for i, load := range []float64{0.55, 0.6, 0.9} {
-		// the load of one connection is about 0.04
+		// the load of one connection is about 0.04, at the third server 0.06
 		h.send(ProbeCompleted{Server: preferred[i].ID, Code: OK, Report: LoadReport{Load: load, Connections: 15}})
 	}
 	if s := h.wantAttempt(h.requestInGroup("r", "taxi-7")); s != preferred[1].ID {
--- a/decide/comparison_test.go
+++ b/decide/comparison_test.go
@@ -210,7 +210,7 @@
 	return p.send(ConnectionRestored{Request: request, Server: a.Server})
 }
 
-// endSetup establishes the connection of a random attempt or makes the attempt fail.
+// endSetup establishes the connection of a random attempt or ends the attempt with a random code.
 func (p *comparison) endSetup() bool {
 	a, ok := p.take(&p.inFlight)
 	if !ok {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -289,7 +289,7 @@
 // meantime, because every server with a connection of a group bears the group's load.
 func TestFleetRecoversFromOverload(t *testing.T) {
 	t.Parallel()
-	var zipf []string // the n-th of eight groups has 1/n times the clients of the first
+	var zipf []string // the n-th of eight groups has about 1/n times the clients of the first
 	for i := range 8 {
 		for range 24 / (i + 1) {
 			zipf = append(zipf, name("g", i))
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -70,7 +70,8 @@
 	return actions
 }
 
-// servers returns a ready servers in zone a, with IDs from 1, and b ready servers in zone b, with IDs from 101.
+// servers returns a list of ready servers: as many as the argument a in zone a, with IDs from 1, and as many as b in
+// zone b, with IDs from 101.
 func servers(a, b int) (list []Server) {
 	for i := range a {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: "a", Cell: i/2 + 1})
@@ -106,7 +107,7 @@
 func (h *harness) establish(id string, class int) ServerID {
 	h.t.Helper()
 	actions := h.request(id, class)
-	if len(actionsOf[StartAttempt](actions)) == 0 { // the request waits for answers to probes, which are not sent here
+	if len(actionsOf[StartAttempt](actions)) == 0 { // the request waits for answers to its probes; the harness sends none
 		h.now += onDemandProbeTimeout
 		actions = h.send(TimerFired{Token: retryWaitingToken})
 	}
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// The comparison with the reference detects a fault in any part of the index.
+// The comparison with the reference detects a fault in each of these parts of the index.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	faults := map[string]func(b *Balancer) bool{
 		"connected": func(b *Balancer) bool { b.connected = b.connected[:len(b.connected)/2]; return true },
@@ -102,8 +102,8 @@
 	return false
 }
 
-// The cached ranking of a group equals a ranking of all servers, for all kinds of weights. Between two requests, the
-// state or weight of a few servers changes, or of more servers than the change log holds.
+// The cached ranking of a group equals a ranking of all servers, for all kinds of weights. Between two rounds, the
+// state or weight of a few servers changes, or there are more changes than the change log holds.
 func TestRankingEqualsReference(t *testing.T) {
 	weights := map[string]func(rng *rand.Rand) float64{
 		"equal": func(*rand.Rand) float64 { return 0 },
@@ -196,8 +196,8 @@
 	}},
 }
 
-// No tick, change or request examines more servers when the list is longer, except that a request of a group that is
-// not cached scans the list once.
+// No event of costCases examines more servers when the list is longer. A request of a group that is not cached scans
+// the list once.
 func TestCostDoesNotGrowWithTheList(t *testing.T) {
 	const times = 200
 	for _, c := range costCases {
@@ -305,8 +305,8 @@
 	}
 }
 
-// The records of removed servers, and of servers that were in no list, are dropped at the first list update after
-// recordRetention. Records of servers that are listed again or have connections are kept.
+// The record of a removed server is dropped at the first list update after recordRetention, that of a server that was
+// in no list at the next list update. Records of servers that are listed again or have connections are kept.
 func TestRecordsOfRemovedServersAreDropped(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(40, 0))
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -91,8 +91,9 @@
 	}
 }
 
-// The number of migrated connections is the excess, rounded up or down. If each connection were drawn independently,
-// often none of a small number would be migrated, and all of them would be served badly until the next report.
+// The number of migrated connections is the excess; here it is a whole number, so rounding does not change it. If each
+// connection were drawn independently, often none of a small number would be migrated, and all of them would be served
+// badly until the next report.
 func TestMigrationCountIsTheRoundedExcess(t *testing.T) {
 	const connections, want = 8, 2 // at load 1, migrationTargetLoad leaves 0.75 of the connections
 	for seed := range uint64(30) {
--- a/decide/probing_test.go
+++ b/decide/probing_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// An invalid load report must be ignored. Otherwise it could cause the migration of all connections off its server, or
-// make the load of one connection there look far too high or zero.
+// An invalid load or number of connections in a report must be ignored. Otherwise it could cause the migration of all
+// connections off its server, or make the load of one connection there look far too high or zero.
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	for _, load := range []float64{-3, 101, 1e300, math.Inf(1), math.NaN()} {
 		t.Run(fmt.Sprintf("load %v", load), func(t *testing.T) {
--- a/decide/reservation_test.go
+++ b/decide/reservation_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Reservations end with their connections. Otherwise clients that have left would make a server look saturated, and it
-// would not be probed.
+// Reservations end with their connections. Otherwise clients that have left would make a server look saturated until a
+// probe corrects its load.
 func TestReservationsEndWithTheirConnections(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(1, 0))
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -149,7 +149,8 @@
 	h.wantAttempt(h.request("later", idempotentClass)) // attempts start again when the failure count has decayed
 }
 
-// Each timeout halves the limit of the attempts that are dialing, to protect the resources that all servers share.
+// Each timeout that comes more than a tick after the previous one halves the limit of the attempts that are dialing, to
+// protect the resources that all servers share.
 func TestTimeoutsHalveDialWindow(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(60, 0))
--- a/decide/safety_test.go
+++ b/decide/safety_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkReject checks that the client may safely repeat a rejected request.
+// checkReject checks that the client may safely repeat a rejected request. It does not check the dedup window.
 func (h *randomHost) checkReject(a Reject) {
 	h.t.Helper()
 	r := h.wantUnanswered(a.ID)
--- a/decide/slowstart_simulation_test.go
+++ b/decide/slowstart_simulation_test.go
@@ -147,8 +147,8 @@
 	return f
 }
 
-// newBalancer starts a balancer with its own seed. Its only knowledge is the list and, if the case has it, the fleet's
-// size.
+// newBalancer starts a balancer with its own seed. Its only knowledge is the settings, the list and, if the case has
+// it, the fleet's size.
 func (f *slowStartSimulation) newBalancer(t *testing.T, zone string) *simulatedBalancer {
 	f.seeds++
 	f.settings.Seed, f.settings.Zone = mix(f.seed, f.seeds), zone
