--- a/decide/bootstrap.go
+++ b/decide/bootstrap.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// bootstrapTimeout is how long servers must have failed, without any answer since, before a new list is fetched.
+// bootstrapTimeout is how long failures must have gone on without any answer before a new list is fetched.
 const bootstrapTimeout = 5 * time.Second
 
 // liveness records whether any server answers.
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// probeCompleted updates a server's record by the result of a probe. If not saturated, waiting requests are retried.
+// probeCompleted updates a server's record by a probe's result, and retries waiting requests if it is not saturated.
 func (b *Balancer) probeCompleted(event ProbeCompleted) {
 	s := b.servers[event.Server]
 	if s == nil {
