--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -6,8 +6,8 @@
 	"cottonplank/decide"
 )
 
-// claimFinalAnswer finishes a pending request. It reports true at most once for each request: that caller has to give
-// the final answer. The client connection is aborted if it is still open after ConnTraits.Linger.
+// claimFinalAnswer finishes a pending request. It returns true at most once for each request, and the caller that gets
+// true has to give the final answer. The client connection is aborted if it is still open after ConnTraits.Linger.
 func (c *Call) claimFinalAnswer() bool {
 	if c.phase != phasePending {
 		return false
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -59,8 +59,9 @@
 	c.conn.StartAttempt(Attempt{Number: n, Upstream: u.Upstream, Timeout: timeout})
 }
 
-// connectTimeout returns how long connecting to a server may take in an attempt with the given timeout. For a server
-// in its drain grace that is at most the rest of the grace, because no request may be sent after it.
+// connectTimeout returns how long connecting to a server may take in an attempt with the given timeout. If the server
+// is in its drain grace, connecting may take at most the rest of the grace, because no request may be sent to the
+// server after that.
 func (e *Engine) connectTimeout(u *upstreamState, timeout time.Duration) time.Duration {
 	connect := timeout
 	if configured := e.cfg.Settings.ConnectTimeout; configured > 0 && configured < timeout {
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -19,8 +19,8 @@
 	minHealthCheckInterval = time.Second
 	// defaultLinger replaces a ConnTraits.Linger of 0.
 	defaultLinger = 500 * time.Millisecond
-	// requestIDRetention is how long the ID of a request stays reserved after its connection was closed. Other
-	// connections that were opened before with a copy of the same request may still wait to be accepted.
+	// requestIDRetention is how long the ID of a request stays reserved after its connection was closed. A client may
+	// have opened other connections with a copy of the same request before, and these may still wait to be accepted.
 	requestIDRetention = 10 * time.Second
 	// overloadRetryAfter is the retry-after of requests that are rejected without the decision module: requests
 	// beyond Config.MaxClients, and requests that arrive in the last part of a drain.
@@ -53,8 +53,8 @@
 	restore restoreState
 	// retryAfter replaces the decision module's retry-after if it is above 0. It is set by Engine.RetryLater.
 	retryAfter time.Duration
-	// lastActivity is the time of the accept, of the latest health check that restarted the timeout, or of the latest
-	// reported part of a line; after the call has finished, it is the time of the finish.
+	// lastActivity is the time of the latest of these events: the accept, a health check that restarted the timeout, a
+	// report that a part of the first line has arrived, and the finish of the call.
 	lastActivity time.Duration
 	// lineStarted says that a part of the first line has arrived.
 	lineStarted bool
@@ -72,8 +72,9 @@
 
 // ConnTraits are the properties of a frontend's client connections.
 type ConnTraits struct {
-	// Linger is how long a client connection may stay open after its final answer, for the client to read it, or after
-	// one side has closed; 0 means 500 ms. A value above migrationTimeout applies to migrated connections, too.
+	// Linger is how long a client connection may stay open after its final answer, so that the client can read the
+	// answer. It is also how long the connection may stay open after one side has closed. 0 means 500 ms. For migrated
+	// connections, a Linger above migrationTimeout replaces migrationTimeout.
 	Linger time.Duration
 	// Idle is how long an established connection may stay without traffic before it is closed; 0 disables the
 	// time-out. It is meant for transports that do not show the end of a connection.
@@ -163,8 +164,8 @@
 // the timeout, so a connection that sends only a burst of health checks is closed like a connection that sends nothing.
 func (e *Engine) HealthCheckReceived(c *Call) {
 	e.post(func() {
-		// This health check completes the line of which a part was reported. It may also be the unread data because of
-		// which the implementation of ClientConn ignored an Abort.
+		// If a part of a line was reported, this health check completes that line. If the connection was shed, the
+		// implementation of ClientConn may have ignored the Abort because this health check was still unread.
 		c.lineStarted, c.shed = false, false
 		if c.phase == phaseAccepted && e.now-c.lastActivity >= minHealthCheckInterval {
 			c.lastActivity = e.now
--- a/internal/core/call_test.go
+++ b/internal/core/call_test.go
@@ -6,8 +6,8 @@
 )
 
 // A client whose first line has started to arrive gets more time than a client that sends nothing. It is shed only
-// after such clients, and it delays the end of a planned stop. Otherwise slow clients would be closed together with
-// the many clients that send nothing.
+// after the clients that send nothing, and it delays the end of a planned stop. Otherwise slow clients would be closed
+// together with the many clients that send nothing.
 func TestStartedLinesAreWaitedFor(t *testing.T) {
 	t.Parallel()
 	engine := startEngine(t, 10, readyEndpoint("s-1"))
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -20,7 +20,7 @@
 	// discovery has delivered a list or SkipListWait is called, for 3 s at most.
 	AwaitFirstList bool
 	// ListPushed is set if discovery pushes its lists. By the operators' rules, this balancer then counts as notified of
-	// a change as soon as discovery has it, even before the balancer receives it: a server's drain grace, for example,
+	// a change when discovery has the change, not when the balancer receives it. For example, a server's drain grace
 	// starts at that time. The engine therefore stays in state Starting as with AwaitFirstList, and reopens a broken
 	// watch after a short fixed delay.
 	ListPushed bool
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,8 +29,8 @@
 	//
 	//   - The server has already answered: the attempt continues, and nothing is reported.
 	//   - The request was not sent: the attempt ends with a code for which decide.Code.NeverExecuted is true.
-	//   - The request was sent: the attempt ends with the code why. If NeverExecuted is true for why, that code would
-	//     be wrong, so the attempt continues and nothing is reported.
+	//   - The request was sent: the attempt ends with the code that is passed as why. If NeverExecuted is true for this
+	//     code, it would be wrong. In that case the attempt continues, and nothing is reported.
 	//
 	// The implementation reports the end of the attempt once, with Engine.AttemptEnded.
 	CancelAttempt(n int, why decide.Code)
@@ -99,8 +99,8 @@
 	Name    string
 	Address string
 	// Started is the wall-clock time at which the server's process started; the zero time means long ago. The engine
-	// derives Server.Started, a host-clock time (see Engine.now), from it and ignores the value that Server.Started
-	// has here.
+	// converts it to host-clock time (see Engine.now) and passes the result to the decision module as Server.Started.
+	// The value that Server.Started has in an Endpoint is ignored.
 	Started time.Time
 }
 
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -76,8 +76,8 @@
 	e.discovery.Watch(ctx, watch)
 }
 
-// ensureWatch opens a watch, unless one is pending or a reconnect to discovery is in progress, at whose end a watch
-// is opened.
+// ensureWatch opens a watch, unless one is pending. During a reconnect to discovery it opens none either, because a
+// watch is opened at the end of the reconnect.
 func (e *Engine) ensureWatch() {
 	if e.discoveryCalls.pendingWatch == nil && e.reconnect.step == reconnectIdle {
 		e.openWatch()
@@ -98,8 +98,8 @@
 }
 
 // fetchUnlessReconnecting fetches a snapshot, unless a reconnect is in progress: the call at its end delivers all
-// changes. If this did not wait for the reconnect, each balancer would call a discovery that is down for the decision
-// module's polls, in addition to the reconnects.
+// changes. Without this exception, each balancer would call discovery at every poll of the decision module while
+// discovery is down, in addition to its reconnects.
 func (e *Engine) fetchUnlessReconnecting() {
 	if e.reconnect.step == reconnectIdle {
 		e.fetchSnapshot()
@@ -168,9 +168,9 @@
 	e.discoveryCalls.listUpdated = e.now
 }
 
-// discoveryFailed handles a failed call. It starts a reconnect, unless one is waiting for its next step or a watch was
-// opened after the failed one. It also notifies the decision module, whose calls to discovery are suppressed during the
-// reconnect.
+// discoveryFailed handles a failed call. It starts a reconnect, except in two cases: a reconnect is already waiting for
+// its next step, or the failed call is a watch that is no longer the latest one. It also notifies the decision module,
+// whose calls to discovery are suppressed during the reconnect.
 func (e *Engine) discoveryFailed(update EndpointUpdate) {
 	started := e.callStart(update.WatchID)
 	e.resolvePendingWatch(update.WatchID)
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -130,9 +130,14 @@
 // rejectsNewRequests reports whether a drain has reached the step from which on new requests are rejected.
 func (e *Engine) rejectsNewRequests() bool { return e.drain != nil && e.drain.rejectNew }
 
-// finishDrainIfIdle ends a planned stop after drainMinDuration, before its budget is over, if no client waits to be
-// accepted, no request is pending, and all open client connections are resumable and have sent their request. It
-// closes connections that have sent nothing but health checks, so that they do not delay the end.
+// finishDrainIfIdle ends a planned stop before its budget is over if all of these conditions hold:
+//
+//   - drainMinDuration is over.
+//   - No client waits to be accepted, and no request is pending.
+//   - All open client connections are resumable and have sent their request.
+//
+// After drainMinDuration it also closes connections that have sent nothing but health checks, so that they do not
+// delay the end.
 func (e *Engine) finishDrainIfIdle() {
 	if e.drain == nil || !e.drain.minimumElapsed || e.drain.closed {
 		return
--- a/internal/core/established.go
+++ b/internal/core/established.go
@@ -26,8 +26,9 @@
 	e.statistics.counters.Migrations++
 	e.timers.stop(c.responseTimer)
 	c.conn.Migrate()
-	// A client that no longer reads must not delay the migration. Known fault: a running timer of TrafficSeen or
-	// HalfClosed is not stopped. It continues beside this timer, because closeTimer no longer refers to it.
+	// A client that no longer reads must not delay the migration. Known fault: closeTimer may already hold a running
+	// timer, of the idle timeout or of HalfClosed. That timer is not stopped here, and it cannot be stopped later
+	// because closeTimer no longer refers to it. It continues beside the new timer.
 	c.closeTimer = e.timers.set(e.now+max(migrationTimeout, c.traits.Linger), c.conn.Abort)
 }
 
--- a/internal/core/reconnect.go
+++ b/internal/core/reconnect.go
@@ -34,7 +34,8 @@
 type reconnect struct {
 	schedule decide.ReconnectSchedule
 	step     reconnectStep
-	// failedStart is when the latest failed call or dial was started; for a watch that had answered, when it failed.
+	// failedStart is when the latest failed call or dial was started. If that was a watch that had already answered,
+	// failedStart is when the watch failed.
 	failedStart time.Duration
 	// dialStart is when the current dial was started.
 	dialStart time.Duration
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -13,8 +13,9 @@
 type restoreState struct {
 	active bool
 	server decide.ServerID
-	// deadline is the latest time at which an attempt is started. An attempt may run until the deadline, but at least
-	// for restoreRetryInterval. The request fails if no attempt has succeeded then.
+	// deadline is the latest time at which an attempt is started. An attempt may run until the deadline, or for
+	// restoreRetryInterval if that is longer. The request fails if, after the deadline, the connection is not restored
+	// and no attempt is running.
 	deadline time.Duration
 	// successfulAttempt is the number of the attempt that restored the connection. The decision module counts that
 	// attempt as attempt 0.
