--- a/internal/frontend/platform/attempt.go
+++ b/internal/frontend/platform/attempt.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// dialUpstream waits for a descriptor and connects to a room server. It runs outside the actor's goroutine. It returns
-// errClientNotWaiting without dialing if the client has closed or has sent more data, as the actor may not have
-// handled the event of that yet.
+// dialUpstream waits for a descriptor and connects to a room server. It runs outside the actor's goroutine. If the
+// client has closed or has sent more data, it returns errClientNotWaiting without dialing. It checks this itself,
+// because the actor may not have handled the event for the close or the data yet.
 func (c *clientConn) dialUpstream(ctx context.Context, address string) (net.Conn, error) {
 	if err := c.frontend.acquireForDial(ctx); err != nil {
 		return nil, err
--- a/internal/frontend/platform/client_close_load_test.go
+++ b/internal/frontend/platform/client_close_load_test.go
@@ -92,7 +92,7 @@
 	waitUntil(t, "the end of all connections", func() bool { return len(frontend.descriptors) == 1 })
 }
 
-// closedRequests identifies the requests whose clients have closed by the beginnings of their lines, up to
+// closedRequests holds the requests whose clients have closed. Each key is the beginning of a request's line, up to
 // requestIDEnd.
 type closedRequests map[string]bool
 
--- a/internal/frontend/platform/client_conn.go
+++ b/internal/frontend/platform/client_conn.go
@@ -18,9 +18,12 @@
 //
 // The goroutine of run owns all fields whose comments name no other owner. The engine sends commands to it; the
 // goroutines that dial, read, or wait for an answer of a state holder (callHolder) send events to it. Only readClient
-// reads from the client. One goroutine at a time writes to the client: readClient, which answers health checks, until
-// the request line is read; relayToClient while the connection is established; run's goroutine between these two and
-// after the relay.
+// reads from the client. One goroutine at a time writes to the client:
+//
+//   - Until the request line is read: readClient, which answers health checks.
+//   - From then until the connection is established: the goroutine of run.
+//   - While the connection is established: relayToClient.
+//   - After the relay: the goroutine of run.
 type clientConn struct {
 	frontend *Frontend
 	// call is the engine's record of this connection.
@@ -66,10 +69,10 @@
 	awaitingResponse bool
 }
 
-// mailboxSize is the capacity of a connection's mailbox. No setting requires a larger one: the engine starts an attempt
-// only after the previous one was reported as ended, and cancels each attempt at the connect timeout, at the attempt's
-// timeout, and at each update of the endpoint list in which the server is unavailable. Only many such updates while the
-// actor is blocked would fill the mailbox.
+// mailboxSize is the capacity of a connection's mailbox. No setting requires a larger one. The engine starts an attempt
+// only after the previous one was reported as ended. It cancels an attempt at the connect timeout, at the attempt's
+// timeout, and at each update of the endpoint list in which the attempt's server is unavailable. Only many such updates
+// while the actor is blocked would fill the mailbox.
 const mailboxSize = 32
 
 // restoreTimeout is how long the balancer tries to restore a connection that was open before the balancer's restart.
--- a/internal/frontend/platform/commands.go
+++ b/internal/frontend/platform/commands.go
@@ -130,7 +130,8 @@
 
 func (abortCommand) execute(_ context.Context, c *clientConn) bool {
 	// On a busy machine, readClient may read a request only after the engine's timeout for the first line has expired.
-	// A request that has arrived must still be served. Therefore a connection without a submitted request is not aborted
-	// while its request line is read, or while the kernel holds unread data, which may be a request.
+	// A request that has arrived must still be served. Therefore a connection whose request the actor has not handled yet
+	// is not aborted in two cases: readClient has already read the request line, or the kernel holds unread data, which
+	// may be a request.
 	return !c.requestSubmitted && (c.requestLineRead.Load() || hasUnreadData(c.conn))
 }
--- a/internal/frontend/platform/descriptors.go
+++ b/internal/frontend/platform/descriptors.go
@@ -31,7 +31,7 @@
 		case <-time.After(descriptorRetryInterval):
 		}
 	}
-	f.descriptors <- struct{}{} // Blocks only if dials or runReserve have acquired all others since the check.
+	f.descriptors <- struct{}{} // Blocks only if dials or runReserve have acquired the free ones since the check.
 	return true
 }
 
--- a/internal/frontend/platform/fake_server_test.go
+++ b/internal/frontend/platform/fake_server_test.go
@@ -147,8 +147,8 @@
 	return &fakeServer{name: name, listener: listener}
 }
 
-// countDials accepts the connections in a backlog server's backlog and returns their number. It does not count the
-// connections of own, the test's own clients in the order of their dials.
+// countDials accepts the connections in a backlog server's backlog and returns their number. own holds the test's own
+// clients in the order of their dials. Their connections are not counted.
 func (s *fakeServer) countDials(t *testing.T, own ...*testClient) (dials int) {
 	t.Helper()
 	last := dialClient(t, s.listener.Addr().String())
--- a/internal/frontend/platform/manual_conn_test.go
+++ b/internal/frontend/platform/manual_conn_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// closeClient closes the client's connection and waits until the balancer's side of the connection has received that.
+// closeClient closes the client's connection and waits until the balancer's side has received the close.
 func (m *manualConn) closeClient(closeConn func(*testClient)) {
 	m.t.Helper()
 	closeConn(m.client)
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -11,14 +11,15 @@
 	"cottonplank/decide"
 )
 
-// lineRemainderTimeout is how long relayToClient, when a migrate command interrupts it, waits for the rest of a line
-// that was read in part.
+// lineRemainderTimeout is how long relayToClient waits for the rest of a line if a migrate command interrupts it after
+// it has read a part of the line.
 const lineRemainderTimeout = 300 * time.Millisecond
 
-// migrateWriteTimeout limits the time for all writes to the client after a migrate command, MOVE included. It starts
-// with the command, so the wait for the rest of a line takes up to lineRemainderTimeout of it. This is a known fault:
-// after such a wait, a delay of more than 200 ms makes the write fail, and the client's connection closes without
-// MOVE.
+// migrateWriteTimeout limits the time for all writes to the client after a migrate command, MOVE included.
+//
+// Known fault: the time starts with the command, so it includes the wait of up to lineRemainderTimeout for the rest of
+// a line. After a wait of that length, a further delay of more than 200 ms makes the write fail, and the client's
+// connection closes without MOVE.
 const migrateWriteTimeout = 500 * time.Millisecond
 
 // relayToUpstream forwards the client's bytes as they arrive. It returns the error with which reading from the client
@@ -115,10 +116,10 @@
 	return decide.OK, false
 }
 
-// readLineOrChunk reads a line, or as much of it as the read buffer holds. If a migration interrupts the read within
-// a line, it waits up to lineRemainderTimeout for the rest, so that the client gets either the complete line or none
-// of it; this does not hold for a line that was forwarded in parts. It returns os.ErrDeadlineExceeded if it is
-// interrupted between two lines, or if the rest does not arrive or exceeds the read buffer.
+// readLineOrChunk reads a line, or as much of it as the read buffer holds. A migration interrupts it. Between two lines
+// it then returns os.ErrDeadlineExceeded. Within a line it waits up to lineRemainderTimeout for the rest of the line,
+// and returns os.ErrDeadlineExceeded if the rest does not arrive or exceeds the read buffer. The client therefore gets
+// either the complete line or none of it, except for a line that was forwarded in parts.
 func readLineOrChunk(up *upstreamConn) ([]byte, error) {
 	raw, err := up.text.R.ReadSlice('\n')
 	if len(raw) == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/platform/request_line.go
+++ b/internal/frontend/platform/request_line.go
@@ -32,8 +32,7 @@
 type requestLine struct {
 	// id identifies the request. It has 16 hexadecimal digits.
 	id string
-	// key identifies the client (core.Request.Key); the balancer uses it for nothing else. It has 16 hexadecimal
-	// digits.
+	// key identifies the client. The balancer uses it only as core.Request.Key. It has 16 hexadecimal digits.
 	key string
 	// group is the name of the connection's group, or empty if the line has no group field.
 	group string
--- a/internal/frontend/platform/session_migration_test.go
+++ b/internal/frontend/platform/session_migration_test.go
@@ -64,9 +64,9 @@
 	s.presentToken(s.balancers[0], token).wantSession(3, 1)
 }
 
-// A balancer stops during an attach, before the client gets an answer: when the room server breaks the connection at
-// GO, when the old server has executed COMMIT but its answer is lost, or when it leaves COMMIT unanswered. The token
-// stays valid, and no move is lost.
+// A balancer stops during an attach, before the client gets an answer. This happens in one of three situations: the new
+// room server breaks the connection at GO, the old server has executed COMMIT but its answer is lost, or the old server
+// leaves COMMIT unanswered. The token stays valid, and no move is lost.
 func TestInterruptedAttachKeepsSession(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]emulator.Faults{
@@ -135,7 +135,7 @@
 }
 
 // The new room server stops while the migration waits for its commit. The balancer exports the state from the old
-// server again, as the answer shows whether the migration was committed, and the session continues at a third one.
+// server again, because the answer shows whether the migration was committed. The session continues at a third server.
 func TestTargetDiesDuringMigration(t *testing.T) {
 	t.Parallel()
 	s := newSessionFixture(t, 1, sessionServer, sessionServer, sessionServer)
--- a/internal/frontend/platform/state_export.go
+++ b/internal/frontend/platform/state_export.go
@@ -13,11 +13,12 @@
 	"cottonplank/internal/textline"
 )
 
-// claimMargin is the time by which the lifetime of a claim on a session's state, which starts with the export, exceeds
-// the attempt's timeout.
+// claimMargin is added to the attempt's timeout to get the lifetime of a claim on a session's state. The lifetime
+// starts with the export.
 //
-// Known fault: the attempt's timeout starts again with Engine.StateFetched. After a transfer of more than claimMargin,
-// which needs a core.Config.StateTimeout above it, the claim may therefore end before the attempt.
+// Known fault: the attempt's timeout starts again with Engine.StateFetched, but the lifetime of the claim does not. If
+// the transfer takes longer than claimMargin, the claim may therefore end before the attempt. This requires a
+// core.Config.StateTimeout above claimMargin.
 const claimMargin = time.Second
 
 // stateHolder is the connection to the room server that holds a session's state. The claim on the state ends when the
