--- a/internal/frontend/quic/flow.go
+++ b/internal/frontend/quic/flow.go
@@ -64,7 +64,7 @@
 	// lastServerSourceID is the source connection ID in the room server's latest long header; nil if there is none.
 	lastServerSourceID []byte
 	// retained holds the client's first datagrams until the connection is established. Each attempt sends them to its
-	// room server; if the flow is restored, establish sends them.
+	// room server. In a restored flow, establish sends them instead.
 	retained [][]byte
 	// pending holds the room server's first datagrams until the connection is established.
 	pending [][]byte
--- a/internal/frontend/quic/flow_attempt.go
+++ b/internal/frontend/quic/flow_attempt.go
@@ -133,9 +133,10 @@
 	fl.retained, fl.pending = nil, nil
 }
 
-// cancelAttempt ends attempt n with code why, unless the room server has accepted it. The client's datagrams were sent
-// when the attempt began, since UDP has no handshake, so the room server may have executed the attempt. If why is a
-// code for attempts that were never executed, the attempt is therefore not ended.
+// cancelAttempt ends attempt n with the code that is passed as why, unless the room server has accepted the attempt. It
+// does not end the attempt either if the code is one for attempts that were never executed. Such a code would be wrong:
+// UDP has no handshake, so the client's datagrams were sent when the attempt began, and the room server may have
+// executed the attempt.
 func (fl *flow) cancelAttempt(n int, why decide.Code) {
 	if fl.upstream != nil && fl.upstream.attempt == n && !fl.accepted && !why.NeverExecuted() {
 		fl.endAttempt(why)
--- a/internal/frontend/quic/frontend.go
+++ b/internal/frontend/quic/frontend.go
@@ -48,8 +48,8 @@
 	// time is rejected, or fails if a room server may have executed it.
 	Timeout time.Duration
 	// Idle is the time without traffic in either direction after which the flow of an established connection ends.
-	// Nothing is sent to the client or to the room server. As traffic is reported at intervals, the flow may end earlier
-	// by Idle/trafficReportsPerIdle.
+	// Nothing is sent to the client or to the room server. Traffic is reported at intervals, so the flow may end up to
+	// Idle/trafficReportsPerIdle earlier.
 	Idle time.Duration
 	// MaxFlows is the maximum number of flows. When it is reached, further requests are rejected, and datagrams of
 	// established connections that have no flow are dropped.
--- a/internal/frontend/quic/id_encryption.go
+++ b/internal/frontend/quic/id_encryption.go
@@ -26,7 +26,7 @@
 
 // runFeistel runs the given passes of the Feistel network on the two halves of text. An odd pass encrypts the left
 // half and XORs the result into the right half, an even pass encrypts the right half and XORs the result into the
-// left half. The encrypted block contains the half from its start, and in its last two octets the length of text and
+// left half. The block that a pass encrypts begins with the half, and its last two octets are the length of text and
 // the number of the pass. If the length is odd, the upper four bits of the octet in the middle belong to the left
 // half, and the lower four bits to the right half.
 func runFeistel(block cipher.Block, text []byte, passes []byte) {
--- a/internal/frontend/quic/initial_test.go
+++ b/internal/frontend/quic/initial_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Test vectors of RFC 9001, appendix A: the destination connection ID of the client's first Initial packet, and of
-// the server's Initial packet the unprotected header, the payload, and the whole protected packet.
+// Test vectors of RFC 9001, appendix A. rfcOriginalID is the destination connection ID of the client's first Initial
+// packet. The others are of the server's Initial packet: its unprotected header, its payload, and the whole protected
+// packet.
 const (
 	rfcOriginalID = "8394c8f03e515708"
 	rfcHeader     = "c1000000010008f067a5502a4262b50040750001"
--- a/internal/frontend/quic/packet.go
+++ b/internal/frontend/quic/packet.go
@@ -28,8 +28,9 @@
 
 var errMalformedPacket = errors.New("packet is truncated or malformed")
 
-// packet holds the unencrypted fields of the first packet of a datagram: the version-independent fields (RFC 8999),
-// for long headers of version 1 also the packet type, and for Initial packets the fields up to the packet number.
+// packet holds the unencrypted fields of the first packet of a datagram. All packets have the version-independent
+// fields (RFC 8999). Long headers of version 1 also have the packet type, and Initial packets the fields up to the
+// packet number.
 type packet struct {
 	// long says that the packet has a long header.
 	long bool
--- a/internal/frontend/quic/stateless_reset.go
+++ b/internal/frontend/quic/stateless_reset.go
@@ -12,9 +12,9 @@
 	resetTokenLength = 16
 	// minResetSize is the minimum size of a stateless reset (RFC 9000, section 10.3).
 	minResetSize = 21
-	// maxResetSize is the maximum size of the stateless resets that are sent, in response to datagrams of 43 bytes or
-	// more (RFC 9000, section 10.3). Larger ones would not be harder to distinguish from other packets with a short
-	// header.
+	// maxResetSize is the maximum size of the stateless resets that are sent. Datagrams of 43 bytes or more are answered
+	// with a reset of this size (RFC 9000, section 10.3). Larger resets would not be harder to distinguish from other
+	// packets with a short header.
 	maxResetSize = 42
 )
 
