--- a/internal/testbench/invariants/checker.go
+++ b/internal/testbench/invariants/checker.go
@@ -35,9 +35,13 @@
 	DoubleAttachments int
 	// EpochRegressions counts the attachments at an epoch lower than the highest epoch of the session's earlier ones.
 	EpochRegressions int
-	// UnansweredRequests counts the requests without any answer: the client left after the deadline and the slack had
-	// passed, they passed before the report while the client was still waiting, or the connection was lost. Requests
-	// that a kill of their balancer excuses are not counted, and neither are late answers, which are violations.
+	// UnansweredRequests counts the requests without any answer in these cases:
+	//
+	//   - The client left after the deadline and the slack had passed.
+	//   - The client was still waiting at the report, and the deadline and the slack had passed before.
+	//   - The connection was lost.
+	//
+	// Requests that a kill of their balancer excuses are not counted, and neither are late answers, which are violations.
 	UnansweredRequests int
 	// LostSessions counts the sessions that lost acknowledged moves or were stranded, see SessionStranded.
 	LostSessions int
@@ -76,9 +80,10 @@
 	excused bool
 	// attempts holds the number of active attempts by room server.
 	attempts map[string]int
-	// concurrentSince holds, by the room server of an active attempt, the time at which the first later attempt of the
-	// request started. An entry is kept until the request's attempts at that room server have ended, even if the later
-	// attempt ends first, or until Report evaluates it.
+	// concurrentSince has an entry for each room server at which an attempt was active when a later attempt of the
+	// request started. The value is the start of the first such later attempt. An entry is kept until the request's
+	// attempts at its room server have ended, even if the later attempt ends first. Report also evaluates and deletes the
+	// entries.
 	concurrentSince map[string]time.Duration
 }
 
--- a/internal/testbench/invariants/event.go
+++ b/internal/testbench/invariants/event.go
@@ -26,8 +26,8 @@
 	// AttemptEnded reports that a room server has rejected an attempt or that the attempt's connection has ended:
 	// Request, Server.
 	AttemptEnded
-	// BalancerStarted reports that a new process is about to run under the balancer's name, which has received nothing
-	// from discovery yet, or that a paused balancer continues. First starts and hot restarts are not recorded: Balancer.
+	// BalancerStarted reports that a new process, which has received nothing from discovery yet, is about to run under
+	// the balancer's name, or that a paused balancer continues. First starts and hot restarts are not recorded: Balancer.
 	BalancerStarted
 	// DrainObserved reports that discovery is sending a balancer an entry by which a room server is draining or removed:
 	// Balancer, Server.
