--- a/internal/testbench/emulator/discovery.go
+++ b/internal/testbench/emulator/discovery.go
@@ -134,8 +134,7 @@
 
 // serve handles a call of a balancer. It answers a poll with a snapshot. On a watch it sends all changes after the
 // version in the query, until the client closes the connection or the server stops. A watch starts with a snapshot if
-// its version is 0, which a balancer without a list sends, if the version is absent or invalid, or if it is newer than
-// the current one.
+// its version is 0, absent, invalid or newer than the current one. A balancer without a list sends version 0.
 func (d *Discovery) serve(balancer string, w http.ResponseWriter, req *http.Request) {
 	d.calls.Add(1)
 	query := parseListQuery(req)
--- a/internal/testbench/emulator/player_replay.go
+++ b/internal/testbench/emulator/player_replay.go
@@ -16,9 +16,9 @@
 const replayGrace = time.Second
 
 // Replay makes copies of the next token that the player presents. Two balancers receive a copy at the same time as
-// the player's own request. Several of the three may be accepted, but only one after the other: the token stays valid
-// until a client confirms a newer one, and an accepted copy confirms none. After the player has attached its session
-// with the token, two balancers receive a copy again: neither may accept it.
+// the player's own request. Several of these three requests may be accepted, but only one after the other: the token
+// stays valid until a client confirms a newer one, and the client of an accepted copy confirms none. After the player
+// has attached its session with the token, two balancers receive a copy again, and neither may accept it.
 func (p *Player) Replay() {
 	p.replay.Store(true)
 }
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -38,7 +38,7 @@
 	// it with the server's mu held, and other goroutines read it with mu held.
 	established bool
 	// session holds the session parameters of the latest first line that has any, or of the latest EXPORT; nil if there
-	// is no session. It does not change while playing is set. Then other goroutines also read it, with the server's mu
+	// is no session. While playing is set, it does not change, and other goroutines also read it with the server's mu
 	// held.
 	session *protocol.Open
 	// playing says that the attachment of session was recorded, and its detachment not yet. The server's mu guards it.
--- a/internal/testbench/emulator/room_server.go
+++ b/internal/testbench/emulator/room_server.go
@@ -266,8 +266,8 @@
 	return admitted, true
 }
 
-// overloadedBySetup counts an admitted request and reports whether it overloads the server while that is warming up.
-// The caller holds mu.
+// overloadedBySetup counts an admitted request and reports whether the request overloads the server while the server
+// warms up. The caller holds mu.
 func (s *RoomServer) overloadedBySetup(now time.Time) bool {
 	if s.cfg.SetupRate == 0 {
 		return false
@@ -281,8 +281,8 @@
 	return warmth < 1 && float64(len(s.recentSetups)) > rate*s.cfg.CollapseFactor
 }
 
-// closeDisplaced closes a connection that has lost its session to another connection; 0 stands for none. The caller
-// holds mu.
+// closeDisplaced closes a connection that has lost its session to another connection. The id 0 means that there is no
+// such connection. The caller holds mu.
 func (s *RoomServer) closeDisplaced(id arbiter.Conn) {
 	if c := s.conns[id]; c != nil {
 		c.sessionDetached()
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -45,9 +45,9 @@
 	return c.establish(protocol.SessionRetainedLine(session.Ref.Epoch, 0))
 }
 
-// reattachSession requests from the arbiter that a session that this server retains is attached to this connection,
-// and reports its epoch and position to the balancer, which may then send GO. If the arbiter does not grant the
-// session, the balancer may send another first line on this connection.
+// reattachSession asks the arbiter to attach a session that this server retains to this connection. If the arbiter
+// grants the session, reattachSession reports the session's epoch and position to the balancer, which may then send GO.
+// Otherwise it sends the arbiter's answer, and the balancer may send another first line on this connection.
 func (c *roomConn) reattachSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	s.mu.Lock()
@@ -146,9 +146,9 @@
 	return c.writeLine(protocol.PositionLine(position))
 }
 
-// play executes a move of the game if it is the next one. In either case it answers with the session's position. It
-// reports false if it cannot save the next move because the connection has lost its session, in which case it sends no
-// answer, or if the write fails.
+// play executes a move of the game if it is the next one. In either case it answers with the session's position. There
+// is one exception: if the next move cannot be saved because the connection has lost its session, play sends no answer
+// and reports false. It also reports false if the write fails.
 func (c *roomConn) play(text string) bool {
 	move, err := strconv.ParseUint(text, 10, 64)
 	position, ok := c.savePosition(move, err == nil)
--- a/internal/testbench/emulator/statistics.go
+++ b/internal/testbench/emulator/statistics.go
@@ -27,8 +27,8 @@
 	Failed atomic.Int64
 	// Migrated counts how often a client was told to move.
 	Migrated atomic.Int64
-	// Broken counts the established connections that broke after the client had read the token and the position, if it
-	// uses session tokens.
+	// Broken counts the established connections that broke. If the client uses session tokens, the connection is counted
+	// only if the client had read the token and the position before.
 	Broken atomic.Int64
 	// Resumed counts how often a session was resumed.
 	Resumed atomic.Int64
