--- a/decide/admission.go
+++ b/decide/admission.go
@@ -9,7 +9,7 @@
 	// baseRetryAfter is the minimum retry-after of a rejected request, before the limit of the settings. A random delay
 	// of up to the same length is added.
 	baseRetryAfter = 200 * time.Millisecond
-	// minQueueLength is the number of waiting requests behind which another may always wait.
+	// minQueueLength is the queue length up to which one more request may always wait.
 	minQueueLength = 4
 )
 
@@ -40,11 +40,11 @@
 	b.forget(r)
 }
 
-// safeToRepeat reports whether the client may safely repeat a request at any balancer and server, within DedupWindow.
+// safeToRepeat reports whether the client may safely repeat a request, at any balancer and server.
 func (b *Balancer) safeToRepeat(r *request) bool {
 	class := b.classOf(r)
 	neverExecuted := r.executedOn == nil && !r.inFlight
-	deduplicated := class.Idempotency == IdempotentByKey && class.KeyScope == ScopeAll
+	deduplicated := class.Idempotency == IdempotentByKey && class.KeyScope == ScopeAll // within DedupWindow
 	return class.Idempotency == Idempotent || neverExecuted || deduplicated
 }
 
--- a/decide/affinity.go
+++ b/decide/affinity.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone it is half
-	// of the zone's servers, rounded up.
+	// maxPreferredServers is the largest number of preferred servers of a group in a zone. In a small zone, a group
+	// prefers only half of the servers, rounded up.
 	maxPreferredServers = 3
 	// groupOpeningConnections is the extra load reserved for a group's first connection at a server, in average
-	// connections. The group costs the server about three of them, but often for longer than that connection lasts.
+	// connections. The group's cost there is about that of three connections, but it often outlasts the first one.
 	groupOpeningConnections = 5.0
 	// maxGroupOpeningLoad limits the load reserved for a group. Just after its start, a balancer has few connections and
 	// estimates the load of one several times too high. Without the limit, clients would wait despite free capacity.
@@ -51,9 +51,9 @@
 	return b.preferredForGroup(z, hashString(r.Group), min(maxPreferredServers, (len(z.ready)+1)/2))
 }
 
-// groupOpeningLoad returns the load reserved for a request if it is the first of its group at a server, as far as this
-// balancer knows; otherwise, or if the load of a connection there is a guess, it returns 0. The load is divided by the
-// number of the zone's balancers: the more there are, the likelier another one has connections of the group there.
+// groupOpeningLoad returns the load reserved for the first request of a group at a server, as far as this balancer
+// knows. It returns 0 for other requests, and while the load of a connection there is a guess. The load is divided by
+// the number of the zone's balancers: the more there are, the likelier another one has connections of the group there.
 func (b *Balancer) groupOpeningLoad(r *request, s *server) float64 {
 	load, guess := b.connectionLoad(s)
 	sameGroup := func(x reservation) bool { return x.request.Group == r.Group }
--- a/decide/answers.go
+++ b/decide/answers.go
@@ -7,7 +7,7 @@
 
 // Limits for the use of load reports.
 const (
-	// maxReportAge is the age from which on placements and migrations ignore a load report.
+	// maxReportAge is the age at which a load report becomes too old for placements and migrations.
 	maxReportAge = 10 * time.Second
 	// maxAnswers is the maximum number of servers in a pool.
 	maxAnswers = 8
--- a/decide/bootstrap.go
+++ b/decide/bootstrap.go
@@ -13,7 +13,7 @@
 
 // liveness records whether any server answers.
 type liveness struct {
-	noAnswerSince time.Duration // time of the latest answer of any server; while failing, of the first failure after it
+	noAnswerSince time.Duration // time of the latest answer of any server or, while failing, of the first failure since
 	failing       bool          // attempts or probes have failed since the latest answer
 }
 
--- a/decide/clients.go
+++ b/decide/clients.go
@@ -12,8 +12,8 @@
 	avoid   bool // the connection broke or was migrated off this server, so the client avoids it
 }
 
-// clientMemory holds the records of clients whose connections broke or were cancelled, by client key. They expire
-// after recordRetention or later.
+// clientMemory holds the records of clients whose connections broke or were cancelled, by client key. A record expires
+// at the age of recordRetention, or later if records before it in the order are younger.
 type clientMemory struct {
 	records map[string]clientRecord
 	order   []string // keys in the order in which they were added
@@ -41,10 +41,10 @@
 	}
 }
 
-// connectionEnded updates the estimates at the end of an established connection. If it ended with Reset or Cancelled,
-// the client is recorded. Recorded clients of broken or migrated connections avoid the server when they reconnect. Any
-// other recorded client gets the same server if its next request is MidFlow: its packets arrived at another balancer
-// for a while and now arrive here again.
+// connectionEnded updates the estimates at the end of an established connection. If the connection ended with Reset or
+// Cancelled, its client is recorded. If the connection broke or was migrated, the recorded client avoids the server
+// when it reconnects. Otherwise the client gets the same server if its next request is MidFlow: its packets arrived at
+// another balancer for a while and now arrive here again.
 func (b *Balancer) connectionEnded(r *request, code Code) {
 	avoid := code == Reset || r.migrated
 	if avoid {
--- a/decide/discovery.go
+++ b/decide/discovery.go
@@ -30,8 +30,8 @@
 }
 
 // scheduleFirstPoll schedules the first poll after a random delay, as balancers may start together. The delay is
-// short: a restored list may be out of date, and soon after its start the balancer counts as notified of the changes
-// since then, even if it has not polled (see maxReconnectDelay).
+// short, because a restored list may be out of date. Soon after its start, the balancer counts as notified of the
+// changes that the list lacks, even if the balancer has not polled (see maxReconnectDelay).
 func (b *Balancer) scheduleFirstPoll() {
 	limit := min(maxFirstPollDelay, cmp.Or(b.settings.Safety.MaxPollInterval/2, basePollInterval))
 	b.discovery.pollAt = b.now + b.jitter(limit)
@@ -45,7 +45,7 @@
 	return max(basePollInterval, b.settings.Safety.MaxPollInterval) + perFleet
 }
 
-// poll requests the list, as a watch (only the changes) if the settings allow it, and schedules the next poll.
+// poll requests the list's changes if Settings.WatchList is set, or else the full list. It schedules the next poll.
 func (b *Balancer) poll() {
 	b.discovery.pollAt = b.now + b.pollInterval()
 	if b.settings.WatchList {
--- a/decide/ejection.go
+++ b/decide/ejection.go
@@ -24,7 +24,7 @@
 	return s != nil && b.now < s.ejectedUntil
 }
 
-// recordOutcome records the outcome of an attempt or a failed probe, and ejects the server if it failed or rejected.
+// recordOutcome records the outcome of an attempt or a failed probe. A failure or a rejection ejects the server.
 func (b *Balancer) recordOutcome(s *server, code Code) {
 	switch code {
 	case OK:
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -104,8 +104,8 @@
 	l.ended *= decay
 }
 
-// meanSeconds returns the mean lifetime of connections in seconds; until one has ended, defaultLifetime. After that,
-// defaultLifetime still counts as the lifetime of one connection.
+// meanSeconds returns the mean lifetime of connections in seconds. Until a connection has ended, this is
+// defaultLifetime. After that, defaultLifetime still counts as the lifetime of one connection.
 func (l *lifetimeEstimate) meanSeconds() float64 {
 	if l.ended == 0 {
 		return defaultLifetime.Seconds()
--- a/decide/index.go
+++ b/decide/index.go
@@ -1,9 +1,9 @@
 package decide
 
 // The index of servers: lists of servers in the shuffled order, which are updated whenever a server is added, removed
-// or changed. So ticks, deltas of a few servers and requests scan only short lists, such as that of the servers with
-// connections, unless no server is eligible or a group must be ranked. Each list contains exactly the servers that a
-// scan of all servers would find. No decisions are made here.
+// or changed. So ticks, requests and deltas of a few servers scan only short lists, such as the list of servers with
+// connections. A request scans a long list only if no server is eligible or if its group must be ranked. Each list
+// contains exactly the servers that a scan of all servers would find. No decisions are made here.
 
 import (
 	"cmp"
@@ -364,9 +364,9 @@
 	return float64(b.loadUnitsSum) / loadUnitsPerOne / float64(max(b.loadUnitsCount, 1))
 }
 
-// nextInOrder returns the next matching server of a list, or nil. The search starts at b.cursor, which all lists share,
-// wraps around, and moves the cursor past the server that it returns. It examines only the candidates, which must be
-// servers of the list in the same order.
+// nextInOrder returns the next matching server of a list, or nil. The search starts at b.cursor and wraps around. It
+// moves the cursor, which all lists share, past the server that it returns. It examines only the candidates, which must
+// be servers of the list in the same order.
 func (b *Balancer) nextInOrder(list []*server, candidates orderedServers, matches func(*server) bool) *server {
 	if len(candidates) == 0 {
 		return nil
--- a/decide/index_test.go
+++ b/decide/index_test.go
@@ -305,8 +305,9 @@
 	}
 }
 
-// The record of a removed server is dropped at the first list update after recordRetention, that of a server that was
-// in no list at the next list update. Records of servers that are listed again or have connections are kept.
+// The record of a removed server is dropped at the first list update after recordRetention. The record of a server that
+// was in no list is dropped at the next list update. Records of servers that are listed again or have connections are
+// kept.
 func TestRecordsOfRemovedServersAreDropped(t *testing.T) {
 	h := newHarness(t, settings())
 	h.replaceList(servers(40, 0))
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -36,10 +36,10 @@
 	return states
 }
 
-// ImportLearned applies the learned state of the previous process. The host calls it after ListRestored, as servers
-// that are not in the list yet are ignored. So are negative values, old reports, too high loads of one connection and
-// ejections without failures (after a rejection). Without it, all clients that reconnect to this process would be sent
-// to a failing server again, as that server looks idle.
+// ImportLearned applies the learned state of the previous process. Without this state, all clients that reconnect to
+// this process would be sent to a failing server again, as that server looks idle. The host calls ImportLearned after
+// ListRestored, as servers that are not in the list yet are ignored. Some values are ignored too: negative ones, old
+// load reports, too high loads of one connection, and ejections without failures, which a rejection caused.
 func (b *Balancer) ImportLearned(states []LearnedState) {
 	for _, state := range states {
 		if s := b.servers[state.Server]; s != nil {
--- a/decide/migration.go
+++ b/decide/migration.go
@@ -37,7 +37,7 @@
 }
 
 // migrateExcess migrates the fraction of a server's connections by which its load exceeds migrationTargetLoad, rounded
-// up or down at random. Independent draws per connection would often migrate none of a few before the next report.
+// up or down at random. Drawing each of a few connections on its own would often migrate none until the next report.
 func (b *Balancer) migrateExcess(s *server) {
 	s.migratedAt = b.now
 	count := int(float64(len(s.connections))*(1-migrationTargetLoad/s.reportedLoad) + b.rng.Float64())
--- a/decide/migration_test.go
+++ b/decide/migration_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A balancer migrates the excess fraction of its connections off an overloaded server, and migrates again only by a
+// A balancer migrates the excess fraction of its connections off an overloaded server. It migrates again only after a
 // report that can show the effect. Until the load is reduced, the server serves all of its connections badly.
 func TestMigrationMovesExcess(t *testing.T) {
 	h := newHarness(t, settings())
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,9 +1,9 @@
 package decide
 
 // Placement: the choice of the server for a request's next attempt. It depends on load reports, the reservations made
-// since, ejections, slow-start quotas and the request's idempotency. The candidates, in this order: the server of an
-// open connection whose packets now arrive here; the group's preferred servers; the own zone's least loaded server with
-// capacity; warming servers; if the own zone is full, other zones' servers, then its own; any in the shuffled order.
+// since, ejections, slow-start quotas and the request's idempotency. The candidates, in order: the server of an open
+// connection whose packets now arrive here; the group's preferred servers; the own zone's least loaded server with
+// capacity; warming servers; if that zone is full, other zones' servers, then its least loaded; any in shuffled order.
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 
 // Loads are fractions of a server's capacity, as servers report them.
 const (
-	// maxLoadWithCapacity is the load below which a server has capacity for new connections. Other zones are
-	// considered only if no candidate of the own zone (for a group: no preferred server) is known to have capacity.
+	// maxLoadWithCapacity is the load below which a server has capacity for new connections. Other zones are considered
+	// only if no candidate of the own zone is known to have capacity. A group's candidates are its preferred servers.
 	maxLoadWithCapacity = 0.7
 	// saturationLoad is the load above which a server gets no new connections.
 	saturationLoad = 0.8
@@ -29,8 +29,8 @@
 	crossZoneCostFactor = 1.25
 	// spillOverPeriod is how long other zones are probed after the own zone lacked capacity.
 	spillOverPeriod = 5 * time.Second
-	// setupTimeFactor times the average setup time is the minimum timeout of an attempt before the limit of the
-	// deadline. An attempt that timed out counts as a setup of that many times its duration, if above the average.
+	// setupTimeFactor is the minimum timeout of an attempt in average setup times, as far as the deadline allows it. An
+	// attempt that timed out counts as a setup that took this many times as long, unless that is below the average.
 	setupTimeFactor = 2
 )
 
@@ -38,7 +38,7 @@
 type loadThresholds struct {
 	capacity     float64 // a server with a lower load has capacity
 	saturation   float64 // a server with a higher load is saturated
-	crossZoneGap float64 // how much less load than the own zone's best a server elsewhere must have, unless preferred
+	crossZoneGap float64 // by how much the load of a non-preferred server elsewhere must be below the own zone's best
 }
 
 // updateThresholds computes the thresholds. Load reports show placements by the zone's other balancers up to half a
@@ -157,7 +157,7 @@
 	}
 	// Each group costs a server work, however few connections of the group it has. If a burst of clients were spread
 	// over other servers while capacity is short, the groups would use up the remaining capacity and the fleet would
-	// not recover. So the requests wait instead, unless a server that was probed on demand has no recent report.
+	// not recover. So the requests wait instead. Only servers probed on demand without a recent report are still used.
 	if slices.ContainsFunc(local, p.saturatedOrWarming) || slices.ContainsFunc(remote, p.saturatedOrWarming) {
 		local, remote = local[:min(onDemandProbes, len(local))], remote[:min(onDemandProbes, len(remote))]
 		return cmp.Or(firstMatching(local, p.eligibleUnreported), firstMatching(remote, p.eligibleUnreported)), true
@@ -176,8 +176,8 @@
 	if s := p.nextInOrder(p.local, p.localZone.warming, p.eligibleWarming); s != nil {
 		return s, true
 	}
-	// If recent reports show that the zone is short of capacity, servers without a report most likely are too. Then,
-	// or if no server of the zone is eligible, servers of other zones are used if a recent report shows capacity.
+	// If recent reports show that the zone is short of capacity, servers without a report most likely are too. Servers
+	// of other zones with capacity by a recent report are used then, and also if no server of the zone is eligible.
 	zoneIsFull := p.localBest != nil || slices.ContainsFunc(p.answers.ownZone, p.saturated)
 	if !zoneIsFull && slices.ContainsFunc(p.local, p.eligible) {
 		return nil, false
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -201,7 +201,7 @@
 }
 
 // Between two load reports, a balancer knows only its own placements. So the more balancers share a zone, the lower is
-// the load from which on the next preferred server is chosen.
+// the load at which the next preferred server is chosen instead.
 func TestThresholdsAllowForOtherBalancers(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -13,8 +13,8 @@
 
 // Limits of the on-demand probes that are made for requests.
 const (
-	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. It is
-	// also how long after its latest on-demand probe a server without a report is probed at a tick.
+	// maxOnDemandProbeInterval is the report age above which a server is probed for a request in a small fleet. A
+	// server without a report is probed at a tick when its latest on-demand probe is longer ago than this.
 	maxOnDemandProbeInterval = 2 * time.Second
 	// minOnDemandProbeInterval is that age in a large fleet. A probe at a lower age would return a hardly newer report.
 	minOnDemandProbeInterval = 250 * time.Millisecond
@@ -30,8 +30,8 @@
 
 // Limits of the steady probes.
 const (
-	// probeCostFraction is the fraction of placed requests' value that may be spent on each of the two kinds of
-	// probes with a limited rate: steady probes, and probes of servers short of capacity.
+	// probeCostFraction is the fraction of placed requests' value that may be spent on steady probes. The same
+	// fraction may be spent again on probes of servers short of capacity.
 	probeCostFraction = 0.01
 	// minProbeRate is the minimum number of steady probes per second.
 	minProbeRate = 0.5
@@ -116,7 +116,7 @@
 	}
 }
 
-// probeCompleted updates a server's record by a probe's result, and retries waiting requests if it is not saturated.
+// probeCompleted records a probe's result for its server. Unless the server is saturated, waiting requests are retried.
 func (b *Balancer) probeCompleted(event ProbeCompleted) {
 	s := b.servers[event.Server]
 	if s == nil {
@@ -154,7 +154,7 @@
 }
 
 // messageDelayReported handles a client's message latency. More than half of the objective shows overload: the server
-// counts as slow, and is probed if its load report is too old. Any other report for the server ends this at once.
+// counts as slow, and is probed if its load report is too old. Any other latency report for it ends this at once.
 func (b *Balancer) messageDelayReported(event MessageDelayReported) {
 	s, r := b.serverRecord(event.Server), b.requests.byID[event.ID]
 	if r == nil {
@@ -201,13 +201,13 @@
 	}
 }
 
-// probeRate returns the probes per second that the rate of requests and the cost of a probe allow, or the minimum at a
-// cost of 0. The rate of requests is that of established connections, or the open requests per defaultLifetime if
-// higher. Balancers without connections need few reports, so their minimum is lower in a large fleet (fullRateProbers).
+// probeRate returns the probes per second that the rate of requests and the cost of a probe allow, but at least the
+// minimum rate. At a cost of 0, it returns the minimum rate. The rate of requests is that of established connections,
+// or the open requests per defaultLifetime if that is higher.
 func (b *Balancer) probeRate() float64 {
 	requestRate := max(b.establishRate.perSecond, float64(len(b.requests.byID))/defaultLifetime.Seconds())
 	least := minProbeRate
-	if len(b.connected) == 0 {
+	if len(b.connected) == 0 { // such a balancer needs few reports, so its minimum is lower in a large fleet
 		least *= min(1, fullRateProbers/float64(b.fleet.Fleet))
 	}
 	return max(least, requestRate*probeCostFraction/cmp.Or(b.settings.Costs.Probe, math.Inf(1)))
--- a/decide/reconnect.go
+++ b/decide/reconnect.go
@@ -70,7 +70,7 @@
 	return now + r.jitter(min(r.callSpread, began+maxReconnectDelay-now))
 }
 
-// DialTimeout returns a dial's timeout. It is short, as TCP doubles the time between retransmissions of a lost SYN.
+// DialTimeout returns a dial's timeout. It is short: redials replace TCP's SYN retransmissions, whose interval doubles.
 func (r *ReconnectSchedule) DialTimeout() time.Duration { return max(r.dialInterval, minDialTimeout) }
 
 // jitter returns a random duration below limit, or 0 if limit is not above 0.
--- a/decide/reservation.go
+++ b/decide/reservation.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxReportLag is the time after a placement from which on received load reports include it. Reports are up to half a
-// second old when they are received.
+// maxReportLag is the longest time after a placement at which a received load report may not include it yet. Reports
+// are up to half a second old when they are received.
 const maxReportLag = 600 * time.Millisecond
 
 // Limits of a request's load relative to that of an average connection.
@@ -88,7 +88,7 @@
 }
 
 // relativeLoad returns a request's load as a multiple of an average connection's. It uses the load that the request
-// states, or else the average of its class; it is 1 if neither is known or there is no average of all connections.
+// states, or else the average of its class. Without either, or without an average of all connections, it returns 1.
 func (b *Balancer) relativeLoad(r *request) float64 {
 	load, average := cmp.Or(r.Load, b.classLoads.classes[r.Class]), b.classLoads.all
 	if load <= 0 || average <= 0 {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -15,8 +15,8 @@
 	// has requests for the server.
 	slowStartSafetyFactor = 0.5
 	// minSlowStartUse is the minimum fraction by which a quota is divided. A balancer that seldom has a request for the
-	// server leaves its quota unused in many windows, so its quota is divided by the fraction of windows in which it has
-	// one. The bound keeps it within slowStartSafetyFactor/minSlowStartUse equal shares, unless it is raised to at most 1.
+	// server leaves its quota unused in many windows, so the quota is divided by the fraction of windows with a request.
+	// The minimum keeps quotas within slowStartSafetyFactor/minSlowStartUse equal shares. Some may then rise to at most 1.
 	minSlowStartUse = 0.4
 	// minSlowStartConnections is the minimum number of connections that a warming server is assumed to accept within a
 	// window, from all balancers together. It lets the balancers use the server before they have any estimate.
--- a/decide/slowstart_result_test.go
+++ b/decide/slowstart_result_test.go
@@ -62,10 +62,10 @@
 
 // worstWindow evaluates every overload window that begins with an attempt at a warming server. N is the number of
 // connections that the server tolerates within the window, at its capacity at the window's start. N + 2 sqrt(N) + 2
-// attempts are allowed, where 2 sqrt(N) + 2 covers the random variation of arrivals. worstWindow returns the largest
-// number of attempts as a fraction of the allowed number; whether that fraction exceeds 1, so that the server was
-// overloaded; and whether over two thirds of the attempts in the first window that exceeds it came from balancers that
-// had observed the server's start.
+// attempts are allowed, where 2 sqrt(N) + 2 covers the random variation of arrivals. The first result is the largest
+// number of attempts as a fraction of the allowed number. A fraction above 1 means that the server was overloaded. The
+// overload is a violation if more than two thirds of the attempts in the first overloaded window came from balancers
+// that had observed the server's start.
 func (f *slowStartSimulation) worstWindow(s *simulatedServer) (most float64, overloaded, violation bool) {
 	safety := f.settings.Safety
 	for i, first := range s.attempts {
