--- a/internal/testbench/experiment/balancer.go
+++ b/internal/testbench/experiment/balancer.go
@@ -283,7 +283,7 @@
 	}
 }
 
-// addMetrics adds the value of each metric of the balancer to the sum with the metric's name.
+// addMetrics adds each metric of the balancer to the entry of sums with the metric's name.
 func (b *balancer) addMetrics(sums map[string]uint64) error {
 	metrics, err := management.QueryMetrics(context.Background(), b.management)
 	if err != nil {
--- a/internal/testbench/experiment/balancer_config.go
+++ b/internal/testbench/experiment/balancer_config.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The behaviour of room servers that warm up. Balancers are configured with it, and emulated room servers that have
-// to warm up follow it. The rate at which they can establish connections rises within warmupTime from warmupFraction
-// of the full rate to the full rate. Until then they collapse if clients establish connections at more than
+// The warmup of cold room servers. Balancers are configured for it, and emulated cold room servers behave accordingly.
+// At first a cold room server can establish connections at warmupFraction of the full rate. The rate rises to the full
+// rate within warmupTime. Until then the room server collapses if clients establish connections at more than
 // collapseFactor times the current rate.
 const (
 	warmupFraction = 0.4
--- a/internal/testbench/experiment/cost.go
+++ b/internal/testbench/experiment/cost.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Cost holds the resources that a fleet uses once all clients have connected. Rates are those between two readings of
-// the counters: one settleTime after the fill time, and one at the end. If a balancer was killed, stopped or replaced
-// during the run, or the run ended before the first reading, only MaxResidentMB and MaxDescriptors are set.
+// Cost holds the resources that a fleet uses once all clients have connected. Rates are measured between two readings
+// of the counters. The first reading is made settleTime after the fill time, and the second one at the end. If a
+// balancer was killed, stopped or replaced during the run, or the run ended before the first reading, only
+// MaxResidentMB and MaxDescriptors are set.
 type Cost struct {
 	// MaxResidentMB is the largest resident memory of a balancer at the readings of the counters.
 	MaxResidentMB float64 `json:"rss_mb_most"`
--- a/internal/testbench/experiment/delivery_clients.go
+++ b/internal/testbench/experiment/delivery_clients.go
@@ -18,7 +18,7 @@
 const (
 	// maxConcurrentConnects is the largest number of clients that connect at the same time.
 	maxConcurrentConnects = 64
-	// connectTimeout is how long a client may take to get an established connection, including all retries.
+	// connectTimeout is how long a client may take to establish its connection, including all retries.
 	connectTimeout = 30 * time.Second
 	// connectRetryDelay is the time before a rejected client retries.
 	connectRetryDelay = 100 * time.Millisecond
@@ -26,8 +26,8 @@
 	clientBufferBytes = 512
 )
 
-// errRejected is returned for a request that was answered BUSY. Callers see it only if the retries end at
-// connectTimeout, as its text says.
+// errRejected is returned for a request that was answered BUSY. Callers of connect receive it only if the retries end
+// at connectTimeout, as its text says.
 var errRejected = errors.New("still rejected with BUSY at the time-out")
 
 // deliveryClients hold connections through a balancer and measure the latencies of the lines that they receive.
@@ -39,7 +39,7 @@
 	latencies *hdrhistogram.Histogram
 }
 
-// connectClients establishes n connections. The caller has to close the clients, even if there is an error.
+// connectClients establishes n connections. The caller must close the clients, even if there is an error.
 func connectClients(ctx context.Context, address string, n int) (*deliveryClients, error) {
 	c := &deliveryClients{latencies: newDeliveryHistogram()}
 	var connecting sync.WaitGroup
--- a/internal/testbench/experiment/delivery_cost.go
+++ b/internal/testbench/experiment/delivery_cost.go
@@ -89,7 +89,7 @@
 	server    *deliveryServer
 	discovery *emulator.Discovery
 	balancer  *balancer
-	// serving says that the balancer was started and has to be stopped.
+	// serving says that the balancer was started and must be stopped.
 	serving bool
 	clients *deliveryClients
 	// idleRate is the balancer's resource usage per second while its connections are idle.
--- a/internal/testbench/experiment/fleet_cost.go
+++ b/internal/testbench/experiment/fleet_cost.go
@@ -35,8 +35,8 @@
 	RoomServers []int
 	// SessionsPerServer is the number of clients for each room server.
 	SessionsPerServer int
-	// Seconds is the duration of a measurement without settleTime, which is added to it. The measurement begins
-	// settleTime after the fill time.
+	// Seconds sets the duration of a measurement. The measurement begins settleTime after the fill time and lasts
+	// settleTime longer than Seconds.
 	Seconds float64
 }
 
--- a/internal/testbench/experiment/list_cost.go
+++ b/internal/testbench/experiment/list_cost.go
@@ -47,12 +47,12 @@
 	ResidentMB float64 `json:"rss_mb"`
 	// PeakResidentMB is the largest resident memory since the start.
 	PeakResidentMB float64 `json:"peak_mb"`
-	// IdleKBPerSecond is what the process reads from files and sockets, including those of probes, per second without
-	// changes.
+	// IdleKBPerSecond is the number of KiB that the process reads per second without changes of the list. This includes
+	// reads from files and from sockets, also the sockets of probes.
 	IdleKBPerSecond float64 `json:"rest_kb_per_s"`
-	// ChangeKBPerSecond is what the process reads per second with changes.
+	// ChangeKBPerSecond is the same number with changes of the list.
 	ChangeKBPerSecond float64 `json:"change_kb_per_s"`
-	// StartKB is what the process has read from its start until it has applied the list.
+	// StartKB is the number of KiB that the process has read from its start until it has applied the list.
 	StartKB float64 `json:"start_kb"`
 	// StartCPUMs is the processor time from the start until the list is applied.
 	StartCPUMs float64 `json:"start_cpu_ms"`
@@ -128,7 +128,7 @@
 	roomServers []*emulator.RoomServer
 	discovery   *emulator.Discovery
 	balancer    *balancer
-	// serving says that the balancer was started and has to be stopped.
+	// serving says that the balancer was started and must be stopped.
 	serving bool
 	cost    ListCost
 }
@@ -239,10 +239,10 @@
 	return err
 }
 
-// publishChanges publishes single entries with the weights 2 and 1 in turn until ctx ends, and returns their number.
-// Known fault: all entries have the weight 1 at first, and in a list of even length an entry always gets the same
-// weight. So half of them never change, the others change once, and ListCost.CPUMsPerChange also counts entries that
-// did not change.
+// publishChanges publishes single entries, alternately with the weights 2 and 1, until ctx ends. It returns the number
+// of publications. Known fault: in a list of even length, each entry is always published with the same weight. Half of
+// the entries keep their initial weight, 1, and the other half change only once. ListCost.CPUMsPerChange also counts
+// the publications that change nothing.
 func (m *listMeasurement) publishChanges(ctx context.Context) (changes int) {
 	ticker := time.NewTicker(m.interval)
 	defer ticker.Stop()
--- a/internal/testbench/experiment/membership_checker.go
+++ b/internal/testbench/experiment/membership_checker.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// maxTolerablePause is the longest pause that does not excuse a report that the instance has failed.
+	// maxTolerablePause is the longest pause of an instance that must not make others report its failure. A longer
+	// pause excuses such reports (see clusterState.pausedTooLong).
 	maxTolerablePause = 8 * time.Second
-	// settledAfter is how long an instance must have been live and reachable before reports of its failure are false.
+	// settledAfter is how long an instance must have been live and reachable for a report of its failure to count as
+	// false.
 	settledAfter = 10 * time.Second
 	// detectTimeout is the time after a kill within which reports of the failure count.
 	detectTimeout = 20 * time.Second
 	// leaveTimeout is the time after the start of a graceful shutdown within which reports of it count.
 	leaveTimeout = 5 * time.Second
-	// joinGrace is how long an instance may be live before others have to count it.
+	// joinGrace is how long after its start an instance may be missing from the fleet sizes of the others.
 	joinGrace = 3 * time.Second
-	// disturbanceWindow is the time before an event in which a disturbance excuses an observer from reporting the event.
+	// disturbanceWindow is how long before an event a disturbance still excuses an observer from reporting the event.
 	disturbanceWindow = 1500 * time.Millisecond
 	// notDetectedMs is the detection time, in milliseconds, that is recorded for an event that was not detected. It
 	// exceeds all objectives.
@@ -35,14 +37,15 @@
 	SizeBelowLive int
 	// ViewRegressions counts the polls in which the view version was lower than in the previous poll of the process.
 	ViewRegressions int
-	// Detect holds, for each kill, the time until all undisturbed instances have reported the failure. Instances that
-	// start again within detectTimeout are left out.
+	// Detect holds, for each kill, the time until all undisturbed instances have reported the failure. A kill is left
+	// out if the instance starts again within detectTimeout.
 	Detect []float64
 	// Suspect holds, for the same kills, the time until all undisturbed instances have reported the suspicion.
 	Suspect []float64
 	// Leave holds, for each graceful shutdown, the time until all undisturbed instances have reported it.
 	Leave []float64
-	// Agree is the time from the end of the last fault until the last poll with a wrong number of live instances.
+	// Agree is the time from the end of the last fault until the last poll in which an instance returned a wrong number
+	// of live instances.
 	Agree float64
 }
 
@@ -52,7 +55,7 @@
 	// now is the time of the current event.
 	now   time.Duration
 	state *clusterState
-	// unreachableAt holds when each instance was last not reachable by most others.
+	// unreachableAt holds the time at which each instance was last not reachable by most others.
 	unreachableAt []time.Duration
 	// versions holds the view version of each instance's latest poll; 0 after a start.
 	versions []uint64
@@ -60,7 +63,8 @@
 	faultsOver bool
 	// faultsOverAt is when the last fault ended.
 	faultsOverAt time.Duration
-	// disagreedAt is the time of the last poll after faultsOverAt with a wrong number of live instances.
+	// disagreedAt is the time of the last poll after faultsOverAt in which an instance returned a wrong number of live
+	// instances.
 	disagreedAt time.Duration
 	findings    membershipFindings
 }
@@ -149,8 +153,8 @@
 	}
 }
 
-// falselyFailed reports whether a live instance has reported the failure of another one although that has been live and
-// reachable by most others for settledAfter, and was not paused for too long.
+// falselyFailed reports whether a report of a failure is false. It is false if the reporting instance is live, and the
+// reported one has been live and reachable by most others for settledAfter and was not paused for too long.
 func (c *membershipChecker) falselyFailed(e membershipEvent) bool {
 	m := e.Other
 	if !c.state.live[e.Member] || !c.state.live[m] || c.state.pausedTooLong(m, c.now) {
@@ -181,10 +185,10 @@
 	return false
 }
 
-// timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state
-// of its instance, or notDetectedMs if one of them does not within the timeout. Observers are the instances that are
-// live at the event. An observer is excused if it is disturbed before it has reported the state. Disturbances count
-// from disturbanceWindow before the event until the objective after it.
+// timeUntilReported returns the time, in milliseconds, from the i-th event until all observers have reported a state of
+// its instance, or notDetectedMs if one of them does not within the timeout. Observers are the instances that are live
+// at the event. An observer is excused if it is disturbed before it has reported the state. A disturbance counts if it
+// occurs at most disturbanceWindow before the event and at most objective after it.
 func (c *membershipChecker) timeUntilReported(
 	i int, state membership.State, objective, timeout time.Duration,
 ) float64 {
@@ -205,8 +209,8 @@
 	return inMilliseconds(last - c.now)
 }
 
-// firstReports returns the time at which each instance first reported a state of the i-th event's instance. It leaves
-// out instances that did not within the timeout.
+// firstReports returns the time at which each instance first reported a state of the i-th event's instance. Instances
+// without such a report within the timeout are left out.
 func (c *membershipChecker) firstReports(
 	i int, state membership.State, timeout time.Duration,
 ) map[int]time.Duration {
--- a/internal/testbench/experiment/membership_checker_test.go
+++ b/internal/testbench/experiment/membership_checker_test.go
@@ -53,7 +53,7 @@
 var falseReport = reported(35*second, 0, 1, membership.Failed)
 
 // A correct run has no violations, and the times until the kill and the shutdown are detected are measured. The run has
-// no reports of suspicion, so that Suspect is not checked.
+// no reports of suspicion, so the test does not check Suspect.
 func TestMembershipCheckerOnCorrectRun(t *testing.T) {
 	f := checkMembership(5, correctRun())
 	if len(f.FalseFailed) > 0 || f.SizeBelowLive > 0 || f.ViewRegressions > 0 || f.Agree > 0 {
--- a/internal/testbench/experiment/membership_cluster.go
+++ b/internal/testbench/experiment/membership_cluster.go
@@ -11,12 +11,12 @@
 // clusterState is the true state of the instances and the network paths between them, as the run has caused it.
 type clusterState struct {
 	live []bool
-	// since holds when each instance last started, or ended if it is not live.
+	// since holds the time at which each instance last started or, if it is not live, ended.
 	since []time.Duration
-	// pausedAt holds when each instance was paused; notPaused if it is not paused.
+	// pausedAt holds the time at which each instance was paused; notPaused if it is not paused.
 	pausedAt []time.Duration
-	// longPauseEnd holds when the latest pause of each instance that was longer than maxTolerablePause ended; a time
-	// long before the run if there was none.
+	// longPauseEnd holds the end of each instance's latest pause that was longer than maxTolerablePause; a time long
+	// before the run if there was none.
 	longPauseEnd []time.Duration
 	// cut says whether the path from one instance, the first index, to another is cut.
 	cut [][]bool
--- a/internal/testbench/experiment/membership_event.go
+++ b/internal/testbench/experiment/membership_event.go
@@ -9,8 +9,9 @@
 // membershipEventKind is the kind of a membershipEvent.
 type membershipEventKind uint8
 
-// Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At. The run itself
-// causes all kinds but the last two, which hold what an instance has logged and the metrics that it has returned.
+// Kinds of events. Each comment ends with the fields of membershipEvent that the kind uses besides At. Events of the
+// last two kinds contain a state change that an instance has logged, or the metrics that it has returned. The run
+// itself causes all other events.
 const (
 	// memberStarted reports that a process of an instance is about to be started: Member.
 	memberStarted membershipEventKind = iota
--- a/internal/testbench/experiment/membership_faults.go
+++ b/internal/testbench/experiment/membership_faults.go
@@ -35,7 +35,7 @@
 	// faultNoise loses, duplicates, delays and reorders datagrams on all paths. Loss and Delay also apply to streams, see
 	// faultproxy.Conditions.
 	faultNoise membershipFaultKind = "noise"
-	// faultNewRoomServer adds a room server that has to warm up.
+	// faultNewRoomServer adds a cold room server, which must warm up.
 	faultNewRoomServer membershipFaultKind = "cold"
 )
 
@@ -223,7 +223,8 @@
 	s.faults = append(s.faults, f)
 }
 
-// between returns from plus a random number of whole milliseconds, at most to.
+// between returns a random duration of at least from and at most to. It differs from the lower bound by a whole number
+// of milliseconds.
 func (s *membershipSchedule) between(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from))).Round(time.Millisecond)
 }
--- a/internal/testbench/experiment/membership_injection.go
+++ b/internal/testbench/experiment/membership_injection.go
@@ -37,7 +37,7 @@
 	sortSchedule(m.base.schedule)
 }
 
-// schedule adds an entry to the base run's schedule, which has to be sorted afterwards.
+// schedule adds an entry to the base run's schedule. The caller must sort the schedule afterwards.
 func (m *membershipRun) schedule(at time.Duration, description string, inject func(context.Context) error) {
 	m.base.schedule = append(m.base.schedule, scheduledFault{at: at, description: description, inject: inject})
 }
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// end ends a fault. Known fault: the end of a pause that was skipped also ends the pause of an instance that another
-// fault has paused.
+// end ends a fault. Known fault: a pause that was skipped still ends at its scheduled time. If another fault has paused
+// the instance at that time, the instance is resumed too early.
 func (m *membershipRun) end(f membershipFault) {
 	if f.Kind != faultPause {
 		m.network.end(f, m.record)
@@ -129,7 +129,7 @@
 	m.base.frontLayer.Add(b.name, b.address)
 }
 
-// addRoomServer starts a room server that has to warm up and publishes it.
+// addRoomServer starts a cold room server, which must warm up, and publishes it.
 func (m *membershipRun) addRoomServer() error {
 	return m.base.startRoomServer(emulator.RoomServerConfig{
 		Name:           roomServerName(len(m.base.roomServers)),
--- a/internal/testbench/experiment/membership_network.go
+++ b/internal/testbench/experiment/membership_network.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// apply sets the conditions of all paths according to the current faults. If there are several noise faults, each
-// probability is the largest one of the faults, and Delay and Jitter are the sums over the faults.
+// apply sets the conditions of all paths according to the current faults. If several noise faults are active, each
+// probability is the maximum over them, and Delay and Jitter are the sums over them.
 func (n *membershipNetwork) apply() {
 	var noise faultproxy.Conditions
 	for _, c := range n.noises {
--- a/internal/testbench/experiment/membership_observer.go
+++ b/internal/testbench/experiment/membership_observer.go
@@ -97,7 +97,8 @@
 	m.recordGossip(b.name, metrics[gossipMetric])
 }
 
-// recordGossip records the rate of gossip that an instance has sent since the last reading, if gossipWindow has passed.
+// recordGossip records the rate at which an instance has sent gossip since the last reading. It does nothing if less
+// than gossipWindow has passed since then.
 func (m *membershipRun) recordGossip(name string, bytes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbench/experiment/membership_result.go
+++ b/internal/testbench/experiment/membership_result.go
@@ -27,12 +27,14 @@
 	FalseFailed int `json:"false_failed"`
 	// SuspectMsP99 is the 99 % quantile of the time from a kill until all undisturbed instances reported the suspicion.
 	SuspectMsP99 float64 `json:"suspect_ms_p99"`
-	// DetectMsP50 and DetectMsP99 are quantiles of the time until they reported the failure.
+	// DetectMsP50 and DetectMsP99 are quantiles of the time from a kill until all undisturbed instances reported the
+	// failure.
 	DetectMsP50 float64 `json:"detect_ms_p50"`
 	DetectMsP99 float64 `json:"detect_ms_p99"`
 	// LeaveMsMax is the longest time from a graceful shutdown until all undisturbed instances reported it.
 	LeaveMsMax float64 `json:"left_ms_max"`
-	// AgreeMsMax is the time from the end of the last fault until the last poll with a wrong number of live instances.
+	// AgreeMsMax is the time from the end of the last fault until the last poll in which an instance returned a wrong
+	// number of live instances.
 	AgreeMsMax float64 `json:"agree_ms_max"`
 	// SizeBelowLive counts the polls in which an instance's fleet size was below the number of instances that had been
 	// live for longer than joinGrace.
@@ -44,8 +46,8 @@
 	// GossipBytesPerSecondP99 is the 99 % quantile of the bytes of gossip that an instance sends per second.
 	GossipBytesPerSecondP99 float64 `json:"gossip_bytes_per_s_p99"`
 	// CPUMsPerSecond is the mean processor time of an instance for all its work, of which gossip is a fraction. Known
-	// fault: it is too low, because the processor time of processes that end during the run is not counted, and what
-	// they used before the run is subtracted.
+	// fault: it is too low if processes end during the run. Their processor time during the run is not counted, and
+	// their processor time before the run is subtracted.
 	CPUMsPerSecond float64 `json:"gossip_cpu_ms_per_s"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
@@ -61,8 +63,8 @@
 	MissedObjectives []string `json:"missed,omitempty"`
 }
 
-// Objectives of a membership run: the largest allowed values, and the least number of faults. For the other values that
-// missedObjectives checks, the objective is 0.
+// Objectives of a membership run: maximum values, and the minimum number of faults. The maximum is 0 for the other
+// values that missedObjectives checks.
 const (
 	maxDetectMs = 12_000
 	maxLeaveMs  = 1_500
@@ -133,8 +135,8 @@
 	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
 }
 
-// missedObjectives describes the objectives that were missed. The objective for kills, graceful shutdowns or answers is
-// also missed if the run had none of them to measure.
+// missedObjectives describes the objectives that were missed. A run without kills, graceful shutdowns or answers also
+// misses the objective that is measured from them.
 func (r MembershipResult) missedObjectives(kills, shutdowns int) (missed []string) {
 	for _, objective := range []struct {
 		key     string
--- a/internal/testbench/experiment/membership_run.go
+++ b/internal/testbench/experiment/membership_run.go
@@ -17,7 +17,7 @@
 	pollInterval = 250 * time.Millisecond
 	// logInterval is the time between two reads of the instances' logs.
 	logInterval = 50 * time.Millisecond
-	// joinTimeout is how long the instances may take to see each other.
+	// joinTimeout is how long the instances may take until all consider each other alive.
 	joinTimeout = 15 * time.Second
 	// regionName is the region of all instances.
 	regionName = "lab"
--- a/internal/testbench/experiment/process_usage.go
+++ b/internal/testbench/experiment/process_usage.go
@@ -159,7 +159,7 @@
 }
 
 // measureRate returns the resources that the balancer uses per second while a workload runs. The workload's context
-// ends after the given duration. The measurement takes the whole duration even if the workload ends earlier.
+// ends after the given duration. The measurement lasts the whole duration even if the workload ends earlier.
 func (b *balancer) measureRate(
 	ctx context.Context, duration time.Duration, workload func(context.Context) error,
 ) (usageRate, error) {
--- a/internal/testbench/experiment/result.go
+++ b/internal/testbench/experiment/result.go
@@ -16,8 +16,8 @@
 	ResumedWithin int `json:"resumed_within_500ms"`
 	// StartedOver counts how often a session started over.
 	StartedOver int `json:"started_over"`
-	// DoubleAttachments counts the attachments of a session that was attached already, or at an epoch that is not above
-	// all earlier ones; an attachment that is both may count twice.
+	// DoubleAttachments counts the attachments of sessions that were already attached, and the attachments at an epoch
+	// that is not above all earlier epochs of the session. An attachment of both kinds may count twice.
 	DoubleAttachments int `json:"attached_twice"`
 	// LostSessions counts the sessions that lost acknowledged moves of their game, or had been without a room server for
 	// more than 3 s at the end.
@@ -30,10 +30,10 @@
 	ResumeMsP99 float64 `json:"resume_ms_p99"`
 	// Instances is the number of balancers.
 	Instances int `json:"instances"`
-	// Reloads counts the reloads of the processes that ran at the end, since the start of each.
+	// Reloads counts the reloads of the processes that ran at the end, each since its start.
 	Reloads uint64 `json:"reloads"`
-	// MinReloads is the least number of reloads of a balancer whose process ran throughout. Known fault: a balancer
-	// without reloads is ignored if a later one has reloaded.
+	// MinReloads is the smallest number of reloads of a balancer whose process ran during the whole run. Known fault: a
+	// balancer without reloads is ignored if a balancer that is read after it has reloaded.
 	MinReloads uint64 `json:"reloads_least"`
 	// Killed counts the kills of balancers by SIGKILL.
 	Killed int `json:"killed"`
@@ -55,7 +55,7 @@
 	Rejected int `json:"refused"`
 	// Failed counts the requests whose answer was not UP, BUSY or ANEW, such as ERR.
 	Failed int `json:"failed"`
-	// RacedTokens counts the copies of tokens that were presented while the token's owner presented it.
+	// RacedTokens counts the copies of tokens that were presented while the owners presented the originals.
 	RacedTokens int `json:"raced"`
 	// RacesWon counts the copies of RacedTokens that were accepted.
 	RacesWon int `json:"raced_up"`
@@ -74,7 +74,7 @@
 }
 
 // Passed reports whether all invariants held, including those of the run without tokens. Requests that were rejected or
-// failed, and sessions that started over, violate none.
+// failed, and sessions that started over, are not violations.
 func (r Result) Passed() bool {
 	if r.WithoutTokens != nil && !r.WithoutTokens.Passed() {
 		return false
--- a/internal/testbench/experiment/run_faults.go
+++ b/internal/testbench/experiment/run_faults.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// hotRestart replaces the process of a balancer by a new one, which takes over its sockets.
+// hotRestart replaces the process of a balancer with a new one, which takes over its sockets.
 func (r *run) hotRestart(ctx context.Context, i int) error {
 	replacement, err := r.balancers[i].hotRestart(ctx)
 	if replacement != nil {
--- a/internal/testbench/experiment/scale_changes.go
+++ b/internal/testbench/experiment/scale_changes.go
@@ -7,7 +7,8 @@
 	"cottonplank/internal/testbench/hollow"
 )
 
-// drainInterval is the interval, in changes, at which a change concerns a room server that exists.
+// drainInterval determines which changes concern a room server that exists: every drainInterval-th one. The other
+// changes concern room servers that do not exist, if the list has any.
 const drainInterval = 5
 
 // publishChange makes the n-th change of the list and publishes it: one room server begins or ends its drain.
@@ -45,7 +46,8 @@
 	}
 }
 
-// nextDrain returns the index of the room server that is draining, or a random one of those that exist if none is.
+// nextDrain returns the index of the draining room server. If none is draining, it returns the index of a random room
+// server that exists.
 func (s *scaleRun) nextDrain() int {
 	for i, draining := range s.draining {
 		if draining {
--- a/internal/testbench/experiment/scale_comparison.go
+++ b/internal/testbench/experiment/scale_comparison.go
@@ -24,7 +24,7 @@
 	comparisonChangeInterval = 200 * time.Millisecond
 	// minComparedSizes is the number of sizes that a slope needs.
 	minComparedSizes = 2
-	// serversPerSlope is the number of additional room servers whose cost a slope gives.
+	// serversPerSlope is the number of additional room servers to which a slope refers.
 	serversPerSlope = 1000
 )
 
--- a/internal/testbench/experiment/scale_experiment.go
+++ b/internal/testbench/experiment/scale_experiment.go
@@ -46,8 +46,8 @@
 	ChangesPerDay float64 `json:"changes_a_day"`
 	// RegionDelayMs is the time until a change reaches the regions other than the first, in milliseconds.
 	RegionDelayMs int `json:"region_ms"`
-	// NoticeMs is the time, in milliseconds, until the front layer notices the end of a real balancer, and the links
-	// that of a list server.
+	// NoticeMs is the time, in milliseconds, until the front layer notices the end of a real balancer, and until the
+	// links notice the end of a list server.
 	NoticeMs int `json:"notice_ms"`
 	// Seconds is the time during which the list changes.
 	Seconds float64 `json:"seconds"`
@@ -76,7 +76,7 @@
 	Fraction float64 `json:"share"`
 	// DelayMs is the additional latency of a link in each direction, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// KBPerSecond is the bandwidth of a link, which both directions share; 0 for localNetworkKBPerSecond.
+	// KBPerSecond is the bandwidth of a link, which both directions share; 0 selects localNetworkKBPerSecond.
 	KBPerSecond float64 `json:"kb_per_s"`
 }
 
--- a/internal/testbench/experiment/scale_faults.go
+++ b/internal/testbench/experiment/scale_faults.go
@@ -9,7 +9,7 @@
 	"cottonplank/internal/testbench/invariants"
 )
 
-// localNetworkKBPerSecond is the bandwidth of a slow link for which the experiment sets none, that of a local network.
+// localNetworkKBPerSecond is the bandwidth of a slow link if the experiment sets none. It is that of a local network.
 const localNetworkKBPerSecond = 1 << 20
 
 // inject injects a fault and schedules its end.
--- a/internal/testbench/experiment/scale_requirements.go
+++ b/internal/testbench/experiment/scale_requirements.go
@@ -25,42 +25,44 @@
 
 // Estimates of the memory of the processes. They fit scale experiments with 2,000 and with 20,000 room servers.
 const (
-	// mainProcessMB is what the process of the run needs without balancers, room servers and clients.
+	// mainProcessMB is the memory of the process of the run without balancers, room servers and clients.
 	mainProcessMB = 40.0
-	// portKB is what the process of the run needs for each hollow node and real balancer.
+	// portKB is the memory of the process of the run for each hollow node and real balancer.
 	portKB = 90.0
-	// mainServerKB is what the process of the run needs for each room server of the list.
+	// mainServerKB is the memory of the process of the run for each room server of the list.
 	mainServerKB = 8.0
-	// sessionKB is what the process of the run needs for a client and its room server.
+	// sessionKB is the memory of the process of the run for each client and its room server.
 	sessionKB = 120.0
-	// workerMB is what a worker process needs without nodes and a list.
+	// workerMB is the memory of a worker process without nodes and a list.
 	workerMB = 22.0
-	// workerServerKB is what a worker needs for each room server in the copy of the list that its nodes share.
+	// workerServerKB is the memory of a worker for each room server in the copy of the list that its nodes share.
 	workerServerKB = 1.0
-	// nodeKB is what a worker needs for each hollow node.
+	// nodeKB is the memory of a worker for each hollow node.
 	nodeKB = 75.0
-	// noKnownListServerKB is what a worker needs for each pair of a room server and a node that starts without a list.
+	// noKnownListServerKB is the memory of a worker for each pair of a room server and a node that starts without a
+	// list.
 	noKnownListServerKB = 0.25
-	// engineServerKB is what a worker needs for each pair of a room server and a node with a full engine.
+	// engineServerKB is the memory of a worker for each pair of a room server and a node with a full engine.
 	engineServerKB = 2.6
-	// balancerMB is what a real balancer needs without a list.
+	// balancerMB is the memory of a real balancer without a list.
 	balancerMB = 16.0
-	// balancerServerKB is what a real balancer needs for each room server.
+	// balancerServerKB is the memory of a real balancer for each room server.
 	balancerServerKB = 2.2
 )
 
 // Estimates of the descriptors of the processes.
 const (
-	// watchDescriptors is what the process of the run needs for the watch of each hollow node and real balancer: the
-	// listener of its port, both connections of the proxy, and the list server's end.
+	// watchDescriptors is the number of descriptors of the process of the run for the watch of each hollow node and
+	// real balancer: the listener of its port, both connections of the proxy, and the list server's end.
 	watchDescriptors = 4
-	// renewalDescriptors is what it needs in addition while a new watch replaces the previous one.
+	// renewalDescriptors is the number of additional descriptors of that process while a new watch replaces the
+	// previous one.
 	renewalDescriptors = 3
-	// sessionDescriptors is what the process of the run needs for each client.
+	// sessionDescriptors is the number of descriptors of the process of the run for each client.
 	sessionDescriptors = 4
-	// nodeDescriptors is what a worker process needs for each hollow node.
+	// nodeDescriptors is the number of descriptors of a worker process for each hollow node.
 	nodeDescriptors = 2
-	// otherDescriptors is what any process needs for listeners, logs, pipes and the runtime.
+	// otherDescriptors is the number of descriptors of any process for listeners, logs, pipes and the runtime.
 	otherDescriptors = 500
 )
 
--- a/internal/testbench/experiment/scale_result.go
+++ b/internal/testbench/experiment/scale_result.go
@@ -43,25 +43,28 @@
 	NotConnected int `json:"not_begun"`
 	// Seconds is the duration of the run without the start.
 	Seconds float64 `json:"seconds"`
-	// ApplyMsP50, ApplyMsP99 and ApplyMsMax are the median, the 99 % quantile and the maximum of the time until a node
-	// has applied a change, since its publication or since the node became reachable if that was later.
+	// ApplyMsP50, ApplyMsP99 and ApplyMsMax are the median, the 99 % quantile and the maximum of the time from the
+	// publication of a change until a node has applied it. If the node became reachable after the publication, the time
+	// is measured from then.
 	ApplyMsP50 float64 `json:"in_force_ms_p50"`
 	ApplyMsP99 float64 `json:"in_force_ms_p99"`
 	ApplyMsMax float64 `json:"in_force_ms_max"`
 	// Applied counts the pairs of a node and a change that it has applied.
 	Applied int `json:"in_force"`
-	// CPUMsPerSecondP99 is the larger one of EngineCPUMsPerSecondP99 and FollowerCPUMsPerSecondP99.
+	// CPUMsPerSecondP99 is the larger of EngineCPUMsPerSecondP99 and FollowerCPUMsPerSecondP99.
 	CPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99"`
 	// EngineCPUMsPerSecondP99 is the 99 % quantile of the processor time of a node with a full engine. Each report of a
 	// worker after the start counts as one value, the mean over its running nodes.
 	EngineCPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99_modules"`
 	// FollowerCPUMsPerSecondP99 is the same quantile for the other nodes.
 	FollowerCPUMsPerSecondP99 float64 `json:"cpu_ms_per_s_p99_followers"`
-	// StartCPUMsPerSecond is the largest such value of a node with a full engine during the start.
+	// StartCPUMsPerSecond is the largest value of a node with a full engine in the reports during the start. Each value
+	// is the mean over a worker's running nodes.
 	StartCPUMsPerSecond float64 `json:"cpu_ms_per_s_start"`
 	// KBPerSecondMean is the mean traffic of a running hollow node in both directions, including its start.
 	KBPerSecondMean float64 `json:"kb_per_s_mean"`
-	// KBPerSecondP99 and KBPerSecondMax are the 99 % quantile and the maximum of that traffic over nodes and seconds.
+	// KBPerSecondP99 and KBPerSecondMax are the 99 % quantile and the maximum of the traffic of one running hollow node
+	// in one second.
 	KBPerSecondP99 float64 `json:"kb_per_s_p99"`
 	KBPerSecondMax float64 `json:"kb_per_s_max"`
 	// RealKBPerSecondMean is the mean traffic of a real balancer with discovery, including its start and the time during
@@ -81,10 +84,10 @@
 	Encodings uint64 `json:"source_encodings"`
 	// Answers counts the final answers that clients have read.
 	Answers int `json:"answers"`
-	// LostChanges is the sum of the changes that nodes skipped and the nodes that did not have the final list at the
-	// end, although they had been reachable for applyTimeout.
+	// LostChanges is the number of changes that nodes skipped, plus the number of nodes that did not have the final
+	// list at the end. Nodes that had not been reachable for applyTimeout at the end do not count among the latter.
 	LostChanges int `json:"lost_changes"`
-	// Regressions counts how often the version of a node went down.
+	// Regressions counts how often the version of a node decreased.
 	Regressions int `json:"went_back"`
 	// UnansweredRequests counts the requests without an answer, except those that a kill of their balancer excuses.
 	UnansweredRequests int `json:"lost_answers"`
@@ -96,7 +99,7 @@
 	ViolationTexts []string `json:"broken,omitempty"`
 }
 
-// Objectives of a scale run: the largest values that do not miss them.
+// Objectives of a scale run: maximum values.
 const (
 	maxApplyMs        = 6000.0
 	maxApplyMsP99     = 1000.0
@@ -105,14 +108,14 @@
 	maxEngineMB       = 256.0
 )
 
-// Passed reports whether no change and no answer was lost, no version went down and all invariants held. A missed
-// objective does not matter.
+// Passed reports whether no change and no answer was lost, no version decreased and all invariants held. It does not
+// depend on the objectives.
 func (r ScaleResult) Passed() bool {
 	return r.LostChanges == 0 && r.Regressions == 0 && r.UnansweredRequests == 0 && r.Violations == 0
 }
 
-// missedObjectives describes the objectives that were missed. A run with changes of which none was applied misses one
-// too.
+// missedObjectives describes the objectives that were missed. A run with changes also misses an objective if no node
+// has applied any of them.
 func (r ScaleResult) missedObjectives() []string {
 	missed := []string{}
 	for _, objective := range []struct {
--- a/internal/testbench/experiment/scale_run.go
+++ b/internal/testbench/experiment/scale_run.go
@@ -136,7 +136,7 @@
 	alive []bool
 	// serverUp says, for each list server, whether links may connect to it.
 	serverUp []bool
-	// regionCut says, for each region, whether changes are not replicated to it.
+	// regionCut says, for each region, whether the replication of changes to it is interrupted.
 	regionCut []bool
 	// nodeDown says, for each hollow node, whether it was stopped.
 	nodeDown []bool
@@ -168,7 +168,8 @@
 	return s
 }
 
-// play runs the clients, the changes of the list and the faults until the time limit for the last change is over.
+// play runs the clients, the changes of the list and the faults until the time limit for applying the last change has
+// passed.
 func (s *scaleRun) play(ctx context.Context) error {
 	playing, stopPlayers := context.WithCancel(ctx)
 	var players sync.WaitGroup
@@ -261,7 +262,7 @@
 	return nil
 }
 
-// readCounters records the memory of all processes and the traffic of all ports. It has to be called once a second,
+// readCounters records the memory of all processes and the traffic of all ports. It must be called once a second,
 // because the traffic between two calls counts as that of one second. It returns the number of hollow nodes that watch
 // the list, and the error of a background goroutine if there is one.
 func (s *scaleRun) readCounters() (connected int, err error) {
--- a/internal/testbench/experiment/scale_run_test.go
+++ b/internal/testbench/experiment/scale_run_test.go
@@ -16,7 +16,8 @@
 {"at_s":0.5,"for_s":1,"do":"kill","share":0.1},{"at_s":1,"for_s":1,"do":"slow","delay_ms":50,"kb_per_s":500},
 {"at_s":2,"for_s":1,"do":"cut"},{"at_s":3,"for_s":1.5,"do":"source"},{"at_s":5,"for_s":1.5,"do":"zone"}]}`
 
-// longScaleText is the same experiment with a longer duration than any test, which therefore has to stop the run.
+// longScaleText is the same experiment with a duration that is longer than that of any test. A test must end the run
+// itself.
 var longScaleText = strings.Replace(smallScaleText, `"seconds":8`, `"seconds":300`, 1)
 
 // All nodes apply all changes, and all invariants hold, in a small run with a fault of each kind.
--- a/internal/testbench/experiment/scale_setup.go
+++ b/internal/testbench/experiment/scale_setup.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// openPorts creates the links of all zones, and opens a port of them for each hollow node and real balancer.
+// openPorts creates the links of all zones. It opens a port for each hollow node and real balancer on the link of its
+// zone.
 func (s *scaleRun) openPorts() error {
 	for zone := range s.e.Zones {
 		link := faultproxy.NewLink(func(p *faultproxy.Port) string { return s.listAddress(zone, p.Balancer) })
@@ -254,7 +255,8 @@
 	})
 }
 
-// startWorkers writes the files of the workers and starts them. Nodes with and without full engines get separate ones.
+// startWorkers writes the files of the workers and starts them. Nodes with and without full engines run in separate
+// workers.
 func (s *scaleRun) startWorkers(list []byte) error {
 	setup := hollow.Setup{
 		KnownListPath: filepath.Join(s.dir, knownListFileName),
