--- a/cmd/cottonplank-lab/main.go
+++ b/cmd/cottonplank-lab/main.go
@@ -19,14 +19,15 @@
 // Exit statuses.
 const (
 	statusPassed = 0
-	// statusFailed means a violated invariant, a lost change or answer, a list version that went down, or a run that
+	// statusFailed means a violated invariant, a lost change or answer, a list version that decreased, or a run that
 	// failed. Membership runs count violated invariants and lost answers as missed objectives.
 	statusFailed = 1
-	// statusInvalid means an invalid file, invalid usage, no balancer program, or a run that needs more resources than the
-	// machine allows. Numbers that the measurements of size and scale-compare reject end with statusFailed.
+	// statusInvalid means an invalid file, invalid usage, no balancer program, or a run that needs more resources than
+	// the machine allows. Flag values that the measurements of the commands size and scale-compare reject result in
+	// statusFailed instead.
 	statusInvalid = 2
-	// statusObjectiveMissed means that a membership run missed an objective, or that a scale run did and statusFailed
-	// does not apply.
+	// statusObjectiveMissed means that a membership run or a scale run missed an objective. For scale runs,
+	// statusFailed takes precedence.
 	statusObjectiveMissed = 3
 )
 
@@ -52,7 +53,7 @@
 // invalid returns an error with statusInvalid.
 func invalid(err error) error { return &exitError{statusInvalid, err} }
 
-// lab holds what all commands use.
+// lab holds the options and the output streams that all commands share.
 type lab struct {
 	// balancer is the value of the flag --balancer; empty if it is not set.
 	balancer string
--- a/cmd/cottonplank-lab/scale.go
+++ b/cmd/cottonplank-lab/scale.go
@@ -52,7 +52,7 @@
 	return c
 }
 
-// scalePrograms returns the programs of a scale run. This program is the one that runs hollow nodes.
+// scalePrograms returns the programs of a scale run. The worker program is this program itself.
 func (l *lab) scalePrograms() (experiment.Programs, error) {
 	balancer, err := l.balancerProgram()
 	if err != nil {
