--- a/internal/testbench/hollow/convergence.go
+++ b/internal/testbench/hollow/convergence.go
@@ -15,7 +15,7 @@
 	Latencies []time.Duration
 	// LostUpdates counts the updates that a node skipped, and the nodes that did not have the final list at the end.
 	LostUpdates int
-	// Regressions counts how often the version of a node went down.
+	// Regressions counts how often the version of a node decreased.
 	Regressions int
 	// Violations has one text for each regression, each gap in the updates of a node, and each node without the final
 	// list.
@@ -34,7 +34,7 @@
 type convergenceCheck struct {
 	// start is the time of the first event; violations give times since then.
 	start time.Duration
-	// published holds when each version was published.
+	// published holds the time at which each version was published.
 	published map[int64]time.Duration
 	nodes     map[int]*nodeHistory
 	findings  Findings
--- a/internal/testbench/hollow/digest.go
+++ b/internal/testbench/hollow/digest.go
@@ -84,8 +84,8 @@
 // nodeList is the list of one node. It equals the shared list at the node's version, except for the endpoints in older.
 type nodeList struct {
 	version int64
-	// older holds, by name, the digests of the endpoints that differ from the shared list, because the change that the
-	// node received last is not the newest one.
+	// older holds, by name, the digests of the endpoints that differ from the shared list. For each of them, the change
+	// that the node received last is not the newest one up to version.
 	older  map[string]uint64
 	digest uint64
 }
@@ -111,9 +111,9 @@
 	}
 }
 
-// replace replaces the list by a snapshot. Known fault: it does not record the snapshot's endpoints in the shared list.
-// If all nodes of the process received a change of an endpoint only in snapshots, the next change of the endpoint makes
-// the digest of the list wrong.
+// replace replaces the list with a snapshot. Known fault: it does not record the snapshot's endpoints in the shared
+// list. If all nodes of the process received a change of an endpoint only in snapshots, the next change of the endpoint
+// makes the digest of the list wrong.
 func (l *nodeList) replace(endpoints []core.Endpoint) {
 	*l = nodeList{}
 	for _, e := range endpoints {
--- a/internal/testbench/hollow/event.go
+++ b/internal/testbench/hollow/event.go
@@ -22,7 +22,7 @@
 	FinalState
 )
 
-// Event is one thing that happened during a run. Workers send their events to the experiment as JSON.
+// Event records one occurrence during a run. Workers send their events to the experiment as JSON.
 type Event struct {
 	// At is the time of the machine's monotonic clock, as Now returns it.
 	At time.Duration `json:"At"`
--- a/internal/testbench/hollow/messages.go
+++ b/internal/testbench/hollow/messages.go
@@ -40,7 +40,7 @@
 	Events []Event `json:"Events,omitempty"`
 	// Usage is the worker's resource usage; nil if the report does not contain it.
 	Usage *Usage `json:"Usage,omitempty"`
-	// Done answers Command.Finish: all final states were reported, in this report at the latest.
+	// Done answers Command.Finish: this report and the earlier ones contain all final states.
 	Done bool `json:"Done,omitempty"`
 }
 
--- a/internal/testbench/hollow/node.go
+++ b/internal/testbench/hollow/node.go
@@ -128,8 +128,8 @@
 }
 
 // EndpointsUpdated applies an update of the endpoint list and records the new version. With a full engine it records
-// the version once the engine has applied the update, and not at all if that takes longer than engineTimeout. A
-// snapshot is recorded even if the version is the same.
+// the version once the engine has applied the update. If the engine does not apply it within engineTimeout, nothing is
+// recorded. A snapshot is recorded even if its version is the current one.
 func (n *node) EndpointsUpdated(update core.EndpointUpdate) {
 	if update.Kind == decide.ListFailed {
 		n.engine.EndpointsUpdated(update)
@@ -164,8 +164,8 @@
 	}
 }
 
-// updateEngine passes an update to the engine, or an empty delta if the engine has no list. With a full engine it
-// waits until the update is applied, and reports whether that was the case within engineTimeout.
+// updateEngine passes an update to the engine, or an empty delta if the engine has no list. With a full engine it waits
+// for at most engineTimeout and reports whether the engine has applied the update.
 func (n *node) updateEngine(update core.EndpointUpdate) bool {
 	if !n.fullEngine {
 		n.engine.EndpointsUpdated(core.EndpointUpdate{Kind: decide.ListDelta})
--- a/internal/testbench/hollow/node_test.go
+++ b/internal/testbench/hollow/node_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkDeltaCost checks what an update costs each node of a fleet.
+// checkDeltaCost checks the cost of an update for each node of a fleet.
 func checkDeltaCost(t *testing.T, f *fleet) {
 	t.Helper()
 	const changes = 20
@@ -65,8 +65,8 @@
 	bytesBefore, before := f.bytes(), f.server.Traffic()
 	f.publishAndWait(t, changes)
 	bytes, after := f.bytes()-bytesBefore, f.server.Traffic()
-	// An update is one message of about 170 bytes with its framing. Heartbeats may add to that, and so may the watch
-	// that a node opens at its first poll, after a random delay, in place of the one that it opened at its start.
+	// An update is one message of about 170 bytes with its framing. Heartbeats may add to that. A second watch may add
+	// to it as well: at its first poll, after a random delay, each node replaces the watch that it opened at its start.
 	if perChange := float64(bytes) / nodes / changes; perChange < 100 || perChange > 280 {
 		t.Errorf("%.0f bytes for each update, want 100 to 280", perChange)
 	} else {
