--- a/internal/testbench/faultproxy/path.go
+++ b/internal/testbench/faultproxy/path.go
@@ -14,8 +14,8 @@
 // reorderDelay is the additional delay of a datagram that is reordered, so that later ones arrive before it.
 const reorderDelay = 40 * time.Millisecond
 
-// burstsPerSecond sets the burst of a bandwidth limit, the number of bytes that it allows at once, to a fraction of the
-// bytes per second. The burst is at least bufferSize, because rate.Limiter rejects a packet that is larger than the
+// burstsPerSecond divides the bytes per second of a bandwidth limit to give its burst, the number of bytes that the
+// limit allows at once. The burst is at least bufferSize, because rate.Limiter rejects a packet that is larger than the
 // burst.
 const burstsPerSecond = 10
 
@@ -44,7 +44,7 @@
 	conditions Conditions
 	// limit limits the bandwidth of streams; nil if it is unlimited.
 	limit *rate.Limiter
-	// changed is closed when the conditions change, and replaced by a new channel.
+	// changed is closed when the conditions change, and is then replaced with a new channel.
 	changed chan struct{}
 	rng     *rand.Rand
 }
@@ -55,7 +55,7 @@
 }
 
 // Set replaces the conditions. The delays apply to data that arrives afterwards. The start and the end of a cut also
-// apply to the bytes of streams that have arrived before and are not forwarded yet.
+// apply to bytes of streams that arrived earlier and have not been forwarded yet.
 func (p *Path) Set(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbench/faultproxy/port.go
+++ b/internal/testbench/faultproxy/port.go
@@ -63,8 +63,8 @@
 }
 
 // proxy connects a client to the link's target and copies both directions until one of them ends. It closes the
-// client's connection if the path's loss applies to it, if the link is disconnected, or if there is no target or the
-// connection to it fails.
+// client's connection without copying if the forward path loses the connection, the link is disconnected, the link has
+// no target, or the connection to the target fails.
 func (p *Port) proxy(client net.Conn) {
 	defer client.Close()
 	p.accepted.Add(1)
--- a/internal/testbench/faultproxy/stream.go
+++ b/internal/testbench/faultproxy/stream.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// waitToWrite waits until a packet may be written: its delay and any cut have ended, and the bandwidth limit allows
-// it. It reports false if ctx ends before.
+// waitToWrite waits until a packet may be written: its delay and any cut have ended, and the bandwidth limit allows it.
+// It reports false if ctx ends first.
 func (p *Path) waitToWrite(ctx context.Context, next packet) bool {
 	if !next.due.IsZero() {
 		select {
@@ -81,7 +81,7 @@
 	return limit == nil || limit.WaitN(ctx, len(next.data)) == nil
 }
 
-// waitWhileCut waits while the path is cut. It reports false if ctx ends before the cut.
+// waitWhileCut waits while the path is cut. It reports false if ctx ends before the cut does.
 func (p *Path) waitWhileCut(ctx context.Context) bool {
 	for {
 		conditions, _, changed := p.current()
