--- a/internal/cluster/gossip/cluster.go
+++ b/internal/cluster/gossip/cluster.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// LeaveTimeout is the longest time that Leave takes.
+	// LeaveTimeout is the maximum duration of Leave.
 	LeaveTimeout = 400 * time.Millisecond
 	// leavePollInterval is the interval at which Leave checks whether the membership has ended.
 	leavePollInterval = 10 * time.Millisecond
--- a/internal/cluster/gossip/delegate.go
+++ b/internal/cluster/gossip/delegate.go
@@ -10,7 +10,7 @@
 
 // delegate implements the library's callbacks. The library holds a lock during most of them, so they must not block.
 // They push events into the session's queue, copy live nodes, queue messages for the gossip and start goroutines for
-// what takes longer.
+// longer operations.
 type delegate struct {
 	session *session
 	leaves  *leaveBroadcaster
--- a/internal/cluster/gossip/leave.go
+++ b/internal/cluster/gossip/leave.go
@@ -130,5 +130,5 @@
 // Message implements memberlist.Broadcast. It returns the encoded message.
 func (b broadcast) Message() []byte { return b }
 
-// Finished implements memberlist.Broadcast. Nothing has to be done when the library stops sending a message.
+// Finished implements memberlist.Broadcast. No action is needed when the library stops sending a message.
 func (b broadcast) Finished() {}
--- a/internal/cluster/gossip/rejoin.go
+++ b/internal/cluster/gossip/rejoin.go
@@ -25,8 +25,8 @@
 	next     time.Time
 }
 
-// due reports whether the time of the next attempt has come, and if so schedules the attempt after it. The interval
-// grows up to limit or minBackoffLimit, whichever is longer.
+// due reports whether the next attempt is due, and if so schedules the attempt after it. The interval grows up to limit
+// or minBackoffLimit, whichever is longer.
 func (b *backoff) due(now time.Time, limit time.Duration) bool {
 	if now.Before(b.next) {
 		return false
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -17,8 +17,8 @@
 	discardTimeout = time.Second
 )
 
-// transport wraps the library's transport. It sends to other addresses of peers where the settings map them (via),
-// drops received datagrams that are too long or replayed, and counts frames.
+// transport wraps the library's transport. If via maps the address of a peer to another address, it sends the frames
+// for the peer there. It also drops received datagrams that are too long or replayed, and counts frames.
 type transport struct {
 	*memberlist.NetTransport
 	via      map[netip.AddrPort]netip.AddrPort
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -22,9 +22,9 @@
 	// WallClock is the time since the Unix epoch at time 0 of the state machine.
 	WallClock time.Duration
 
-	// SuspicionTimeout is the minimum age at which a suspicion is confirmed, unless the suspect fails to answer probes
-	// that this instance sends (see failedProbesToConfirm). Both also require answers of other members (see
-	// respondersToConfirm).
+	// SuspicionTimeout is the minimum age at which a suspicion is confirmed. A suspicion may be confirmed earlier if
+	// the suspect fails to answer probes that this instance sends (see failedProbesToConfirm). In both cases, answers
+	// of other members are required too (see respondersToConfirm).
 	SuspicionTimeout time.Duration
 	// PauseThreshold is the longest normal gap between two ticks. A longer gap means that this process was paused.
 	PauseThreshold time.Duration
@@ -50,8 +50,8 @@
 	// DefaultIsolationTimeout tolerates heavy packet loss: with one probe per second and 40 % of the datagrams lost in
 	// each direction, only 0.5 % of the intervals of this length pass without an answer.
 	DefaultIsolationTimeout = 12 * time.Second
-	// DefaultDetectionTime is enough for 20 members: up to 31 s of suspicion in the failure detector, if no other member
-	// confirms the failure, and 14 s for probes and gossip. Package gossip replaces it by a value for the
+	// DefaultDetectionTime is enough for 20 members: up to 31 s of suspicion in the failure detector, if no other
+	// member confirms the failure, and 14 s for probes and gossip. Package gossip replaces it with a value for the
 	// configured fleet size.
 	DefaultDetectionTime = 45 * time.Second
 	// DefaultMaxPartitionDuration is the default of the setting partition_hold_s.
