--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -115,7 +115,7 @@
 		return c.openSession(protocol.Open{
 			Mode:        protocol.ModeReattach,
 			Ref:         flow.Ref,
-			Next:        flow.Claim,
+			NextFence:   flow.Claim,
 			ViaRedirect: flow.ViaRedirect,
 		})
 	case migration.OpenMigrated:
--- a/internal/session/protocol/open.go
+++ b/internal/session/protocol/open.go
@@ -28,8 +28,8 @@
 	// Ref identifies the copy of the session's state: with ModeReattach the copy that the room server holds, with the
 	// other modes the copy that it is to hold.
 	Ref token.Ref
-	// Next is the fencing token of the new attachment. It is used with ModeReattach.
-	Next uint64
+	// NextFence is the fencing token of the new attachment. It is used with ModeReattach.
+	NextFence uint64
 	// ViaRedirect says that Ref is not from the client's token, but from a tombstone or from a migration for the same
 	// request. It is used with ModeReattach.
 	ViaRedirect bool
@@ -47,7 +47,7 @@
 	common := fmt.Sprintf("%s:%s:%d:%x", o.Mode, o.Ref.Session, o.Ref.Epoch, o.Ref.Fence)
 	switch o.Mode {
 	case ModeReattach:
-		return fmt.Sprintf("%s:%x:%d", common, o.Next, flagDigit(o.ViaRedirect))
+		return fmt.Sprintf("%s:%x:%d", common, o.NextFence, flagDigit(o.ViaRedirect))
 	case ModeMigrate:
 		return fmt.Sprintf("%s:%d:%d", common, o.Position, o.Size)
 	}
@@ -65,7 +65,7 @@
 	switch o.Mode {
 	case ModeNew:
 	case ModeReattach:
-		o.Next = f.hexadecimal()
+		o.NextFence = f.hexadecimal()
 		o.ViaRedirect = f.flag()
 	case ModeMigrate:
 		o.Position = f.decimal()
--- a/internal/session/protocol/protocol_test.go
+++ b/internal/session/protocol/protocol_test.go
@@ -16,7 +16,7 @@
 func TestOpenIsParsed(t *testing.T) {
 	for _, open := range []Open{
 		{Mode: ModeNew, Ref: ref},
-		{Mode: ModeReattach, Ref: ref, Next: 9, ViaRedirect: true},
+		{Mode: ModeReattach, Ref: ref, NextFence: 9, ViaRedirect: true},
 		{Mode: ModeMigrate, Ref: ref, Position: 7, Size: MaxState},
 	} {
 		t.Run(string(open.Mode), func(t *testing.T) {
@@ -78,7 +78,7 @@
 // meaning, as they would if leading zeros were accepted.
 func FuzzParse(f *testing.F) {
 	fuzzcorpus.Add(f,
-		[]byte(Open{Mode: ModeReattach, Ref: ref, Next: 9}.String()),
+		[]byte(Open{Mode: ModeReattach, Ref: ref, NextFence: 9}.String()),
 		[]byte(Open{Mode: ModeMigrate, Ref: ref, Size: 9}.String()),
 		[]byte(Export{Ref: ref, Claim: 5, MaxState: 9}.String()),
 		[]byte(Commit{Session: ref.Session, Claim: 5, To: "s%201"}.String()),
--- a/internal/testbench/emulator/room_session.go
+++ b/internal/testbench/emulator/room_session.go
@@ -51,7 +51,7 @@
 func (c *roomConn) reattachSession(session protocol.Open) bool {
 	s, now := c.server, time.Now()
 	s.mu.Lock()
-	answer := s.arbiter.Reattach(now, session.Ref, session.Next, session.ViaRedirect, c.id)
+	answer := s.arbiter.Reattach(now, session.Ref, session.NextFence, session.ViaRedirect, c.id)
 	s.closeDisplaced(answer.Displaced)
 	if answer.Verdict == arbiter.Granted {
 		c.epoch, c.position = answer.Ref.Epoch, answer.Position
