--- a/internal/frontend/platform/request_line.go
+++ b/internal/frontend/platform/request_line.go
@@ -44,7 +44,7 @@
 	load float64
 	// returning reports whether the client reconnects after a broken or migrated connection.
 	returning bool
-	// resumeToken is the client's session token, or protocol.NewToken to start a new session. It is empty if the
+	// resumeToken is the client's session token, or protocol.NewSession to start a new session. It is empty if the
 	// client uses no session.
 	resumeToken string
 	// hasSessionField reports whether the line has the field protocol.FieldName, which only balancers may send.
--- a/internal/frontend/platform/session.go
+++ b/internal/frontend/platform/session.go
@@ -47,7 +47,7 @@
 		lineLength > maxLineLength-maxSessionFieldGrowth {
 		return true
 	}
-	if resumeToken == protocol.NewToken {
+	if resumeToken == protocol.NewSession {
 		var id token.SessionID
 		rand.Read(id[:])
 		ref := token.Ref{Session: id, Epoch: 1, Fence: randomNonzero()}
--- a/internal/frontend/platform/wire.go
+++ b/internal/frontend/platform/wire.go
@@ -45,7 +45,7 @@
 	fieldTimeout        = "d"      // in milliseconds
 	fieldGroup          = "g"      // the connections of a group share work on one server
 	fieldLoad           = "h"      // expected load, in microseconds of work a second
-	fieldResume         = "resume" // session token, or protocol.NewToken
+	fieldResume         = "resume" // session token, or protocol.NewSession
 	fieldReturning      = "again"  // "1": the client reconnects after a broken or migrated connection
 	fieldPreviousServer = "at"     // the room server of a connection to restore after a restart
 )
--- a/internal/session/protocol/line_texts_test.go
+++ b/internal/session/protocol/line_texts_test.go
@@ -14,7 +14,7 @@
 	export := Export{Ref: ref, Claim: 0x5f, ClaimFor: 2 * time.Second, MaxState: 100, ViaRedirect: true}
 	for _, v := range []struct{ got, want string }{
 		{FieldName, "session"},
-		{NewToken, "new"},
+		{NewSession, "new"},
 		{ReadyLine, "READY"},
 		{ActivateLine, "GO"},
 		{HaveLine, "HAVE"},
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -11,9 +11,9 @@
 const (
 	// FieldName is the name of the field in a request line to a room server that contains the text of an Open.
 	FieldName = "session"
-	// NewToken is the text that a client without a token sends in place of a token, to request a new session with a
+	// NewSession is the text that a client without a token sends in place of a token, to request a new session with a
 	// token.
-	NewToken = "new"
+	NewSession = "new"
 	// MaxState is the maximum size in bytes of a session's state that any balancer transfers. The configuration of a
 	// balancer can only lower it.
 	MaxState = 1 << 20
--- a/internal/testbench/emulator/player.go
+++ b/internal/testbench/emulator/player.go
@@ -234,7 +234,7 @@
 		id, p.key, p.cfg.Class, p.cfg.Tenant, p.cfg.ClientTimeout.Milliseconds(), p.room)
 	if p.cfg.ResumesSessions {
 		if token == "" {
-			token = protocol.NewToken
+			token = protocol.NewSession
 		}
 		line += ",resume=" + token
 	}
