--- a/internal/session/protocol/line_texts_test.go
+++ b/internal/session/protocol/line_texts_test.go
@@ -17,7 +17,7 @@
 		{NewSession, "new"},
 		{ReadyLine, "READY"},
 		{ActivateLine, "GO"},
-		{HaveLine, "HAVE"},
+		{TokenReceivedLine, "HAVE"},
 		{CommitDone, "DONE"},
 		{CommitRejected, "NO"},
 		{Open{Mode: ModeNew, Ref: ref}.String(), "new:" + id + ":3:abc"},
--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -32,8 +32,8 @@
 	// CommitRejected is the answer to a Commit whose claim has ended, for example because another request has
 	// attached or claimed the session.
 	CommitRejected = "NO"
-	// HaveLine is sent by a client, through its balancer, to confirm that it has received its token.
-	HaveLine = "HAVE"
+	// TokenReceivedLine is sent by a client, through its balancer, to confirm that it has received its token.
+	TokenReceivedLine = "HAVE"
 )
 
 // First words of lines with parameters.
--- a/internal/testbench/emulator/player_session.go
+++ b/internal/testbench/emulator/player_session.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	p.token = token
-	if _, err := io.WriteString(c, protocol.HaveLine+"\r\n"); err != nil {
+	if _, err := io.WriteString(c, protocol.TokenReceivedLine+"\r\n"); err != nil {
 		return false
 	}
 	line, err = textline.Read(c.reader)
--- a/internal/testbench/emulator/room_conn.go
+++ b/internal/testbench/emulator/room_conn.go
@@ -103,7 +103,7 @@
 		return c.server.cfg.ResumesSessions && c.request == "" && c.commitExport(line)
 	case protocol.ActivateLine:
 		return c.activateSession()
-	case protocol.HaveLine:
+	case protocol.TokenReceivedLine:
 		return c.established && c.confirmToken()
 	case "PLAY":
 		return c.established && c.play(rest)
