--- a/internal/testbench/emulator/endpoint_table.go
+++ b/internal/testbench/emulator/endpoint_table.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// StartedAt is the base of Entry.Started in an EndpointTable, in milliseconds since 1970: an entry that last changed
-// in version v has the value StartedAt+v. Receivers derive the version from it.
-const StartedAt = 1_700_000_000_000
+// StartedBase is the base of Entry.Started in an EndpointTable, in milliseconds since 1970: an entry that last changed
+// in version v has the value StartedBase+v. Receivers derive the version from it.
+const StartedBase = 1_700_000_000_000
 
 // maxCachedSnapshots is the number of encoded snapshots that an EndpointTable caches.
 const maxCachedSnapshots = 4
@@ -42,7 +42,7 @@
 		snapshots: map[int64][]byte{},
 	}
 	for i := range t.initial {
-		t.initial[i].Started = StartedAt + 1
+		t.initial[i].Started = StartedBase + 1
 		t.indexes[t.initial[i].Instance] = i
 	}
 	return t
@@ -66,7 +66,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	version := t.version() + 1
-	e.Started = StartedAt + version
+	e.Started = StartedBase + version
 	t.changes = append(t.changes, e)
 	t.lines = append(t.lines, t.encode(listing{Generation: version, Instances: []Entry{e}}))
 	return version
--- a/internal/testbench/emulator/list_server_test.go
+++ b/internal/testbench/emulator/list_server_test.go
@@ -111,7 +111,7 @@
 	table := NewEndpointTable(testEntries(3))
 	server, address := startListServer(t, table)
 	l := wantSnapshot(t, address, 1)
-	if len(l.Instances) != 3 || l.Instances[2].Started != StartedAt+1 {
+	if len(l.Instances) != 3 || l.Instances[2].Started != StartedBase+1 {
 		t.Errorf("snapshot %+v, want 3 entries of version 1", l)
 	}
 	watches := watchList(t, address, 50)
@@ -123,7 +123,7 @@
 	for _, watch := range watches {
 		for version := int64(2); version <= 3; version++ {
 			l := watch.wantDelta(version, 1)
-			if l.Instances[0].Started != StartedAt+version || l.Instances[0].Lifecycle != "leaving" {
+			if l.Instances[0].Started != StartedBase+version || l.Instances[0].Lifecycle != "leaving" {
 				t.Fatalf("delta %+v, want an entry that is leaving and has changed in this version", l)
 			}
 		}
--- a/internal/testbench/emulator/listing.go
+++ b/internal/testbench/emulator/listing.go
@@ -45,7 +45,7 @@
 	// Weight is its capacity relative to other room servers.
 	Weight float64 `json:"weight"`
 	// Started is when it started, in milliseconds since 1970; 0 if it needs no warm-up. An EndpointTable replaces it by a
-	// version, see StartedAt.
+	// version, see StartedBase.
 	Started int64 `json:"startedAtMs"`
 }
 
--- a/internal/testbench/hollow/digest.go
+++ b/internal/testbench/hollow/digest.go
@@ -28,7 +28,7 @@
 
 // endpointVersion returns the version of the list in which an endpoint of an emulator.EndpointTable last changed.
 func endpointVersion(e core.Endpoint) int64 {
-	return e.Started.UnixMilli() - emulator.StartedAt
+	return e.Started.UnixMilli() - emulator.StartedBase
 }
 
 // sharedList is the history of the endpoint list. All nodes of a process share it to save memory.
--- a/internal/testbench/hollow/digest_test.go
+++ b/internal/testbench/hollow/digest_test.go
@@ -16,7 +16,7 @@
 		Name:    name,
 		Address: "127.1.0.1:1",
 		Server:  decide.Server{Zone: "a", State: state},
-		Started: time.UnixMilli(emulator.StartedAt + version),
+		Started: time.UnixMilli(emulator.StartedBase + version),
 	}
 }
 
