--- a/internal/session/protocol/protocol.go
+++ b/internal/session/protocol/protocol.go
@@ -11,9 +11,9 @@
 const (
 	// FieldName is the name of the field in a request line to a room server that contains the text of an Open.
 	FieldName = "session"
-	// NewToken is the text that a client without a token sends in place of a token, to request a new session with a
+	// NewSession is the text that a client without a token sends in place of a token, to request a new session with a
 	// token.
-	NewToken = "new"
+	NewSession = "new"
 	// MaxState is the maximum size in bytes of a session's state that any balancer transfers. The configuration of a
 	// balancer can only lower it.
 	MaxState = 1 << 20
@@ -32,8 +32,8 @@
 	// CommitRejected is the answer to a Commit whose claim has ended, for example because another request has
 	// attached or claimed the session.
 	CommitRejected = "NO"
-	// HaveLine is sent by a client, through its balancer, to confirm that it has received its token.
-	HaveLine = "HAVE"
+	// TokenReceivedLine is sent by a client, through its balancer, to confirm that it has received its token.
+	TokenReceivedLine = "HAVE"
 )
 
 // First words of lines with parameters.
